--- a/crates/chervilshunt_core/src/allocator.rs
+++ b/crates/chervilshunt_core/src/allocator.rs
@@ -1,4 +1,4 @@
-//! The power allocator of one site: each target's share of the cap.
+//! Divides the power cap of one site into a share for each of its targets.
 
 mod parking;
 mod shares;
@@ -14,77 +14,84 @@
 use parking::Parking;
 use target::TargetPower;
 
-/// Bits of a share's number that count within one epoch.
+/// Low bits of a share's sequence number, which count within one epoch; the epoch takes the bits
+/// above.
 const SEQUENCE_BITS: u32 = 40;
 
-/// Shortest time between two workings-out of the shares; reports of demand come more often.
-const WORK_OUT_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum interval between two calculations of the shares. Demand is reported more often than
+/// this.
+const MIN_REALLOCATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after which a share is sent again that was not confirmed, or not yet kept.
-const SEND_AGAIN: Duration = Duration::from_secs(2);
+/// Interval after which a share is resent if its owner has not confirmed it, or still draws more
+/// than it.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What a power allocator has to know of its site and deployment.
+/// Configuration of a power allocator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerConfig {
-    /// The power that all targets of the site together may draw, in watts.
+    /// Maximum power that all targets of the site may draw together, in watts.
     pub cap_watts: f64,
-    /// The fencing number under which the role is held; shares are numbered from it upwards, so
-    /// that an owner never takes a share of an earlier allocator for a newer one.
+    /// Fencing number under which the allocator holds its role. Sequence numbers of shares start
+    /// from it, so that an owner never mistakes a share from an earlier allocator for a newer one.
     pub epoch: Epoch,
-    /// What the deployment minds most.
+    /// The deployment's weights for load stalls and batch efficiency.
     pub weights: PolicyWeights,
-    /// The mechanisms that are on; all of them outside the bench.
+    /// The enabled policy mechanisms; all of them are enabled outside the bench.
     pub mechanisms: Mechanisms,
 }
 
-/// What a power allocator has to react to.
+/// An input to the power allocator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PowerEvent {
-    /// A target stands at the site, drawing at most `drawing` watts until told otherwise.
+    /// A target joined the site. Until it confirms a share it is assumed to draw up to `drawing`
+    /// watts.
     TargetJoined {
         /// The target.
         target: TargetName,
-        /// Fixed part of a step's power, in watts; without a sequence there is no step.
+        /// Fixed part of the power of an engine step, in watts. An engine with no sequences runs no
+        /// steps.
         idle_watts: f64,
-        /// Power of a full batch, in watts.
+        /// Power of a step with a full batch, in watts.
         full_watts: f64,
-        /// The most that it can draw under the last share it is known to hold, in watts.
+        /// Maximum power that the target can draw under the last share it is known to hold, in
+        /// watts.
         drawing: f64,
     },
-    /// A target is gone and draws nothing.
+    /// A target left the site and draws no power.
     TargetLeft(TargetName),
-    /// An owner told how much power its live and its deferrable work could use.
+    /// An owner reported how much power its live and its deferrable work could use.
     Demanded {
         /// The target.
         target: TargetName,
-        /// Power for live work, in watts.
+        /// Power for live work, including the fixed part of a step, in watts.
         live_watts: f64,
-        /// Power for deferrable work beside it, in watts.
+        /// Additional power for deferrable work, in watts.
         deferrable_watts: f64,
     },
     /// An owner confirmed a share.
     ShareConfirmed {
         /// The target.
         target: TargetName,
-        /// The number of the share.
+        /// Sequence number of the confirmed share.
         sequence: u64,
-        /// The most that it can draw from now on, in watts.
+        /// Maximum power that the target can draw from now on, in watts. It exceeds the share while
+        /// sequences admitted under a larger share are still running.
         watts: f64,
     },
-    /// Operators changed the cap, in watts.
+    /// An operator changed the site's cap, in watts.
     CapChanged(f64),
     /// Time has passed.
     Tick,
 }
 
-/// What a power allocator wants done.
+/// An action that the power allocator requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PowerAction {
-    /// Tell an owner its share.
+    /// Send an owner its share.
     SetShare {
         /// The target.
         target: TargetName,
-        /// The number of the share, which the owner confirms.
+        /// Sequence number of the share, which the owner returns in its confirmation.
         sequence: u64,
         /// The share, in watts.
         watts: f64,
@@ -93,41 +100,41 @@
 
 /// The power allocator of one site.
 ///
-/// What a target may draw is what its owner last confirmed, or a share that was sent and not yet
-/// confirmed, whichever is more. A share is raised only by what the cap leaves beside the sum of
-/// these, so the sum passes the cap at no step, whichever messages are late, doubled or lost. After
-/// an operator lowers the cap the sum falls as fast as running sequences end; no stream is cut.
+/// A target is assumed to draw the larger of what its owner last confirmed and any share sent
+/// since. A share is raised only by the power that the cap leaves beyond the sum of these values.
+/// The sum therefore never exceeds the cap, even if messages are delayed, duplicated or lost. After
+/// an operator lowers the cap, the sum falls as running sequences end; no stream is cut.
 #[derive(Debug)]
 pub struct PowerAllocator {
     cfg: PowerConfig,
     targets: BTreeMap<TargetName, TargetPower>,
     parking: Parking,
     sequence: u64,
-    /// When shares were last worked out.
-    worked_out: Moment,
-    /// Whether demand has changed since.
-    changed: bool,
+    /// Time of the last calculation of the shares.
+    reallocated_at: Moment,
+    /// Whether demand or the set of targets has changed since then.
+    inputs_changed: bool,
     bugs: Bugs,
 }
 
 impl PowerAllocator {
-    /// Starts with no target.
+    /// Creates an allocator with no targets.
     ///
-    /// All targets of the site have to join before the first tick: what one that is left out
-    /// draws would be given away to the others.
+    /// All targets of the site must join before the first tick: the power drawn by a target that
+    /// has not joined would be given to the others.
     pub fn new(cfg: PowerConfig, now: Moment) -> Self {
         Self {
             cfg,
             targets: BTreeMap::new(),
             parking: Parking::new(now),
             sequence: cfg.epoch.get() << SEQUENCE_BITS,
-            worked_out: now,
-            changed: false,
+            reallocated_at: now,
+            inputs_changed: false,
             bugs: Bugs::default(),
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: PowerEvent, now: Moment) -> Vec<PowerAction> {
         match event {
             PowerEvent::TargetJoined {
@@ -135,62 +142,66 @@
                 idle_watts,
                 full_watts,
                 drawing,
-            } => self.joined(target, idle_watts, full_watts, drawing),
+            } => self.add_target(target, idle_watts, full_watts, drawing),
             PowerEvent::TargetLeft(target) => {
                 self.targets.remove(&target);
-                self.changed = true;
+                self.inputs_changed = true;
             }
             PowerEvent::Demanded {
                 target,
                 live_watts,
                 deferrable_watts,
-            } => self.demanded(&target, live_watts, deferrable_watts),
+            } => self.record_demand(&target, live_watts, deferrable_watts),
             PowerEvent::ShareConfirmed {
                 target,
                 sequence,
                 watts,
-            } => self.confirmed(&target, sequence, watts),
+            } => self.confirm_share(&target, sequence, watts),
             PowerEvent::CapChanged(watts) => {
                 self.cfg.cap_watts = watts;
-                self.work_out(now);
+                self.reallocate(now);
             }
             PowerEvent::Tick => {}
         }
         let review = self.parking.next_review().is_some_and(|at| at <= now);
-        if (self.changed || review) && now.since(self.worked_out) >= WORK_OUT_PAUSE {
-            self.work_out(now);
+        if (self.inputs_changed || review)
+            && now.since(self.reallocated_at) >= MIN_REALLOCATION_INTERVAL
+        {
+            self.reallocate(now);
         }
         let mut out = Vec::new();
-        self.lower(now, &mut out);
-        self.raise(now, &mut out);
-        self.send_again(now, &mut out);
+        self.send_decreases(now, &mut out);
+        self.send_increases(now, &mut out);
+        self.resend_unconfirmed(now, &mut out);
         out
     }
 
-    /// Seeds a bug, to show that a test finds it.
+    /// Seeds a bug, to verify that a test detects it.
     #[cfg(feature = "seeded-bugs")]
     pub const fn seed(&mut self, bug: crate::Bug) {
         self.bugs = Bugs::seeded(bug);
     }
 
-    /// Returns when [`PowerEvent::Tick`] is next wanted.
+    /// Returns when [`PowerEvent::Tick`] is next due, or `None` if no tick is needed.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let changed = self.changed.then(|| self.worked_out + WORK_OUT_PAUSE);
+        let changed = self
+            .inputs_changed
+            .then(|| self.reallocated_at + MIN_REALLOCATION_INTERVAL);
         let work_out = [changed, self.parking.next_review()]
             .into_iter()
             .flatten()
             .min();
         let unsettled = self.targets.values().filter(|it| !it.settled());
-        let send_again = unsettled.map(|it| it.sent + SEND_AGAIN).min();
+        let send_again = unsettled.map(|it| it.sent_at + RESEND_INTERVAL).min();
         [work_out, send_again].into_iter().flatten().min()
     }
 
-    /// Returns the most power that all targets together can draw now, in watts.
+    /// Returns the maximum power that all targets together can draw now, in watts.
     pub fn committed_watts(&self) -> f64 {
-        self.targets.values().map(TargetPower::held).sum()
+        self.targets.values().map(TargetPower::committed).sum()
     }
 
-    fn joined(&mut self, target: TargetName, idle_watts: f64, full_watts: f64, drawing: f64) {
+    fn add_target(&mut self, target: TargetName, idle_watts: f64, full_watts: f64, drawing: f64) {
         let forgets = self.bugs.has(Bug::ForgetsDrawAtTakeover);
         let drawing = if forgets { 0.0 } else { drawing };
         let power = TargetPower {
@@ -200,23 +211,23 @@
             deferrable_watts: 0.0,
             confirmed: (0, drawing),
             pending: Vec::new(),
-            wanted: drawing,
+            desired: drawing,
             parked: false,
-            sent: self.worked_out,
+            sent_at: self.reallocated_at,
         };
         self.targets.insert(target, power);
-        self.changed = true;
+        self.inputs_changed = true;
     }
 
-    fn demanded(&mut self, target: &TargetName, live_watts: f64, deferrable_watts: f64) {
+    fn record_demand(&mut self, target: &TargetName, live_watts: f64, deferrable_watts: f64) {
         if let Some(power) = self.targets.get_mut(target) {
             power.live_watts = live_watts;
             power.deferrable_watts = deferrable_watts;
-            self.changed = true;
+            self.inputs_changed = true;
         }
     }
 
-    fn confirmed(&mut self, target: &TargetName, sequence: u64, watts: f64) {
+    fn confirm_share(&mut self, target: &TargetName, sequence: u64, watts: f64) {
         if let Some(power) = self.targets.get_mut(target) {
             if self.bugs.has(Bug::TakesCrossedConfirmation) {
                 power.pending.clear();
@@ -227,37 +238,39 @@
         }
     }
 
-    fn work_out(&mut self, now: Moment) {
-        self.worked_out = now;
-        self.changed = false;
-        self.parking.work_out(&self.cfg, &mut self.targets, now);
-        shares::work_out(&self.cfg, &mut self.targets);
+    fn reallocate(&mut self, now: Moment) {
+        self.reallocated_at = now;
+        self.inputs_changed = false;
+        self.parking.update(&self.cfg, &mut self.targets, now);
+        shares::allocate(&self.cfg, &mut self.targets);
     }
 
-    /// Sends the shares that are to fall.
+    /// Sends the shares that decrease.
     ///
-    /// Changes too small to be worth a message are left out, unless the cap would be passed.
-    fn lower(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
-        if self.changed {
+    /// Changes too small to be worth a message are skipped, unless the shares sent last add up to
+    /// more than the cap.
+    fn send_decreases(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
+        if self.inputs_changed {
             return;
         }
         let shares: f64 = self.targets.values().map(TargetPower::share).sum();
         let over = shares > self.cfg.cap_watts;
         for (target, power) in &mut self.targets {
             let never_sent = power.confirmed.0 == 0 && power.pending.is_empty();
-            let worth = if over { 0.0 } else { power.quantum() };
-            let falls = power.wanted < power.share() - worth;
+            let worth = if over { 0.0 } else { power.deadband() };
+            let falls = power.desired < power.share() - worth;
             if never_sent || falls {
-                let watts = power.wanted.min(power.share());
+                let watts = power.desired.min(power.share());
                 self.sequence += 1;
                 out.push(power.send(target, self.sequence, watts, now));
             }
         }
     }
 
-    /// Sends the shares that are to rise, as far as the cap leaves room, the most needy first.
-    fn raise(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
-        if self.changed {
+    /// Sends the shares that increase, as far as the cap leaves room, starting with the target
+    /// whose live work lacks most power.
+    fn send_increases(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
+        if self.inputs_changed {
             return;
         }
         let mut room = self.cfg.cap_watts - self.committed_watts();
@@ -268,28 +281,30 @@
         let mut rising: Vec<(&TargetName, &mut TargetPower)> = self
             .targets
             .iter_mut()
-            .filter(|(_, power)| power.wanted > power.held() + power.quantum())
+            .filter(|(_, power)| power.desired > power.committed() + power.deadband())
             .collect();
-        rising.sort_by(|(_, left), (_, right)| right.need().total_cmp(&left.need()));
+        rising.sort_by(|(_, left), (_, right)| {
+            right.live_shortfall().total_cmp(&left.live_shortfall())
+        });
         for (target, power) in rising {
-            let watts = power.wanted.min(power.held() + room);
-            if watts <= power.held() + power.quantum() {
+            let watts = power.desired.min(power.committed() + room);
+            if watts <= power.committed() + power.deadband() {
                 continue;
             }
-            room -= watts - power.held();
+            room -= watts - power.committed();
             self.sequence += 1;
             out.push(power.send(target, self.sequence, watts, now));
         }
     }
 
-    /// Sends shares again whose confirmation is missing, or still names more than the share.
-    fn send_again(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
+    /// Resends shares whose confirmation is missing or reports a draw above the share.
+    fn resend_unconfirmed(&mut self, now: Moment, out: &mut Vec<PowerAction>) {
         for (target, power) in &mut self.targets {
-            if power.settled() || now.since(power.sent) < SEND_AGAIN {
+            if power.settled() || now.since(power.sent_at) < RESEND_INTERVAL {
                 continue;
             }
             let (sequence, watts) = power.last_sent();
-            power.sent = now;
+            power.sent_at = now;
             out.push(PowerAction::SetShare {
                 target: target.clone(),
                 sequence,
--- a/crates/chervilshunt_core/src/allocator/parking.rs
+++ b/crates/chervilshunt_core/src/allocator/parking.rs
@@ -1,8 +1,9 @@
-//! Which targets run nothing for a while, so that the others run fuller batches.
+//! Chooses targets that run nothing for a while, so that the others run fuller batches.
 //!
-//! A step costs its fixed part however few sequences it runs. The same work takes fewer steps, and
-//! less power, on fewer targets; but fewer targets hold fewer adapters, and requests wait for
-//! loads more often. The weights of the deployment decide; see `docs/design/power.md`.
+//! An engine step has a fixed power cost, however few sequences it runs. On fewer targets the same
+//! work takes fewer steps and less power, but fewer targets hold fewer adapters, so that requests
+//! wait for adapter loads more often. The deployment's weights decide between the two; see
+//! `docs/design/power.md`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,45 +14,46 @@
 use super::target::TargetPower;
 use crate::decay::DecayedLevel;
 
-/// Memory of the demand by which targets are parked.
+/// Half-life of the average demand that parking decisions are based on.
 const DEMAND_HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// Part by which the power for sequences has to exceed the demand for it.
-const HEAD_ROOM: f64 = 1.2;
+/// Ratio by which the power available to sequences must exceed their demand.
+const HEADROOM_RATIO: f64 = 1.2;
 
-/// Part of each batch that is to be filled before another target is used, where batches alone
-/// count; in proportion where they outweigh stalls by less, and none where they don't.
-const FULL_ENOUGH: f64 = 0.85;
+/// Fraction of each batch to fill before another target is used, if only batch efficiency counts.
+/// It is scaled down as load stalls gain weight, and is zero where they weigh as much or more.
+const MAX_BATCH_FILL: f64 = 0.85;
 
-/// Time for which fewer targets have to do before one is parked, and between two.
-const PARK_PAUSE: Duration = Duration::from_secs(20);
+/// Time for which fewer targets must suffice before one is parked, and minimum time between two
+/// parkings.
+const PARK_DELAY: Duration = Duration::from_secs(20);
 
-/// The choice of targets to be parked.
+/// Decides which targets are parked.
 #[derive(Debug)]
 pub(super) struct Parking {
     demand: DecayedLevel,
-    /// Since when fewer targets would do.
-    fewer_since: Option<Moment>,
+    /// Time since which fewer targets than are in use would suffice.
+    surplus_since: Option<Moment>,
     started: Moment,
 }
 
 impl Parking {
-    /// Starts with no target parked.
+    /// Creates the state with no target parked.
     pub(super) fn new(now: Moment) -> Self {
         Self {
             demand: DecayedLevel::default(),
-            fewer_since: None,
+            surplus_since: None,
             started: now,
         }
     }
 
-    /// Returns when the choice is to be reviewed, even if no demand changes.
+    /// Returns when the decision must be reviewed even if demand does not change.
     pub(super) fn next_review(&self) -> Option<Moment> {
-        self.fewer_since.map(|since| since + PARK_PAUSE)
+        self.surplus_since.map(|since| since + PARK_DELAY)
     }
 
-    /// Parks at most one target, or takes as many back as demand asks for.
-    pub(super) fn work_out(
+    /// Parks at most one target, or unparks as many as demand requires.
+    pub(super) fn update(
         &mut self,
         cfg: &PowerConfig,
         targets: &mut BTreeMap<TargetName, TargetPower>,
@@ -64,27 +66,27 @@
         };
         let demand: f64 = targets.values().map(demand).sum();
         self.demand.set(demand, DEMAND_HALF_LIFE, now);
-        let lasting = self.demand.average(DEMAND_HALF_LIFE, now);
-        let wanted = wanted_targets(cfg, targets, lasting, fill);
+        let average = self.demand.average(DEMAND_HALF_LIFE, now);
+        let desired = desired_targets(cfg, targets, average, fill);
         let in_use = targets.values().filter(|it| !it.parked).count();
-        if wanted >= in_use {
-            self.fewer_since = None;
-            for _ in in_use..wanted {
+        if desired >= in_use {
+            self.surplus_since = None;
+            for _ in in_use..desired {
                 unpark_one(targets);
             }
             return;
         }
-        let settled = now.since(self.started) >= PARK_PAUSE * 3;
-        let since = *self.fewer_since.get_or_insert(now);
-        if settled && now.since(since) >= PARK_PAUSE {
-            self.fewer_since = Some(now);
+        let settled = now.since(self.started) >= PARK_DELAY * 3;
+        let since = *self.surplus_since.get_or_insert(now);
+        if settled && now.since(since) >= PARK_DELAY {
+            self.surplus_since = Some(now);
             park_one(targets);
         }
     }
 }
 
-/// Returns how many targets are to be in use.
-fn wanted_targets(
+/// Returns how many targets should be in use.
+fn desired_targets(
     cfg: &PowerConfig,
     targets: &BTreeMap<TargetName, TargetPower>,
     demand: f64,
@@ -97,7 +99,7 @@
         let used = used as f64;
         (used * range).min(cfg.cap_watts - used * fixed)
     };
-    let enough = |used: &usize| power_for(*used) >= demand * HEAD_ROOM;
+    let enough = |used: &usize| power_for(*used) >= demand * HEADROOM_RATIO;
     if !(1..=count).any(|used| enough(&used)) {
         let most = |left: &usize, right: &usize| power_for(*left).total_cmp(&power_for(*right));
         return (1..=count).max_by(most).unwrap_or(count);
@@ -111,15 +113,15 @@
     filled.clamp(smallest, largest)
 }
 
-/// Returns the part of each batch that is to be filled before another target is used: none where
-/// stalls weigh as much as batches or more.
+/// Returns the fraction of each batch to fill before another target is used. It is not positive if
+/// load stalls weigh at least as much as batch efficiency.
 fn batch_fill(cfg: &PowerConfig) -> f64 {
     let weights = cfg.weights;
     let sum = weights.batch_efficiency + weights.load_stalls;
     if sum <= 0.0 || !cfg.mechanisms.packing {
         return 0.0;
     }
-    (weights.batch_efficiency - weights.load_stalls) / sum * FULL_ENOUGH
+    (weights.batch_efficiency - weights.load_stalls) / sum * MAX_BATCH_FILL
 }
 
 fn park_one(targets: &mut BTreeMap<TargetName, TargetPower>) {
--- a/crates/chervilshunt_core/src/allocator/target.rs
+++ b/crates/chervilshunt_core/src/allocator/target.rs
@@ -1,84 +1,85 @@
-//! What a power allocator knows of one target.
+//! State that the power allocator keeps for one target.
 
 use chervilshunt_model::{Moment, TargetName};
 
 use super::PowerAction;
 
-/// Part of a target's range of power that is not worth a message.
-const QUANTUM: f64 = 1.0 / 64.0;
+/// Fraction of a target's power range below which a change of its share is not worth a message.
+const DEADBAND_FRACTION: f64 = 1.0 / 64.0;
 
-/// What is known of one target.
+/// The power state of one target.
 #[derive(Clone, Debug)]
 pub(super) struct TargetPower {
-    /// Fixed part of a step's power.
+    /// Fixed part of the power of a step, in watts.
     pub(super) idle_watts: f64,
-    /// Power of a full batch.
+    /// Power of a step with a full batch, in watts.
     pub(super) full_watts: f64,
-    /// Power that live work could use.
+    /// Power that live work could use, in watts.
     pub(super) live_watts: f64,
-    /// Power that deferrable work could use beside it.
+    /// Additional power that deferrable work could use, in watts.
     pub(super) deferrable_watts: f64,
-    /// The share last confirmed, and the most that can be drawn under it.
+    /// Sequence number of the share confirmed last, and the maximum power in watts that can be
+    /// drawn under it.
     pub(super) confirmed: (u64, f64),
-    /// Shares sent since, oldest first.
+    /// Sequence numbers and watts of the shares sent since, oldest first.
     pub(super) pending: Vec<(u64, f64)>,
-    /// Whether it is to run nothing, so that others run fuller batches.
+    /// Whether the target is to run nothing, so that others run fuller batches.
     pub(super) parked: bool,
-    /// The share that it is to have.
-    pub(super) wanted: f64,
+    /// The share that the target should have, in watts.
+    pub(super) desired: f64,
     /// When a share was last sent.
-    pub(super) sent: Moment,
+    pub(super) sent_at: Moment,
 }
 
 impl TargetPower {
-    /// Returns the most that the target can draw: it may hold any share that was sent since the
-    /// last confirmation.
-    pub(super) fn held(&self) -> f64 {
+    /// Returns the maximum power that the target can draw, in watts. It may hold any share sent
+    /// since the last confirmation.
+    pub(super) fn committed(&self) -> f64 {
         let pending = self.pending.iter().map(|(_, watts)| *watts);
         pending.fold(self.confirmed.1, f64::max)
     }
 
-    /// Returns the share sent last, or what was drawn before the first.
+    /// Returns the share sent last in watts, or the assumed draw if none was sent yet.
     pub(super) fn share(&self) -> f64 {
         self.last_sent().1
     }
 
-    /// Returns number and size of the share sent last.
+    /// Returns the sequence number and watts of the share sent last.
     pub(super) fn last_sent(&self) -> (u64, f64) {
         self.pending.last().copied().unwrap_or(self.confirmed)
     }
 
-    /// Whether the last share is confirmed and kept.
+    /// Returns whether the last share is confirmed and the draw is within it.
     pub(super) fn settled(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Returns how far the share is below what live work could use.
-    pub(super) fn need(&self) -> f64 {
-        self.live_watts - self.held()
+    /// Returns how many watts live work lacks under the committed power.
+    pub(super) fn live_shortfall(&self) -> f64 {
+        self.live_watts - self.committed()
     }
 
-    /// Returns the power between idling and a full batch.
+    /// Returns the difference between the full-batch power and the fixed part, in watts.
     pub(super) fn range(&self) -> f64 {
         self.full_watts - self.idle_watts
     }
 
-    /// Returns the power that the sequences of its live work could use, beside the fixed part.
+    /// Returns the power that live sequences could use beyond the fixed part, in watts.
     pub(super) fn live_demand(&self) -> f64 {
         (self.live_watts - self.idle_watts).max(0.0)
     }
 
-    /// Returns the power that the sequences of all its work could use, beside the fixed part.
+    /// Returns the power that all sequences could use beyond the fixed part, in watts.
     pub(super) fn demand(&self) -> f64 {
         self.live_demand() + self.deferrable_watts
     }
 
-    /// Returns the change of share that is not worth a message.
-    pub(super) fn quantum(&self) -> f64 {
-        self.range() * QUANTUM
+    /// Returns the change of share, in watts, below which no message is sent.
+    pub(super) fn deadband(&self) -> f64 {
+        self.range() * DEADBAND_FRACTION
     }
 
-    /// Notes a share as sent.
+    /// Records a share as sent and returns the message that carries it.
     pub(super) fn send(
         &mut self,
         target: &TargetName,
@@ -87,7 +88,7 @@
         now: Moment,
     ) -> PowerAction {
         self.pending.push((sequence, watts));
-        self.sent = now;
+        self.sent_at = now;
         PowerAction::SetShare {
             target: target.clone(),
             sequence,
@@ -95,11 +96,12 @@
         }
     }
 
-    /// Takes a confirmation: the owner holds this share and none sent before it.
+    /// Handles a confirmation: the owner holds this share and none sent before it.
     ///
-    /// While sequences run beyond the share, the confirmation names more than the share, and the
-    /// share stays pending until a later one no longer does. Of two for the same share the lesser
-    /// holds, in whichever order they come: what is drawn beyond a share only falls.
+    /// While sequences admitted under a larger share still run, the confirmation reports more watts
+    /// than the share, and the share stays pending until a later confirmation no longer does. Of
+    /// two confirmations for the same share the lower value counts, in whatever order they arrive,
+    /// because a draw above the share can only fall.
     pub(super) fn confirm(&mut self, sequence: u64, watts: f64) {
         let Some(index) = self.pending.iter().position(|(sent, _)| *sent == sequence) else {
             return;
