--- a/crates/chervilshunt_core/src/bugs.rs
+++ b/crates/chervilshunt_core/src/bugs.rs
@@ -1,46 +1,46 @@
-//! Bugs that tests seed, to show that their checks find them.
+//! Bugs that tests seed into the state machines, to verify that the checks detect them.
 
-/// A bug that a test can seed into one of the machines.
+/// A bug that a test can seed into one of the state machines.
 ///
-/// Without feature `seeded-bugs`, which only this crate's own tests switch on, none can be seeded
-/// and the branches compile to nothing.
+/// Bugs can only be seeded with feature `seeded-bugs`, which only this crate's own tests enable.
+/// Without it, the branches that check for bugs compile to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(
     not(feature = "seeded-bugs"),
     allow(unreachable_pub, reason = "public to the tests alone")
 )]
 pub enum Bug {
-    /// An owner evicts before it knows the permits of the earlier one.
+    /// A new owner evicts adapters before it knows the permits granted by the previous one.
     EvictsInTakeover,
-    /// The release of one permit takes the pins of all permits for its adapter off.
+    /// Releasing one permit removes the pins of all permits for the same adapter.
     ReleaseFreesAllPins,
-    /// An owner leaves out permits that instances hold from before it took over.
+    /// A new owner ignores permits that instances hold from before its takeover.
     TakeoverForgetsPermits,
-    /// An owner grants one permit more than the batch and the share of power bear.
+    /// An owner grants one permit more than the batch and the power share allow.
     GrantsBeyondBatch,
-    /// An owner treats an attempt that was settled as a new one.
+    /// An owner treats an attempt that was already settled as a new one.
     ForgetsSettledAttempts,
-    /// An owner takes the refusal of its fencing number for an ordinary refusal.
+    /// An owner handles the rejection of its fencing number like any other refusal.
     IgnoresFencedAnswer,
-    /// An owner acts on the doubled answer to an order once more.
+    /// An owner processes a duplicated answer to an order a second time.
     TakesAnswerTwice,
-    /// An owner loads as soon as it has asked for its turn.
+    /// An owner loads as soon as it has requested a turn, without waiting for the grant.
     LoadsWithoutTurn,
-    /// An allocator raises a share before the one that pays for it is confirmed as lowered.
+    /// The allocator raises a share before the decrease that makes room for it is confirmed.
     RaisesBeforeConfirmed,
-    /// An allocator takes a crossed confirmation of an older share for the newest.
+    /// The allocator accepts a late confirmation of an older share as one of the newest share.
     TakesCrossedConfirmation,
-    /// A new allocator takes targets to draw nothing until they confirm a share.
+    /// A new allocator assumes that targets draw nothing until they confirm a share.
     ForgetsDrawAtTakeover,
-    /// A scheduler gives one turn more than the store bears side by side.
+    /// The scheduler grants one turn more than the store's concurrency.
     GrantsBeyondConcurrency,
-    /// A scheduler gives the rate back for the doubled end of a turn.
+    /// The scheduler returns a rate token for the duplicated end of a turn.
     CountsEndTwice,
-    /// A scheduler waits for the end of a turn for ever.
+    /// The scheduler never times out a turn whose end is not reported.
     NeverTimesOut,
 }
 
-/// The bug seeded into a machine, if any.
+/// The bug seeded into a state machine, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bugs {
     #[cfg(feature = "seeded-bugs")]
@@ -48,7 +48,7 @@
 }
 
 impl Bugs {
-    /// Seeds a bug.
+    /// Creates the state with `bug` seeded.
     #[cfg(feature = "seeded-bugs")]
     pub(crate) const fn seeded(bug: Bug) -> Self {
         Self { seeded: Some(bug) }
@@ -60,7 +60,7 @@
         self.seeded == Some(bug)
     }
 
-    /// Returns whether `bug` is seeded.
+    /// Returns whether `bug` is seeded, which it never is without the feature.
     #[cfg(not(feature = "seeded-bugs"))]
     #[allow(clippy::unused_self, reason = "the same signature as in tests")]
     pub(crate) const fn has(self, _bug: Bug) -> bool {
--- a/crates/chervilshunt_core/src/decay.rs
+++ b/crates/chervilshunt_core/src/decay.rs
@@ -1,13 +1,13 @@
-//! Averages that fade with time, without a timer.
+//! Exponentially decaying averages that need no timer.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// A rate of events that forgets exponentially; it is brought up to date only when it is used.
+/// An event rate with exponential decay, updated only when it is used.
 ///
-/// A sweep over all adapters on a timer would cost time in proportion to the adapters known, so
-/// each counter carries the moment of its last update instead.
+/// Each counter stores the time of its last update. Decaying all of them on a timer would cost time
+/// in proportion to the number of known adapters.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DecayedRate {
     count: f64,
@@ -15,18 +15,18 @@
 }
 
 impl DecayedRate {
-    /// Counts an event of weight `amount`.
+    /// Records an event of weight `amount`.
     pub(crate) fn add(&mut self, amount: f64, half_life: Duration, now: Moment) {
         self.count = self.count_at(half_life, now) + amount;
         self.updated = now.max(self.updated);
     }
 
-    /// Returns the events a second.
+    /// Returns the current rate in events per second.
     pub(crate) fn per_second(&self, half_life: Duration, now: Moment) -> f64 {
         self.count_at(half_life, now) * std::f64::consts::LN_2 / half_life.as_secs_f64()
     }
 
-    /// Returns the events a second as of the last event, and the time since then.
+    /// Returns the rate in events per second as of the last event, and the time elapsed since.
     pub(crate) fn last(&self, half_life: Duration, now: Moment) -> (f64, Duration) {
         let rate = self.count * std::f64::consts::LN_2 / half_life.as_secs_f64();
         (rate, now.since(self.updated))
@@ -38,7 +38,7 @@
     }
 }
 
-/// The average over time of a level that changes in steps, forgetting exponentially.
+/// The exponentially weighted time average of a level that changes in steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DecayedLevel {
     average: f64,
@@ -47,39 +47,39 @@
 }
 
 impl DecayedLevel {
-    /// Notes that the level is `level` from now on.
+    /// Sets the level that applies from `now` on.
     pub(crate) fn set(&mut self, level: f64, half_life: Duration, now: Moment) {
         self.average = self.average(half_life, now);
         self.level = level;
         self.updated = now.max(self.updated);
     }
 
-    /// Returns the average.
+    /// Returns the average as of `now`.
     pub(crate) fn average(&self, half_life: Duration, now: Moment) -> f64 {
         let elapsed = now.since(self.updated).as_secs_f64();
-        let kept = (-elapsed / half_life.as_secs_f64()).exp2();
-        self.average * kept + self.level * (1.0 - kept)
+        let decay = (-elapsed / half_life.as_secs_f64()).exp2();
+        self.average * decay + self.level * (1.0 - decay)
     }
 }
 
-/// The average of a sequence of durations, with more weight on later ones.
+/// The exponentially weighted moving average of a sequence of durations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct DurationAverage {
     seconds: f64,
 }
 
 impl DurationAverage {
-    /// Share of a new duration in the average.
+    /// Weight of a new duration in the average.
     const GAIN: f64 = 0.1;
 
-    /// Starts from an estimate.
+    /// Creates an average that starts from an estimate.
     pub(crate) fn new(initial: Duration) -> Self {
         Self {
             seconds: initial.as_secs_f64(),
         }
     }
 
-    /// Takes in a duration.
+    /// Adds a duration to the average.
     pub(crate) fn add(&mut self, value: Duration) {
         self.seconds += Self::GAIN * (value.as_secs_f64() - self.seconds);
     }
--- a/crates/chervilshunt_core/src/decision.rs
+++ b/crates/chervilshunt_core/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions as data, which the daemon renders as log lines.
+//! Structured records of decisions, which the daemon writes as log lines.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-/// One decision with its reason and the alternatives that were weighed.
+/// A decision with its reason and the alternatives that were considered.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Decision {
-    /// What was decided.
+    /// The kind of decision.
     pub kind: DecisionKind,
-    /// The target that it concerns.
+    /// The target that the decision concerns.
     pub target: TargetName,
-    /// The adapter version that it concerns.
+    /// The adapter version that the decision concerns, if any.
     pub model: Option<AdapterVersion>,
-    /// The try that it was taken for.
+    /// The attempt that the decision was made for, if any.
     pub attempt: Option<AttemptId>,
-    /// The class of the request that it was taken for.
+    /// The class of the request that the decision was made for, if any.
     pub class: Option<Class>,
-    /// Why, as a short fixed text.
+    /// The reason, as a short fixed text.
     pub reason: &'static str,
-    /// The other adapter versions that were weighed, best first, cut to a few.
+    /// The other adapter versions that were considered, best first, limited to a few.
     pub alternatives: SmallVec<[AdapterVersion; 2]>,
-    /// The targets that a request was sent on to, best first.
+    /// The targets that a request was redirected to, best first.
     pub sent_on: SmallVec<[TargetName; 4]>,
-    /// How long the request had waited here.
+    /// How long the request had waited at this owner.
     pub waited: Waited,
 }
 
 /// How long a request waited at an owner, and for what.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Waited {
-    /// In all.
+    /// The total wait.
     pub total: Duration,
-    /// For its adapter to be loaded: the load stall.
+    /// The part spent waiting for the adapter to be loaded, called the load stall.
     pub for_load: Duration,
 }
 
-/// What was decided.
+/// The kind of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
@@ -46,22 +46,22 @@
     Grant,
     /// A request was queued.
     Queue,
-    /// A request was sent to another target.
+    /// A request was redirected to another target.
     Redirect,
     /// A request was refused.
     Refuse,
-    /// A load was ordered.
+    /// An adapter load was ordered.
     Load,
-    /// An eviction was ordered.
+    /// An adapter eviction was ordered.
     Evict,
-    /// The share of power changed.
+    /// The target's power share changed.
     Power,
-    /// Calls to the target were stopped or let through again, by how earlier ones ended.
+    /// The circuit breaker stopped calls to the target or let them through again.
     Breaker,
 }
 
 impl DecisionKind {
-    /// Returns the name that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Grant => "grant",
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions without input or output: permits, adapter slots, loads and power.
+//! Decision logic without I/O: permits, adapter slots, loads and power.
 //!
-//! Every part is a state machine that takes an event and the present time and gives back actions;
-//! sockets and timers are the daemon's. The policy bench drives the same code in virtual time. See
-//! `docs/ARCHITECTURE.md` and `docs/design/`.
+//! Every part is a state machine that takes an event and the current time and returns actions.
+//! Sockets and timers belong to the daemon. The policy bench runs the same code in virtual time.
+//! See `docs/ARCHITECTURE.md` and `docs/design/`.
 
 mod allocator;
 mod bugs;
--- a/crates/chervilshunt_core/src/mechanisms.rs
+++ b/crates/chervilshunt_core/src/mechanisms.rs
@@ -1,28 +1,29 @@
-//! Switches by which the policy bench turns off one mechanism at a time.
+//! Switches that let the policy bench disable one mechanism at a time.
 
 use serde::{Deserialize, Serialize};
 
-/// The mechanisms that make up the policy; all are on outside the bench.
+/// The mechanisms of the placement and power policy; all of them are enabled outside the bench.
 ///
-/// A mechanism whose absence costs nothing on any scenario of the bench is taken out, so each field
-/// stands for a measured gain; see `docs/design/bench.md`.
+/// A mechanism that improves no scenario of the bench is removed, so each field stands for a
+/// measured gain; see `docs/design/bench.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mechanisms {
-    /// Hold an adapter on several targets while its demand asks for it.
+    /// Hold an adapter on several targets while its demand requires it.
     pub spread: bool,
-    /// Evict by the expected cost of loading again, rather than the least recently used.
+    /// Evict the adapter with the lowest expected reload cost instead of the least recently used
+    /// one.
     pub cost_eviction: bool,
-    /// Give turns to load by urgency, rather than in order of arrival.
+    /// Grant load turns by urgency instead of in order of arrival.
     pub urgency: bool,
-    /// Share permits between callers, rather than in order of arrival.
+    /// Share permits fairly between callers instead of granting them in order of arrival.
     pub fairness: bool,
-    /// Fill batches with deferrable work, rather than treat it like live work.
+    /// Fill batches with deferrable work instead of treating it like live work.
     pub fill: bool,
-    /// Prefer targets that are likely to hold the prefix of the prompt.
+    /// Prefer targets that are likely to have the prompt's prefix in their cache.
     pub prefix: bool,
     /// Load adapters ahead of demand while the weight store is idle.
     pub ahead: bool,
-    /// Give spare power to few targets with full batches, rather than evenly to all.
+    /// Give spare power to a few targets with full batches instead of evenly to all.
     pub packing: bool,
 }
 
--- a/crates/chervilshunt_core/src/weights.rs
+++ b/crates/chervilshunt_core/src/weights.rs
@@ -1,14 +1,14 @@
-//! The weights by which a deployment says what it minds most.
+//! Policy weights of a deployment.
 
 use serde::{Deserialize, Serialize};
 
-/// How much a deployment minds load stalls and how much it wants full batches.
+/// The relative importance of avoiding load stalls and of filling batches.
 ///
-/// Only their ratio counts. Kølvand weighs stalls more, Hollowell & Pike batches; see
-/// `docs/design/placement.md`.
+/// Only the ratio of the two counts. Kølvand gives more weight to stalls, Hollowell & Pike to
+/// batches; see `docs/design/placement.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyWeights {
-    /// Weight of requests that wait on an adapter load.
+    /// Weight of avoiding requests that wait for an adapter load.
     pub load_stalls: f64,
     /// Weight of useful work in each engine step.
     pub batch_efficiency: f64,
