--- a/crates/chervilshunt_core/src/permit.rs
+++ b/crates/chervilshunt_core/src/permit.rs
@@ -1,9 +1,9 @@
-//! What an entry instance asks of a target's owner, and what it is told.
+//! Messages between an entry instance and a target's owner.
 //!
-//! These messages are most of the control traffic, which has a budget of bytes a request. So they
-//! are written as their members' positions or one-letter names: field names would take more
-//! than the values; and requests and answers go between instances in the forms of `compact`. A
-//! change of members is a change of the protocol; `docs/design/mesh.md` has the bytes.
+//! These messages make up most of the control traffic, which has a budget of bytes per request.
+//! They are therefore serialized by position or with one-letter names, because field names would
+//! take more space than the values. Requests and answers travel between instances in the forms of
+//! `compact`. Any change of fields changes the protocol; `docs/design/mesh.md` lists the bytes.
 
 mod compact;
 
@@ -16,109 +16,111 @@
 
 pub use compact::{AnswerCheck, CompactAnswer, CompactRequest, CrossedAnswer};
 
-/// Asks the owner of `target` for leave to send one attempt of a request there.
+/// Asks the owner of `target` for permission to send one attempt of a request there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PermitRequest {
-    /// The try; asking twice with the same id gives one permit.
+    /// The attempt. Repeating a request with the same id yields the same permit.
     pub attempt: AttemptId,
     /// The instance that the caller is connected to.
     pub entry: InstanceId,
-    /// The target that the entry instance ranked first, or was redirected to.
+    /// The target that the entry instance ranked first or was redirected to.
     pub target: TargetName,
-    /// The adapter version; none for a plain service or for the base model alone.
+    /// The adapter version, or `None` for a plain service or for the base model alone.
     pub model: Option<AdapterVersion>,
-    /// Whether the request has to be prompt.
+    /// Whether the request is live or deferrable.
     pub class: Class,
-    /// The weight of its priority within the class, at least 1.
+    /// The weight of the request's priority within its class, at least 1.
     pub weight: u32,
-    /// The unit of fairness.
+    /// The caller, between which permits are shared fairly.
     pub caller: CallerName,
     /// Time left until the caller's deadline, in milliseconds.
     pub deadline_ms: u64,
     /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens that may be generated.
     pub max_tokens: u32,
     /// A hash of the start of the prompt, for prefix-cache affinity.
     pub prefix: u64,
-    /// How often the request has been redirected; an owner doesn't redirect beyond its bound.
+    /// Number of times that the request has been redirected, which owners limit.
     pub hops: u8,
-    /// Targets that have failed this request or sent it on; an owner never sends it to one of them.
+    /// Targets that failed this request or redirected it. An owner never redirects the request to
+    /// one of them.
     pub avoid: SmallVec<[TargetName; 4]>,
 }
 
-/// Leave to send one attempt to one target.
+/// Permission to send one attempt to one target.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct Permit {
-    /// The try that it is for.
+    /// The attempt that the permit is for.
     pub attempt: AttemptId,
-    /// The instance that may use it.
+    /// The instance that may use the permit.
     pub entry: InstanceId,
-    /// The target that the attempt may go to.
+    /// The target that the attempt may be sent to.
     pub target: TargetName,
-    /// The adapter version, pinned in its slot until the permit is released.
+    /// The adapter version, which stays pinned in its slot until the permit is released.
     pub model: Option<AdapterVersion>,
-    /// The class it was granted for.
+    /// The class that the permit was granted for.
     pub class: Class,
-    /// The fencing number of the owner that issued it.
+    /// The fencing number of the owner that granted the permit.
     pub epoch: Epoch,
-    /// The time after its arrival within which the call has to be opened, in milliseconds.
+    /// The time after the permit's arrival within which the call must be opened, in milliseconds.
     pub window_ms: u64,
 }
 
-/// What the owner answers to a [`PermitRequest`].
+/// An owner's answer to a [`PermitRequest`].
 ///
-/// There is no "queued" answer: while the owner queues a request it stays silent, and a lost
-/// connection tells the entry instance to ask again. That keeps it at one message pair a request.
+/// There is no "queued" answer. An owner sends nothing while it queues a request, and a lost
+/// connection tells the entry instance to ask again. This keeps the cost at one message pair per
+/// request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PermitAnswer {
-    /// Go ahead.
+    /// The attempt may be sent.
     Granted {
         /// The permit.
         permit: Permit,
-        /// Targets over which the adapter is spread now; a hint for later requests.
+        /// Targets that the adapter is currently spread over; a hint for later requests.
         ///
-        /// The first is the one to ask next time, for a few seconds: the first-ranked target, or
-        /// the one that stands in for it. Asking the others directly would hide demand from the
-        /// owner that decides how far the adapter is spread.
+        /// For a few seconds the next requests should ask the first one, which is the first-ranked
+        /// target or its substitute. Asking the others directly would hide demand from the owner
+        /// that decides how far the adapter is spread.
         spread: SmallVec<[TargetName; 4]>,
     },
-    /// Ask the owner of another target.
+    /// The owner of another target should be asked.
     Redirect {
         /// The targets to ask, best first.
         targets: SmallVec<[TargetName; 4]>,
     },
-    /// Nothing ran and nothing will.
+    /// The request was not run and will not be run.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefusalReason,
-        /// When asking again is worth it, in milliseconds.
+        /// The time after which it is worth asking again, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// Why an owner refuses a request.
+/// The reason why an owner refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The queue is at its bound.
+    /// The queue is full.
     QueueFull,
-    /// The deadline can't be kept or has passed.
+    /// The deadline has passed or can't be met.
     Deadline,
-    /// The adapter could not be loaded, after its bounded number of tries.
+    /// The adapter could not be loaded within the bounded number of attempts.
     LoadFailed,
-    /// The target takes no new work.
+    /// The target accepts no new work.
     Draining,
-    /// The instance asked does not own the target, or may not decide for it now.
+    /// The instance does not own the target, or may not make decisions for it now.
     NotOwner,
     /// The target is down.
     TargetDown,
-    /// The target fails what it is sent, so that nothing more goes there for now.
+    /// Calls to the target fail, and its circuit breaker lets none through for now.
     TargetFailing,
 }
 
 impl RefusalReason {
-    /// Returns the name that problem documents and logs use.
+    /// Returns the name used in problem documents and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::QueueFull => "queue_full",
@@ -132,24 +134,24 @@
     }
 }
 
-/// Gives a permit back, or withdraws a request that is still queued.
+/// Returns a permit, or withdraws a request that is still queued.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct ReleasedPermit {
-    /// The try.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// The target whose owner issued it.
+    /// The target whose owner granted the permit or queued the request.
     pub target: TargetName,
-    /// What became of the call.
+    /// How the call ended.
     pub outcome: ReleaseOutcome,
 }
 
-/// What became of a call that a permit was used for.
+/// How a call made with a permit ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseOutcome {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     #[serde(rename = "f")]
     Finished {
-        /// Tokens generated.
+        /// Number of tokens generated.
         #[serde(rename = "t")]
         tokens: u32,
         /// Time from opening the call to the first byte of the answer, in milliseconds.
@@ -159,16 +161,16 @@
         #[serde(rename = "a")]
         total_ms: u32,
     },
-    /// The caller went away, or the request was withdrawn before it was granted.
+    /// The caller disconnected, or the request was withdrawn before a permit was granted.
     #[serde(rename = "c")]
     Cancelled,
-    /// The target could not be reached, failed, or broke off.
+    /// The target was unreachable, failed, or closed the connection early.
     #[serde(rename = "t")]
     TargetFailed,
-    /// The target had not answered at the caller's deadline.
+    /// The target had not answered by the caller's deadline.
     #[serde(rename = "o")]
     TimedOut,
-    /// The target said that it does not hold the adapter.
+    /// The target answered that it does not hold the adapter.
     #[serde(rename = "m")]
     AdapterMissing,
 }
--- a/crates/chervilshunt_core/src/permit/compact.rs
+++ b/crates/chervilshunt_core/src/permit/compact.rs
@@ -1,9 +1,10 @@
-//! Requests for permits and their answers as they go between instances: without what the receiver
-//! knows already.
+//! Compact forms of permit requests and answers between instances, without the fields that the
+//! receiver already knows.
 //!
-//! An owner learns the entry instance from the connection. An entry instance still has the request
-//! that an answer is for, and joins the two. So that a late or crossed answer is never joined with
-//! another request, each carries a check of what it is for. `docs/design/mesh.md` has the bytes.
+//! An owner knows the entry instance from the connection. An entry instance still holds the request
+//! that an answer belongs to, and combines the two. Each answer carries a checksum of its request,
+//! so that a late or misrouted answer is never combined with another request. `docs/design/mesh.md`
+//! lists the bytes.
 
 use chervilshunt_model::{
     AdapterVersion, AttemptId, CallerName, Class, Epoch, InstanceId, TargetName,
@@ -16,7 +17,7 @@
 
 use super::{Permit, PermitAnswer, PermitRequest, RefusalReason};
 
-/// A [`PermitRequest`] without the instance that sends it.
+/// A [`PermitRequest`] without the entry instance.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CompactRequest {
     attempt: AttemptId,
@@ -34,7 +35,7 @@
 }
 
 impl CompactRequest {
-    /// Leaves out the entry instance, which is whoever sends it.
+    /// Creates the compact form, leaving out the entry instance because it is the sender.
     pub fn of(req: &PermitRequest) -> Self {
         Self {
             attempt: req.attempt,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns the request of the instance that sent it.
+    /// Restores the full request, with `entry` as the instance that sent it.
     pub fn sent_by(self, entry: InstanceId) -> PermitRequest {
         PermitRequest {
             attempt: self.attempt,
@@ -72,16 +73,16 @@
     }
 }
 
-/// What an answer is for, in a few bytes.
+/// A 32-bit checksum of the request that an answer belongs to.
 ///
-/// Requests and answers of a connection are paired by number already, so that this guards against
-/// faults of that pairing alone: 32 bits let one such fault in four thousand million through.
+/// Requests and answers on a connection are already paired by number, so this only guards against
+/// faults of that pairing. A 32-bit checksum misses about one such fault in four billion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AnswerCheck(u32);
 
 impl AnswerCheck {
-    /// Makes the check of the answer to a request.
+    /// Computes the checksum of a request.
     pub fn of_request(req: &PermitRequest) -> Self {
         Self::new(req.attempt, &req.target, req.model.as_ref(), req.class)
     }
@@ -109,15 +110,15 @@
     }
 }
 
-/// A [`PermitAnswer`] without what its request says.
+/// A [`PermitAnswer`] without the fields that its request contains.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CompactAnswer {
-    check: AnswerCheck,
-    body: Body,
+    checksum: AnswerCheck,
+    body: AnswerBody,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum Body {
+enum AnswerBody {
     #[serde(rename = "g")]
     Granted(Epoch, u64, SmallVec<[TargetName; 4]>),
     #[serde(rename = "r")]
@@ -126,48 +127,51 @@
     Refused(RefusalReason, u64),
 }
 
-/// An answer was given to something else than was asked for.
+/// An answer whose checksum does not match the request it was paired with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer is for another request"))]
 pub struct CrossedAnswer;
 
 impl CompactAnswer {
-    /// Leaves out what the asker knows; `asked` is the check of the request that is answered.
+    /// Creates the compact form, leaving out what the sender of the request knows. `asked` is the
+    /// checksum of the request being answered.
     ///
-    /// A permit has the check of what it was granted for, which has to be the same.
+    /// A grant carries the checksum of the permit's own contents instead, which must equal that of
+    /// the request.
     pub fn of(answer: PermitAnswer, asked: AnswerCheck) -> Self {
         match answer {
             PermitAnswer::Granted { permit, spread } => Self {
-                check: AnswerCheck::of_permit(&permit),
-                body: Body::Granted(permit.epoch, permit.window_ms, spread),
+                checksum: AnswerCheck::of_permit(&permit),
+                body: AnswerBody::Granted(permit.epoch, permit.window_ms, spread),
             },
             PermitAnswer::Redirect { targets } => Self {
-                check: asked,
-                body: Body::Redirect(targets),
+                checksum: asked,
+                body: AnswerBody::Redirect(targets),
             },
             PermitAnswer::Refused {
                 reason,
                 retry_after_ms,
             } => Self {
-                check: asked,
-                body: Body::Refused(reason, retry_after_ms),
+                checksum: asked,
+                body: AnswerBody::Refused(reason, retry_after_ms),
             },
         }
     }
 
-    /// Joins the answer with the request that it is for.
+    /// Combines the answer with the request that it belongs to.
     ///
     /// # Errors
-    /// Fails if it is for another attempt, target, adapter version or class. Such a permit would
-    /// pin one adapter while the call runs with another, which could be evicted under it; such a
-    /// refusal would leave a permit behind that nobody gives back.
+    /// Returns [`CrossedAnswer`] if the answer belongs to another attempt, target, adapter version
+    /// or class. Accepting such a permit would pin one adapter while the call runs with another,
+    /// which could be evicted during the call. Accepting such a refusal would leave behind a permit
+    /// that nobody returns.
     pub fn join(self, req: &PermitRequest) -> Result<PermitAnswer, CrossedAnswer> {
         ensure!(
-            self.check == AnswerCheck::of_request(req),
+            self.checksum == AnswerCheck::of_request(req),
             CrossedAnswerSnafu
         );
         Ok(match self.body {
-            Body::Granted(epoch, window_ms, spread) => PermitAnswer::Granted {
+            AnswerBody::Granted(epoch, window_ms, spread) => PermitAnswer::Granted {
                 permit: Permit {
                     attempt: req.attempt,
                     entry: req.entry.clone(),
@@ -179,8 +183,8 @@
                 },
                 spread,
             },
-            Body::Redirect(targets) => PermitAnswer::Redirect { targets },
-            Body::Refused(reason, retry_after_ms) => PermitAnswer::Refused {
+            AnswerBody::Redirect(targets) => PermitAnswer::Redirect { targets },
+            AnswerBody::Refused(reason, retry_after_ms) => PermitAnswer::Refused {
                 reason,
                 retry_after_ms,
             },
