--- a/crates/chervilshunt_core/src/quarantine/fingerprint.rs
+++ b/crates/chervilshunt_core/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request.
+//! Fingerprints that identify requests by their content.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,17 +6,19 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A hash of what a target gets to see of a request, without what differs between its tries.
+/// A hash of the parts of a request that its target sees, without those that differ between its
+/// attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Hashes the parts of a request, in their order.
+    /// Hashes the parts of a request in the given order.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = Xxh3Default::new();
         for part in parts {
-            // With its length before it, no part can pass for the end of another.
+            // Each part is prefixed with its length, so that different splits of the same bytes
+            // hash differently.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/chervilshunt_core/src/quarantine/mod.rs
+++ b/crates/chervilshunt_core/src/quarantine/mod.rs
@@ -1,8 +1,9 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! A caller sends such a request again and again, under a new id and at any instance, and each try would
-//! end one more target with all that it has under way. So what crashed is remembered by the content of
-//! the request, shared by all instances, and the request is refused. See `docs/design/quarantine.md`.
+//! A caller retries such a request under a new id and at any instance, and each attempt would crash
+//! one more target with all its running requests. Crashes are therefore recorded by a fingerprint
+//! of the request's content, shared between all instances, and the request is refused. See
+//! `docs/design/quarantine.md`.
 
 mod fingerprint;
 mod state;
--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -1,4 +1,4 @@
-//! What one instance knows of requests that crash targets.
+//! One instance's record of requests that crash targets.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -9,20 +9,22 @@
 
 use super::fingerprint::Fingerprint;
 
-/// When a request is refused, and for how long crashes are remembered.
+/// Thresholds and retention times of the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineConfig {
-    /// Crashes of different targets from which on a request is refused. A single one may be chance: the
-    /// request was under way when its target crashed for another reason.
+    /// Number of different targets that must crash during a request before it is refused. A single
+    /// crash may be a coincidence: the request was in progress when its target crashed for another
+    /// reason.
     pub crashes: usize,
-    /// How long a request that is not refused yet is remembered.
+    /// How long a suspected request that is not yet refused is remembered.
     pub suspected_for: Duration,
-    /// How long a request is refused after the last crash that is known.
+    /// How long a request is refused after its last known crash.
     pub refused_for: Duration,
-    /// The most requests that are remembered.
+    /// Maximum number of requests that are remembered.
     pub most: usize,
-    /// Requests served here last that are not suspected. Where several targets crash at once, say with
-    /// their rack, a request that many callers send is under way at all of them.
+    /// Number of requests served last at this instance that are exempt from suspicion. If several
+    /// targets crash at once, for example with their rack, a request that many callers send is in
+    /// progress on all of them.
     pub served_lately: usize,
 }
 
@@ -38,62 +40,62 @@
     }
 }
 
-/// The targets that crashed under a request, the latest at the end.
+/// The targets that crashed during a request, latest last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// Their names, each once.
+    /// The names of the targets, each listed once.
     #[serde(rename = "t")]
     pub targets: Vec<TargetName>,
 }
 
-/// A target that crashed under a request.
+/// The crash of a target during a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The target.
     pub target: TargetName,
-    /// Whether the target had begun to run it, as far as can be told.
+    /// Whether the target had started to run the request, as far as is known.
     pub has_run: bool,
 }
 
-/// A record as the platform keeps it.
+/// A crash record as stored on the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCrashes {
     /// The request.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
-    /// The crashes under it.
+    /// The crashes attributed to the request.
     #[serde(rename = "r")]
     pub record: CrashRecord,
-    /// The platform's revision of the record; none if it has yet to be written.
+    /// The platform's revision of the record, or `None` if the record has not been written yet.
     #[serde(rename = "v")]
     pub revision: Option<StoreRevision>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedRequest {
     record: CrashRecord,
-    /// How many of the targets the platform's record has.
-    recorded: usize,
+    /// Number of targets in the platform's record.
+    stored_targets: usize,
     revision: Option<StoreRevision>,
-    /// When this instance learnt of the last crash.
+    /// When this instance was informed of the last crash.
     crashed_at: Moment,
 }
 
-impl Known {
+impl TrackedRequest {
     const fn new(now: Moment) -> Self {
         Self {
             record: CrashRecord {
                 targets: Vec::new(),
             },
-            recorded: 0,
+            stored_targets: 0,
             revision: None,
             crashed_at: now,
         }
     }
 
-    /// Adds a crash, and says whether it was not known.
+    /// Adds a crash and returns whether it was new.
     fn add(&mut self, target: TargetName, now: Moment) -> bool {
         let is_new = !self.record.targets.contains(&target);
         if is_new {
@@ -104,52 +106,53 @@
     }
 }
 
-/// What one instance knows of requests that crash targets.
+/// One instance's record of requests that crash targets.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     cfg: QuarantineConfig,
-    requests: IndexMap<Fingerprint, Known>,
-    /// The requests that targets began to answer here last, the latest at the end.
-    served: VecDeque<Fingerprint>,
+    requests: IndexMap<Fingerprint, TrackedRequest>,
+    /// The requests that targets most recently started to answer here, latest last.
+    recently_served: VecDeque<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Starts with nothing known.
+    /// Creates an empty quarantine.
     pub fn new(cfg: QuarantineConfig) -> Self {
         Self {
             cfg,
             requests: IndexMap::new(),
-            served: VecDeque::new(),
+            recently_served: VecDeque::new(),
         }
     }
 
-    /// Says whether nothing is known of any request.
+    /// Returns whether no request is suspected or refused.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Takes in that a target has begun to answer a request, which so has not crashed it, and says whether
-    /// the request is suspected.
+    /// Records that a target has started to answer a request, so that the request did not crash it.
+    /// Returns whether the request was suspected.
     pub fn served(&mut self, fingerprint: Fingerprint) -> bool {
-        self.served.push_back(fingerprint);
-        if self.served.len() > self.cfg.served_lately {
-            self.served.pop_front();
+        self.recently_served.push_back(fingerprint);
+        if self.recently_served.len() > self.cfg.served_lately {
+            self.recently_served.pop_front();
         }
         self.requests.contains_key(&fingerprint)
     }
 
-    /// Returns until when a request is refused; none if it is not.
+    /// Returns the time until which a request is refused, or `None` if it is not refused.
     pub fn refused_until(&self, fingerprint: Fingerprint, now: Moment) -> Option<Moment> {
         let known = self.requests.get(&fingerprint)?;
         let until = self.expires_at(known);
         (self.is_refused(&known.record) && now < until).then_some(until)
     }
 
-    /// Takes in that a target crashed under a request that it had not begun to answer, and says whether that
-    /// is to be recorded.
+    /// Records that a target crashed during a request that it had not started to answer. Returns
+    /// whether the crash must be written to the platform.
     ///
-    /// Of a request that may only have waited at its target the first crash is kept here: an overloaded
-    /// target that crashes has dozens of them, and a record of each would be told to all instances.
+    /// The first crash of a request that may only have been queued at its target stays local. An
+    /// overloaded target that crashes has dozens of such requests, and a record of each would be
+    /// sent to all instances.
     pub fn crashed(&mut self, crash: Crash, now: Moment) -> bool {
         let Crash {
             fingerprint,
@@ -158,34 +161,36 @@
         } = crash;
         let is_known = self.requests.contains_key(&fingerprint);
         let is_full = !is_known && self.requests.len() >= self.cfg.most;
-        if is_full || self.served.contains(&fingerprint) {
+        if is_full || self.recently_served.contains(&fingerprint) {
             return false;
         }
         let known = self.requests.entry(fingerprint);
-        let known = known.or_insert_with(|| Known::new(now));
+        let known = known.or_insert_with(|| TrackedRequest::new(now));
         known.add(target, now) && (has_run || known.record.targets.len() > 1)
     }
 
-    /// Returns what the platform's record of a request should be; none if it tells enough.
+    /// Returns the record to write to the platform for a request, or `None` if the stored one is
+    /// sufficient.
     pub fn to_record(&self, fingerprint: Fingerprint) -> Option<StoredCrashes> {
         let known = self.requests.get(&fingerprint)?;
-        let is_enough = known.recorded >= known.record.targets.len().min(self.cfg.crashes);
-        (!is_enough).then(|| StoredCrashes {
+        let is_sufficient =
+            known.stored_targets >= known.record.targets.len().min(self.cfg.crashes);
+        (!is_sufficient).then(|| StoredCrashes {
             fingerprint,
             record: known.record.clone(),
             revision: known.revision,
         })
     }
 
-    /// Takes in a record as the platform keeps it, and says whether it tells of more crashes.
+    /// Merges a record stored on the platform and returns whether it contained new crashes.
     pub fn recorded(&mut self, stored: StoredCrashes, now: Moment) -> bool {
         let known = self.requests.entry(stored.fingerprint);
-        let known = known.or_insert_with(|| Known::new(now));
+        let known = known.or_insert_with(|| TrackedRequest::new(now));
         if stored.revision < known.revision {
             return false;
         }
         known.revision = stored.revision;
-        known.recorded = stored.record.targets.len();
+        known.stored_targets = stored.record.targets.len();
         let before = known.record.targets.len();
         for target in stored.record.targets {
             known.add(target, now);
@@ -193,28 +198,30 @@
         known.record.targets.len() > before
     }
 
-    /// Forgets a request, which has been served or whose record the platform no longer has, and says
-    /// whether it was known.
+    /// Forgets a request that has been served or whose record the platform no longer has. Returns
+    /// whether the request was known.
     pub fn release(&mut self, fingerprint: Fingerprint) -> bool {
         self.requests.shift_remove(&fingerprint).is_some()
     }
 
-    /// Takes in that the platform has come back from a copy, which may lack any record.
+    /// Handles a restore of the platform from a backup, in which any record may be missing.
     pub fn restored(&mut self) {
         for known in self.requests.values_mut() {
             known.revision = None;
-            known.recorded = 0;
+            known.stored_targets = 0;
         }
     }
 
-    /// Returns the refused requests whose records the platform lacks.
+    /// Returns the refused requests whose records are missing on the platform.
     pub fn unrecorded(&self) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
-        let lacking = requests.filter(|(_, it)| it.recorded == 0 && self.is_refused(&it.record));
-        lacking.map(|(fingerprint, _)| *fingerprint).collect()
+        let missing =
+            requests.filter(|(_, it)| it.stored_targets == 0 && self.is_refused(&it.record));
+        missing.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
-    /// Takes in which records the platform has, and returns the requests that are released by that.
+    /// Compares with the full list of records on the platform, and releases and returns the
+    /// requests whose stored records are gone.
     pub fn listed(&mut self, listed: &HashSet<Fingerprint>) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let gone = requests.filter(|(it, known)| known.revision.is_some() && !listed.contains(*it));
@@ -225,7 +232,7 @@
         gone
     }
 
-    /// Forgets requests under which no target has crashed for long enough, and returns them.
+    /// Forgets and returns the requests whose last crash is older than the retention time.
     pub fn take_expired(&mut self, now: Moment) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let expired = requests.filter(|(_, known)| self.expires_at(known) <= now);
@@ -240,7 +247,7 @@
         record.targets.len() >= self.cfg.crashes
     }
 
-    fn expires_at(&self, known: &Known) -> Moment {
+    fn expires_at(&self, known: &TrackedRequest) -> Moment {
         if self.is_refused(&known.record) {
             known.crashed_at + self.cfg.refused_for
         } else {
