--- a/crates/chervilshunt_core/src/retry/backoff.rs
+++ b/crates/chervilshunt_core/src/retry/backoff.rs
@@ -1,13 +1,13 @@
-//! The wait between tries.
+//! Backoff between attempts.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// How much longer a wait can be than the one before.
-const GROWTH: f64 = 3.0;
+/// Maximum ratio of a wait to the previous one.
+const MAX_GROWTH_RATIO: f64 = 3.0;
 
-/// The bounds of the wait between tries.
+/// Bounds of the wait between attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffConfig {
     /// The shortest wait.
@@ -25,11 +25,11 @@
     }
 }
 
-/// Waits with decorrelated jitter.
+/// Backoff with decorrelated jitter.
 ///
-/// Each wait is drawn evenly between the base and three times the wait before, up to the cap.
-/// Clients that failed together thus come back spread out. Plain doubling would bring them back
-/// together each time.
+/// Each wait is drawn uniformly between the base and three times the previous wait, up to the cap.
+/// This spreads out the retries of clients that failed at the same time; plain doubling would bring
+/// them back together each time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backoff {
     cfg: BackoffConfig,
@@ -37,7 +37,7 @@
 }
 
 impl Backoff {
-    /// Starts as if nothing had failed yet.
+    /// Creates a backoff in its initial state, as if nothing had failed yet.
     pub const fn new(cfg: BackoffConfig) -> Self {
         Self {
             previous: cfg.base,
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Returns when to try next; `random` gives a number from 0 to below 1.
+    /// Returns when to make the next attempt. `random` returns a number in `[0, 1)`.
     pub fn next_try(&mut self, now: Moment, random: impl FnOnce() -> f64) -> Moment {
         now + self.next_wait(random)
     }
 
-    /// Returns how long to wait; `random` gives a number from 0 to below 1.
+    /// Returns how long to wait before the next attempt. `random` returns a number in `[0, 1)`.
     pub fn next_wait(&mut self, random: impl FnOnce() -> f64) -> Duration {
-        let longest = self.previous.mul_f64(GROWTH).max(self.cfg.base);
-        let spread = longest - self.cfg.base;
-        let wait = self.cfg.base + spread.mul_f64(random().clamp(0.0, 1.0));
+        let longest = self.previous.mul_f64(MAX_GROWTH_RATIO).max(self.cfg.base);
+        let range = longest - self.cfg.base;
+        let wait = self.cfg.base + range.mul_f64(random().clamp(0.0, 1.0));
         self.previous = wait.min(self.cfg.cap);
         self.previous
     }
 
-    /// Starts over after a success.
+    /// Resets the backoff after a success.
     pub const fn reset(&mut self) {
         self.previous = self.cfg.base;
     }
--- a/crates/chervilshunt_core/src/retry/breaker.rs
+++ b/crates/chervilshunt_core/src/retry/breaker.rs
@@ -1,34 +1,35 @@
-//! A circuit breaker for one target.
+//! A circuit breaker for calls to one target.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 use serde::Serialize;
 
-/// When a breaker opens and closes.
+/// Thresholds and times of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerConfig {
-    /// How far back outcomes count.
+    /// How long an outcome counts.
     pub window: Duration,
-    /// Outcomes within the window below which it stays closed.
+    /// Minimum number of outcomes within the window before the breaker can open.
     pub min_calls: u32,
-    /// The share of failures from which it opens, from 0 to 1.
+    /// Fraction of failed calls, from 0 to 1, at which the breaker opens.
     pub failure_ratio: f64,
-    /// How long it stays open the first time; up to half as long again is added at random.
+    /// How long the breaker stays open the first time. Random jitter adds up to half of it.
     pub open_for: Duration,
-    /// The bound to which that doubles while probes fail.
+    /// Upper bound of the open time, which doubles each time a probe fails.
     pub open_for_cap: Duration,
-    /// Probes in a row that have to succeed before it closes.
+    /// Number of consecutive probes that must succeed before the breaker closes.
     pub close_after: u32,
-    /// How long a probe may go without an outcome before another one may start.
+    /// How long a probe may go without an outcome before the next one is admitted.
     pub probe_timeout: Duration,
 }
 
 impl BreakerConfig {
-    /// Returns when the owner of a target stops calls to it.
+    /// Returns the configuration for the breaker that the owner of a target applies.
     ///
-    /// With fewer calls than these a few failures in a row are no evidence, and retries at other
-    /// targets cost less than a sound target that takes nothing.
+    /// It requires more calls than the default. With fewer, a few consecutive failures prove
+    /// little, and retrying them at other targets costs less than sending no calls to a healthy
+    /// target.
     pub fn of_target() -> Self {
         Self {
             min_calls: 20,
@@ -51,43 +52,43 @@
     }
 }
 
-/// Whether calls pass.
+/// Whether the breaker admits calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BreakerState {
-    /// Calls pass.
+    /// Calls are admitted.
     Closed,
-    /// No call passes.
+    /// No calls are admitted.
     Open,
-    /// One call at a time passes, to see whether the target has recovered.
+    /// One call at a time is admitted, to probe whether the target has recovered.
     HalfOpen,
 }
 
-/// How a call ended, as far as it tells about the target.
+/// The outcome of a call, as far as it indicates the health of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The target answered, be it with a refusal of the request.
+    /// The target answered, even if it refused the request.
     Success,
-    /// The target could not be reached, failed or did not answer in time.
+    /// The target was unreachable, failed or did not answer in time.
     Failure,
-    /// It tells nothing: the caller went away, for one.
+    /// The outcome says nothing about the target, for example because the caller disconnected.
     Unknown,
 }
 
-/// Leave to make one call; its outcome is reported with it.
+/// Proof of admission of one call, with which its outcome is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BreakerTicket {
     generation: u64,
 }
 
-/// The answer to whether a call may be made.
+/// The answer to a request to make a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The call may be made.
     Admitted(BreakerTicket),
-    /// It may not; asking again makes sense at the time given.
+    /// The call may not be made now.
     Refused {
-        /// When a call may be admitted at the earliest.
+        /// The earliest time at which a call may be admitted.
         retry_at: Moment,
     },
 }
@@ -101,16 +102,16 @@
     pub to: BreakerState,
 }
 
-/// Keeps calls from a target that fails, and lets single probes find out when it is back.
+/// Stops calls to a failing target and probes with single calls whether it has recovered.
 #[derive(Clone, Debug)]
 pub struct Breaker {
     cfg: BreakerConfig,
     state: State,
-    /// Rises with each admission of a probe and each change of state. An outcome counts only if
-    /// its ticket is of the present generation: a call that began before the breaker opened would
-    /// otherwise close it, or a probe given up long ago open it again.
+    /// Incremented whenever a probe is admitted or the state changes. An outcome counts only if its
+    /// ticket has the current generation. Otherwise a call that started before the breaker opened
+    /// could close it, or a probe that timed out long ago could open it again.
     generation: u64,
-    /// How long it stays open the next time, before jitter.
+    /// How long the breaker stays open the next time, before jitter.
     open_for: Duration,
 }
 
@@ -127,7 +128,7 @@
 }
 
 impl Breaker {
-    /// Starts closed.
+    /// Creates a closed breaker.
     pub const fn new(cfg: BreakerConfig, now: Moment) -> Self {
         Self {
             cfg,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Returns whether calls pass, as of the last call or outcome.
+    /// Returns the state as of the last call or outcome.
     pub const fn state(&self) -> BreakerState {
         match self.state {
             State::Closed(_) => BreakerState::Closed,
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Returns until when [`Breaker::admit`] refuses calls; none if it admits one now.
+    /// Returns the time until which [`Breaker::admit`] refuses calls, or `None` if it admits one
+    /// now.
     pub fn refused_until(&self, now: Moment) -> Option<Moment> {
         let until = match self.state {
             State::Closed(_) => None,
@@ -156,9 +158,9 @@
         until.filter(|until| now < *until)
     }
 
-    /// Says whether a call may be made now.
+    /// Returns whether a call may be made now.
     ///
-    /// Whoever is admitted owes an outcome to [`Breaker::record`].
+    /// The outcome of every admitted call must be reported with [`Breaker::record`].
     pub fn admit(&mut self, now: Moment) -> Admission {
         if let State::Open { until } = self.state {
             if now < until {
@@ -183,7 +185,8 @@
         })
     }
 
-    /// Takes the outcome of a call that was admitted; `random` gives a number from 0 to below 1.
+    /// Records the outcome of an admitted call and returns the change of state, if any. `random`
+    /// returns a number in `[0, 1)`.
     pub fn record(
         &mut self,
         ticket: BreakerTicket,
@@ -240,11 +243,12 @@
     }
 }
 
-/// Outcomes of the present and the previous half of the window, so that memory is constant.
+/// Counts of outcomes in the current and the previous half of the window, so that memory use is
+/// constant.
 #[derive(Clone, Copy, Debug)]
 struct OutcomeWindow {
-    half_began: Moment,
-    present: Counts,
+    half_started_at: Moment,
+    current: Counts,
     previous: Counts,
 }
 
@@ -261,33 +265,33 @@
             failures: 0,
         };
         Self {
-            half_began: now,
-            present: NONE,
+            half_started_at: now,
+            current: NONE,
             previous: NONE,
         }
     }
 
     fn record(&mut self, outcome: CallOutcome, window: Duration, now: Moment) {
-        let age = now.since(self.half_began);
+        let age = now.since(self.half_started_at);
         if age >= window {
             *self = Self::new(now);
         } else if age >= window / 2 {
-            self.previous = std::mem::take(&mut self.present);
-            self.half_began = now;
+            self.previous = std::mem::take(&mut self.current);
+            self.half_started_at = now;
         }
         match outcome {
-            CallOutcome::Success => self.present.calls += 1,
+            CallOutcome::Success => self.current.calls += 1,
             CallOutcome::Failure => {
-                self.present.calls += 1;
-                self.present.failures += 1;
+                self.current.calls += 1;
+                self.current.failures += 1;
             }
             CallOutcome::Unknown => {}
         }
     }
 
     fn is_failing(&self, cfg: &BreakerConfig) -> bool {
-        let calls = self.present.calls + self.previous.calls;
-        let failures = self.present.failures + self.previous.failures;
+        let calls = self.current.calls + self.previous.calls;
+        let failures = self.current.failures + self.previous.failures;
         calls >= cfg.min_calls && f64::from(failures) >= f64::from(calls) * cfg.failure_ratio
     }
 }
--- a/crates/chervilshunt_core/src/retry/budget.rs
+++ b/crates/chervilshunt_core/src/retry/budget.rs
@@ -1,17 +1,17 @@
-//! A budget for retries, shared by all calls to one place.
+//! A retry budget shared by all calls to one destination.
 
 use chervilshunt_model::Moment;
 
 use super::TokenBucket;
 
-/// How many retries a place gets, beside its first tries.
+/// How many retries a destination may receive in addition to first attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries earned by each first try.
+    /// Retries earned by each first attempt.
     pub ratio: f64,
-    /// Retries a second that are allowed however few first tries there are.
+    /// Retries per second allowed regardless of the number of first attempts.
     pub per_second: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of retries that can accumulate.
     pub burst: f64,
 }
 
@@ -25,11 +25,11 @@
     }
 }
 
-/// Bounds the load that retries add to a place that fails.
+/// Bounds the load that retries add to a failing destination.
 ///
-/// Without it a failing place gets each call as often as callers are willing to try, just when
-/// it can bear it least, and stays down under the load of retries alone. In any span, retries are
-/// at most `burst + ratio * first tries + per_second * span`.
+/// Without a budget a failing destination receives each call as often as callers retry, just when
+/// it can handle the least, and retries alone can keep it down. In any time span the number of
+/// retries is at most `burst + ratio * first attempts + per_second * span`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     ratio: f64,
@@ -37,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// Starts with the burst saved up.
+    /// Creates a budget with the full burst available.
     pub const fn new(cfg: RetryBudgetConfig, now: Moment) -> Self {
         Self {
             ratio: cfg.ratio,
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Takes note of a first try.
+    /// Records a first attempt, which earns a part of a retry.
     pub fn record_first_try(&mut self, now: Moment) {
         self.tokens.deposit(self.ratio, now);
     }
 
-    /// Says whether one more retry is allowed, and counts it if so.
+    /// Returns whether another retry is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Moment) -> bool {
         self.tokens.try_take(0.0, now).is_ok()
     }
--- a/crates/chervilshunt_core/src/retry/mod.rs
+++ b/crates/chervilshunt_core/src/retry/mod.rs
@@ -1,8 +1,7 @@
-//! When to call again, when to wait, and when not to call: retries, rates and circuit breaking.
+//! Retries, rate limits and circuit breaking.
 //!
-//! Each part decides without a clock or random source of its own: the present time and a random
-//! number are arguments. The client of the platform and the calls to targets share them. See
-//! `docs/design/platform-client.md`.
+//! No part reads a clock or a random source: the current time and random numbers are arguments. The
+//! platform client and the calls to targets share this code. See `docs/design/platform-client.md`.
 
 mod backoff;
 mod breaker;
--- a/crates/chervilshunt_core/src/retry/token_bucket.rs
+++ b/crates/chervilshunt_core/src/retry/token_bucket.rs
@@ -4,9 +4,9 @@
 
 use chervilshunt_model::Moment;
 
-/// Bounds a rate, with a burst.
+/// A rate limit that allows bursts.
 ///
-/// In any span of time no more is taken than the burst plus the rate times the span.
+/// In any time span at most the burst plus the rate times the span is taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     per_second: f64,
@@ -16,7 +16,7 @@
 }
 
 impl TokenBucket {
-    /// Starts with a full bucket of `burst` tokens, which refills with `per_second`.
+    /// Creates a full bucket of `burst` tokens, which refills with `per_second` tokens per second.
     pub const fn new(per_second: f64, burst: f64, now: Moment) -> Self {
         Self {
             per_second,
@@ -26,12 +26,13 @@
         }
     }
 
-    /// Takes one token if that leaves at least `reserve` in the bucket.
+    /// Takes one token if at least `reserve` tokens remain in the bucket afterwards.
     ///
-    /// A caller that leaves a reserve can't starve one that leaves none.
+    /// Callers that leave a reserve can't starve callers that leave none.
     ///
     /// # Errors
-    /// Says when to try again, if nobody else takes a token until then; none if never.
+    /// Returns the time at which the token is available if nobody else takes one until then, or
+    /// `None` if it never is.
     pub fn try_take(&mut self, reserve: f64, now: Moment) -> Result<(), Option<Moment>> {
         self.refill(now);
         let missing = reserve + 1.0 - self.level;
@@ -41,13 +42,13 @@
         }
         let reachable = self.per_second > 0.0 && reserve + 1.0 <= self.burst;
         let wait = Duration::try_from_secs_f64(missing / self.per_second).ok();
-        // Rounded up to a whole microsecond, so that the token is there at that time.
+        // Rounded up by a microsecond, so that the token is available at that time.
         Err(wait
             .filter(|_| reachable)
             .map(|wait| now + wait + Duration::from_micros(1)))
     }
 
-    /// Changes rate and burst; what has been taken stays taken.
+    /// Changes the rate and the burst. Tokens already taken are not returned.
     pub fn reconfigure(&mut self, per_second: f64, burst: f64, now: Moment) {
         self.refill(now);
         self.per_second = per_second;
@@ -55,13 +56,13 @@
         self.level = self.level.min(burst);
     }
 
-    /// Adds tokens beside the refill, up to the burst.
+    /// Adds tokens in addition to the refill, up to the burst.
     pub fn deposit(&mut self, tokens: f64, now: Moment) {
         self.refill(now);
         self.level = (self.level + tokens).min(self.burst);
     }
 
-    /// Returns how many tokens are left.
+    /// Returns the number of available tokens.
     pub fn level(&mut self, now: Moment) -> f64 {
         self.refill(now);
         self.level
