--- a/crates/chervilshunt_core/src/scheduler.rs
+++ b/crates/chervilshunt_core/src/scheduler.rs
@@ -1,4 +1,7 @@
-//! The load scheduler of one weight store: the order and number of loads in progress.
+//! The load scheduler of one weight store, which decides the order and concurrency of adapter
+//! loads.
+//!
+//! Permission to load one adapter is called a turn.
 
 use std::time::Duration;
 
@@ -10,45 +13,47 @@
 use crate::decay::DurationAverage;
 use crate::{LoadUrgency, Mechanisms, OrderId, TokenBucket};
 
-/// Urgency of each live waiter, and of each second that the oldest has waited.
+/// Urgency per live waiter, and per second that the oldest one has waited.
 const LIVE_URGENCY: (f64, f64) = (10.0, 1.0);
 
-/// Wait for a turn beyond which the store is overloaded.
-const OVERLOAD: Duration = Duration::from_secs(3);
+/// Wait for a turn from which on the store counts as overloaded.
+const OVERLOAD_WAIT: Duration = Duration::from_secs(3);
 
-/// Urgency of live waiters and their seconds while the store is overloaded.
+/// Urgency per live waiter and per second waited while the store is overloaded. Age then lowers the
+/// urgency: of two loads with equally many waiters the more recent one goes first.
 const OVERLOAD_URGENCY: (f64, f64) = (10.0, -0.3);
 
-/// Urgency of each deferrable waiter, and of each second that the oldest has waited.
+/// Urgency per deferrable waiter, and per second that the oldest one has waited.
 const DEFERRABLE_URGENCY: (f64, f64) = (1.0, 1.0);
 
-/// Age from which deferrable loads get a share of the turns while live ones wait.
-const DEFERRABLE_AGE: Duration = Duration::from_secs(300);
+/// Age from which deferrable loads receive some of the turns while live loads wait.
+const DEFERRABLE_MIN_AGE: Duration = Duration::from_secs(300);
 
-/// That share, as one turn in so many.
+/// Number of consecutive live turns after which such a deferrable load receives one.
 ///
-/// It only has to keep deferrable loads from waiting for ever. Live loads alone take most of a
-/// store's turns, so a tenth for deferrable ones makes the live queue grow without end for as long
-/// as a flood lasts.
-const DEFERRABLE_SHARE: u32 = 100;
+/// The fraction only has to prevent starvation of deferrable loads. Live loads alone take most of a
+/// store's turns, so giving a tenth of them to deferrable loads would make the live queue grow
+/// without bound while a flood of deferrable work lasts.
+const LIVE_TURNS_PER_DEFERRABLE: u32 = 100;
 
-/// Load times for which the load of an owner that lost its role is taken to go on.
+/// Multiple of the average load time for which a load started by a target's previous owner is
+/// assumed to continue.
 const ORPHAN_LOAD_TIMES: u32 = 3;
 
-/// Bound on waits worked out from a rate that may be close to zero.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Upper bound on a load time calculated from a rate that may be close to zero.
+const MAX_LOAD_TIME: Duration = Duration::from_secs(60);
 
-/// What a load scheduler has to know of its weight store.
+/// Configuration of a load scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SchedulerConfig {
-    /// Loads that run at full speed side by side.
+    /// Number of concurrent loads that the store serves at full speed.
     pub concurrency: u32,
-    /// Loads a second that the store gives in all.
+    /// Total rate of the store, in loads per second.
     pub loads_per_second: f64,
-    /// The time after which a turn of which nothing was heard is taken to be over: a few times as
-    /// long as owners take to say again that they use one.
+    /// Time after which a turn is considered over if no message about it arrives; several times the
+    /// interval at which owners report that they still use it.
     pub turn_timeout: Duration,
-    /// The mechanisms that are on; all of them outside the bench.
+    /// The enabled policy mechanisms; all of them are enabled outside the bench.
     pub mechanisms: Mechanisms,
 }
 
@@ -63,10 +68,10 @@
     Withdrawn,
 }
 
-/// What a load scheduler has to react to.
+/// An input to the load scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerEvent {
-    /// An owner wants to load, or its urgency has changed.
+    /// An owner requests a turn, or reports a changed urgency for one.
     TurnAsked {
         /// The target that loads.
         target: TargetName,
@@ -74,10 +79,10 @@
         order: OrderId,
         /// The adapter version.
         model: AdapterVersion,
-        /// How badly it is needed.
+        /// How urgently the adapter is needed.
         urgency: LoadUrgency,
     },
-    /// An owner uses a turn, which an earlier scheduler may have granted.
+    /// An owner reports that it is using a turn, which a previous scheduler may have granted.
     TurnHeld {
         /// The target that loads.
         target: TargetName,
@@ -86,24 +91,24 @@
         /// The adapter version.
         model: AdapterVersion,
     },
-    /// A turn is over, or is no longer wanted.
+    /// A turn is over or no longer wanted.
     TurnEnded {
         /// The target that loaded.
         target: TargetName,
         /// The owner's id for the turn.
         order: OrderId,
-        /// How it ended.
+        /// How the turn ended.
         result: TurnResult,
     },
-    /// The target's owner has changed: turns asked for by the old one are void.
+    /// The target has a new owner, which voids the requests of the previous one.
     OwnerChanged(TargetName),
-    /// Operators changed the store's object.
+    /// An operator changed the configuration of the weight store.
     Reconfigured(SchedulerConfig),
     /// Time has passed.
     Tick,
 }
 
-/// What a load scheduler wants done.
+/// An action that the load scheduler requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerAction {
     /// Tell an owner that it may load now.
@@ -112,71 +117,72 @@
         target: TargetName,
         /// The owner's id for the turn.
         order: OrderId,
-        /// How long a load asked for now would wait for its turn.
+        /// How long a load requested now would wait for its turn.
         queue_wait: Duration,
     },
 }
 
 /// The load scheduler of one weight store.
 ///
-/// It gives turns by urgency, never more at a time than the store bears at full speed, and never
-/// faster than its rate. A turn ends when the owner says so or has not been heard of for a short
-/// time, so that a lost message, or an owner that is dead or cut off, holds the store up for that
-/// time only.
+/// It grants turns by urgency, never more at a time than the store serves at full speed, and never
+/// faster than the store's rate. A turn ends when its owner reports the end or has sent nothing for
+/// a short time. A lost message, or an owner that is dead or disconnected, therefore blocks the
+/// store for that time only.
 #[derive(Debug)]
 pub struct LoadScheduler {
     cfg: SchedulerConfig,
-    waiting: IndexMap<Turn, Waiting>,
-    running: IndexMap<Turn, Running>,
+    waiting: IndexMap<TurnId, WaitingTurn>,
+    running: IndexMap<TurnId, RunningTurn>,
     load_time: DurationAverage,
     tokens: TokenBucket,
-    /// When a load that waits may begin for the store's rate.
+    /// When the store's rate allows the next waiting load to start.
     next_token: Option<Moment>,
-    asked: u64,
-    live_in_a_row: u32,
+    requests_seen: u64,
+    /// Number of live turns granted since the last deferrable one.
+    live_streak: u32,
     bugs: Bugs,
 }
 
-/// A turn: the target that loads, and its owner's id.
-type Turn = (TargetName, OrderId);
+/// Identifies a turn: the target that loads, and its owner's id for the turn.
+type TurnId = (TargetName, OrderId);
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingTurn {
     urgency: LoadUrgency,
-    told: Moment,
+    reported_at: Moment,
     arrival: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct RunningTurn {
     since: Moment,
     until: Moment,
 }
 
-impl Waiting {
+impl WaitingTurn {
     /// Returns how long the oldest request has waited.
     fn age(&self, now: Moment) -> Duration {
-        Duration::from_millis(self.urgency.oldest_ms) + now.since(self.told)
+        Duration::from_millis(self.urgency.oldest_ms) + now.since(self.reported_at)
     }
 }
 
 impl LoadScheduler {
-    /// Starts with no load in progress.
+    /// Creates a scheduler with no loads in progress.
     pub fn new(cfg: SchedulerConfig, now: Moment) -> Self {
         Self {
             waiting: IndexMap::new(),
             running: IndexMap::new(),
-            load_time: DurationAverage::new(load_time_at(&cfg)),
+            load_time: DurationAverage::new(nominal_load_time(&cfg)),
             tokens: TokenBucket::new(cfg.loads_per_second, bucket_size(&cfg), now),
             next_token: None,
-            asked: 0,
-            live_in_a_row: 0,
+            requests_seen: 0,
+            live_streak: 0,
             bugs: Bugs::default(),
             cfg,
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: SchedulerEvent, now: Moment) -> Vec<SchedulerAction> {
         let mut out = Vec::new();
         match event {
@@ -185,13 +191,13 @@
                 order,
                 urgency,
                 ..
-            } => self.asked((target, order), urgency, now, &mut out),
-            SchedulerEvent::TurnHeld { target, order, .. } => self.held((target, order), now),
+            } => self.request_turn((target, order), urgency, now, &mut out),
+            SchedulerEvent::TurnHeld { target, order, .. } => self.renew_turn((target, order), now),
             SchedulerEvent::TurnEnded {
                 target,
                 order,
                 result,
-            } => self.ended(&(target, order), result, now),
+            } => self.end_turn(&(target, order), result, now),
             SchedulerEvent::OwnerChanged(target) => self.owner_changed(&target, now),
             SchedulerEvent::Reconfigured(cfg) => {
                 self.tokens
@@ -207,67 +213,71 @@
         out
     }
 
-    /// Seeds a bug, to show that a test finds it.
+    /// Seeds a bug, to verify that a test detects it.
     #[cfg(feature = "seeded-bugs")]
     pub const fn seed(&mut self, bug: crate::Bug) {
         self.bugs = Bugs::seeded(bug);
     }
 
-    /// Returns when [`SchedulerEvent::Tick`] is next wanted.
+    /// Returns when [`SchedulerEvent::Tick`] is next due, or `None` if no tick is needed.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let timeout = self.running.values().map(|turn| turn.until).min();
         [timeout, self.next_token].into_iter().flatten().min()
     }
 
-    /// Returns how long a live load asked for now would wait for its turn.
+    /// Returns how long a live load requested now would wait for its turn.
     pub fn queue_wait(&self) -> Duration {
-        let live = |it: &&Waiting| it.urgency.class == Some(Class::Live);
+        let live = |it: &&WaitingTurn| it.urgency.class == Some(Class::Live);
         let ahead = self.running.len() + self.waiting.values().filter(live).count();
-        let side_by_side = self.cfg.concurrency.max(1) as usize;
-        let rounds = (ahead + 1).saturating_sub(side_by_side) as f64 / side_by_side as f64;
+        let concurrency = self.cfg.concurrency.max(1) as usize;
+        let rounds = (ahead + 1).saturating_sub(concurrency) as f64 / concurrency as f64;
         self.load_time.get().mul_f64(rounds)
     }
 
-    /// Returns the number of loads that have their turn.
+    /// Returns the number of turns in use.
     pub fn in_progress(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of loads that wait for their turn.
+    /// Returns the number of loads waiting for their turn.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    fn asked(
+    fn request_turn(
         &mut self,
-        turn: Turn,
+        turn: TurnId,
         urgency: LoadUrgency,
         now: Moment,
         out: &mut Vec<SchedulerAction>,
     ) {
         if self.running.contains_key(&turn) {
-            // The owner asks again for a turn that it has: the grant was lost, or crossed this.
+            // The owner requests a turn that it already has: the grant was lost, or the two
+            // messages crossed.
             out.push(self.grant_action(turn));
             return;
         }
-        self.asked += 1;
-        let arrival = self.waiting.get(&turn).map_or(self.asked, |it| it.arrival);
-        let waiting = Waiting {
+        self.requests_seen += 1;
+        let arrival = self
+            .waiting
+            .get(&turn)
+            .map_or(self.requests_seen, |it| it.arrival);
+        let waiting = WaitingTurn {
             urgency,
-            told: now,
+            reported_at: now,
             arrival,
         };
         self.waiting.insert(turn, waiting);
     }
 
-    fn held(&mut self, turn: Turn, now: Moment) {
+    fn renew_turn(&mut self, turn: TurnId, now: Moment) {
         self.waiting.swap_remove(&turn);
         let new = self.new_running(now);
         let running = self.running.entry(turn).or_insert(new);
         running.until = new.until;
     }
 
-    fn ended(&mut self, turn: &Turn, result: TurnResult, now: Moment) {
+    fn end_turn(&mut self, turn: &TurnId, result: TurnResult, now: Moment) {
         self.waiting.swap_remove(turn);
         let Some(running) = self.running.swap_remove(turn) else {
             if self.bugs.has(Bug::CountsEndTwice) {
@@ -277,22 +287,23 @@
         };
         match result {
             TurnResult::Loaded => self.load_time.add(now.since(running.since)),
-            TurnResult::Failed => self.tokens.deposit(self.unused(running, now), now),
+            TurnResult::Failed => self.tokens.deposit(self.unused_fraction(running, now), now),
             TurnResult::Withdrawn => self.tokens.deposit(1.0, now),
         }
     }
 
-    /// Returns the part of a load that one which failed early did not draw from the store.
-    fn unused(&self, running: Running, now: Moment) -> f64 {
-        let whole = load_time_at(&self.cfg).as_secs_f64();
+    /// Returns the fraction of a load that was not drawn from the store because the load failed
+    /// early.
+    fn unused_fraction(&self, running: RunningTurn, now: Moment) -> f64 {
+        let whole = nominal_load_time(&self.cfg).as_secs_f64();
         let used = now.since(running.since).as_secs_f64() / whole.max(f64::MIN_POSITIVE);
         (1.0 - used).max(0.0)
     }
 
-    /// Forgets what an earlier owner asked for.
+    /// Discards the requests of a target's previous owner.
     ///
-    /// A load that it has under way may still be drawing on the store, so its turn goes on for as
-    /// long as loads take.
+    /// A load that it has in progress may still be reading from the store, so its turn continues
+    /// for a few times the average load time.
     fn owner_changed(&mut self, target: &TargetName, now: Moment) {
         self.waiting.retain(|(of, _), _| of != target);
         let until = now + self.load_time.get() * ORPHAN_LOAD_TIMES;
@@ -323,15 +334,15 @@
 
     fn count_turn(&mut self, class: Option<Class>) {
         match class {
-            Some(Class::Live) => self.live_in_a_row = self.live_in_a_row.saturating_add(1),
-            Some(Class::Deferrable) => self.live_in_a_row = 0,
+            Some(Class::Live) => self.live_streak = self.live_streak.saturating_add(1),
+            Some(Class::Deferrable) => self.live_streak = 0,
             None => {}
         }
     }
 
-    fn most_urgent(&self, now: Moment) -> Option<Turn> {
-        let overload = self.queue_wait() >= OVERLOAD;
-        let score = |waiting: &Waiting| self.score(waiting, overload, now);
+    fn most_urgent(&self, now: Moment) -> Option<TurnId> {
+        let overload = self.queue_wait() >= OVERLOAD_WAIT;
+        let score = |waiting: &WaitingTurn| self.urgency_score(waiting, overload, now);
         let best = self.waiting.iter().max_by(|(_, left), (_, right)| {
             let by_rank = self.rank(left, now).cmp(&self.rank(right, now));
             let by_score = by_rank.then(score(left).total_cmp(&score(right)));
@@ -340,13 +351,15 @@
         best.map(|(turn, _)| turn.clone())
     }
 
-    /// Returns whose turn it is: live loads go first, but deferrable ones get a small share of the
-    /// turns, so that they wait long rather than for ever.
-    fn rank(&self, waiting: &Waiting, now: Moment) -> u8 {
+    /// Returns the rank of a load, of which the highest goes first. Live loads outrank deferrable
+    /// ones, but deferrable loads receive a small fraction of the turns, so that they are delayed
+    /// rather than starved.
+    fn rank(&self, waiting: &WaitingTurn, now: Moment) -> u8 {
         if !self.cfg.mechanisms.urgency {
             return 0;
         }
-        let due = self.live_in_a_row >= DEFERRABLE_SHARE && waiting.age(now) >= DEFERRABLE_AGE;
+        let due =
+            self.live_streak >= LIVE_TURNS_PER_DEFERRABLE && waiting.age(now) >= DEFERRABLE_MIN_AGE;
         match waiting.urgency.class {
             Some(Class::Live) => 2,
             Some(Class::Deferrable) if due => 3,
@@ -355,32 +368,32 @@
         }
     }
 
-    /// Returns how urgent a turn is: the waiting that it ends, with an allowance for age.
+    /// Returns the urgency of a load, which is the waiting that it ends, weighted with its age.
     ///
-    /// All loads take alike, so the sum of waiting is least when the load with most waiters goes
-    /// first. Age keeps a load with one waiter from being overtaken for ever.
-    fn score(&self, waiting: &Waiting, overload: bool, now: Moment) -> f64 {
+    /// All loads take about the same time, so total waiting is lowest if the load with the most
+    /// waiters goes first. The age prevents a load with one waiter from being overtaken forever.
+    fn urgency_score(&self, waiting: &WaitingTurn, overload: bool, now: Moment) -> f64 {
         if !self.cfg.mechanisms.urgency {
             return 0.0;
         }
-        let told = &waiting.urgency;
-        let (waiter, second) = match told.class {
+        let reported = &waiting.urgency;
+        let (waiter, second) = match reported.class {
             Some(Class::Live) if overload => OVERLOAD_URGENCY,
             Some(Class::Live) => LIVE_URGENCY,
             Some(Class::Deferrable) => DEFERRABLE_URGENCY,
             None => return 0.0,
         };
-        waiter * f64::from(told.waiters) + second * waiting.age(now).as_secs_f64()
+        waiter * f64::from(reported.waiters) + second * waiting.age(now).as_secs_f64()
     }
 
-    fn new_running(&self, now: Moment) -> Running {
-        Running {
+    fn new_running(&self, now: Moment) -> RunningTurn {
+        RunningTurn {
             since: now,
             until: now + self.cfg.turn_timeout,
         }
     }
 
-    fn grant_action(&self, (target, order): Turn) -> SchedulerAction {
+    fn grant_action(&self, (target, order): TurnId) -> SchedulerAction {
         SchedulerAction::Grant {
             target,
             order,
@@ -389,13 +402,14 @@
     }
 }
 
-/// Returns how many loads may begin at once after a pause: a round, and one more, so that the
-/// store never idles for want of a token when loads take a little less than they should.
+/// Returns how many loads may start at once after an idle period. This is one round of concurrent
+/// loads plus one, so that the store is never idle for lack of a token when loads finish slightly
+/// early.
 fn bucket_size(cfg: &SchedulerConfig) -> f64 {
     f64::from(cfg.concurrency) + 1.0
 }
 
-fn load_time_at(cfg: &SchedulerConfig) -> Duration {
+fn nominal_load_time(cfg: &SchedulerConfig) -> Duration {
     let seconds = f64::from(cfg.concurrency) / cfg.loads_per_second.max(f64::MIN_POSITIVE);
-    Duration::try_from_secs_f64(seconds).map_or(LONGEST_WAIT, |it| it.min(LONGEST_WAIT))
+    Duration::try_from_secs_f64(seconds).map_or(MAX_LOAD_TIME, |it| it.min(MAX_LOAD_TIME))
 }
