--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -1,7 +1,8 @@
-//! What an event costs the placer while the base models of its targets are outdated.
+//! Measures the cost of planner events while the base models of targets are outdated.
 //!
-//! `cargo run --release -p chervilshunt_core --example model_update_costs` prints the mean time of a want with
-//! its end, before so many targets, with and without a newer version of their base model.
+//! `cargo run --release -p chervilshunt_core --example model_update_costs` prints the mean time of
+//! a placement request and its end, for several numbers of targets, with and without a newer
+//! version of their base model.
 
 #[path = "../tests/support/placing.rs"]
 mod placing;
@@ -14,14 +15,14 @@
 };
 use placing::{at, before_asking, reported, wanted};
 
-/// Requests and adapters that a target takes at a time.
+/// Concurrent requests and adapter slots of each target.
 const SLOTS: u32 = 64;
 const ADAPTER_SLOTS: usize = 20;
-const WANTS: u64 = 5_000;
-/// 1,400 requests a second, as at the size that the design is for.
-const WANT_EVERY: Duration = Duration::from_micros(714);
+const REQUESTS: u64 = 5_000;
+/// 1,400 requests per second, which is the load at the design size.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(714);
 
-/// A planner that knows what all its targets hold.
+/// Creates a planner that knows what all its targets hold.
 fn planner(targets: usize) -> Residency {
     let mut residency = before_asking(targets, SLOTS, ADAPTER_SLOTS);
     residency.handle(ResidencyEvent::Tick, at(1_000));
@@ -38,23 +39,23 @@
     if outdated {
         residency.handle(ResidencyEvent::VersionNamed(base.clone(), 2), now);
     }
-    let began = Instant::now();
-    for question in 0..WANTS {
-        now = now + WANT_EVERY;
-        let wanted = wanted(question, base.clone(), 1_000);
+    let started = Instant::now();
+    for number in 0..REQUESTS {
+        now = now + REQUEST_INTERVAL;
+        let wanted = wanted(number, base.clone(), 1_000);
         let actions: Vec<ResidencyAction> = residency.handle(wanted, now);
         black_box(actions);
         let ended = ResidencyEvent::Progressed(GrantProgress {
-            ended: vec![GrantNumber(question)],
+            ended: vec![GrantNumber(number)],
             ..GrantProgress::default()
         });
         black_box(residency.handle(ended, now));
     }
-    began.elapsed() / u32::try_from(WANTS).unwrap_or(u32::MAX)
+    started.elapsed() / u32::try_from(REQUESTS).unwrap_or(u32::MAX)
 }
 
 fn main() {
-    println!("targets  current  outdated (mean time of a want and its end)");
+    println!("targets  current  outdated (mean time of a placement request and its end)");
     for targets in [9, 112, 400, 1_600] {
         let current = mean_time(targets, false);
         let outdated = mean_time(targets, true);
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -1,6 +1,7 @@
-//! Measures what the deciding roles cost by their size: memory, time, and messages of power shares.
+//! Measures how the costs of the decision-making roles grow with their size: memory, time, and
+//! messages with power shares.
 //!
-//! Run it with `cargo run --release -p chervilshunt_core --example role_costs`. The figures are in
+//! Run it with `cargo run --release -p chervilshunt_core --example role_costs`. The results are in
 //! `docs/CAPACITY.md`.
 
 use std::hint::black_box;
@@ -21,17 +22,17 @@
 #[global_allocator]
 static ALLOC: PeakAlloc = PeakAlloc;
 
-/// Adapters that ask at one target.
+/// Numbers of adapters requested at one target.
 const ADAPTERS: [usize; 4] = [1_000, 5_000, 10_000, 20_000];
-/// Loads that wait for a turn at one store.
+/// Numbers of loads that wait for a turn at one store.
 const TURNS: [usize; 4] = [16, 256, 1_024, 4_096];
-/// Targets of one site.
+/// Numbers of targets at one site.
 const TARGETS: [usize; 5] = [25, 100, 123, 400, 1_600];
-/// Targets that a ranking is asked for.
-const BEST: [usize; 4] = [1, 2, 8, 1_600];
-/// Slots and sequences of the engine that is measured.
-const SLOTS: u32 = 64;
-const BATCH: u32 = 256;
+/// Numbers of best targets that a ranking returns.
+const RANKED: [usize; 4] = [1, 2, 8, 1_600];
+/// Adapter slots and maximum batch of the simulated engine.
+const ADAPTER_SLOTS: u32 = 64;
+const MAX_BATCH: u32 = 256;
 const IDLE_WATTS: f64 = 200.0;
 const FULL_WATTS: f64 = 700.0;
 
@@ -42,7 +43,7 @@
         println!("{adapters:21}  {:7.1}  {micros:17.2}", heap as f64 / 1e3);
     }
     println!("ranking 1,600 targets: best  us");
-    for count in BEST {
+    for count in RANKED {
         println!("{count:27}  {:5.2}", ranking(count));
     }
     println!("load scheduler: turns waiting  heap B a turn  us to ask  us to end and grant");
@@ -60,19 +61,20 @@
     }
 }
 
-/// Returns the time of ranking 1,600 targets for the best `count`.
+/// Returns the mean time of ranking 1,600 targets for the best `count`, in microseconds.
 fn ranking(count: usize) -> f64 {
     const ROUNDS: usize = 20_000;
     let table = TargetTable::new((0..1_600).map(target));
     let models: Vec<AdapterVersion> = (0..ROUNDS).map(model).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     for model in &models {
         black_box(table.rank(model, count));
     }
-    micros(begun.elapsed(), ROUNDS)
+    micros(started.elapsed(), ROUNDS)
 }
 
-/// Returns the heap of an owner at which so many adapters have asked, and the time of a round.
+/// Returns the heap size in bytes of an owner at which `adapters` adapters were requested, and the
+/// mean time of granting and releasing a permit, in microseconds.
 fn owner(adapters: usize) -> (usize, f64) {
     const ROUNDS: usize = 20_000;
     let models: Vec<AdapterVersion> = (0..adapters).map(model).collect();
@@ -85,14 +87,14 @@
         round(&mut owner, model, step as u128, now(step));
     }
     let heap = ALLOC.current_usage() - before;
-    let begun = Instant::now();
+    let started = Instant::now();
     for step in 0..ROUNDS {
-        // Few models, so that the time is that of a permit and not of a load.
-        let model = &models[step % SLOTS as usize];
+        // Few models, so that permits are measured and not loads.
+        let model = &models[step % ADAPTER_SLOTS as usize];
         let step = adapters + step;
         round(&mut owner, model, step as u128, now(step));
     }
-    (heap, micros(begun.elapsed(), ROUNDS))
+    (heap, micros(started.elapsed(), ROUNDS))
 }
 
 fn round(owner: &mut Owner, model: &AdapterVersion, attempt: u128, now: Moment) {
@@ -127,7 +129,7 @@
     settle(owner, OwnerEvent::PermitReleased(released), now);
 }
 
-/// Hands an event to an owner, and answers at once whatever it asks for.
+/// Sends an event to an owner and immediately answers all its requests.
 fn settle(owner: &mut Owner, event: OwnerEvent, now: Moment) {
     let mut events = vec![event];
     while let Some(event) = events.pop() {
@@ -144,7 +146,7 @@
                 OwnerAction::AskInventory => events.push(OwnerEvent::Inventory(Vec::new())),
                 OwnerAction::Answer { answer, .. } => {
                     let granted = matches!(answer, PermitAnswer::Granted { .. });
-                    assert!(granted, "no permit: {answer:?}");
+                    assert!(granted, "permit not granted: {answer:?}");
                 }
                 OwnerAction::EndTurn { .. }
                 | OwnerAction::HoldTurn { .. }
@@ -161,10 +163,10 @@
         target: TargetName::from("target-0001"),
         epoch: Epoch::new(1),
         fencing: Fencing::Checks,
-        slots: SLOTS,
-        max_batch: BATCH,
+        slots: ADAPTER_SLOTS,
+        max_batch: MAX_BATCH,
         idle_watts: IDLE_WATTS,
-        watts_per_sequence: (FULL_WATTS - IDLE_WATTS) / f64::from(BATCH),
+        watts_per_sequence: (FULL_WATTS - IDLE_WATTS) / f64::from(MAX_BATCH),
         share_watts: FULL_WATTS,
         live_queue_bound: 1_000,
         deferrable_queue_bound: 1_000,
@@ -177,7 +179,8 @@
     }
 }
 
-/// Returns a scheduler's heap, the time to ask for a turn, and the time to end one and grant the next.
+/// Returns a scheduler's heap size in bytes, the mean time of requesting a turn, and the mean time
+/// of ending one and granting the next, both in microseconds.
 fn scheduler(turns: usize) -> (usize, f64, f64) {
     const GRANTS: usize = 16;
     let cfg = SchedulerConfig {
@@ -203,25 +206,25 @@
                 oldest_ms: 5,
             },
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         granted.extend(scheduler.handle(event, Moment::from_millis(1)));
-        ask += begun.elapsed();
+        ask += started.elapsed();
     }
     let heap = ALLOC.current_usage() - before;
     let mut end = Duration::ZERO;
     for step in 0..GRANTS {
         let Some(chervilshunt_core::SchedulerAction::Grant { target, order, .. }) = granted.pop()
         else {
-            panic!("the store is free and loads wait, but none was granted");
+            panic!("no load was granted although the store is idle and loads wait");
         };
         let event = SchedulerEvent::TurnEnded {
             target,
             order,
             result: TurnResult::Loaded,
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         granted.extend(scheduler.handle(event, Moment::from_millis(100 + step as u64)));
-        end += begun.elapsed();
+        end += started.elapsed();
         if granted.is_empty() {
             return (heap, micros(ask, turns), micros(end, step + 1));
         }
@@ -229,8 +232,9 @@
     (heap, micros(ask, turns), micros(end, GRANTS))
 }
 
-/// Returns an allocator's heap, the time of a report and of working the shares out, and the shares
-/// that it sends each time when every tenth target's demand has changed.
+/// Returns an allocator's heap size in bytes, the mean times of a demand report and of a
+/// reallocation in microseconds, and the shares sent per round in which every tenth target's demand
+/// changes.
 fn allocator(targets: usize) -> (usize, f64, f64, f64) {
     const ROUNDS: usize = 40;
     let names: Vec<TargetName> = (0..targets).map(target).collect();
@@ -261,23 +265,23 @@
                 live_watts: IDLE_WATTS + ((step * 37) % 400) as f64,
                 deferrable_watts: 50.0,
             };
-            let begun = Instant::now();
+            let started = Instant::now();
             let shares = allocator.handle(event, now);
-            report += begun.elapsed();
+            report += started.elapsed();
             reports += 1;
             sent += confirm(&mut allocator, shares, now);
         }
         let now = Moment::from_millis(1_000 * (step as u64 + 1) + 500);
-        let begun = Instant::now();
+        let started = Instant::now();
         let shares = allocator.handle(PowerEvent::Tick, now);
-        tick += begun.elapsed();
+        tick += started.elapsed();
         sent += confirm(&mut allocator, shares, now);
     }
     let shares = sent as f64 / ROUNDS as f64;
     (heap, micros(report, reports), micros(tick, ROUNDS), shares)
 }
 
-/// Confirms shares, and those that follow from it, and returns how many there were.
+/// Confirms `shares` and those sent as a result, and returns their total number.
 fn confirm(allocator: &mut PowerAllocator, mut shares: Vec<PowerAction>, now: Moment) -> usize {
     let mut sent = 0;
     while let Some(PowerAction::SetShare {
