--- a/crates/chervilshunt_core/tests/allocator.rs
+++ b/crates/chervilshunt_core/tests/allocator.rs
@@ -1,4 +1,4 @@
-//! The power allocator's shares for a given demand.
+//! Tests of the power shares that the allocator calculates for a given demand.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     PowerAllocator::new(cfg, Moment::ZERO)
 }
 
-/// Returns the shares of a target with live work alone and of one with deferrable work alone.
+/// Returns the shares of two targets: one with only live work and one with only deferrable work.
 fn shares(live_watts: f64, deferrable_watts: f64) -> (f64, f64) {
     let (live, deferrable) = (TargetName::from("live"), TargetName::from("deferrable"));
     let mut allocator = allocator();
@@ -67,25 +67,25 @@
     (shares[&live], shares[&deferrable])
 }
 
-/// What the caller sees: live requests wait for half a minute while a batch is full.
-/// Deferrable work of one target could use all the power that live work leaves. Once it does, a
-/// burst of live work at another target finds none until long answers end. So a part that grows
-/// with live work stays with it, and all of it serves deferrable work where there is no live work.
+/// Deferrable work at one target could use all power that live work leaves. A burst of live work at
+/// another target would then find none until long answers end, and its requests would wait for half
+/// a minute. The allocator therefore keeps a reserve that grows with live work; without live work
+/// all power goes to deferrable work.
 #[rstest]
 #[case::no_live_work(100.0, 400.0, 0.0, 30.0)]
-#[case::some(200.0, 400.0, 50.0, 300.0)]
-#[case::nothing_deferrable(200.0, 0.0, 50.0, 300.0)]
-fn keeps_power_at_hand_for_bursts_of_live_work(
+#[case::both(200.0, 400.0, 50.0, 300.0)]
+#[case::no_deferrable_work(200.0, 0.0, 50.0, 300.0)]
+fn reserves_power_for_bursts_of_live_work(
     #[case] live_watts: f64,
     #[case] deferrable_watts: f64,
     #[case] at_least: f64,
     #[case] at_most: f64,
 ) {
     let (live, deferrable) = shares(live_watts, deferrable_watts);
-    let at_hand = live - live_watts;
+    let reserve = live - live_watts;
     assert!(
-        (at_least..=at_most).contains(&at_hand),
-        "{at_hand} W beyond the live demand"
+        (at_least..=at_most).contains(&reserve),
+        "{reserve} W beyond the live demand"
     );
     assert!(live + deferrable <= CAP_WATTS);
 }
--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -1,8 +1,10 @@
-//! A power allocator under random events, late, doubled and crossed, against an oracle.
+//! State-machine test of the power allocator with random events and with late, duplicated and
+//! reordered messages.
 //!
-//! The owners are a few lines: they take a share if it is the newest, draw what their sequences
-//! need, and confirm. Messages lie in a box until a step delivers, doubles or loses them. The
-//! oracle is one sum: what all targets can draw, whatever they and the messages do next.
+//! The simulated owners accept a share if it is newer than theirs, draw what their sequences need,
+//! and confirm it. Messages stay in flight until a step delivers, duplicates or loses them. The
+//! oracle compares one sum: the power that all targets can draw, whatever they and the messages do
+//! next.
 
 mod support;
 
@@ -17,14 +19,14 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use rstest::rstest;
 
-const IDLE: f64 = 100.0;
-const PER_SEQUENCE: f64 = 10.0;
-const BATCH: u32 = 16;
-const FULL: f64 = IDLE + PER_SEQUENCE * BATCH as f64;
+const IDLE_WATTS: f64 = 100.0;
+const WATTS_PER_SEQUENCE: f64 = 10.0;
+const MAX_BATCH: u32 = 16;
+const FULL_WATTS: f64 = IDLE_WATTS + WATTS_PER_SEQUENCE * MAX_BATCH as f64;
 const TARGETS: u8 = 4;
-const CAP: f64 = 700.0;
-/// Watts that rounding of sums may amount to.
-const ROUNDING: f64 = 1e-6;
+const CAP_WATTS: f64 = 700.0;
+/// Tolerance for rounding errors in sums, in watts.
+const TOLERANCE_WATTS: f64 = 1e-6;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -33,31 +35,31 @@
         live: u32,
         deferrable: u32,
     },
-    /// A target runs more sequences, as far as its share allows, or fewer.
+    /// A target runs fewer sequences, or more if its share allows it.
     Run {
         target: u8,
         sequences: u32,
     },
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     Lose(usize),
     Cap(f64),
-    /// Another instance takes the allocator's role.
+    /// Another instance takes over the allocator's role.
     Takeover,
     Leave(u8),
     Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let demand = (0..TARGETS, 0..=BATCH, 0..=2 * BATCH);
-    let run = (0..TARGETS, 0..=BATCH);
+    let demand = (0..TARGETS, 0..=MAX_BATCH, 0..=2 * MAX_BATCH);
+    let run = (0..TARGETS, 0..=MAX_BATCH);
     prop_oneof![
         6 => demand.prop_map(|(target, live, deferrable)| Step::Demand { target, live, deferrable }),
         8 => run.prop_map(|(target, sequences)| Step::Run { target, sequences }),
         16 => any::<usize>().prop_map(Step::Deliver),
-        3 => any::<usize>().prop_map(Step::Double),
+        3 => any::<usize>().prop_map(Step::Duplicate),
         3 => any::<usize>().prop_map(Step::Lose),
-        1 => prop_oneof![Just(0.0), Just(150.0), Just(400.0), Just(CAP), Just(2_000.0)].prop_map(Step::Cap),
+        1 => prop_oneof![Just(0.0), Just(150.0), Just(400.0), Just(CAP_WATTS), Just(2_000.0)].prop_map(Step::Cap),
         1 => Just(Step::Takeover),
         1 => (0..TARGETS).prop_map(Step::Leave),
         8 => prop_oneof![Just(10), Just(300), Just(2_500), Just(70_000)].prop_map(Step::Advance),
@@ -65,13 +67,13 @@
 }
 
 #[derive(Debug)]
-struct Chance;
+struct RandomSteps;
 
-impl ReferenceStateMachine for Chance {
+impl ReferenceStateMachine for RandomSteps {
     type State = f64;
     type Transition = Step;
 
-    /// The weight of full batches; the other is one.
+    /// The weight of batch efficiency; the weight of load stalls is 1.
     fn init_state() -> BoxedStrategy<f64> {
         prop_oneof![Just(0.0), Just(1.0), Just(3.0)].boxed()
     }
@@ -99,14 +101,14 @@
         watts(self.running)
     }
 
-    /// What it may draw without another message.
+    /// Returns what the target may draw without another message, in watts.
     fn can_draw(&self) -> f64 {
         self.share.max(self.drawing())
     }
 }
 
 #[derive(Clone, Debug)]
-enum Boxed {
+enum InFlight {
     Share {
         target: TargetName,
         sequence: u64,
@@ -119,7 +121,7 @@
     },
 }
 
-struct World {
+struct Simulation {
     allocator: PowerAllocator,
     bug: Option<Bug>,
     weight: f64,
@@ -127,17 +129,17 @@
     cap: f64,
     now: Moment,
     targets: BTreeMap<TargetName, Target>,
-    boxed: Vec<Boxed>,
-    /// What the allocator took the targets to be able to draw after the last event: above the cap
-    /// it may only fall.
+    in_flight: Vec<InFlight>,
+    /// The allocator's committed watts after the last event. While they exceed the cap they may
+    /// only fall.
     committed: f64,
 }
 
-impl World {
+impl Simulation {
     fn new(weight: f64, bug: Option<Bug>) -> Self {
         let now = Moment::from_millis(500_000);
         let targets = (0..TARGETS).map(|n| {
-            let (share, sequence, running) = (CAP / f64::from(TARGETS), 0, 0);
+            let (share, sequence, running) = (CAP_WATTS / f64::from(TARGETS), 0, 0);
             let (live, deferrable) = (0, 0);
             (
                 name(n),
@@ -150,19 +152,19 @@
                 },
             )
         });
-        let mut world = Self {
-            allocator: PowerAllocator::new(config(CAP, 1, weight), now),
+        let mut simulation = Self {
+            allocator: PowerAllocator::new(config(CAP_WATTS, 1, weight), now),
             bug,
             weight,
             epoch: 1,
-            cap: CAP,
+            cap: CAP_WATTS,
             now,
             targets: targets.collect(),
-            boxed: Vec::new(),
-            committed: CAP,
+            in_flight: Vec::new(),
+            committed: CAP_WATTS,
         };
-        world.join_all_quietly();
-        world
+        simulation.join_all_unchecked();
+        simulation
     }
 
     fn handle(&mut self, event: PowerEvent) {
@@ -173,10 +175,10 @@
                 watts,
             } = action;
             assert!(
-                (0.0..=FULL + ROUNDING).contains(&watts),
-                "a share of {watts} W"
+                (0.0..=FULL_WATTS + TOLERANCE_WATTS).contains(&watts),
+                "share of {watts} W out of range"
             );
-            self.boxed.push(Boxed::Share {
+            self.in_flight.push(InFlight::Share {
                 target,
                 sequence,
                 watts,
@@ -189,20 +191,20 @@
         let can_draw: f64 = self.targets.values().map(Target::can_draw).sum();
         let committed = self.allocator.committed_watts();
         assert!(
-            committed >= can_draw - ROUNDING,
+            committed >= can_draw - TOLERANCE_WATTS,
             "{can_draw} W can be drawn, {committed} W known"
         );
         let allowed = self.cap.max(self.committed);
         assert!(
-            committed <= allowed + ROUNDING,
+            committed <= allowed + TOLERANCE_WATTS,
             "{committed} W committed under {allowed} W"
         );
         self.committed = committed;
     }
 
-    fn deliver(&mut self, boxed: Boxed) {
-        match boxed {
-            Boxed::Share {
+    fn deliver(&mut self, message: InFlight) {
+        match message {
+            InFlight::Share {
                 target,
                 sequence,
                 watts,
@@ -216,7 +218,7 @@
                 (it.share, it.sequence) = (watts, sequence);
                 self.confirm(target);
             }
-            Boxed::Confirmation {
+            InFlight::Confirmation {
                 target,
                 sequence,
                 watts,
@@ -233,7 +235,7 @@
     fn confirm(&mut self, target: TargetName) {
         let it = &self.targets[&target];
         let (sequence, watts) = (it.sequence, it.can_draw());
-        self.boxed.push(Boxed::Confirmation {
+        self.in_flight.push(InFlight::Confirmation {
             target,
             sequence,
             watts,
@@ -256,7 +258,8 @@
                 let Some(it) = self.targets.get_mut(&name(target)) else {
                     return;
                 };
-                let allowed = sequences <= it.running || watts(sequences) <= it.share + ROUNDING;
+                let allowed =
+                    sequences <= it.running || watts(sequences) <= it.share + TOLERANCE_WATTS;
                 let over = it.drawing() > it.share;
                 if allowed {
                     it.running = sequences;
@@ -265,29 +268,29 @@
                     self.confirm(name(target));
                 }
             }
-            Step::Deliver(n) if !self.boxed.is_empty() => {
-                let boxed = self.boxed.swap_remove(n % self.boxed.len());
-                self.deliver(boxed);
+            Step::Deliver(n) if !self.in_flight.is_empty() => {
+                let message = self.in_flight.swap_remove(n % self.in_flight.len());
+                self.deliver(message);
             }
-            Step::Double(n) if !self.boxed.is_empty() => {
-                let boxed = self.boxed[n % self.boxed.len()].clone();
-                self.deliver(boxed);
+            Step::Duplicate(n) if !self.in_flight.is_empty() => {
+                let message = self.in_flight[n % self.in_flight.len()].clone();
+                self.deliver(message);
             }
-            Step::Lose(n) if !self.boxed.is_empty() => {
-                self.boxed.swap_remove(n % self.boxed.len());
+            Step::Lose(n) if !self.in_flight.is_empty() => {
+                self.in_flight.swap_remove(n % self.in_flight.len());
             }
-            Step::Deliver(_) | Step::Double(_) | Step::Lose(_) => {}
+            Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => {}
             Step::Cap(watts) => {
                 self.cap = watts;
                 self.handle(PowerEvent::CapChanged(watts));
             }
             Step::Takeover => {
-                // The links to the old instance are gone, and its messages with them.
-                self.boxed.clear();
+                // The links to the old instance are closed, and their messages are lost.
+                self.in_flight.clear();
                 self.epoch += 1;
                 self.allocator =
                     PowerAllocator::new(config(self.cap, self.epoch, self.weight), self.now);
-                self.join_all_quietly();
+                self.join_all_unchecked();
                 self.committed = self.allocator.committed_watts();
             }
             Step::Leave(target) => {
@@ -302,28 +305,30 @@
         }
     }
 
-    /// Joins all targets before anything is checked: what the new allocator is about to be told
-    /// of, it can't know.
-    fn join_all_quietly(&mut self) {
+    /// Joins all targets without the checks, since the new allocator can't know targets that it has
+    /// yet to be informed of.
+    fn join_all_unchecked(&mut self) {
         if let Some(bug) = self.bug {
             self.allocator.seed(bug);
         }
         for (target, it) in &self.targets {
             let joined = PowerEvent::TargetJoined {
                 target: target.clone(),
-                idle_watts: IDLE,
-                full_watts: FULL,
+                idle_watts: IDLE_WATTS,
+                full_watts: FULL_WATTS,
                 drawing: it.can_draw(),
             };
             let actions = self.allocator.handle(joined, self.now);
-            assert!(actions.is_empty(), "a share before all targets have joined");
+            assert!(actions.is_empty(), "share sent before all targets joined");
         }
     }
 
     fn demand(&mut self, target: TargetName) {
         let it = &self.targets[&target];
-        let (live_watts, deferrable_watts) =
-            (watts(it.live), PER_SEQUENCE * f64::from(it.deferrable));
+        let (live_watts, deferrable_watts) = (
+            watts(it.live),
+            WATTS_PER_SEQUENCE * f64::from(it.deferrable),
+        );
         self.handle(PowerEvent::Demanded {
             target,
             live_watts,
@@ -331,9 +336,9 @@
         });
     }
 
-    /// With all faults over, the cap holds, and what live work needs is there if the cap allows.
+    /// Without further faults the shares respect the cap, and live work gets the power it needs.
     fn settle(&mut self) {
-        self.step(Step::Cap(CAP));
+        self.step(Step::Cap(CAP_WATTS));
         for it in self.targets.values_mut() {
             (it.live, it.deferrable, it.running) = (2, 0, 0);
         }
@@ -342,24 +347,24 @@
                 self.demand(target);
             }
             self.step(Step::Advance(2_500));
-            while !self.boxed.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.step(Step::Deliver(0));
             }
         }
         let shares: f64 = self.targets.values().map(|it| it.share).sum();
         assert!(
-            shares <= CAP + ROUNDING,
-            "shares of {shares} W under {CAP} W"
+            shares <= CAP_WATTS + TOLERANCE_WATTS,
+            "shares of {shares} W exceed the cap of {CAP_WATTS} W"
         );
-        let seats = self
+        let capacity = self
             .targets
             .values()
-            .map(|it| ((it.share - IDLE) / PER_SEQUENCE).max(0.0));
-        let seats: f64 = seats.map(f64::floor).sum();
+            .map(|it| ((it.share - IDLE_WATTS) / WATTS_PER_SEQUENCE).max(0.0));
+        let capacity: f64 = capacity.map(f64::floor).sum();
         let needed = f64::from(2 * self.targets.len() as u32);
         assert!(
-            seats >= needed,
-            "{seats} seats for {needed} live sequences: {:?}",
+            capacity >= needed,
+            "power for {capacity} of {needed} live sequences: {:?}",
             self.targets
         );
     }
@@ -381,7 +386,7 @@
     if sequences == 0 {
         return 0.0;
     }
-    IDLE + PER_SEQUENCE * f64::from(sequences)
+    IDLE_WATTS + WATTS_PER_SEQUENCE * f64::from(sequences)
 }
 
 fn name(target: u8) -> TargetName {
@@ -391,20 +396,20 @@
 struct AllocatorTest;
 
 impl StateMachineTest for AllocatorTest {
-    type SystemUnderTest = World;
-    type Reference = Chance;
+    type SystemUnderTest = Simulation;
+    type Reference = RandomSteps;
 
-    fn init_test(weight: &f64) -> World {
-        World::new(*weight, None)
+    fn init_test(weight: &f64) -> Simulation {
+        Simulation::new(*weight, None)
     }
 
-    fn apply(mut world: World, _: &f64, step: Step) -> World {
-        world.step(step);
-        world
+    fn apply(mut simulation: Simulation, _: &f64, step: Step) -> Simulation {
+        simulation.step(step);
+        simulation
     }
 
-    fn teardown(mut world: World) {
-        world.settle();
+    fn teardown(mut simulation: Simulation) {
+        simulation.settle();
     }
 }
 
@@ -415,16 +420,17 @@
     fn the_power_of_a_site_stays_within_its_cap(sequential 1..120 => AllocatorTest);
 }
 
-/// Each bug of a kind that a change could bring in is found, and by the check that is meant for it.
+/// Checks that each seeded bug is detected, and by the check meant for it.
 #[rstest]
 #[case::raises_before_confirmed(Bug::RaisesBeforeConfirmed, "W committed under")]
 #[case::takes_crossed_confirmation(Bug::TakesCrossedConfirmation, "W can be drawn")]
 #[case::forgets_draw_at_takeover(Bug::ForgetsDrawAtTakeover, "W can be drawn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |weight, steps| {
-        let mut world = World::new(weight, Some(bug));
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
-    });
+    let complaint =
+        support::complaint_of(check, RandomSteps::init_state(), step(), |weight, steps| {
+            let mut simulation = Simulation::new(weight, Some(bug));
+            steps.into_iter().for_each(|step| simulation.step(step));
+            simulation.settle();
+        });
     assert!(complaint.contains(check), "{complaint}");
 }
