--- a/crates/chervilshunt_core/tests/breaker.rs
+++ b/crates/chervilshunt_core/tests/breaker.rs
@@ -1,4 +1,4 @@
-//! Calls that fail at a target, as its owner hears of them.
+//! Tests of the circuit breaker that an owner keeps for its target.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use rstest::rstest;
 use support::{answers, at, config, finished, granted, model, owner_with, release, request};
 
-/// Later than the first pause of a breaker, jitter included.
-const PAUSE_OVER: u64 = 760;
+/// A time after the breaker's first open period, including jitter, in milliseconds.
+const AFTER_FIRST_OPEN_MS: u64 = 760;
 
 fn ask(owner: &mut Owner, attempt: u128, class: Class, millis: u64) -> Vec<OwnerAction> {
     let req = request(attempt, Some(model(1)), class);
@@ -23,13 +23,13 @@
     owner_with(cfg, &[model(1)])
 }
 
-/// Makes calls one after the other, each of which is held for `held` ms and ends in the same way;
-/// returns when the last one ended.
-fn calls(owner: &mut Owner, count: u128, outcome: ReleaseOutcome, held: u64) -> u64 {
+/// Makes calls one after the other, each of which takes `held_ms` ms and ends with `outcome`. Returns
+/// when the last one ended, in milliseconds.
+fn make_calls(owner: &mut Owner, count: u128, outcome: ReleaseOutcome, held_ms: u64) -> u64 {
     let mut now = 10;
     for attempt in 1..=count {
         ask(owner, attempt, Class::Live, now);
-        now += held;
+        now += held_ms;
         owner.handle(release(attempt, outcome), at(now));
     }
     now
@@ -39,8 +39,8 @@
     permits.iter().map(|permit| permit.attempt).collect()
 }
 
-/// Whether one more request is refused because calls fail here.
-fn is_closed_to_calls(owner: &mut Owner, now: u64) -> bool {
+/// Returns whether another request is refused because calls to the target fail.
+fn refuses_calls(owner: &mut Owner, now: u64) -> bool {
     let attempt = u128::from(now) << 64;
     let answers = answers(&ask(owner, attempt, Class::Live, now));
     answers.iter().any(|(_, answer)| match answer {
@@ -49,28 +49,27 @@
     })
 }
 
-/// What the caller sees: an answer from a sound target.
-/// A target passes its health checks and fails the calls that it is sent. Its owner sends the next
-/// requests on, instead of letting each of them fail there first.
+/// Guards against requests that each fail first at a target that reviewed_at its health checks but fails
+/// calls. The owner redirects the next requests, so that callers get answers from a healthy target.
 #[test]
-fn sends_requests_on_while_calls_fail() {
+fn redirects_requests_while_calls_fail() {
     let mut owner = owner_with_peers(&["t1"]);
-    let now = calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
+    let now = make_calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
     let actions = ask(&mut owner, 100, Class::Live, now + 1);
     let answers = answers(&actions);
     let [(_, PermitAnswer::Redirect { targets })] = &*answers else {
-        panic!("one redirect: {answers:?}");
+        panic!("expected one redirect, got: {answers:?}");
     };
     assert_eq!(targets.as_slice(), [TargetName::from("t1")]);
 }
 
-/// What the caller sees: a refusal at once, with the time at which the target is tried again.
-/// The only target fails all calls. Live requests are refused and not run; deferrable ones wait, as
-/// they may not fail.
+/// The only target fails all calls. Live requests are refused at once without being run, with the
+/// time at which the target is tried again. Deferrable requests stay queued, since they need not be
+/// prompt.
 #[test]
-fn refuses_live_requests_at_once_and_keeps_deferrable_ones() {
+fn refuses_live_requests_at_once_and_queues_deferrable_ones() {
     let mut owner = owner_with_peers(&[]);
-    let now = calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
+    let now = make_calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
     let live = answers(&ask(&mut owner, 100, Class::Live, now + 1));
     let [
         (
@@ -82,31 +81,33 @@
         ),
     ] = &*live
     else {
-        panic!("one refusal: {live:?}");
+        panic!("expected one refusal, got: {live:?}");
     };
     assert_eq!(*reason, RefusalReason::TargetFailing);
     assert!((400..=750).contains(retry_after_ms), "{retry_after_ms} ms");
     let deferrable = answers(&ask(&mut owner, 101, Class::Deferrable, now + 2));
-    assert!(deferrable.is_empty(), "it waits: {deferrable:?}");
+    assert!(
+        deferrable.is_empty(),
+        "the deferrable request is not queued: {deferrable:?}"
+    );
     let wakeup = owner.next_wakeup().expect("a request waits");
-    assert!(wakeup <= at(now + PAUSE_OVER), "{wakeup:?}");
+    assert!(wakeup <= at(now + AFTER_FIRST_OPEN_MS), "{wakeup:?}");
 }
 
-/// What callers see: one request at a time until two have been answered, then all at once.
-/// The target is sound again. Were all that wait let through together, one that is not would fail
-/// them all.
+/// The target may have recovered. If all queued requests were let through together, a target that
+/// still fails would fail all of them, so single probes go first until two have succeeded.
 #[test]
-fn lets_single_calls_through_until_two_have_succeeded() {
+fn admits_single_probes_until_two_have_succeeded() {
     let mut owner = owner_with_peers(&[]);
-    let failed = calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
+    let failed = make_calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
     for attempt in 100..110 {
         ask(&mut owner, attempt, Class::Deferrable, failed + 1);
     }
-    let mut now = failed + PAUSE_OVER;
+    let mut now = failed + AFTER_FIRST_OPEN_MS;
     let mut running = granted(&owner.handle(OwnerEvent::Tick, at(now)));
     for probe in 0..2 {
         let [permit] = &*running else {
-            panic!("one call shows whether the target is back ({probe}): {running:?}");
+            panic!("probe {probe} is not a single call: {running:?}");
         };
         let attempt = permit.attempt.as_u128();
         now += 10;
@@ -115,23 +116,23 @@
     assert_eq!(
         running.len(),
         8,
-        "the rest together: {:?}",
+        "the remaining requests are not granted together: {:?}",
         attempts(&running)
     );
 }
 
-/// The first call after the pause fails as well: the pause begins anew, and is longer.
+/// The first probe fails too, so the breaker opens again, for longer.
 #[test]
-fn stops_calls_again_when_the_first_one_fails() {
+fn opens_again_when_the_first_probe_fails() {
     let mut owner = owner_with_peers(&[]);
-    let failed = calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
-    let now = failed + PAUSE_OVER;
+    let failed = make_calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
+    let now = failed + AFTER_FIRST_OPEN_MS;
     let probe = granted(&ask(&mut owner, 100, Class::Live, now));
     assert_eq!(attempts(&probe), [AttemptId::from_u128(100)]);
     owner.handle(release(100, ReleaseOutcome::TargetFailed), at(now + 10));
     let refused = answers(&ask(&mut owner, 101, Class::Live, now + 11));
     let [(_, PermitAnswer::Refused { retry_after_ms, .. })] = &*refused else {
-        panic!("one refusal: {refused:?}");
+        panic!("expected one refusal, got: {refused:?}");
     };
     assert!(
         (900..=1_500).contains(retry_after_ms),
@@ -139,38 +140,38 @@
     );
 }
 
-/// What the caller sees: no refusals for the length of somebody's long answer.
-/// The call that shows whether the target is back streams for minutes. A target that fails does so at
-/// the start, so that the stream counts as a success once it has run for several times the usual time
-/// to the first piece.
+/// The probe is a stream that runs for minutes, during which other requests would be refused.
+/// Targets that fail do so at the start, so a stream counts as a success once it has run for
+/// several times the usual time to the first byte.
 #[test]
-fn a_long_answer_does_not_hold_the_others_up() {
+fn a_long_stream_does_not_block_other_requests() {
     let mut owner = owner_with_peers(&[]);
-    let failed = calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
-    let mut now = failed + PAUSE_OVER;
+    let failed = make_calls(&mut owner, 5, ReleaseOutcome::TargetFailed, 10);
+    let mut now = failed + AFTER_FIRST_OPEN_MS;
     for stream in 100..102 {
         let probe = granted(&ask(&mut owner, stream, Class::Live, now));
         assert_eq!(attempts(&probe), [AttemptId::from_u128(stream)]);
-        assert!(is_closed_to_calls(&mut owner, now + 1));
-        let passes = owner.next_wakeup().expect("the probe is looked at");
-        now = passes.as_millis().max(now + 10_000);
+        assert!(refuses_calls(&mut owner, now + 1));
+        let reviewed_at = owner.next_wakeup().expect("the probe is reviewed");
+        now = reviewed_at.as_millis().max(now + 10_000);
         owner.handle(OwnerEvent::Tick, at(now));
     }
-    assert!(!is_closed_to_calls(&mut owner, now + 1));
+    assert!(!refuses_calls(&mut owner, now + 1));
 }
 
-/// How the ends of ten calls in a row count. Each release arrives twice, and counts once.
+/// Checks which outcomes of consecutive calls count as failures of the target. Each release arrives
+/// twice and counts once.
 #[rstest]
 #[case::failed(ReleaseOutcome::TargetFailed, 10, true)]
 #[case::finished(finished(), 10, false)]
-#[case::callers_went_away(ReleaseOutcome::Cancelled, 10, false)]
+#[case::callers_disconnected(ReleaseOutcome::Cancelled, 10, false)]
 #[case::adapter_missing(ReleaseOutcome::AdapterMissing, 10, false)]
-#[case::short_deadlines_of_callers(ReleaseOutcome::TimedOut, 50, false)]
-#[case::a_target_that_hangs(ReleaseOutcome::TimedOut, 4_500, true)]
-fn which_ends_speak_against_the_target(
+#[case::short_caller_deadlines(ReleaseOutcome::TimedOut, 50, false)]
+#[case::target_does_not_answer(ReleaseOutcome::TimedOut, 4_500, true)]
+fn which_outcomes_count_as_failures(
     #[case] outcome: ReleaseOutcome,
-    #[case] held: u64,
-    #[case] closed: bool,
+    #[case] held_ms: u64,
+    #[case] refused: bool,
 ) {
     let mut owner = owner_with_peers(&[]);
     let mut now = 10;
@@ -179,22 +180,23 @@
             let attempt = 10 * round + attempt + 1;
             ask(&mut owner, attempt, Class::Live, now);
         }
-        now += held;
+        now += held_ms;
         for attempt in 0..4 {
             let attempt = 10 * round + attempt + 1;
             owner.handle(release(attempt, outcome), at(now));
             owner.handle(release(attempt, outcome), at(now));
         }
-        if closed && round == 1 {
+        if refused && round == 1 {
             break;
         }
     }
-    assert_eq!(is_closed_to_calls(&mut owner, now + 1), closed);
+    assert_eq!(refuses_calls(&mut owner, now + 1), refused);
 }
 
-/// Fewer calls than it takes to tell, counted twice by a release that arrives twice, would be enough.
+/// Four failed calls are too few to open the breaker. Counting duplicate releases twice would open
+/// it.
 #[test]
-fn a_doubled_release_counts_once() {
+fn a_duplicate_release_counts_once() {
     let mut owner = owner_with_peers(&[]);
     let mut now = 10;
     for attempt in 1..=4 {
@@ -203,5 +205,5 @@
         owner.handle(release(attempt, ReleaseOutcome::TargetFailed), at(now));
         owner.handle(release(attempt, ReleaseOutcome::TargetFailed), at(now));
     }
-    assert!(!is_closed_to_calls(&mut owner, now + 1));
+    assert!(!refuses_calls(&mut owner, now + 1));
 }
