--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! When a request is refused because targets crash under it, by cases.
+//! Tests of the rules by which requests that crash targets are refused.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -46,10 +46,10 @@
 fn a_request_is_refused_once_it_has_crashed_two_targets() {
     let mut known = quarantine();
     assert!(known.crashed(crash("a", "t1"), at(150)));
-    let first = known.to_record(request("a")).expect("something new");
+    let first = known.to_record(request("a")).expect("an unrecorded crash");
     assert_eq!((first.record.targets.len(), first.revision), (1, None));
     assert_eq!(known.refused_until(request("a"), at(151)), None);
-    // Another try that was under way at the same target tells of the same crash.
+    // Another attempt that was in progress at the same target reports the same crash.
     assert!(!known.crashed(crash("a", "t1"), at(160)));
     assert!(known.crashed(crash("a", "t2"), at(1_450)));
     let until = known.refused_until(request("a"), at(1_451));
@@ -57,9 +57,10 @@
     assert_eq!(known.refused_until(request("b"), at(1_451)), None);
 }
 
-/// Guards against the refusal of a request that was under way at all targets of a rack.
+/// Guards against refusing a common request that was in progress on all targets of a rack that
+/// crashed.
 #[test]
-fn a_request_that_was_served_lately_is_not_suspected() {
+fn a_recently_served_request_is_not_suspected() {
     let mut known = Quarantine::new(QuarantineConfig {
         served_lately: 2,
         ..QuarantineConfig::default()
@@ -73,11 +74,11 @@
     known.served(request("c"));
     assert!(
         known.crashed(crash("a", "t1"), at(200)),
-        "it was served too long ago"
+        "the request is no longer among those served recently"
     );
 }
 
-/// Guards against crashes that two instances see at once, of which the one recorded second is lost.
+/// Guards against losing the second of two crashes that two instances record at the same time.
 #[test]
 fn crashes_that_two_instances_see_are_counted_together() {
     let mut known = quarantine();
@@ -86,12 +87,12 @@
     assert!(known.refused_until(request("a"), at(101)).is_some());
     let merged = known
         .to_record(request("a"))
-        .expect("more than is recorded");
+        .expect("a crash that is not in the record");
     assert_eq!(merged.revision.map(|it| it.number), Some(7));
     assert_eq!(merged.record.targets, [target("t2"), target("t1")]);
     known.recorded(stored(request("a"), &["t2", "t1"], 8), at(110));
     assert_eq!(known.to_record(request("a")), None);
-    // What was told before comes late.
+    // An earlier version of the record arrives late.
     assert!(!known.recorded(stored(request("a"), &["t1"], 7), at(120)));
     assert_eq!(known.to_record(request("a")), None);
 }
@@ -108,19 +109,20 @@
 }
 
 #[test]
-fn records_of_other_instances_refuse_here_too() {
+fn records_from_other_instances_are_enforced() {
     let mut known = quarantine();
     assert!(known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0)));
     assert!(known.refused_until(request("a"), at(1)).is_some());
-    // Listed again, it tells nothing new and refuses no longer than before.
+    // Listing the record again adds nothing and does not extend the refusal.
     assert!(!known.recorded(stored(request("a"), &["t1", "t2"], 9), at(60_000)));
     let until = known.refused_until(request("a"), at(60_001));
     assert_eq!(until, Some(at(0) + Duration::from_secs(3_600)));
 }
 
-/// Guards against an outage of the platform that makes instances forget what they have seen themselves.
+/// Guards against forgetting crashes that this instance has observed but not yet stored when it
+/// lists the platform's records after an outage.
 #[test]
-fn a_list_releases_what_was_stored_and_keeps_what_has_yet_to_be() {
+fn a_list_releases_missing_records_and_keeps_unstored_crashes() {
     let mut known = quarantine();
     known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.crashed(crash("b", "t3"), at(100));
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn crashes_are_forgotten_after_a_time() {
+fn crashes_expire() {
     let mut known = quarantine();
     known.crashed(crash("a", "t1"), at(0));
     known.recorded(stored(request("b"), &["t1", "t2"], 9), at(0));
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn no_more_requests_are_remembered_than_there_is_room_for() {
+fn the_number_of_remembered_requests_is_bounded() {
     let mut known = Quarantine::new(QuarantineConfig {
         most: 1,
         ..QuarantineConfig::default()
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn no_part_of_a_request_passes_for_another() {
+fn fingerprints_distinguish_parts_and_round_trip() {
     assert_ne!(
         Fingerprint::of([&b"ab"[..], b"c"]),
         Fingerprint::of([&b"a"[..], b"bc"])
@@ -160,23 +162,24 @@
     assert_eq!(text.parse(), Ok(request("a")));
 }
 
-/// Guards against a record for each of the dozens of requests that wait at an overloaded target which
-/// crashes.
+/// Guards against storing a record for each of the dozens of requests queued at an overloaded
+/// target that crashes.
 #[test]
-fn the_first_crash_of_a_request_that_may_only_have_waited_is_not_recorded() {
-    let waited = |name| Crash {
+fn the_first_crash_of_a_request_that_may_only_have_been_queued_is_not_recorded() {
+    let queued = |name| Crash {
         has_run: false,
         ..crash("a", name)
     };
     let mut known = quarantine();
-    assert!(!known.crashed(waited("t1"), at(100)));
-    assert!(known.crashed(waited("t2"), at(300)));
+    assert!(!known.crashed(queued("t1"), at(100)));
+    assert!(known.crashed(queued("t2"), at(300)));
     assert!(known.refused_until(request("a"), at(301)).is_some());
 }
 
-/// Guards against a restore of the platform that lets a request crash targets again.
+/// Guards against a restore of the platform from a backup after which a request could crash targets
+/// again.
 #[test]
-fn a_request_stays_refused_when_the_platform_comes_back_without_its_record() {
+fn a_request_stays_refused_when_a_restored_platform_lacks_its_record() {
     let mut known = quarantine();
     known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.recorded(stored(request("b"), &["t1"], 10), at(0));
@@ -184,6 +187,6 @@
     assert!(known.listed(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
     assert_eq!(known.unrecorded(), [request("a")]);
-    let lacking = known.to_record(request("a")).expect("the whole record");
-    assert_eq!((lacking.record.targets.len(), lacking.revision), (2, None));
+    let missing = known.to_record(request("a")).expect("the complete record");
+    assert_eq!((missing.record.targets.len(), missing.revision), (2, None));
 }
--- a/crates/chervilshunt_core/tests/retry.rs
+++ b/crates/chervilshunt_core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budget, backoff, token bucket and circuit breaker.
+//! Tests of the retry budget, backoff, token bucket and circuit breaker.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Rounding of many small refills.
+/// Tolerance for rounding errors of many small refills.
 const TOLERANCE: f64 = 1e-3;
 
 const fn at(millis: u64) -> Moment {
@@ -18,7 +18,8 @@
 }
 
 proptest! {
-    /// In every span, not only from the start, no more is taken than the burst plus the refill.
+    /// In every time span, not only from the start, no more tokens are taken than the burst plus
+    /// the refill.
     #[test]
     fn a_token_bucket_bounds_every_span(
         per_second in 0.0..50.0,
@@ -43,9 +44,9 @@
         }
     }
 
-    /// Whoever waits until the time that it was told gets the token.
+    /// A caller that waits until the returned time gets the token.
     #[test]
-    fn a_token_is_there_when_promised(
+    fn a_token_is_available_at_the_returned_time(
         per_second in 0.01..50.0,
         burst in 1.0..20.0,
         reserve in 0.0..5.0,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// However calls fail, retries stay below their share of the calls.
+    /// However calls fail, retries stay within the budget.
     #[test]
     fn a_retry_budget_bounds_retries(
         ratio in 0.0..0.5,
@@ -79,22 +80,22 @@
         let cfg = RetryBudgetConfig { ratio, per_second, burst };
         let mut budget = RetryBudget::new(cfg, Moment::ZERO);
         let mut now = 0;
-        let mut firsts = 0_u32;
+        let mut first_attempts = 0_u32;
         let mut retries = 0_u32;
         for (step, wanted) in calls {
             now += step;
-            firsts += 1;
+            first_attempts += 1;
             budget.record_first_try(at(now));
             for _ in 0..wanted {
                 retries += u32::from(budget.try_retry(at(now)));
             }
             let span = now as f64 / 1000.0;
-            let bound = burst + ratio * f64::from(firsts) + per_second * span;
+            let bound = burst + ratio * f64::from(first_attempts) + per_second * span;
             prop_assert!(f64::from(retries) <= bound + TOLERANCE);
         }
     }
 
-    /// Each wait lies between the base and the cap, and at most three times above the last one.
+    /// Each wait lies between the base and the cap, and is at most three times the previous one.
     #[test]
     fn waits_stay_within_their_bounds(
         base in 1_u64..100,
@@ -113,10 +114,10 @@
         }
     }
 
-    /// Whatever happens to calls, outcomes late and lost included: while it is open nothing
-    /// passes, while it is half open one call at a time, and it never stays shut for good.
+    /// Whatever happens to calls, including late and lost outcomes, an open breaker admits none, a
+    /// half-open breaker admits one at a time, and calls are always admitted again eventually.
     #[test]
-    fn a_breaker_keeps_its_promises(
+    fn a_breaker_bounds_calls_and_recovers(
         steps in prop::collection::vec((0_u64..2_000, 0_u8..4, 0.0..1.0), 1..300),
     ) {
         let cfg = BreakerConfig::default();
@@ -171,7 +172,7 @@
 #[case::half_fail(&[true, false, true, false, true, false], BreakerState::Open)]
 #[case::too_few(&[false; 4], BreakerState::Closed)]
 #[case::few_fail(&[true, true, false, true, true, false, true, true], BreakerState::Closed)]
-fn opens_at_its_share_of_failures(#[case] outcomes: &[bool], #[case] state: BreakerState) {
+fn opens_at_the_failure_ratio(#[case] outcomes: &[bool], #[case] state: BreakerState) {
     let mut breaker = Breaker::new(BreakerConfig::default(), Moment::ZERO);
     for success in outcomes {
         let outcome = match success {
@@ -183,7 +184,7 @@
     assert_eq!(breaker.state(), state);
 }
 
-/// Failures that lie further back than the window don't open it.
+/// Failures older than the window do not open the breaker.
 #[test]
 fn forgets_old_failures() {
     let mut breaker = Breaker::new(BreakerConfig::default(), Moment::ZERO);
@@ -196,8 +197,8 @@
     assert_eq!(breaker.state(), BreakerState::Closed);
 }
 
-/// The target fails, and calls pass again only after two probes have succeeded. A failed probe
-/// makes the next wait twice as long.
+/// After the target fails, the breaker closes only once two probes have succeeded. A failed probe
+/// doubles the next open period.
 #[test]
 fn probes_before_it_closes() {
     let mut breaker = Breaker::new(BreakerConfig::default(), Moment::ZERO);
@@ -216,10 +217,10 @@
     assert_eq!(breaker.state(), BreakerState::Closed);
 }
 
-/// A call that began before the target failed ends well afterwards. It tells nothing about the
-/// target's present state, and does not close the breaker.
+/// A call that was admitted before the target failed succeeds afterwards. Its outcome says nothing
+/// about the current state of the target and must not close the breaker.
 #[test]
-fn ignores_outcomes_of_calls_from_before() {
+fn ignores_outcomes_of_calls_admitted_before_it_opened() {
     let mut breaker = Breaker::new(BreakerConfig::default(), Moment::ZERO);
     let Admission::Admitted(early) = breaker.admit(at(0)) else {
         panic!("the call is refused");
