--- a/crates/chervilshunt_core/tests/scheduler.rs
+++ b/crates/chervilshunt_core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The load scheduler's turns, one after the other.
+//! Tests of the order in which the load scheduler grants turns.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use rstest::rstest;
 use support::{at, model, target};
 
-const LOAD: Duration = Duration::from_millis(250);
+const LOAD_TIME: Duration = Duration::from_millis(250);
 
 fn scheduler() -> LoadScheduler {
     let cfg = SchedulerConfig {
@@ -42,8 +42,8 @@
     Some(*order)
 }
 
-/// Ends each turn as it comes and asks for another live one, until the deferrable load has its
-/// turn; returns the live turns before it.
+/// Ends each turn after its load time and requests another live one, until the deferrable load is granted its
+/// turn. Returns the number of live turns before it.
 fn live_turns_before_deferrable(oldest_ms: u64, at_most: u64) -> Option<u64> {
     let deferrable = OrderId(1_000_000);
     let mut scheduler = scheduler();
@@ -52,10 +52,10 @@
     scheduler.handle(asked(deferrable.0, Class::Deferrable, oldest_ms), now);
     for turn in 1..=at_most {
         scheduler.handle(asked(turn, Class::Live, 0), now);
-        now = now + LOAD;
+        now = now + LOAD_TIME;
         let ended = SchedulerEvent::TurnEnded {
             target: target(),
-            order: running.expect("a turn is given whenever one is wanted"),
+            order: running.expect("a turn is granted whenever one is requested"),
             result: TurnResult::Loaded,
         };
         running = granted(&scheduler.handle(ended, now));
@@ -66,11 +66,10 @@
     None
 }
 
-/// What the caller sees: live requests wait ever longer for their adapters while a flood of
-/// deferrable work lasts.
-/// Live loads take nearly all turns of the weight store, and deferrable loads that have waited for
-/// minutes take a share of them. The share has to be small, or the live loads' queue grows without
-/// end; and more than none, or the deferrable ones would wait for ever.
+/// Guards against live requests that wait ever longer for their adapters during a flood of
+/// deferrable work. Live loads take nearly all turns of the weight store, and deferrable loads that
+/// have waited for minutes take a fraction of them. If the fraction is too large the queue of live
+/// loads grows without bound; if it is zero the deferrable loads starve.
 #[rstest]
 #[case::young(200_000, 300, None)]
 #[case::old(300_000, 300, Some(100))]
--- a/crates/chervilshunt_core/tests/scheduler_machine.rs
+++ b/crates/chervilshunt_core/tests/scheduler_machine.rs
@@ -1,4 +1,5 @@
-//! A load scheduler under random events, late, doubled and crossed, against an oracle.
+//! State-machine test of the load scheduler with random events and with late, duplicated and
+//! reordered messages.
 
 mod support;
 
@@ -16,17 +17,17 @@
 use support::model;
 
 const TURN_TIMEOUT: Duration = Duration::from_secs(10);
-const RATE: f64 = 4.0;
+const LOADS_PER_SECOND: f64 = 4.0;
 
 #[derive(Clone, Debug)]
 enum Step {
     Ask(u8, LoadUrgency),
-    /// An owner tells a turn's urgency once more, or the message is doubled and late.
+    /// An owner reports a turn's urgency again, or a late duplicate of the message arrives.
     AskAgain(usize, LoadUrgency),
     End(usize, TurnResult),
     EndAgain(usize),
     Held(u8),
-    /// An owner says once more that it uses its turn.
+    /// An owner reports again that it uses its turn.
     HeldAgain(usize),
     OwnerChanged(u8),
     Concurrency(u32),
@@ -64,9 +65,9 @@
 }
 
 #[derive(Debug)]
-struct Chance;
+struct RandomSteps;
 
-impl ReferenceStateMachine for Chance {
+impl ReferenceStateMachine for RandomSteps {
     type State = ();
     type Transition = Step;
 
@@ -81,25 +82,26 @@
     fn apply((): (), _: &Step) {}
 }
 
-type Turn = (TargetName, OrderId);
+type TurnId = (TargetName, OrderId);
 
-/// The scheduler with its owners, and what it may not do.
-struct World {
+/// The scheduler with its simulated owners, and the state from which its actions are checked.
+struct Simulation {
     scheduler: LoadScheduler,
     now: Moment,
     concurrency: usize,
     next_order: u64,
-    asked: BTreeMap<Turn, (LoadUrgency, Moment)>,
-    /// Turns in use, with the time at which they are over in any case.
-    running: BTreeMap<Turn, Moment>,
-    /// Turns that a new scheduler was told of, beyond what it may grant itself.
-    held: BTreeSet<Turn>,
-    ended: Vec<Turn>,
-    /// Loads begun, each with the part of a load that it drew from the store.
-    begun: VecDeque<(Turn, Moment, f64)>,
+    asked: BTreeMap<TurnId, (LoadUrgency, Moment)>,
+    /// Turns in use, with the time at which each times out.
+    running: BTreeMap<TurnId, Moment>,
+    /// Turns that do not count towards the scheduler's own limit, such as those granted by an
+    /// earlier scheduler.
+    held: BTreeSet<TurnId>,
+    ended: Vec<TurnId>,
+    /// Started loads, each with the fraction of a load that it has drawn from the store.
+    started: VecDeque<(TurnId, Moment, f64)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now = Moment::from_millis(500_000);
         Self {
@@ -111,7 +113,7 @@
             running: BTreeMap::new(),
             held: BTreeSet::new(),
             ended: Vec::new(),
-            begun: VecDeque::new(),
+            started: VecDeque::new(),
         }
     }
 
@@ -123,56 +125,60 @@
         }
         let room = self.running.len() < self.concurrency && !self.asked.is_empty();
         let wakes = self.scheduler.next_wakeup();
-        assert!(!room || wakes.is_some(), "sleeps while a load waits");
+        assert!(!room || wakes.is_some(), "no wakeup while a load waits");
     }
 
-    fn check_grant(&mut self, turn: Turn) {
+    fn check_grant(&mut self, turn: TurnId) {
         if self.running.contains_key(&turn) {
-            return; // The answer to an owner that asks again.
+            return; // The answer to a repeated request.
         }
-        let (urgency, told) = self.asked.remove(&turn).expect("a turn that was asked for");
-        self.check_order(&urgency, told);
+        let (urgency, reported_at) = self.asked.remove(&turn).expect("a turn that was requested");
+        self.check_order(&urgency, reported_at);
         self.running.insert(turn.clone(), self.now + TURN_TIMEOUT);
         let own = self
             .running
             .keys()
             .filter(|it| !self.held.contains(*it))
             .count();
-        assert!(own <= self.concurrency, "more loads than the store bears");
-        self.begun.push_back((turn, self.now, 1.0));
+        assert!(
+            own <= self.concurrency,
+            "more loads than the concurrency of the store"
+        );
+        self.started.push_back((turn, self.now, 1.0));
         self.check_rate();
     }
 
-    /// No turn goes before one of its class with more waiters that have waited longer, and none
-    /// ahead of demand before one that is waited for.
-    fn check_order(&self, urgency: &LoadUrgency, told: Moment) {
-        let age = |urgency: &LoadUrgency, told: Moment| {
-            Duration::from_millis(urgency.oldest_ms) + self.now.since(told)
+    /// Checks that no turn is granted before one of its class that has more waiters and has waited
+    /// longer, and no load ahead of demand before one with waiters.
+    fn check_order(&self, urgency: &LoadUrgency, reported_at: Moment) {
+        let age = |urgency: &LoadUrgency, reported_at: Moment| {
+            Duration::from_millis(urgency.oldest_ms) + self.now.since(reported_at)
         };
         for (other, at) in self.asked.values() {
             let same_class = other.class == urgency.class && other.class.is_some();
-            let more = other.waiters > urgency.waiters && age(other, *at) > age(urgency, told);
+            let more =
+                other.waiters > urgency.waiters && age(other, *at) > age(urgency, reported_at);
             let ahead = urgency.class.is_none() && other.class.is_some();
             assert!(
                 !(ahead || same_class && more),
-                "{urgency:?} goes before {other:?}"
+                "{urgency:?} is granted before {other:?}"
             );
         }
     }
 
     fn check_rate(&mut self) {
-        let most = 4.0 + RATE; // The burst at the highest concurrency, and a second's loads.
+        let most = 4.0 + LOADS_PER_SECOND; // The burst at the highest concurrency plus the loads of one second.
         let now = self.now;
-        self.begun
+        self.started
             .retain(|(_, at, _)| now.since(*at) < Duration::from_secs(1));
-        let drawn: f64 = self.begun.iter().map(|(_, _, part)| part).sum();
+        let drawn: f64 = self.started.iter().map(|(_, _, part)| part).sum();
         assert!(drawn <= most, "{drawn} loads drawn in a second");
     }
 
-    /// Notes what a load drew that ended without success.
-    fn end_early(&mut self, turn: &Turn, result: TurnResult) {
-        let whole = self.concurrency as f64 / RATE;
-        for (_, at, part) in self.begun.iter_mut().filter(|it| it.0 == *turn) {
+    /// Records how much a load that ended without success has drawn from the store.
+    fn end_early(&mut self, turn: &TurnId, result: TurnResult) {
+        let whole = self.concurrency as f64 / LOADS_PER_SECOND;
+        for (_, at, part) in self.started.iter_mut().filter(|it| it.0 == *turn) {
             let drawn = self.now.since(*at).as_secs_f64() / whole;
             match result {
                 TurnResult::Loaded => {}
@@ -182,7 +188,7 @@
         }
     }
 
-    fn ask(&mut self, turn: Turn, urgency: LoadUrgency) {
+    fn ask(&mut self, turn: TurnId, urgency: LoadUrgency) {
         if !self.running.contains_key(&turn) {
             self.asked.insert(turn.clone(), (urgency, self.now));
         }
@@ -196,7 +202,7 @@
         });
     }
 
-    fn end(&mut self, turn: Turn, result: TurnResult) {
+    fn end(&mut self, turn: TurnId, result: TurnResult) {
         self.asked.remove(&turn);
         self.ended.push(turn.clone());
         if self.running.contains_key(&turn) {
@@ -211,8 +217,8 @@
         });
     }
 
-    /// Tells the scheduler of a turn, which goes on from then for as long as one that begins.
-    fn hold(&mut self, turn: Turn) {
+    /// Reports to the scheduler that a turn is in use, which restarts its timeout.
+    fn hold(&mut self, turn: TurnId) {
         self.running.insert(turn.clone(), self.now + TURN_TIMEOUT);
         let (target, order) = turn;
         self.handle(SchedulerEvent::TurnHeld {
@@ -234,15 +240,15 @@
                     .keys()
                     .chain(self.running.keys())
                     .chain(&self.ended);
-                // An owner that lost its role asks no more.
+                // An owner that lost its role sends no more requests.
                 let known = known.filter(|it| !self.held.contains(*it));
-                let known: Vec<Turn> = known.cloned().collect();
+                let known: Vec<TurnId> = known.cloned().collect();
                 if let Some(turn) = pick(&known, n) {
                     self.ask(turn.clone(), urgency);
                 }
             }
             Step::End(n, result) => {
-                let known: Vec<Turn> = self.running.keys().cloned().collect();
+                let known: Vec<TurnId> = self.running.keys().cloned().collect();
                 if let Some(turn) = pick(&known, n) {
                     self.end(turn.clone(), result);
                 }
@@ -259,7 +265,7 @@
                 self.hold(turn);
             }
             Step::HeldAgain(n) => {
-                let known: Vec<Turn> = self.running.keys().cloned().collect();
+                let known: Vec<TurnId> = self.running.keys().cloned().collect();
                 if let Some(turn) = pick(&known, n) {
                     self.hold(turn.clone());
                 }
@@ -267,8 +273,8 @@
             Step::OwnerChanged(target) => {
                 let target = name(target);
                 self.asked.retain(|(of, _), _| *of != target);
-                // Its loads may go on, or be taken to be over before the timeout.
-                let of_target = |it: &Turn| it.0 == target;
+                // Its loads may continue, or be considered over before the timeout.
+                let of_target = |it: &TurnId| it.0 == target;
                 self.held
                     .extend(self.running.keys().filter(|it| of_target(it)).cloned());
                 self.handle(SchedulerEvent::OwnerChanged(target));
@@ -285,7 +291,8 @@
         }
     }
 
-    /// Every turn asked for comes in bounded time, also if no owner ever reports an end.
+    /// Checks that every requested turn is granted in bounded time, even if no owner reports an
+    /// end.
     fn settle(&mut self) {
         for _ in 0..200 {
             if self.asked.is_empty() {
@@ -293,14 +300,14 @@
             }
             self.step(Step::Advance(5_000));
         }
-        panic!("turns never come: {:?}", self.asked);
+        panic!("turns are never granted: {:?}", self.asked);
     }
 }
 
 fn config(concurrency: u32) -> SchedulerConfig {
     SchedulerConfig {
         concurrency,
-        loads_per_second: RATE,
+        loads_per_second: LOADS_PER_SECOND,
         turn_timeout: TURN_TIMEOUT,
         mechanisms: Mechanisms::default(),
     }
@@ -317,20 +324,20 @@
 struct SchedulerTest;
 
 impl StateMachineTest for SchedulerTest {
-    type SystemUnderTest = World;
-    type Reference = Chance;
+    type SystemUnderTest = Simulation;
+    type Reference = RandomSteps;
 
-    fn init_test((): &()) -> World {
-        World::new()
+    fn init_test((): &()) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, (): &(), step: Step) -> World {
-        world.step(step);
-        world
+    fn apply(mut simulation: Simulation, (): &(), step: Step) -> Simulation {
+        simulation.step(step);
+        simulation
     }
 
-    fn teardown(mut world: World) {
-        world.settle();
+    fn teardown(mut simulation: Simulation) {
+        simulation.settle();
     }
 }
 
@@ -338,20 +345,23 @@
     #![proptest_config(support::fuzz(300))]
 
     #[test]
-    fn a_load_scheduler_keeps_the_stores_bounds(sequential 1..120 => SchedulerTest);
+    fn a_load_scheduler_respects_the_limits_of_its_store(sequential 1..120 => SchedulerTest);
 }
 
-/// Each bug of a kind that a change could bring in is found, and by the check that is meant for it.
+/// Checks that each seeded bug is detected, and by the check meant for it.
 #[rstest]
-#[case::grants_beyond_concurrency(Bug::GrantsBeyondConcurrency, "more loads than the store bears")]
+#[case::grants_beyond_concurrency(
+    Bug::GrantsBeyondConcurrency,
+    "more loads than the concurrency of the store"
+)]
 #[case::counts_end_twice(Bug::CountsEndTwice, "loads drawn in a second")]
-#[case::never_times_out(Bug::NeverTimesOut, "turns never come")]
+#[case::never_times_out(Bug::NeverTimesOut, "turns are never granted")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |(), steps| {
-        let mut world = World::new();
-        world.scheduler.seed(bug);
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
+    let complaint = support::complaint_of(check, RandomSteps::init_state(), step(), |(), steps| {
+        let mut simulation = Simulation::new();
+        simulation.scheduler.seed(bug);
+        steps.into_iter().for_each(|step| simulation.step(step));
+        simulation.settle();
     });
     assert!(complaint.contains(check), "{complaint}");
 }
