--- a/crates/chervilshunt_core/src/permit/compact.rs
+++ b/crates/chervilshunt_core/src/permit/compact.rs
@@ -114,11 +114,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CompactAnswer {
     checksum: AnswerCheck,
-    body: AnswerBody,
+    body: CompactAnswerBody,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-enum AnswerBody {
+enum CompactAnswerBody {
     #[serde(rename = "g")]
     Granted(Epoch, u64, SmallVec<[TargetName; 4]>),
     #[serde(rename = "r")]
@@ -142,18 +142,18 @@
         match answer {
             PermitAnswer::Granted { permit, spread } => Self {
                 checksum: AnswerCheck::of_permit(&permit),
-                body: AnswerBody::Granted(permit.epoch, permit.window_ms, spread),
+                body: CompactAnswerBody::Granted(permit.epoch, permit.window_ms, spread),
             },
             PermitAnswer::Redirect { targets } => Self {
                 checksum: asked,
-                body: AnswerBody::Redirect(targets),
+                body: CompactAnswerBody::Redirect(targets),
             },
             PermitAnswer::Refused {
                 reason,
                 retry_after_ms,
             } => Self {
                 checksum: asked,
-                body: AnswerBody::Refused(reason, retry_after_ms),
+                body: CompactAnswerBody::Refused(reason, retry_after_ms),
             },
         }
     }
@@ -171,7 +171,7 @@
             CrossedAnswerSnafu
         );
         Ok(match self.body {
-            AnswerBody::Granted(epoch, window_ms, spread) => PermitAnswer::Granted {
+            CompactAnswerBody::Granted(epoch, window_ms, spread) => PermitAnswer::Granted {
                 permit: Permit {
                     attempt: req.attempt,
                     entry: req.entry.clone(),
@@ -183,8 +183,8 @@
                 },
                 spread,
             },
-            AnswerBody::Redirect(targets) => PermitAnswer::Redirect { targets },
-            AnswerBody::Refused(reason, retry_after_ms) => PermitAnswer::Refused {
+            CompactAnswerBody::Redirect(targets) => PermitAnswer::Redirect { targets },
+            CompactAnswerBody::Refused(reason, retry_after_ms) => PermitAnswer::Refused {
                 reason,
                 retry_after_ms,
             },
