--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -36,8 +36,8 @@
     OrderKind, Owner, OwnerAction, OwnerConfig, OwnerEvent, OwnerView,
 };
 pub use permit::{
-    AnswerCheck, CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
-    RefusalReason, ReleaseOutcome, ReleasedPermit,
+    CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
+    RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 pub use quarantine::{
     Crash, CrashRecord, Fingerprint, Quarantine, QuarantineConfig, StoredCrashes,
--- a/crates/chervilshunt_core/src/permit/compact.rs
+++ b/crates/chervilshunt_core/src/permit/compact.rs
@@ -79,9 +79,9 @@
 /// faults of that pairing. A 32-bit checksum misses about one such fault in four billion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct AnswerCheck(u32);
+pub struct RequestChecksum(u32);
 
-impl AnswerCheck {
+impl RequestChecksum {
     /// Computes the checksum of a request.
     pub fn of_request(req: &PermitRequest) -> Self {
         Self::new(req.attempt, &req.target, req.model.as_ref(), req.class)
@@ -113,7 +113,7 @@
 /// A [`PermitAnswer`] without the fields that its request contains.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct CompactAnswer {
-    checksum: AnswerCheck,
+    checksum: RequestChecksum,
     body: CompactAnswerBody,
 }
 
@@ -138,10 +138,10 @@
     ///
     /// A grant carries the checksum of the permit's own contents instead, which must equal that of
     /// the request.
-    pub fn of(answer: PermitAnswer, asked: AnswerCheck) -> Self {
+    pub fn of(answer: PermitAnswer, asked: RequestChecksum) -> Self {
         match answer {
             PermitAnswer::Granted { permit, spread } => Self {
-                checksum: AnswerCheck::of_permit(&permit),
+                checksum: RequestChecksum::of_permit(&permit),
                 body: CompactAnswerBody::Granted(permit.epoch, permit.window_ms, spread),
             },
             PermitAnswer::Redirect { targets } => Self {
@@ -167,7 +167,7 @@
     /// that nobody returns.
     pub fn join(self, req: &PermitRequest) -> Result<PermitAnswer, CrossedAnswer> {
         ensure!(
-            self.checksum == AnswerCheck::of_request(req),
+            self.checksum == RequestChecksum::of_request(req),
             CrossedAnswerSnafu
         );
         Ok(match self.body {
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -2,8 +2,8 @@
 
 use chervilshunt_coord::{CallId, PlatformResult};
 use chervilshunt_core::{
-    AnswerCheck, CompactAnswer, EngineReport, OrderFailure, OrderId, Permit, PermitAnswer,
-    PermitRequest, ReleasedPermit,
+    CompactAnswer, EngineReport, OrderFailure, OrderId, Permit, PermitAnswer, PermitRequest,
+    ReleasedPermit, RequestChecksum,
 };
 use chervilshunt_mesh::{Inbound, Reply};
 use chervilshunt_model::{AdapterVersion, Epoch, InstanceId, TargetName};
@@ -28,7 +28,7 @@
     /// To a traffic thread of this process.
     Local(oneshot::Sender<PermitAnswer>),
     /// To a peer, with the check of its request.
-    Peer(Reply<PeerMessage>, AnswerCheck),
+    Peer(Reply<PeerMessage>, RequestChecksum),
 }
 
 impl PermitReply {
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -1,7 +1,7 @@
 //! Messages from other instances.
 
 use chervilshunt_coord::CoordEvent;
-use chervilshunt_core::{AnswerCheck, OwnerEvent, ReleaseOutcome, ReleasedPermit};
+use chervilshunt_core::{OwnerEvent, ReleaseOutcome, ReleasedPermit, RequestChecksum};
 use chervilshunt_mesh::{Inbound, InboundMessage, Reply};
 use chervilshunt_model::InstanceId;
 use xtra::prelude::*;
@@ -39,7 +39,7 @@
             PeerMessage::PermitAsked(req) => {
                 if let Some(reply) = reply {
                     let req = req.sent_by(from);
-                    let reply = PermitReply::Peer(reply, AnswerCheck::of_request(&req));
+                    let reply = PermitReply::Peer(reply, RequestChecksum::of_request(&req));
                     self.ask_permit(AskPermit { req, reply });
                 }
             }
--- a/crates/chervilshunt_mesh/examples/rounds/encodings.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/encodings.rs
@@ -1,8 +1,8 @@
 //! The same permit round in the ways that CBOR can write it.
 
 use chervilshunt_core::{
-    AnswerCheck, CompactAnswer, CompactRequest, Permit, PermitAnswer, PermitRequest,
-    ReleaseOutcome, ReleasedPermit,
+    CompactAnswer, CompactRequest, Permit, PermitAnswer, PermitRequest, ReleaseOutcome,
+    ReleasedPermit, RequestChecksum,
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Epoch, TargetName};
 use ciborium::{Value, cbor};
@@ -183,7 +183,7 @@
         permit,
         spread: spread.into_iter().collect(),
     };
-    let compact = CompactAnswer::of(answer, AnswerCheck::of_request(&request));
+    let compact = CompactAnswer::of(answer, RequestChecksum::of_request(&request));
     let release = ReleasedPermit {
         attempt,
         target: TARGET.into(),
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -1,8 +1,8 @@
 //! The messages of a permit round come through unchanged, and stay within their budget of bytes.
 
 use chervilshunt_core::{
-    AnswerCheck, CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
-    RefusalReason, ReleaseOutcome, ReleasedPermit,
+    CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
+    RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Epoch};
 use rstest::rstest;
@@ -115,7 +115,10 @@
     asked: &PermitRequest,
     req: &PermitRequest,
 ) -> Result<PermitAnswer, CrossedAnswer> {
-    let sent = encode(&CompactAnswer::of(answer, AnswerCheck::of_request(asked)));
+    let sent = encode(&CompactAnswer::of(
+        answer,
+        RequestChecksum::of_request(asked),
+    ));
     let read: CompactAnswer = ciborium::from_reader(&*sent).expect("it was written so");
     read.join(req)
 }
@@ -168,7 +171,7 @@
 #[test]
 fn a_round_stays_within_its_budget() {
     let request = request();
-    let answer = CompactAnswer::of(granted(), AnswerCheck::of_request(&request));
+    let answer = CompactAnswer::of(granted(), RequestChecksum::of_request(&request));
     let round = encode(&CompactRequest::of(&request)).len()
         + encode(&answer).len()
         + encode(&released(finished())).len();
