--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -36,7 +36,7 @@
     OrderKind, Owner, OwnerAction, OwnerConfig, OwnerEvent, OwnerView,
 };
 pub use permit::{
-    CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
+    CompactAnswer, CompactRequest, MismatchedAnswer, Permit, PermitAnswer, PermitRequest,
     RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 pub use quarantine::{
--- a/crates/chervilshunt_core/src/permit.rs
+++ b/crates/chervilshunt_core/src/permit.rs
@@ -14,7 +14,7 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use smallvec::SmallVec;
 
-pub use compact::{CompactAnswer, CompactRequest, CrossedAnswer, RequestChecksum};
+pub use compact::{CompactAnswer, CompactRequest, MismatchedAnswer, RequestChecksum};
 
 /// Asks the owner of `target` for permission to send one attempt of a request there.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/chervilshunt_core/src/permit/compact.rs
+++ b/crates/chervilshunt_core/src/permit/compact.rs
@@ -129,8 +129,8 @@
 
 /// An answer whose checksum does not match the request it was paired with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer is for another request"))]
-pub struct CrossedAnswer;
+#[snafu(display("permit answer does not match the request it was paired with"))]
+pub struct MismatchedAnswer;
 
 impl CompactAnswer {
     /// Creates the compact form, leaving out what the sender of the request knows. `asked` is the
@@ -161,14 +161,14 @@
     /// Combines the answer with the request that it belongs to.
     ///
     /// # Errors
-    /// Returns [`CrossedAnswer`] if the answer belongs to another attempt, target, adapter version
+    /// Returns [`MismatchedAnswer`] if the answer belongs to another attempt, target, adapter version
     /// or class. Accepting such a permit would pin one adapter while the call runs with another,
     /// which could be evicted during the call. Accepting such a refusal would leave behind a permit
     /// that nobody returns.
-    pub fn join(self, req: &PermitRequest) -> Result<PermitAnswer, CrossedAnswer> {
+    pub fn join(self, req: &PermitRequest) -> Result<PermitAnswer, MismatchedAnswer> {
         ensure!(
             self.checksum == RequestChecksum::of_request(req),
-            CrossedAnswerSnafu
+            MismatchedAnswerSnafu
         );
         Ok(match self.body {
             CompactAnswerBody::Granted(epoch, window_ms, spread) => PermitAnswer::Granted {
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -1,7 +1,7 @@
 //! The messages of a permit round come through unchanged, and stay within their budget of bytes.
 
 use chervilshunt_core::{
-    CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
+    CompactAnswer, CompactRequest, MismatchedAnswer, Permit, PermitAnswer, PermitRequest,
     RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Epoch};
@@ -114,7 +114,7 @@
     answer: PermitAnswer,
     asked: &PermitRequest,
     req: &PermitRequest,
-) -> Result<PermitAnswer, CrossedAnswer> {
+) -> Result<PermitAnswer, MismatchedAnswer> {
     let sent = encode(&CompactAnswer::of(
         answer,
         RequestChecksum::of_request(asked),
@@ -155,7 +155,7 @@
     )]
     other: PermitRequest,
 ) {
-    assert_eq!(joined(answer, &request(), &other), Err(CrossedAnswer));
+    assert_eq!(joined(answer, &request(), &other), Err(MismatchedAnswer));
 }
 
 /// An owner that granted something else than was asked for is found out as well.
@@ -165,7 +165,7 @@
         attempt: AttemptId::from_u128(7),
         ..request()
     };
-    assert_eq!(joined(granted(), &asked, &asked), Err(CrossedAnswer));
+    assert_eq!(joined(granted(), &asked, &asked), Err(MismatchedAnswer));
 }
 
 #[test]
