--- a/crates/chervilshunt_core/src/decision.rs
+++ b/crates/chervilshunt_core/src/decision.rs
@@ -26,12 +26,12 @@
     /// The targets that a request was redirected to, best first.
     pub sent_on: SmallVec<[TargetName; 4]>,
     /// How long the request had waited at this owner.
-    pub waited: Waited,
+    pub waited: WaitTimes,
 }
 
 /// How long a request waited at an owner, and for what.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Waited {
+pub struct WaitTimes {
     /// The total wait.
     pub total: Duration,
     /// The part spent waiting for the adapter to be loaded, called the load stall.
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -22,7 +22,7 @@
 pub use allocator::{PowerAction, PowerAllocator, PowerConfig, PowerEvent};
 #[cfg(feature = "seeded-bugs")]
 pub use bugs::Bug;
-pub use decision::{Decision, DecisionKind, Waited};
+pub use decision::{Decision, DecisionKind, WaitTimes};
 pub use dispatch::{
     Ask, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide,
     HealthConfig, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -41,7 +41,7 @@
 
 use crate::bugs::Bugs;
 use crate::decay::{DecayedLevel, DurationAverage};
-use crate::{Decision, DecisionKind, RefusalReason, Waited};
+use crate::{Decision, DecisionKind, RefusalReason, WaitTimes};
 use engine::EngineView;
 use health::Health;
 use loads::Loads;
@@ -349,7 +349,7 @@
             reason,
             alternatives: alternative.into_iter().collect(),
             sent_on: SmallVec::new(),
-            waited: Waited::default(),
+            waited: WaitTimes::default(),
         }));
     }
 }
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -10,7 +10,7 @@
 use chervilshunt_model::{AdapterVersion, AttemptId, CallerName, Class, InstanceId, Moment};
 use indexmap::IndexMap;
 
-use crate::{LoadUrgency, PermitRequest, Waited};
+use crate::{LoadUrgency, PermitRequest, WaitTimes};
 
 /// Prompt tokens that cost an engine as much as one generated token: a prompt is worked through
 /// in parallel, an answer token by token.
@@ -53,14 +53,14 @@
     /// The request.
     pub(super) req: PermitRequest,
     /// How long it has waited.
-    pub(super) waited: Waited,
+    pub(super) waited: WaitTimes,
 }
 
 impl From<PermitRequest> for Asked {
     fn from(req: PermitRequest) -> Self {
         Self {
             req,
-            waited: Waited::default(),
+            waited: WaitTimes::default(),
         }
     }
 }
@@ -69,7 +69,7 @@
     /// Ends the wait.
     pub(super) fn end(self, now: Moment) -> Asked {
         Asked {
-            waited: Waited {
+            waited: WaitTimes {
                 total: now.since(self.arrived),
                 for_load: self.blocked_for(now),
             },
