--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -321,7 +321,7 @@
                 deferrable_watts,
             } => {
                 let target = name;
-                CoreEvent::Allocator(PowerEvent::Demanded {
+                CoreEvent::Allocator(PowerEvent::DemandReported {
                     target,
                     live_watts,
                     deferrable_watts,
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -260,7 +260,7 @@
     for step in 0..ROUNDS {
         let now = Moment::from_millis(1_000 * (step as u64 + 1));
         for target in names.iter().skip(step % 10).step_by(10) {
-            let event = PowerEvent::Demanded {
+            let event = PowerEvent::DemandReported {
                 target: target.clone(),
                 live_watts: IDLE_WATTS + ((step * 37) % 400) as f64,
                 deferrable_watts: 50.0,
--- a/crates/chervilshunt_core/src/allocator.rs
+++ b/crates/chervilshunt_core/src/allocator.rs
@@ -60,7 +60,7 @@
     /// A target left the site and draws no power.
     TargetLeft(TargetName),
     /// An owner reported how much power its live and its deferrable work could use.
-    Demanded {
+    DemandReported {
         /// The target.
         target: TargetName,
         /// Power for live work, including the fixed part of a step, in watts.
@@ -147,7 +147,7 @@
                 self.targets.remove(&target);
                 self.inputs_changed = true;
             }
-            PowerEvent::Demanded {
+            PowerEvent::DemandReported {
                 target,
                 live_watts,
                 deferrable_watts,
--- a/crates/chervilshunt_core/tests/allocator.rs
+++ b/crates/chervilshunt_core/tests/allocator.rs
@@ -42,7 +42,7 @@
         let now = Moment::from_millis(second * 1_000);
         let mut actions = Vec::new();
         for (target, live_watts, deferrable_watts) in demands {
-            let demanded = PowerEvent::Demanded {
+            let demanded = PowerEvent::DemandReported {
                 target: target.clone(),
                 live_watts,
                 deferrable_watts,
--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -329,7 +329,7 @@
             watts(it.live),
             WATTS_PER_SEQUENCE * f64::from(it.deferrable),
         );
-        self.handle(PowerEvent::Demanded {
+        self.handle(PowerEvent::DemandReported {
             target,
             live_watts,
             deferrable_watts,
--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -69,7 +69,7 @@
             deferrable_watts,
             ..
         }) => {
-            let event = PowerEvent::Demanded {
+            let event = PowerEvent::DemandReported {
                 target,
                 live_watts,
                 deferrable_watts,
