--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -158,7 +158,7 @@
                 target: self.names.targets[engine].clone(),
                 idle_watts: IDLE_WATTS,
                 full_watts: full_watts(),
-                drawing: share,
+                max_draw_watts: share,
             };
             self.allocator(world, joined);
             // Engines do not report in step with each other.
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -251,7 +251,7 @@
             target: target.clone(),
             idle_watts: IDLE_WATTS,
             full_watts: FULL_WATTS,
-            drawing: IDLE_WATTS,
+            max_draw_watts: IDLE_WATTS,
         };
         drop(allocator.handle(event, Moment::from_millis(1)));
     }
--- a/crates/chervilshunt_core/src/allocator.rs
+++ b/crates/chervilshunt_core/src/allocator.rs
@@ -43,7 +43,7 @@
 /// An input to the power allocator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PowerEvent {
-    /// A target joined the site. Until it confirms a share it is assumed to draw up to `drawing`
+    /// A target joined the site. Until it confirms a share it is assumed to draw up to `max_draw_watts`
     /// watts.
     TargetJoined {
         /// The target.
@@ -55,7 +55,7 @@
         full_watts: f64,
         /// Maximum power that the target can draw under the last share it is known to hold, in
         /// watts.
-        drawing: f64,
+        max_draw_watts: f64,
     },
     /// A target left the site and draws no power.
     TargetLeft(TargetName),
@@ -141,8 +141,8 @@
                 target,
                 idle_watts,
                 full_watts,
-                drawing,
-            } => self.add_target(target, idle_watts, full_watts, drawing),
+                max_draw_watts,
+            } => self.add_target(target, idle_watts, full_watts, max_draw_watts),
             PowerEvent::TargetLeft(target) => {
                 self.targets.remove(&target);
                 self.inputs_changed = true;
@@ -201,17 +201,23 @@
         self.targets.values().map(TargetPower::committed).sum()
     }
 
-    fn add_target(&mut self, target: TargetName, idle_watts: f64, full_watts: f64, drawing: f64) {
+    fn add_target(
+        &mut self,
+        target: TargetName,
+        idle_watts: f64,
+        full_watts: f64,
+        max_draw_watts: f64,
+    ) {
         let forgets = self.bugs.has(Bug::ForgetsDrawAtTakeover);
-        let drawing = if forgets { 0.0 } else { drawing };
+        let max_draw_watts = if forgets { 0.0 } else { max_draw_watts };
         let power = TargetPower {
             idle_watts,
             full_watts: full_watts.max(idle_watts),
             live_watts: 0.0,
             deferrable_watts: 0.0,
-            confirmed: (0, drawing),
+            confirmed: (0, max_draw_watts),
             pending: Vec::new(),
-            desired: drawing,
+            desired: max_draw_watts,
             parked: false,
             sent_at: self.reallocated_at,
         };
--- a/crates/chervilshunt_core/tests/allocator.rs
+++ b/crates/chervilshunt_core/tests/allocator.rs
@@ -34,7 +34,7 @@
             target: target.clone(),
             idle_watts: 100.0,
             full_watts: 500.0,
-            drawing: 0.0,
+            max_draw_watts: 0.0,
         };
         allocator.handle(joined, Moment::ZERO);
     }
--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -316,7 +316,7 @@
                 target: target.clone(),
                 idle_watts: IDLE_WATTS,
                 full_watts: FULL_WATTS,
-                drawing: it.can_draw(),
+                max_draw_watts: it.can_draw(),
             };
             let actions = self.allocator.handle(joined, self.now);
             assert!(actions.is_empty(), "share sent before all targets joined");
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -361,7 +361,7 @@
         target: name.clone(),
         idle_watts: target.idle_watts,
         full_watts,
-        drawing: full_watts,
+        max_draw_watts: full_watts,
     };
     Step::Power(target.site.clone(), event)
 }
