--- a/crates/chervilshunt_core/src/allocator.rs
+++ b/crates/chervilshunt_core/src/allocator.rs
@@ -235,7 +235,7 @@
 
     fn confirm_share(&mut self, target: &TargetName, sequence: u64, watts: f64) {
         if let Some(power) = self.targets.get_mut(target) {
-            if self.bugs.has(Bug::TakesCrossedConfirmation) {
+            if self.bugs.has(Bug::AcceptsStaleConfirmation) {
                 power.pending.clear();
                 power.confirmed = (sequence, watts);
                 return;
--- a/crates/chervilshunt_core/src/bugs.rs
+++ b/crates/chervilshunt_core/src/bugs.rs
@@ -29,7 +29,7 @@
     /// The allocator raises a share before the decrease that makes room for it is confirmed.
     RaisesBeforeConfirmed,
     /// The allocator accepts a late confirmation of an older share as one of the newest share.
-    TakesCrossedConfirmation,
+    AcceptsStaleConfirmation,
     /// A new allocator assumes that targets draw nothing until they confirm a share.
     ForgetsDrawAtTakeover,
     /// The scheduler grants one turn more than the store's concurrency.
--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -423,7 +423,7 @@
 /// Checks that each seeded bug is detected, and by the check meant for it.
 #[rstest]
 #[case::raises_before_confirmed(Bug::RaisesBeforeConfirmed, "W committed under")]
-#[case::takes_crossed_confirmation(Bug::TakesCrossedConfirmation, "W can be drawn")]
+#[case::accepts_stale_confirmation(Bug::AcceptsStaleConfirmation, "W can be drawn")]
 #[case::forgets_draw_at_takeover(Bug::ForgetsDrawAtTakeover, "W can be drawn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
     let complaint =
