--- a/crates/chervilshunt_core/src/bugs.rs
+++ b/crates/chervilshunt_core/src/bugs.rs
@@ -23,7 +23,7 @@
     /// An owner handles the rejection of its fencing number like any other refusal.
     IgnoresFencedAnswer,
     /// An owner processes a duplicated answer to an order a second time.
-    TakesAnswerTwice,
+    HandlesAnswerTwice,
     /// An owner loads as soon as it has requested a turn, without waiting for the grant.
     LoadsWithoutTurn,
     /// The allocator raises a share before the decrease that makes room for it is confirmed.
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -39,7 +39,7 @@
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let again = self.bugs.has(Bug::TakesAnswerTwice);
+        let again = self.bugs.has(Bug::HandlesAnswerTwice);
         let again = again.then(|| self.orders.get(&order).cloned()).flatten();
         let known = again.or_else(|| self.orders.swap_remove(&order));
         let own = order.0 >> ORDER_BITS == self.cfg.epoch.get();
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -675,7 +675,7 @@
 #[case::grants_beyond_batch(Bug::GrantsBeyondBatch, "more than the")]
 #[case::forgets_settled_attempts(Bug::ForgetsSettledAttempts, "requests waiting")]
 #[case::ignores_fenced_answer(Bug::IgnoresFencedAnswer, "after it was fenced off")]
-#[case::takes_answer_twice(Bug::TakesAnswerTwice, "a permit for an adapter that is not loaded")]
+#[case::handles_answer_twice(Bug::HandlesAnswerTwice, "a permit for an adapter that is not loaded")]
 #[case::loads_without_turn(Bug::LoadsWithoutTurn, "a load without a turn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
     let complaint = support::complaint_of(check, Chance::init_state(), step(), |start, steps| {
