--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -463,7 +463,7 @@
         permit_window: PERMIT_WINDOW,
         unscheduled_load_interval: Duration::from_secs_f64(seconds_a_load),
         peers: peers.map(|peer| names.targets[peer].clone()).collect(),
-        breaker: BreakerConfig::of_target(),
+        breaker: BreakerConfig::for_target(),
         weights: sizes.weights,
         mechanisms,
     }
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -173,7 +173,7 @@
         permit_window: Duration::from_secs(5),
         unscheduled_load_interval: Duration::from_secs(10),
         peers: Vec::new(),
-        breaker: BreakerConfig::of_target(),
+        breaker: BreakerConfig::for_target(),
         weights: PolicyWeights::default(),
         mechanisms: Mechanisms::default(),
     }
--- a/crates/chervilshunt_core/src/retry/breaker.rs
+++ b/crates/chervilshunt_core/src/retry/breaker.rs
@@ -30,7 +30,7 @@
     /// It requires more calls than the default. With fewer, a few consecutive failures prove
     /// little, and retrying them at other targets costs less than sending no calls to a healthy
     /// target.
-    pub fn of_target() -> Self {
+    pub fn for_target() -> Self {
         Self {
             min_calls: 20,
             ..Self::default()
--- a/crates/chervilshunt_daemon/src/control/owned.rs
+++ b/crates/chervilshunt_daemon/src/control/owned.rs
@@ -103,7 +103,7 @@
         deferrable_queue_bound: cx.settings.limits.queue.deferrable,
         permit_window: cx.settings.limits.permit_window,
         peers,
-        breaker: BreakerConfig::of_target(),
+        breaker: BreakerConfig::for_target(),
         weights: cx.settings.policy,
         mechanisms: chervilshunt_core::Mechanisms::default(),
     }
