--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -15,7 +15,7 @@
     /// Number of different targets that must crash during a request before it is refused. A single
     /// crash may be a coincidence: the request was in progress when its target crashed for another
     /// reason.
-    pub crashes: usize,
+    pub crash_threshold: usize,
     /// How long a suspected request that is not yet refused is remembered.
     pub suspected_for: Duration,
     /// How long a request is refused after its last known crash.
@@ -31,7 +31,7 @@
 impl Default for QuarantineConfig {
     fn default() -> Self {
         Self {
-            crashes: 2,
+            crash_threshold: 2,
             suspected_for: Duration::from_secs(10 * 60),
             refused_for: Duration::from_secs(60 * 60),
             most: 4_096,
@@ -174,7 +174,7 @@
     pub fn to_record(&self, fingerprint: Fingerprint) -> Option<StoredCrashes> {
         let known = self.requests.get(&fingerprint)?;
         let is_sufficient =
-            known.stored_targets >= known.record.targets.len().min(self.cfg.crashes);
+            known.stored_targets >= known.record.targets.len().min(self.cfg.crash_threshold);
         (!is_sufficient).then(|| StoredCrashes {
             fingerprint,
             record: known.record.clone(),
@@ -244,7 +244,7 @@
     }
 
     fn is_refused(&self, record: &CrashRecord) -> bool {
-        record.targets.len() >= self.cfg.crashes
+        record.targets.len() >= self.cfg.crash_threshold
     }
 
     fn expires_at(&self, known: &TrackedRequest) -> Moment {
