--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -17,7 +17,7 @@
     /// reason.
     pub crash_threshold: usize,
     /// How long a suspected request that is not yet refused is remembered.
-    pub suspected_for: Duration,
+    pub suspicion_ttl: Duration,
     /// How long a request is refused after its last known crash.
     pub refused_for: Duration,
     /// Maximum number of requests that are remembered.
@@ -32,7 +32,7 @@
     fn default() -> Self {
         Self {
             crash_threshold: 2,
-            suspected_for: Duration::from_secs(10 * 60),
+            suspicion_ttl: Duration::from_secs(10 * 60),
             refused_for: Duration::from_secs(60 * 60),
             most: 4_096,
             served_lately: 1_024,
@@ -251,7 +251,7 @@
         if self.is_refused(&known.record) {
             known.crashed_at + self.cfg.refused_for
         } else {
-            known.crashed_at + self.cfg.suspected_for
+            known.crashed_at + self.cfg.suspicion_ttl
         }
     }
 }
