--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -19,7 +19,7 @@
     /// How long a suspected request that is not yet refused is remembered.
     pub suspicion_ttl: Duration,
     /// How long a request is refused after its last known crash.
-    pub refused_for: Duration,
+    pub refusal_ttl: Duration,
     /// Maximum number of requests that are remembered.
     pub most: usize,
     /// Number of requests served last at this instance that are exempt from suspicion. If several
@@ -33,7 +33,7 @@
         Self {
             crash_threshold: 2,
             suspicion_ttl: Duration::from_secs(10 * 60),
-            refused_for: Duration::from_secs(60 * 60),
+            refusal_ttl: Duration::from_secs(60 * 60),
             most: 4_096,
             served_lately: 1_024,
         }
@@ -249,7 +249,7 @@
 
     fn expires_at(&self, known: &TrackedRequest) -> Moment {
         if self.is_refused(&known.record) {
-            known.crashed_at + self.cfg.refused_for
+            known.crashed_at + self.cfg.refusal_ttl
         } else {
             known.crashed_at + self.cfg.suspicion_ttl
         }
