--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -21,7 +21,7 @@
     /// How long a request is refused after its last known crash.
     pub refusal_ttl: Duration,
     /// Maximum number of requests that are remembered.
-    pub most: usize,
+    pub max_requests: usize,
     /// Number of requests served last at this instance that are exempt from suspicion. If several
     /// targets crash at once, for example with their rack, a request that many callers send is in
     /// progress on all of them.
@@ -34,7 +34,7 @@
             crash_threshold: 2,
             suspicion_ttl: Duration::from_secs(10 * 60),
             refusal_ttl: Duration::from_secs(60 * 60),
-            most: 4_096,
+            max_requests: 4_096,
             served_lately: 1_024,
         }
     }
@@ -160,7 +160,7 @@
             has_run,
         } = crash;
         let is_known = self.requests.contains_key(&fingerprint);
-        let is_full = !is_known && self.requests.len() >= self.cfg.most;
+        let is_full = !is_known && self.requests.len() >= self.cfg.max_requests;
         if is_full || self.recently_served.contains(&fingerprint) {
             return false;
         }
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -144,7 +144,7 @@
 #[test]
 fn the_number_of_remembered_requests_is_bounded() {
     let mut known = Quarantine::new(QuarantineConfig {
-        most: 1,
+        max_requests: 1,
         ..QuarantineConfig::default()
     });
     known.crashed(crash("a", "t1"), at(100));
