--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -25,7 +25,7 @@
     /// Number of requests served last at this instance that are exempt from suspicion. If several
     /// targets crash at once, for example with their rack, a request that many callers send is in
     /// progress on all of them.
-    pub served_lately: usize,
+    pub max_recently_served: usize,
 }
 
 impl Default for QuarantineConfig {
@@ -35,7 +35,7 @@
             suspicion_ttl: Duration::from_secs(10 * 60),
             refusal_ttl: Duration::from_secs(60 * 60),
             max_requests: 4_096,
-            served_lately: 1_024,
+            max_recently_served: 1_024,
         }
     }
 }
@@ -134,7 +134,7 @@
     /// Returns whether the request was suspected.
     pub fn served(&mut self, fingerprint: Fingerprint) -> bool {
         self.recently_served.push_back(fingerprint);
-        if self.recently_served.len() > self.cfg.served_lately {
+        if self.recently_served.len() > self.cfg.max_recently_served {
             self.recently_served.pop_front();
         }
         self.requests.contains_key(&fingerprint)
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -62,7 +62,7 @@
 #[test]
 fn a_recently_served_request_is_not_suspected() {
     let mut known = Quarantine::new(QuarantineConfig {
-        served_lately: 2,
+        max_recently_served: 2,
         ..QuarantineConfig::default()
     });
     assert!(!known.served(request("a")));
