--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -132,7 +132,7 @@
 
     /// Records that a target has started to answer a request, so that the request did not crash it.
     /// Returns whether the request was suspected.
-    pub fn served(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_served(&mut self, fingerprint: Fingerprint) -> bool {
         self.recently_served.push_back(fingerprint);
         if self.recently_served.len() > self.cfg.max_recently_served {
             self.recently_served.pop_front();
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -65,13 +65,13 @@
         max_recently_served: 2,
         ..QuarantineConfig::default()
     });
-    assert!(!known.served(request("a")));
-    known.served(request("b"));
+    assert!(!known.record_served(request("a")));
+    known.record_served(request("b"));
     for name in ["t1", "t2", "t3"] {
         assert!(!known.crashed(crash("a", name), at(150)));
     }
     assert_eq!(known.refused_until(request("a"), at(151)), None);
-    known.served(request("c"));
+    known.record_served(request("c"));
     assert!(
         known.crashed(crash("a", "t1"), at(200)),
         "the request is no longer among those served recently"
@@ -101,7 +101,7 @@
 fn a_request_that_is_served_is_no_longer_suspected() {
     let mut known = quarantine();
     known.crashed(crash("a", "t1"), at(150));
-    assert!(known.served(request("a")));
+    assert!(known.record_served(request("a")));
     assert!(known.release(request("a")));
     assert!(!known.release(request("a")));
     known.crashed(crash("a", "t2"), at(1_150));
@@ -127,7 +127,7 @@
     known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.crashed(crash("b", "t3"), at(100));
     assert_eq!(known.listed(&HashSet::new()), [request("a")]);
-    assert!(known.served(request("b")), "it is still suspected");
+    assert!(known.record_served(request("b")), "it is still suspected");
 }
 
 #[test]
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -125,7 +125,7 @@
     /// Has a request that targets crashed under released, as this one has begun to answer it.
     fn clear(&self, req: &CallerRequest) {
         let fingerprint = req.fingerprint();
-        if self.shared.quarantine().served(fingerprint) {
+        if self.shared.quarantine().record_served(fingerprint) {
             self.shared.note_crash_sign(CrashSign::Served(fingerprint));
         }
     }
