--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -153,7 +153,7 @@
     /// The first crash of a request that may only have been queued at its target stays local. An
     /// overloaded target that crashes has dozens of such requests, and a record of each would be
     /// sent to all instances.
-    pub fn crashed(&mut self, crash: Crash, now: Moment) -> bool {
+    pub fn record_crash(&mut self, crash: Crash, now: Moment) -> bool {
         let Crash {
             fingerprint,
             target,
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -45,13 +45,13 @@
 #[test]
 fn a_request_is_refused_once_it_has_crashed_two_targets() {
     let mut known = quarantine();
-    assert!(known.crashed(crash("a", "t1"), at(150)));
+    assert!(known.record_crash(crash("a", "t1"), at(150)));
     let first = known.to_record(request("a")).expect("an unrecorded crash");
     assert_eq!((first.record.targets.len(), first.revision), (1, None));
     assert_eq!(known.refused_until(request("a"), at(151)), None);
     // Another attempt that was in progress at the same target reports the same crash.
-    assert!(!known.crashed(crash("a", "t1"), at(160)));
-    assert!(known.crashed(crash("a", "t2"), at(1_450)));
+    assert!(!known.record_crash(crash("a", "t1"), at(160)));
+    assert!(known.record_crash(crash("a", "t2"), at(1_450)));
     let until = known.refused_until(request("a"), at(1_451));
     assert_eq!(until, Some(at(1_450) + Duration::from_secs(3_600)));
     assert_eq!(known.refused_until(request("b"), at(1_451)), None);
@@ -68,12 +68,12 @@
     assert!(!known.record_served(request("a")));
     known.record_served(request("b"));
     for name in ["t1", "t2", "t3"] {
-        assert!(!known.crashed(crash("a", name), at(150)));
+        assert!(!known.record_crash(crash("a", name), at(150)));
     }
     assert_eq!(known.refused_until(request("a"), at(151)), None);
     known.record_served(request("c"));
     assert!(
-        known.crashed(crash("a", "t1"), at(200)),
+        known.record_crash(crash("a", "t1"), at(200)),
         "the request is no longer among those served recently"
     );
 }
@@ -82,7 +82,7 @@
 #[test]
 fn crashes_that_two_instances_see_are_counted_together() {
     let mut known = quarantine();
-    known.crashed(crash("a", "t2"), at(90));
+    known.record_crash(crash("a", "t2"), at(90));
     assert!(known.recorded(stored(request("a"), &["t1"], 7), at(100)));
     assert!(known.refused_until(request("a"), at(101)).is_some());
     let merged = known
@@ -100,11 +100,11 @@
 #[test]
 fn a_request_that_is_served_is_no_longer_suspected() {
     let mut known = quarantine();
-    known.crashed(crash("a", "t1"), at(150));
+    known.record_crash(crash("a", "t1"), at(150));
     assert!(known.record_served(request("a")));
     assert!(known.release(request("a")));
     assert!(!known.release(request("a")));
-    known.crashed(crash("a", "t2"), at(1_150));
+    known.record_crash(crash("a", "t2"), at(1_150));
     assert_eq!(known.refused_until(request("a"), at(1_151)), None);
 }
 
@@ -125,7 +125,7 @@
 fn a_list_releases_missing_records_and_keeps_unstored_crashes() {
     let mut known = quarantine();
     known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
-    known.crashed(crash("b", "t3"), at(100));
+    known.record_crash(crash("b", "t3"), at(100));
     assert_eq!(known.listed(&HashSet::new()), [request("a")]);
     assert!(known.record_served(request("b")), "it is still suspected");
 }
@@ -133,7 +133,7 @@
 #[test]
 fn crashes_expire() {
     let mut known = quarantine();
-    known.crashed(crash("a", "t1"), at(0));
+    known.record_crash(crash("a", "t1"), at(0));
     known.recorded(stored(request("b"), &["t1", "t2"], 9), at(0));
     assert!(known.take_expired(at(599_999)).is_empty());
     assert_eq!(known.take_expired(at(600_000)), [request("a")]);
@@ -147,9 +147,9 @@
         max_requests: 1,
         ..QuarantineConfig::default()
     });
-    known.crashed(crash("a", "t1"), at(100));
-    assert!(!known.crashed(crash("b", "t1"), at(100)));
-    assert!(known.crashed(crash("a", "t2"), at(300)));
+    known.record_crash(crash("a", "t1"), at(100));
+    assert!(!known.record_crash(crash("b", "t1"), at(100)));
+    assert!(known.record_crash(crash("a", "t2"), at(300)));
 }
 
 #[test]
@@ -171,8 +171,8 @@
         ..crash("a", name)
     };
     let mut known = quarantine();
-    assert!(!known.crashed(queued("t1"), at(100)));
-    assert!(known.crashed(queued("t2"), at(300)));
+    assert!(!known.record_crash(queued("t1"), at(100)));
+    assert!(known.record_crash(queued("t2"), at(300)));
     assert!(known.refused_until(request("a"), at(301)).is_some());
 }
 
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -99,7 +99,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        let is_to_record = self.shared.quarantine().crashed(crash.clone(), now);
+        let is_to_record = self.shared.quarantine().record_crash(crash.clone(), now);
         slog::info!(self.shared.log, "target crashed";
             "target" => crash.target.as_str(), "content" => crash.fingerprint.to_string(),
             "has_run" => crash.has_run, "recorded" => is_to_record);
