--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -183,7 +183,7 @@
     }
 
     /// Merges a record stored on the platform and returns whether it contained new crashes.
-    pub fn recorded(&mut self, stored: StoredCrashes, now: Moment) -> bool {
+    pub fn merge_stored(&mut self, stored: StoredCrashes, now: Moment) -> bool {
         let known = self.requests.entry(stored.fingerprint);
         let known = known.or_insert_with(|| TrackedRequest::new(now));
         if stored.revision < known.revision {
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -83,17 +83,17 @@
 fn crashes_that_two_instances_see_are_counted_together() {
     let mut known = quarantine();
     known.record_crash(crash("a", "t2"), at(90));
-    assert!(known.recorded(stored(request("a"), &["t1"], 7), at(100)));
+    assert!(known.merge_stored(stored(request("a"), &["t1"], 7), at(100)));
     assert!(known.refused_until(request("a"), at(101)).is_some());
     let merged = known
         .to_record(request("a"))
         .expect("a crash that is not in the record");
     assert_eq!(merged.revision.map(|it| it.number), Some(7));
     assert_eq!(merged.record.targets, [target("t2"), target("t1")]);
-    known.recorded(stored(request("a"), &["t2", "t1"], 8), at(110));
+    known.merge_stored(stored(request("a"), &["t2", "t1"], 8), at(110));
     assert_eq!(known.to_record(request("a")), None);
     // An earlier version of the record arrives late.
-    assert!(!known.recorded(stored(request("a"), &["t1"], 7), at(120)));
+    assert!(!known.merge_stored(stored(request("a"), &["t1"], 7), at(120)));
     assert_eq!(known.to_record(request("a")), None);
 }
 
@@ -111,10 +111,10 @@
 #[test]
 fn records_from_other_instances_are_enforced() {
     let mut known = quarantine();
-    assert!(known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0)));
+    assert!(known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0)));
     assert!(known.refused_until(request("a"), at(1)).is_some());
     // Listing the record again adds nothing and does not extend the refusal.
-    assert!(!known.recorded(stored(request("a"), &["t1", "t2"], 9), at(60_000)));
+    assert!(!known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(60_000)));
     let until = known.refused_until(request("a"), at(60_001));
     assert_eq!(until, Some(at(0) + Duration::from_secs(3_600)));
 }
@@ -124,7 +124,7 @@
 #[test]
 fn a_list_releases_missing_records_and_keeps_unstored_crashes() {
     let mut known = quarantine();
-    known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
+    known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.record_crash(crash("b", "t3"), at(100));
     assert_eq!(known.listed(&HashSet::new()), [request("a")]);
     assert!(known.record_served(request("b")), "it is still suspected");
@@ -134,7 +134,7 @@
 fn crashes_expire() {
     let mut known = quarantine();
     known.record_crash(crash("a", "t1"), at(0));
-    known.recorded(stored(request("b"), &["t1", "t2"], 9), at(0));
+    known.merge_stored(stored(request("b"), &["t1", "t2"], 9), at(0));
     assert!(known.take_expired(at(599_999)).is_empty());
     assert_eq!(known.take_expired(at(600_000)), [request("a")]);
     assert_eq!(known.take_expired(at(3_600_000)), [request("b")]);
@@ -181,8 +181,8 @@
 #[test]
 fn a_request_stays_refused_when_a_restored_platform_lacks_its_record() {
     let mut known = quarantine();
-    known.recorded(stored(request("a"), &["t1", "t2"], 9), at(0));
-    known.recorded(stored(request("b"), &["t1"], 10), at(0));
+    known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0));
+    known.merge_stored(stored(request("b"), &["t1"], 10), at(0));
     known.restored();
     assert!(known.listed(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -17,7 +17,7 @@
         let fingerprint = crashes.fingerprint;
         let count = crashes.record.targets.len();
         let mut quarantine = self.shared.quarantine();
-        let is_new = quarantine.recorded(crashes, now);
+        let is_new = quarantine.merge_stored(crashes, now);
         let refused_until = quarantine.refused_until(fingerprint, now);
         drop(quarantine);
         if is_new {
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -138,7 +138,7 @@
         let now = self.shared.clock.now();
         match (self.shared.dialect.store.read_written_crashes)(answer.era, &answer.body) {
             Ok(stored) => {
-                self.shared.quarantine().recorded(stored, now);
+                self.shared.quarantine().merge_stored(stored, now);
             }
             Err(malformed) => slog::warn!(self.shared.log, "record of crashes can't be read";
                 "content" => crashes.fingerprint.to_string(), "problem" => malformed.to_string()),
