--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -171,7 +171,7 @@
 
     /// Returns the record to write to the platform for a request, or `None` if the stored one is
     /// sufficient.
-    pub fn to_record(&self, fingerprint: Fingerprint) -> Option<StoredCrashes> {
+    pub fn record_to_store(&self, fingerprint: Fingerprint) -> Option<StoredCrashes> {
         let known = self.requests.get(&fingerprint)?;
         let is_sufficient =
             known.stored_targets >= known.record.targets.len().min(self.cfg.crash_threshold);
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -46,7 +46,9 @@
 fn a_request_is_refused_once_it_has_crashed_two_targets() {
     let mut known = quarantine();
     assert!(known.record_crash(crash("a", "t1"), at(150)));
-    let first = known.to_record(request("a")).expect("an unrecorded crash");
+    let first = known
+        .record_to_store(request("a"))
+        .expect("an unrecorded crash");
     assert_eq!((first.record.targets.len(), first.revision), (1, None));
     assert_eq!(known.refused_until(request("a"), at(151)), None);
     // Another attempt that was in progress at the same target reports the same crash.
@@ -86,15 +88,15 @@
     assert!(known.merge_stored(stored(request("a"), &["t1"], 7), at(100)));
     assert!(known.refused_until(request("a"), at(101)).is_some());
     let merged = known
-        .to_record(request("a"))
+        .record_to_store(request("a"))
         .expect("a crash that is not in the record");
     assert_eq!(merged.revision.map(|it| it.number), Some(7));
     assert_eq!(merged.record.targets, [target("t2"), target("t1")]);
     known.merge_stored(stored(request("a"), &["t2", "t1"], 8), at(110));
-    assert_eq!(known.to_record(request("a")), None);
+    assert_eq!(known.record_to_store(request("a")), None);
     // An earlier version of the record arrives late.
     assert!(!known.merge_stored(stored(request("a"), &["t1"], 7), at(120)));
-    assert_eq!(known.to_record(request("a")), None);
+    assert_eq!(known.record_to_store(request("a")), None);
 }
 
 #[test]
@@ -187,6 +189,8 @@
     assert!(known.listed(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
     assert_eq!(known.unrecorded(), [request("a")]);
-    let missing = known.to_record(request("a")).expect("the complete record");
+    let missing = known
+        .record_to_store(request("a"))
+        .expect("the complete record");
     assert_eq!((missing.record.targets.len(), missing.revision), (2, None));
 }
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -113,7 +113,7 @@
     async fn record(&self, fingerprint: Fingerprint) {
         let store = &self.shared.dialect.store;
         for _ in 0..MOST_WRITES {
-            let Some(crashes) = self.shared.quarantine().to_record(fingerprint) else {
+            let Some(crashes) = self.shared.quarantine().record_to_store(fingerprint) else {
                 return;
             };
             let call = (store.write_crashes)(&crashes);
