--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -205,7 +205,7 @@
     }
 
     /// Handles a restore of the platform from a backup, in which any record may be missing.
-    pub fn restored(&mut self) {
+    pub fn handle_restore(&mut self) {
         for known in self.requests.values_mut() {
             known.revision = None;
             known.stored_targets = 0;
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -185,7 +185,7 @@
     let mut known = quarantine();
     known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.merge_stored(stored(request("b"), &["t1"], 10), at(0));
-    known.restored();
+    known.handle_restore();
     assert!(known.listed(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
     assert_eq!(known.unrecorded(), [request("a")]);
