--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns the refused requests whose records are missing on the platform.
-    pub fn unrecorded(&self) -> Vec<Fingerprint> {
+    pub fn missing_records(&self) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let missing =
             requests.filter(|(_, it)| it.stored_targets == 0 && self.is_refused(&it.record));
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -188,7 +188,7 @@
     known.handle_restore();
     assert!(known.listed(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
-    assert_eq!(known.unrecorded(), [request("a")]);
+    assert_eq!(known.missing_records(), [request("a")]);
     let missing = known
         .record_to_store(request("a"))
         .expect("the complete record");
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -78,7 +78,7 @@
         if self.placer.is_none() {
             return;
         }
-        let lacking = self.shared.quarantine().unrecorded();
+        let lacking = self.shared.quarantine().missing_records();
         for fingerprint in lacking {
             let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
             tokio::spawn(async move { record_again(shared, exchange, fingerprint).await });
