--- a/crates/chervilshunt_core/src/quarantine/state.rs
+++ b/crates/chervilshunt_core/src/quarantine/state.rs
@@ -222,7 +222,7 @@
 
     /// Compares with the full list of records on the platform, and releases and returns the
     /// requests whose stored records are gone.
-    pub fn listed(&mut self, listed: &HashSet<Fingerprint>) -> Vec<Fingerprint> {
+    pub fn reconcile(&mut self, listed: &HashSet<Fingerprint>) -> Vec<Fingerprint> {
         let requests = self.requests.iter();
         let gone = requests.filter(|(it, known)| known.revision.is_some() && !listed.contains(*it));
         let gone: Vec<Fingerprint> = gone.map(|(it, _)| *it).collect();
--- a/crates/chervilshunt_core/tests/quarantine.rs
+++ b/crates/chervilshunt_core/tests/quarantine.rs
@@ -128,7 +128,7 @@
     let mut known = quarantine();
     known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.record_crash(crash("b", "t3"), at(100));
-    assert_eq!(known.listed(&HashSet::new()), [request("a")]);
+    assert_eq!(known.reconcile(&HashSet::new()), [request("a")]);
     assert!(known.record_served(request("b")), "it is still suspected");
 }
 
@@ -186,7 +186,7 @@
     known.merge_stored(stored(request("a"), &["t1", "t2"], 9), at(0));
     known.merge_stored(stored(request("b"), &["t1"], 10), at(0));
     known.handle_restore();
-    assert!(known.listed(&HashSet::new()).is_empty());
+    assert!(known.reconcile(&HashSet::new()).is_empty());
     assert!(known.refused_until(request("a"), at(1)).is_some());
     assert_eq!(known.missing_records(), [request("a")]);
     let missing = known
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -50,7 +50,7 @@
         listed: &HashSet<Fingerprint>,
         revision: StoreRevision,
     ) {
-        let gone = self.shared.quarantine().listed(listed);
+        let gone = self.shared.quarantine().reconcile(listed);
         if gone.is_empty() {
             return;
         }
