--- a/crates/chervilshunt_core/src/allocator.rs
+++ b/crates/chervilshunt_core/src/allocator.rs
@@ -43,8 +43,8 @@
 /// An input to the power allocator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PowerEvent {
-    /// A target joined the site. Until it confirms a share it is assumed to draw up to `max_draw_watts`
-    /// watts.
+    /// A target joined the site. Until it confirms a share it is assumed to draw up to
+    /// `max_draw_watts`.
     TargetJoined {
         /// The target.
         target: TargetName,
@@ -187,13 +187,13 @@
         let changed = self
             .inputs_changed
             .then(|| self.reallocated_at + MIN_REALLOCATION_INTERVAL);
-        let work_out = [changed, self.parking.next_review()]
+        let reallocation = [changed, self.parking.next_review()]
             .into_iter()
             .flatten()
             .min();
         let unsettled = self.targets.values().filter(|it| !it.settled());
-        let send_again = unsettled.map(|it| it.sent_at + RESEND_INTERVAL).min();
-        [work_out, send_again].into_iter().flatten().min()
+        let resend = unsettled.map(|it| it.sent_at + RESEND_INTERVAL).min();
+        [reallocation, resend].into_iter().flatten().min()
     }
 
     /// Returns the maximum power that all targets together can draw now, in watts.
@@ -263,8 +263,8 @@
         let over = shares > self.cfg.cap_watts;
         for (target, power) in &mut self.targets {
             let never_sent = power.confirmed.0 == 0 && power.pending.is_empty();
-            let worth = if over { 0.0 } else { power.deadband() };
-            let falls = power.desired < power.share() - worth;
+            let deadband = if over { 0.0 } else { power.deadband() };
+            let falls = power.desired < power.share() - deadband;
             if never_sent || falls {
                 let watts = power.desired.min(power.share());
                 self.sequence += 1;
--- a/crates/chervilshunt_core/src/permit/compact.rs
+++ b/crates/chervilshunt_core/src/permit/compact.rs
@@ -161,10 +161,10 @@
     /// Combines the answer with the request that it belongs to.
     ///
     /// # Errors
-    /// Returns [`MismatchedAnswer`] if the answer belongs to another attempt, target, adapter version
-    /// or class. Accepting such a permit would pin one adapter while the call runs with another,
-    /// which could be evicted during the call. Accepting such a refusal would leave behind a permit
-    /// that nobody returns.
+    /// Returns [`MismatchedAnswer`] if the answer belongs to another attempt, target, adapter
+    /// version or class. Accepting such a permit would pin one adapter while the call runs with
+    /// another, which could be evicted during the call. Accepting such a refusal would leave behind
+    /// a permit that nobody returns.
     pub fn join(self, req: &PermitRequest) -> Result<PermitAnswer, MismatchedAnswer> {
         ensure!(
             self.checksum == RequestChecksum::of_request(req),
--- a/crates/chervilshunt_core/tests/breaker.rs
+++ b/crates/chervilshunt_core/tests/breaker.rs
@@ -23,8 +23,8 @@
     owner_with(cfg, &[model(1)])
 }
 
-/// Makes calls one after the other, each of which takes `held_ms` ms and ends with `outcome`. Returns
-/// when the last one ended, in milliseconds.
+/// Makes calls one after the other, each of which takes `held_ms` milliseconds and ends with
+/// `outcome`. Returns when the last one ended, in milliseconds.
 fn make_calls(owner: &mut Owner, count: u128, outcome: ReleaseOutcome, held_ms: u64) -> u64 {
     let mut now = 10;
     for attempt in 1..=count {
@@ -49,7 +49,7 @@
     })
 }
 
-/// Guards against requests that each fail first at a target that reviewed_at its health checks but fails
+/// Guards against requests that each fail first at a target that passes its health checks but fails
 /// calls. The owner redirects the next requests, so that callers get answers from a healthy target.
 #[test]
 fn redirects_requests_while_calls_fail() {
@@ -64,8 +64,8 @@
 }
 
 /// The only target fails all calls. Live requests are refused at once without being run, with the
-/// time at which the target is tried again. Deferrable requests stay queued, since they need not be
-/// prompt.
+/// time at which the target is tried again. Deferrable requests stay queued, because they must not
+/// fail.
 #[test]
 fn refuses_live_requests_at_once_and_queues_deferrable_ones() {
     let mut owner = owner_with_peers(&[]);
--- a/crates/chervilshunt_core/tests/scheduler.rs
+++ b/crates/chervilshunt_core/tests/scheduler.rs
@@ -42,8 +42,8 @@
     Some(*order)
 }
 
-/// Ends each turn after its load time and requests another live one, until the deferrable load is granted its
-/// turn. Returns the number of live turns before it.
+/// Ends each turn after its load time and requests another live one, until the deferrable load is
+/// granted its turn. Returns the number of live turns before it.
 fn live_turns_before_deferrable(oldest_ms: u64, at_most: u64) -> Option<u64> {
     let deferrable = OrderId(1_000_000);
     let mut scheduler = scheduler();
--- a/crates/chervilshunt_core/tests/scheduler_machine.rs
+++ b/crates/chervilshunt_core/tests/scheduler_machine.rs
@@ -167,7 +167,8 @@
     }
 
     fn check_rate(&mut self) {
-        let most = 4.0 + LOADS_PER_SECOND; // The burst at the highest concurrency plus the loads of one second.
+        // The burst at the highest concurrency plus the loads of one second.
+        let most = 4.0 + LOADS_PER_SECOND;
         let now = self.now;
         self.started
             .retain(|(_, at, _)| now.since(*at) < Duration::from_secs(1));
