--- a/crates/chervilshunt_core/src/permit.rs
+++ b/crates/chervilshunt_core/src/permit.rs
@@ -70,7 +70,7 @@
 /// An owner's answer to a [`PermitRequest`].
 ///
 /// There is no "queued" answer. An owner sends nothing while it queues a request, and a lost
-/// connection tells the entry instance to ask again. This keeps the cost at one message pair per
+/// connection causes the entry instance to ask again. This keeps the cost at one message pair per
 /// request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PermitAnswer {
--- a/crates/chervilshunt_core/src/scheduler.rs
+++ b/crates/chervilshunt_core/src/scheduler.rs
@@ -111,7 +111,7 @@
 /// An action that the load scheduler requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchedulerAction {
-    /// Tell an owner that it may load now.
+    /// Notify an owner that it may load now.
     Grant {
         /// The target that loads.
         target: TargetName,
