--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -158,7 +158,7 @@
                 target: self.names.targets[engine].clone(),
                 idle_watts: IDLE_WATTS,
                 full_watts: full_watts(),
-                drawing: share,
+                max_draw_watts: share,
             };
             self.allocator(world, joined);
             // Engines do not report in step with each other.
@@ -321,7 +321,7 @@
                 deferrable_watts,
             } => {
                 let target = name;
-                CoreEvent::Allocator(PowerEvent::Demanded {
+                CoreEvent::Allocator(PowerEvent::DemandReported {
                     target,
                     live_watts,
                     deferrable_watts,
@@ -463,7 +463,7 @@
         permit_window: PERMIT_WINDOW,
         unscheduled_load_interval: Duration::from_secs_f64(seconds_a_load),
         peers: peers.map(|peer| names.targets[peer].clone()).collect(),
-        breaker: BreakerConfig::of_target(),
+        breaker: BreakerConfig::for_target(),
         weights: sizes.weights,
         mechanisms,
     }
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions without input or output: permits, adapter slots, loads and power.
+//! Decision logic without I/O: permits, adapter slots, loads and power.
 //!
-//! Every part is a state machine that takes an event and the present time and gives back actions;
-//! sockets and timers are the daemon's. The policy bench drives the same code in virtual time. See
-//! `docs/ARCHITECTURE.md` and `docs/design/`.
+//! Every part is a state machine that takes an event and the current time and returns actions.
+//! Sockets and timers belong to the daemon. The policy bench runs the same code in virtual time.
+//! See `docs/ARCHITECTURE.md` and `docs/design/`.
 
 mod allocator;
 mod bugs;
@@ -22,7 +22,7 @@
 pub use allocator::{PowerAction, PowerAllocator, PowerConfig, PowerEvent};
 #[cfg(feature = "seeded-bugs")]
 pub use bugs::Bug;
-pub use decision::{Decision, DecisionKind, Waited};
+pub use decision::{Decision, DecisionKind, WaitTimes};
 pub use dispatch::{
     Ask, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide,
     HealthConfig, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
@@ -36,8 +36,8 @@
     OrderKind, Owner, OwnerAction, OwnerConfig, OwnerEvent, OwnerView,
 };
 pub use permit::{
-    AnswerCheck, CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
-    RefusalReason, ReleaseOutcome, ReleasedPermit,
+    CompactAnswer, CompactRequest, MismatchedAnswer, Permit, PermitAnswer, PermitRequest,
+    RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 pub use quarantine::{
     Crash, CrashRecord, Fingerprint, Quarantine, QuarantineConfig, StoredCrashes,
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -17,7 +17,7 @@
         let fingerprint = crashes.fingerprint;
         let count = crashes.record.targets.len();
         let mut quarantine = self.shared.quarantine();
-        let is_new = quarantine.recorded(crashes, now);
+        let is_new = quarantine.merge_stored(crashes, now);
         let refused_until = quarantine.refused_until(fingerprint, now);
         drop(quarantine);
         if is_new {
@@ -50,7 +50,7 @@
         listed: &HashSet<Fingerprint>,
         revision: StoreRevision,
     ) {
-        let gone = self.shared.quarantine().listed(listed);
+        let gone = self.shared.quarantine().reconcile(listed);
         if gone.is_empty() {
             return;
         }
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -36,7 +36,7 @@
         };
         let now = self.now();
         self.absences.note_trouble(now);
-        self.shared.quarantine().restored();
+        self.shared.quarantine().handle_restore();
         slog::warn!(self.shared.log, "platform restored from a copy"; "era" => era, "before" => known,
             "placing" => self.placer.is_some());
     }
@@ -78,7 +78,7 @@
         if self.placer.is_none() {
             return;
         }
-        let lacking = self.shared.quarantine().unrecorded();
+        let lacking = self.shared.quarantine().missing_records();
         for fingerprint in lacking {
             let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
             tokio::spawn(async move { record_again(shared, exchange, fingerprint).await });
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -99,7 +99,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        let is_to_record = self.shared.quarantine().crashed(crash.clone(), now);
+        let is_to_record = self.shared.quarantine().record_crash(crash.clone(), now);
         slog::info!(self.shared.log, "target crashed";
             "target" => crash.target.as_str(), "content" => crash.fingerprint.to_string(),
             "has_run" => crash.has_run, "recorded" => is_to_record);
@@ -113,7 +113,7 @@
     async fn record(&self, fingerprint: Fingerprint) {
         let store = &self.shared.dialect.store;
         for _ in 0..MOST_WRITES {
-            let Some(crashes) = self.shared.quarantine().to_record(fingerprint) else {
+            let Some(crashes) = self.shared.quarantine().record_to_store(fingerprint) else {
                 return;
             };
             let call = (store.write_crashes)(&crashes);
@@ -138,7 +138,7 @@
         let now = self.shared.clock.now();
         match (self.shared.dialect.store.read_written_crashes)(answer.era, &answer.body) {
             Ok(stored) => {
-                self.shared.quarantine().recorded(stored, now);
+                self.shared.quarantine().merge_stored(stored, now);
             }
             Err(malformed) => slog::warn!(self.shared.log, "record of crashes can't be read";
                 "content" => crashes.fingerprint.to_string(), "problem" => malformed.to_string()),
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -1,8 +1,8 @@
 //! The messages of a permit round come through unchanged, and stay within their budget of bytes.
 
 use chervilshunt_core::{
-    AnswerCheck, CompactAnswer, CompactRequest, CrossedAnswer, Permit, PermitAnswer, PermitRequest,
-    RefusalReason, ReleaseOutcome, ReleasedPermit,
+    CompactAnswer, CompactRequest, MismatchedAnswer, Permit, PermitAnswer, PermitRequest,
+    RefusalReason, ReleaseOutcome, ReleasedPermit, RequestChecksum,
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Epoch};
 use rstest::rstest;
@@ -114,8 +114,11 @@
     answer: PermitAnswer,
     asked: &PermitRequest,
     req: &PermitRequest,
-) -> Result<PermitAnswer, CrossedAnswer> {
-    let sent = encode(&CompactAnswer::of(answer, AnswerCheck::of_request(asked)));
+) -> Result<PermitAnswer, MismatchedAnswer> {
+    let sent = encode(&CompactAnswer::of(
+        answer,
+        RequestChecksum::of_request(asked),
+    ));
     let read: CompactAnswer = ciborium::from_reader(&*sent).expect("it was written so");
     read.join(req)
 }
@@ -152,7 +155,7 @@
     )]
     other: PermitRequest,
 ) {
-    assert_eq!(joined(answer, &request(), &other), Err(CrossedAnswer));
+    assert_eq!(joined(answer, &request(), &other), Err(MismatchedAnswer));
 }
 
 /// An owner that granted something else than was asked for is found out as well.
@@ -162,13 +165,13 @@
         attempt: AttemptId::from_u128(7),
         ..request()
     };
-    assert_eq!(joined(granted(), &asked, &asked), Err(CrossedAnswer));
+    assert_eq!(joined(granted(), &asked, &asked), Err(MismatchedAnswer));
 }
 
 #[test]
 fn a_round_stays_within_its_budget() {
     let request = request();
-    let answer = CompactAnswer::of(granted(), AnswerCheck::of_request(&request));
+    let answer = CompactAnswer::of(granted(), RequestChecksum::of_request(&request));
     let round = encode(&CompactRequest::of(&request)).len()
         + encode(&answer).len()
         + encode(&released(finished())).len();
