--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -261,7 +261,7 @@
             OwnerAction::Answer {
                 attempt, answer, ..
             } => CoreEvent::Entry(EntryEvent::Answered { attempt, answer }),
-            OwnerAction::AskTurn {
+            OwnerAction::RequestTurn {
                 order,
                 model,
                 urgency,
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -133,7 +133,7 @@
     while let Some(event) = events.pop() {
         for action in owner.handle(event, now) {
             match action {
-                OwnerAction::AskTurn { order, .. } => events.push(OwnerEvent::TurnGranted {
+                OwnerAction::RequestTurn { order, .. } => events.push(OwnerEvent::TurnGranted {
                     order,
                     queue_wait: Duration::ZERO,
                 }),
--- a/crates/chervilshunt_core/src/owner/action.rs
+++ b/crates/chervilshunt_core/src/owner/action.rs
@@ -18,7 +18,7 @@
         answer: PermitAnswer,
     },
     /// Ask the load scheduler for a turn, or renew the urgency of a turn asked for before.
-    AskTurn {
+    RequestTurn {
         /// The order that the turn is for.
         order: OrderId,
         /// The adapter version to be loaded.
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -470,7 +470,7 @@
         if self.bugs.has(Bug::LoadsWithoutTurn) {
             load.phase = Phase::HasTurn;
         }
-        out.push(OwnerAction::AskTurn {
+        out.push(OwnerAction::RequestTurn {
             order: load.order,
             model: model.clone(),
             urgency,
--- a/crates/chervilshunt_core/tests/owner.rs
+++ b/crates/chervilshunt_core/tests/owner.rs
@@ -30,7 +30,7 @@
     let again = owner.handle(ask(2, 1), at(11));
     let turns = |actions: &[OwnerAction]| {
         let turns = actions.iter().filter_map(|action| match action {
-            OwnerAction::AskTurn { order, .. } => Some(*order),
+            OwnerAction::RequestTurn { order, .. } => Some(*order),
             _ => None,
         });
         turns.collect::<Vec<_>>()
@@ -62,7 +62,7 @@
     let mut owner = owner_with(config(2, 4), &[]);
     let asked = owner.handle(ask(1, 1), at(0));
     let order = asked.iter().find_map(|action| match action {
-        OwnerAction::AskTurn { order, .. } => Some(*order),
+        OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
     let order = order.expect("a turn is asked for");
@@ -123,7 +123,7 @@
     );
     let mut actions = owner.handle(release(1, finished()), at(31_000));
     let turn = actions.iter().find_map(|action| match action {
-        OwnerAction::AskTurn { order, .. } => Some(*order),
+        OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
     let turn = OwnerEvent::TurnGranted {
@@ -191,7 +191,7 @@
     assert!(
         actions
             .iter()
-            .any(|action| matches!(action, OwnerAction::AskTurn { .. }))
+            .any(|action| matches!(action, OwnerAction::RequestTurn { .. }))
     );
 }
 
@@ -200,7 +200,7 @@
     let mut owner = owner_with(config(2, 4), &[]);
     let asked = owner.handle(ask(1, 1), at(10));
     let order = asked.iter().find_map(|action| match action {
-        OwnerAction::AskTurn { order, .. } => Some(*order),
+        OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
     let order = order.expect("a turn is asked for");
@@ -336,7 +336,7 @@
         actions.extend(owner.handle(OwnerEvent::Tick, at(now + 60)));
         let asked = actions
             .iter()
-            .any(|it| matches!(it, OwnerAction::AskTurn { model: it, .. } if *it == model(2)));
+            .any(|it| matches!(it, OwnerAction::RequestTurn { model: it, .. } if *it == model(2)));
         turn_asked_at = asked.then_some(now);
         now += 100;
     }
--- a/crates/chervilshunt_core/tests/owner_flood.rs
+++ b/crates/chervilshunt_core/tests/owner_flood.rs
@@ -21,7 +21,7 @@
     let mut now = from;
     while now < until {
         for action in owner.handle(OwnerEvent::Tick, now) {
-            if let OwnerAction::AskTurn { model, .. } = action {
+            if let OwnerAction::RequestTurn { model, .. } = action {
                 asked.push(model);
             }
         }
@@ -119,7 +119,7 @@
     let first = request(1, Some(model(1)), Class::Live);
     let asked = owner.handle(OwnerEvent::PermitRequested(first), at(10));
     let order = asked.iter().find_map(|action| match action {
-        OwnerAction::AskTurn { order, .. } => Some(*order),
+        OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
     let second = request(2, Some(model(2)), Class::Live);
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -343,7 +343,7 @@
                     "a permit for an adapter that is not loaded"
                 );
             }
-            OwnerAction::AskTurn { order, .. } => {
+            OwnerAction::RequestTurn { order, .. } => {
                 self.asked.insert(order);
                 if !self.turns.contains(&order) {
                     self.turns.push(order);
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -34,7 +34,7 @@
             OwnerAction::Answer {
                 attempt, answer, ..
             } => owned.answer(attempt, answer),
-            OwnerAction::AskTurn {
+            OwnerAction::RequestTurn {
                 order,
                 model,
                 urgency,
