--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -288,7 +288,7 @@
                     result,
                 })
             }
-            OwnerAction::HoldTurn { order, model } => {
+            OwnerAction::RenewTurn { order, model } => {
                 let target = name;
                 CoreEvent::Scheduler(SchedulerEvent::TurnHeld {
                     target,
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -147,7 +147,7 @@
                     assert!(granted, "no permit: {answer:?}");
                 }
                 OwnerAction::EndTurn { .. }
-                | OwnerAction::HoldTurn { .. }
+                | OwnerAction::RenewTurn { .. }
                 | OwnerAction::ConfirmShare { .. }
                 | OwnerAction::ReportDemand { .. }
                 | OwnerAction::Log(_) => {}
--- a/crates/chervilshunt_core/src/owner/action.rs
+++ b/crates/chervilshunt_core/src/owner/action.rs
@@ -35,7 +35,7 @@
     },
     /// Tell the load scheduler that a turn is still in use, or one that has just come back of a
     /// turn that an earlier one granted.
-    HoldTurn {
+    RenewTurn {
         /// The order that the turn is for.
         order: OrderId,
         /// The adapter version that is being loaded.
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -107,7 +107,7 @@
                 continue;
             };
             let order = load.order;
-            out.push(OwnerAction::HoldTurn { order, model });
+            out.push(OwnerAction::RenewTurn { order, model });
         }
     }
 
@@ -329,7 +329,7 @@
             if let Some(load) = self.loads.get_mut(&model) {
                 load.told = now;
                 let order = load.order;
-                out.push(OwnerAction::HoldTurn { order, model });
+                out.push(OwnerAction::RenewTurn { order, model });
             }
         }
     }
--- a/crates/chervilshunt_core/tests/owner.rs
+++ b/crates/chervilshunt_core/tests/owner.rs
@@ -73,7 +73,7 @@
         let now = owner.next_wakeup().expect("a load is under way");
         let actions = owner.handle(OwnerEvent::Tick, now);
         let holds = actions.iter().any(
-            |action| matches!(action, OwnerAction::HoldTurn { order: held, .. } if *held == order),
+            |action| matches!(action, OwnerAction::RenewTurn { order: held, .. } if *held == order),
         );
         if holds {
             told.push(now.since(at(0)).as_millis());
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -353,7 +353,7 @@
                 self.granted.remove(&order);
                 self.turns.retain(|it| *it != order);
             }
-            OwnerAction::HoldTurn { order, .. } => {
+            OwnerAction::RenewTurn { order, .. } => {
                 self.granted.insert(order);
             }
             OwnerAction::Order(order) => {
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -62,7 +62,7 @@
                 };
                 self.to_role(PeerMessage::TurnEnded(ended), steps);
             }
-            OwnerAction::HoldTurn { order, model } => {
+            OwnerAction::RenewTurn { order, model } => {
                 let held = TurnHeld {
                     store,
                     target: target.clone(),
