--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -297,7 +297,7 @@
                 })
             }
             OwnerAction::Order(order) => CoreEvent::Order(target, order),
-            OwnerAction::AskInventory => {
+            OwnerAction::RequestInventory => {
                 let held = world
                     .engines
                     .get(target)
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -141,7 +141,7 @@
                     order: order.id,
                     result: Ok(()),
                 }),
-                OwnerAction::AskInventory => events.push(OwnerEvent::Inventory(Vec::new())),
+                OwnerAction::RequestInventory => events.push(OwnerEvent::Inventory(Vec::new())),
                 OwnerAction::Answer { answer, .. } => {
                     let granted = matches!(answer, PermitAnswer::Granted { .. });
                     assert!(granted, "no permit: {answer:?}");
--- a/crates/chervilshunt_core/src/owner/action.rs
+++ b/crates/chervilshunt_core/src/owner/action.rs
@@ -44,7 +44,7 @@
     /// Give the engine an order. The holder checks its lease again right before it goes out.
     Order(EngineOrder),
     /// Ask the engine which adapters it holds.
-    AskInventory,
+    RequestInventory,
     /// Confirm to the power allocator that the share is kept.
     ConfirmShare {
         /// The number of the share.
--- a/crates/chervilshunt_core/src/owner/event.rs
+++ b/crates/chervilshunt_core/src/owner/event.rs
@@ -47,7 +47,7 @@
     },
     /// The engine reported its load.
     Reported(EngineReport),
-    /// The engine listed the adapters that it holds, as asked with [`OwnerAction::AskInventory`](crate::OwnerAction::AskInventory).
+    /// The engine listed the adapters that it holds, as asked with [`OwnerAction::RequestInventory`](crate::OwnerAction::AskInventory).
     Inventory(Vec<AdapterVersion>),
     /// An instance listed the permits that it holds for the target, after a takeover.
     PermitsHeld {
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -155,7 +155,7 @@
     /// Asks for the engine's adapters if they are in doubt.
     pub(super) fn ask_inventory(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.engine.ask_inventory(now) {
-            out.push(OwnerAction::AskInventory);
+            out.push(OwnerAction::RequestInventory);
         }
     }
 }
--- a/crates/chervilshunt_core/tests/owner.rs
+++ b/crates/chervilshunt_core/tests/owner.rs
@@ -185,7 +185,7 @@
     let mut owner = owner_with(config(2, 4), &[model(1)]);
     owner.handle(ask(1, 1), at(10));
     let missing = owner.handle(release(1, ReleaseOutcome::AdapterMissing), at(20));
-    assert!(missing.contains(&OwnerAction::AskInventory));
+    assert!(missing.contains(&OwnerAction::RequestInventory));
     let actions = owner.handle(ask(2, 1), at(30));
     assert!(granted(&actions).is_empty());
     assert!(
@@ -243,7 +243,7 @@
     assert!(granted(&owner.handle(ask(1, 1), at(10))).is_empty());
     let (order, result) = (barrier.id, Err(OrderFailure::Refused));
     let ended = owner.handle(OwnerEvent::OrderEnded { order, result }, at(20));
-    assert!(ended.contains(&OwnerAction::AskInventory), "{ended:?}");
+    assert!(ended.contains(&OwnerAction::RequestInventory), "{ended:?}");
     let listed = owner.handle(OwnerEvent::Inventory(vec![model(1)]), at(30));
     assert_eq!(granted(&listed).len(), 1);
 }
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -365,7 +365,7 @@
                     answered,
                 });
             }
-            OwnerAction::AskInventory => {
+            OwnerAction::RequestInventory => {
                 // The client drops the answer to a question that it asks again.
                 self.boxed
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -72,7 +72,7 @@
                 self.to_role(PeerMessage::TurnHeld(held), steps);
             }
             OwnerAction::Order(order) => self.give_order(target, order, steps),
-            OwnerAction::AskInventory => self.ask_inventory(target),
+            OwnerAction::RequestInventory => self.ask_inventory(target),
             OwnerAction::ConfirmShare { sequence, watts } => {
                 owned.confirmed = Some((sequence, watts));
                 self.confirm_share(target, steps);
