--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -420,7 +420,7 @@
             waiting: world.engines[engine].waiting() as u32,
             age: REPORT_AGE,
         };
-        let event = CoreEvent::Owner(engine, OwnerEvent::Reported(report));
+        let event = CoreEvent::Owner(engine, OwnerEvent::EngineReported(report));
         world.plan_policy(world.now + REPORT_AGE, event);
     }
 
--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -180,7 +180,7 @@
             }
             OwnerEvent::SchedulerReachable(yes) => self.scheduler_reachable(yes, now, out),
             OwnerEvent::OrderEnded { order, result } => self.order_ended(order, result, now, out),
-            OwnerEvent::Reported(report) => {
+            OwnerEvent::EngineReported(report) => {
                 self.report_in_takeover(&report, now);
                 self.engine.reported(&report, now);
             }
--- a/crates/chervilshunt_core/src/owner/event.rs
+++ b/crates/chervilshunt_core/src/owner/event.rs
@@ -46,7 +46,7 @@
         result: Result<(), OrderFailure>,
     },
     /// The engine reported its load.
-    Reported(EngineReport),
+    EngineReported(EngineReport),
     /// The engine listed the adapters that it holds, as asked with [`OwnerAction::RequestInventory`](crate::OwnerAction::AskInventory).
     Inventory(Vec<AdapterVersion>),
     /// An instance listed the permits that it holds for the target, after a takeover.
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -474,7 +474,7 @@
                     waiting: 0,
                     age: Duration::from_millis(u64::from(age)),
                 };
-                self.boxed.push(OwnerEvent::Reported(report));
+                self.boxed.push(OwnerEvent::EngineReported(report));
             }
             Step::Share(sequences) => {
                 self.share_sequence += 1;
--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -228,7 +228,7 @@
             EngineNews::Looked { epoch, .. } if epoch != owned.epoch => return false,
             EngineNews::Looked { report, cached, .. } => {
                 let cached = cached.map(OwnerEvent::Cached);
-                let events = std::iter::once(OwnerEvent::Reported(report)).chain(cached);
+                let events = std::iter::once(OwnerEvent::EngineReported(report)).chain(cached);
                 let steps: Vec<Step> = events
                     .map(|event| Step::Owner(target.clone(), event))
                     .collect();
