--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -429,7 +429,7 @@
         let late = Duration::from_millis(self.rng.random_range(0..CACHE_LATENESS_MS));
         let held = world.engines[engine].prefixes();
         let told = held.filter(|_| !self.rng.random_bool(CACHE_GAP)).collect();
-        let event = CoreEvent::Owner(engine, OwnerEvent::Cached(told));
+        let event = CoreEvent::Owner(engine, OwnerEvent::PrefixesCached(told));
         world.plan_policy(world.now + late, event);
     }
 }
--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -189,7 +189,7 @@
             OwnerEvent::TakeoverComplete => self.takeover_complete(),
             OwnerEvent::Reachable(reachable) => self.reachable(reachable, now, out),
             OwnerEvent::ShareSet { sequence, watts } => self.share_set(sequence, watts, now, out),
-            OwnerEvent::Cached(prefixes) => self.engine.set_cached(prefixes),
+            OwnerEvent::PrefixesCached(prefixes) => self.engine.set_cached(prefixes),
             OwnerEvent::Draining(draining) => {
                 self.draining = draining;
                 if draining {
--- a/crates/chervilshunt_core/src/owner/event.rs
+++ b/crates/chervilshunt_core/src/owner/event.rs
@@ -68,7 +68,7 @@
         watts: f64,
     },
     /// The prefixes that the engine holds cached, as late and gappy events tell.
-    Cached(Vec<u64>),
+    PrefixesCached(Vec<u64>),
     /// The target starts or stops taking new work.
     Draining(bool),
     /// The other targets of the service have changed.
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -486,7 +486,7 @@
                 self.scheduler_up = up;
                 self.handle(OwnerEvent::SchedulerReachable(up));
             }
-            Step::Cached => self.handle(OwnerEvent::Cached(vec![0])),
+            Step::Cached => self.handle(OwnerEvent::PrefixesCached(vec![0])),
             Step::Advance(millis) => {
                 self.deliver_held_in_time(millis);
                 self.now = self.now + Duration::from_millis(millis);
--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -227,7 +227,7 @@
             EngineNews::Inventory(loaded) => self.heard(target, OwnerEvent::Inventory(loaded)),
             EngineNews::Looked { epoch, .. } if epoch != owned.epoch => return false,
             EngineNews::Looked { report, cached, .. } => {
-                let cached = cached.map(OwnerEvent::Cached);
+                let cached = cached.map(OwnerEvent::PrefixesCached);
                 let events = std::iter::once(OwnerEvent::EngineReported(report)).chain(cached);
                 let steps: Vec<Step> = events
                     .map(|event| Step::Owner(target.clone(), event))
