--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -49,7 +49,7 @@
     /// The class of the most urgent request that waits for the load; none without one.
     pub class: Option<Class>,
     /// How long its load has been wanted; none where no load is.
-    pub wanted_for: Option<Duration>,
+    pub load_requested_for: Option<Duration>,
 }
 
 /// The state of an adapter version at a target.
@@ -149,7 +149,7 @@
             waiters: self.queue.blocked_on(model).len(),
             failed_loads: load.map_or(0, |load| load.tries),
             class: urgency.and_then(|urgency| urgency.class),
-            wanted_for: load.map(|load| now.since(load.wanted)),
+            load_requested_for: load.map(|load| now.since(load.wanted)),
         }
     }
 }
--- a/crates/chervilshunt_daemon/src/facts.rs
+++ b/crates/chervilshunt_daemon/src/facts.rs
@@ -168,7 +168,7 @@
             state: view.state,
             waiters: view.waiters,
             class: view.class,
-            waited_ms: view.wanted_for.map(millis),
+            waited_ms: view.load_requested_for.map(millis),
         }
     }
 }
