--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -421,10 +421,10 @@
 #[case::takes_crossed_confirmation(Bug::TakesCrossedConfirmation, "W can be drawn")]
 #[case::forgets_draw_at_takeover(Bug::ForgetsDrawAtTakeover, "W can be drawn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |weight, steps| {
+    let message = support::failure_message(check, Chance::init_state(), step(), |weight, steps| {
         let mut world = World::new(weight, Some(bug));
         steps.into_iter().for_each(|step| world.step(step));
         world.settle();
     });
-    assert!(complaint.contains(check), "{complaint}");
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -678,11 +678,11 @@
 #[case::takes_answer_twice(Bug::TakesAnswerTwice, "a permit for an adapter that is not loaded")]
 #[case::loads_without_turn(Bug::LoadsWithoutTurn, "a load without a turn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |start, steps| {
+    let message = support::failure_message(check, Chance::init_state(), step(), |start, steps| {
         let mut world = World::new(&start);
         world.owner.seed(bug);
         steps.into_iter().for_each(|step| world.step(step));
         world.settle();
     });
-    assert!(complaint.contains(check), "{complaint}");
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/scheduler_machine.rs
+++ b/crates/chervilshunt_core/tests/scheduler_machine.rs
@@ -347,11 +347,11 @@
 #[case::counts_end_twice(Bug::CountsEndTwice, "loads drawn in a second")]
 #[case::never_times_out(Bug::NeverTimesOut, "turns never come")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |(), steps| {
+    let message = support::failure_message(check, Chance::init_state(), step(), |(), steps| {
         let mut world = World::new();
         world.scheduler.seed(bug);
         steps.into_iter().for_each(|step| world.step(step));
         world.settle();
     });
-    assert!(complaint.contains(check), "{complaint}");
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/support/mod.rs
+++ b/crates/chervilshunt_core/tests/support/mod.rs
@@ -127,7 +127,7 @@
 /// A bug may be found by another check before, on other steps. That does not show that the check which
 /// is meant for it can find it, and so it is passed over; if the meant one never complains, what the
 /// other said is returned.
-pub(crate) fn complaint_of<S: Debug, T: Debug>(
+pub(crate) fn failure_message<S: Debug, T: Debug>(
     check: &str,
     start: impl Strategy<Value = S>,
     step: impl Strategy<Value = T>,
@@ -146,12 +146,12 @@
             return Ok(());
         };
         let fixed = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
-        let complaint = fixed.or_else(|| panic.downcast_ref::<String>().cloned());
-        let complaint = complaint.unwrap_or_default();
-        if complaint.contains(check) {
-            return Err(TestCaseError::fail(complaint));
+        let message = fixed.or_else(|| panic.downcast_ref::<String>().cloned());
+        let message = message.unwrap_or_default();
+        if message.contains(check) {
+            return Err(TestCaseError::fail(message));
         }
-        other.replace(complaint);
+        other.replace(message);
         Ok(())
     });
     match outcome {
