--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -409,7 +409,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(400))]
+    #![proptest_config(support::proptest_config(400))]
 
     #[test]
     fn the_power_of_a_site_stays_within_its_cap(sequential 1..120 => AllocatorTest);
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -661,7 +661,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(300))]
+    #![proptest_config(support::proptest_config(300))]
 
     #[test]
     fn an_owner_keeps_its_promises(sequential 1..120 => OwnerTest);
--- a/crates/chervilshunt_core/tests/scheduler_machine.rs
+++ b/crates/chervilshunt_core/tests/scheduler_machine.rs
@@ -335,7 +335,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(300))]
+    #![proptest_config(support::proptest_config(300))]
 
     #[test]
     fn a_load_scheduler_keeps_the_stores_bounds(sequential 1..120 => SchedulerTest);
--- a/crates/chervilshunt_core/tests/support/mod.rs
+++ b/crates/chervilshunt_core/tests/support/mod.rs
@@ -136,7 +136,7 @@
     use proptest::test_runner::{Config, TestCaseError, TestError, TestRunner};
     let cfg = Config {
         max_shrink_iters: 0,
-        ..fuzz(3_000)
+        ..proptest_config(3_000)
     };
     let steps = proptest::collection::vec(step, 1..120);
     let other = RefCell::new("nothing".to_owned());
@@ -162,7 +162,7 @@
 
 /// The same cases on every run: a failure in CI is one that anybody can repeat. `PROPTEST_RNG_SEED`
 /// and `PROPTEST_CASES` widen the search by hand.
-pub(crate) fn fuzz(cases: u32) -> proptest::test_runner::Config {
+pub(crate) fn proptest_config(cases: u32) -> proptest::test_runner::Config {
     use proptest::test_runner::{Config, RngSeed};
     let default = Config::default();
     Config {
