--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -116,7 +116,7 @@
             engine: EngineView::new(cfg.slots > 0),
             health: Health::new(cfg.breaker, now),
             power: PowerShare::new(&cfg),
-            service_time: DurationAverage::new(tuning::SERVICE_TIME_GUESS),
+            service_time: DurationAverage::new(tuning::INITIAL_SERVICE_TIME),
             live_load: DecayedLevel::default(),
             live_since_aged: 0,
             deferrable_granted: now,
@@ -153,14 +153,15 @@
 
     /// Returns when [`OwnerEvent::Tick`] is next wanted.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let renewal = (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW);
+        let renewal =
+            (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW_INTERVAL);
         let ahead = !self.evicted.is_empty() && self.loads.is_empty();
         let due = [
             self.queue.next_deadline(),
             self.permits.next_end(),
             self.loads.next_backoff(),
             renewal,
-            ahead.then(|| self.looked_ahead + tuning::AHEAD_PAUSE),
+            ahead.then(|| self.looked_ahead + tuning::PRELOAD_INTERVAL),
             self.engine.next_ask(),
             self.next_age(self.handled),
             self.next_health(),
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -12,7 +12,7 @@
 use super::orders::load_tries;
 use super::queue::Asked;
 use super::settled::Settlement;
-use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER};
+use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER_RANGE};
 use crate::bugs::Bug;
 use crate::{DecisionKind, PermitAnswer, PermitRequest, RefusalReason};
 
@@ -34,7 +34,7 @@
             return;
         }
         if req.deadline_ms == 0 {
-            self.refuse(req, RefusalReason::Deadline, RETRY_AFTER.0, now, out);
+            self.refuse(req, RefusalReason::Deadline, RETRY_AFTER_RANGE.0, now, out);
             return;
         }
         if self.power.parked() {
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -9,7 +9,7 @@
 use super::action::OwnerAction;
 use super::queue::Asked;
 use super::settled::Settlement;
-use super::tuning::RETRY_AFTER;
+use super::tuning::RETRY_AFTER_RANGE;
 use crate::{DecisionKind, Permit, PermitAnswer, PermitRequest, RefusalReason};
 
 impl Owner {
@@ -75,7 +75,7 @@
     ) {
         let asked = asked.into();
         self.log_asked(DecisionKind::Refuse, &asked, reason.as_str(), out);
-        let retry_after = retry_after.clamp(RETRY_AFTER.0, RETRY_AFTER.1);
+        let retry_after = retry_after.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
         let answer = PermitAnswer::Refused {
             reason,
             retry_after_ms: u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX),
@@ -104,7 +104,7 @@
         match reason {
             RefusalReason::LoadFailed => {
                 let until = self.load_given_up(req, now);
-                until.map_or(RETRY_AFTER.0, |until| now.until(until))
+                until.map_or(RETRY_AFTER_RANGE.0, |until| now.until(until))
             }
             RefusalReason::QueueFull => self.expected_wait(self.lane(req.class)),
             RefusalReason::Deadline => {
@@ -114,11 +114,11 @@
                 load.unwrap_or_default()
                     .max(self.expected_wait(self.lane(req.class)))
             }
-            RefusalReason::Draining | RefusalReason::NotOwner => RETRY_AFTER.0,
+            RefusalReason::Draining | RefusalReason::NotOwner => RETRY_AFTER_RANGE.0,
             RefusalReason::TargetDown => Duration::from_secs(2),
             RefusalReason::TargetFailing => {
                 let until = self.health.refused_until(now);
-                until.map_or(RETRY_AFTER.0, |until| now.until(until))
+                until.map_or(RETRY_AFTER_RANGE.0, |until| now.until(until))
             }
         }
     }
--- a/crates/chervilshunt_core/src/owner/demand.rs
+++ b/crates/chervilshunt_core/src/owner/demand.rs
@@ -4,13 +4,13 @@
 use indexmap::IndexMap;
 
 use super::tuning::{
-    DEFERRABLE_DEMAND, DEMAND_HALF_LIFE, FOUND_HALF_LIFE, KNOWN_ADAPTERS, SLEEP_RATE,
-    SURGE_HALF_LIFE,
+    DEFERRABLE_DEMAND_WEIGHT, HIT_HALF_LIFE, IDLE_TRANSITION_PER_S, LONG_TERM_HALF_LIFE,
+    MAX_TRACKED_ADAPTERS, SHORT_TERM_HALF_LIFE,
 };
 use crate::decay::DecayedRate;
 
 /// Entries looked at for one to forget when the table is full.
-const FORGET_SAMPLE: usize = 8;
+const EVICTION_SAMPLE: usize = 8;
 
 /// Demand for one adapter.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,10 +27,10 @@
     /// then after `t` without a request the odds that it sleeps are `s / (r + s) * (e^((r + s) t)
     /// - 1)`: a busy adapter gives itself away within a few of its usual gaps.
     fn lasting_rate(&self, now: Moment) -> f64 {
-        let (rate, idle) = self.lasting.last(DEMAND_HALF_LIFE, now);
-        let ends = rate + SLEEP_RATE;
+        let (rate, idle) = self.lasting.last(LONG_TERM_HALF_LIFE, now);
+        let ends = rate + IDLE_TRANSITION_PER_S;
         let awake = (-ends * idle.as_secs_f64()).exp();
-        rate * awake / (awake + SLEEP_RATE / ends * (1.0 - awake))
+        rate * awake / (awake + IDLE_TRANSITION_PER_S / ends * (1.0 - awake))
     }
 }
 
@@ -75,13 +75,13 @@
         };
         let weight = match class {
             Class::Live => 1.0,
-            Class::Deferrable => DEFERRABLE_DEMAND,
+            Class::Deferrable => DEFERRABLE_DEMAND_WEIGHT,
         };
-        demand.lasting.add(weight, DEMAND_HALF_LIFE, now);
+        demand.lasting.add(weight, LONG_TERM_HALF_LIFE, now);
         if loaded {
-            self.found.add(weight, FOUND_HALF_LIFE, now);
+            self.found.add(weight, HIT_HALF_LIFE, now);
         }
-        demand.surge.add(1.0, SURGE_HALF_LIFE, now);
+        demand.surge.add(1.0, SHORT_TERM_HALF_LIFE, now);
     }
 
     /// Returns the demand that makes the adapter worth its slot: requests a second, deferrable
@@ -99,21 +99,21 @@
     ) -> f64 {
         let rates = loaded.filter_map(|model| self.known.get(model));
         let promised: f64 = rates
-            .map(|it| it.lasting.per_second(DEMAND_HALF_LIFE, now))
+            .map(|it| it.lasting.per_second(LONG_TERM_HALF_LIFE, now))
             .sum();
         // Rates counted for less than their memory are too low by what lies before the count.
-        let counted = now.since(self.since).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
+        let counted = now.since(self.since).as_secs_f64() / LONG_TERM_HALF_LIFE.as_secs_f64();
         let promised = promised / (1.0 - (-counted).exp2()).max(f64::MIN_POSITIVE);
         if promised <= 0.0 {
             return 1.0;
         }
-        self.found.per_second(FOUND_HALF_LIFE, now) / promised
+        self.found.per_second(HIT_HALF_LIFE, now) / promised
     }
 
     /// Returns the requests a second of the last seconds.
     pub(super) fn surge(&self, model: &AdapterVersion, now: Moment) -> f64 {
         let demand = self.known.get(model);
-        demand.map_or(0.0, |it| it.surge.per_second(SURGE_HALF_LIFE, now))
+        demand.map_or(0.0, |it| it.surge.per_second(SHORT_TERM_HALF_LIFE, now))
     }
 
     /// Returns the number of adapters remembered.
@@ -122,11 +122,11 @@
     }
 
     fn make_room(&mut self, now: Moment) {
-        if self.known.len() < KNOWN_ADAPTERS {
+        if self.known.len() < MAX_TRACKED_ADAPTERS {
             return;
         }
         let len = self.known.len();
-        let sample = (0..FORGET_SAMPLE).map(|offset| (self.hand + offset) % len);
+        let sample = (0..EVICTION_SAMPLE).map(|offset| (self.hand + offset) % len);
         let demand = |index: &usize| {
             let demand = self.known.get_index(*index).map(|(_, demand)| demand);
             demand.map_or(0.0, |it| it.lasting_rate(now))
@@ -135,6 +135,6 @@
         if let Some(index) = faded {
             self.known.swap_remove_index(index);
         }
-        self.hand = (self.hand + FORGET_SAMPLE) % len;
+        self.hand = (self.hand + EVICTION_SAMPLE) % len;
     }
 }
--- a/crates/chervilshunt_core/src/owner/engine.rs
+++ b/crates/chervilshunt_core/src/owner/engine.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexSet;
 
 use super::event::EngineReport;
-use super::tuning::{INVENTORY_TIMEOUT, PREFIX_BOUND};
+use super::tuning::{INVENTORY_TIMEOUT, MAX_CACHED_PREFIXES};
 
 /// Own permit counts remembered, to set a lagging report against.
-const COUNTS_KEPT: usize = 512;
+const MAX_PERMIT_COUNTS: usize = 512;
 
 /// What is known of the engine, apart from its slots.
 #[derive(Debug)]
@@ -90,7 +90,7 @@
 
     /// Notes how many permits are out from now on.
     pub(super) fn count_permits(&mut self, permits: usize, now: Moment) {
-        if self.counts.len() >= COUNTS_KEPT {
+        if self.counts.len() >= MAX_PERMIT_COUNTS {
             self.counts.pop_front();
         }
         self.counts.push_back((now, permits));
@@ -124,7 +124,7 @@
 
     /// Notes the prefixes that the engine holds cached.
     pub(super) fn set_cached(&mut self, prefixes: Vec<u64>) {
-        self.cached = prefixes.into_iter().take(PREFIX_BOUND).collect();
+        self.cached = prefixes.into_iter().take(MAX_CACHED_PREFIXES).collect();
     }
 
     /// Whether the engine is likely to hold a prefix cached.
--- a/crates/chervilshunt_core/src/owner/evict.rs
+++ b/crates/chervilshunt_core/src/owner/evict.rs
@@ -9,32 +9,32 @@
 use crate::bugs::Bug;
 
 /// Worth of a request that waits for nothing but room, in requests a second of lasting demand.
-const READY_WORTH: f64 = 1.0;
+const READY_REQUEST_WORTH: f64 = 1.0;
 
 /// Time over which a request for an evicted adapter would be missed, in seconds.
-const MISSED_WITHIN: f64 = 60.0;
+const MISS_WINDOW_S: f64 = 60.0;
 
 /// Waiting time of deferrable requests, summed, that makes up for a second of expected stall.
-const PATIENCE: f64 = 30.0;
+const WAIT_PER_STALL: f64 = 30.0;
 
 /// Time after which a deferrable request gets its slot in any case, in milliseconds.
 ///
 /// One that waits alone makes up for a second of stall only after 30 s, and would be refused at its
 /// deadline on each try. It is half of the shortest deadline that deferrable work has by default,
 /// so that the other half is left for a turn, the load and the answer.
-const LONGEST_DEFERRAL_MS: u64 = 10_000;
+const MAX_DEFERRAL_MS: u64 = 10_000;
 
 /// Part of the demand promised by the loaded adapters below which popularity may have moved.
-const USUAL_PROMISE: f64 = 1.05;
+const STABLE_HIT_RATIO: f64 = 1.05;
 
 /// How fast that becomes certain as the part that comes true falls: at 0.88 it is.
-const MOVED_GAIN: f64 = 6.0;
+const SHIFT_GAIN: f64 = 6.0;
 
 /// Wait for a turn to load at which as many slots are protected as ever, in seconds.
-const PROTECT_WAIT: f64 = 1.0;
+const PROTECTION_WAIT_S: f64 = 1.0;
 
 /// Part of the slots that is protected at most.
-const PROTECT_MOST: f64 = 0.9;
+const MAX_PROTECTED_PART: f64 = 0.9;
 
 /// The adapter that makes room most cheaply.
 #[derive(Clone, Debug, PartialEq)]
@@ -55,7 +55,8 @@
     /// length of the load queue. That time is the same for all slots of a target, so it counts
     /// only where worth is set against waiting.
     pub(super) fn worth(&self, model: &AdapterVersion, now: Moment) -> f64 {
-        self.demand.lasting(model, now) + READY_WORTH * f64::from(self.queue.ready_for(model))
+        self.demand.lasting(model, now)
+            + READY_REQUEST_WORTH * f64::from(self.queue.ready_for(model))
     }
 
     /// Returns the idle adapter that makes room most cheaply.
@@ -106,10 +107,10 @@
         }
         let pinned = self.slots.pinned().map(|(model, _)| model);
         let loaded = self.slots.idle().map(|(model, _)| model).chain(pinned);
-        let short = USUAL_PROMISE - self.demand.kept_promise(loaded, now);
-        let moved = (short * MOVED_GAIN).clamp(0.0, 1.0);
+        let short = STABLE_HIT_RATIO - self.demand.kept_promise(loaded, now);
+        let moved = (short * SHIFT_GAIN).clamp(0.0, 1.0);
         let wait = self.loads.queue_wait(now).as_secs_f64();
-        moved * (wait / PROTECT_WAIT).min(PROTECT_MOST)
+        moved * (wait / PROTECTION_WAIT_S).min(MAX_PROTECTED_PART)
     }
 
     fn cost(&self, model: &AdapterVersion, slot: &IdleSlot, now: Moment) -> f64 {
@@ -130,12 +131,12 @@
     pub(super) fn worth_evicting(&self, urgency: &LoadUrgency, worth: f64, now: Moment) -> bool {
         match urgency.class {
             Some(Class::Live) => true,
-            Some(Class::Deferrable) if urgency.oldest_ms >= LONGEST_DEFERRAL_MS => true,
+            Some(Class::Deferrable) if urgency.oldest_ms >= MAX_DEFERRAL_MS => true,
             Some(Class::Deferrable) => {
-                let missed = 1.0 - (-worth * MISSED_WITHIN).exp();
+                let missed = 1.0 - (-worth * MISS_WINDOW_S).exp();
                 let stall = missed * self.loads.expected_time(now).as_secs_f64();
                 let waited = f64::from(urgency.waiters) * urgency.oldest_ms as f64 / 1_000.0;
-                waited >= stall * PATIENCE * self.stall_weight()
+                waited >= stall * WAIT_PER_STALL * self.stall_weight()
             }
             None => false,
         }
--- a/crates/chervilshunt_core/src/owner/health.rs
+++ b/crates/chervilshunt_core/src/owner/health.rs
@@ -11,7 +11,9 @@
 use super::Owner;
 use super::action::OwnerAction;
 use super::permits::HeldPermit;
-use super::tuning::{FIRST_BYTE_GUESS, PROBE_PATIENCE, PROBE_PATIENCE_FACTOR, TIMED_OUT_FACTOR};
+use super::tuning::{
+    INITIAL_FIRST_BYTE_TIME, PROBE_SUCCESS_FACTOR, PROBE_SUCCESS_RANGE, TIMEOUT_FAILURE_FACTOR,
+};
 use crate::decay::DurationAverage;
 use crate::{
     Admission, Breaker, BreakerConfig, BreakerState, BreakerTicket, BreakerTransition, CallOutcome,
@@ -33,7 +35,7 @@
         Self {
             breaker: Breaker::new(cfg, now),
             probe: None,
-            first_byte: DurationAverage::new(FIRST_BYTE_GUESS),
+            first_byte: DurationAverage::new(INITIAL_FIRST_BYTE_TIME),
         }
     }
 
@@ -58,9 +60,9 @@
     /// An answer may take minutes. A target that fails does so at the start: until a stream's end
     /// one that is sound again would get one request at a time.
     fn probe_passes(&self) -> Option<Moment> {
-        let patience = self.first_byte.get() * PROBE_PATIENCE_FACTOR;
+        let patience = self.first_byte.get() * PROBE_SUCCESS_FACTOR;
         let (.., began) = self.probe.as_ref()?;
-        Some(*began + patience.clamp(PROBE_PATIENCE.0, PROBE_PATIENCE.1))
+        Some(*began + patience.clamp(PROBE_SUCCESS_RANGE.0, PROBE_SUCCESS_RANGE.1))
     }
 
     fn record(
@@ -131,7 +133,9 @@
                 CallOutcome::Success
             }
             ReleaseOutcome::TargetFailed => CallOutcome::Failure,
-            ReleaseOutcome::TimedOut if held >= self.service_time.get() * TIMED_OUT_FACTOR => {
+            ReleaseOutcome::TimedOut
+                if held >= self.service_time.get() * TIMEOUT_FAILURE_FACTOR =>
+            {
                 CallOutcome::Failure
             }
             ReleaseOutcome::TimedOut
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -9,14 +9,14 @@
 use super::order::{LoadUrgency, OrderId, OrderKind};
 use super::slots::Moving;
 use super::tuning::{
-    AHEAD_DEMAND, AHEAD_PAUSE, DEFERRABLE_LOAD_AGE, DEFERRABLE_SLOT_PART, ENOUGH_DEFERRABLE,
-    MAX_ASKED_TURNS, PARKED_REVIEW, TURN_RENEWAL,
+    DEFERRABLE_LOAD_AGE, DEFERRABLE_SLOT_DIVISOR, ENOUGH_READY_DEFERRABLE, MAX_REQUESTED_TURNS,
+    PARKED_REVIEW_INTERVAL, PRELOAD_DEMAND_PER_S, PRELOAD_INTERVAL, TURN_RENEWAL_INTERVAL,
 };
 use crate::DecisionKind;
 use crate::bugs::Bug;
 
 /// The urgency of a load that nobody waits for.
-const AHEAD: LoadUrgency = LoadUrgency {
+const PRELOAD_URGENCY: LoadUrgency = LoadUrgency {
     class: None,
     waiters: 0,
     oldest_ms: 0,
@@ -57,7 +57,7 @@
         self.place_loads(now, out);
         self.renew_turns(now, out);
         self.hold_turns(now, out);
-        if self.loads.review_due || now.since(self.loads.reviewed) >= PARKED_REVIEW {
+        if self.loads.review_due || now.since(self.loads.reviewed) >= PARKED_REVIEW_INTERVAL {
             self.loads.review_due = false;
             self.loads.reviewed = now;
             self.review_parked(now, out);
@@ -113,7 +113,7 @@
 
     /// Looks for an adapter whose lasting demand pays for a load ahead of the next request.
     pub(super) fn look_ahead(&mut self, now: Moment) {
-        let pause_over = now.since(self.looked_ahead) >= AHEAD_PAUSE;
+        let pause_over = now.since(self.looked_ahead) >= PRELOAD_INTERVAL;
         let idle_store = self.loads.scheduler_reachable
             && self.loads.is_empty()
             && self.loads.queue_wait(now) <= self.loads.load_time();
@@ -130,7 +130,7 @@
         let Some(best) = best.cloned() else {
             return;
         };
-        if self.slots.free() > 0 && demand(&best) > AHEAD_DEMAND {
+        if self.slots.free() > 0 && demand(&best) > PRELOAD_DEMAND_PER_S {
             self.loads.want(&best, true, now);
         }
     }
@@ -311,8 +311,7 @@
     }
 
     fn renew_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let due =
-            |phase| matches!(phase, Phase::Asked { renewed } if now.since(renewed) >= TURN_RENEWAL);
+        let due = |phase| matches!(phase, Phase::Asked { renewed } if now.since(renewed) >= TURN_RENEWAL_INTERVAL);
         for model in self.loads.at_phase(due) {
             self.ask_turn(&model, now, out);
         }
@@ -362,7 +361,7 @@
         let victim = self.victim(now);
         let mut deferrable = self.deferrable_slots();
         for (urgency, model) in parked {
-            if asked >= MAX_ASKED_TURNS {
+            if asked >= MAX_REQUESTED_TURNS {
                 return;
             }
             if urgency.class == Some(Class::Deferrable) {
@@ -409,13 +408,13 @@
     }
 
     fn most_deferrable_slots(&self) -> usize {
-        (self.cfg.slots as usize / DEFERRABLE_SLOT_PART).max(1)
+        (self.cfg.slots as usize / DEFERRABLE_SLOT_DIVISOR).max(1)
     }
 
     /// Whether deferrable work that needs no load fills the batch for now.
     fn has_enough_deferrable(&self, urgency: &LoadUrgency) -> bool {
         let young = u128::from(urgency.oldest_ms) < DEFERRABLE_LOAD_AGE.as_millis();
-        young && self.queue.ready(Class::Deferrable) >= ENOUGH_DEFERRABLE
+        young && self.queue.ready(Class::Deferrable) >= ENOUGH_READY_DEFERRABLE
     }
 
     /// Retires one adapter for loads that find all slots pinned, unless enough are retiring.
@@ -478,6 +477,6 @@
     }
 
     fn urgency(&self, model: &AdapterVersion, now: Moment) -> LoadUrgency {
-        self.queue.urgency(model, now).unwrap_or(AHEAD)
+        self.queue.urgency(model, now).unwrap_or(PRELOAD_URGENCY)
     }
 }
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -6,7 +6,9 @@
 use indexmap::IndexMap;
 
 use super::order::OrderId;
-use super::tuning::{LOAD_BACKOFF, LOAD_TIME_GUESS, LONGEST_TURN, MAX_LOAD_BACKOFF, TURN_RENEWAL};
+use super::tuning::{
+    INITIAL_LOAD_TIME, LOAD_BACKOFF, MAX_LOAD_BACKOFF, TURN_RENEWAL_INTERVAL, TURN_RENEWAL_LIMIT,
+};
 use crate::decay::DurationAverage;
 
 /// How far a load has come.
@@ -65,8 +67,8 @@
     /// Whether the load scheduler is to be told again that the turn is in use.
     pub(super) fn turn_is_due(&self, now: Moment) -> bool {
         let in_use = matches!(self.phase, Phase::HasTurn | Phase::Ordered { .. });
-        let young = |granted| now.since(granted) < LONGEST_TURN;
-        in_use && self.granted.is_some_and(young) && now.since(self.told) >= TURN_RENEWAL
+        let young = |granted| now.since(granted) < TURN_RENEWAL_LIMIT;
+        in_use && self.granted.is_some_and(young) && now.since(self.told) >= TURN_RENEWAL_INTERVAL
     }
 }
 
@@ -96,7 +98,7 @@
             by_model: IndexMap::new(),
             by_order: IndexMap::new(),
             next_order: first_order,
-            load_time: DurationAverage::new(LOAD_TIME_GUESS),
+            load_time: DurationAverage::new(INITIAL_LOAD_TIME),
             queue_wait: Duration::ZERO,
             queue_wait_told: now,
             scheduler_reachable: true,
--- a/crates/chervilshunt_core/src/owner/power.rs
+++ b/crates/chervilshunt_core/src/owner/power.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::Moment;
 
 use super::config::OwnerConfig;
-use super::tuning::{DEMAND_REPORT_PAUSE, DEMAND_REPORT_RENEWAL};
+use super::tuning::{DEMAND_REPORT_INTERVAL, DEMAND_REPORT_RENEWAL};
 
 /// Part of a watt that is lost in adding and dividing powers.
 const ROUNDING_WATTS: f64 = 1e-6;
@@ -153,7 +153,7 @@
 
     fn report_pause(&self) -> Duration {
         if self.report_pending {
-            DEMAND_REPORT_PAUSE
+            DEMAND_REPORT_INTERVAL
         } else {
             DEMAND_REPORT_RENEWAL
         }
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -14,13 +14,13 @@
 
 /// Prompt tokens that cost an engine as much as one generated token: a prompt is worked through
 /// in parallel, an answer token by token.
-const PROMPT_TOKENS_PER_TOKEN: u64 = 16;
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 16;
 
 /// Virtual time of one token at weight 1; it leaves room to divide by weights.
 const TOKEN_SCALE: u64 = 1_024;
 
 /// Callers remembered for each class before those without a lead are forgotten.
-const CALLERS_KEPT: usize = 1_024;
+const MAX_TRACKED_CALLERS: usize = 1_024;
 
 /// Place in the fair order of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -335,8 +335,8 @@
             return Tag { start: 0, arrival };
         }
         let lane = &mut self.lanes[lane as usize];
-        let cost =
-            u64::from(req.prompt_tokens) / PROMPT_TOKENS_PER_TOKEN + u64::from(req.max_tokens);
+        let cost = u64::from(req.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
+            + u64::from(req.max_tokens);
         let cost = cost.max(1) * TOKEN_SCALE / u64::from(req.weight.max(1));
         lane.forget_callers();
         let finish = lane.finish.entry(req.caller.clone()).or_insert(0);
@@ -349,7 +349,7 @@
 impl Lane {
     /// Forgets callers whose work ended before the virtual time: they start level with newcomers.
     fn forget_callers(&mut self) {
-        if self.finish.len() < CALLERS_KEPT.max(2 * self.len) {
+        if self.finish.len() < MAX_TRACKED_CALLERS.max(2 * self.len) {
             return;
         }
         let now = self.virtual_time;
--- a/crates/chervilshunt_core/src/owner/release.rs
+++ b/crates/chervilshunt_core/src/owner/release.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use super::action::OwnerAction;
 use super::settled::Settlement;
-use super::tuning::{ENTRY_GONE_BOUND, SETTLED_MEMORY};
+use super::tuning::{ENTRY_LEFT_GRACE, SETTLED_RETENTION};
 use crate::bugs::Bug;
 use crate::{ReleaseOutcome, ReleasedPermit};
 
@@ -49,14 +49,15 @@
             self.settled
                 .insert(attempt, u8::MAX, Settlement::Released, now);
         }
-        self.left.retain(|_, at| now.since(*at) <= SETTLED_MEMORY);
+        self.left
+            .retain(|_, at| now.since(*at) <= SETTLED_RETENTION);
         self.left.insert(entry.clone(), now);
         self.end_permits_of(entry, now);
     }
 
     /// Lets the permits of an instance end by themselves.
     pub(super) fn end_permits_of(&mut self, entry: &InstanceId, now: Moment) {
-        let ends = now + self.cfg.permit_window + ENTRY_GONE_BOUND;
+        let ends = now + self.cfg.permit_window + ENTRY_LEFT_GRACE;
         self.permits.end_of_entry(entry, ends);
     }
 
--- a/crates/chervilshunt_core/src/owner/seats.rs
+++ b/crates/chervilshunt_core/src/owner/seats.rs
@@ -8,19 +8,20 @@
 use super::action::OwnerAction;
 use super::queue::Waiting;
 use super::tuning::{
-    AGED_PAUSE, DEFERRABLE_AGE, FILL_HOLD, LIVE_LOAD_HALF_LIFE, LIVE_PER_AGED, PREFIX_LOOKAHEAD,
+    AGED_GRANT_INTERVAL, DEFERRABLE_PROMOTION_AGE, LIVE_GRANTS_PER_AGED, LIVE_LOAD_HALF_LIFE,
+    MAX_FILL_WAIT, PREFIX_LOOKAHEAD,
 };
 use crate::PermitRequest;
 use crate::bugs::Bug;
 
 /// Standard deviations of the live load for which seats are kept free.
-const HEAD_ROOM: f64 = 2.0;
+const HEADROOM_STD_DEVS: f64 = 2.0;
 
 /// Part of its time to the deadline after which a deferrable request competes with live ones.
-const AGED_PART: u32 = 2;
+const AGE_DEADLINE_DIVISOR: u32 = 2;
 
 /// Part of a batch that deferrable requests have to fill to start an idle engine.
-const FILL_PART: f64 = 0.5;
+const MIN_FILL_PART: f64 = 0.5;
 
 impl Owner {
     /// Grants permits to waiting requests while there is room.
@@ -44,7 +45,8 @@
     /// Returns the seats that live work is likely to need beyond those that it holds.
     pub(super) fn reserved_seats(&self, now: Moment) -> usize {
         let average = self.live_load.average(LIVE_LOAD_HALF_LIFE, now);
-        let wanted = average + HEAD_ROOM * self.stall_weight().sqrt() * average.max(0.25).sqrt();
+        let wanted =
+            average + HEADROOM_STD_DEVS * self.stall_weight().sqrt() * average.max(0.25).sqrt();
         (wanted.ceil() as usize).saturating_sub(self.permits.live())
     }
 
@@ -53,7 +55,7 @@
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = oldest.arrived + age_limit(&oldest.req);
         let held = oldest.arrived + self.fill_hold();
-        let turn = aged.max(self.deferrable_granted + AGED_PAUSE);
+        let turn = aged.max(self.deferrable_granted + AGED_GRANT_INTERVAL);
         [aged, held, turn].into_iter().filter(|at| *at > now).min()
     }
 
@@ -90,14 +92,14 @@
         if self.permits.len() > 0 {
             return true;
         }
-        let wanted = (self.power.batch_bound() as f64 * FILL_PART).ceil() as usize;
+        let wanted = (self.power.batch_bound() as f64 * MIN_FILL_PART).ceil() as usize;
         let oldest = self.queue.oldest_ready(Class::Deferrable);
         let held = oldest.is_some_and(|it| now.since(it.arrived) >= self.fill_hold());
         held || self.queue.ready(Class::Deferrable) >= wanted
     }
 
     fn fill_hold(&self) -> Duration {
-        FILL_HOLD.div_f64(self.stall_weight())
+        MAX_FILL_WAIT.div_f64(self.stall_weight())
     }
 
     fn next_admissible(&self, now: Moment) -> Option<(AttemptId, &'static str)> {
@@ -128,8 +130,8 @@
     fn aged(&self, now: Moment) -> Option<&Waiting> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = now.since(oldest.arrived) >= age_limit(&oldest.req);
-        let paused = now.since(self.deferrable_granted) >= AGED_PAUSE;
-        let turn = self.live_since_aged >= LIVE_PER_AGED || paused;
+        let paused = now.since(self.deferrable_granted) >= AGED_GRANT_INTERVAL;
+        let turn = self.live_since_aged >= LIVE_GRANTS_PER_AGED || paused;
         (aged && turn && self.admits(Class::Live, now)).then_some(oldest)
     }
 
@@ -148,6 +150,6 @@
 
 /// Returns the wait after which a deferrable request competes with live ones.
 fn age_limit(req: &PermitRequest) -> Duration {
-    let part = Duration::from_millis(req.deadline_ms) / AGED_PART;
-    part.min(DEFERRABLE_AGE)
+    let part = Duration::from_millis(req.deadline_ms) / AGE_DEADLINE_DIVISOR;
+    part.min(DEFERRABLE_PROMOTION_AGE)
 }
--- a/crates/chervilshunt_core/src/owner/settled.rs
+++ b/crates/chervilshunt_core/src/owner/settled.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::{AttemptId, Moment};
 use indexmap::IndexMap;
 
-use super::tuning::{SETTLED_BOUND, SETTLED_MEMORY};
+use super::tuning::{MAX_SETTLED_ATTEMPTS, SETTLED_RETENTION};
 use crate::PermitAnswer;
 
 /// How an attempt was settled.
@@ -73,8 +73,8 @@
 
     fn forget(&mut self, now: Moment) {
         while let Some((at, attempt)) = self.order.front() {
-            let old = now.since(*at) > SETTLED_MEMORY;
-            if !old && self.order.len() < SETTLED_BOUND {
+            let old = now.since(*at) > SETTLED_RETENTION;
+            if !old && self.order.len() < MAX_SETTLED_ATTEMPTS {
                 return;
             }
             if self.by_attempt.get(attempt).is_some_and(|it| it.at == *at) {
--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -394,7 +394,7 @@
                 }
                 (Moving::MaybeUnloaded, true) => change.still_there.push(model),
                 (Moving::MaybeUnloaded, false) => {
-                    let barred_until = slot.since + super::tuning::ORDER_FLIGHT_BOUND;
+                    let barred_until = slot.since + super::tuning::MAX_ORDER_DELAY;
                     self.unloaded(&model, barred_until, now);
                 }
                 (Moving::MaybeLoaded | Moving::Loading(_) | Moving::Unloading(_), _) => {
--- a/crates/chervilshunt_core/src/owner/spread.rs
+++ b/crates/chervilshunt_core/src/owner/spread.rs
@@ -6,15 +6,15 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Owner;
-use super::tuning::{MAX_SPREAD, SPREAD_FILL, SPREAD_HOLD};
+use super::tuning::{MAX_SPREAD, SPREAD_FILL, SPREAD_SHRINK_DELAY};
 use crate::PermitRequest;
 use crate::rank::TargetTable;
 
 /// Targets named in a redirect.
-const SENT_ON: usize = 3;
+const MAX_REDIRECT_TARGETS: usize = 3;
 
 /// Time over which a wider spread has to save the waiting that its load costs, in seconds.
-const PAYBACK: f64 = 60.0;
+const PAYBACK_S: f64 = 60.0;
 
 /// The targets of the service, and the adapters spread over several of them.
 #[derive(Debug)]
@@ -89,7 +89,7 @@
             return;
         }
         let since = *wide.unneeded_since.get_or_insert(now);
-        if now.since(since) < SPREAD_HOLD {
+        if now.since(since) < SPREAD_SHRINK_DELAY {
             return;
         }
         wide.unneeded_since = Some(now);
@@ -104,7 +104,7 @@
         if !self.cfg.mechanisms.spread || self.spread.wide.contains_key(model) {
             return;
         }
-        let saved = self.demand.surge(model, now) * PAYBACK * wait;
+        let saved = self.demand.surge(model, now) * PAYBACK_S * wait;
         let load = self.loads.expected_time(now).as_secs_f64() * self.stall_weight();
         if saved > load && wait > load {
             self.widen(model, 2);
@@ -160,11 +160,11 @@
         let Some(model) = &req.model else {
             return SmallVec::new();
         };
-        let ranked = self.ranked_from_here(model, SENT_ON + 1 + req.avoid.len());
+        let ranked = self.ranked_from_here(model, MAX_REDIRECT_TARGETS + 1 + req.avoid.len());
         let others = ranked.into_iter().skip(1);
         others
             .filter(|it| !req.avoid.contains(it))
-            .take(SENT_ON)
+            .take(MAX_REDIRECT_TARGETS)
             .collect()
     }
 
