--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -8,7 +8,7 @@
 use super::Owner;
 use super::action::OwnerAction;
 use super::answer::answer_to;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::orders::load_tries;
 use super::queue::Asked;
 use super::settled::Settlement;
@@ -279,11 +279,12 @@
     pub(super) fn expected_load(&self, req: &PermitRequest, now: Moment) -> Duration {
         let load = req.model.as_ref().and_then(|model| self.loads.get(model));
         match load.map(|load| load.phase) {
-            Some(Phase::Ordered { at }) => self.loads.load_time().saturating_sub(now.since(at)),
-            Some(Phase::HasTurn) => self.loads.load_time(),
-            Some(Phase::Asked { .. } | Phase::Parked | Phase::Backoff { .. }) | None => {
-                self.loads.load_time() + self.expected_turn(req.model.as_ref(), now)
-            }
+            Some(LoadPhase::Ordered { at }) => self.loads.load_time().saturating_sub(now.since(at)),
+            Some(LoadPhase::HasTurn) => self.loads.load_time(),
+            Some(
+                LoadPhase::TurnRequested { .. } | LoadPhase::Parked | LoadPhase::Backoff { .. },
+            )
+            | None => self.loads.load_time() + self.expected_turn(req.model.as_ref(), now),
         }
     }
 
@@ -301,7 +302,7 @@
     /// Returns until when an adapter isn't tried again whose tries are used up.
     pub(super) fn load_given_up(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
         let load = self.loads.get(req.model.as_ref()?)?;
-        let Phase::Backoff { until } = load.phase else {
+        let LoadPhase::Backoff { until } = load.phase else {
             return None;
         };
         (load.tries >= load_tries(req.class) && until > now).then_some(until)
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -5,7 +5,7 @@
 
 use super::Owner;
 use super::action::OwnerAction;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::order::{LoadUrgency, OrderId, OrderKind};
 use super::slots::Moving;
 use super::tuning::{
@@ -35,7 +35,7 @@
         let Some(load) = self.loads.get(model) else {
             return;
         };
-        let Phase::Asked { .. } = load.phase else {
+        let LoadPhase::TurnRequested { .. } = load.phase else {
             return;
         };
         let first_live = self
@@ -43,7 +43,7 @@
             .urgency(model, now)
             .is_some_and(|it| it.class == Some(Class::Live) && it.waiters == 1);
         if first_live {
-            self.ask_turn(model, now, out);
+            self.request_turn(model, now, out);
         }
     }
 
@@ -78,7 +78,7 @@
             });
             return;
         };
-        if let Phase::Asked { .. } = load.phase {
+        if let LoadPhase::TurnRequested { .. } = load.phase {
             load.begin_turn(now);
         }
     }
@@ -97,11 +97,11 @@
         }
         for model in self
             .loads
-            .at_phase(|phase| matches!(phase, Phase::Asked { .. }))
+            .at_phase(|phase| matches!(phase, LoadPhase::TurnRequested { .. }))
         {
-            self.ask_turn(&model, now, out);
+            self.request_turn(&model, now, out);
         }
-        let holding = |phase| matches!(phase, Phase::HasTurn | Phase::Ordered { .. });
+        let holding = |phase| matches!(phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         for model in self.loads.at_phase(holding) {
             let Some(load) = self.loads.get(&model) else {
                 continue;
@@ -153,7 +153,10 @@
             .filter(|(model, load)| {
                 !load.ahead
                     && self.queue.blocked_on(model).is_empty()
-                    && !matches!(load.phase, Phase::Ordered { .. } | Phase::Backoff { .. })
+                    && !matches!(
+                        load.phase,
+                        LoadPhase::Ordered { .. } | LoadPhase::Backoff { .. }
+                    )
             })
             .map(|(model, _)| model.clone())
             .collect();
@@ -167,7 +170,10 @@
         let Some(load) = self.loads.remove(model) else {
             return;
         };
-        if matches!(load.phase, Phase::Asked { .. } | Phase::HasTurn) {
+        if matches!(
+            load.phase,
+            LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn
+        ) {
             out.push(OwnerAction::EndTurn {
                 order: load.order,
                 loaded: None,
@@ -190,7 +196,7 @@
     }
 
     fn end_backoffs(&mut self, now: Moment) {
-        let over = |phase| matches!(phase, Phase::Backoff { until } if until <= now);
+        let over = |phase| matches!(phase, LoadPhase::Backoff { until } if until <= now);
         for model in self.loads.at_phase(over) {
             if self.queue.blocked_on(&model).is_empty() {
                 self.loads.remove(&model);
@@ -202,7 +208,7 @@
     }
 
     fn place_loads(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        for model in self.loads.at_phase(|phase| phase == Phase::HasTurn) {
+        for model in self.loads.at_phase(|phase| phase == LoadPhase::HasTurn) {
             self.place_load(&model, now, out);
         }
     }
@@ -229,7 +235,7 @@
             self.order_load(model, now, out);
             return;
         }
-        let waiting = self.loads.count(|phase| phase == Phase::HasTurn);
+        let waiting = self.loads.count(|phase| phase == LoadPhase::HasTurn);
         if self.slots.unloading() >= waiting {
             return;
         }
@@ -242,7 +248,7 @@
         let Some(load) = self.loads.get_mut(model) else {
             return;
         };
-        load.phase = Phase::Ordered { at: now };
+        load.phase = LoadPhase::Ordered { at: now };
         let (order, ahead) = (load.order, load.ahead);
         self.slots.load(model.clone(), order, now);
         self.evicted.swap_remove(model);
@@ -311,9 +317,9 @@
     }
 
     fn renew_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let due = |phase| matches!(phase, Phase::Asked { renewed } if now.since(renewed) >= TURN_RENEWAL_INTERVAL);
+        let due = |phase| matches!(phase, LoadPhase::TurnRequested { renewed } if now.since(renewed) >= TURN_RENEWAL_INTERVAL);
         for model in self.loads.at_phase(due) {
-            self.ask_turn(&model, now, out);
+            self.request_turn(&model, now, out);
         }
     }
 
@@ -337,7 +343,7 @@
     fn review_parked(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let mut parked: Vec<(LoadUrgency, AdapterVersion)> = self
             .loads
-            .at_phase(|phase| phase == Phase::Parked)
+            .at_phase(|phase| phase == LoadPhase::Parked)
             .into_iter()
             .filter(|model| !self.slots.holds(model))
             .map(|model| (self.urgency(&model, now), model))
@@ -350,7 +356,8 @@
             let waited = u64::from(urgency.waiters) * (urgency.oldest_ms + 1);
             (rank, std::cmp::Reverse(waited))
         });
-        let under_way = |phase| matches!(phase, Phase::Asked { .. } | Phase::HasTurn);
+        let under_way =
+            |phase| matches!(phase, LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn);
         let mut asked = self.loads.count(under_way);
         let free = self.slots.free() + self.slots.unloading();
         let idle = if self.may_evict() {
@@ -373,7 +380,7 @@
             }
             if asked < free {
                 asked += 1;
-                self.ask_turn(&model, now, out);
+                self.request_turn(&model, now, out);
                 continue;
             }
             let worth = victim.as_ref().map_or(f64::INFINITY, |it| it.worth);
@@ -383,7 +390,7 @@
             }
             if self.worth_evicting(&urgency, worth, now) {
                 asked += 1;
-                self.ask_turn(&model, now, out);
+                self.request_turn(&model, now, out);
             }
         }
     }
@@ -401,7 +408,7 @@
         }
         let pinned = live.values().filter(|live| !**live).count();
         let loads = self.loads.iter().filter(|(model, load)| {
-            let under_way = !matches!(load.phase, Phase::Parked | Phase::Backoff { .. });
+            let under_way = !matches!(load.phase, LoadPhase::Parked | LoadPhase::Backoff { .. });
             under_way && self.queue.lane_blocked_on(model) == Some(Class::Deferrable)
         });
         pinned + loads.count()
@@ -438,13 +445,13 @@
             .loads
             .unscheduled
             .is_none_or(|last| now.since(last) >= interval);
-        let under_way = |phase| matches!(phase, Phase::HasTurn | Phase::Ordered { .. });
+        let under_way = |phase| matches!(phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         if !due || self.loads.count(under_way) > 0 {
             return;
         }
         let asked = self
             .loads
-            .at_phase(|phase| matches!(phase, Phase::Asked { .. }));
+            .at_phase(|phase| matches!(phase, LoadPhase::TurnRequested { .. }));
         let urgent = |model: &AdapterVersion| {
             let urgency = self.urgency(model, now);
             let rank = urgency.class.map_or(2, |class| class as u8);
@@ -460,14 +467,14 @@
         self.place_load(&model, now, out);
     }
 
-    fn ask_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn request_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
         let urgency = self.urgency(model, now);
         let Some(load) = self.loads.get_mut(model) else {
             return;
         };
-        load.phase = Phase::Asked { renewed: now };
+        load.phase = LoadPhase::TurnRequested { renewed: now };
         if self.bugs.has(Bug::LoadsWithoutTurn) {
-            load.phase = Phase::HasTurn;
+            load.phase = LoadPhase::HasTurn;
         }
         out.push(OwnerAction::RequestTurn {
             order: load.order,
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -13,11 +13,11 @@
 
 /// How far a load has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Phase {
+pub(super) enum LoadPhase {
     /// It is not worth a slot yet, or no slot can be had.
     Parked,
     /// A turn was asked for.
-    Asked {
+    TurnRequested {
         /// When the urgency was last told.
         renewed: Moment,
     },
@@ -41,7 +41,7 @@
     /// The id of the turn and of the order; each try has a new one.
     pub(super) order: OrderId,
     /// How far it has come.
-    pub(super) phase: Phase,
+    pub(super) phase: LoadPhase,
     /// Tries that failed.
     pub(super) tries: u32,
     /// Since when it has been parked.
@@ -59,14 +59,14 @@
 impl Load {
     /// Takes the turn.
     pub(super) fn begin_turn(&mut self, now: Moment) {
-        self.phase = Phase::HasTurn;
+        self.phase = LoadPhase::HasTurn;
         self.granted = Some(now);
         self.told = now;
     }
 
     /// Whether the load scheduler is to be told again that the turn is in use.
     pub(super) fn turn_is_due(&self, now: Moment) -> bool {
-        let in_use = matches!(self.phase, Phase::HasTurn | Phase::Ordered { .. });
+        let in_use = matches!(self.phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         let young = |granted| now.since(granted) < TURN_RENEWAL_LIMIT;
         in_use && self.granted.is_some_and(young) && now.since(self.told) >= TURN_RENEWAL_INTERVAL
     }
@@ -135,13 +135,13 @@
     }
 
     /// Returns the adapters whose loads are at a phase.
-    pub(super) fn at_phase(&self, at: impl Fn(Phase) -> bool) -> Vec<AdapterVersion> {
+    pub(super) fn at_phase(&self, at: impl Fn(LoadPhase) -> bool) -> Vec<AdapterVersion> {
         let loads = self.by_model.iter().filter(|(_, load)| at(load.phase));
         loads.map(|(model, _)| model.clone()).collect()
     }
 
     /// Returns the number of loads at a phase.
-    pub(super) fn count(&self, at: impl Fn(Phase) -> bool) -> usize {
+    pub(super) fn count(&self, at: impl Fn(LoadPhase) -> bool) -> usize {
         self.by_model.values().filter(|load| at(load.phase)).count()
     }
 
@@ -159,7 +159,7 @@
         let order = self.new_order();
         let load = Load {
             order,
-            phase: Phase::Parked,
+            phase: LoadPhase::Parked,
             tries: 0,
             since: now,
             wanted: now,
@@ -182,7 +182,7 @@
 
     /// Parks a load, under a new id: the old turn is over.
     pub(super) fn park(&mut self, model: &AdapterVersion, now: Moment) {
-        self.renumber(model, Phase::Parked, now);
+        self.renumber(model, LoadPhase::Parked, now);
     }
 
     /// Notes a failed try and returns the number of tries that have failed by now.
@@ -194,20 +194,23 @@
         let tries = load.tries;
         let doubled = LOAD_BACKOFF * 2_u32.saturating_pow(tries - 1).min(1_024);
         let until = now + doubled.min(MAX_LOAD_BACKOFF);
-        self.renumber(model, Phase::Backoff { until }, now);
+        self.renumber(model, LoadPhase::Backoff { until }, now);
         tries
     }
 
     /// Lets a load wait until a time, without counting a failure.
     pub(super) fn hold_back(&mut self, model: &AdapterVersion, until: Moment, now: Moment) {
-        self.renumber(model, Phase::Backoff { until }, now);
+        self.renumber(model, LoadPhase::Backoff { until }, now);
     }
 
     /// Returns the end of the earliest pause after a failure.
     pub(super) fn next_backoff(&self) -> Option<Moment> {
         let ends = self.by_model.values().filter_map(|load| match load.phase {
-            Phase::Backoff { until } => Some(until),
-            Phase::Parked | Phase::Asked { .. } | Phase::HasTurn | Phase::Ordered { .. } => None,
+            LoadPhase::Backoff { until } => Some(until),
+            LoadPhase::Parked
+            | LoadPhase::TurnRequested { .. }
+            | LoadPhase::HasTurn
+            | LoadPhase::Ordered { .. } => None,
         });
         ends.min()
     }
@@ -239,7 +242,7 @@
             .saturating_sub(now.since(self.queue_wait_told))
     }
 
-    fn renumber(&mut self, model: &AdapterVersion, phase: Phase, now: Moment) {
+    fn renumber(&mut self, model: &AdapterVersion, phase: LoadPhase, now: Moment) {
         let order = self.new_order();
         let Some(load) = self.by_model.get_mut(model) else {
             return;
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -3,7 +3,7 @@
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Moment};
 
 use super::action::OwnerAction;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::order::{EngineOrder, OrderFailure, OrderId, OrderKind};
 use super::slots::Moving;
 use super::tuning::{DEFERRABLE_LOAD_TRIES, LIVE_LOAD_TRIES};
@@ -130,7 +130,10 @@
         let Some(load) = self.loads.remove(model) else {
             return;
         };
-        if matches!(load.phase, Phase::Asked { .. } | Phase::HasTurn) {
+        if matches!(
+            load.phase,
+            LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn
+        ) {
             out.push(OwnerAction::EndTurn {
                 order: load.order,
                 loaded: None,
@@ -158,7 +161,7 @@
             loaded: Some(result.is_ok()),
         });
         let phase = self.loads.get(model).map(|load| load.phase);
-        if let (Some(Phase::Ordered { at }), Ok(())) = (phase, result) {
+        if let (Some(LoadPhase::Ordered { at }), Ok(())) = (phase, result) {
             self.loads.took(now.since(at));
         }
         match result {
--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Owner;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::slots::Moving;
 use crate::Permit;
 
@@ -126,7 +126,7 @@
         });
         let pending = self.loads.iter().filter(|(model, load)| {
             let in_slot = self.slots.holds(model) || self.slots.moving(model).is_some();
-            !in_slot && !matches!(load.phase, Phase::Ordered { .. })
+            !in_slot && !matches!(load.phase, LoadPhase::Ordered { .. })
         });
         let pending =
             pending.map(|(model, _)| self.adapter_view(model, AdapterState::Pending, 0, now));
