--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -47,7 +47,7 @@
 use loads::Loads;
 use permits::Permits;
 use power::PowerShare;
-use queue::{Asked, Queue};
+use queue::{Queue, TimedRequest};
 use settled::SettledAttempts;
 use slots::Slots;
 use spread::Spread;
@@ -297,24 +297,24 @@
     }
 
     /// Puts a decision about a request into words.
-    fn decision(&self, kind: DecisionKind, asked: &Asked, reason: &'static str) -> Decision {
+    fn decision(&self, kind: DecisionKind, timed: &TimedRequest, reason: &'static str) -> Decision {
         Decision {
             kind,
             target: self.cfg.target.clone(),
-            model: asked.req.model.clone(),
-            attempt: Some(asked.req.attempt),
-            class: Some(asked.req.class),
+            model: timed.req.model.clone(),
+            attempt: Some(timed.req.attempt),
+            class: Some(timed.req.class),
             reason,
             alternatives: SmallVec::new(),
             sent_on: SmallVec::new(),
-            waited: asked.waited,
+            waited: timed.waited,
         }
     }
 
-    fn log_asked(
+    fn log_request(
         &self,
         kind: DecisionKind,
-        asked: &Asked,
+        timed: &TimedRequest,
         reason: &'static str,
         out: &mut Vec<OwnerAction>,
     ) {
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -10,7 +10,7 @@
 use super::answer::answer_to;
 use super::loads::LoadPhase;
 use super::orders::load_tries;
-use super::queue::Asked;
+use super::queue::TimedRequest;
 use super::settled::Settlement;
 use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER_RANGE};
 use crate::bugs::Bug;
@@ -174,26 +174,26 @@
 
     fn turn_away(
         &mut self,
-        asked: impl Into<Asked>,
+        timed: impl Into<TimedRequest>,
         reason: RefusalReason,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let asked = asked.into();
-        let req = &asked.req;
+        let timed = timed.into();
+        let req = &timed.req;
         let targets = self.next_ranked(req, MAX_CLOSED_HOPS);
         if !targets.is_empty() && reason != RefusalReason::NotOwner {
-            self.redirect(asked, targets, reason.as_str(), now, out);
+            self.redirect(timed, targets, reason.as_str(), now, out);
             return;
         }
         if may_come_back(reason) && self.stays_while_down(req) {
             let lane = self.lane(req.class);
             let waits_for_load = self.waits_for_load(req);
-            self.enqueue(asked.req, lane, waits_for_load, now, out);
+            self.enqueue(timed.req, lane, waits_for_load, now, out);
             return;
         }
         let retry_after = self.retry_after(req, reason, now);
-        self.refuse(asked, reason, retry_after, now, out);
+        self.refuse(timed, reason, retry_after, now, out);
     }
 
     /// Whether a request waits until the target is back, rather than fail.
@@ -321,9 +321,9 @@
         } else {
             "no room in the batch"
         };
-        let asked = Asked::from(req);
-        self.log_asked(DecisionKind::Queue, &asked, reason, out);
-        let req = asked.req;
+        let timed = TimedRequest::from(req);
+        self.log_request(DecisionKind::Queue, &timed, reason, out);
+        let req = timed.req;
         let model = req.model.clone();
         let fair = self.cfg.mechanisms.fairness;
         self.queue.push(req, lane, fair, waits_for_load, now);
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -7,7 +7,7 @@
 
 use super::Owner;
 use super::action::OwnerAction;
-use super::queue::Asked;
+use super::queue::TimedRequest;
 use super::settled::Settlement;
 use super::tuning::RETRY_AFTER_RANGE;
 use crate::{DecisionKind, Permit, PermitAnswer, PermitRequest, RefusalReason};
@@ -15,13 +15,13 @@
 impl Owner {
     pub(super) fn grant(
         &mut self,
-        asked: impl Into<Asked>,
+        timed: impl Into<TimedRequest>,
         reason: &'static str,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let asked = asked.into();
-        let req = &asked.req;
+        let timed = timed.into();
+        let req = &timed.req;
         if let (true, Some(model)) = (self.slots.exist(), &req.model) {
             self.slots.pin(model, now);
         }
@@ -46,41 +46,41 @@
         self.permits_changed(now);
         let spread = self.spread_of(req.model.as_ref());
         let answer = answer_to(req, PermitAnswer::Granted { permit, spread });
-        self.log_asked(DecisionKind::Grant, &asked, reason, out);
+        self.log_request(DecisionKind::Grant, &timed, reason, out);
         out.push(answer);
     }
 
     pub(super) fn redirect(
         &mut self,
-        asked: impl Into<Asked>,
+        timed: impl Into<TimedRequest>,
         targets: SmallVec<[TargetName; 4]>,
         reason: &'static str,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let asked = asked.into();
-        let mut decision = self.decision(DecisionKind::Redirect, &asked, reason);
+        let timed = timed.into();
+        let mut decision = self.decision(DecisionKind::Redirect, &timed, reason);
         decision.sent_on.clone_from(&targets);
         out.push(OwnerAction::Log(decision));
-        self.settle(&asked.req, PermitAnswer::Redirect { targets }, now, out);
+        self.settle(&timed.req, PermitAnswer::Redirect { targets }, now, out);
     }
 
     pub(super) fn refuse(
         &mut self,
-        asked: impl Into<Asked>,
+        timed: impl Into<TimedRequest>,
         reason: RefusalReason,
         retry_after: Duration,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let asked = asked.into();
-        self.log_asked(DecisionKind::Refuse, &asked, reason.as_str(), out);
+        let timed = timed.into();
+        self.log_request(DecisionKind::Refuse, &timed, reason.as_str(), out);
         let retry_after = retry_after.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
         let answer = PermitAnswer::Refused {
             reason,
             retry_after_ms: u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX),
         };
-        self.settle(&asked.req, answer, now, out);
+        self.settle(&timed.req, answer, now, out);
     }
 
     fn settle(
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -49,14 +49,14 @@
 
 /// A request that is decided about, fresh or out of the queue.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct TimedRequest {
     /// The request.
     pub(super) req: PermitRequest,
     /// How long it has waited.
     pub(super) waited: Waited,
 }
 
-impl From<PermitRequest> for Asked {
+impl From<PermitRequest> for TimedRequest {
     fn from(req: PermitRequest) -> Self {
         Self {
             req,
@@ -67,8 +67,8 @@
 
 impl Waiting {
     /// Ends the wait.
-    pub(super) fn end(self, now: Moment) -> Asked {
-        Asked {
+    pub(super) fn end(self, now: Moment) -> TimedRequest {
+        TimedRequest {
             waited: Waited {
                 total: now.since(self.arrived),
                 for_load: self.blocked_for(now),
