--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -31,7 +31,7 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     /// The request.
     pub(super) req: PermitRequest,
     /// When it arrived.
@@ -65,7 +65,7 @@
     }
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Ends the wait.
     pub(super) fn end(self, now: Moment) -> TimedRequest {
         TimedRequest {
@@ -98,7 +98,7 @@
 /// Requests that wait at one owner.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: IndexMap<AttemptId, Waiting>,
+    waiting: IndexMap<AttemptId, QueuedRequest>,
     lanes: [Lane; 2],
     blocked: IndexMap<AdapterVersion, Vec<AttemptId>>,
     ready_by_model: IndexMap<AdapterVersion, u32>,
@@ -119,7 +119,7 @@
     }
 
     /// Returns the request of an attempt, if it waits.
-    pub(super) fn get(&self, attempt: AttemptId) -> Option<&Waiting> {
+    pub(super) fn get(&self, attempt: AttemptId) -> Option<&QueuedRequest> {
         self.waiting.get(&attempt)
     }
 
@@ -140,7 +140,7 @@
         let attempt = req.attempt;
         let tag = self.tag(&req, lane, fair);
         let deadline = now + Duration::from_millis(req.deadline_ms);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             req,
             arrived: now,
             deadline,
@@ -157,7 +157,7 @@
     }
 
     /// Takes a request out, whatever it waits for.
-    pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<Waiting> {
+    pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.waiting.swap_remove(&attempt)?;
         self.deadlines.remove(&(waiting.deadline, attempt));
         self.lanes[waiting.lane as usize].len -= 1;
@@ -166,7 +166,7 @@
     }
 
     /// Takes a request out that gets its permit now, which moves its class's virtual time on.
-    pub(super) fn take(&mut self, attempt: AttemptId) -> Option<Waiting> {
+    pub(super) fn take(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.remove(attempt)?;
         let lane = &mut self.lanes[waiting.lane as usize];
         lane.virtual_time = lane.virtual_time.max(waiting.tag.start);
@@ -181,19 +181,19 @@
     }
 
     /// Returns the requests of a class that wait for nothing but room, in fair order.
-    pub(super) fn in_order(&self, lane: Class) -> impl Iterator<Item = &Waiting> {
+    pub(super) fn in_order(&self, lane: Class) -> impl Iterator<Item = &QueuedRequest> {
         let ready = self.lanes[lane as usize].ready.values();
         ready.filter_map(|attempt| self.waiting.get(attempt))
     }
 
     /// Returns the request of a class that has waited longest for nothing but room.
-    pub(super) fn oldest_ready(&self, lane: Class) -> Option<&Waiting> {
+    pub(super) fn oldest_ready(&self, lane: Class) -> Option<&QueuedRequest> {
         let (_, attempt) = self.ready_by_age[lane as usize].first()?;
         self.waiting.get(attempt)
     }
 
     /// Returns all requests that wait.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.values()
     }
 
@@ -264,7 +264,7 @@
         if self.ready_for(model) == 0 {
             return false;
         }
-        let of_model = |it: &&Waiting| !it.blocked && it.req.model.as_ref() == Some(model);
+        let of_model = |it: &&QueuedRequest| !it.blocked && it.req.model.as_ref() == Some(model);
         let mut of_model: Vec<(Tag, AttemptId)> = self
             .waiting
             .values()
@@ -290,7 +290,7 @@
         self.waiting.insert(attempt, waiting);
     }
 
-    fn link(&mut self, attempt: AttemptId, waiting: &Waiting) {
+    fn link(&mut self, attempt: AttemptId, waiting: &QueuedRequest) {
         if let (true, Some(model)) = (waiting.blocked, &waiting.req.model) {
             self.blocked.entry(model.clone()).or_default().push(attempt);
             return;
@@ -304,7 +304,7 @@
         }
     }
 
-    fn unlink(&mut self, attempt: AttemptId, waiting: &Waiting) {
+    fn unlink(&mut self, attempt: AttemptId, waiting: &QueuedRequest) {
         if let (true, Some(model)) = (waiting.blocked, &waiting.req.model) {
             let Some(blocked) = self.blocked.get_mut(model) else {
                 return;
--- a/crates/chervilshunt_core/src/owner/seats.rs
+++ b/crates/chervilshunt_core/src/owner/seats.rs
@@ -6,7 +6,7 @@
 
 use super::Owner;
 use super::action::OwnerAction;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::tuning::{
     AGED_GRANT_INTERVAL, DEFERRABLE_PROMOTION_AGE, LIVE_GRANTS_PER_AGED, LIVE_LOAD_HALF_LIFE,
     MAX_FILL_WAIT, PREFIX_LOOKAHEAD,
@@ -127,7 +127,7 @@
     /// Its turn comes after so many live permits or after a pause, also while no live request
     /// waits: in a flood all deferrable requests are old, and would otherwise take every seat that
     /// is kept for live work as soon as it is free.
-    fn aged(&self, now: Moment) -> Option<&Waiting> {
+    fn aged(&self, now: Moment) -> Option<&QueuedRequest> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = now.since(oldest.arrived) >= age_limit(&oldest.req);
         let paused = now.since(self.deferrable_granted) >= AGED_GRANT_INTERVAL;
@@ -136,7 +136,7 @@
     }
 
     /// Returns the first request in fair order, or one close to it whose prefix is cached.
-    fn first_in_order(&self, lane: Class) -> Option<&Waiting> {
+    fn first_in_order(&self, lane: Class) -> Option<&QueuedRequest> {
         let first = self.queue.in_order(lane).next()?;
         if !self.cfg.mechanisms.prefix {
             return Some(first);
