--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -44,10 +44,11 @@
                 return;
             }
         }
-        let lane = self.lane(req.class);
+        let queue_class = self.queue_class(req.class);
         let waits_for_load = self.waits_for_load(&req);
-        if !waits_for_load && self.queue.ready(lane) == 0 && self.admits(lane, now) {
-            self.queue.pass(&req, lane, self.cfg.mechanisms.fairness);
+        if !waits_for_load && self.queue.ready(queue_class) == 0 && self.admits(queue_class, now) {
+            self.queue
+                .pass(&req, queue_class, self.cfg.mechanisms.fairness);
             self.grant(req, "room in the batch", now, out);
             return;
         }
@@ -59,7 +60,7 @@
             self.refuse(req, reason, retry_after, now, out);
             return;
         }
-        self.enqueue(req, lane, waits_for_load, now, out);
+        self.enqueue(req, queue_class, waits_for_load, now, out);
     }
 
     /// Turns every waiting request away, as the target takes no new work.
@@ -127,7 +128,7 @@
     }
 
     /// Returns the class under which a request is treated.
-    pub(super) fn lane(&self, class: Class) -> Class {
+    pub(super) fn queue_class(&self, class: Class) -> Class {
         if self.cfg.mechanisms.fill {
             class
         } else {
@@ -187,9 +188,9 @@
             return;
         }
         if may_come_back(reason) && self.stays_while_down(req) {
-            let lane = self.lane(req.class);
+            let queue_class = self.queue_class(req.class);
             let waits_for_load = self.waits_for_load(req);
-            self.enqueue(timed.req, lane, waits_for_load, now, out);
+            self.enqueue(timed.req, queue_class, waits_for_load, now, out);
             return;
         }
         let retry_after = self.retry_after(req, reason, now);
@@ -234,7 +235,9 @@
             let next = self.next_ranked(req, MAX_HOPS);
             return (!next.is_empty()).then_some((next, "all slots are pinned"));
         }
-        let wait = self.expected_wait(self.lane(req.class)).as_secs_f64();
+        let wait = self
+            .expected_wait(self.queue_class(req.class))
+            .as_secs_f64();
         self.widen_for_wait(&model, wait, now);
         if self.cfg.mechanisms.prefix && self.engine.is_cached(req.prefix) && self.free_seats() > 0
         {
@@ -251,26 +254,26 @@
         waits_for_load: bool,
         now: Moment,
     ) -> Option<(RefusalReason, Duration)> {
-        let lane = self.lane(req.class);
+        let queue_class = self.queue_class(req.class);
         let left = Duration::from_millis(req.deadline_ms);
         if let Some(until) = self.load_given_up(req, now) {
             return Some((RefusalReason::LoadFailed, now.until(until)));
         }
-        if self.queue.len(lane) >= self.queue_bound(lane) {
-            return Some((RefusalReason::QueueFull, self.expected_wait(lane)));
+        if self.queue.len(queue_class) >= self.queue_bound(queue_class) {
+            return Some((RefusalReason::QueueFull, self.expected_wait(queue_class)));
         }
         if req.class == Class::Deferrable {
             return None;
         }
-        let mut wait = self.expected_wait(lane);
+        let mut wait = self.expected_wait(queue_class);
         if waits_for_load {
             wait = wait.max(self.expected_load(req, now));
         }
         (wait > left).then_some((RefusalReason::Deadline, wait))
     }
 
-    fn queue_bound(&self, lane: Class) -> usize {
-        match lane {
+    fn queue_bound(&self, queue_class: Class) -> usize {
+        match queue_class {
             Class::Live => self.cfg.live_queue_bound,
             Class::Deferrable => self.cfg.deferrable_queue_bound,
         }
@@ -311,7 +314,7 @@
     fn enqueue(
         &mut self,
         req: PermitRequest,
-        lane: Class,
+        queue_class: Class,
         waits_for_load: bool,
         now: Moment,
         out: &mut Vec<OwnerAction>,
@@ -326,7 +329,7 @@
         let req = timed.req;
         let model = req.model.clone();
         let fair = self.cfg.mechanisms.fairness;
-        self.queue.push(req, lane, fair, waits_for_load, now);
+        self.queue.push(req, queue_class, fair, waits_for_load, now);
         if let (true, Some(model)) = (waits_for_load, model) {
             self.want_load(&model, now, out);
         }
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -106,13 +106,13 @@
                 let until = self.load_given_up(req, now);
                 until.map_or(RETRY_AFTER_RANGE.0, |until| now.until(until))
             }
-            RefusalReason::QueueFull => self.expected_wait(self.lane(req.class)),
+            RefusalReason::QueueFull => self.expected_wait(self.queue_class(req.class)),
             RefusalReason::Deadline => {
                 let load = self
                     .waits_for_load(req)
                     .then(|| self.expected_load(req, now));
                 load.unwrap_or_default()
-                    .max(self.expected_wait(self.lane(req.class)))
+                    .max(self.expected_wait(self.queue_class(req.class)))
             }
             RefusalReason::Draining | RefusalReason::NotOwner => RETRY_AFTER_RANGE.0,
             RefusalReason::TargetDown => Duration::from_secs(2),
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -409,7 +409,7 @@
         let pinned = live.values().filter(|live| !**live).count();
         let loads = self.loads.iter().filter(|(model, load)| {
             let under_way = !matches!(load.phase, LoadPhase::Parked | LoadPhase::Backoff { .. });
-            under_way && self.queue.lane_blocked_on(model) == Some(Class::Deferrable)
+            under_way && self.queue.class_blocked_on(model) == Some(Class::Deferrable)
         });
         pinned + loads.count()
     }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -223,8 +223,8 @@
             .iter()
             .copied()
             .filter(|attempt| {
-                let lane = self.queue.get(*attempt).map(|it| it.req.class);
-                lane.is_some_and(|class| tries >= load_tries(class))
+                let class = self.queue.get(*attempt).map(|it| it.req.class);
+                class.is_some_and(|class| tries >= load_tries(class))
             })
             .collect();
         for attempt in given_up {
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -39,7 +39,7 @@
     /// When the caller gives up.
     pub(super) deadline: Moment,
     tag: Tag,
-    lane: Class,
+    queue_class: Class,
     blocked: bool,
     /// Since when it has been blocked or not.
     relinked: Moment,
@@ -88,7 +88,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct ClassQueue {
     ready: BTreeMap<Tag, AttemptId>,
     len: usize,
     virtual_time: u64,
@@ -99,7 +99,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: IndexMap<AttemptId, QueuedRequest>,
-    lanes: [Lane; 2],
+    queues: [ClassQueue; 2],
     blocked: IndexMap<AdapterVersion, Vec<AttemptId>>,
     ready_by_model: IndexMap<AdapterVersion, u32>,
     ready_by_age: [BTreeSet<(Moment, AttemptId)>; 2],
@@ -109,13 +109,13 @@
 
 impl Queue {
     /// Returns the requests of a class that wait.
-    pub(super) fn len(&self, lane: Class) -> usize {
-        self.lanes[lane as usize].len
+    pub(super) fn len(&self, queue_class: Class) -> usize {
+        self.queues[queue_class as usize].len
     }
 
     /// Returns the requests of a class that wait for nothing but room.
-    pub(super) fn ready(&self, lane: Class) -> usize {
-        self.lanes[lane as usize].ready.len()
+    pub(super) fn ready(&self, queue_class: Class) -> usize {
+        self.queues[queue_class as usize].ready.len()
     }
 
     /// Returns the request of an attempt, if it waits.
@@ -132,26 +132,26 @@
     pub(super) fn push(
         &mut self,
         req: PermitRequest,
-        lane: Class,
+        queue_class: Class,
         fair: bool,
         blocked: bool,
         now: Moment,
     ) {
         let attempt = req.attempt;
-        let tag = self.tag(&req, lane, fair);
+        let tag = self.tag(&req, queue_class, fair);
         let deadline = now + Duration::from_millis(req.deadline_ms);
         let waiting = QueuedRequest {
             req,
             arrived: now,
             deadline,
             tag,
-            lane,
+            queue_class,
             blocked,
             relinked: now,
             was_blocked: Duration::ZERO,
         };
         self.deadlines.insert((deadline, attempt));
-        self.lanes[lane as usize].len += 1;
+        self.queues[queue_class as usize].len += 1;
         self.link(attempt, &waiting);
         self.waiting.insert(attempt, waiting);
     }
@@ -160,7 +160,7 @@
     pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.waiting.swap_remove(&attempt)?;
         self.deadlines.remove(&(waiting.deadline, attempt));
-        self.lanes[waiting.lane as usize].len -= 1;
+        self.queues[waiting.queue_class as usize].len -= 1;
         self.unlink(attempt, &waiting);
         Some(waiting)
     }
@@ -168,27 +168,27 @@
     /// Takes a request out that gets its permit now, which moves its class's virtual time on.
     pub(super) fn take(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.remove(attempt)?;
-        let lane = &mut self.lanes[waiting.lane as usize];
-        lane.virtual_time = lane.virtual_time.max(waiting.tag.start);
+        let queue = &mut self.queues[waiting.queue_class as usize];
+        queue.virtual_time = queue.virtual_time.max(waiting.tag.start);
         Some(waiting)
     }
 
     /// Counts a request that got its permit without waiting.
-    pub(super) fn pass(&mut self, req: &PermitRequest, lane: Class, fair: bool) {
-        let tag = self.tag(req, lane, fair);
-        let lane = &mut self.lanes[lane as usize];
-        lane.virtual_time = lane.virtual_time.max(tag.start);
+    pub(super) fn pass(&mut self, req: &PermitRequest, queue_class: Class, fair: bool) {
+        let tag = self.tag(req, queue_class, fair);
+        let queue = &mut self.queues[queue_class as usize];
+        queue.virtual_time = queue.virtual_time.max(tag.start);
     }
 
     /// Returns the requests of a class that wait for nothing but room, in fair order.
-    pub(super) fn in_order(&self, lane: Class) -> impl Iterator<Item = &QueuedRequest> {
-        let ready = self.lanes[lane as usize].ready.values();
+    pub(super) fn in_order(&self, queue_class: Class) -> impl Iterator<Item = &QueuedRequest> {
+        let ready = self.queues[queue_class as usize].ready.values();
         ready.filter_map(|attempt| self.waiting.get(attempt))
     }
 
     /// Returns the request of a class that has waited longest for nothing but room.
-    pub(super) fn oldest_ready(&self, lane: Class) -> Option<&QueuedRequest> {
-        let (_, attempt) = self.ready_by_age[lane as usize].first()?;
+    pub(super) fn oldest_ready(&self, queue_class: Class) -> Option<&QueuedRequest> {
+        let (_, attempt) = self.ready_by_age[queue_class as usize].first()?;
         self.waiting.get(attempt)
     }
 
@@ -227,13 +227,13 @@
             .peekable();
         let first = waiting.peek()?;
         let mut urgency = LoadUrgency {
-            class: Some(first.lane),
+            class: Some(first.queue_class),
             waiters: 0,
             oldest_ms: 0,
         };
         let mut oldest = now;
         for it in waiting {
-            urgency.class = urgency.class.min(Some(it.lane));
+            urgency.class = urgency.class.min(Some(it.queue_class));
             urgency.waiters += 1;
             oldest = oldest.min(it.arrived);
         }
@@ -242,11 +242,11 @@
     }
 
     /// Returns the most urgent class of the requests that wait for an adapter to be loaded.
-    pub(super) fn lane_blocked_on(&self, model: &AdapterVersion) -> Option<Class> {
+    pub(super) fn class_blocked_on(&self, model: &AdapterVersion) -> Option<Class> {
         let waiting = self.blocked_on(model).iter();
         waiting
             .filter_map(|attempt| self.waiting.get(attempt))
-            .map(|it| it.lane)
+            .map(|it| it.queue_class)
             .min()
     }
 
@@ -295,10 +295,10 @@
             self.blocked.entry(model.clone()).or_default().push(attempt);
             return;
         }
-        self.lanes[waiting.lane as usize]
+        self.queues[waiting.queue_class as usize]
             .ready
             .insert(waiting.tag, attempt);
-        self.ready_by_age[waiting.lane as usize].insert((waiting.arrived, attempt));
+        self.ready_by_age[waiting.queue_class as usize].insert((waiting.arrived, attempt));
         if let Some(model) = &waiting.req.model {
             *self.ready_by_model.entry(model.clone()).or_insert(0) += 1;
         }
@@ -315,8 +315,10 @@
             }
             return;
         }
-        self.lanes[waiting.lane as usize].ready.remove(&waiting.tag);
-        self.ready_by_age[waiting.lane as usize].remove(&(waiting.arrived, attempt));
+        self.queues[waiting.queue_class as usize]
+            .ready
+            .remove(&waiting.tag);
+        self.ready_by_age[waiting.queue_class as usize].remove(&(waiting.arrived, attempt));
         let Some(model) = &waiting.req.model else {
             return;
         };
@@ -328,25 +330,25 @@
         }
     }
 
-    fn tag(&mut self, req: &PermitRequest, lane: Class, fair: bool) -> Tag {
+    fn tag(&mut self, req: &PermitRequest, queue_class: Class, fair: bool) -> Tag {
         self.arrivals += 1;
         let arrival = self.arrivals;
         if !fair {
             return Tag { start: 0, arrival };
         }
-        let lane = &mut self.lanes[lane as usize];
+        let queue = &mut self.queues[queue_class as usize];
         let cost = u64::from(req.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
             + u64::from(req.max_tokens);
         let cost = cost.max(1) * TOKEN_SCALE / u64::from(req.weight.max(1));
-        lane.forget_callers();
-        let finish = lane.finish.entry(req.caller.clone()).or_insert(0);
-        let start = (*finish).max(lane.virtual_time);
+        queue.forget_callers();
+        let finish = queue.finish.entry(req.caller.clone()).or_insert(0);
+        let start = (*finish).max(queue.virtual_time);
         *finish = start + cost;
         Tag { start, arrival }
     }
 }
 
-impl Lane {
+impl ClassQueue {
     /// Forgets callers whose work ended before the virtual time: they start level with newcomers.
     fn forget_callers(&mut self) {
         if self.finish.len() < MAX_TRACKED_CALLERS.max(2 * self.len) {
--- a/crates/chervilshunt_core/src/owner/seats.rs
+++ b/crates/chervilshunt_core/src/owner/seats.rs
@@ -60,9 +60,9 @@
     }
 
     /// Returns the time that a request of a class that arrives now would wait for room.
-    pub(super) fn expected_wait(&self, lane: Class) -> Duration {
+    pub(super) fn expected_wait(&self, queue_class: Class) -> Duration {
         let mut ahead = self.queue.ready(Class::Live);
-        if lane == Class::Deferrable {
+        if queue_class == Class::Deferrable {
             ahead += self.queue.ready(Class::Deferrable);
         }
         let free = self.free_seats();
@@ -76,12 +76,12 @@
     }
 
     /// Whether a request of a class may have a seat now.
-    pub(super) fn admits(&self, lane: Class, now: Moment) -> bool {
+    pub(super) fn admits(&self, queue_class: Class, now: Moment) -> bool {
         if self.closed(now).is_some() || !self.knows_adapters() {
             return false;
         }
         let free = self.free_seats();
-        match lane {
+        match queue_class {
             Class::Live => free > 0,
             Class::Deferrable => free > self.reserved_seats(now) && self.fills(now),
         }
@@ -109,12 +109,12 @@
                 "waited long enough to compete with live work",
             ));
         }
-        for (lane, reason) in [
+        for (queue_class, reason) in [
             (Class::Live, "first in fair order"),
             (Class::Deferrable, "fills the batch"),
         ] {
-            if self.queue.ready(lane) > 0 && self.admits(lane, now) {
-                let next = self.first_in_order(lane)?;
+            if self.queue.ready(queue_class) > 0 && self.admits(queue_class, now) {
+                let next = self.first_in_order(queue_class)?;
                 return Some((next.req.attempt, reason));
             }
         }
@@ -136,12 +136,12 @@
     }
 
     /// Returns the first request in fair order, or one close to it whose prefix is cached.
-    fn first_in_order(&self, lane: Class) -> Option<&QueuedRequest> {
-        let first = self.queue.in_order(lane).next()?;
+    fn first_in_order(&self, queue_class: Class) -> Option<&QueuedRequest> {
+        let first = self.queue.in_order(queue_class).next()?;
         if !self.cfg.mechanisms.prefix {
             return Some(first);
         }
-        let mut near = self.queue.in_order(lane).take(PREFIX_LOOKAHEAD);
+        let mut near = self.queue.in_order(queue_class).take(PREFIX_LOOKAHEAD);
         let cached = near
             .find(|it| it.req.caller == first.req.caller && self.engine.is_cached(it.req.prefix));
         cached.or(Some(first))
