--- a/crates/chervilshunt_core/src/owner/power.rs
+++ b/crates/chervilshunt_core/src/owner/power.rs
@@ -19,12 +19,12 @@
     share_watts: f64,
     sequence: u64,
     confirmed_watts: Option<f64>,
-    reported: Option<Report>,
+    reported: Option<DemandReport>,
     report_pending: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct DemandReport {
     live: usize,
     deferrable: usize,
     at: Moment,
@@ -129,7 +129,7 @@
             return None;
         }
         self.report_pending = false;
-        self.reported = Some(Report {
+        self.reported = Some(DemandReport {
             live,
             deferrable,
             at: now,
