--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -7,7 +7,7 @@
 use super::action::OwnerAction;
 use super::loads::LoadPhase;
 use super::order::{LoadUrgency, OrderId, OrderKind};
-use super::slots::Moving;
+use super::slots::SlotTransition;
 use super::tuning::{
     DEFERRABLE_LOAD_AGE, DEFERRABLE_SLOT_DIVISOR, ENOUGH_READY_DEFERRABLE, MAX_REQUESTED_TURNS,
     PARKED_REVIEW_INTERVAL, PRELOAD_DEMAND_PER_S, PRELOAD_INTERVAL, TURN_RENEWAL_INTERVAL,
@@ -223,10 +223,14 @@
             self.give_turn_back(model, Some(until), now, out);
             return;
         }
-        match self.slots.moving(model) {
+        match self.slots.transition(model) {
             None => {}
-            Some(Moving::Unloading(_)) => return,
-            Some(Moving::Loading(_) | Moving::MaybeLoaded | Moving::MaybeUnloaded) => {
+            Some(SlotTransition::Unloading(_)) => return,
+            Some(
+                SlotTransition::Loading(_)
+                | SlotTransition::MaybeLoaded
+                | SlotTransition::MaybeUnloaded,
+            ) => {
                 self.give_turn_back(model, None, now, out);
                 return;
             }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -5,7 +5,7 @@
 use super::action::OwnerAction;
 use super::loads::LoadPhase;
 use super::order::{EngineOrder, OrderFailure, OrderId, OrderKind};
-use super::slots::Moving;
+use super::slots::SlotTransition;
 use super::tuning::{DEFERRABLE_LOAD_TRIES, LIVE_LOAD_TRIES};
 use super::{ORDER_BITS, Owner};
 use crate::RefusalReason;
@@ -171,7 +171,10 @@
                 self.model_available(model, now, out);
                 return;
             }
-            Err(OrderFailure::Unknown) => self.slots.unanswered(model, Moving::MaybeLoaded, now),
+            Err(OrderFailure::Unknown) => {
+                self.slots
+                    .unanswered(model, SlotTransition::MaybeLoaded, now)
+            }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.load_failed(model),
         }
         // The engine may refuse because it holds the adapter already, or other adapters than it
@@ -188,18 +191,20 @@
         result: Result<(), OrderFailure>,
         now: Moment,
     ) {
-        if self.slots.moving(model) != Some(Moving::Unloading(order)) {
+        if self.slots.transition(model) != Some(SlotTransition::Unloading(order)) {
             return;
         }
         match result {
             Ok(()) => self.slots.unloaded(model, now, now),
             Err(OrderFailure::Unknown) => {
-                self.slots.unanswered(model, Moving::MaybeUnloaded, now);
+                self.slots
+                    .unanswered(model, SlotTransition::MaybeUnloaded, now);
                 self.engine.want_inventory();
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => {
                 // Either the engine does not hold it, or it would not let go: the listing tells.
-                self.slots.unanswered(model, Moving::MaybeUnloaded, now);
+                self.slots
+                    .unanswered(model, SlotTransition::MaybeUnloaded, now);
                 self.engine.want_inventory();
             }
         }
--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -43,7 +43,7 @@
 
 /// What is happening to a slot that is neither pinned nor idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Moving {
+pub(super) enum SlotTransition {
     /// A load is on its way.
     Loading(OrderId),
     /// An unload is on its way.
@@ -55,8 +55,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct MovingSlot {
-    what: Moving,
+struct TransitionSlot {
+    what: SlotTransition,
     since: Moment,
 }
 
@@ -79,7 +79,7 @@
     capacity: usize,
     pinned: IndexMap<AdapterVersion, PinnedSlot>,
     idle: IndexMap<AdapterVersion, IdleSlot>,
-    moving: IndexMap<AdapterVersion, MovingSlot>,
+    transition: IndexMap<AdapterVersion, TransitionSlot>,
     /// Permits for adapters that the engine does not hold, by all that is known.
     orphans: IndexMap<AdapterVersion, u32>,
     /// Adapters that were unloaded, with the time until which a late order may yet hit them.
@@ -99,7 +99,7 @@
             capacity: capacity as usize,
             pinned: IndexMap::new(),
             idle: IndexMap::new(),
-            moving: IndexMap::new(),
+            transition: IndexMap::new(),
             orphans: IndexMap::new(),
             unloaded: IndexMap::new(),
         }
@@ -112,7 +112,7 @@
 
     /// Returns the slots that hold nothing and are promised to nothing.
     pub(super) fn free(&self) -> usize {
-        let taken = self.pinned.len() + self.idle.len() + self.moving.len();
+        let taken = self.pinned.len() + self.idle.len() + self.transition.len();
         self.capacity.saturating_sub(taken)
     }
 
@@ -128,15 +128,20 @@
     }
 
     /// Returns what is happening to the adapter, if it is on its way in or out.
-    pub(super) fn moving(&self, model: &AdapterVersion) -> Option<Moving> {
-        self.moving.get(model).map(|slot| slot.what)
+    pub(super) fn transition(&self, model: &AdapterVersion) -> Option<SlotTransition> {
+        self.transition.get(model).map(|slot| slot.what)
     }
 
     /// Returns the number of slots that an unload will free.
     pub(super) fn unloading(&self) -> usize {
-        self.moving
+        self.transition
             .values()
-            .filter(|slot| matches!(slot.what, Moving::Unloading(_) | Moving::MaybeUnloaded))
+            .filter(|slot| {
+                matches!(
+                    slot.what,
+                    SlotTransition::Unloading(_) | SlotTransition::MaybeUnloaded
+                )
+            })
             .count()
     }
 
@@ -215,8 +220,10 @@
     }
 
     /// Returns the adapters on their way in or out.
-    pub(super) fn all_moving(&self) -> impl Iterator<Item = (&AdapterVersion, Moving)> {
-        self.moving.iter().map(|(model, slot)| (model, slot.what))
+    pub(super) fn transitions(&self) -> impl Iterator<Item = (&AdapterVersion, SlotTransition)> {
+        self.transition
+            .iter()
+            .map(|(model, slot)| (model, slot.what))
     }
 
     /// Lets a pinned adapter take no further permits.
@@ -263,26 +270,26 @@
         now: Moment,
     ) -> AdapterVersion {
         let Evictable { model } = evictable;
-        self.set_moving(model.clone(), Moving::Unloading(order), now);
+        self.set_transition(model.clone(), SlotTransition::Unloading(order), now);
         model
     }
 
     /// Notes that the unload of an adapter is ordered once more.
     pub(super) fn unload_again(&mut self, model: &AdapterVersion, order: OrderId, now: Moment) {
-        if self.moving(model) == Some(Moving::MaybeUnloaded) {
-            self.set_moving(model.clone(), Moving::Unloading(order), now);
+        if self.transition(model) == Some(SlotTransition::MaybeUnloaded) {
+            self.set_transition(model.clone(), SlotTransition::Unloading(order), now);
         }
     }
 
     /// Notes that a load is on its way into a free slot.
     pub(super) fn load(&mut self, model: AdapterVersion, order: OrderId, now: Moment) {
         self.unloaded.swap_remove(&model);
-        self.set_moving(model, Moving::Loading(order), now);
+        self.set_transition(model, SlotTransition::Loading(order), now);
     }
 
     /// Notes that an adapter is loaded.
     pub(super) fn loaded(&mut self, model: &AdapterVersion, now: Moment) {
-        self.moving.swap_remove(model);
+        self.transition.swap_remove(model);
         if self.holds(model) {
             return;
         }
@@ -291,19 +298,19 @@
 
     /// Notes that a load did not happen.
     pub(super) fn load_failed(&mut self, model: &AdapterVersion) {
-        self.moving.swap_remove(model);
+        self.transition.swap_remove(model);
     }
 
     /// Notes that an adapter is unloaded.
     pub(super) fn unloaded(&mut self, model: &AdapterVersion, barred_until: Moment, now: Moment) {
-        if self.moving.swap_remove(model).is_some() {
+        if self.transition.swap_remove(model).is_some() {
             self.note_unloaded(model.clone(), barred_until, now);
         }
     }
 
     /// Notes that an order went unanswered.
-    pub(super) fn unanswered(&mut self, model: &AdapterVersion, what: Moving, now: Moment) {
-        self.set_moving(model.clone(), what, now);
+    pub(super) fn unanswered(&mut self, model: &AdapterVersion, what: SlotTransition, now: Moment) {
+        self.set_transition(model.clone(), what, now);
     }
 
     /// Notes that the engine does not hold an adapter that it was thought to hold.
@@ -353,7 +360,7 @@
         }
         self.settle_unanswered(listed, asked, now, &mut change);
         for model in listed {
-            let unknown = !self.holds(model) && !self.moving.contains_key(model);
+            let unknown = !self.holds(model) && !self.transition.contains_key(model);
             let unloaded_since = self.unloaded.get(model).is_some_and(|it| it.at >= asked);
             if unknown && !unloaded_since {
                 self.insert_loaded(model.clone(), asked);
@@ -376,10 +383,15 @@
         now: Moment,
         change: &mut InventoryChange,
     ) {
-        let unanswered: Vec<(AdapterVersion, MovingSlot)> = self
-            .moving
+        let unanswered: Vec<(AdapterVersion, TransitionSlot)> = self
+            .transition
             .iter()
-            .filter(|(_, slot)| matches!(slot.what, Moving::MaybeLoaded | Moving::MaybeUnloaded))
+            .filter(|(_, slot)| {
+                matches!(
+                    slot.what,
+                    SlotTransition::MaybeLoaded | SlotTransition::MaybeUnloaded
+                )
+            })
             .map(|(model, slot)| (model.clone(), *slot))
             .collect();
         for (model, slot) in unanswered {
@@ -388,17 +400,22 @@
                 continue;
             }
             match (slot.what, listed.contains(&model)) {
-                (Moving::MaybeLoaded, true) => {
+                (SlotTransition::MaybeLoaded, true) => {
                     self.loaded(&model, asked);
                     change.found.push(model);
                 }
-                (Moving::MaybeUnloaded, true) => change.still_there.push(model),
-                (Moving::MaybeUnloaded, false) => {
+                (SlotTransition::MaybeUnloaded, true) => change.still_there.push(model),
+                (SlotTransition::MaybeUnloaded, false) => {
                     let barred_until = slot.since + super::tuning::MAX_ORDER_DELAY;
                     self.unloaded(&model, barred_until, now);
                 }
-                (Moving::MaybeLoaded | Moving::Loading(_) | Moving::Unloading(_), _) => {
-                    self.moving.swap_remove(&model);
+                (
+                    SlotTransition::MaybeLoaded
+                    | SlotTransition::Loading(_)
+                    | SlotTransition::Unloading(_),
+                    _,
+                ) => {
+                    self.transition.swap_remove(&model);
                 }
             }
         }
@@ -426,8 +443,9 @@
         self.pinned.insert(model, slot);
     }
 
-    fn set_moving(&mut self, model: AdapterVersion, what: Moving, now: Moment) {
-        self.moving.insert(model, MovingSlot { what, since: now });
+    fn set_transition(&mut self, model: AdapterVersion, what: SlotTransition, now: Moment) {
+        self.transition
+            .insert(model, TransitionSlot { what, since: now });
     }
 
     fn note_unloaded(&mut self, model: AdapterVersion, barred_until: Moment, now: Moment) {
--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -7,7 +7,7 @@
 
 use super::Owner;
 use super::loads::LoadPhase;
-use super::slots::Moving;
+use super::slots::SlotTransition;
 use crate::Permit;
 
 /// The state of an owner at one moment.
@@ -116,21 +116,27 @@
         });
         let idle = self.slots.idle();
         let idle = idle.map(|(model, _)| self.adapter_view(model, AdapterState::Idle, 0, now));
-        let moving = self.slots.all_moving().map(|(model, what)| {
+        let transitions = self.slots.transitions().map(|(model, what)| {
             let state = match what {
-                Moving::Loading(_) => AdapterState::Loading,
-                Moving::Unloading(_) => AdapterState::Unloading,
-                Moving::MaybeLoaded | Moving::MaybeUnloaded => AdapterState::Unknown,
+                SlotTransition::Loading(_) => AdapterState::Loading,
+                SlotTransition::Unloading(_) => AdapterState::Unloading,
+                SlotTransition::MaybeLoaded | SlotTransition::MaybeUnloaded => {
+                    AdapterState::Unknown
+                }
             };
             self.adapter_view(model, state, 0, now)
         });
         let pending = self.loads.iter().filter(|(model, load)| {
-            let in_slot = self.slots.holds(model) || self.slots.moving(model).is_some();
+            let in_slot = self.slots.holds(model) || self.slots.transition(model).is_some();
             !in_slot && !matches!(load.phase, LoadPhase::Ordered { .. })
         });
         let pending =
             pending.map(|(model, _)| self.adapter_view(model, AdapterState::Pending, 0, now));
-        pinned.chain(idle).chain(moving).chain(pending).collect()
+        pinned
+            .chain(idle)
+            .chain(transitions)
+            .chain(pending)
+            .collect()
     }
 
     fn adapter_view(
