--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -102,7 +102,7 @@
         if change.undecided {
             self.engine.want_inventory();
         }
-        self.slots.forget_unloaded(asked, now);
+        self.slots.prune_recent_unloads(asked, now);
         self.loads.review_due = true;
     }
 
--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -83,11 +83,11 @@
     /// Permits for adapters that the engine does not hold, by all that is known.
     orphans: IndexMap<AdapterVersion, u32>,
     /// Adapters that were unloaded, with the time until which a late order may yet hit them.
-    unloaded: IndexMap<AdapterVersion, Unloaded>,
+    recent_unloads: IndexMap<AdapterVersion, UnloadRecord>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Unloaded {
+struct UnloadRecord {
     at: Moment,
     barred_until: Moment,
 }
@@ -101,7 +101,7 @@
             idle: IndexMap::new(),
             transition: IndexMap::new(),
             orphans: IndexMap::new(),
-            unloaded: IndexMap::new(),
+            recent_unloads: IndexMap::new(),
         }
     }
 
@@ -147,7 +147,7 @@
 
     /// Returns until when a late order may yet unload the adapter, if that lies ahead.
     pub(super) fn barred_until(&self, model: &AdapterVersion, now: Moment) -> Option<Moment> {
-        let until = self.unloaded.get(model)?.barred_until;
+        let until = self.recent_unloads.get(model)?.barred_until;
         (until > now).then_some(until)
     }
 
@@ -283,7 +283,7 @@
 
     /// Notes that a load is on its way into a free slot.
     pub(super) fn load(&mut self, model: AdapterVersion, order: OrderId, now: Moment) {
-        self.unloaded.swap_remove(&model);
+        self.recent_unloads.swap_remove(&model);
         self.set_transition(model, SlotTransition::Loading(order), now);
     }
 
@@ -304,7 +304,7 @@
     /// Notes that an adapter is unloaded.
     pub(super) fn unloaded(&mut self, model: &AdapterVersion, barred_until: Moment, now: Moment) {
         if self.transition.swap_remove(model).is_some() {
-            self.note_unloaded(model.clone(), barred_until, now);
+            self.record_unload(model.clone(), barred_until, now);
         }
     }
 
@@ -361,7 +361,10 @@
         self.settle_unanswered(listed, asked, now, &mut change);
         for model in listed {
             let unknown = !self.holds(model) && !self.transition.contains_key(model);
-            let unloaded_since = self.unloaded.get(model).is_some_and(|it| it.at >= asked);
+            let unloaded_since = self
+                .recent_unloads
+                .get(model)
+                .is_some_and(|it| it.at >= asked);
             if unknown && !unloaded_since {
                 self.insert_loaded(model.clone(), asked);
                 change.found.push(model.clone());
@@ -371,8 +374,8 @@
     }
 
     /// Forgets unloads that no late order or listing can concern any more.
-    pub(super) fn forget_unloaded(&mut self, before: Moment, now: Moment) {
-        self.unloaded
+    pub(super) fn prune_recent_unloads(&mut self, before: Moment, now: Moment) {
+        self.recent_unloads
             .retain(|_, it| it.at >= before || it.barred_until > now);
     }
 
@@ -448,11 +451,11 @@
             .insert(model, TransitionSlot { what, since: now });
     }
 
-    fn note_unloaded(&mut self, model: AdapterVersion, barred_until: Moment, now: Moment) {
-        let unloaded = Unloaded {
+    fn record_unload(&mut self, model: AdapterVersion, barred_until: Moment, now: Moment) {
+        let unloaded = UnloadRecord {
             at: now,
             barred_until,
         };
-        self.unloaded.insert(model, unloaded);
+        self.recent_unloads.insert(model, unloaded);
     }
 }
