--- a/crates/chervilshunt_core/src/owner/settled.rs
+++ b/crates/chervilshunt_core/src/owner/settled.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Settled {
+struct SettledAttempt {
     hops: u8,
     settlement: Settlement,
     at: Moment,
@@ -31,7 +31,7 @@
 /// releases, and its seat in the batch would be lost.
 #[derive(Debug, Default)]
 pub(super) struct SettledAttempts {
-    by_attempt: IndexMap<AttemptId, Settled>,
+    by_attempt: IndexMap<AttemptId, SettledAttempt>,
     order: VecDeque<(Moment, AttemptId)>,
 }
 
@@ -44,8 +44,8 @@
         settlement: Settlement,
         now: Moment,
     ) {
-        self.forget(now);
-        let settled = Settled {
+        self.prune(now);
+        let settled = SettledAttempt {
             hops,
             settlement,
             at: now,
@@ -71,7 +71,7 @@
         settled.is_some_and(|it| matches!(it.settlement, Settlement::Released))
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn prune(&mut self, now: Moment) {
         while let Some((at, attempt)) = self.order.front() {
             let old = now.since(*at) > SETTLED_RETENTION;
             if !old && self.order.len() < MAX_SETTLED_ATTEMPTS {
