--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -25,7 +25,7 @@
         if let Some(model) = &req.model {
             let loaded = self.slots.serves(model);
             self.demand.count(model, req.class, loaded, now);
-            if self.is_wide(model) {
+            if self.is_spread(model) {
                 self.update_spread(model, now);
             }
         }
--- a/crates/chervilshunt_core/src/owner/spread.rs
+++ b/crates/chervilshunt_core/src/owner/spread.rs
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub(super) struct Spread {
     table: TargetTable,
-    wide: IndexMap<AdapterVersion, Wide>,
-    turn: usize,
+    by_adapter: IndexMap<AdapterVersion, AdapterSpread>,
+    rotation: usize,
 }
 
 /// An adapter that is spread over several targets.
 #[derive(Clone, Debug)]
-struct Wide {
+struct AdapterSpread {
     /// The targets, first-ranked first.
     targets: SmallVec<[TargetName; 4]>,
     /// Since when a narrower spread would do.
@@ -38,27 +38,27 @@
     pub(super) fn new(target: &TargetName, peers: &[TargetName]) -> Self {
         Self {
             table: table(target, peers),
-            wide: IndexMap::new(),
-            turn: 0,
+            by_adapter: IndexMap::new(),
+            rotation: 0,
         }
     }
 
     /// Takes the changed targets of the service; spreads are worked out anew as demand shows.
     pub(super) fn set_peers(&mut self, target: &TargetName, peers: &[TargetName]) {
         self.table = table(target, peers);
-        self.wide.clear();
+        self.by_adapter.clear();
     }
 }
 
 impl Owner {
     /// Whether an adapter is spread over several targets.
-    pub(super) fn is_wide(&self, model: &AdapterVersion) -> bool {
-        self.spread.wide.contains_key(model)
+    pub(super) fn is_spread(&self, model: &AdapterVersion) -> bool {
+        self.spread.by_adapter.contains_key(model)
     }
 
     /// Returns the targets over which an adapter is spread, as far as this owner decides it.
     pub(super) fn spread_of(&self, model: Option<&AdapterVersion>) -> SmallVec<[TargetName; 4]> {
-        let wide = model.and_then(|model| self.spread.wide.get(model));
+        let wide = model.and_then(|model| self.spread.by_adapter.get(model));
         match wide {
             Some(wide) => wide.targets.clone(),
             None => std::iter::once(self.cfg.target.clone()).collect(),
@@ -75,13 +75,17 @@
         if !self.cfg.mechanisms.spread {
             return;
         }
-        let width = self.spread.wide.get(model).map_or(1, |it| it.targets.len());
+        let width = self
+            .spread
+            .by_adapter
+            .get(model)
+            .map_or(1, |it| it.targets.len());
         let needed = self.needed_width(model, now);
         if needed > width {
             self.widen(model, needed);
             return;
         }
-        let Some(wide) = self.spread.wide.get_mut(model) else {
+        let Some(wide) = self.spread.by_adapter.get_mut(model) else {
             return;
         };
         if needed == width {
@@ -95,13 +99,13 @@
         wide.unneeded_since = Some(now);
         wide.targets.pop();
         if wide.targets.len() == 1 {
-            self.spread.wide.swap_remove(model);
+            self.spread.by_adapter.swap_remove(model);
         }
     }
 
     /// Spreads an adapter further when requests wait here so long that another load pays.
     pub(super) fn widen_for_wait(&mut self, model: &AdapterVersion, wait: f64, now: Moment) {
-        if !self.cfg.mechanisms.spread || self.spread.wide.contains_key(model) {
+        if !self.cfg.mechanisms.spread || self.spread.by_adapter.contains_key(model) {
             return;
         }
         let saved = self.demand.surge(model, now) * PAYBACK_S * wait;
@@ -119,7 +123,7 @@
         let Some(model) = &req.model else {
             return SmallVec::new();
         };
-        let Some(wide) = self.spread.wide.get(model) else {
+        let Some(wide) = self.spread.by_adapter.get(model) else {
             return SmallVec::new();
         };
         let own = &self.cfg.target;
@@ -136,8 +140,8 @@
             let by_prefix = |it: &TargetName| xxh3_64_with_seed(it.as_str().as_bytes(), req.prefix);
             others.sort_by_key(by_prefix);
         } else {
-            self.spread.turn += 1;
-            let turn = self.spread.turn % others.len();
+            self.spread.rotation += 1;
+            let turn = self.spread.rotation % others.len();
             others.rotate_left(turn);
         }
         others
@@ -186,11 +190,11 @@
         if targets.len() < 2 {
             return;
         }
-        let wide = Wide {
+        let wide = AdapterSpread {
             targets,
             unneeded_since: None,
         };
-        self.spread.wide.insert(model.clone(), wide);
+        self.spread.by_adapter.insert(model.clone(), wide);
     }
 }
 
