--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -43,7 +43,7 @@
 use crate::decay::{DecayedLevel, DurationAverage};
 use crate::{Decision, DecisionKind, RefusalReason, Waited};
 use engine::EngineView;
-use health::Health;
+use health::CallHealth;
 use loads::Loads;
 use permits::Permits;
 use power::PowerShare;
@@ -77,7 +77,7 @@
     evicted: IndexSet<AdapterVersion>,
     spread: Spread,
     engine: EngineView,
-    health: Health,
+    health: CallHealth,
     power: PowerShare,
     service_time: DurationAverage,
     live_load: DecayedLevel,
@@ -114,7 +114,7 @@
             evicted: IndexSet::new(),
             spread: Spread::new(&cfg.target, &cfg.peers),
             engine: EngineView::new(cfg.slots > 0),
-            health: Health::new(cfg.breaker, now),
+            health: CallHealth::new(cfg.breaker, now),
             power: PowerShare::new(&cfg),
             service_time: DurationAverage::new(tuning::INITIAL_SERVICE_TIME),
             live_load: DecayedLevel::default(),
@@ -136,7 +136,7 @@
         self.handled = now;
         self.take(event, now, &mut out);
         self.expire(now, &mut out);
-        self.pass_probe(now, &mut out);
+        self.pass_long_probe(now, &mut out);
         self.look_ahead(now);
         self.advance_loads(now, &mut out);
         self.dispatch(now, &mut out);
@@ -164,7 +164,7 @@
             ahead.then(|| self.looked_ahead + tuning::PRELOAD_INTERVAL),
             self.engine.next_ask(),
             self.next_age(self.handled),
-            self.next_health(),
+            self.next_breaker_check(),
             Some(self.power.next_report().unwrap_or(self.handled)),
         ];
         due.into_iter().flatten().min()
--- a/crates/chervilshunt_core/src/owner/health.rs
+++ b/crates/chervilshunt_core/src/owner/health.rs
@@ -22,14 +22,14 @@
 
 /// What the calls to a target say of it.
 #[derive(Debug)]
-pub(super) struct Health {
+pub(super) struct CallHealth {
     breaker: Breaker,
     /// The call that shows whether the target is back, with when it began.
     probe: Option<(AttemptId, BreakerTicket, Moment)>,
     first_byte: DurationAverage,
 }
 
-impl Health {
+impl CallHealth {
     /// Starts with a target that is taken to be sound.
     pub(super) fn new(cfg: BreakerConfig, now: Moment) -> Self {
         Self {
@@ -59,10 +59,10 @@
     ///
     /// An answer may take minutes. A target that fails does so at the start: until a stream's end
     /// one that is sound again would get one request at a time.
-    fn probe_passes(&self) -> Option<Moment> {
-        let patience = self.first_byte.get() * PROBE_SUCCESS_FACTOR;
+    fn probe_passes_at(&self) -> Option<Moment> {
+        let delay = self.first_byte.get() * PROBE_SUCCESS_FACTOR;
         let (.., began) = self.probe.as_ref()?;
-        Some(*began + patience.clamp(PROBE_SUCCESS_RANGE.0, PROBE_SUCCESS_RANGE.1))
+        Some(*began + delay.clamp(PROBE_SUCCESS_RANGE.0, PROBE_SUCCESS_RANGE.1))
     }
 
     fn record(
@@ -82,16 +82,16 @@
 
 impl Owner {
     /// Returns when the breaker has to be looked at next.
-    pub(super) fn next_health(&self) -> Option<Moment> {
+    pub(super) fn next_breaker_check(&self) -> Option<Moment> {
         let opens = self.health.refused_until(self.handled);
         let waits = self.queue.iter().next().is_some();
-        let passes = self.health.probe_passes();
+        let passes = self.health.probe_passes_at();
         opens.filter(|_| waits).into_iter().chain(passes).min()
     }
 
     /// Counts a probe that has run for long enough as a success.
-    pub(super) fn pass_probe(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        if self.health.probe_passes().is_none_or(|at| at > now) {
+    pub(super) fn pass_long_probe(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        if self.health.probe_passes_at().is_none_or(|at| at > now) {
             return;
         }
         if let Some((attempt, ticket, _)) = self.health.probe {
