--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -7,6 +7,7 @@
 mod action;
 mod admit;
 mod answer;
+mod batch;
 mod config;
 mod demand;
 mod engine;
@@ -21,7 +22,6 @@
 mod power;
 mod queue;
 mod release;
-mod seats;
 mod settled;
 mod slots;
 mod spread;
@@ -163,7 +163,7 @@
             renewal,
             ahead.then(|| self.looked_ahead + tuning::PRELOAD_INTERVAL),
             self.engine.next_ask(),
-            self.next_age(self.handled),
+            self.next_age_check(self.handled),
             self.next_breaker_check(),
             Some(self.power.next_report().unwrap_or(self.handled)),
         ];
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -239,7 +239,9 @@
             .expected_wait(self.queue_class(req.class))
             .as_secs_f64();
         self.widen_for_wait(&model, wait, now);
-        if self.cfg.mechanisms.prefix && self.engine.is_cached(req.prefix) && self.free_seats() > 0
+        if self.cfg.mechanisms.prefix
+            && self.engine.is_cached(req.prefix)
+            && self.free_batch_slots() > 0
         {
             return None;
         }
--- a/crates/chervilshunt_core/src/owner/seats.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns the seats in the batch that are free, within the share of power.
-    pub(super) fn free_seats(&self) -> usize {
+    pub(super) fn free_batch_slots(&self) -> usize {
         let taken = self.permits.len() + self.engine.foreign();
         let taken = taken.saturating_add(self.unknown_sequences());
         let more = usize::from(self.bugs.has(Bug::GrantsBeyondBatch));
@@ -43,7 +43,7 @@
     }
 
     /// Returns the seats that live work is likely to need beyond those that it holds.
-    pub(super) fn reserved_seats(&self, now: Moment) -> usize {
+    pub(super) fn reserved_batch_slots(&self, now: Moment) -> usize {
         let average = self.live_load.average(LIVE_LOAD_HALF_LIFE, now);
         let wanted =
             average + HEADROOM_STD_DEVS * self.stall_weight().sqrt() * average.max(0.25).sqrt();
@@ -51,10 +51,10 @@
     }
 
     /// Returns when a waiting deferrable request is next to be looked at because of its age.
-    pub(super) fn next_age(&self, now: Moment) -> Option<Moment> {
+    pub(super) fn next_age_check(&self, now: Moment) -> Option<Moment> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = oldest.arrived + age_limit(&oldest.req);
-        let held = oldest.arrived + self.fill_hold();
+        let held = oldest.arrived + self.max_fill_wait();
         let turn = aged.max(self.deferrable_granted + AGED_GRANT_INTERVAL);
         [aged, held, turn].into_iter().filter(|at| *at > now).min()
     }
@@ -65,14 +65,14 @@
         if queue_class == Class::Deferrable {
             ahead += self.queue.ready(Class::Deferrable);
         }
-        let free = self.free_seats();
+        let free = self.free_batch_slots();
         if ahead < free {
             return Duration::ZERO;
         }
-        let seats = self.power.batch_bound().max(1) as f64;
+        let batch_slots = self.power.batch_bound().max(1) as f64;
         self.service_time
             .get()
-            .mul_f64((ahead - free + 1) as f64 / seats)
+            .mul_f64((ahead - free + 1) as f64 / batch_slots)
     }
 
     /// Whether a request of a class may have a seat now.
@@ -80,30 +80,30 @@
         if self.closed(now).is_some() || !self.knows_adapters() {
             return false;
         }
-        let free = self.free_seats();
+        let free = self.free_batch_slots();
         match queue_class {
             Class::Live => free > 0,
-            Class::Deferrable => free > self.reserved_seats(now) && self.fills(now),
+            Class::Deferrable => free > self.reserved_batch_slots(now) && self.may_fill_batch(now),
         }
     }
 
     /// Whether deferrable work would fill steps that run anyway, or a batch of its own.
-    fn fills(&self, now: Moment) -> bool {
+    fn may_fill_batch(&self, now: Moment) -> bool {
         if self.permits.len() > 0 {
             return true;
         }
         let wanted = (self.power.batch_bound() as f64 * MIN_FILL_PART).ceil() as usize;
         let oldest = self.queue.oldest_ready(Class::Deferrable);
-        let held = oldest.is_some_and(|it| now.since(it.arrived) >= self.fill_hold());
+        let held = oldest.is_some_and(|it| now.since(it.arrived) >= self.max_fill_wait());
         held || self.queue.ready(Class::Deferrable) >= wanted
     }
 
-    fn fill_hold(&self) -> Duration {
+    fn max_fill_wait(&self) -> Duration {
         MAX_FILL_WAIT.div_f64(self.stall_weight())
     }
 
     fn next_admissible(&self, now: Moment) -> Option<(AttemptId, &'static str)> {
-        if let Some(aged) = self.aged(now) {
+        if let Some(aged) = self.aged_request(now) {
             return Some((
                 aged.req.attempt,
                 "waited long enough to compete with live work",
@@ -127,7 +127,7 @@
     /// Its turn comes after so many live permits or after a pause, also while no live request
     /// waits: in a flood all deferrable requests are old, and would otherwise take every seat that
     /// is kept for live work as soon as it is free.
-    fn aged(&self, now: Moment) -> Option<&QueuedRequest> {
+    fn aged_request(&self, now: Moment) -> Option<&QueuedRequest> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = now.since(oldest.arrived) >= age_limit(&oldest.req);
         let paused = now.since(self.deferrable_granted) >= AGED_GRANT_INTERVAL;
--- a/crates/chervilshunt_core/src/owner/spread.rs
+++ b/crates/chervilshunt_core/src/owner/spread.rs
@@ -174,8 +174,8 @@
 
     fn needed_width(&self, model: &AdapterVersion, now: Moment) -> usize {
         let running = self.demand.surge(model, now) * self.service_time.get().as_secs_f64();
-        let seats = self.power.batch_bound().max(1) as f64 * SPREAD_FILL;
-        let needed = (running / seats).ceil() as usize;
+        let batch_slots = self.power.batch_bound().max(1) as f64 * SPREAD_FILL;
+        let needed = (running / batch_slots).ceil() as usize;
         needed.clamp(1, MAX_SPREAD)
     }
 
