--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -172,8 +172,8 @@
 
     fn take(&mut self, event: OwnerEvent, now: Moment, out: &mut Vec<OwnerAction>) {
         match event {
-            OwnerEvent::PermitRequested(req) => self.request(req, now, out),
-            OwnerEvent::PermitReleased(released) => self.release(&released, now, out),
+            OwnerEvent::PermitRequested(req) => self.permit_requested(req, now, out),
+            OwnerEvent::PermitReleased(released) => self.permit_released(&released, now, out),
             OwnerEvent::EntryLeft(entry) => self.entry_left(&entry, now),
             OwnerEvent::TurnGranted { order, queue_wait } => {
                 self.loads.queue_told(queue_wait, now);
@@ -194,7 +194,7 @@
             OwnerEvent::Draining(draining) => {
                 self.draining = draining;
                 if draining {
-                    self.turn_all_away(RefusalReason::Draining, now, out);
+                    self.redirect_or_refuse_all(RefusalReason::Draining, now, out);
                 }
             }
             OwnerEvent::PeersChanged(peers) => self.spread.set_peers(&self.cfg.target, &peers),
@@ -209,7 +209,7 @@
             self.refuse_queued(attempt, RefusalReason::Deadline, now, out);
         }
         while let Some(attempt) = self.permits.ended(now) {
-            self.free(attempt, now, out);
+            self.release_unreported(attempt, now, out);
         }
     }
 
@@ -221,7 +221,7 @@
         if !reachable {
             self.engine.forget_work();
             self.give_orders_up(now, out);
-            self.turn_all_away(RefusalReason::TargetDown, now, out);
+            self.redirect_or_refuse_all(RefusalReason::TargetDown, now, out);
             return;
         }
         if self.slots.exist() {
@@ -249,7 +249,7 @@
             self.log(DecisionKind::Power, None, None, reason, None, out);
         }
         if self.power.parked() {
-            self.send_all_on(now, out);
+            self.redirect_all(now, out);
         }
     }
 
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -18,8 +18,13 @@
 
 impl Owner {
     /// Takes a request for a permit: grants, queues, redirects or refuses it.
-    pub(super) fn request(&mut self, req: PermitRequest, now: Moment, out: &mut Vec<OwnerAction>) {
-        if self.answered_before(&req, out) {
+    pub(super) fn permit_requested(
+        &mut self,
+        req: PermitRequest,
+        now: Moment,
+        out: &mut Vec<OwnerAction>,
+    ) {
+        if self.repeat_answer(&req, out) {
             return;
         }
         if let Some(model) = &req.model {
@@ -29,8 +34,8 @@
                 self.update_spread(model, now);
             }
         }
-        if let Some(reason) = self.closed(now) {
-            self.turn_away(req, reason, now, out);
+        if let Some(reason) = self.closed_reason(now) {
+            self.redirect_or_refuse(req, reason, now, out);
             return;
         }
         if req.deadline_ms == 0 {
@@ -52,11 +57,11 @@
             self.grant(req, "room in the batch", now, out);
             return;
         }
-        if let Some((targets, reason)) = self.better_elsewhere(&req, waits_for_load, now) {
+        if let Some((targets, reason)) = self.find_better_targets(&req, waits_for_load, now) {
             self.redirect(req, targets, reason, now, out);
             return;
         }
-        if let Some((reason, retry_after)) = self.hopeless(&req, waits_for_load, now) {
+        if let Some((reason, retry_after)) = self.reason_not_to_queue(&req, waits_for_load, now) {
             self.refuse(req, reason, retry_after, now, out);
             return;
         }
@@ -64,7 +69,7 @@
     }
 
     /// Turns every waiting request away, as the target takes no new work.
-    pub(super) fn turn_all_away(
+    pub(super) fn redirect_or_refuse_all(
         &mut self,
         reason: RefusalReason,
         now: Moment,
@@ -75,15 +80,15 @@
             let Some(waiting) = self.queue.get(attempt) else {
                 continue;
             };
-            if may_come_back(reason) && self.stays_while_down(&waiting.req) {
+            if is_temporary(reason) && self.waits_out_outage(&waiting.req) {
                 continue;
             }
-            self.turn_queued_away(attempt, reason, now, out);
+            self.redirect_or_refuse_queued(attempt, reason, now, out);
         }
     }
 
     /// Sends every waiting request on, as the target has no power to serve it.
-    pub(super) fn send_all_on(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    pub(super) fn redirect_all(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let waiting: Vec<AttemptId> = self.queue.iter().map(|it| it.req.attempt).collect();
         for attempt in waiting {
             let Some(waiting) = self.queue.get(attempt) else {
@@ -100,7 +105,7 @@
     }
 
     /// Sends a request that waits to another target, or refuses it.
-    pub(super) fn turn_queued_away(
+    pub(super) fn redirect_or_refuse_queued(
         &mut self,
         attempt: AttemptId,
         reason: RefusalReason,
@@ -108,7 +113,7 @@
         out: &mut Vec<OwnerAction>,
     ) {
         if let Some(waiting) = self.queue.remove(attempt) {
-            self.turn_away(waiting.end(now), reason, now, out);
+            self.redirect_or_refuse(waiting.end(now), reason, now, out);
         }
     }
 
@@ -136,7 +141,7 @@
         }
     }
 
-    fn answered_before(&self, req: &PermitRequest, out: &mut Vec<OwnerAction>) -> bool {
+    fn repeat_answer(&self, req: &PermitRequest, out: &mut Vec<OwnerAction>) -> bool {
         if let Some(held) = self.permits.get(req.attempt) {
             let answer = PermitAnswer::Granted {
                 permit: held.permit.clone(),
@@ -159,7 +164,7 @@
         }
     }
 
-    pub(super) fn closed(&self, now: Moment) -> Option<RefusalReason> {
+    pub(super) fn closed_reason(&self, now: Moment) -> Option<RefusalReason> {
         if self.fenced {
             return Some(RefusalReason::NotOwner);
         }
@@ -173,7 +178,7 @@
         failing.map(|_| RefusalReason::TargetFailing)
     }
 
-    fn turn_away(
+    fn redirect_or_refuse(
         &mut self,
         timed: impl Into<TimedRequest>,
         reason: RefusalReason,
@@ -187,7 +192,7 @@
             self.redirect(timed, targets, reason.as_str(), now, out);
             return;
         }
-        if may_come_back(reason) && self.stays_while_down(req) {
+        if is_temporary(reason) && self.waits_out_outage(req) {
             let queue_class = self.queue_class(req.class);
             let waits_for_load = self.waits_for_load(req);
             self.enqueue(timed.req, queue_class, waits_for_load, now, out);
@@ -198,7 +203,7 @@
     }
 
     /// Whether a request waits until the target is back, rather than fail.
-    fn stays_while_down(&self, req: &PermitRequest) -> bool {
+    fn waits_out_outage(&self, req: &PermitRequest) -> bool {
         req.class == Class::Deferrable && self.next_ranked(req, MAX_CLOSED_HOPS).is_empty()
     }
 
@@ -208,7 +213,7 @@
     }
 
     /// Returns where a request is better off that can't be granted at once, with the reason.
-    fn better_elsewhere(
+    fn find_better_targets(
         &mut self,
         req: &PermitRequest,
         waits_for_load: bool,
@@ -250,7 +255,7 @@
     }
 
     /// Returns why a request would be held for nothing, and when to ask again.
-    fn hopeless(
+    fn reason_not_to_queue(
         &self,
         req: &PermitRequest,
         waits_for_load: bool,
@@ -258,7 +263,7 @@
     ) -> Option<(RefusalReason, Duration)> {
         let queue_class = self.queue_class(req.class);
         let left = Duration::from_millis(req.deadline_ms);
-        if let Some(until) = self.load_given_up(req, now) {
+        if let Some(until) = self.load_suspended_until(req, now) {
             return Some((RefusalReason::LoadFailed, now.until(until)));
         }
         if self.queue.len(queue_class) >= self.queue_bound(queue_class) {
@@ -305,7 +310,7 @@
     }
 
     /// Returns until when an adapter isn't tried again whose tries are used up.
-    pub(super) fn load_given_up(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
+    pub(super) fn load_suspended_until(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
         let load = self.loads.get(req.model.as_ref()?)?;
         let LoadPhase::Backoff { until } = load.phase else {
             return None;
@@ -339,7 +344,7 @@
 }
 
 /// Whether a target that takes nothing for this reason is likely to be back before long.
-fn may_come_back(reason: RefusalReason) -> bool {
+fn is_temporary(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::TargetDown | RefusalReason::TargetFailing => true,
         RefusalReason::QueueFull
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -103,7 +103,7 @@
     ) -> Duration {
         match reason {
             RefusalReason::LoadFailed => {
-                let until = self.load_given_up(req, now);
+                let until = self.load_suspended_until(req, now);
                 until.map_or(RETRY_AFTER_RANGE.0, |until| now.until(until))
             }
             RefusalReason::QueueFull => self.expected_wait(self.queue_class(req.class)),
--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -77,7 +77,7 @@
 
     /// Whether a request of a class may have a seat now.
     pub(super) fn admits(&self, queue_class: Class, now: Moment) -> bool {
-        if self.closed(now).is_some() || !self.knows_adapters() {
+        if self.closed_reason(now).is_some() || !self.knows_adapters() {
             return false;
         }
         let free = self.free_batch_slots();
--- a/crates/chervilshunt_core/src/owner/health.rs
+++ b/crates/chervilshunt_core/src/owner/health.rs
@@ -160,7 +160,7 @@
         };
         self.log(DecisionKind::Breaker, None, None, reason, None, out);
         if transition.to == BreakerState::Open {
-            self.turn_all_away(RefusalReason::TargetFailing, now, out);
+            self.redirect_or_refuse_all(RefusalReason::TargetFailing, now, out);
         }
     }
 }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -234,7 +234,7 @@
             .collect();
         for attempt in given_up {
             if engine_at_fault {
-                self.turn_queued_away(attempt, RefusalReason::LoadFailed, now, out);
+                self.redirect_or_refuse_queued(attempt, RefusalReason::LoadFailed, now, out);
             } else {
                 self.refuse_queued(attempt, RefusalReason::LoadFailed, now, out);
             }
--- a/crates/chervilshunt_core/src/owner/release.rs
+++ b/crates/chervilshunt_core/src/owner/release.rs
@@ -11,7 +11,7 @@
 
 impl Owner {
     /// Takes a permit back, or a request that is withdrawn while it waits.
-    pub(super) fn release(
+    pub(super) fn permit_released(
         &mut self,
         released: &ReleasedPermit,
         now: Moment,
@@ -36,7 +36,7 @@
                 | ReleaseOutcome::TimedOut => {}
             }
         }
-        self.end(attempt, Some(released.outcome), now, out);
+        self.end_attempt(attempt, Some(released.outcome), now, out);
     }
 
     /// Drops the requests of an instance that has left, and lets its permits end by themselves.
@@ -62,12 +62,17 @@
     }
 
     /// Frees the seat and the pin of an attempt whose end nobody has told.
-    pub(super) fn free(&mut self, attempt: AttemptId, now: Moment, out: &mut Vec<OwnerAction>) {
-        self.end(attempt, None, now, out);
+    pub(super) fn release_unreported(
+        &mut self,
+        attempt: AttemptId,
+        now: Moment,
+        out: &mut Vec<OwnerAction>,
+    ) {
+        self.end_attempt(attempt, None, now, out);
     }
 
     /// Frees the seat and the pin of an attempt; a second time does nothing.
-    fn end(
+    fn end_attempt(
         &mut self,
         attempt: AttemptId,
         outcome: Option<ReleaseOutcome>,
