--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -67,7 +67,7 @@
     queue: Queue,
     settled: SettledAttempts,
     /// Entry instances that have left of late.
-    left: IndexMap<InstanceId, Moment>,
+    left_entries: IndexMap<InstanceId, Moment>,
     slots: Slots,
     loads: Loads,
     /// Orders that the engine has not answered.
@@ -81,13 +81,13 @@
     power: PowerShare,
     service_time: DurationAverage,
     live_load: DecayedLevel,
-    live_since_aged: u32,
+    live_grants_since_deferrable: u32,
     /// When a deferrable request last got its permit.
-    deferrable_granted: Moment,
-    last_loaded: Option<Moment>,
-    looked_ahead: Moment,
+    last_deferrable_grant: Moment,
+    last_load: Option<Moment>,
+    last_preload_check: Moment,
     /// When the last event was handled.
-    handled: Moment,
+    last_event: Moment,
     draining: bool,
     /// Whether the engine has told that somebody else owns the target.
     fenced: bool,
@@ -106,7 +106,7 @@
             permits: Permits::default(),
             queue: Queue::default(),
             settled: SettledAttempts::default(),
-            left: IndexMap::new(),
+            left_entries: IndexMap::new(),
             slots: Slots::new(cfg.slots),
             loads: Loads::new(first_order, now),
             orders: IndexMap::new(),
@@ -118,11 +118,11 @@
             power: PowerShare::new(&cfg),
             service_time: DurationAverage::new(tuning::INITIAL_SERVICE_TIME),
             live_load: DecayedLevel::default(),
-            live_since_aged: 0,
-            deferrable_granted: now,
-            last_loaded: None,
-            looked_ahead: now,
-            handled: now,
+            live_grants_since_deferrable: 0,
+            last_deferrable_grant: now,
+            last_load: None,
+            last_preload_check: now,
+            last_event: now,
             draining: false,
             fenced: false,
             bugs: Bugs::default(),
@@ -133,11 +133,11 @@
     /// Takes one event and says what is to be done.
     pub fn handle(&mut self, event: OwnerEvent, now: Moment) -> Vec<OwnerAction> {
         let mut out = Vec::new();
-        self.handled = now;
-        self.take(event, now, &mut out);
+        self.last_event = now;
+        self.apply(event, now, &mut out);
         self.expire(now, &mut out);
         self.pass_long_probe(now, &mut out);
-        self.look_ahead(now);
+        self.preload_evicted(now);
         self.advance_loads(now, &mut out);
         self.dispatch(now, &mut out);
         self.ask_inventory(now, &mut out);
@@ -161,16 +161,16 @@
             self.permits.next_end(),
             self.loads.next_backoff(),
             renewal,
-            ahead.then(|| self.looked_ahead + tuning::PRELOAD_INTERVAL),
+            ahead.then(|| self.last_preload_check + tuning::PRELOAD_INTERVAL),
             self.engine.next_ask(),
-            self.next_age_check(self.handled),
+            self.next_age_check(self.last_event),
             self.next_breaker_check(),
-            Some(self.power.next_report().unwrap_or(self.handled)),
+            Some(self.power.next_report().unwrap_or(self.last_event)),
         ];
         due.into_iter().flatten().min()
     }
 
-    fn take(&mut self, event: OwnerEvent, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn apply(&mut self, event: OwnerEvent, now: Moment, out: &mut Vec<OwnerAction>) {
         match event {
             OwnerEvent::PermitRequested(req) => self.permit_requested(req, now, out),
             OwnerEvent::PermitReleased(released) => self.permit_released(&released, now, out),
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -26,10 +26,13 @@
             self.slots.pin(model, now);
         }
         match req.class {
-            Class::Live => self.live_since_aged = self.live_since_aged.saturating_add(1),
+            Class::Live => {
+                self.live_grants_since_deferrable =
+                    self.live_grants_since_deferrable.saturating_add(1)
+            }
             Class::Deferrable => {
-                self.live_since_aged = 0;
-                self.deferrable_granted = now;
+                self.live_grants_since_deferrable = 0;
+                self.last_deferrable_grant = now;
             }
         }
         let permit = Permit {
--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -55,7 +55,7 @@
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = oldest.arrived + age_limit(&oldest.req);
         let held = oldest.arrived + self.max_fill_wait();
-        let turn = aged.max(self.deferrable_granted + AGED_GRANT_INTERVAL);
+        let turn = aged.max(self.last_deferrable_grant + AGED_GRANT_INTERVAL);
         [aged, held, turn].into_iter().filter(|at| *at > now).min()
     }
 
@@ -130,8 +130,8 @@
     fn aged_request(&self, now: Moment) -> Option<&QueuedRequest> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = now.since(oldest.arrived) >= age_limit(&oldest.req);
-        let paused = now.since(self.deferrable_granted) >= AGED_GRANT_INTERVAL;
-        let turn = self.live_since_aged >= LIVE_GRANTS_PER_AGED || paused;
+        let paused = now.since(self.last_deferrable_grant) >= AGED_GRANT_INTERVAL;
+        let turn = self.live_grants_since_deferrable >= LIVE_GRANTS_PER_AGED || paused;
         (aged && turn && self.admits(Class::Live, now)).then_some(oldest)
     }
 
--- a/crates/chervilshunt_core/src/owner/health.rs
+++ b/crates/chervilshunt_core/src/owner/health.rs
@@ -83,7 +83,7 @@
 impl Owner {
     /// Returns when the breaker has to be looked at next.
     pub(super) fn next_breaker_check(&self) -> Option<Moment> {
-        let opens = self.health.refused_until(self.handled);
+        let opens = self.health.refused_until(self.last_event);
         let waits = self.queue.iter().next().is_some();
         let passes = self.health.probe_passes_at();
         opens.filter(|_| waits).into_iter().chain(passes).min()
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -112,8 +112,8 @@
     }
 
     /// Looks for an adapter whose lasting demand pays for a load ahead of the next request.
-    pub(super) fn look_ahead(&mut self, now: Moment) {
-        let pause_over = now.since(self.looked_ahead) >= PRELOAD_INTERVAL;
+    pub(super) fn preload_evicted(&mut self, now: Moment) {
+        let pause_over = now.since(self.last_preload_check) >= PRELOAD_INTERVAL;
         let idle_store = self.loads.scheduler_reachable
             && self.loads.is_empty()
             && self.loads.queue_wait(now) <= self.loads.load_time();
@@ -121,7 +121,7 @@
         if !wanted || !idle_store {
             return;
         }
-        self.looked_ahead = now;
+        self.last_preload_check = now;
         let demand = |model: &AdapterVersion| self.demand.lasting(model, now);
         let best = self
             .evicted
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -167,7 +167,7 @@
         match result {
             Ok(()) => {
                 self.slots.loaded(model, now);
-                self.last_loaded = Some(now);
+                self.last_load = Some(now);
                 self.model_available(model, now, out);
                 return;
             }
@@ -221,7 +221,7 @@
         // An engine that has loaded nothing since this load was first wanted may be at fault, and
         // the next-ranked one may do better; otherwise the weights are.
         let wanted = self.loads.get(model).map_or(now, |load| load.wanted);
-        let engine_at_fault = self.last_loaded.is_none_or(|last| last < wanted);
+        let engine_at_fault = self.last_load.is_none_or(|last| last < wanted);
         let given_up: Vec<AttemptId> = self
             .queue
             .blocked_on(model)
--- a/crates/chervilshunt_core/src/owner/release.rs
+++ b/crates/chervilshunt_core/src/owner/release.rs
@@ -49,9 +49,9 @@
             self.settled
                 .insert(attempt, u8::MAX, Settlement::Released, now);
         }
-        self.left
+        self.left_entries
             .retain(|_, at| now.since(*at) <= SETTLED_RETENTION);
-        self.left.insert(entry.clone(), now);
+        self.left_entries.insert(entry.clone(), now);
         self.end_permits_of(entry, now);
     }
 
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -76,7 +76,7 @@
                 self.slots.pin_learnt(&model, now);
             }
         }
-        if self.left.contains_key(entry) {
+        if self.left_entries.contains_key(entry) {
             self.end_permits_of(entry, now);
         }
         self.permits_changed(now);
