--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -155,13 +155,13 @@
     pub fn next_wakeup(&self) -> Option<Moment> {
         let renewal =
             (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW_INTERVAL);
-        let ahead = !self.evicted.is_empty() && self.loads.is_empty();
+        let preload = !self.evicted.is_empty() && self.loads.is_empty();
         let due = [
             self.queue.next_deadline(),
             self.permits.next_end(),
             self.loads.next_backoff(),
             renewal,
-            ahead.then(|| self.last_preload_check + tuning::PRELOAD_INTERVAL),
+            preload.then(|| self.last_preload_check + tuning::PRELOAD_INTERVAL),
             self.engine.next_ask(),
             self.next_age_check(self.last_event),
             self.next_breaker_check(),
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -151,7 +151,7 @@
             .loads
             .iter()
             .filter(|(model, load)| {
-                !load.ahead
+                !load.preload
                     && self.queue.blocked_on(model).is_empty()
                     && !matches!(
                         load.phase,
@@ -253,10 +253,10 @@
             return;
         };
         load.phase = LoadPhase::Ordered { at: now };
-        let (order, ahead) = (load.order, load.ahead);
+        let (order, preload) = (load.order, load.preload);
         self.slots.load(model.clone(), order, now);
         self.evicted.swap_remove(model);
-        let reason = if ahead {
+        let reason = if preload {
             "ahead of demand"
         } else {
             "requests wait for it"
@@ -277,7 +277,7 @@
         let Some(victim) = self.victim(now) else {
             return false;
         };
-        if self.loads.get(model).is_some_and(|load| load.ahead) {
+        if self.loads.get(model).is_some_and(|load| load.preload) {
             return false;
         }
         let Some(evictable) = self.slots.take_evictable(&victim.model) else {
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -49,7 +49,7 @@
     /// Since when it is wanted.
     pub(super) wanted: Moment,
     /// Whether it is wanted without a request that waits for it.
-    pub(super) ahead: bool,
+    pub(super) preload: bool,
     /// When it was given its turn, if it has one.
     pub(super) granted: Option<Moment>,
     /// When the load scheduler was last told that the turn is in use.
@@ -151,9 +151,9 @@
     }
 
     /// Wants an adapter loaded.
-    pub(super) fn want(&mut self, model: &AdapterVersion, ahead: bool, now: Moment) {
+    pub(super) fn want(&mut self, model: &AdapterVersion, preload: bool, now: Moment) {
         if let Some(load) = self.by_model.get_mut(model) {
-            load.ahead &= ahead;
+            load.preload &= preload;
             return;
         }
         let order = self.new_order();
@@ -163,7 +163,7 @@
             tries: 0,
             since: now,
             wanted: now,
-            ahead,
+            preload,
             granted: None,
             told: now,
         };
