--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -176,7 +176,7 @@
             OwnerEvent::PermitReleased(released) => self.permit_released(&released, now, out),
             OwnerEvent::EntryLeft(entry) => self.entry_left(&entry, now),
             OwnerEvent::TurnGranted { order, queue_wait } => {
-                self.loads.queue_told(queue_wait, now);
+                self.loads.set_queue_wait(queue_wait, now);
                 self.turn_granted(order, now, out);
             }
             OwnerEvent::SchedulerReachable(yes) => self.scheduler_reachable(yes, now, out),
@@ -220,7 +220,7 @@
         self.engine.reachable = reachable;
         if !reachable {
             self.engine.forget_work();
-            self.give_orders_up(now, out);
+            self.fail_pending_orders(now, out);
             self.redirect_or_refuse_all(RefusalReason::TargetDown, now, out);
             return;
         }
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -338,7 +338,7 @@
         let fair = self.cfg.mechanisms.fairness;
         self.queue.push(req, queue_class, fair, waits_for_load, now);
         if let (true, Some(model)) = (waits_for_load, model) {
-            self.want_load(&model, now, out);
+            self.request_load(&model, now, out);
         }
     }
 }
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -25,13 +25,13 @@
 impl Owner {
     /// Wants the adapter of a waiting request loaded, and tells the scheduler if that makes a
     /// turn asked for before more urgent.
-    pub(super) fn want_load(
+    pub(super) fn request_load(
         &mut self,
         model: &AdapterVersion,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        self.loads.want(model, false, now);
+        self.loads.request(model, false, now);
         let Some(load) = self.loads.get(model) else {
             return;
         };
@@ -52,17 +52,17 @@
         if self.loads.is_empty() || self.fenced {
             return;
         }
-        self.drop_unwanted(now, out);
+        self.withdraw_unneeded(now, out);
         self.end_backoffs(now);
-        self.place_loads(now, out);
-        self.renew_turns(now, out);
-        self.hold_turns(now, out);
+        self.use_turns(now, out);
+        self.renew_turn_requests(now, out);
+        self.renew_held_turns(now, out);
         if self.loads.review_due || now.since(self.loads.reviewed) >= PARKED_REVIEW_INTERVAL {
             self.loads.review_due = false;
             self.loads.reviewed = now;
             self.review_parked(now, out);
         }
-        self.begin_unscheduled(now, out);
+        self.start_unscheduled_load(now, out);
     }
 
     /// Takes the turn that the scheduler gave.
@@ -131,7 +131,7 @@
             return;
         };
         if self.slots.free() > 0 && demand(&best) > PRELOAD_DEMAND_PER_S {
-            self.loads.want(&best, true, now);
+            self.loads.request(&best, true, now);
         }
     }
 
@@ -146,8 +146,8 @@
         self.engine.inventory_known && settled
     }
 
-    fn drop_unwanted(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let unwanted: Vec<AdapterVersion> = self
+    fn withdraw_unneeded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let unneeded: Vec<AdapterVersion> = self
             .loads
             .iter()
             .filter(|(model, load)| {
@@ -160,7 +160,7 @@
             })
             .map(|(model, _)| model.clone())
             .collect();
-        for model in unwanted {
+        for model in unneeded {
             self.withdraw(&model, out);
         }
         self.unretire_if_unneeded(now, out);
@@ -207,20 +207,20 @@
         }
     }
 
-    fn place_loads(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn use_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         for model in self.loads.at_phase(|phase| phase == LoadPhase::HasTurn) {
-            self.place_load(&model, now, out);
+            self.use_turn(&model, now, out);
         }
     }
 
     /// Uses a turn: orders the load if a slot is free, an unload if one has to be freed.
-    fn place_load(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn use_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
         if !self.may_load() {
-            self.give_turn_back(model, None, now, out);
+            self.return_turn(model, None, now, out);
             return;
         }
         if let Some(until) = self.slots.barred_until(model, now) {
-            self.give_turn_back(model, Some(until), now, out);
+            self.return_turn(model, Some(until), now, out);
             return;
         }
         match self.slots.transition(model) {
@@ -231,7 +231,7 @@
                 | SlotTransition::MaybeLoaded
                 | SlotTransition::MaybeUnloaded,
             ) => {
-                self.give_turn_back(model, None, now, out);
+                self.return_turn(model, None, now, out);
                 return;
             }
         }
@@ -244,7 +244,7 @@
             return;
         }
         if !self.evict_for(model, now, out) {
-            self.give_turn_back(model, None, now, out);
+            self.return_turn(model, None, now, out);
         }
     }
 
@@ -262,7 +262,7 @@
             "requests wait for it"
         };
         self.log_model(DecisionKind::Load, model, reason, None, out);
-        self.give_order(order, OrderKind::Load, model, out);
+        self.send_order(order, OrderKind::Load, model, out);
     }
 
     /// Orders the unload of the adapter of least worth.
@@ -295,12 +295,12 @@
             victim.runner_up,
             out,
         );
-        self.give_order(order, OrderKind::Unload, &victim.model, out);
+        self.send_order(order, OrderKind::Unload, &victim.model, out);
         true
     }
 
     /// Ends a turn that can't be used now, so that the store does not idle meanwhile.
-    fn give_turn_back(
+    fn return_turn(
         &mut self,
         model: &AdapterVersion,
         until: Option<Moment>,
@@ -315,12 +315,12 @@
             loaded: None,
         });
         match until {
-            Some(until) => self.loads.hold_back(model, until, now),
+            Some(until) => self.loads.delay_until(model, until, now),
             None => self.loads.park(model, now),
         }
     }
 
-    fn renew_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn renew_turn_requests(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let due = |phase| matches!(phase, LoadPhase::TurnRequested { renewed } if now.since(renewed) >= TURN_RENEWAL_INTERVAL);
         for model in self.loads.at_phase(due) {
             self.request_turn(&model, now, out);
@@ -331,12 +331,15 @@
     ///
     /// Without word of a turn the scheduler soon takes it to be over: an owner that is cut off from
     /// it can't report the end, and would hold up every other load of the store.
-    fn hold_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let due = self.loads.iter().filter(|(_, load)| load.turn_is_due(now));
+    fn renew_held_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let due = self
+            .loads
+            .iter()
+            .filter(|(_, load)| load.turn_renewal_due(now));
         let due: Vec<AdapterVersion> = due.map(|(model, _)| model.clone()).collect();
         for model in due {
             if let Some(load) = self.loads.get_mut(&model) {
-                load.told = now;
+                load.reported_at = now;
                 let order = load.order;
                 out.push(OwnerAction::RenewTurn { order, model });
             }
@@ -376,7 +379,7 @@
                 return;
             }
             if urgency.class == Some(Class::Deferrable) {
-                let full = deferrable >= self.most_deferrable_slots();
+                let full = deferrable >= self.max_deferrable_slots();
                 if full || self.has_enough_deferrable(&urgency) {
                     continue;
                 }
@@ -389,7 +392,7 @@
             }
             let worth = victim.as_ref().map_or(f64::INFINITY, |it| it.worth);
             if asked >= free + idle {
-                self.make_room_in_time(&urgency, asked - free, now);
+                self.retire_if_overdue(&urgency, asked - free, now);
                 return;
             }
             if self.worth_evicting(&urgency, worth, now) {
@@ -418,7 +421,7 @@
         pinned + loads.count()
     }
 
-    fn most_deferrable_slots(&self) -> usize {
+    fn max_deferrable_slots(&self) -> usize {
         (self.cfg.slots as usize / DEFERRABLE_SLOT_DIVISOR).max(1)
     }
 
@@ -429,7 +432,7 @@
     }
 
     /// Retires one adapter for loads that find all slots pinned, unless enough are retiring.
-    fn make_room_in_time(&mut self, urgency: &LoadUrgency, wanted: usize, now: Moment) {
+    fn retire_if_overdue(&mut self, urgency: &LoadUrgency, wanted: usize, now: Moment) {
         let retiring = self
             .slots
             .pinned()
@@ -440,7 +443,7 @@
         }
     }
 
-    fn begin_unscheduled(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn start_unscheduled_load(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.loads.scheduler_reachable {
             return;
         }
@@ -468,7 +471,7 @@
         if let Some(load) = self.loads.get_mut(&model) {
             load.begin_turn(now);
         }
-        self.place_load(&model, now, out);
+        self.use_turn(&model, now, out);
     }
 
     fn request_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -47,13 +47,13 @@
     /// Since when it has been parked.
     pub(super) since: Moment,
     /// Since when it is wanted.
-    pub(super) wanted: Moment,
+    pub(super) requested_at: Moment,
     /// Whether it is wanted without a request that waits for it.
     pub(super) preload: bool,
     /// When it was given its turn, if it has one.
     pub(super) granted: Option<Moment>,
     /// When the load scheduler was last told that the turn is in use.
-    pub(super) told: Moment,
+    pub(super) reported_at: Moment,
 }
 
 impl Load {
@@ -61,14 +61,16 @@
     pub(super) fn begin_turn(&mut self, now: Moment) {
         self.phase = LoadPhase::HasTurn;
         self.granted = Some(now);
-        self.told = now;
+        self.reported_at = now;
     }
 
     /// Whether the load scheduler is to be told again that the turn is in use.
-    pub(super) fn turn_is_due(&self, now: Moment) -> bool {
+    pub(super) fn turn_renewal_due(&self, now: Moment) -> bool {
         let in_use = matches!(self.phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         let young = |granted| now.since(granted) < TURN_RENEWAL_LIMIT;
-        in_use && self.granted.is_some_and(young) && now.since(self.told) >= TURN_RENEWAL_INTERVAL
+        in_use
+            && self.granted.is_some_and(young)
+            && now.since(self.reported_at) >= TURN_RENEWAL_INTERVAL
     }
 }
 
@@ -80,7 +82,7 @@
     next_order: u64,
     load_time: DurationAverage,
     queue_wait: Duration,
-    queue_wait_told: Moment,
+    queue_wait_at: Moment,
     /// Whether the load scheduler can be reached.
     pub(super) scheduler_reachable: bool,
     /// When a load was last begun without the load scheduler's turn.
@@ -100,7 +102,7 @@
             next_order: first_order,
             load_time: DurationAverage::new(INITIAL_LOAD_TIME),
             queue_wait: Duration::ZERO,
-            queue_wait_told: now,
+            queue_wait_at: now,
             scheduler_reachable: true,
             unscheduled: None,
             reviewed: now,
@@ -151,7 +153,7 @@
     }
 
     /// Wants an adapter loaded.
-    pub(super) fn want(&mut self, model: &AdapterVersion, preload: bool, now: Moment) {
+    pub(super) fn request(&mut self, model: &AdapterVersion, preload: bool, now: Moment) {
         if let Some(load) = self.by_model.get_mut(model) {
             load.preload &= preload;
             return;
@@ -162,10 +164,10 @@
             phase: LoadPhase::Parked,
             tries: 0,
             since: now,
-            wanted: now,
+            requested_at: now,
             preload,
             granted: None,
-            told: now,
+            reported_at: now,
         };
         self.by_model.insert(model.clone(), load);
         self.by_order.insert(order, model.clone());
@@ -186,7 +188,7 @@
     }
 
     /// Notes a failed try and returns the number of tries that have failed by now.
-    pub(super) fn fail(&mut self, model: &AdapterVersion, now: Moment) -> u32 {
+    pub(super) fn record_failure(&mut self, model: &AdapterVersion, now: Moment) -> u32 {
         let Some(load) = self.by_model.get_mut(model) else {
             return 0;
         };
@@ -199,7 +201,7 @@
     }
 
     /// Lets a load wait until a time, without counting a failure.
-    pub(super) fn hold_back(&mut self, model: &AdapterVersion, until: Moment, now: Moment) {
+    pub(super) fn delay_until(&mut self, model: &AdapterVersion, until: Moment, now: Moment) {
         self.renumber(model, LoadPhase::Backoff { until }, now);
     }
 
@@ -216,14 +218,14 @@
     }
 
     /// Notes how long a load took.
-    pub(super) fn took(&mut self, time: Duration) {
+    pub(super) fn record_load_time(&mut self, time: Duration) {
         self.load_time.add(time);
     }
 
     /// Notes how long a load asked for now would wait for its turn.
-    pub(super) fn queue_told(&mut self, wait: Duration, now: Moment) {
+    pub(super) fn set_queue_wait(&mut self, wait: Duration, now: Moment) {
         self.queue_wait = wait;
-        self.queue_wait_told = now;
+        self.queue_wait_at = now;
     }
 
     /// Returns the time until an adapter asked for now would be loaded.
@@ -239,7 +241,7 @@
     /// Returns the time that a load asked for now would wait for its turn.
     pub(super) fn queue_wait(&self, now: Moment) -> Duration {
         self.queue_wait
-            .saturating_sub(now.since(self.queue_wait_told))
+            .saturating_sub(now.since(self.queue_wait_at))
     }
 
     fn renumber(&mut self, model: &AdapterVersion, phase: LoadPhase, now: Moment) {
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -13,7 +13,7 @@
 
 impl Owner {
     /// Gives the engine an order.
-    pub(super) fn give_order(
+    pub(super) fn send_order(
         &mut self,
         id: OrderId,
         kind: OrderKind,
@@ -65,9 +65,9 @@
     ///
     /// An answer that comes in later may have been given before a restart, and what it tells of
     /// is gone with it.
-    pub(super) fn give_orders_up(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let on_their_way: Vec<OrderId> = self.orders.keys().copied().collect();
-        for order in on_their_way {
+    pub(super) fn fail_pending_orders(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let pending: Vec<OrderId> = self.orders.keys().copied().collect();
+        for order in pending {
             self.order_ended(order, Err(OrderFailure::Unknown), now, out);
         }
     }
@@ -85,7 +85,7 @@
         if self.fenced {
             return;
         }
-        self.raise_barrier(listed, out);
+        self.start_barrier(listed, out);
         let change = self.slots.reconcile(listed, asked, now);
         for model in &change.lost {
             self.model_unavailable(model, now);
@@ -97,7 +97,7 @@
         for model in &change.still_there {
             let order = self.loads.new_order();
             self.slots.unload_again(model, order, now);
-            self.give_order(order, OrderKind::Unload, model, out);
+            self.send_order(order, OrderKind::Unload, model, out);
         }
         if change.undecided {
             self.engine.want_inventory();
@@ -144,7 +144,7 @@
     /// Lets the requests for an adapter that takes no permits any more wait for its load.
     pub(super) fn model_unavailable(&mut self, model: &AdapterVersion, now: Moment) {
         if self.queue.block(model, now) {
-            self.loads.want(model, false, now);
+            self.loads.request(model, false, now);
         }
     }
 
@@ -162,7 +162,7 @@
         });
         let phase = self.loads.get(model).map(|load| load.phase);
         if let (Some(LoadPhase::Ordered { at }), Ok(())) = (phase, result) {
-            self.loads.took(now.since(at));
+            self.loads.record_load_time(now.since(at));
         }
         match result {
             Ok(()) => {
@@ -180,7 +180,7 @@
         // The engine may refuse because it holds the adapter already, or other adapters than it
         // was thought to hold: its listing tells.
         self.engine.want_inventory();
-        let tries = self.loads.fail(model, now);
+        let tries = self.loads.record_failure(model, now);
         self.refuse_after_failure(model, tries, now, out);
     }
 
@@ -220,9 +220,9 @@
     ) {
         // An engine that has loaded nothing since this load was first wanted may be at fault, and
         // the next-ranked one may do better; otherwise the weights are.
-        let wanted = self.loads.get(model).map_or(now, |load| load.wanted);
+        let wanted = self.loads.get(model).map_or(now, |load| load.requested_at);
         let engine_at_fault = self.last_load.is_none_or(|last| last < wanted);
-        let given_up: Vec<AttemptId> = self
+        let rejected: Vec<AttemptId> = self
             .queue
             .blocked_on(model)
             .iter()
@@ -232,7 +232,7 @@
                 class.is_some_and(|class| tries >= load_tries(class))
             })
             .collect();
-        for attempt in given_up {
+        for attempt in rejected {
             if engine_at_fault {
                 self.redirect_or_refuse_queued(attempt, RefusalReason::LoadFailed, now, out);
             } else {
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -116,7 +116,7 @@
     ///
     /// An engine that holds nothing has nothing to lose; one that ignores fencing numbers is
     /// protected by the time that the taker of a role waits.
-    pub(super) fn raise_barrier(&mut self, listed: &[AdapterVersion], out: &mut Vec<OwnerAction>) {
+    pub(super) fn start_barrier(&mut self, listed: &[AdapterVersion], out: &mut Vec<OwnerAction>) {
         if self.takeover.barrier != Barrier::Undecided {
             return;
         }
@@ -124,7 +124,7 @@
             (Fencing::Ignores, _) | (Fencing::Checks, None) => Barrier::Passed,
             (Fencing::Checks, Some(model)) => {
                 let order = self.loads.new_order();
-                self.give_order(order, OrderKind::Load, model, out);
+                self.send_order(order, OrderKind::Load, model, out);
                 Barrier::Ordered(order)
             }
         };
--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -155,7 +155,7 @@
             waiters: self.queue.blocked_on(model).len(),
             failed_loads: load.map_or(0, |load| load.tries),
             class: urgency.and_then(|urgency| urgency.class),
-            load_requested_for: load.map(|load| now.since(load.wanted)),
+            load_requested_for: load.map(|load| now.since(load.requested_at)),
         }
     }
 }
