--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -305,7 +305,7 @@
             return queue_wait;
         };
         let waiting = self.queue.blocked_on(model).len() as f64;
-        let coming = self.demand.surge(model, now) * queue_wait.as_secs_f64();
+        let coming = self.demand.short_term(model, now) * queue_wait.as_secs_f64();
         queue_wait.div_f64(1.0 + waiting + coming)
     }
 
--- a/crates/chervilshunt_core/src/owner/demand.rs
+++ b/crates/chervilshunt_core/src/owner/demand.rs
@@ -15,8 +15,8 @@
 /// Demand for one adapter.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
-    lasting: DecayedRate,
-    surge: DecayedRate,
+    long_term: DecayedRate,
+    short_term: DecayedRate,
 }
 
 impl Demand {
@@ -26,11 +26,11 @@
     /// has just become busy. If requests come at rate `r` and an adapter falls asleep at rate `s`,
     /// then after `t` without a request the odds that it sleeps are `s / (r + s) * (e^((r + s) t)
     /// - 1)`: a busy adapter gives itself away within a few of its usual gaps.
-    fn lasting_rate(&self, now: Moment) -> f64 {
-        let (rate, idle) = self.lasting.last(LONG_TERM_HALF_LIFE, now);
+    fn long_term_rate(&self, now: Moment) -> f64 {
+        let (rate, idle) = self.long_term.last(LONG_TERM_HALF_LIFE, now);
         let ends = rate + IDLE_TRANSITION_PER_S;
-        let awake = (-ends * idle.as_secs_f64()).exp();
-        rate * awake / (awake + IDLE_TRANSITION_PER_S / ends * (1.0 - awake))
+        let active = (-ends * idle.as_secs_f64()).exp();
+        rate * active / (active + IDLE_TRANSITION_PER_S / ends * (1.0 - active))
     }
 }
 
@@ -45,8 +45,8 @@
     /// Since when requests have been counted.
     since: Moment,
     /// Requests of late that found their adapter loaded, weighted as in the demand.
-    found: DecayedRate,
-    hand: usize,
+    hits: DecayedRate,
+    clock_hand: usize,
 }
 
 impl DemandTable {
@@ -67,7 +67,7 @@
         now: Moment,
     ) {
         if !self.known.contains_key(model) {
-            self.make_room(now);
+            self.evict_if_full(now);
             self.known.insert(model.clone(), Demand::default());
         }
         let Some(demand) = self.known.get_mut(model) else {
@@ -77,43 +77,46 @@
             Class::Live => 1.0,
             Class::Deferrable => DEFERRABLE_DEMAND_WEIGHT,
         };
-        demand.lasting.add(weight, LONG_TERM_HALF_LIFE, now);
+        demand.long_term.add(weight, LONG_TERM_HALF_LIFE, now);
         if loaded {
-            self.found.add(weight, HIT_HALF_LIFE, now);
+            self.hits.add(weight, HIT_HALF_LIFE, now);
         }
-        demand.surge.add(1.0, SHORT_TERM_HALF_LIFE, now);
+        demand.short_term.add(1.0, SHORT_TERM_HALF_LIFE, now);
     }
 
     /// Returns the demand that makes the adapter worth its slot: requests a second, deferrable
     /// ones counted in part.
-    pub(super) fn lasting(&self, model: &AdapterVersion, now: Moment) -> f64 {
+    pub(super) fn long_term(&self, model: &AdapterVersion, now: Moment) -> f64 {
         let demand = self.known.get(model);
-        demand.map_or(0.0, |it| it.lasting_rate(now))
+        demand.map_or(0.0, |it| it.long_term_rate(now))
     }
 
     /// Returns the part of the demand promised by `loaded` adapters that came true of late.
-    pub(super) fn kept_promise<'a>(
+    pub(super) fn hit_ratio<'a>(
         &self,
         loaded: impl Iterator<Item = &'a AdapterVersion>,
         now: Moment,
     ) -> f64 {
         let rates = loaded.filter_map(|model| self.known.get(model));
-        let promised: f64 = rates
-            .map(|it| it.lasting.per_second(LONG_TERM_HALF_LIFE, now))
+        let predicted: f64 = rates
+            .map(|it| it.long_term.per_second(LONG_TERM_HALF_LIFE, now))
             .sum();
         // Rates counted for less than their memory are too low by what lies before the count.
-        let counted = now.since(self.since).as_secs_f64() / LONG_TERM_HALF_LIFE.as_secs_f64();
-        let promised = promised / (1.0 - (-counted).exp2()).max(f64::MIN_POSITIVE);
-        if promised <= 0.0 {
+        let counted =
+            now.since(self.counting_since).as_secs_f64() / LONG_TERM_HALF_LIFE.as_secs_f64();
+        let predicted = predicted / (1.0 - (-counted).exp2()).max(f64::MIN_POSITIVE);
+        if predicted <= 0.0 {
             return 1.0;
         }
-        self.found.per_second(HIT_HALF_LIFE, now) / promised
+        self.hits.per_second(HIT_HALF_LIFE, now) / predicted
     }
 
     /// Returns the requests a second of the last seconds.
-    pub(super) fn surge(&self, model: &AdapterVersion, now: Moment) -> f64 {
+    pub(super) fn short_term(&self, model: &AdapterVersion, now: Moment) -> f64 {
         let demand = self.known.get(model);
-        demand.map_or(0.0, |it| it.surge.per_second(SHORT_TERM_HALF_LIFE, now))
+        demand.map_or(0.0, |it| {
+            it.short_term.per_second(SHORT_TERM_HALF_LIFE, now)
+        })
     }
 
     /// Returns the number of adapters remembered.
@@ -121,20 +124,20 @@
         self.known.len()
     }
 
-    fn make_room(&mut self, now: Moment) {
+    fn evict_if_full(&mut self, now: Moment) {
         if self.known.len() < MAX_TRACKED_ADAPTERS {
             return;
         }
         let len = self.known.len();
-        let sample = (0..EVICTION_SAMPLE).map(|offset| (self.hand + offset) % len);
+        let sample = (0..EVICTION_SAMPLE).map(|offset| (self.clock_hand + offset) % len);
         let demand = |index: &usize| {
             let demand = self.known.get_index(*index).map(|(_, demand)| demand);
-            demand.map_or(0.0, |it| it.lasting_rate(now))
+            demand.map_or(0.0, |it| it.long_term_rate(now))
         };
-        let faded = sample.min_by(|left, right| demand(left).total_cmp(&demand(right)));
-        if let Some(index) = faded {
+        let weakest = sample.min_by(|left, right| demand(left).total_cmp(&demand(right)));
+        if let Some(index) = weakest {
             self.known.swap_remove_index(index);
         }
-        self.hand = (self.hand + EVICTION_SAMPLE) % len;
+        self.clock_hand = (self.clock_hand + EVICTION_SAMPLE) % len;
     }
 }
--- a/crates/chervilshunt_core/src/owner/evict.rs
+++ b/crates/chervilshunt_core/src/owner/evict.rs
@@ -55,7 +55,7 @@
     /// length of the load queue. That time is the same for all slots of a target, so it counts
     /// only where worth is set against waiting.
     pub(super) fn worth(&self, model: &AdapterVersion, now: Moment) -> f64 {
-        self.demand.lasting(model, now)
+        self.demand.long_term(model, now)
             + READY_REQUEST_WORTH * f64::from(self.queue.ready_for(model))
     }
 
@@ -107,7 +107,7 @@
         }
         let pinned = self.slots.pinned().map(|(model, _)| model);
         let loaded = self.slots.idle().map(|(model, _)| model).chain(pinned);
-        let short = STABLE_HIT_RATIO - self.demand.kept_promise(loaded, now);
+        let short = STABLE_HIT_RATIO - self.demand.hit_ratio(loaded, now);
         let moved = (short * SHIFT_GAIN).clamp(0.0, 1.0);
         let wait = self.loads.queue_wait(now).as_secs_f64();
         moved * (wait / PROTECTION_WAIT_S).min(MAX_PROTECTED_PART)
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -122,7 +122,7 @@
             return;
         }
         self.last_preload_check = now;
-        let demand = |model: &AdapterVersion| self.demand.lasting(model, now);
+        let demand = |model: &AdapterVersion| self.demand.long_term(model, now);
         let best = self
             .evicted
             .iter()
--- a/crates/chervilshunt_core/src/owner/spread.rs
+++ b/crates/chervilshunt_core/src/owner/spread.rs
@@ -108,7 +108,7 @@
         if !self.cfg.mechanisms.spread || self.spread.by_adapter.contains_key(model) {
             return;
         }
-        let saved = self.demand.surge(model, now) * PAYBACK_S * wait;
+        let saved = self.demand.short_term(model, now) * PAYBACK_S * wait;
         let load = self.loads.expected_time(now).as_secs_f64() * self.stall_weight();
         if saved > load && wait > load {
             self.widen(model, 2);
@@ -173,7 +173,7 @@
     }
 
     fn needed_width(&self, model: &AdapterVersion, now: Moment) -> usize {
-        let running = self.demand.surge(model, now) * self.service_time.get().as_secs_f64();
+        let running = self.demand.short_term(model, now) * self.service_time.get().as_secs_f64();
         let batch_slots = self.power.batch_bound().max(1) as f64 * SPREAD_FILL;
         let needed = (running / batch_slots).ceil() as usize;
         needed.clamp(1, MAX_SPREAD)
