--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -140,7 +140,7 @@
         self.preload_evicted(now);
         self.advance_loads(now, &mut out);
         self.dispatch(now, &mut out);
-        self.ask_inventory(now, &mut out);
+        self.request_inventory_if_due(now, &mut out);
         self.report_power(now, &mut out);
         out
     }
@@ -162,7 +162,7 @@
             self.loads.next_backoff(),
             renewal,
             preload.then(|| self.last_preload_check + tuning::PRELOAD_INTERVAL),
-            self.engine.next_ask(),
+            self.engine.next_inventory_request(),
             self.next_age_check(self.last_event),
             self.next_breaker_check(),
             Some(self.power.next_report().unwrap_or(self.last_event)),
@@ -219,7 +219,7 @@
         }
         self.engine.reachable = reachable;
         if !reachable {
-            self.engine.forget_work();
+            self.engine.clear_work();
             self.fail_pending_orders(now, out);
             self.redirect_or_refuse_all(RefusalReason::TargetDown, now, out);
             return;
@@ -227,7 +227,7 @@
         if self.slots.exist() {
             // It may have restarted empty: nothing is granted for an adapter until it has listed
             // what it holds.
-            self.engine.doubt_inventory();
+            self.engine.invalidate_inventory();
         }
     }
 
@@ -276,7 +276,7 @@
 
     /// Returns the sequences that may draw power, known or not.
     fn drawing_sequences(&self) -> usize {
-        let known = self.permits.len() + self.engine.foreign();
+        let known = self.permits.len() + self.engine.external_sequences();
         let drawing = known.saturating_add(self.unknown_sequences());
         drawing.min(self.cfg.max_batch as usize)
     }
--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -36,7 +36,7 @@
 
     /// Returns the seats in the batch that are free, within the share of power.
     pub(super) fn free_batch_slots(&self) -> usize {
-        let taken = self.permits.len() + self.engine.foreign();
+        let taken = self.permits.len() + self.engine.external_sequences();
         let taken = taken.saturating_add(self.unknown_sequences());
         let more = usize::from(self.bugs.has(Bug::GrantsBeyondBatch));
         (self.power.batch_bound() + more).saturating_sub(taken)
--- a/crates/chervilshunt_core/src/owner/engine.rs
+++ b/crates/chervilshunt_core/src/owner/engine.rs
@@ -18,11 +18,11 @@
     pub(super) reachable: bool,
     /// Whether its adapters are known.
     pub(super) inventory_known: bool,
-    inventory_wanted: bool,
+    inventory_required: bool,
     /// When the listing that is awaited was first asked for: it is at least as new as that.
-    asked: Option<Moment>,
-    asked_last: Moment,
-    counts: VecDeque<(Moment, usize)>,
+    inventory_requested: Option<Moment>,
+    inventory_last_requested: Moment,
+    permit_counts: VecDeque<(Moment, usize)>,
     excess: [usize; 2],
     cached: IndexSet<u64>,
 }
@@ -33,40 +33,40 @@
         Self {
             reachable: true,
             inventory_known: !has_slots,
-            inventory_wanted: has_slots,
-            asked: None,
-            asked_last: Moment::ZERO,
-            counts: VecDeque::new(),
+            inventory_required: has_slots,
+            inventory_requested: None,
+            inventory_last_requested: Moment::ZERO,
+            permit_counts: VecDeque::new(),
             excess: [0; 2],
             cached: IndexSet::new(),
         }
     }
 
     /// Wants the adapters listed, as something about them is in doubt.
-    pub(super) fn want_inventory(&mut self) {
-        self.inventory_wanted = true;
+    pub(super) fn require_inventory(&mut self) {
+        self.inventory_required = true;
     }
 
     /// Takes nothing about the adapters for granted until they have been listed anew.
-    pub(super) fn doubt_inventory(&mut self) {
+    pub(super) fn invalidate_inventory(&mut self) {
         self.inventory_known = false;
-        self.inventory_wanted = true;
-        self.asked = None;
+        self.inventory_required = true;
+        self.inventory_requested = None;
     }
 
     /// Whether the inventory is to be asked for now; if so it counts as asked.
-    pub(super) fn ask_inventory(&mut self, now: Moment) -> bool {
+    pub(super) fn begin_inventory_request(&mut self, now: Moment) -> bool {
         if !self.reachable {
             return false;
         }
-        let due = match self.asked {
-            Some(_) => now.since(self.asked_last) >= INVENTORY_TIMEOUT,
-            None => self.inventory_wanted,
+        let due = match self.inventory_requested {
+            Some(_) => now.since(self.inventory_last_requested) >= INVENTORY_TIMEOUT,
+            None => self.inventory_required,
         };
         if due {
-            self.inventory_wanted = false;
-            self.asked = self.asked.or(Some(now));
-            self.asked_last = now;
+            self.inventory_required = false;
+            self.inventory_requested = self.inventory_requested.or(Some(now));
+            self.inventory_last_requested = now;
         }
         due
     }
@@ -75,25 +75,26 @@
     ///
     /// Listings that nobody asked for are late doubles and count for nothing.
     pub(super) fn inventory_answered(&mut self) -> Option<Moment> {
-        let asked = self.asked.take()?;
+        let asked = self.inventory_requested.take()?;
         self.inventory_known = true;
         Some(asked)
     }
 
     /// Returns when an unanswered question is asked again.
-    pub(super) fn next_ask(&self) -> Option<Moment> {
+    pub(super) fn next_inventory_request(&self) -> Option<Moment> {
         if !self.reachable {
             return None;
         }
-        self.asked.map(|_| self.asked_last + INVENTORY_TIMEOUT)
+        self.inventory_requested
+            .map(|_| self.inventory_last_requested + INVENTORY_TIMEOUT)
     }
 
     /// Notes how many permits are out from now on.
     pub(super) fn count_permits(&mut self, permits: usize, now: Moment) {
-        if self.counts.len() >= MAX_PERMIT_COUNTS {
-            self.counts.pop_front();
+        if self.permit_counts.len() >= MAX_PERMIT_COUNTS {
+            self.permit_counts.pop_front();
         }
-        self.counts.push_back((now, permits));
+        self.permit_counts.push_back((now, permits));
     }
 
     /// Sets a report against the permits that were out when it was taken.
@@ -103,21 +104,25 @@
     /// the moment at which a report was taken is known roughly.
     pub(super) fn reported(&mut self, report: &EngineReport, now: Moment) {
         let taken = now - report.age;
-        let since_taken = self.counts.iter().rev().take_while(|(at, _)| *at >= taken);
+        let since_taken = self
+            .permit_counts
+            .iter()
+            .rev()
+            .take_while(|(at, _)| *at >= taken);
         let mut most = since_taken.map(|(_, permits)| *permits).max().unwrap_or(0);
-        let before = self.counts.iter().rev().find(|(at, _)| *at < taken);
+        let before = self.permit_counts.iter().rev().find(|(at, _)| *at < taken);
         most = most.max(before.map_or(0, |(_, permits)| *permits));
         let sequences = report.running as usize + report.waiting as usize;
         self.excess = [sequences.saturating_sub(most), self.excess[0]];
     }
 
     /// Returns the sequences that take room in the batch without a permit.
-    pub(super) fn foreign(&self) -> usize {
+    pub(super) fn external_sequences(&self) -> usize {
         self.excess[0].min(self.excess[1])
     }
 
     /// Forgets what an engine that went away had running and cached.
-    pub(super) fn forget_work(&mut self) {
+    pub(super) fn clear_work(&mut self) {
         self.excess = [0; 2];
         self.cached.clear();
     }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -100,7 +100,7 @@
             self.send_order(order, OrderKind::Unload, model, out);
         }
         if change.undecided {
-            self.engine.want_inventory();
+            self.engine.require_inventory();
         }
         self.slots.prune_recent_unloads(asked, now);
         self.loads.review_due = true;
@@ -115,7 +115,7 @@
             self.model_unavailable(model, now);
             self.remember_evicted(model);
         }
-        self.engine.want_inventory();
+        self.engine.require_inventory();
     }
 
     /// Lets the requests for an adapter that is loaded from now on wait for room alone.
@@ -179,7 +179,7 @@
         }
         // The engine may refuse because it holds the adapter already, or other adapters than it
         // was thought to hold: its listing tells.
-        self.engine.want_inventory();
+        self.engine.require_inventory();
         let tries = self.loads.record_failure(model, now);
         self.refuse_after_failure(model, tries, now, out);
     }
@@ -199,13 +199,13 @@
             Err(OrderFailure::Unknown) => {
                 self.slots
                     .unanswered(model, SlotTransition::MaybeUnloaded, now);
-                self.engine.want_inventory();
+                self.engine.require_inventory();
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => {
                 // Either the engine does not hold it, or it would not let go: the listing tells.
                 self.slots
                     .unanswered(model, SlotTransition::MaybeUnloaded, now);
-                self.engine.want_inventory();
+                self.engine.require_inventory();
             }
         }
     }
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -148,13 +148,13 @@
             Ok(()) | Err(OrderFailure::Refused) => Barrier::Passed,
             Err(OrderFailure::Unknown | OrderFailure::Fenced) => Barrier::Undecided,
         };
-        self.engine.doubt_inventory();
+        self.engine.invalidate_inventory();
         true
     }
 
     /// Asks for the engine's adapters if they are in doubt.
-    pub(super) fn ask_inventory(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        if self.engine.ask_inventory(now) {
+    pub(super) fn request_inventory_if_due(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        if self.engine.begin_inventory_request(now) {
             out.push(OwnerAction::RequestInventory);
         }
     }
