--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -254,7 +254,7 @@
         };
         load.phase = LoadPhase::Ordered { at: now };
         let (order, preload) = (load.order, load.preload);
-        self.slots.load(model.clone(), order, now);
+        self.slots.start_load(model.clone(), order, now);
         self.evicted.swap_remove(model);
         let reason = if preload {
             "ahead of demand"
@@ -284,7 +284,7 @@
             return false;
         };
         let order = self.loads.new_order();
-        self.slots.unload(evictable, order, now);
+        self.slots.start_unload(evictable, order, now);
         self.model_unavailable(&victim.model, now);
         self.remember_evicted(&victim.model);
         let reason = "least expected cost of loading again";
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -87,19 +87,19 @@
         }
         self.start_barrier(listed, out);
         let change = self.slots.reconcile(listed, asked, now);
-        for model in &change.lost {
+        for model in &change.missing {
             self.model_unavailable(model, now);
             self.remember_evicted(model);
         }
         for model in &change.found {
             self.model_available(model, now, out);
         }
-        for model in &change.still_there {
+        for model in &change.not_unloaded {
             let order = self.loads.new_order();
-            self.slots.unload_again(model, order, now);
+            self.slots.restart_unload(model, order, now);
             self.send_order(order, OrderKind::Unload, model, out);
         }
-        if change.undecided {
+        if change.incomplete {
             self.engine.require_inventory();
         }
         self.slots.prune_recent_unloads(asked, now);
@@ -111,7 +111,7 @@
     /// An adapter that was loaded after the permit was granted stays: the call was then answered
     /// before that load.
     pub(super) fn adapter_missing(&mut self, model: &AdapterVersion, granted: Moment, now: Moment) {
-        if self.slots.lose(model, granted) {
+        if self.slots.mark_missing(model, granted) {
             self.model_unavailable(model, now);
             self.remember_evicted(model);
         }
@@ -166,16 +166,16 @@
         }
         match result {
             Ok(()) => {
-                self.slots.loaded(model, now);
+                self.slots.mark_loaded(model, now);
                 self.last_load = Some(now);
                 self.model_available(model, now, out);
                 return;
             }
             Err(OrderFailure::Unknown) => {
                 self.slots
-                    .unanswered(model, SlotTransition::MaybeLoaded, now)
+                    .mark_unanswered(model, SlotTransition::MaybeLoaded, now)
             }
-            Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.load_failed(model),
+            Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.mark_load_failed(model),
         }
         // The engine may refuse because it holds the adapter already, or other adapters than it
         // was thought to hold: its listing tells.
@@ -195,16 +195,16 @@
             return;
         }
         match result {
-            Ok(()) => self.slots.unloaded(model, now, now),
+            Ok(()) => self.slots.mark_unloaded(model, now, now),
             Err(OrderFailure::Unknown) => {
                 self.slots
-                    .unanswered(model, SlotTransition::MaybeUnloaded, now);
+                    .mark_unanswered(model, SlotTransition::MaybeUnloaded, now);
                 self.engine.require_inventory();
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => {
                 // Either the engine does not hold it, or it would not let go: the listing tells.
                 self.slots
-                    .unanswered(model, SlotTransition::MaybeUnloaded, now);
+                    .mark_unanswered(model, SlotTransition::MaybeUnloaded, now);
                 self.engine.require_inventory();
             }
         }
--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -64,13 +64,13 @@
 #[derive(Debug, Default)]
 pub(super) struct InventoryChange {
     /// Adapters that were thought to be loaded and are not.
-    pub(super) lost: Vec<AdapterVersion>,
+    pub(super) missing: Vec<AdapterVersion>,
     /// Adapters that turned out to be loaded.
     pub(super) found: Vec<AdapterVersion>,
     /// Adapters that an unanswered unload left loaded.
-    pub(super) still_there: Vec<AdapterVersion>,
+    pub(super) not_unloaded: Vec<AdapterVersion>,
     /// Whether something changed after the question, so that it has to be asked again.
-    pub(super) undecided: bool,
+    pub(super) incomplete: bool,
 }
 
 /// All adapter slots of one engine.
@@ -168,7 +168,7 @@
     }
 
     /// Notes a permit whose adapter may or may not be loaded, as learnt after a takeover.
-    pub(super) fn pin_learnt(&mut self, model: &AdapterVersion, now: Moment) {
+    pub(super) fn pin_reported(&mut self, model: &AdapterVersion, now: Moment) {
         if !self.pin(model, now) {
             *self.orphans.entry(model.clone()).or_insert(0) += 1;
         }
@@ -263,7 +263,7 @@
     }
 
     /// Notes that an unload is on its way, and returns the adapter that it concerns.
-    pub(super) fn unload(
+    pub(super) fn start_unload(
         &mut self,
         evictable: Evictable,
         order: OrderId,
@@ -275,20 +275,20 @@
     }
 
     /// Notes that the unload of an adapter is ordered once more.
-    pub(super) fn unload_again(&mut self, model: &AdapterVersion, order: OrderId, now: Moment) {
+    pub(super) fn restart_unload(&mut self, model: &AdapterVersion, order: OrderId, now: Moment) {
         if self.transition(model) == Some(SlotTransition::MaybeUnloaded) {
             self.set_transition(model.clone(), SlotTransition::Unloading(order), now);
         }
     }
 
     /// Notes that a load is on its way into a free slot.
-    pub(super) fn load(&mut self, model: AdapterVersion, order: OrderId, now: Moment) {
+    pub(super) fn start_load(&mut self, model: AdapterVersion, order: OrderId, now: Moment) {
         self.recent_unloads.swap_remove(&model);
         self.set_transition(model, SlotTransition::Loading(order), now);
     }
 
     /// Notes that an adapter is loaded.
-    pub(super) fn loaded(&mut self, model: &AdapterVersion, now: Moment) {
+    pub(super) fn mark_loaded(&mut self, model: &AdapterVersion, now: Moment) {
         self.transition.swap_remove(model);
         if self.holds(model) {
             return;
@@ -297,26 +297,36 @@
     }
 
     /// Notes that a load did not happen.
-    pub(super) fn load_failed(&mut self, model: &AdapterVersion) {
+    pub(super) fn mark_load_failed(&mut self, model: &AdapterVersion) {
         self.transition.swap_remove(model);
     }
 
     /// Notes that an adapter is unloaded.
-    pub(super) fn unloaded(&mut self, model: &AdapterVersion, barred_until: Moment, now: Moment) {
+    pub(super) fn mark_unloaded(
+        &mut self,
+        model: &AdapterVersion,
+        barred_until: Moment,
+        now: Moment,
+    ) {
         if self.transition.swap_remove(model).is_some() {
             self.record_unload(model.clone(), barred_until, now);
         }
     }
 
     /// Notes that an order went unanswered.
-    pub(super) fn unanswered(&mut self, model: &AdapterVersion, what: SlotTransition, now: Moment) {
+    pub(super) fn mark_unanswered(
+        &mut self,
+        model: &AdapterVersion,
+        what: SlotTransition,
+        now: Moment,
+    ) {
         self.set_transition(model.clone(), what, now);
     }
 
     /// Notes that the engine does not hold an adapter that it was thought to hold.
     ///
     /// `known_at` is when the engine said so at the latest; an adapter loaded since then stays.
-    pub(super) fn lose(&mut self, model: &AdapterVersion, known_at: Moment) -> bool {
+    pub(super) fn mark_missing(&mut self, model: &AdapterVersion, known_at: Moment) -> bool {
         if let Some(slot) = self.pinned.get(model) {
             if slot.since > known_at {
                 return false;
@@ -354,11 +364,11 @@
             .cloned()
             .collect();
         for model in held.into_iter().filter(missing) {
-            if self.lose(&model, asked) {
-                change.lost.push(model);
+            if self.mark_missing(&model, asked) {
+                change.missing.push(model);
             }
         }
-        self.settle_unanswered(listed, asked, now, &mut change);
+        self.resolve_unanswered(listed, asked, now, &mut change);
         for model in listed {
             let unknown = !self.holds(model) && !self.transition.contains_key(model);
             let unloaded_since = self
@@ -379,7 +389,7 @@
             .retain(|_, it| it.at >= before || it.barred_until > now);
     }
 
-    fn settle_unanswered(
+    fn resolve_unanswered(
         &mut self,
         listed: &[AdapterVersion],
         asked: Moment,
@@ -399,18 +409,18 @@
             .collect();
         for (model, slot) in unanswered {
             if slot.since > asked {
-                change.undecided = true;
+                change.incomplete = true;
                 continue;
             }
             match (slot.what, listed.contains(&model)) {
                 (SlotTransition::MaybeLoaded, true) => {
-                    self.loaded(&model, asked);
+                    self.mark_loaded(&model, asked);
                     change.found.push(model);
                 }
-                (SlotTransition::MaybeUnloaded, true) => change.still_there.push(model),
+                (SlotTransition::MaybeUnloaded, true) => change.not_unloaded.push(model),
                 (SlotTransition::MaybeUnloaded, false) => {
                     let barred_until = slot.since + super::tuning::MAX_ORDER_DELAY;
-                    self.unloaded(&model, barred_until, now);
+                    self.mark_unloaded(&model, barred_until, now);
                 }
                 (
                     SlotTransition::MaybeLoaded
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -73,7 +73,7 @@
                 continue;
             }
             if let (true, Some(model)) = (self.slots.exist(), model) {
-                self.slots.pin_learnt(&model, now);
+                self.slots.pin_reported(&model, now);
             }
         }
         if self.left_entries.contains_key(entry) {
