--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -208,7 +208,7 @@
         while let Some(attempt) = self.queue.expired(now) {
             self.refuse_queued(attempt, RefusalReason::Deadline, now, out);
         }
-        while let Some(attempt) = self.permits.ended(now) {
+        while let Some(attempt) = self.permits.next_ended(now) {
             self.release_unreported(attempt, now, out);
         }
     }
--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -27,7 +27,7 @@
     /// Grants permits to waiting requests while there is room.
     pub(super) fn dispatch(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         while let Some((attempt, reason)) = self.next_admissible(now) {
-            let Some(waiting) = self.queue.take(attempt) else {
+            let Some(waiting) = self.queue.take_for_grant(attempt) else {
                 return;
             };
             self.grant(waiting.end(now), reason, now, out);
--- a/crates/chervilshunt_core/src/owner/permits.rs
+++ b/crates/chervilshunt_core/src/owner/permits.rs
@@ -90,7 +90,7 @@
     }
 
     /// Lets the permits of an instance that has left end by themselves at `ends`.
-    pub(super) fn end_of_entry(&mut self, entry: &InstanceId, ends: Moment) {
+    pub(super) fn end_for_entry(&mut self, entry: &InstanceId, ends: Moment) {
         let of_entry = self.by_attempt.values_mut();
         for held in of_entry.filter(|held| held.permit.entry == *entry) {
             if held.ends.is_none() {
@@ -101,7 +101,7 @@
     }
 
     /// Returns an attempt whose permit has ended by itself.
-    pub(super) fn ended(&self, now: Moment) -> Option<AttemptId> {
+    pub(super) fn next_ended(&self, now: Moment) -> Option<AttemptId> {
         let (ends, attempt) = self.ending.first()?;
         (*ends <= now).then_some(*attempt)
     }
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -42,9 +42,9 @@
     queue_class: Class,
     blocked: bool,
     /// Since when it has been blocked or not.
-    relinked: Moment,
+    state_since: Moment,
     /// How long it was blocked before that.
-    was_blocked: Duration,
+    blocked_before: Duration,
 }
 
 /// A request that is decided about, fresh or out of the queue.
@@ -79,11 +79,11 @@
 
     fn blocked_for(&self, now: Moment) -> Duration {
         let since = if self.blocked {
-            now.since(self.relinked)
+            now.since(self.state_since)
         } else {
             Duration::ZERO
         };
-        self.was_blocked + since
+        self.blocked_before + since
     }
 }
 
@@ -147,8 +147,8 @@
             tag,
             queue_class,
             blocked,
-            relinked: now,
-            was_blocked: Duration::ZERO,
+            state_since: now,
+            blocked_before: Duration::ZERO,
         };
         self.deadlines.insert((deadline, attempt));
         self.queues[queue_class as usize].len += 1;
@@ -166,7 +166,7 @@
     }
 
     /// Takes a request out that gets its permit now, which moves its class's virtual time on.
-    pub(super) fn take(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
+    pub(super) fn take_for_grant(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.remove(attempt)?;
         let queue = &mut self.queues[waiting.queue_class as usize];
         queue.virtual_time = queue.virtual_time.max(waiting.tag.start);
@@ -174,7 +174,12 @@
     }
 
     /// Counts a request that got its permit without waiting.
-    pub(super) fn pass(&mut self, req: &PermitRequest, queue_class: Class, fair: bool) {
+    pub(super) fn record_immediate_grant(
+        &mut self,
+        req: &PermitRequest,
+        queue_class: Class,
+        fair: bool,
+    ) {
         let tag = self.tag(req, queue_class, fair);
         let queue = &mut self.queues[queue_class as usize];
         queue.virtual_time = queue.virtual_time.max(tag.start);
@@ -253,7 +258,7 @@
     /// Lets the requests for an adapter that has been loaded wait for nothing but room.
     pub(super) fn unblock(&mut self, model: &AdapterVersion, now: Moment) {
         for attempt in self.blocked.swap_remove(model).unwrap_or_default() {
-            self.relink(attempt, false, now);
+            self.set_blocked(attempt, false, now);
         }
     }
 
@@ -273,18 +278,18 @@
             .collect();
         of_model.sort_unstable();
         for (_, attempt) in of_model {
-            self.relink(attempt, true, now);
+            self.set_blocked(attempt, true, now);
         }
         true
     }
 
-    fn relink(&mut self, attempt: AttemptId, blocked: bool, now: Moment) {
+    fn set_blocked(&mut self, attempt: AttemptId, blocked: bool, now: Moment) {
         let Some(mut waiting) = self.waiting.get(&attempt).cloned() else {
             return;
         };
         self.unlink(attempt, &waiting);
-        waiting.was_blocked = waiting.blocked_for(now);
-        waiting.relinked = now;
+        waiting.blocked_before = waiting.blocked_for(now);
+        waiting.state_since = now;
         waiting.blocked = blocked;
         self.link(attempt, &waiting);
         self.waiting.insert(attempt, waiting);
--- a/crates/chervilshunt_core/src/owner/release.rs
+++ b/crates/chervilshunt_core/src/owner/release.rs
@@ -58,7 +58,7 @@
     /// Lets the permits of an instance end by themselves.
     pub(super) fn end_permits_of(&mut self, entry: &InstanceId, now: Moment) {
         let ends = now + self.cfg.permit_window + ENTRY_LEFT_GRACE;
-        self.permits.end_of_entry(entry, ends);
+        self.permits.end_for_entry(entry, ends);
     }
 
     /// Frees the seat and the pin of an attempt whose end nobody has told.
