--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -53,7 +53,7 @@
         let waits_for_load = self.waits_for_load(&req);
         if !waits_for_load && self.queue.ready(queue_class) == 0 && self.admits(queue_class, now) {
             self.queue
-                .pass(&req, queue_class, self.cfg.mechanisms.fairness);
+                .record_immediate_grant(&req, queue_class, self.cfg.mechanisms.fairness);
             self.grant(req, "room in the batch", now, out);
             return;
         }
