--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -1,8 +1,8 @@
 //! The owner of one target: permits, queue, adapter slots, loads and orders to the engine.
 //!
-//! An owner is a state machine without a clock or a socket. Each event first changes its state,
-//! and then everything that has come due or become possible is done: deadlines, loads, permits.
-//! See `docs/design/placement.md` and `docs/design/admission.md`.
+//! An owner is a state machine that performs no I/O and reads no clock. Each event first updates
+//! its state; the owner then processes everything that is due or has become possible: deadlines,
+//! loads and permits. See `docs/design/placement.md` and `docs/design/admission.md`.
 
 mod action;
 mod admit;
@@ -53,12 +53,13 @@
 use spread::Spread;
 use takeover::Takeover;
 
-/// Bits of an order's id that count within one epoch.
+/// Bits of an order id that number the orders within one epoch; the epoch fills the bits above.
 ///
-/// A late end of an earlier owner's order can't be taken for the end of one's own.
+/// The result of an order from an earlier owner that arrives late can therefore not be mistaken for
+/// the result of one of this owner's orders.
 const ORDER_BITS: u32 = 40;
 
-/// The owner of one target.
+/// The state machine that owns one target.
 #[derive(Debug)]
 pub struct Owner {
     cfg: OwnerConfig,
@@ -66,14 +67,15 @@
     permits: Permits,
     queue: Queue,
     settled: SettledAttempts,
-    /// Entry instances that have left of late.
+    /// Entry instances that left within [`tuning::SETTLED_RETENTION`], with the time when they
+    /// left.
     left_entries: IndexMap<InstanceId, Moment>,
     slots: Slots,
     loads: Loads,
-    /// Orders that the engine has not answered.
+    /// Orders to the engine that have not ended.
     orders: IndexMap<OrderId, (OrderKind, AdapterVersion)>,
     demand: demand::DemandTable,
-    /// Adapters that lost their slots of late, as candidates for a load ahead of demand.
+    /// Recently evicted adapters, which are the candidates for a preload.
     evicted: IndexSet<AdapterVersion>,
     spread: Spread,
     engine: EngineView,
@@ -82,23 +84,24 @@
     service_time: DurationAverage,
     live_load: DecayedLevel,
     live_grants_since_deferrable: u32,
-    /// When a deferrable request last got its permit.
+    /// When a deferrable request was last granted a permit.
     last_deferrable_grant: Moment,
     last_load: Option<Moment>,
     last_preload_check: Moment,
     /// When the last event was handled.
     last_event: Moment,
     draining: bool,
-    /// Whether the engine has told that somebody else owns the target.
+    /// Whether the engine has refused this owner's fencing number, which means that another
+    /// instance owns the target.
     fenced: bool,
     bugs: Bugs,
 }
 
 impl Owner {
-    /// Starts to own a target, of which nothing is known yet.
+    /// Creates the owner of a target about which nothing is known yet.
     ///
-    /// The first event, or the [`OwnerEvent::Tick`] that [`Self::next_wakeup`] asks for, brings
-    /// the question for the engine's adapters.
+    /// The owner requests the engine's inventory at the first event, or at the [`OwnerEvent::Tick`]
+    /// that [`Self::next_wakeup`] schedules.
     pub fn new(cfg: OwnerConfig, now: Moment) -> Self {
         let first_order = cfg.epoch.get() << ORDER_BITS;
         Self {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions that follow from it.
     pub fn handle(&mut self, event: OwnerEvent, now: Moment) -> Vec<OwnerAction> {
         let mut out = Vec::new();
         self.last_event = now;
@@ -145,13 +148,14 @@
         out
     }
 
-    /// Seeds a bug, to show that a test finds it.
+    /// Seeds a bug, so that a test can show that it detects the bug.
     #[cfg(feature = "seeded-bugs")]
     pub const fn seed(&mut self, bug: crate::Bug) {
         self.bugs = Bugs::seeded(bug);
     }
 
-    /// Returns when [`OwnerEvent::Tick`] is next wanted.
+    /// Returns the latest time by which the owner needs an [`OwnerEvent::Tick`] if no other event
+    /// arrives.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let renewal =
             (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW_INTERVAL);
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Ends what has come due: waiting requests at their deadlines, permits of entry instances
+    /// Ends what has expired: waiting requests at their deadlines, and permits of entry instances
     /// that have left.
     fn expire(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
@@ -225,8 +229,8 @@
             return;
         }
         if self.slots.exist() {
-            // It may have restarted empty: nothing is granted for an adapter until it has listed
-            // what it holds.
+            // The engine may have restarted without adapters, so no permit for an adapter is
+            // granted until the engine has listed its adapters.
             self.engine.invalidate_inventory();
         }
     }
@@ -253,7 +257,8 @@
         }
     }
 
-    /// Tells the power allocator what the work at hand could use, and of power given back.
+    /// Reports to the power allocator the power that the current work could use, and power that has
+    /// been released.
     fn report_power(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if let Some(less) = self.power.confirm_less(self.drawing_sequences()) {
             out.push(OwnerAction::ConfirmShare {
@@ -261,9 +266,10 @@
                 watts: less.watts,
             });
         }
-        // Requests that wait for a load can't use power yet: counted, they would have targets
-        // parked, and their slots lost, just when slots and loads are short.
-        // Seats reserved for bursts don't count either: all targets' are never in use at once.
+        // Requests that wait for a load can't use power yet. Counting them would cause targets to
+        // be parked, which loses their adapter slots at the time when slots and loads are scarce.
+        // Batch slots reserved for bursts are not counted either: the reserves of all targets are
+        // never in use at the same time.
         let live = self.permits.live() + self.queue.ready(Class::Live);
         let deferrable = self.permits.deferrable() + self.queue.ready(Class::Deferrable);
         if let Some((live_watts, deferrable_watts)) = self.power.report(live, deferrable, now) {
@@ -274,14 +280,16 @@
         }
     }
 
-    /// Returns the sequences that may draw power, known or not.
+    /// Returns the number of sequences that may draw power, including those whose permits are not
+    /// known yet.
     fn drawing_sequences(&self) -> usize {
         let known = self.permits.len() + self.engine.external_sequences();
         let drawing = known.saturating_add(self.unknown_sequences());
         drawing.min(self.cfg.max_batch as usize)
     }
 
-    /// Notes that permits were granted, learnt or released.
+    /// Updates the live load and the permit counts after permits were granted, reported or
+    /// released.
     fn permits_changed(&mut self, now: Moment) {
         let live = self.permits.live() as f64;
         self.live_load.set(live, tuning::LIVE_LOAD_HALF_LIFE, now);
@@ -296,7 +304,7 @@
         self.evicted.insert(model.clone());
     }
 
-    /// Puts a decision about a request into words.
+    /// Builds the log record of a decision about a request.
     fn decision(&self, kind: DecisionKind, timed: &TimedRequest, reason: &'static str) -> Decision {
         Decision {
             kind,
@@ -318,7 +326,7 @@
         reason: &'static str,
         out: &mut Vec<OwnerAction>,
     ) {
-        out.push(OwnerAction::Log(self.decision(kind, asked, reason)));
+        out.push(OwnerAction::Log(self.decision(kind, timed, reason)));
     }
 
     fn log_model(
--- a/crates/chervilshunt_core/src/owner/demand.rs
+++ b/crates/chervilshunt_core/src/owner/demand.rs
@@ -1,4 +1,4 @@
-//! What is remembered of each adapter's demand.
+//! The recorded demand for each adapter.
 
 use chervilshunt_model::{AdapterVersion, Class, Moment};
 use indexmap::IndexMap;
@@ -9,7 +9,7 @@
 };
 use crate::decay::DecayedRate;
 
-/// Entries looked at for one to forget when the table is full.
+/// Number of entries compared when the table is full and one of them has to be removed.
 const EVICTION_SAMPLE: usize = 8;
 
 /// Demand for one adapter.
@@ -20,12 +20,14 @@
 }
 
 impl Demand {
-    /// Returns the rate of requests as of the last one, times the chance that there will be more.
+    /// Returns the request rate as of the last request, multiplied by the probability that more
+    /// requests follow.
     ///
-    /// A rate that merely fades keeps an adapter that was busy until a moment ago above one that
-    /// has just become busy. If requests come at rate `r` and an adapter falls asleep at rate `s`,
-    /// then after `t` without a request the odds that it sleeps are `s / (r + s) * (e^((r + s) t)
-    /// - 1)`: a busy adapter gives itself away within a few of its usual gaps.
+    /// A rate that only decays would rank an adapter that was busy until a moment ago above one
+    /// that has just become busy. If requests arrive at rate `r` and an adapter becomes idle at
+    /// rate `s`, then after `t` without a request the odds that it is idle are `s / (r + s) *
+    /// (e^((r + s) t) - 1)`. An adapter that was busy is therefore recognised as idle within a few
+    /// of its usual gaps.
     fn long_term_rate(&self, now: Moment) -> f64 {
         let (rate, idle) = self.long_term.last(LONG_TERM_HALF_LIFE, now);
         let ends = rate + IDLE_TRANSITION_PER_S;
@@ -34,31 +36,31 @@
     }
 }
 
-/// The demand for each adapter that was asked for of late, bounded in number.
+/// The demand for each recently requested adapter, bounded in number.
 ///
-/// The counters fade when they are looked at and at no other time. A full table forgets the
-/// adapter in least demand of a few at a moving hand, as a clock cache does, so that a request
-/// costs the same however many adapters are known.
+/// The counters decay only when they are read. A full table removes the entry with the least demand
+/// among a few at a moving position, as a clock cache does, so that the cost of a request does not
+/// depend on the number of known adapters.
 #[derive(Debug, Default)]
 pub(super) struct DemandTable {
     known: IndexMap<AdapterVersion, Demand>,
-    /// Since when requests have been counted.
-    since: Moment,
-    /// Requests of late that found their adapter loaded, weighted as in the demand.
+    /// When counting started.
+    counting_since: Moment,
+    /// Rate of recent requests whose adapter was loaded, weighted as in the demand.
     hits: DecayedRate,
     clock_hand: usize,
 }
 
 impl DemandTable {
-    /// Starts to count.
+    /// Creates an empty table that counts from `now` on.
     pub(super) fn new(now: Moment) -> Self {
         Self {
-            since: now,
+            counting_since: now,
             ..Self::default()
         }
     }
 
-    /// Counts a request.
+    /// Counts a request; `loaded` is whether its adapter served permits at that time.
     pub(super) fn count(
         &mut self,
         model: &AdapterVersion,
@@ -84,14 +86,17 @@
         demand.short_term.add(1.0, SHORT_TERM_HALF_LIFE, now);
     }
 
-    /// Returns the demand that makes the adapter worth its slot: requests a second, deferrable
-    /// ones counted in part.
+    /// Returns the long-term demand, which determines the worth of the adapter's slot: requests per
+    /// second, with deferrable requests counted in part.
     pub(super) fn long_term(&self, model: &AdapterVersion, now: Moment) -> f64 {
         let demand = self.known.get(model);
         demand.map_or(0.0, |it| it.long_term_rate(now))
     }
 
-    /// Returns the part of the demand promised by `loaded` adapters that came true of late.
+    /// Returns the ratio of the recent hit rate to the rate that the long-term demand for the
+    /// `loaded` adapters predicts.
+    ///
+    /// A ratio well below 1 means that popularity has shifted to adapters that are not loaded.
     pub(super) fn hit_ratio<'a>(
         &self,
         loaded: impl Iterator<Item = &'a AdapterVersion>,
@@ -101,7 +106,8 @@
         let predicted: f64 = rates
             .map(|it| it.long_term.per_second(LONG_TERM_HALF_LIFE, now))
             .sum();
-        // Rates counted for less than their memory are too low by what lies before the count.
+        // A rate that has been counted for less than a few half-lives is too low; this corrects it
+        // for the time before counting started.
         let counted =
             now.since(self.counting_since).as_secs_f64() / LONG_TERM_HALF_LIFE.as_secs_f64();
         let predicted = predicted / (1.0 - (-counted).exp2()).max(f64::MIN_POSITIVE);
@@ -111,7 +117,7 @@
         self.hits.per_second(HIT_HALF_LIFE, now) / predicted
     }
 
-    /// Returns the requests a second of the last seconds.
+    /// Returns the requests per second over the last few seconds.
     pub(super) fn short_term(&self, model: &AdapterVersion, now: Moment) -> f64 {
         let demand = self.known.get(model);
         demand.map_or(0.0, |it| {
@@ -119,7 +125,7 @@
         })
     }
 
-    /// Returns the number of adapters remembered.
+    /// Returns the number of adapters in the table.
     pub(super) fn len(&self) -> usize {
         self.known.len()
     }
