--- a/crates/chervilshunt_core/src/owner/action.rs
+++ b/crates/chervilshunt_core/src/owner/action.rs
@@ -1,64 +1,66 @@
-//! What an owner wants done.
+//! Actions that an owner requests.
 
 use chervilshunt_model::{AdapterVersion, AttemptId, InstanceId};
 
 use super::order::{EngineOrder, LoadUrgency, OrderId};
 use crate::{Decision, PermitAnswer};
 
-/// What an owner wants done.
+/// An action that an owner requests from the code that drives it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerAction {
-    /// Answer a request for a permit.
+    /// Answer a permit request.
     Answer {
-        /// The instance that asked.
+        /// The instance that sent the request.
         entry: InstanceId,
-        /// The try that it asked for.
+        /// The attempt that the request is for.
         attempt: AttemptId,
         /// The answer.
         answer: PermitAnswer,
     },
-    /// Ask the load scheduler for a turn, or renew the urgency of a turn asked for before.
+    /// Request a turn from the load scheduler, or update the urgency of a turn that is already
+    /// requested.
     RequestTurn {
         /// The order that the turn is for.
         order: OrderId,
         /// The adapter version to be loaded.
         model: AdapterVersion,
-        /// How badly it is needed.
+        /// How urgently it is needed.
         urgency: LoadUrgency,
     },
-    /// Tell the load scheduler that a turn is over or no longer wanted.
+    /// Notify the load scheduler that a turn has ended or is no longer needed.
     EndTurn {
         /// The order that the turn was for.
         order: OrderId,
-        /// Whether the load succeeded; none if it was not begun.
+        /// Whether the load succeeded, or `None` if it was not started.
         loaded: Option<bool>,
     },
-    /// Tell the load scheduler that a turn is still in use, or one that has just come back of a
-    /// turn that an earlier one granted.
+    /// Notify the load scheduler that a turn is still in use. A scheduler that has just become
+    /// reachable learns in this way of turns that an earlier scheduler granted.
     RenewTurn {
         /// The order that the turn is for.
         order: OrderId,
         /// The adapter version that is being loaded.
         model: AdapterVersion,
     },
-    /// Give the engine an order. The holder checks its lease again right before it goes out.
+    /// Send an order to the engine. The sender checks the lease again immediately before it sends
+    /// the order.
     Order(EngineOrder),
-    /// Ask the engine which adapters it holds.
+    /// Request the list of adapters that the engine holds.
     RequestInventory,
-    /// Confirm to the power allocator that the share is kept.
+    /// Confirm to the power allocator that the target observes its share.
     ConfirmShare {
-        /// The number of the share.
+        /// The sequence number of the share.
         sequence: u64,
         /// The most power that the target can draw from now on, in watts.
         watts: f64,
     },
-    /// Tell the power allocator how much power the work at hand could use.
+    /// Report to the power allocator how much power the current work could use.
     ReportDemand {
         /// Power for live work, in watts.
         live_watts: f64,
-        /// Power for deferrable work beside it, in watts.
+        /// Power for deferrable work in addition to the live work, in watts.
         deferrable_watts: f64,
     },
-    /// Write a decision to the log.
+    /// Log a decision.
     Log(Decision),
 }
--- a/crates/chervilshunt_core/src/owner/event.rs
+++ b/crates/chervilshunt_core/src/owner/event.rs
@@ -1,4 +1,4 @@
-//! What an owner has to react to.
+//! Events that an owner handles.
 
 use std::time::Duration;
 
@@ -7,38 +7,39 @@
 use super::order::{OrderFailure, OrderId};
 use crate::{Permit, PermitRequest, ReleasedPermit};
 
-/// What an engine said of itself; it lags.
+/// A load report of an engine, which arrives with a delay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// Sequences running.
+    /// Number of running sequences.
     pub running: u32,
-    /// Sequences waiting inside the engine.
+    /// Number of sequences that wait inside the engine.
     pub waiting: u32,
-    /// How old the report was when it arrived.
+    /// Age of the report when it arrived.
     pub age: Duration,
 }
 
-/// What an owner has to react to.
+/// An event that an owner handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerEvent {
-    /// An entry instance asks for a permit.
+    /// An entry instance requests a permit.
     PermitRequested(PermitRequest),
-    /// An entry instance gives a permit back, or withdraws its request.
+    /// An entry instance releases a permit or withdraws its request.
     PermitReleased(ReleasedPermit),
-    /// An instance has left: its queued requests go, its permits end with their window.
+    /// An instance has left. Its queued requests are dropped; its permits end after the permit
+    /// window and a grace period for the engine to abort their calls.
     EntryLeft(InstanceId),
-    /// The load scheduler gives the turn that was asked for.
+    /// The load scheduler grants a requested turn.
     TurnGranted {
         /// The order that the turn is for.
         order: OrderId,
-        /// How long a load asked for now would wait for its turn.
+        /// How long a load that is requested now would wait for its turn.
         queue_wait: Duration,
     },
-    /// The load scheduler can't be reached or is back; a new one knows of no turn.
+    /// The load scheduler became reachable or unreachable. A new scheduler knows no turns.
     ///
-    /// An owner starts with a scheduler that it takes to be reachable.
+    /// An owner starts with a scheduler that it assumes to be reachable.
     SchedulerReachable(bool),
-    /// An order came to its end.
+    /// An order ended.
     OrderEnded {
         /// The order.
         order: OrderId,
@@ -47,7 +48,8 @@
     },
     /// The engine reported its load.
     EngineReported(EngineReport),
-    /// The engine listed the adapters that it holds, as asked with [`OwnerAction::RequestInventory`](crate::OwnerAction::AskInventory).
+    /// The engine listed the adapters that it holds, in answer to
+    /// [`OwnerAction::RequestInventory`](crate::OwnerAction::RequestInventory).
     Inventory(Vec<AdapterVersion>),
     /// An instance listed the permits that it holds for the target, after a takeover.
     PermitsHeld {
@@ -56,22 +58,23 @@
         /// Its permits.
         permits: Vec<Permit>,
     },
-    /// Every live instance has listed its permits, or has left: evictions are safe from now on.
+    /// Every live instance has listed its permits or has left, so evictions are safe from now on.
     TakeoverComplete,
-    /// The engine can't be reached or is back; after a restart it is empty.
+    /// The engine became reachable or unreachable. After a restart it holds no adapters.
     Reachable(bool),
-    /// The power allocator set the share, in watts.
+    /// The power allocator set the share.
     ShareSet {
-        /// The number of the share, to confirm it.
+        /// The sequence number of the share, which the confirmation repeats.
         sequence: u64,
-        /// The share.
+        /// The share, in watts.
         watts: f64,
     },
-    /// The prefixes that the engine holds cached, as late and gappy events tell.
+    /// The prefixes that the engine has cached, according to cache events that arrive late and with
+    /// gaps.
     PrefixesCached(Vec<u64>),
-    /// The target starts or stops taking new work.
+    /// The target starts (`true`) or stops (`false`) draining: a draining target takes no new work.
     Draining(bool),
-    /// The other targets of the service have changed.
+    /// The set of other targets of the service changed.
     PeersChanged(Vec<TargetName>),
     /// Time has passed.
     Tick,
