--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request for a permit.
+//! Admission of permit requests: grant, queue, redirect or refuse.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::{DecisionKind, PermitAnswer, PermitRequest, RefusalReason};
 
 impl Owner {
-    /// Takes a request for a permit: grants, queues, redirects or refuses it.
+    /// Handles a permit request: grants, queues, redirects or refuses it.
     pub(super) fn permit_requested(
         &mut self,
         req: PermitRequest,
@@ -68,7 +68,10 @@
         self.enqueue(req, queue_class, waits_for_load, now, out);
     }
 
-    /// Turns every waiting request away, as the target takes no new work.
+    /// Redirects or refuses every waiting request because the target takes no new work.
+    ///
+    /// Deferrable requests that no other target can take stay in the queue if the reason is
+    /// temporary.
     pub(super) fn redirect_or_refuse_all(
         &mut self,
         reason: RefusalReason,
@@ -87,7 +90,8 @@
         }
     }
 
-    /// Sends every waiting request on, as the target has no power to serve it.
+    /// Redirects every waiting request that another target can take, because this target has no
+    /// power to serve it.
     pub(super) fn redirect_all(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let waiting: Vec<AttemptId> = self.queue.iter().map(|it| it.req.attempt).collect();
         for attempt in waiting {
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Sends a request that waits to another target, or refuses it.
+    /// Redirects a waiting request to another target, or refuses it if there is none.
     pub(super) fn redirect_or_refuse_queued(
         &mut self,
         attempt: AttemptId,
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Refuses a request that waits.
+    /// Refuses a waiting request.
     pub(super) fn refuse_queued(
         &mut self,
         attempt: AttemptId,
@@ -132,7 +136,8 @@
         self.refuse(waiting.end(now), reason, retry_after, now, out);
     }
 
-    /// Returns the class under which a request is treated.
+    /// Returns the class under which a request is queued; without the `fill` mechanism all are
+    /// live.
     pub(super) fn queue_class(&self, class: Class) -> Class {
         if self.cfg.mechanisms.fill {
             class
@@ -202,7 +207,7 @@
         self.refuse(timed, reason, retry_after, now, out);
     }
 
-    /// Whether a request waits until the target is back, rather than fail.
+    /// Returns whether a request waits until the target is back instead of failing.
     fn waits_out_outage(&self, req: &PermitRequest) -> bool {
         req.class == Class::Deferrable && self.next_ranked(req, MAX_CLOSED_HOPS).is_empty()
     }
@@ -212,7 +217,8 @@
         self.slots.exist() && model.is_some_and(|model| !self.slots.serves(model))
     }
 
-    /// Returns where a request is better off that can't be granted at once, with the reason.
+    /// Returns targets that are likely to serve a request sooner than this one, with the reason,
+    /// for a request that can't be granted at once.
     fn find_better_targets(
         &mut self,
         req: &PermitRequest,
@@ -226,8 +232,8 @@
         self.update_spread(&model, now);
         if waits_for_load {
             let full = self.slots.exist() && self.slots.free() == 0;
-            // An instance that can't be asked for its permits holds up evictions for as long as it
-            // is listed: a request that waited here for a slot would run into its deadline.
+            // An instance that can't be asked for its permits blocks evictions for as long as it is
+            // listed. A request that waited here for a slot would reach its deadline.
             if full && self.knows_adapters() && !self.takeover.complete() {
                 let next = self.next_ranked(req, MAX_HOPS);
                 return (!next.is_empty()).then_some((next, "nothing may be evicted yet"));
@@ -254,7 +260,7 @@
         (!others.is_empty()).then_some((others, "spread over several targets"))
     }
 
-    /// Returns why a request would be held for nothing, and when to ask again.
+    /// Returns why it would be pointless to queue a request, and after which time to retry.
     fn reason_not_to_queue(
         &self,
         req: &PermitRequest,
@@ -298,7 +304,8 @@
         }
     }
 
-    /// Returns the time until the turn of an adapter: the more wait for it, the sooner it comes.
+    /// Returns the expected time until the turn of an adapter. It is shorter the more requests wait
+    /// for the adapter, because the load scheduler prefers urgent loads.
     fn expected_turn(&self, model: Option<&AdapterVersion>, now: Moment) -> Duration {
         let queue_wait = self.loads.queue_wait(now);
         let Some(model) = model else {
@@ -309,7 +316,8 @@
         queue_wait.div_f64(1.0 + waiting + coming)
     }
 
-    /// Returns until when an adapter isn't tried again whose tries are used up.
+    /// Returns the time before which an adapter that has used up its load attempts is not tried
+    /// again.
     pub(super) fn load_suspended_until(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
         let load = self.loads.get(req.model.as_ref()?)?;
         let LoadPhase::Backoff { until } = load.phase else {
@@ -343,7 +351,7 @@
     }
 }
 
-/// Whether a target that takes nothing for this reason is likely to be back before long.
+/// Returns whether a target that takes no work for this reason is likely to recover soon.
 fn is_temporary(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::TargetDown | RefusalReason::TargetFailing => true,
--- a/crates/chervilshunt_core/src/owner/answer.rs
+++ b/crates/chervilshunt_core/src/owner/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to requests for permits, each with its line for the log.
+//! Answers to permit requests, each with its log record.
 
 use std::time::Duration;
 
