--- a/crates/chervilshunt_core/src/owner/config.rs
+++ b/crates/chervilshunt_core/src/owner/config.rs
@@ -1,4 +1,4 @@
-//! What an owner is told when it starts.
+//! The configuration of an owner.
 
 use std::time::Duration;
 
@@ -6,42 +6,43 @@
 
 use crate::{BreakerConfig, Mechanisms, PolicyWeights};
 
-/// What an owner has to know of its target and deployment.
+/// What an owner needs to know about its target and its deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerConfig {
     /// The target.
     pub target: TargetName,
     /// The fencing number under which this owner holds the role.
     pub epoch: Epoch,
-    /// Whether the target refuses old fencing numbers.
+    /// Whether the target refuses orders with an old fencing number.
     pub fencing: Fencing,
-    /// Adapters that the target can hold; 0 for a plain service.
+    /// Number of adapters that the target can hold; 0 for a plain service.
     pub slots: u32,
-    /// Sequences that the target can run at a time.
+    /// Number of sequences that the target can run at the same time.
     pub max_batch: u32,
-    /// Fixed part of a step's power, in watts; an engine without a sequence runs no step.
+    /// Fixed part of the power that a step draws, in watts. An engine without sequences runs no
+    /// steps.
     pub idle_watts: f64,
     /// Power that each running sequence adds, in watts.
     pub watts_per_sequence: f64,
-    /// Share of the site's power at the start, in watts.
+    /// Initial share of the site's power, in watts.
     pub share_watts: f64,
-    /// The most live requests that may wait.
+    /// Maximum number of live requests in the queue.
     pub live_queue_bound: usize,
-    /// The most deferrable requests that may wait.
+    /// Maximum number of deferrable requests in the queue.
     pub deferrable_queue_bound: usize,
-    /// The time within which a permit has to be used.
+    /// Time within which a permit must be used.
     pub permit_window: Duration,
-    /// The time between two loads begun while the load scheduler can't be reached.
+    /// Minimum time between two loads that start while the load scheduler is unreachable.
     ///
-    /// Targets of the store times the seconds between loads of the store keeps them all together
-    /// within the store's rate.
+    /// With the number of targets of a weight store, multiplied by the seconds between two loads of
+    /// the store, all targets together stay within the store's load rate.
     pub unscheduled_load_interval: Duration,
-    /// Other targets of the service, over which an adapter may be spread.
+    /// The other targets of the service, over which an adapter may be spread.
     pub peers: Vec<TargetName>,
-    /// When calls to the target are stopped because they fail.
+    /// When the circuit breaker stops calls to the target because they fail.
     pub breaker: BreakerConfig,
-    /// What the deployment minds most.
+    /// The relative weights of the deployment's objectives.
     pub weights: PolicyWeights,
-    /// The mechanisms that are on; all of them outside the bench.
+    /// The mechanisms that are enabled; outside the bench, all of them are.
     pub mechanisms: Mechanisms,
 }
