--- a/crates/chervilshunt_core/src/owner/engine.rs
+++ b/crates/chervilshunt_core/src/owner/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of the engine, apart from its slots.
+//! The state of the engine apart from its slots.
 
 use std::collections::VecDeque;
 
@@ -8,18 +8,18 @@
 use super::event::EngineReport;
 use super::tuning::{INVENTORY_TIMEOUT, MAX_CACHED_PREFIXES};
 
-/// Own permit counts remembered, to set a lagging report against.
+/// Number of past permit counts kept, to compare with an engine report that arrives late.
 const MAX_PERMIT_COUNTS: usize = 512;
 
-/// What is known of the engine, apart from its slots.
+/// The state of the engine apart from its slots.
 #[derive(Debug)]
 pub(super) struct EngineView {
-    /// Whether it can be reached.
+    /// Whether the engine is reachable.
     pub(super) reachable: bool,
-    /// Whether its adapters are known.
+    /// Whether the engine's adapters are known.
     pub(super) inventory_known: bool,
     inventory_required: bool,
-    /// When the listing that is awaited was first asked for: it is at least as new as that.
+    /// When the pending listing was first requested; the listing is at least as recent as that.
     inventory_requested: Option<Moment>,
     inventory_last_requested: Moment,
     permit_counts: VecDeque<(Moment, usize)>,
@@ -28,7 +28,7 @@
 }
 
 impl EngineView {
-    /// Starts with an engine that is taken to be reachable and of which nothing is known.
+    /// Starts with an engine that is assumed to be reachable and about which nothing else is known.
     pub(super) fn new(has_slots: bool) -> Self {
         Self {
             reachable: true,
@@ -42,19 +42,19 @@
         }
     }
 
-    /// Wants the adapters listed, as something about them is in doubt.
+    /// Schedules a request for the inventory because something about the adapters is uncertain.
     pub(super) fn require_inventory(&mut self) {
         self.inventory_required = true;
     }
 
-    /// Takes nothing about the adapters for granted until they have been listed anew.
+    /// Treats the adapters as unknown until a new listing has arrived.
     pub(super) fn invalidate_inventory(&mut self) {
         self.inventory_known = false;
         self.inventory_required = true;
         self.inventory_requested = None;
     }
 
-    /// Whether the inventory is to be asked for now; if so it counts as asked.
+    /// Returns whether the inventory is to be requested now, and if so records the request.
     pub(super) fn begin_inventory_request(&mut self, now: Moment) -> bool {
         if !self.reachable {
             return false;
@@ -71,16 +71,16 @@
         due
     }
 
-    /// Takes an answer to the question for the inventory, and returns when that was first asked.
+    /// Accepts a listing of the inventory and returns when it was first requested.
     ///
-    /// Listings that nobody asked for are late doubles and count for nothing.
+    /// A listing that was not requested is a late duplicate and is ignored.
     pub(super) fn inventory_answered(&mut self) -> Option<Moment> {
         let asked = self.inventory_requested.take()?;
         self.inventory_known = true;
         Some(asked)
     }
 
-    /// Returns when an unanswered question is asked again.
+    /// Returns when an unanswered request for the inventory is repeated.
     pub(super) fn next_inventory_request(&self) -> Option<Moment> {
         if !self.reachable {
             return None;
@@ -89,7 +89,7 @@
             .map(|_| self.inventory_last_requested + INVENTORY_TIMEOUT)
     }
 
-    /// Notes how many permits are out from now on.
+    /// Records the number of outstanding permits from now on.
     pub(super) fn count_permits(&mut self, permits: usize, now: Moment) {
         if self.permit_counts.len() >= MAX_PERMIT_COUNTS {
             self.permit_counts.pop_front();
@@ -97,11 +97,12 @@
         self.permit_counts.push_back((now, permits));
     }
 
-    /// Sets a report against the permits that were out when it was taken.
+    /// Compares a report with the permits that were outstanding when it was taken.
     ///
-    /// Sequences beyond them are not the owner's: calls that a caller gave up and that the engine
-    /// has yet to drop, or somebody else's. Only what two reports in a row show is counted, since
-    /// the moment at which a report was taken is known roughly.
+    /// Sequences in excess of them don't belong to permits of this owner: their callers gave up and
+    /// the engine has yet to abort them, or somebody else started them. Only an excess that two
+    /// successive reports show is counted, because the time at which a report was taken is known
+    /// only roughly.
     pub(super) fn reported(&mut self, report: &EngineReport, now: Moment) {
         let taken = now - report.age;
         let since_taken = self
@@ -116,23 +117,23 @@
         self.excess = [sequences.saturating_sub(most), self.excess[0]];
     }
 
-    /// Returns the sequences that take room in the batch without a permit.
+    /// Returns the number of sequences that occupy the batch without a permit.
     pub(super) fn external_sequences(&self) -> usize {
         self.excess[0].min(self.excess[1])
     }
 
-    /// Forgets what an engine that went away had running and cached.
+    /// Clears the running work and the cached prefixes of an engine that became unreachable.
     pub(super) fn clear_work(&mut self) {
         self.excess = [0; 2];
         self.cached.clear();
     }
 
-    /// Notes the prefixes that the engine holds cached.
+    /// Replaces the set of prefixes that the engine has cached.
     pub(super) fn set_cached(&mut self, prefixes: Vec<u64>) {
         self.cached = prefixes.into_iter().take(MAX_CACHED_PREFIXES).collect();
     }
 
-    /// Whether the engine is likely to hold a prefix cached.
+    /// Returns whether the engine probably has a prefix cached.
     pub(super) fn is_cached(&self, prefix: u64) -> bool {
         self.cached.contains(&prefix)
     }
