--- a/crates/chervilshunt_core/src/owner/evict.rs
+++ b/crates/chervilshunt_core/src/owner/evict.rs
@@ -1,4 +1,4 @@
-//! Which adapter makes room for another, and whether any should.
+//! Eviction: which adapter is unloaded for another one, and whether any should be.
 
 use chervilshunt_model::{AdapterVersion, Class, Moment};
 
@@ -8,58 +8,62 @@
 use crate::LoadUrgency;
 use crate::bugs::Bug;
 
-/// Worth of a request that waits for nothing but room, in requests a second of lasting demand.
+/// Worth of a request that waits for batch capacity alone, in requests per second of long-term
+/// demand.
 const READY_REQUEST_WORTH: f64 = 1.0;
 
-/// Time over which a request for an evicted adapter would be missed, in seconds.
+/// Time within which a request for an evicted adapter counts as a miss, in seconds.
 const MISS_WINDOW_S: f64 = 60.0;
 
-/// Waiting time of deferrable requests, summed, that makes up for a second of expected stall.
+/// Total waiting time of deferrable requests, in seconds, that justifies one second of expected
+/// stall.
 const WAIT_PER_STALL: f64 = 30.0;
 
-/// Time after which a deferrable request gets its slot in any case, in milliseconds.
+/// Time after which a deferrable request gets a slot unconditionally, in milliseconds.
 ///
-/// One that waits alone makes up for a second of stall only after 30 s, and would be refused at its
-/// deadline on each try. It is half of the shortest deadline that deferrable work has by default,
-/// so that the other half is left for a turn, the load and the answer.
+/// A request that waits alone justifies one second of stall only after 30 s, and each of its
+/// attempts would be refused at its deadline. The limit is half of the shortest default deadline of
+/// deferrable work, which leaves the other half for the turn, the load and the answer.
 const MAX_DEFERRAL_MS: u64 = 10_000;
 
-/// Part of the demand promised by the loaded adapters below which popularity may have moved.
+/// Ratio of the actual to the predicted hit rate of the loaded adapters below which popularity may
+/// have shifted.
 const STABLE_HIT_RATIO: f64 = 1.05;
 
-/// How fast that becomes certain as the part that comes true falls: at 0.88 it is.
+/// How quickly a shift of popularity is inferred as that ratio falls. At a ratio of 0.88 it is
+/// taken as certain.
 const SHIFT_GAIN: f64 = 6.0;
 
-/// Wait for a turn to load at which as many slots are protected as ever, in seconds.
+/// Wait for a load turn, in seconds, at which the protected part of the slots would reach 1; it
+/// grows in proportion to the wait up to [`MAX_PROTECTED_PART`].
 const PROTECTION_WAIT_S: f64 = 1.0;
 
-/// Part of the slots that is protected at most.
+/// Maximum part of the slots that is protected from eviction.
 const MAX_PROTECTED_PART: f64 = 0.9;
 
-/// The adapter that makes room most cheaply.
+/// The idle adapter that is cheapest to evict.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Victim {
-    /// The adapter.
     pub(super) model: AdapterVersion,
-    /// Its worth, by [`Owner::worth`].
+    /// Its worth as given by [`Owner::worth`], or 0 for a retiring adapter.
     pub(super) worth: f64,
-    /// The adapter that would have been next.
+    /// The next cheapest adapter.
     pub(super) runner_up: Option<AdapterVersion>,
 }
 
 impl Owner {
-    /// Returns what an adapter's slot is worth: the rate at which giving it up would make
-    /// requests wait.
+    /// Returns the worth of an adapter's slot: the rate at which requests would have to wait if the
+    /// adapter were evicted.
     ///
-    /// The cost of loading again is this rate times the time that a load takes at the present
-    /// length of the load queue. That time is the same for all slots of a target, so it counts
-    /// only where worth is set against waiting.
+    /// The cost of loading it again is this rate multiplied by the time that a load takes with the
+    /// current load queue. That time is the same for all slots of a target, so it matters only
+    /// where worth is compared with waiting time.
     pub(super) fn worth(&self, model: &AdapterVersion, now: Moment) -> f64 {
         self.demand.long_term(model, now)
             + READY_REQUEST_WORTH * f64::from(self.queue.ready_for(model))
     }
 
-    /// Returns the idle adapter that makes room most cheaply.
+    /// Returns the idle adapter that is cheapest to evict.
     pub(super) fn victim(&self, now: Moment) -> Option<Victim> {
         if !self.may_evict() {
             return None;
@@ -81,14 +85,14 @@
         })
     }
 
-    /// Returns the idle adapters without those used most recently, as many as are protected.
+    /// Returns the idle adapters except for the protected ones, which are those used most recently.
     ///
-    /// When popularity moves, an adapter that has just been loaded has shown little demand yet, and
-    /// would be the next to go; its next request would find it gone, and the same adapters would
-    /// be loaded again and again just when loads are short. So the longer loads wait for their
-    /// turn, the more are protected, but only while the loaded adapters are asked for less than
-    /// their past promised: recency evicts worse than demand where popularity stays, and a queue
-    /// of loads that made evictions worse would feed itself.
+    /// When popularity shifts, an adapter that has just been loaded has little recorded demand and
+    /// would be evicted next. Its next request would miss, and the same adapters would be loaded
+    /// again and again while loads are scarce. The number of protected adapters therefore grows
+    /// with the wait for a load turn, but only while the loaded adapters get fewer requests than
+    /// their past demand predicts. While popularity is stable, recency chooses worse victims than
+    /// demand, and a load queue that made evictions worse would reinforce itself.
     fn candidates(&self, now: Moment) -> impl Iterator<Item = (&AdapterVersion, &IdleSlot)> {
         let mut idle: Vec<(&AdapterVersion, &IdleSlot)> = self.slots.idle().collect();
         let protected = self.protected_part(now) * f64::from(self.cfg.slots);
@@ -123,11 +127,11 @@
         }
     }
 
-    /// Whether an adapter is waited for badly enough to give up a slot of this worth.
+    /// Returns whether the waiting requests for an adapter justify giving up a slot of this worth.
     ///
-    /// Live requests always are. Deferrable ones gather until their waiting makes up for the
-    /// stall that is to be expected, so that many of them share a load; as they wait longer, they
-    /// get their slot in any case.
+    /// Live requests always do. Deferrable requests accumulate until their waiting time makes up
+    /// for the expected stall, so that many of them share a load. After [`MAX_DEFERRAL_MS`] they
+    /// get a slot unconditionally.
     pub(super) fn worth_evicting(&self, urgency: &LoadUrgency, worth: f64, now: Moment) -> bool {
         match urgency.class {
             Some(Class::Live) => true,
@@ -142,10 +146,10 @@
         }
     }
 
-    /// Stops granting permits for the pinned adapter of least worth, when a load has waited too
-    /// long for any slot to become idle.
+    /// Stops granting permits for the pinned adapter of least worth if a load has waited too long
+    /// for a slot to become idle.
     ///
-    /// Without it a target whose slots are all in steady use would never load another adapter.
+    /// Otherwise a target whose slots are all in steady use would never load another adapter.
     pub(super) fn retire_one(&mut self, urgency: &LoadUrgency, now: Moment) -> bool {
         let patience = match urgency.class {
             Some(Class::Live) => RETIRE_AFTER_LIVE,
@@ -167,13 +171,13 @@
         true
     }
 
-    /// Whether adapters may be unloaded at all.
+    /// Returns whether adapters may be unloaded at all.
     pub(super) fn may_evict(&self) -> bool {
         let complete = self.takeover.complete() || self.bugs.has(Bug::EvictsInTakeover);
         complete && self.knows_adapters() && self.engine.reachable && !self.fenced
     }
 
-    /// Returns how much stalls are minded, against full batches.
+    /// Returns the weight of load stalls relative to batch efficiency, from 0.1 to 10.
     pub(super) fn stall_weight(&self) -> f64 {
         let weights = self.cfg.weights;
         let ratio = weights.load_stalls.max(f64::MIN_POSITIVE)
@@ -182,7 +186,7 @@
     }
 }
 
-/// Takes the candidate of least cost out.
+/// Removes and returns the candidate with the lowest cost.
 fn take_least<'a>(
     candidates: &mut Vec<(f64, &'a AdapterVersion)>,
 ) -> Option<(f64, &'a AdapterVersion)> {
