--- a/crates/chervilshunt_core/src/owner/health.rs
+++ b/crates/chervilshunt_core/src/owner/health.rs
@@ -1,8 +1,8 @@
-//! Whether calls to the target succeed, as the entry instances tell when they release permits.
+//! Health of the target as shown by the calls whose permits the entry instances release.
 //!
-//! A target can pass every health check and still fail what it is sent. Its owner hears of each
-//! call, wherever it entered, so that one circuit breaker at the owner serves the whole fleet;
-//! `docs/design/retries.md` has the ways that were weighed.
+//! A target can pass every health check and still fail the requests that it is sent. Its owner
+//! receives the outcome of each call, whichever instance the call entered through, so one circuit
+//! breaker at the owner serves the whole fleet. `docs/design/retries.md` lists the alternatives.
 
 use std::time::Duration;
 
@@ -20,17 +20,17 @@
     DecisionKind, RefusalReason, ReleaseOutcome,
 };
 
-/// What the calls to a target say of it.
+/// Health of a target derived from the outcomes of calls.
 #[derive(Debug)]
 pub(super) struct CallHealth {
     breaker: Breaker,
-    /// The call that shows whether the target is back, with when it began.
+    /// The call that probes whether the target has recovered, and when it started.
     probe: Option<(AttemptId, BreakerTicket, Moment)>,
     first_byte: DurationAverage,
 }
 
 impl CallHealth {
-    /// Starts with a target that is taken to be sound.
+    /// Starts with a target that is assumed to be healthy.
     pub(super) fn new(cfg: BreakerConfig, now: Moment) -> Self {
         Self {
             breaker: Breaker::new(cfg, now),
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Returns until when no call may be made; none if one may.
+    /// Returns the time until which calls are refused, or `None` if a call may be made.
     pub(super) fn refused_until(&self, now: Moment) -> Option<Moment> {
         self.breaker.refused_until(now)
     }
 
-    /// Counts a call that is made now.
+    /// Counts a call that starts now.
     pub(super) fn admit(&mut self, attempt: AttemptId, now: Moment) -> Option<BreakerTicket> {
         let Admission::Admitted(ticket) = self.breaker.admit(now) else {
             return None;
@@ -55,10 +55,11 @@
         Some(ticket)
     }
 
-    /// Returns when the probe counts as a success though it has not ended.
+    /// Returns when the probe counts as a success even if it has not ended.
     ///
-    /// An answer may take minutes. A target that fails does so at the start: until a stream's end
-    /// one that is sound again would get one request at a time.
+    /// An answer may take minutes, but a target that fails does so at the start. Without this
+    /// limit, a recovered target would get one request at a time until the end of the probe's
+    /// stream.
     fn probe_passes_at(&self) -> Option<Moment> {
         let delay = self.first_byte.get() * PROBE_SUCCESS_FACTOR;
         let (.., began) = self.probe.as_ref()?;
@@ -81,7 +82,7 @@
 }
 
 impl Owner {
-    /// Returns when the breaker has to be looked at next.
+    /// Returns when the breaker next has to be checked.
     pub(super) fn next_breaker_check(&self) -> Option<Moment> {
         let opens = self.health.refused_until(self.last_event);
         let waits = self.queue.iter().next().is_some();
@@ -89,7 +90,7 @@
         opens.filter(|_| waits).into_iter().chain(passes).min()
     }
 
-    /// Counts a probe that has run for long enough as a success.
+    /// Counts a probe that has run long enough as a success.
     pub(super) fn pass_long_probe(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.health.probe_passes_at().is_none_or(|at| at > now) {
             return;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Takes in how a call ended.
+    /// Records how a call ended.
     pub(super) fn call_ended(
         &mut self,
         held: &HeldPermit,
@@ -121,10 +122,11 @@
         self.breaker_changed(transition, now, out);
     }
 
-    /// Returns what the end of a call says of the target.
+    /// Returns what the end of a call shows about the target.
     ///
-    /// A call that was given up at its deadline says something only if it had several times as long
-    /// as calls usually take: otherwise a caller with short deadlines could close a target to all.
+    /// A call that was abandoned at its deadline counts as a failure only if it ran for several
+    /// times the usual duration. Otherwise a caller with short deadlines could open the breaker for
+    /// everybody.
     fn call_outcome(&mut self, outcome: ReleaseOutcome, held: Duration) -> CallOutcome {
         match outcome {
             ReleaseOutcome::Finished { first_byte_ms, .. } => {
@@ -165,7 +167,7 @@
     }
 }
 
-/// Returns a number from 0 to below 1 that is as random as the id of a try.
+/// Returns a number in `[0, 1)` derived from the hash of the attempt id, which is random.
 fn random_of(attempt: AttemptId) -> f64 {
     let bits = xxhash_rust::xxh3::xxh3_64(&attempt.as_u128().to_le_bytes());
     (bits >> 11) as f64 / (1_u64 << 53) as f64
