--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -1,4 +1,4 @@
-//! Loads, from the first request that waits to the order that goes out.
+//! The steps of a load, from the first waiting request to the order to the engine.
 
 use chervilshunt_model::{AdapterVersion, Class, Moment};
 use indexmap::IndexMap;
@@ -15,7 +15,7 @@
 use crate::DecisionKind;
 use crate::bugs::Bug;
 
-/// The urgency of a load that nobody waits for.
+/// The urgency of a load that no request waits for.
 const PRELOAD_URGENCY: LoadUrgency = LoadUrgency {
     class: None,
     waiters: 0,
@@ -23,8 +23,8 @@
 };
 
 impl Owner {
-    /// Wants the adapter of a waiting request loaded, and tells the scheduler if that makes a
-    /// turn asked for before more urgent.
+    /// Requests a load of the adapter of a waiting request. If that makes an already requested turn
+    /// more urgent, the load scheduler is notified.
     pub(super) fn request_load(
         &mut self,
         model: &AdapterVersion,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Moves every load on as far as it can go.
+    /// Advances every load as far as possible.
     pub(super) fn advance_loads(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.loads.is_empty() || self.fenced {
             return;
@@ -65,13 +65,13 @@
         self.start_unscheduled_load(now, out);
     }
 
-    /// Takes the turn that the scheduler gave.
+    /// Accepts a turn that the scheduler granted.
     pub(super) fn turn_granted(&mut self, order: OrderId, now: Moment, out: &mut Vec<OwnerAction>) {
         let model = self.loads.model_of(order).cloned();
         let load = model.as_ref().and_then(|model| self.loads.get_mut(model));
         let Some(load) = load else {
-            // The turn is of a load withdrawn meanwhile, or the grant is late: give it back, or
-            // the store would idle until the turn times out.
+            // The load was withdrawn in the meantime, or the grant is late. The turn is returned,
+            // because the store would otherwise be idle until the turn times out.
             out.push(OwnerAction::EndTurn {
                 order,
                 loaded: None,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Tells a scheduler that has come back of all turns, as it may be a new one.
+    /// Records whether the scheduler is reachable. A scheduler that is back is notified of all
+    /// turns, since it may be a new one.
     pub(super) fn scheduler_reachable(
         &mut self,
         reachable: bool,
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Looks for an adapter whose lasting demand pays for a load ahead of the next request.
+    /// Requests a preload of the evicted adapter with the highest long-term demand if that demand
+    /// justifies it.
     pub(super) fn preload_evicted(&mut self, now: Moment) {
         let pause_over = now.since(self.last_preload_check) >= PRELOAD_INTERVAL;
         let idle_store = self.loads.scheduler_reachable
@@ -135,12 +137,13 @@
         }
     }
 
-    /// Whether adapters may be loaded at all.
+    /// Returns whether adapters may be loaded at all.
     pub(super) fn may_load(&self) -> bool {
         self.knows_adapters() && self.engine.reachable && !self.fenced
     }
 
-    /// Whether the engine's adapters are known, and change by this owner's orders alone.
+    /// Returns whether the engine's adapters are known and only orders of this owner can change
+    /// them.
     pub(super) fn knows_adapters(&self) -> bool {
         let settled = !self.slots.exist() || self.takeover.barrier_passed();
         self.engine.inventory_known && settled
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Lets retiring adapters serve again once nothing else needs their slots.
+    /// Lets retiring adapters serve again once no load needs their slots.
     fn unretire_if_unneeded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if !self.slots.any_retiring() {
             return;
@@ -213,7 +216,8 @@
         }
     }
 
-    /// Uses a turn: orders the load if a slot is free, an unload if one has to be freed.
+    /// Uses a turn: orders the load if a slot is free, or an unload if a slot has to be freed
+    /// first.
     fn use_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
         if !self.may_load() {
             self.return_turn(model, None, now, out);
@@ -267,7 +271,7 @@
 
     /// Orders the unload of the adapter of least worth.
     ///
-    /// Returns whether there is one that may go for the sake of `model`.
+    /// Returns whether there is an adapter that may be evicted for `model`.
     fn evict_for(
         &mut self,
         model: &AdapterVersion,
@@ -299,7 +303,7 @@
         true
     }
 
-    /// Ends a turn that can't be used now, so that the store does not idle meanwhile.
+    /// Ends a turn that can't be used now, so that the store is not idle in the meantime.
     fn return_turn(
         &mut self,
         model: &AdapterVersion,
@@ -327,10 +331,11 @@
         }
     }
 
-    /// Tells the load scheduler of turns that are in use for long.
+    /// Notifies the load scheduler of turns that have been in use for some time.
     ///
-    /// Without word of a turn the scheduler soon takes it to be over: an owner that is cut off from
-    /// it can't report the end, and would hold up every other load of the store.
+    /// The scheduler treats a turn that is not renewed as ended after a short time: an owner that
+    /// is cut off from it can't report the end of a turn, and would block every other load of the
+    /// store.
     fn renew_held_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let due = self
             .loads
@@ -346,7 +351,7 @@
         }
     }
 
-    /// Asks for turns for the parked loads that are worth a slot, the most urgent first.
+    /// Requests turns for the parked loads that justify a slot, the most urgent first.
     fn review_parked(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let mut parked: Vec<(LoadUrgency, AdapterVersion)> = self
             .loads
@@ -402,10 +407,10 @@
         }
     }
 
-    /// Returns the slots that serve deferrable work alone, or are about to.
+    /// Returns the number of slots that serve deferrable work alone or are about to.
     ///
-    /// A flood of deferrable work over many adapters would otherwise pin slot after slot for as
-    /// long as its answers take, and live requests would wait for a slot to be let go.
+    /// Otherwise a flood of deferrable work over many adapters would pin slot after slot for the
+    /// duration of its answers, and live requests would wait for a slot to be released.
     fn deferrable_slots(&self) -> usize {
         let mut live: IndexMap<&AdapterVersion, bool> = IndexMap::new();
         for permit in self.permits.iter().map(|held| &held.permit) {
@@ -425,13 +430,15 @@
         (self.cfg.slots as usize / DEFERRABLE_SLOT_DIVISOR).max(1)
     }
 
-    /// Whether deferrable work that needs no load fills the batch for now.
+    /// Returns whether enough deferrable requests that need no load are waiting, so that a recent
+    /// deferrable load can be postponed.
     fn has_enough_deferrable(&self, urgency: &LoadUrgency) -> bool {
         let young = u128::from(urgency.oldest_ms) < DEFERRABLE_LOAD_AGE.as_millis();
         young && self.queue.ready(Class::Deferrable) >= ENOUGH_READY_DEFERRABLE
     }
 
-    /// Retires one adapter for loads that find all slots pinned, unless enough are retiring.
+    /// Retires one adapter for loads that find all slots pinned, unless enough adapters are
+    /// retiring already.
     fn retire_if_overdue(&mut self, urgency: &LoadUrgency, wanted: usize, now: Moment) {
         let retiring = self
             .slots
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -1,4 +1,6 @@
-//! Loads that are wanted, have a turn, or are on their way.
+//! The loads that are requested, have a turn or are in progress.
+//!
+//! A turn is the load scheduler's permission to start one load.
 
 use std::time::Duration;
 
@@ -11,60 +13,59 @@
 };
 use crate::decay::DurationAverage;
 
-/// How far a load has come.
+/// The progress of a load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum LoadPhase {
-    /// It is not worth a slot yet, or no slot can be had.
+    /// No turn is requested: the load does not justify a slot yet, or no slot is available.
     Parked,
-    /// A turn was asked for.
+    /// A turn is requested.
     TurnRequested {
-        /// When the urgency was last told.
+        /// When the request was last sent, with its urgency.
         renewed: Moment,
     },
-    /// It has its turn, and waits for an unload to free a slot.
+    /// The load has its turn and waits for an unload to free a slot.
     HasTurn,
-    /// The engine has the order.
+    /// The order has been sent to the engine.
     Ordered {
-        /// Since when.
+        /// When it was sent.
         at: Moment,
     },
-    /// A try failed.
+    /// An attempt failed, or the load is delayed.
     Backoff {
-        /// When the next one may begin.
+        /// When the next attempt may start.
         until: Moment,
     },
 }
 
-/// One load that is wanted.
+/// A requested load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Load {
-    /// The id of the turn and of the order; each try has a new one.
+    /// The id of the turn and of the order. Each attempt has a new one.
     pub(super) order: OrderId,
-    /// How far it has come.
     pub(super) phase: LoadPhase,
-    /// Tries that failed.
+    /// Number of failed attempts.
     pub(super) tries: u32,
-    /// Since when it has been parked.
+    /// When the load was requested or last got a new order id.
     pub(super) since: Moment,
-    /// Since when it is wanted.
+    /// When the load was first requested.
     pub(super) requested_at: Moment,
-    /// Whether it is wanted without a request that waits for it.
+    /// Whether the load is requested ahead of demand, without a request that waits for it.
     pub(super) preload: bool,
-    /// When it was given its turn, if it has one.
+    /// When the turn was granted, if the load has or had one.
     pub(super) granted: Option<Moment>,
-    /// When the load scheduler was last told that the turn is in use.
+    /// When the load scheduler was last notified that the turn is in use.
     pub(super) reported_at: Moment,
 }
 
 impl Load {
-    /// Takes the turn.
+    /// Starts to use the turn.
     pub(super) fn begin_turn(&mut self, now: Moment) {
         self.phase = LoadPhase::HasTurn;
         self.granted = Some(now);
         self.reported_at = now;
     }
 
-    /// Whether the load scheduler is to be told again that the turn is in use.
+    /// Returns whether the load scheduler is to be notified again that the turn is in use.
     pub(super) fn turn_renewal_due(&self, now: Moment) -> bool {
         let in_use = matches!(self.phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         let young = |granted| now.since(granted) < TURN_RENEWAL_LIMIT;
@@ -74,7 +75,7 @@
     }
 }
 
-/// All loads of one owner, and how long loads take.
+/// All loads of one owner, and the observed load times.
 #[derive(Debug)]
 pub(super) struct Loads {
     by_model: IndexMap<AdapterVersion, Load>,
@@ -83,18 +84,18 @@
     load_time: DurationAverage,
     queue_wait: Duration,
     queue_wait_at: Moment,
-    /// Whether the load scheduler can be reached.
+    /// Whether the load scheduler is reachable.
     pub(super) scheduler_reachable: bool,
-    /// When a load was last begun without the load scheduler's turn.
+    /// When a load was last started without a turn, or when the load scheduler became unreachable.
     pub(super) unscheduled: Option<Moment>,
-    /// When the parked loads were last looked at.
+    /// When the parked loads were last reviewed.
     pub(super) reviewed: Moment,
-    /// Whether something happened that may let a parked load begin.
+    /// Whether something changed that may allow a parked load to start.
     pub(super) review_due: bool,
 }
 
 impl Loads {
-    /// Starts with no load; `first_order` keeps the ids apart from an earlier owner's.
+    /// Starts without loads. `first_order` separates the order ids from those of earlier owners.
     pub(super) fn new(first_order: u64, now: Moment) -> Self {
         Self {
             by_model: IndexMap::new(),
@@ -110,18 +111,18 @@
         }
     }
 
-    /// Returns an id that no order had before.
+    /// Returns a new, unique order id.
     pub(super) fn new_order(&mut self) -> OrderId {
         self.next_order += 1;
         OrderId(self.next_order)
     }
 
-    /// Returns the load of an adapter, if one is wanted.
+    /// Returns the load of an adapter, if one is requested.
     pub(super) fn get(&self, model: &AdapterVersion) -> Option<&Load> {
         self.by_model.get(model)
     }
 
-    /// Returns the load of an adapter, to be changed.
+    /// Returns the load of an adapter for modification.
     pub(super) fn get_mut(&mut self, model: &AdapterVersion) -> Option<&mut Load> {
         self.by_model.get_mut(model)
     }
@@ -131,28 +132,27 @@
         self.by_order.get(&order)
     }
 
-    /// Returns all loads.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&AdapterVersion, &Load)> {
         self.by_model.iter()
     }
 
-    /// Returns the adapters whose loads are at a phase.
+    /// Returns the adapters whose loads are in a phase that `at` accepts.
     pub(super) fn at_phase(&self, at: impl Fn(LoadPhase) -> bool) -> Vec<AdapterVersion> {
         let loads = self.by_model.iter().filter(|(_, load)| at(load.phase));
         loads.map(|(model, _)| model.clone()).collect()
     }
 
-    /// Returns the number of loads at a phase.
+    /// Returns the number of loads in a phase that `at` accepts.
     pub(super) fn count(&self, at: impl Fn(LoadPhase) -> bool) -> usize {
         self.by_model.values().filter(|load| at(load.phase)).count()
     }
 
-    /// Whether no load is wanted.
+    /// Returns whether no load is requested.
     pub(super) fn is_empty(&self) -> bool {
         self.by_model.is_empty()
     }
 
-    /// Wants an adapter loaded.
+    /// Requests a load of an adapter. A load that a request waits for is no longer a preload.
     pub(super) fn request(&mut self, model: &AdapterVersion, preload: bool, now: Moment) {
         if let Some(load) = self.by_model.get_mut(model) {
             load.preload &= preload;
@@ -174,7 +174,7 @@
         self.review_due = true;
     }
 
-    /// Forgets a load that is over or no longer wanted.
+    /// Removes a load that has ended or is no longer needed.
     pub(super) fn remove(&mut self, model: &AdapterVersion) -> Option<Load> {
         let load = self.by_model.swap_remove(model)?;
         self.by_order.swap_remove(&load.order);
@@ -182,12 +182,12 @@
         Some(load)
     }
 
-    /// Parks a load, under a new id: the old turn is over.
+    /// Parks a load under a new order id, because its old turn has ended.
     pub(super) fn park(&mut self, model: &AdapterVersion, now: Moment) {
         self.renumber(model, LoadPhase::Parked, now);
     }
 
-    /// Notes a failed try and returns the number of tries that have failed by now.
+    /// Records a failed attempt and returns the number of attempts that have failed.
     pub(super) fn record_failure(&mut self, model: &AdapterVersion, now: Moment) -> u32 {
         let Some(load) = self.by_model.get_mut(model) else {
             return 0;
@@ -200,12 +200,12 @@
         tries
     }
 
-    /// Lets a load wait until a time, without counting a failure.
+    /// Delays a load until a time without counting a failure.
     pub(super) fn delay_until(&mut self, model: &AdapterVersion, until: Moment, now: Moment) {
         self.renumber(model, LoadPhase::Backoff { until }, now);
     }
 
-    /// Returns the end of the earliest pause after a failure.
+    /// Returns the end of the earliest backoff.
     pub(super) fn next_backoff(&self) -> Option<Moment> {
         let ends = self.by_model.values().filter_map(|load| match load.phase {
             LoadPhase::Backoff { until } => Some(until),
@@ -217,28 +217,29 @@
         ends.min()
     }
 
-    /// Notes how long a load took.
+    /// Records the duration of a load.
     pub(super) fn record_load_time(&mut self, time: Duration) {
         self.load_time.add(time);
     }
 
-    /// Notes how long a load asked for now would wait for its turn.
+    /// Sets how long a load that is requested now would wait for its turn, as the load scheduler
+    /// reported it.
     pub(super) fn set_queue_wait(&mut self, wait: Duration, now: Moment) {
         self.queue_wait = wait;
         self.queue_wait_at = now;
     }
 
-    /// Returns the time until an adapter asked for now would be loaded.
+    /// Returns the expected time until an adapter that is requested now is loaded.
     pub(super) fn expected_time(&self, now: Moment) -> Duration {
         self.load_time.get() + self.queue_wait(now)
     }
 
-    /// Returns the time that a load takes once it has its turn.
+    /// Returns the average duration of a load once it has its turn.
     pub(super) fn load_time(&self) -> Duration {
         self.load_time.get()
     }
 
-    /// Returns the time that a load asked for now would wait for its turn.
+    /// Returns the expected wait for a turn of a load that is requested now.
     pub(super) fn queue_wait(&self, now: Moment) -> Duration {
         self.queue_wait
             .saturating_sub(now.since(self.queue_wait_at))
