--- a/crates/chervilshunt_core/src/owner/order.rs
+++ b/crates/chervilshunt_core/src/owner/order.rs
@@ -3,24 +3,24 @@
 use chervilshunt_model::{AdapterVersion, Class, Epoch};
 use serde::{Deserialize, Serialize};
 
-/// The id of an order to the engine, or of the wait for a turn to load.
+/// The id of an order to the engine, and of the turn that a load is requested or granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
 /// An order to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOrder {
-    /// The id under which its result comes back.
+    /// The id under which the result is returned.
     pub id: OrderId,
-    /// The fencing number that it carries.
+    /// The fencing number of the owner that sends the order.
     pub epoch: Epoch,
-    /// What is to be done.
+    /// What the engine is to do.
     pub kind: OrderKind,
-    /// The adapter version that it concerns.
+    /// The adapter version to load or unload.
     pub model: AdapterVersion,
 }
 
-/// What an order asks of the engine.
+/// The operation that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
     /// Load the adapter version into a free slot.
@@ -32,21 +32,21 @@
 /// Why an order was not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFailure {
-    /// The engine refused the fencing number: somebody else owns the target now.
+    /// The engine refused the fencing number because another instance owns the target now.
     Fenced,
-    /// The engine or the weight store said no.
+    /// The engine or the weight store refused the order.
     Refused,
-    /// The order went unanswered: it may have been carried out.
+    /// The order got no response, so it may or may not have been carried out.
     Unknown,
 }
 
-/// How badly a load is needed; the load scheduler orders by it.
+/// How urgently a load is needed, by which the load scheduler orders loads.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadUrgency {
-    /// The class of the most urgent request that waits; none for a load ahead of demand.
+    /// The class of the most urgent waiting request, or `None` for a preload.
     pub class: Option<Class>,
-    /// Requests that wait for the adapter.
+    /// Number of requests that wait for the adapter.
     pub waiters: u32,
-    /// How long the oldest of them has waited, in milliseconds.
+    /// How long the oldest of these requests has waited, in milliseconds.
     pub oldest_ms: u64,
 }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine and what became of them.
+//! Orders to the engine and the handling of their results.
 
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Moment};
 
@@ -12,7 +12,7 @@
 use crate::bugs::Bug;
 
 impl Owner {
-    /// Gives the engine an order.
+    /// Sends an order to the engine.
     pub(super) fn send_order(
         &mut self,
         id: OrderId,
@@ -29,9 +29,10 @@
         }));
     }
 
-    /// Takes the end of an order; one that has ended before counts for nothing.
+    /// Handles the end of an order; an order that has ended before is ignored.
     ///
-    /// That the engine refuses the fencing number tells of another owner, however late it comes.
+    /// A refusal of the fencing number shows that another instance owns the target, so it counts
+    /// however late it arrives.
     pub(super) fn order_ended(
         &mut self,
         order: OrderId,
@@ -61,10 +62,10 @@
         self.loads.review_due = true;
     }
 
-    /// Takes all orders on their way for unanswered, as the engine is gone.
+    /// Ends all pending orders with an unknown result, because the engine is unreachable.
     ///
-    /// An answer that comes in later may have been given before a restart, and what it tells of
-    /// is gone with it.
+    /// A result that arrives later may have been sent before a restart, in which case its effect is
+    /// lost.
     pub(super) fn fail_pending_orders(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let pending: Vec<OrderId> = self.orders.keys().copied().collect();
         for order in pending {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Brings the slots in line with the engine's listing.
+    /// Reconciles the slots with the engine's listing.
     pub(super) fn inventory(
         &mut self,
         listed: &[AdapterVersion],
@@ -106,9 +107,9 @@
         self.loads.review_due = true;
     }
 
-    /// Takes a call's word that the engine does not hold the adapter of its permit.
+    /// Handles a call's report that the engine does not hold the adapter of its permit.
     ///
-    /// An adapter that was loaded after the permit was granted stays: the call was then answered
+    /// An adapter that was loaded after the permit was granted stays, since the call was answered
     /// before that load.
     pub(super) fn adapter_missing(&mut self, model: &AdapterVersion, granted: Moment, now: Moment) {
         if self.slots.mark_missing(model, granted) {
@@ -118,7 +119,8 @@
         self.engine.require_inventory();
     }
 
-    /// Lets the requests for an adapter that is loaded from now on wait for room alone.
+    /// Moves the requests for an adapter that is loaded now from waiting for its load to waiting
+    /// for batch capacity.
     pub(super) fn model_available(
         &mut self,
         model: &AdapterVersion,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Lets the requests for an adapter that takes no permits any more wait for its load.
+    /// Moves the requests for an adapter that no longer takes permits back to waiting for its load.
     pub(super) fn model_unavailable(&mut self, model: &AdapterVersion, now: Moment) {
         if self.queue.block(model, now) {
             self.loads.request(model, false, now);
@@ -177,8 +179,8 @@
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.mark_load_failed(model),
         }
-        // The engine may refuse because it holds the adapter already, or other adapters than it
-        // was thought to hold: its listing tells.
+        // The engine may refuse a load because it already holds the adapter, or because it holds
+        // other adapters than expected. Its listing shows which.
         self.engine.require_inventory();
         let tries = self.loads.record_failure(model, now);
         self.refuse_after_failure(model, tries, now, out);
@@ -202,7 +204,8 @@
                 self.engine.require_inventory();
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => {
-                // Either the engine does not hold it, or it would not let go: the listing tells.
+                // The engine may not hold the adapter, or may have refused to unload it. Its
+                // listing shows which.
                 self.slots
                     .mark_unanswered(model, SlotTransition::MaybeUnloaded, now);
                 self.engine.require_inventory();
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Refuses the requests whose tries are used up, at once.
+    /// Refuses or redirects at once the requests whose load attempts are used up.
     fn refuse_after_failure(
         &mut self,
         model: &AdapterVersion,
@@ -218,8 +221,8 @@
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        // An engine that has loaded nothing since this load was first wanted may be at fault, and
-        // the next-ranked one may do better; otherwise the weights are.
+        // If the engine has loaded nothing since this load was requested, the engine may be at
+        // fault, and the next-ranked target may succeed. Otherwise the weights are at fault.
         let wanted = self.loads.get(model).map_or(now, |load| load.requested_at);
         let engine_at_fault = self.last_load.is_none_or(|last| last < wanted);
         let rejected: Vec<AttemptId> = self
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Stops all work: somebody else owns the target.
+    /// Stops all work because another instance owns the target.
     fn superseded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         self.fenced = true;
         let waiting: Vec<AttemptId> = self.queue.iter().map(|it| it.req.attempt).collect();
@@ -251,7 +254,7 @@
     }
 }
 
-/// Returns the tries to load an adapter before requests of a class are refused.
+/// Returns the number of failed load attempts after which requests of a class are refused.
 pub(super) fn load_tries(class: Class) -> u32 {
     match class {
         Class::Live => LIVE_LOAD_TRIES,
