--- a/crates/chervilshunt_core/src/owner/permits.rs
+++ b/crates/chervilshunt_core/src/owner/permits.rs
@@ -1,4 +1,4 @@
-//! The permits that are out.
+//! The outstanding permits.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +10,17 @@
 /// A permit that has not been released.
 #[derive(Clone, Debug)]
 pub(super) struct HeldPermit {
-    /// The permit.
     pub(super) permit: Permit,
-    /// When it was granted, or learnt of after a takeover.
+    /// When the permit was granted, or reported after a takeover.
     pub(super) since: Moment,
-    /// What the call's end has to be counted with; none for a call that was learnt of.
+    /// The breaker's ticket with which the outcome of the call is recorded, or `None` for a permit
+    /// that was reported after a takeover.
     pub(super) ticket: Option<BreakerTicket>,
-    /// When it ends by itself, as its entry instance has left.
+    /// When the permit ends without a release, because its entry instance has left.
     ends: Option<Moment>,
 }
 
-/// All permits that are out for one target.
+/// All outstanding permits for one target.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
     by_attempt: IndexMap<AttemptId, HeldPermit>,
@@ -29,17 +29,17 @@
 }
 
 impl Permits {
-    /// Returns the number of permits that are out.
+    /// Returns the number of outstanding permits.
     pub(super) fn len(&self) -> usize {
         self.by_attempt.len()
     }
 
-    /// Returns the number of live permits that are out.
+    /// Returns the number of outstanding live permits.
     pub(super) fn live(&self) -> usize {
         self.live
     }
 
-    /// Returns the number of deferrable permits that are out.
+    /// Returns the number of outstanding deferrable permits.
     pub(super) fn deferrable(&self) -> usize {
         self.len() - self.live
     }
@@ -49,12 +49,11 @@
         self.by_attempt.get(&attempt)
     }
 
-    /// Returns all permits that are out.
     pub(super) fn iter(&self) -> impl Iterator<Item = &HeldPermit> {
         self.by_attempt.values()
     }
 
-    /// Takes in a permit; one that is known already stays as it is.
+    /// Adds a permit and returns whether it was new; a permit that is already known is not changed.
     pub(super) fn insert(
         &mut self,
         permit: Permit,
@@ -77,7 +76,7 @@
         true
     }
 
-    /// Takes a permit out; a second release of the same attempt finds nothing.
+    /// Removes a permit; a second release of the same attempt finds none.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<HeldPermit> {
         let held = self.by_attempt.swap_remove(&attempt)?;
         if held.permit.class == Class::Live {
@@ -89,7 +88,7 @@
         Some(held)
     }
 
-    /// Lets the permits of an instance that has left end by themselves at `ends`.
+    /// Sets the permits of an instance that has left to end at `ends` without a release.
     pub(super) fn end_for_entry(&mut self, entry: &InstanceId, ends: Moment) {
         let of_entry = self.by_attempt.values_mut();
         for held in of_entry.filter(|held| held.permit.entry == *entry) {
@@ -100,13 +99,13 @@
         }
     }
 
-    /// Returns an attempt whose permit has ended by itself.
+    /// Returns an attempt whose permit has ended without a release.
     pub(super) fn next_ended(&self, now: Moment) -> Option<AttemptId> {
         let (ends, attempt) = self.ending.first()?;
         (*ends <= now).then_some(*attempt)
     }
 
-    /// Returns when the next permit ends by itself.
+    /// Returns when the next permit ends without a release.
     pub(super) fn next_end(&self) -> Option<Moment> {
         self.ending.first().map(|(ends, _)| *ends)
     }
--- a/crates/chervilshunt_core/src/owner/release.rs
+++ b/crates/chervilshunt_core/src/owner/release.rs
@@ -1,4 +1,4 @@
-//! Permits that come back.
+//! The release of permits.
 
 use chervilshunt_model::{AttemptId, InstanceId, Moment};
 
@@ -10,7 +10,7 @@
 use crate::{ReleaseOutcome, ReleasedPermit};
 
 impl Owner {
-    /// Takes a permit back, or a request that is withdrawn while it waits.
+    /// Releases a permit, or withdraws a request that is waiting.
     pub(super) fn permit_released(
         &mut self,
         released: &ReleasedPermit,
@@ -39,10 +39,11 @@
         self.end_attempt(attempt, Some(released.outcome), now, out);
     }
 
-    /// Drops the requests of an instance that has left, and lets its permits end by themselves.
+    /// Drops the requests of an instance that has left, and sets its permits to end without a
+    /// release.
     ///
-    /// Its calls are not known to have ended: they do once the engine notices that nobody reads.
-    /// Until then they take seats, and their adapters stay pinned.
+    /// Its calls may still be running: they end once the engine notices that nobody reads the
+    /// answers. Until then they occupy batch slots, and their adapters stay pinned.
     pub(super) fn entry_left(&mut self, entry: &InstanceId, now: Moment) {
         for attempt in self.queue.of_entry(entry) {
             self.queue.remove(attempt);
@@ -55,13 +56,13 @@
         self.end_permits_of(entry, now);
     }
 
-    /// Lets the permits of an instance end by themselves.
+    /// Sets the permits of an instance to end without a release.
     pub(super) fn end_permits_of(&mut self, entry: &InstanceId, now: Moment) {
         let ends = now + self.cfg.permit_window + ENTRY_LEFT_GRACE;
         self.permits.end_for_entry(entry, ends);
     }
 
-    /// Frees the seat and the pin of an attempt whose end nobody has told.
+    /// Frees the batch slot and the pin of an attempt whose end was never reported.
     pub(super) fn release_unreported(
         &mut self,
         attempt: AttemptId,
@@ -71,7 +72,7 @@
         self.end_attempt(attempt, None, now, out);
     }
 
-    /// Frees the seat and the pin of an attempt; a second time does nothing.
+    /// Frees the batch slot and the pin of an attempt; a second call has no effect.
     fn end_attempt(
         &mut self,
         attempt: AttemptId,
