--- a/crates/chervilshunt_core/src/owner/power.rs
+++ b/crates/chervilshunt_core/src/owner/power.rs
@@ -1,4 +1,4 @@
-//! The target's share of the site's power, as a bound on its batch.
+//! The target's share of the site's power, and the bound on its batch that follows from it.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::config::OwnerConfig;
 use super::tuning::{DEMAND_REPORT_INTERVAL, DEMAND_REPORT_RENEWAL};
 
-/// Part of a watt that is lost in adding and dividing powers.
+/// Tolerance for the rounding of sums and quotients of powers, in watts.
 const ROUNDING_WATTS: f64 = 1e-6;
 
 /// The share of power that a target holds.
@@ -30,17 +30,17 @@
     at: Moment,
 }
 
-/// A confirmation that is due.
+/// A confirmation to send to the power allocator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Confirmation {
-    /// The number of the share.
+    /// The sequence number of the share.
     pub(super) sequence: u64,
     /// The most power that the target can draw from now on, in watts.
     pub(super) watts: f64,
 }
 
 impl PowerShare {
-    /// Starts with the share that the owner was told at its start.
+    /// Starts with the share of the configuration.
     pub(super) fn new(cfg: &OwnerConfig) -> Self {
         Self {
             idle_watts: cfg.idle_watts,
@@ -54,12 +54,11 @@
         }
     }
 
-    /// Returns the share, in watts.
     pub(super) fn share_watts(&self) -> f64 {
         self.share_watts
     }
 
-    /// Returns the sequences that may run within the share.
+    /// Returns the number of sequences that may run within the share.
     pub(super) fn batch_bound(&self) -> usize {
         let spare = self.share_watts - self.idle_watts + ROUNDING_WATTS;
         if spare < 0.0 {
@@ -75,12 +74,13 @@
         sequences as usize
     }
 
-    /// Whether the power allocator has left the target without power for a single sequence.
+    /// Returns whether the power allocator has left the target without power for a single sequence.
     pub(super) fn parked(&self) -> bool {
         self.sequence > 0 && self.batch_bound() == 0
     }
 
-    /// Returns the power that `running` sequences draw, in watts: without one there is no step.
+    /// Returns the power that `running` sequences draw, in watts. Without sequences no steps run,
+    /// and the result is 0.
     pub(super) fn draw(&self, running: usize) -> f64 {
         if running == 0 {
             return 0.0;
@@ -88,10 +88,10 @@
         self.idle_watts + self.watts_per_sequence * running as f64
     }
 
-    /// Takes a share, unless a newer one is held.
+    /// Applies a share unless a newer one is in effect, and returns its confirmation.
     ///
-    /// A lowered share takes effect at once for new permits. Sequences that run beyond it are not
-    /// cut: the confirmation names what they draw, and falls as they end.
+    /// A lowered share applies to new permits at once. Running sequences beyond it are not aborted:
+    /// the confirmation states their power, and later confirmations state less as they end.
     pub(super) fn set(
         &mut self,
         sequence: u64,
@@ -108,7 +108,8 @@
         Some(self.confirm(running))
     }
 
-    /// Returns a confirmation if less is drawn beyond the share than was last confirmed.
+    /// Returns a confirmation if the power drawn in excess of the share has fallen since the last
+    /// confirmation.
     pub(super) fn confirm_less(&mut self, running: usize) -> Option<Confirmation> {
         let confirmed = self.confirmed_watts?;
         let can_draw = self.share_watts.max(self.draw(running));
@@ -116,7 +117,7 @@
         fell.then(|| self.confirm(running))
     }
 
-    /// Returns the demand to be reported, in watts, if it is time to.
+    /// Returns the live and the deferrable demand in watts if a report is due.
     pub(super) fn report(
         &mut self,
         live: usize,
@@ -137,7 +138,7 @@
         Some((self.draw(live), self.watts_per_sequence * deferrable as f64))
     }
 
-    /// Returns when demand is to be looked at again.
+    /// Returns when the next report of demand is due, or `None` if none has been sent yet.
     pub(super) fn next_report(&self) -> Option<Moment> {
         let pause = self.report_pause();
         self.reported.map(|it| it.at + pause)
