--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for a permit, each class in fair order.
+//! Requests that wait for a permit, in fair order within each class.
 //!
-//! Fairness between callers is start-time fair queueing: a request's tag is the point in the
-//! class's virtual time at which its caller's earlier work ends. A caller that floods the queue
-//! pushes its own tags ahead and nobody else's.
+//! Fairness between callers is start-time fair queueing: the tag of a request is the point in the
+//! virtual time of its class at which the caller's earlier work ends. A caller that floods the
+//! queue delays its own tags and nobody else's.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,45 +12,45 @@
 
 use crate::{LoadUrgency, PermitRequest, Waited};
 
-/// Prompt tokens that cost an engine as much as one generated token: a prompt is worked through
-/// in parallel, an answer token by token.
+/// Number of prompt tokens that cost an engine as much as one generated token: a prompt is
+/// processed in parallel, an answer token by token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 16;
 
-/// Virtual time of one token at weight 1; it leaves room to divide by weights.
+/// Virtual time of one token at weight 1, large enough that dividing by weights leaves precision.
 const TOKEN_SCALE: u64 = 1_024;
 
-/// Callers remembered for each class before those without a lead are forgotten.
+/// Number of callers tracked for each class before those that are not ahead of the virtual time are
+/// removed.
 const MAX_TRACKED_CALLERS: usize = 1_024;
 
-/// Place in the fair order of a class.
+/// Position in the fair order of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Tag {
     start: u64,
     arrival: u64,
 }
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedRequest {
-    /// The request.
     pub(super) req: PermitRequest,
     /// When it arrived.
     pub(super) arrived: Moment,
-    /// When the caller gives up.
+    /// When the caller gives up waiting.
     pub(super) deadline: Moment,
     tag: Tag,
     queue_class: Class,
     blocked: bool,
-    /// Since when it has been blocked or not.
+    /// When the request last changed between blocked and ready.
     state_since: Moment,
-    /// How long it was blocked before that.
+    /// How long the request was blocked before that.
     blocked_before: Duration,
 }
 
-/// A request that is decided about, fresh or out of the queue.
+/// A request under decision, either new or taken out of the queue, with the time that it has
+/// waited.
 #[derive(Clone, Debug)]
 pub(super) struct TimedRequest {
-    /// The request.
     pub(super) req: PermitRequest,
     /// How long it has waited.
     pub(super) waited: Waited,
@@ -66,7 +66,7 @@
 }
 
 impl QueuedRequest {
-    /// Ends the wait.
+    /// Ends the wait and returns the request with its waiting time.
     pub(super) fn end(self, now: Moment) -> TimedRequest {
         TimedRequest {
             waited: Waited {
@@ -95,7 +95,10 @@
     finish: IndexMap<CallerName, u64>,
 }
 
-/// Requests that wait at one owner.
+/// The requests that wait at one owner.
+///
+/// A request is blocked while its adapter is not loaded, and ready while it waits for batch
+/// capacity alone.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: IndexMap<AttemptId, QueuedRequest>,
@@ -108,27 +111,27 @@
 }
 
 impl Queue {
-    /// Returns the requests of a class that wait.
+    /// Returns the number of waiting requests of a class.
     pub(super) fn len(&self, queue_class: Class) -> usize {
         self.queues[queue_class as usize].len
     }
 
-    /// Returns the requests of a class that wait for nothing but room.
+    /// Returns the number of ready requests of a class.
     pub(super) fn ready(&self, queue_class: Class) -> usize {
         self.queues[queue_class as usize].ready.len()
     }
 
-    /// Returns the request of an attempt, if it waits.
+    /// Returns the request of an attempt, if it is waiting.
     pub(super) fn get(&self, attempt: AttemptId) -> Option<&QueuedRequest> {
         self.waiting.get(&attempt)
     }
 
-    /// Returns the requests for an adapter that wait for nothing but room.
+    /// Returns the number of ready requests for an adapter.
     pub(super) fn ready_for(&self, model: &AdapterVersion) -> u32 {
         self.ready_by_model.get(model).copied().unwrap_or(0)
     }
 
-    /// Adds a request; `fair` orders it between callers, otherwise it goes to the end.
+    /// Adds a request. With `fair` it is ordered between callers, otherwise by arrival.
     pub(super) fn push(
         &mut self,
         req: PermitRequest,
@@ -156,7 +159,7 @@
         self.waiting.insert(attempt, waiting);
     }
 
-    /// Takes a request out, whatever it waits for.
+    /// Removes a request, whether it is blocked or ready.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.waiting.swap_remove(&attempt)?;
         self.deadlines.remove(&(waiting.deadline, attempt));
@@ -165,7 +168,7 @@
         Some(waiting)
     }
 
-    /// Takes a request out that gets its permit now, which moves its class's virtual time on.
+    /// Removes a request that is granted its permit, which advances the virtual time of its class.
     pub(super) fn take_for_grant(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.remove(attempt)?;
         let queue = &mut self.queues[waiting.queue_class as usize];
@@ -173,7 +176,7 @@
         Some(waiting)
     }
 
-    /// Counts a request that got its permit without waiting.
+    /// Counts a request that is granted its permit without waiting.
     pub(super) fn record_immediate_grant(
         &mut self,
         req: &PermitRequest,
@@ -185,24 +188,24 @@
         queue.virtual_time = queue.virtual_time.max(tag.start);
     }
 
-    /// Returns the requests of a class that wait for nothing but room, in fair order.
+    /// Returns the ready requests of a class in fair order.
     pub(super) fn in_order(&self, queue_class: Class) -> impl Iterator<Item = &QueuedRequest> {
         let ready = self.queues[queue_class as usize].ready.values();
         ready.filter_map(|attempt| self.waiting.get(attempt))
     }
 
-    /// Returns the request of a class that has waited longest for nothing but room.
+    /// Returns the ready request of a class that arrived first.
     pub(super) fn oldest_ready(&self, queue_class: Class) -> Option<&QueuedRequest> {
         let (_, attempt) = self.ready_by_age[queue_class as usize].first()?;
         self.waiting.get(attempt)
     }
 
-    /// Returns all requests that wait.
+    /// Returns all waiting requests.
     pub(super) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.values()
     }
 
-    /// Returns the attempts of an instance.
+    /// Returns the attempts of an instance that are waiting.
     pub(super) fn of_entry(&self, entry: &InstanceId) -> Vec<AttemptId> {
         let of_entry = self.waiting.values().filter(|it| it.req.entry == *entry);
         of_entry.map(|it| it.req.attempt).collect()
@@ -219,12 +222,13 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns the attempts that wait for an adapter to be loaded, in order of arrival.
+    /// Returns the attempts that wait for an adapter to be loaded, in the order in which they
+    /// became blocked.
     pub(super) fn blocked_on(&self, model: &AdapterVersion) -> &[AttemptId] {
         self.blocked.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns how badly an adapter is waited for, if it is.
+    /// Returns the urgency of a load of an adapter, if requests wait for it.
     pub(super) fn urgency(&self, model: &AdapterVersion, now: Moment) -> Option<LoadUrgency> {
         let waiting = self.blocked_on(model).iter();
         let mut waiting = waiting
@@ -255,14 +259,14 @@
             .min()
     }
 
-    /// Lets the requests for an adapter that has been loaded wait for nothing but room.
+    /// Makes the requests for an adapter that has been loaded ready.
     pub(super) fn unblock(&mut self, model: &AdapterVersion, now: Moment) {
         for attempt in self.blocked.swap_remove(model).unwrap_or_default() {
             self.set_blocked(attempt, false, now);
         }
     }
 
-    /// Lets the requests for an adapter that is no longer loaded wait for it.
+    /// Makes the ready requests for an adapter that is no longer loaded blocked.
     ///
     /// Returns whether there are any.
     pub(super) fn block(&mut self, model: &AdapterVersion, now: Moment) -> bool {
@@ -354,7 +358,8 @@
 }
 
 impl ClassQueue {
-    /// Forgets callers whose work ended before the virtual time: they start level with newcomers.
+    /// Removes callers whose work ended before the virtual time; they have no advantage or
+    /// disadvantage against new callers.
     fn forget_callers(&mut self) {
         if self.finish.len() < MAX_TRACKED_CALLERS.max(2 * self.len) {
             return;
