--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -1,4 +1,4 @@
-//! Which waiting request gets the next seat in the batch.
+//! Selection of the waiting request that gets the next free batch slot.
 
 use std::time::Duration;
 
@@ -14,17 +14,18 @@
 use crate::PermitRequest;
 use crate::bugs::Bug;
 
-/// Standard deviations of the live load for which seats are kept free.
+/// Number of standard deviations of the live load for which batch slots are kept free.
 const HEADROOM_STD_DEVS: f64 = 2.0;
 
-/// Part of its time to the deadline after which a deferrable request competes with live ones.
+/// Divisor of the time to the deadline after which a deferrable request competes with live
+/// requests.
 const AGE_DEADLINE_DIVISOR: u32 = 2;
 
-/// Part of a batch that deferrable requests have to fill to start an idle engine.
+/// Part of a batch that ready deferrable requests must fill to start work on an idle engine.
 const MIN_FILL_PART: f64 = 0.5;
 
 impl Owner {
-    /// Grants permits to waiting requests while there is room.
+    /// Grants permits to waiting requests while there is batch capacity.
     pub(super) fn dispatch(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         while let Some((attempt, reason)) = self.next_admissible(now) {
             let Some(waiting) = self.queue.take_for_grant(attempt) else {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Returns the seats in the batch that are free, within the share of power.
+    /// Returns the number of free batch slots within the share of power.
     pub(super) fn free_batch_slots(&self) -> usize {
         let taken = self.permits.len() + self.engine.external_sequences();
         let taken = taken.saturating_add(self.unknown_sequences());
@@ -42,7 +43,8 @@
         (self.power.batch_bound() + more).saturating_sub(taken)
     }
 
-    /// Returns the seats that live work is likely to need beyond those that it holds.
+    /// Returns the number of batch slots that live work is likely to need beyond those that it
+    /// occupies.
     pub(super) fn reserved_batch_slots(&self, now: Moment) -> usize {
         let average = self.live_load.average(LIVE_LOAD_HALF_LIFE, now);
         let wanted =
@@ -50,7 +52,7 @@
         (wanted.ceil() as usize).saturating_sub(self.permits.live())
     }
 
-    /// Returns when a waiting deferrable request is next to be looked at because of its age.
+    /// Returns when the age of a waiting deferrable request next has to be checked.
     pub(super) fn next_age_check(&self, now: Moment) -> Option<Moment> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = oldest.arrived + age_limit(&oldest.req);
@@ -59,7 +61,7 @@
         [aged, held, turn].into_iter().filter(|at| *at > now).min()
     }
 
-    /// Returns the time that a request of a class that arrives now would wait for room.
+    /// Returns the expected wait for batch capacity of a request of a class that arrives now.
     pub(super) fn expected_wait(&self, queue_class: Class) -> Duration {
         let mut ahead = self.queue.ready(Class::Live);
         if queue_class == Class::Deferrable {
@@ -75,7 +77,7 @@
             .mul_f64((ahead - free + 1) as f64 / batch_slots)
     }
 
-    /// Whether a request of a class may have a seat now.
+    /// Returns whether a request of a class may get a batch slot now.
     pub(super) fn admits(&self, queue_class: Class, now: Moment) -> bool {
         if self.closed_reason(now).is_some() || !self.knows_adapters() {
             return false;
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Whether deferrable work would fill steps that run anyway, or a batch of its own.
+    /// Returns whether deferrable work would fill steps that run anyway, or enough of a batch of
+    /// its own.
     fn may_fill_batch(&self, now: Moment) -> bool {
         if self.permits.len() > 0 {
             return true;
@@ -121,12 +124,13 @@
         None
     }
 
-    /// Returns a deferrable request that has waited long enough to compete with live ones, if it
-    /// is its turn.
+    /// Returns a deferrable request that has waited long enough to compete with live requests, if
+    /// one may be granted now.
     ///
-    /// Its turn comes after so many live permits or after a pause, also while no live request
-    /// waits: in a flood all deferrable requests are old, and would otherwise take every seat that
-    /// is kept for live work as soon as it is free.
+    /// One may be granted after [`LIVE_GRANTS_PER_AGED`] live permits or after
+    /// [`AGED_GRANT_INTERVAL`], even while no live request waits. In a flood all deferrable
+    /// requests are old, and would otherwise take every batch slot that is reserved for live work
+    /// as soon as it is free.
     fn aged_request(&self, now: Moment) -> Option<&QueuedRequest> {
         let oldest = self.queue.oldest_ready(Class::Deferrable)?;
         let aged = now.since(oldest.arrived) >= age_limit(&oldest.req);
@@ -135,7 +139,8 @@
         (aged && turn && self.admits(Class::Live, now)).then_some(oldest)
     }
 
-    /// Returns the first request in fair order, or one close to it whose prefix is cached.
+    /// Returns the first request in fair order, or one of the same caller close to it whose prefix
+    /// is cached.
     fn first_in_order(&self, queue_class: Class) -> Option<&QueuedRequest> {
         let first = self.queue.in_order(queue_class).next()?;
         if !self.cfg.mechanisms.prefix {
@@ -148,7 +153,7 @@
     }
 }
 
-/// Returns the wait after which a deferrable request competes with live ones.
+/// Returns the wait after which a deferrable request competes with live requests.
 fn age_limit(req: &PermitRequest) -> Duration {
     let part = Duration::from_millis(req.deadline_ms) / AGE_DEADLINE_DIVISOR;
     part.min(DEFERRABLE_PROMOTION_AGE)
