--- a/crates/chervilshunt_core/src/owner/settled.rs
+++ b/crates/chervilshunt_core/src/owner/settled.rs
@@ -1,4 +1,4 @@
-//! Answers already given, for late and doubled messages.
+//! Answers that have already been given, to handle late and duplicate messages.
 
 use std::collections::VecDeque;
 
@@ -11,10 +11,10 @@
 /// How an attempt was settled.
 #[derive(Clone, Debug)]
 pub(super) enum Settlement {
-    /// Its permit was released, or it was withdrawn: nobody waits for an answer.
+    /// Its permit was released, or its request was withdrawn: nobody waits for an answer.
     Released,
-    /// It was refused or redirected with this answer; in a box, as a place for an answer beside each
-    /// released permit would take most of an owner's memory.
+    /// It was refused or redirected with this answer. The answer is boxed because one stored inline
+    /// for each released permit would take most of an owner's memory.
     Answered(Box<PermitAnswer>),
 }
 
@@ -25,10 +25,10 @@
     at: Moment,
 }
 
-/// The attempts settled of late.
+/// The recently settled attempts.
 ///
-/// A request that arrives a second time after its end would otherwise get a permit that nobody
-/// releases, and its seat in the batch would be lost.
+/// Without them, a request that arrives a second time after its end would get a permit that nobody
+/// releases, and its batch slot would be lost.
 #[derive(Debug, Default)]
 pub(super) struct SettledAttempts {
     by_attempt: IndexMap<AttemptId, SettledAttempt>,
@@ -36,7 +36,7 @@
 }
 
 impl SettledAttempts {
-    /// Notes how an attempt was settled that had seen `hops` redirects.
+    /// Records how an attempt was settled whose request had been redirected `hops` times.
     pub(super) fn insert(
         &mut self,
         attempt: AttemptId,
@@ -56,7 +56,8 @@
 
     /// Returns how an attempt was settled.
     ///
-    /// A request that comes back with more hops was redirected here anew, unless it was released.
+    /// A request with more hops than the settled one was redirected here again and counts as new,
+    /// unless the attempt was released.
     pub(super) fn get(&self, attempt: AttemptId, hops: u8) -> Option<&Settlement> {
         let settled = self.by_attempt.get(&attempt)?;
         match settled.settlement {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Whether the attempt's permit has been released.
+    /// Returns whether the attempt's permit was released or its request withdrawn.
     pub(super) fn released(&self, attempt: AttemptId) -> bool {
         let settled = self.by_attempt.get(&attempt);
         settled.is_some_and(|it| matches!(it.settlement, Settlement::Released))
