--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -1,8 +1,8 @@
 //! The adapter slots of an engine.
 //!
-//! An adapter that serves a permit is a [`PinnedSlot`], one that serves none an [`IdleSlot`], and
-//! only an [`Evictable`], which is made from nothing but an idle slot, can be unloaded. That an
-//! adapter serving a request is never evicted is therefore checked by the compiler.
+//! An adapter that serves a permit is in a [`PinnedSlot`], one that serves none in an [`IdleSlot`].
+//! Only an [`Evictable`] can be unloaded, and it can be created only from an idle slot, so the
+//! compiler checks that an adapter that serves a request is never evicted.
 
 use chervilshunt_model::{AdapterVersion, Moment};
 use indexmap::IndexMap;
@@ -14,12 +14,12 @@
 pub(super) struct PinnedSlot {
     pins: u32,
     since: Moment,
-    /// Whether it takes no further permits, to make room once it is idle.
+    /// Whether it takes no further permits, so that its slot becomes free once it is idle.
     pub(super) retiring: bool,
 }
 
 impl PinnedSlot {
-    /// Returns the permits that it serves.
+    /// Returns the number of permits that it serves.
     pub(super) fn pins(&self) -> u32 {
         self.pins
     }
@@ -29,28 +29,28 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IdleSlot {
     since: Moment,
-    /// When it last served a permit, or was loaded.
+    /// When it last served a permit or was loaded.
     pub(super) last_used: Moment,
-    /// Whether it takes no further permits, to make room.
+    /// Whether it takes no further permits, so that its slot becomes free.
     pub(super) retiring: bool,
 }
 
-/// Leave to unload one adapter: it was idle, and is out of reach for permits from now on.
+/// Permission to unload one adapter, which was idle and can no longer be pinned.
 #[derive(Debug)]
 pub(super) struct Evictable {
     model: AdapterVersion,
 }
 
-/// What is happening to a slot that is neither pinned nor idle.
+/// The transition of a slot that is neither pinned nor idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SlotTransition {
-    /// A load is on its way.
+    /// A load is in progress.
     Loading(OrderId),
-    /// An unload is on its way.
+    /// An unload is in progress.
     Unloading(OrderId),
-    /// A load went unanswered.
+    /// A load got no response.
     MaybeLoaded,
-    /// An unload went unanswered.
+    /// An unload got no response.
     MaybeUnloaded,
 }
 
@@ -60,16 +60,17 @@
     since: Moment,
 }
 
-/// What a listing of the engine changed.
+/// The changes to the slots after a listing by the engine.
 #[derive(Debug, Default)]
 pub(super) struct InventoryChange {
-    /// Adapters that were thought to be loaded and are not.
+    /// Adapters that were assumed to be loaded but are not.
     pub(super) missing: Vec<AdapterVersion>,
-    /// Adapters that turned out to be loaded.
+    /// Adapters that are loaded although they were not assumed to be.
     pub(super) found: Vec<AdapterVersion>,
-    /// Adapters that an unanswered unload left loaded.
+    /// Adapters that are still loaded after an unload that got no response.
     pub(super) not_unloaded: Vec<AdapterVersion>,
-    /// Whether something changed after the question, so that it has to be asked again.
+    /// Whether an order got no response after the listing was requested, so that another listing is
+    /// needed.
     pub(super) incomplete: bool,
 }
 
@@ -80,9 +81,9 @@
     pinned: IndexMap<AdapterVersion, PinnedSlot>,
     idle: IndexMap<AdapterVersion, IdleSlot>,
     transition: IndexMap<AdapterVersion, TransitionSlot>,
-    /// Permits for adapters that the engine does not hold, by all that is known.
+    /// Number of permits for each adapter that the engine does not hold as far as is known.
     orphans: IndexMap<AdapterVersion, u32>,
-    /// Adapters that were unloaded, with the time until which a late order may yet hit them.
+    /// Recently unloaded adapters, with the time until which a late order may still unload them.
     recent_unloads: IndexMap<AdapterVersion, UnloadRecord>,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl Slots {
-    /// Starts with all slots free, as far as is known.
+    /// Starts with all slots free.
     pub(super) fn new(capacity: u32) -> Self {
         Self {
             capacity: capacity as usize,
@@ -105,34 +106,34 @@
         }
     }
 
-    /// Whether the engine has slots at all; a plain service has none.
+    /// Returns whether the engine has slots; a plain service has none.
     pub(super) fn exist(&self) -> bool {
         self.capacity > 0
     }
 
-    /// Returns the slots that hold nothing and are promised to nothing.
+    /// Returns the number of slots that hold no adapter and are not reserved by a load in progress.
     pub(super) fn free(&self) -> usize {
         let taken = self.pinned.len() + self.idle.len() + self.transition.len();
         self.capacity.saturating_sub(taken)
     }
 
-    /// Whether the adapter is loaded and takes permits.
+    /// Returns whether the adapter is loaded and takes permits.
     pub(super) fn serves(&self, model: &AdapterVersion) -> bool {
         self.pinned.get(model).is_some_and(|slot| !slot.retiring)
             || self.idle.get(model).is_some_and(|slot| !slot.retiring)
     }
 
-    /// Whether the adapter is loaded, also if it takes no permits.
+    /// Returns whether the adapter is loaded, including one that takes no permits.
     pub(super) fn holds(&self, model: &AdapterVersion) -> bool {
         self.pinned.contains_key(model) || self.idle.contains_key(model)
     }
 
-    /// Returns what is happening to the adapter, if it is on its way in or out.
+    /// Returns the transition of the adapter's slot, if there is one.
     pub(super) fn transition(&self, model: &AdapterVersion) -> Option<SlotTransition> {
         self.transition.get(model).map(|slot| slot.what)
     }
 
-    /// Returns the number of slots that an unload will free.
+    /// Returns the number of slots that an unload in progress will free.
     pub(super) fn unloading(&self) -> usize {
         self.transition
             .values()
@@ -145,7 +146,8 @@
             .count()
     }
 
-    /// Returns until when a late order may yet unload the adapter, if that lies ahead.
+    /// Returns the time until which a late order may still unload the adapter, if it is in the
+    /// future.
     pub(super) fn barred_until(&self, model: &AdapterVersion, now: Moment) -> Option<Moment> {
         let until = self.recent_unloads.get(model)?.barred_until;
         (until > now).then_some(until)
@@ -153,7 +155,7 @@
 
     /// Pins a loaded adapter for one more permit.
     ///
-    /// Returns whether it was loaded.
+    /// Returns whether it is loaded.
     pub(super) fn pin(&mut self, model: &AdapterVersion, now: Moment) -> bool {
         if let Some(slot) = self.pinned.get_mut(model) {
             slot.pins += 1;
@@ -167,16 +169,16 @@
         true
     }
 
-    /// Notes a permit whose adapter may or may not be loaded, as learnt after a takeover.
+    /// Records a permit that was reported after a takeover, whose adapter may or may not be loaded.
     pub(super) fn pin_reported(&mut self, model: &AdapterVersion, now: Moment) {
         if !self.pin(model, now) {
             *self.orphans.entry(model.clone()).or_insert(0) += 1;
         }
     }
 
-    /// Takes one permit's pin off.
+    /// Removes the pin of one permit.
     ///
-    /// Returns whether the adapter is idle from now on.
+    /// Returns whether the adapter has become idle.
     pub(super) fn unpin(&mut self, model: &AdapterVersion, now: Moment) -> bool {
         if let Some(pins) = self.orphans.get_mut(model) {
             *pins -= 1;
@@ -204,7 +206,7 @@
         true
     }
 
-    /// Returns the adapters that may be evicted.
+    /// Returns the idle adapters, which may be evicted.
     pub(super) fn idle(&self) -> impl Iterator<Item = (&AdapterVersion, &IdleSlot)> {
         self.idle.iter()
     }
@@ -214,32 +216,32 @@
         self.pinned.iter()
     }
 
-    /// Whether an adapter serves permits.
+    /// Returns whether an adapter serves permits.
     pub(super) fn is_pinned(&self, model: &AdapterVersion) -> bool {
         self.pinned.contains_key(model)
     }
 
-    /// Returns the adapters on their way in or out.
+    /// Returns the adapters whose slots are in transition.
     pub(super) fn transitions(&self) -> impl Iterator<Item = (&AdapterVersion, SlotTransition)> {
         self.transition
             .iter()
             .map(|(model, slot)| (model, slot.what))
     }
 
-    /// Lets a pinned adapter take no further permits.
+    /// Stops a pinned adapter from taking further permits.
     pub(super) fn retire(&mut self, model: &AdapterVersion) {
         if let Some(slot) = self.pinned.get_mut(model) {
             slot.retiring = true;
         }
     }
 
-    /// Whether an adapter is to make room once it is idle.
+    /// Returns whether any adapter is retiring.
     pub(super) fn any_retiring(&self) -> bool {
         self.pinned.values().any(|slot| slot.retiring)
             || self.idle.values().any(|slot| slot.retiring)
     }
 
-    /// Lets retiring adapters take permits again, when nobody wants their slots any more.
+    /// Lets all retiring adapters take permits again and returns them.
     pub(super) fn unretire_all(&mut self) -> Vec<AdapterVersion> {
         let pinned = self.pinned.iter_mut().filter(|(_, slot)| slot.retiring);
         let mut back: Vec<AdapterVersion> = pinned
@@ -256,13 +258,13 @@
         back
     }
 
-    /// Takes an idle adapter out of reach for permits, so that it can be unloaded.
+    /// Removes an idle adapter from the slots that take permits, so that it can be unloaded.
     pub(super) fn take_evictable(&mut self, model: &AdapterVersion) -> Option<Evictable> {
         let (model, _) = self.idle.swap_remove_entry(model)?;
         Some(Evictable { model })
     }
 
-    /// Notes that an unload is on its way, and returns the adapter that it concerns.
+    /// Records that an unload is in progress, and returns its adapter.
     pub(super) fn start_unload(
         &mut self,
         evictable: Evictable,
@@ -274,20 +276,20 @@
         model
     }
 
-    /// Notes that the unload of an adapter is ordered once more.
+    /// Records that an adapter whose unload got no response is ordered to be unloaded again.
     pub(super) fn restart_unload(&mut self, model: &AdapterVersion, order: OrderId, now: Moment) {
         if self.transition(model) == Some(SlotTransition::MaybeUnloaded) {
             self.set_transition(model.clone(), SlotTransition::Unloading(order), now);
         }
     }
 
-    /// Notes that a load is on its way into a free slot.
+    /// Records that a load into a free slot is in progress.
     pub(super) fn start_load(&mut self, model: AdapterVersion, order: OrderId, now: Moment) {
         self.recent_unloads.swap_remove(&model);
         self.set_transition(model, SlotTransition::Loading(order), now);
     }
 
-    /// Notes that an adapter is loaded.
+    /// Records that an adapter is loaded.
     pub(super) fn mark_loaded(&mut self, model: &AdapterVersion, now: Moment) {
         self.transition.swap_remove(model);
         if self.holds(model) {
@@ -296,12 +298,12 @@
         self.insert_loaded(model.clone(), now);
     }
 
-    /// Notes that a load did not happen.
+    /// Records that a load failed, which frees its slot.
     pub(super) fn mark_load_failed(&mut self, model: &AdapterVersion) {
         self.transition.swap_remove(model);
     }
 
-    /// Notes that an adapter is unloaded.
+    /// Records that an adapter is unloaded.
     pub(super) fn mark_unloaded(
         &mut self,
         model: &AdapterVersion,
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Notes that an order went unanswered.
+    /// Records that an order got no response.
     pub(super) fn mark_unanswered(
         &mut self,
         model: &AdapterVersion,
@@ -323,9 +325,10 @@
         self.set_transition(model.clone(), what, now);
     }
 
-    /// Notes that the engine does not hold an adapter that it was thought to hold.
+    /// Records that the engine does not hold an adapter that it was assumed to hold.
     ///
-    /// `known_at` is when the engine said so at the latest; an adapter loaded since then stays.
+    /// `known_at` is the latest time at which the engine can have reported so; an adapter loaded
+    /// after that stays. Returns whether the adapter was removed.
     pub(super) fn mark_missing(&mut self, model: &AdapterVersion, known_at: Moment) -> bool {
         if let Some(slot) = self.pinned.get(model) {
             if slot.since > known_at {
@@ -346,9 +349,10 @@
         true
     }
 
-    /// Brings the slots in line with the engine's own listing, which was asked for at `asked`.
+    /// Reconciles the slots with the engine's listing, which was requested at `asked`.
     ///
-    /// Adapters that an order has moved since then are left alone: the listing may be older.
+    /// Adapters that an order has loaded or unloaded since then are left as they are, because the
+    /// listing may be older.
     pub(super) fn reconcile(
         &mut self,
         listed: &[AdapterVersion],
@@ -383,7 +387,8 @@
         change
     }
 
-    /// Forgets unloads that no late order or listing can concern any more.
+    /// Removes the records of unloads that neither a late order nor a late listing can affect any
+    /// more.
     pub(super) fn prune_recent_unloads(&mut self, before: Moment, now: Moment) {
         self.recent_unloads
             .retain(|_, it| it.at >= before || it.barred_until > now);
