--- a/crates/chervilshunt_core/src/owner/spread.rs
+++ b/crates/chervilshunt_core/src/owner/spread.rs
@@ -1,4 +1,4 @@
-//! How many targets hold an adapter, and which of them a request goes to.
+//! The spread of adapters over targets, and the targets to which requests are redirected.
 
 use chervilshunt_model::{AdapterVersion, Moment, TargetName};
 use indexmap::IndexMap;
@@ -10,10 +10,10 @@
 use crate::PermitRequest;
 use crate::rank::TargetTable;
 
-/// Targets named in a redirect.
+/// Maximum number of targets in a redirect.
 const MAX_REDIRECT_TARGETS: usize = 3;
 
-/// Time over which a wider spread has to save the waiting that its load costs, in seconds.
+/// Time within which a wider spread must save the waiting time that its load costs, in seconds.
 const PAYBACK_S: f64 = 60.0;
 
 /// The targets of the service, and the adapters spread over several of them.
@@ -27,14 +27,14 @@
 /// An adapter that is spread over several targets.
 #[derive(Clone, Debug)]
 struct AdapterSpread {
-    /// The targets, first-ranked first.
+    /// The targets in order of rank.
     targets: SmallVec<[TargetName; 4]>,
-    /// Since when a narrower spread would do.
+    /// Since when fewer targets would be enough.
     unneeded_since: Option<Moment>,
 }
 
 impl Spread {
-    /// Starts with no adapter spread.
+    /// Starts with no adapter on more than one target.
     pub(super) fn new(target: &TargetName, peers: &[TargetName]) -> Self {
         Self {
             table: table(target, peers),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes the changed targets of the service; spreads are worked out anew as demand shows.
+    /// Replaces the targets of the service. All spreads are reset and grow again with demand.
     pub(super) fn set_peers(&mut self, target: &TargetName, peers: &[TargetName]) {
         self.table = table(target, peers);
         self.by_adapter.clear();
@@ -51,12 +51,12 @@
 }
 
 impl Owner {
-    /// Whether an adapter is spread over several targets.
+    /// Returns whether an adapter is spread over several targets.
     pub(super) fn is_spread(&self, model: &AdapterVersion) -> bool {
         self.spread.by_adapter.contains_key(model)
     }
 
-    /// Returns the targets over which an adapter is spread, as far as this owner decides it.
+    /// Returns the targets over which this owner spreads an adapter, or its own target alone.
     pub(super) fn spread_of(&self, model: Option<&AdapterVersion>) -> SmallVec<[TargetName; 4]> {
         let wide = model.and_then(|model| self.spread.by_adapter.get(model));
         match wide {
@@ -65,12 +65,14 @@
         }
     }
 
-    /// Follows the demand for an adapter with its spread.
+    /// Adapts the spread of an adapter to its demand.
     ///
-    /// The first-ranked target that can serve gets all requests, so its owner sees all the demand;
-    /// a target that others send requests on to sees what they can't take. The width that is needed is the number of sequences that run at a time, by Little's law, over the
-    /// part of a batch that one adapter may fill. It grows at once, and shrinks by one after it
-    /// has been too wide for a while, so that a demand that swings does not load and evict.
+    /// All requests go first to the first-ranked target that can serve, so its owner sees the whole
+    /// demand; a target that receives redirects sees the part that the others can't take. By
+    /// Little's law the number of targets needed is the number of sequences that run at the same
+    /// time divided by the part of a batch that one adapter may fill. The spread grows at once. It
+    /// shrinks by one target after it has been too wide for a while, so that fluctuating demand
+    /// does not cause repeated loads and evictions.
     pub(super) fn update_spread(&mut self, model: &AdapterVersion, now: Moment) {
         if !self.cfg.mechanisms.spread {
             return;
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Spreads an adapter further when requests wait here so long that another load pays.
+    /// Spreads an adapter over two targets if requests wait here so long that a second load pays
+    /// off.
     pub(super) fn widen_for_wait(&mut self, model: &AdapterVersion, wait: f64, now: Moment) {
         if !self.cfg.mechanisms.spread || self.spread.by_adapter.contains_key(model) {
             return;
@@ -115,10 +118,10 @@
         }
     }
 
-    /// Returns the targets to which a request goes that finds no room here, best first.
+    /// Returns the other targets for a request that finds no batch capacity here, best first.
     ///
-    /// Requests with the same prefix go to the same target; without prefix affinity they take
-    /// turns.
+    /// Requests with the same prefix go to the same target; without prefix affinity the targets are
+    /// used in rotation.
     pub(super) fn other_targets(&mut self, req: &PermitRequest) -> SmallVec<[TargetName; 4]> {
         let Some(model) = &req.model else {
             return SmallVec::new();
@@ -149,10 +152,11 @@
 
     /// Returns the targets ranked next after this one, for a request that can't stay here.
     ///
-    /// Each target sends on to the next in the adapter's ranking, so a request that meets several
-    /// closed ones visits each at most once. Those that have failed it are left out: an owner that
-    /// is short of power would send a retry back to the target that it comes from, until its tries
-    /// are used up, and the caller would see the failure of a target though another one is sound.
+    /// Each target redirects to the next ones in the adapter's ranking, so a request that meets
+    /// several closed targets visits each at most once. Targets that have failed the request are
+    /// left out: an owner short of power would otherwise redirect a retry back to the target that
+    /// failed it until its attempts are used up, and the caller would see the failure of one target
+    /// although another one is healthy.
     pub(super) fn next_ranked(
         &self,
         req: &PermitRequest,
@@ -179,7 +183,7 @@
         needed.clamp(1, MAX_SPREAD)
     }
 
-    /// Returns this target and those ranked after it, going round.
+    /// Returns this target and the next ones in the adapter's ranking, which wraps around.
     fn ranked_from_here(&self, model: &AdapterVersion, count: usize) -> SmallVec<[TargetName; 4]> {
         let ranked = self.spread.table.rank_from(model, &self.cfg.target, count);
         ranked.into_iter().cloned().collect()
