--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! The time after a takeover in which the permits of the earlier owner are not all known.
+//! The phase after a takeover in which the permits of the earlier owner are not all known.
 
 use chervilshunt_model::{AdapterVersion, Fencing, InstanceId, Moment};
 
@@ -14,28 +14,30 @@
 pub(super) struct Takeover {
     started: Moment,
     complete: bool,
-    /// The fewest sequences that the engine reported since the last old permit had to be used.
+    /// The lowest number of sequences that the engine reported after the last moment at which an
+    /// earlier owner's permit could be used.
     reported: Option<usize>,
     barrier: Barrier,
 }
 
 /// Whether the engine has seen this owner's fencing number.
 ///
-/// An engine refuses an old number only once it has seen a newer one. An unload that the earlier
-/// owner had on its way could otherwise hit an adapter for which this one has granted a permit. So
-/// the first order is one that does nothing: the load of an adapter that is already loaded.
+/// An engine refuses an old number only after it has seen a newer one. Without a barrier, an unload
+/// that the earlier owner had in transit could remove an adapter for which this owner has granted a
+/// permit. The first order is therefore one without effect: the load of an adapter that is already
+/// loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Barrier {
-    /// Not known yet whether one is needed.
+    /// It is not known yet whether a barrier is needed.
     Undecided,
-    /// The order is on its way.
+    /// The order is in progress.
     Ordered(OrderId),
-    /// The engine knows the number, or can't be told.
+    /// The engine knows the number, or needs no barrier.
     Passed,
 }
 
 impl Takeover {
-    /// Starts with nothing known.
+    /// Starts with no permits reported.
     pub(super) fn new(now: Moment) -> Self {
         Self {
             started: now,
@@ -45,22 +47,23 @@
         }
     }
 
-    /// Whether no order of an earlier owner can hit an adapter any more.
+    /// Returns whether orders of earlier owners can no longer affect any adapter.
     pub(super) fn barrier_passed(&self) -> bool {
         self.barrier == Barrier::Passed
     }
 
-    /// Whether all permits of earlier owners are known or have ended.
+    /// Returns whether all permits of earlier owners are known or have ended.
     pub(super) fn complete(&self) -> bool {
         self.complete
     }
 }
 
 impl Owner {
-    /// Takes in the permits that an instance holds for the target.
+    /// Adds the permits that an instance holds for the target.
     ///
-    /// The list of an instance that has left meanwhile counts as well, as its calls may be open
-    /// yet, but nobody will release them: they end by themselves.
+    /// The list of an instance that has left in the meantime counts as well, since its calls may
+    /// still be running. Nobody will release these permits, so they are set to end without a
+    /// release.
     pub(super) fn permits_held(&mut self, entry: &InstanceId, permits: Vec<Permit>, now: Moment) {
         for permit in permits {
             let ours = permit.target == self.cfg.target && permit.epoch <= self.cfg.epoch;
@@ -82,15 +85,15 @@
         self.permits_changed(now);
     }
 
-    /// Notes that evictions are safe from now on.
+    /// Records that evictions are safe from now on.
     pub(super) fn takeover_complete(&mut self) {
         self.takeover.complete = true;
     }
 
-    /// Takes an engine's report for what it tells of permits that are not known.
+    /// Uses an engine's report as a bound on the permits that are not known.
     ///
-    /// A report taken before the last old permit had to be used may miss a call that was opened
-    /// after it, and counts for nothing.
+    /// A report that was taken while an earlier owner's permit could still be used may miss a call
+    /// that started later, and is ignored.
     pub(super) fn report_in_takeover(&mut self, report: &EngineReport, now: Moment) {
         let settled = self.takeover.started + self.cfg.permit_window;
         if self.takeover.complete || now - report.age < settled {
@@ -101,10 +104,11 @@
         self.takeover.reported = Some(fewest.min(sequences));
     }
 
-    /// Returns the sequences that may be running under permits that are not known.
+    /// Returns the maximum number of sequences that may run under permits that are not known.
     ///
-    /// They take seats in the batch and power: a new owner that granted the full batch beside
-    /// them would pass the site's cap. Nothing but completion or a report bounds them.
+    /// They occupy batch slots and draw power: a new owner that granted a full batch in addition
+    /// would exceed the site's power cap. Only the end of the takeover or a report bounds their
+    /// number.
     pub(super) fn unknown_sequences(&self) -> usize {
         if self.takeover.complete {
             return 0;
@@ -112,10 +116,10 @@
         self.takeover.reported.unwrap_or(usize::MAX)
     }
 
-    /// Orders a load that does nothing, so that the engine learns the fencing number.
+    /// Orders a load without effect, from which the engine learns the fencing number.
     ///
-    /// An engine that holds nothing has nothing to lose; one that ignores fencing numbers is
-    /// protected by the time that the taker of a role waits.
+    /// An engine that holds no adapters needs no barrier. For one that ignores fencing numbers, the
+    /// time that a new owner waits before it takes the role over protects the adapters.
     pub(super) fn start_barrier(&mut self, listed: &[AdapterVersion], out: &mut Vec<OwnerAction>) {
         if self.takeover.barrier != Barrier::Undecided {
             return;
@@ -130,12 +134,12 @@
         };
     }
 
-    /// Takes the end of the first order.
+    /// Handles the end of the barrier order.
     ///
-    /// What was listed before may have been unloaded by an order of the earlier owner meanwhile,
-    /// so the engine is asked once more.
+    /// Adapters that were listed before may have been unloaded by an order of the earlier owner in
+    /// the meantime, so the inventory is requested again.
     ///
-    /// Returns whether it was the one.
+    /// Returns whether `order` was the barrier order.
     pub(super) fn barrier_ended(
         &mut self,
         order: OrderId,
@@ -152,7 +156,7 @@
         true
     }
 
-    /// Asks for the engine's adapters if they are in doubt.
+    /// Requests the engine's inventory if it is required and due.
     pub(super) fn request_inventory_if_due(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.engine.begin_inventory_request(now) {
             out.push(OwnerAction::RequestInventory);
