--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -1,4 +1,4 @@
-//! What an owner shows of itself to operators and metrics.
+//! The state of an owner as shown to operators and metrics.
 
 use std::time::Duration;
 
@@ -13,21 +13,21 @@
 /// The state of an owner at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerView {
-    /// Permits that are out, by class.
+    /// Number of outstanding live permits.
     pub live_permits: usize,
-    /// Deferrable permits that are out.
+    /// Number of outstanding deferrable permits.
     pub deferrable_permits: usize,
-    /// Live requests that wait.
+    /// Number of live requests in the queue.
     pub live_waiting: usize,
-    /// Deferrable requests that wait.
+    /// Number of deferrable requests in the queue.
     pub deferrable_waiting: usize,
-    /// Sequences that may run at a time within the share of power.
+    /// Number of sequences that may run at the same time within the share of power.
     pub batch_bound: usize,
     /// The share of power, in watts.
     pub share_watts: f64,
-    /// Adapters in slots, on their way, or waited for.
+    /// The adapters that are in slots, in transition or requested.
     pub adapters: Vec<AdapterView>,
-    /// Adapters whose demand is remembered.
+    /// Number of adapters whose demand is recorded.
     pub known_adapters: usize,
     /// Whether evictions are safe: the permits of earlier owners are known or have ended.
     pub takeover_complete: bool,
@@ -40,15 +40,15 @@
     pub model: AdapterVersion,
     /// Its state.
     pub state: AdapterState,
-    /// Permits that pin it.
+    /// Number of permits that pin it.
     pub pins: u32,
-    /// Requests that wait for it to be loaded.
+    /// Number of requests that wait for it to be loaded.
     pub waiters: usize,
-    /// Loads that failed in a row.
+    /// Number of failed attempts of its current load.
     pub failed_loads: u32,
-    /// The class of the most urgent request that waits for the load; none without one.
+    /// The class of the most urgent request that waits for the load, or `None` if no request does.
     pub class: Option<Class>,
-    /// How long its load has been wanted; none where no load is.
+    /// Time since its load was requested, or `None` if none is requested.
     pub load_requested_for: Option<Duration>,
 }
 
@@ -60,20 +60,20 @@
     Serving,
     /// It is loaded and serves no permit.
     Idle,
-    /// It is loaded, and makes room once its permits are released.
+    /// It is loaded, takes no further permits, and frees its slot once its permits are released.
     Draining,
-    /// It waits for a slot, for its turn, or for a pause after a failure to end.
+    /// Its load waits for a slot, a turn or the end of a backoff.
     Pending,
     /// The engine is loading it.
     Loading,
     /// The engine is unloading it.
     Unloading,
-    /// An order went unanswered, and the engine has been asked.
+    /// An order for it got no response, and the engine's inventory has been requested.
     Unknown,
 }
 
 impl Owner {
-    /// Returns the state for operators and metrics; not for every request.
+    /// Returns the state for operators and metrics. It is too costly to compute for every request.
     pub fn view(&self, now: Moment) -> OwnerView {
         OwnerView {
             live_permits: self.permits.live(),
@@ -88,19 +88,20 @@
         }
     }
 
-    /// Returns the permits that are out, for operators.
+    /// Returns the outstanding permits, for operators.
     pub fn permits(&self) -> impl Iterator<Item = &Permit> {
         self.permits.iter().map(|held| &held.permit)
     }
 
-    /// Returns the permits that are out with the time since each was granted, or learnt of after a
+    /// Returns the outstanding permits with the time since each was granted, or reported after a
     /// takeover.
     pub fn held_permits(&self, now: Moment) -> impl Iterator<Item = (&Permit, Duration)> {
         let held = self.permits.iter();
         held.map(move |held| (&held.permit, now.since(held.since)))
     }
 
-    /// Returns the time that a load asked for now is expected to take, with its wait for a turn.
+    /// Returns the expected time until an adapter that is requested now is loaded, including the
+    /// wait for a turn.
     pub fn expected_load_time(&self, now: Moment) -> Duration {
         self.loads.expected_time(now)
     }
