--- a/crates/chervilshunt_core/src/owner/tuning.rs
+++ b/crates/chervilshunt_core/src/owner/tuning.rs
@@ -77,7 +77,8 @@
 /// work: the load would take a slot and a turn from live work only to lengthen the queue.
 pub(super) const ENOUGH_READY_DEFERRABLE: usize = 4;
 
-/// Wait after which an adapter is loaded for deferrable work even then.
+/// Wait after which an adapter is loaded for deferrable work regardless of
+/// [`ENOUGH_READY_DEFERRABLE`].
 pub(super) const DEFERRABLE_LOAD_AGE: Duration = Duration::from_secs(300);
 
 /// Interval at which parked loads are reviewed.
