--- a/crates/chervilshunt_core/tests/owner.rs
+++ b/crates/chervilshunt_core/tests/owner.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn grants_at_once_what_is_loaded() {
+fn grants_at_once_if_the_adapter_is_loaded() {
     let mut owner = owner_with(config(2, 4), &[model(1)]);
     let actions = owner.handle(ask(1, 1), at(10));
     assert_eq!(granted(&actions)[0].attempt, AttemptId::from_u128(1));
 }
 
 #[test]
-fn loads_what_is_not_loaded_once_for_all_that_wait() {
+fn loads_an_adapter_once_for_all_waiting_requests() {
     let mut owner = owner_with(config(2, 4), &[]);
     let asked = owner.handle(ask(1, 1), at(10));
     let again = owner.handle(ask(2, 1), at(11));
@@ -58,7 +58,7 @@
 /// It therefore says all along that it uses them, so that the scheduler need not wait long without
 /// word; and it stops saying so of a load that is stuck.
 #[test]
-fn says_each_second_that_a_turn_is_in_use_until_the_load_is_stuck() {
+fn renews_a_turn_each_second_until_the_load_is_stuck() {
     let mut owner = owner_with(config(2, 4), &[]);
     let asked = owner.handle(ask(1, 1), at(0));
     let order = asked.iter().find_map(|action| match action {
@@ -68,28 +68,28 @@
     let order = order.expect("a turn is asked for");
     let queue_wait = std::time::Duration::ZERO;
     owner.handle(OwnerEvent::TurnGranted { order, queue_wait }, at(0));
-    let mut told = Vec::new();
-    while told.last().is_none_or(|last| *last < 15_000) {
+    let mut renewals = Vec::new();
+    while renewals.last().is_none_or(|last| *last < 15_000) {
         let now = owner.next_wakeup().expect("a load is under way");
         let actions = owner.handle(OwnerEvent::Tick, now);
         let holds = actions.iter().any(
             |action| matches!(action, OwnerAction::RenewTurn { order: held, .. } if *held == order),
         );
         if holds {
-            told.push(now.since(at(0)).as_millis());
+            renewals.push(now.since(at(0)).as_millis());
         }
         if now > at(15_000) {
             break;
         }
     }
-    let gaps = told.windows(2).map(|pair| pair[1] - pair[0]);
-    assert!(gaps.max().is_some_and(|gap| gap < 2_000), "{told:?}");
-    assert!((8..=10).contains(&told.len()), "{told:?}");
-    assert!(*told.last().unwrap() < 10_000, "{told:?}");
+    let gaps = renewals.windows(2).map(|pair| pair[1] - pair[0]);
+    assert!(gaps.max().is_some_and(|gap| gap < 2_000), "{renewals:?}");
+    assert!((8..=10).contains(&renewals.len()), "{renewals:?}");
+    assert!(*renewals.last().unwrap() < 10_000, "{renewals:?}");
 }
 
 #[test]
-fn asking_twice_gives_one_permit() {
+fn a_duplicate_request_gets_the_same_permit() {
     let mut owner = owner_with(config(2, 4), &[model(1)]);
     let first = owner.handle(ask(1, 1), at(10));
     let second = owner.handle(ask(1, 1), at(11));
@@ -140,7 +140,10 @@
 #[rstest]
 #[case::draining(OwnerEvent::Draining(true), RefusalReason::Draining)]
 #[case::down(OwnerEvent::Reachable(false), RefusalReason::TargetDown)]
-fn refuses_what_waits_when_closed(#[case] event: OwnerEvent, #[case] expected: RefusalReason) {
+fn refuses_waiting_requests_when_closed(
+    #[case] event: OwnerEvent,
+    #[case] expected: RefusalReason,
+) {
     let mut owner = owner_with(config(2, 4), &[]);
     owner.handle(ask(1, 1), at(10));
     let actions = owner.handle(event, at(20));
@@ -256,9 +259,9 @@
 #[case::first_try(&[], &["t1"])]
 #[case::after_a_failure(&["t1"], &[])]
 #[case::after_a_failure_elsewhere(&["t9"], &["t1"])]
-fn sends_no_retry_back_to_a_target_that_failed_it(
+fn never_redirects_a_retry_to_a_target_that_failed_it(
     #[case] avoid: &[&str],
-    #[case] sent_on: &[&str],
+    #[case] expected_targets: &[&str],
 ) {
     let mut cfg = config(2, 4);
     cfg.peers = vec!["t1".into()];
@@ -274,7 +277,10 @@
             PermitAnswer::Granted { .. } | PermitAnswer::Refused { .. } => Vec::new(),
         })
         .collect();
-    let expected: Vec<TargetName> = sent_on.iter().map(|it| TargetName::from(*it)).collect();
+    let expected: Vec<TargetName> = expected_targets
+        .iter()
+        .map(|it| TargetName::from(*it))
+        .collect();
     assert_eq!(redirects, expected);
 }
 
@@ -284,7 +290,7 @@
 #[rstest]
 #[case::takeover_incomplete(false)]
 #[case::takeover_complete(true)]
-fn sends_on_what_would_wait_for_an_eviction_that_is_not_safe_yet(#[case] complete: bool) {
+fn redirects_a_request_that_would_wait_for_an_unsafe_eviction(#[case] complete: bool) {
     let mut cfg = config(1, 4);
     cfg.peers = vec![TargetName::from("t1")];
     let mut owner = Owner::new(cfg, at(0));
