--- a/crates/chervilshunt_core/tests/owner_flood.rs
+++ b/crates/chervilshunt_core/tests/owner_flood.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns the adapters for which a turn is asked for until a time.
-fn asked_until(owner: &mut Owner, from: Moment, until: Moment) -> Vec<AdapterVersion> {
+fn turns_requested_until(owner: &mut Owner, from: Moment, until: Moment) -> Vec<AdapterVersion> {
     let mut asked = Vec::new();
     let mut now = from;
     while now < until {
@@ -41,7 +41,7 @@
 #[case::few_are_ready(3, 60, true)]
 #[case::enough_are_ready(4, 60, false)]
 #[case::enough_are_ready_but_it_is_old(4, 330, true)]
-fn loads_no_more_deferrable_work_than_it_has_room_for(
+fn loads_nothing_for_deferrable_work_while_enough_is_ready(
     #[case] ready: u32,
     #[case] seconds: u64,
     #[case] loads: bool,
@@ -55,7 +55,7 @@
         ask(&mut owner, attempt, 1, Class::Deferrable, at(20));
     }
     ask(&mut owner, 100, 2, Class::Deferrable, at(30));
-    let asked = asked_until(&mut owner, at(500), at(seconds * 1_000));
+    let asked = turns_requested_until(&mut owner, at(500), at(seconds * 1_000));
     assert_eq!(asked, Vec::from_iter(loads.then(|| model(2))));
 }
 
@@ -74,7 +74,7 @@
         let attempt = u128::from(number) + 10;
         ask(&mut owner, attempt, number, Class::Deferrable, at(20));
     }
-    let asked = asked_until(&mut owner, at(500), at(60_000));
+    let asked = turns_requested_until(&mut owner, at(500), at(60_000));
     assert_eq!(asked.len(), most);
 }
 
@@ -87,7 +87,10 @@
 #[case::at_once(121, 1)]
 #[case::after_a_pause(137, 2)]
 #[case::after_two_pauses(153, 3)]
-fn old_deferrable_work_leaves_seats_for_live_work(#[case] seconds: u64, #[case] taken: usize) {
+fn old_deferrable_work_leaves_batch_slots_for_live_work(
+    #[case] seconds: u64,
+    #[case] taken: usize,
+) {
     let mut cfg = config(4, 4);
     cfg.deferrable_queue_bound = 100;
     cfg.weights.load_stalls = 10.0;
