--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -13,19 +13,19 @@
 use rstest::rstest;
 
 /// The second in which a replay's caller asks for the base model, and for an adapter.
-const ASKS_EVERY_MS: u64 = 100;
+const REQUEST_INTERVAL_MS: u64 = 100;
 /// Until when the targets have to be updated: nine targets, a quarter of them at a time, and each waits
 /// for requests of 3 s, then loads for 0.6 s; twice that is enough for the reports and listings between.
-const UPDATED_BY_MS: u64 = NAMED_AT + 36_000;
+const UPDATE_DEADLINE_MS: u64 = NAMED_AT + 36_000;
 /// The operators want no request to begin on an older version later than this after its naming.
-const VERSION_BOUND_MS: u64 = 5_000;
+const MAX_VERSION_LAG_MS: u64 = 5_000;
 
 /// Plays an update while an adapter is asked for, and checks that all targets end with the newest version,
 /// a quarter of them out of use at a time at the most.
-fn updated(fates: &[Fate]) -> Replay {
+fn run_update(fates: &[Fate]) -> Replay {
     let mut replay = Replay::new();
     replay.fates = fates.to_vec();
-    replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &adapter("a1"));
+    replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(SECOND); TARGETS]);
     assert!(
         replay.most_away <= TARGETS.div_ceil(4),
@@ -69,8 +69,8 @@
 /// it for under way until the target would list the newest version. The log had two `order` lines of the
 /// model, both `Done`, and after them none until the next placer.
 #[test]
-fn all_targets_come_to_hold_the_newest_version() {
-    let replay = updated(&[]);
+fn all_targets_load_the_newest_version() {
+    let replay = run_update(&[]);
     assert!(replay.refused.is_empty(), "{:?}", replay.refused);
 }
 
@@ -79,10 +79,10 @@
 /// whose version was older than the one that instances ask for. The log had five `placed` and five
 /// `not passed on` within 20 ms, then `budget_spent`.
 #[test]
-fn a_request_for_the_base_model_is_never_sent_where_an_older_version_is() {
+fn a_request_for_the_base_model_is_never_sent_to_an_older_version() {
     let mut replay = Replay::new();
-    replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &base());
-    let bound = at(NAMED_AT) + Duration::from_millis(VERSION_BOUND_MS);
+    replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &base());
+    let bound = at(NAMED_AT) + Duration::from_millis(MAX_VERSION_LAG_MS);
     let late = replay.placed.iter().filter(|it| it.at >= bound);
     let outdated = late.clone().filter(|it| it.version != Some(SECOND)).count();
     assert_eq!((outdated, late.count() > 0), (0, true));
@@ -93,25 +93,25 @@
 /// Targets stay as they are, or out of use, for want of the answers to their orders. Each way in which an
 /// answer can be lost leaves the target in a state that its next report shows.
 #[rstest]
-#[case::giving_up_has_no_answer(&[Fate::AnswerLost, Fate::AnswerLost])]
-#[case::giving_up_is_lost(&[Fate::Lost, Fate::Lost])]
-#[case::giving_up_comes_late(&[Fate::Late, Fate::Late])]
-#[case::loading_has_no_answer(&[Fate::Answered, Fate::Answered, Fate::AnswerLost])]
-#[case::loading_is_lost(&[Fate::Answered, Fate::Answered, Fate::Lost, Fate::Lost])]
-#[case::loading_comes_late(&[Fate::Answered, Fate::Answered, Fate::Late, Fate::Late])]
-#[case::all_of_it(&[Fate::Lost, Fate::Late, Fate::AnswerLost, Fate::Lost, Fate::Late, Fate::AnswerLost])]
-fn lost_answers_keep_no_target_from_its_newest_version(#[case] fates: &[Fate]) {
-    updated(fates);
+#[case::unload_has_no_answer(&[Fate::AnswerLost, Fate::AnswerLost])]
+#[case::unload_is_lost(&[Fate::Lost, Fate::Lost])]
+#[case::unload_comes_late(&[Fate::Late, Fate::Late])]
+#[case::load_has_no_answer(&[Fate::Answered, Fate::Answered, Fate::AnswerLost])]
+#[case::load_is_lost(&[Fate::Answered, Fate::Answered, Fate::Lost, Fate::Lost])]
+#[case::load_comes_late(&[Fate::Answered, Fate::Answered, Fate::Late, Fate::Late])]
+#[case::all_of_these(&[Fate::Lost, Fate::Late, Fate::AnswerLost, Fate::Lost, Fate::Late, Fate::AnswerLost])]
+fn lost_answers_do_not_keep_targets_from_the_newest_version(#[case] fates: &[Fate]) {
+    run_update(fates);
 }
 
 /// Adapters are loaded over and over for nothing. A version is named that the weight store does not have,
 /// so that each load brings the old one again; taken for outdated at once, every target would give its
 /// model up every few seconds, with all its adapters.
 #[test]
-fn a_version_that_no_load_brings_is_not_loaded_over_and_over() {
+fn a_version_that_the_store_lacks_is_not_loaded_repeatedly() {
     let mut replay = Replay::new();
     replay.brings_named = false;
-    replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &adapter("a1"));
+    replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(FIRST); TARGETS]);
     assert!(replay.given_up <= TARGETS, "{}", replay.given_up);
 }
