--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -28,9 +28,9 @@
 const QUEUE_BOUND: usize = 5;
 const MODELS: u32 = 6;
 /// An order that is still on its way after this time is lost, as [`Step::Advance`] sees to.
-const FLIGHT_BOUND: Duration = Duration::from_secs(15);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 /// A doubled request arrives at the latest this long after the first.
-const LATEST_DOUBLE: Duration = Duration::from_secs(60);
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -47,7 +47,7 @@
     ReleaseAgain(usize),
     Cancel(usize),
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     GrantTurn(usize),
     /// The engine carries an order out, or refuses it, and may lose the answer.
     Engine {
@@ -117,7 +117,7 @@
         2 => index().prop_map(Step::ReleaseAgain),
         2 => index().prop_map(Step::Cancel),
         30 => index().prop_map(Step::Deliver),
-        3 => index().prop_map(Step::Double),
+        3 => index().prop_map(Step::Duplicate),
         14 => index().prop_map(Step::GrantTurn),
         14 => engine,
         2 => index().prop_map(Step::GiveUpOrder),
@@ -138,7 +138,7 @@
 
 /// The steps depend on nothing but chance: the indexes wrap round at what there is.
 #[derive(Debug)]
-struct Chance;
+struct RandomSteps;
 
 /// What the earlier owner left: permits by number, their adapters, and what else is loaded.
 #[derive(Clone, Debug)]
@@ -148,10 +148,10 @@
     peers: u32,
     fencing: Fencing,
     /// Whether an unload by the earlier owner is still on its way.
-    stray: bool,
+    unload_in_transit: bool,
 }
 
-impl ReferenceStateMachine for Chance {
+impl ReferenceStateMachine for RandomSteps {
     type State = Start;
     type Transition = Step;
 
@@ -164,13 +164,15 @@
             fencing,
             any::<bool>(),
         )
-            .prop_map(|(old_permits, loaded, peers, fencing, stray)| Start {
-                old_permits,
-                loaded,
-                peers,
-                fencing,
-                stray,
-            })
+            .prop_map(
+                |(old_permits, loaded, peers, fencing, unload_in_transit)| Start {
+                    old_permits,
+                    loaded,
+                    peers,
+                    fencing,
+                    unload_in_transit,
+                },
+            )
             .boxed()
     }
 
@@ -198,7 +200,7 @@
     oracle: Oracle,
     loaded: BTreeSet<AdapterVersion>,
     old: Vec<Permit>,
-    boxed: Vec<OwnerEvent>,
+    mailbox: Vec<OwnerEvent>,
     turns: Vec<OrderId>,
     /// Turns asked for, and those of them that the owner holds.
     asked: BTreeSet<OrderId>,
@@ -211,9 +213,9 @@
     next_attempt: u128,
     fencing: Fencing,
     /// Whether the engine is gone and the owner has yet to be told.
-    blind: bool,
+    engine_lost: bool,
     /// Whether the owner is about to learn that somebody else owns the target.
-    fenced_off: bool,
+    will_learn_of_fencing: bool,
     /// The highest fencing number that the engine has seen.
     highest: Epoch,
 }
@@ -235,7 +237,7 @@
             oracle: Oracle::new(MAX_BATCH as usize, QUEUE_BOUND),
             loaded: (0..start.loaded).map(model).collect(),
             old: Vec::new(),
-            boxed: Vec::new(),
+            mailbox: Vec::new(),
             turns: Vec::new(),
             asked: BTreeSet::new(),
             granted: BTreeSet::new(),
@@ -246,18 +248,20 @@
             share_sequence: 0,
             next_attempt: 1_000,
             fencing: start.fencing,
-            blind: false,
-            fenced_off: false,
+            engine_lost: false,
+            will_learn_of_fencing: false,
             highest: Epoch::new(6),
         };
         for (number, old) in start.old_permits.iter().enumerate() {
             world.add_old_permit(number as u128, model(*old));
         }
-        if start.stray && start.fencing == Fencing::Checks {
-            world.add_stray_unload();
+        if start.unload_in_transit && start.fencing == Fencing::Checks {
+            world.add_unload_in_transit();
         }
         let (entry, permits) = (InstanceId::from("e0"), world.old.clone());
-        world.boxed.push(OwnerEvent::PermitsHeld { entry, permits });
+        world
+            .mailbox
+            .push(OwnerEvent::PermitsHeld { entry, permits });
         world.tick();
         world
     }
@@ -279,7 +283,7 @@
     }
 
     /// The earlier owner unloads an idle adapter, and loses its role before the order arrives.
-    fn add_stray_unload(&mut self) {
+    fn add_unload_in_transit(&mut self) {
         let idle = self.loaded.iter().find(|it| !self.oracle.pins(it)).cloned();
         let Some(model) = idle else {
             return;
@@ -321,7 +325,7 @@
             }
         );
         let actions = self.owner.handle(event, self.now);
-        if fenced && self.fenced_off {
+        if fenced && self.will_learn_of_fencing {
             self.oracle.fence();
         }
         self.oracle.after(&actions, &self.owner, self.now);
@@ -339,7 +343,7 @@
                 let held = permit.model.is_none_or(|it| self.loaded.contains(&it));
                 let open = self.oracle.open().contains(&permit.attempt);
                 assert!(
-                    held || !open || self.blind,
+                    held || !open || self.engine_lost,
                     "a permit for an adapter that is not loaded"
                 );
             }
@@ -367,10 +371,10 @@
             }
             OwnerAction::RequestInventory => {
                 // The client drops the answer to a question that it asks again.
-                self.boxed
+                self.mailbox
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
                 let listed = self.loaded.iter().cloned().collect();
-                self.boxed.push(OwnerEvent::Inventory(listed));
+                self.mailbox.push(OwnerEvent::Inventory(listed));
             }
             _ => {}
         }
@@ -421,25 +425,25 @@
                 }
             }
             Step::Deliver(n) => {
-                if !self.boxed.is_empty() {
-                    let event = self.boxed.swap_remove(n % self.boxed.len());
+                if !self.mailbox.is_empty() {
+                    let event = self.mailbox.swap_remove(n % self.mailbox.len());
                     let held = matches!(event, OwnerEvent::PermitsHeld { .. });
                     self.handle(event);
                     if held {
-                        self.boxed.push(OwnerEvent::TakeoverComplete);
+                        self.mailbox.push(OwnerEvent::TakeoverComplete);
                     }
                 }
             }
-            Step::Double(n) => {
-                let event = pick(&self.boxed, n).cloned();
-                if let Some(event) = event.filter(may_double) {
+            Step::Duplicate(n) => {
+                let event = pick(&self.mailbox, n).cloned();
+                if let Some(event) = event.filter(may_be_duplicated) {
                     self.handle(event);
                 }
             }
             Step::GrantTurn(n) => {
                 if let Some(order) = pick(&self.turns, n).copied() {
                     let queue_wait = Duration::from_millis(200);
-                    self.boxed
+                    self.mailbox
                         .push(OwnerEvent::TurnGranted { order, queue_wait });
                 }
             }
@@ -452,14 +456,14 @@
             Step::Restart => {
                 // What ran there is cut; the entry instances give their permits back.
                 self.loaded.clear();
-                self.blind = true;
-                self.boxed
+                self.engine_lost = true;
+                self.mailbox
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
                 for attempt in self.oracle.open() {
                     self.release(attempt, ReleaseOutcome::TargetFailed);
                 }
                 self.handle(OwnerEvent::Reachable(false));
-                self.blind = false;
+                self.engine_lost = false;
                 self.handle(OwnerEvent::Reachable(true));
             }
             Step::Superseded if self.fencing == Fencing::Checks => self.highest = Epoch::new(8),
@@ -474,12 +478,12 @@
                     waiting: 0,
                     age: Duration::from_millis(u64::from(age)),
                 };
-                self.boxed.push(OwnerEvent::EngineReported(report));
+                self.mailbox.push(OwnerEvent::EngineReported(report));
             }
             Step::Share(sequences) => {
                 self.share_sequence += 1;
                 let (sequence, watts) = (self.share_sequence, 100.0 + 10.0 * f64::from(sequences));
-                self.boxed.push(OwnerEvent::ShareSet { sequence, watts });
+                self.mailbox.push(OwnerEvent::ShareSet { sequence, watts });
             }
             Step::Draining(draining) => self.handle(OwnerEvent::Draining(draining)),
             Step::Scheduler(up) => {
@@ -492,7 +496,7 @@
                 self.now = self.now + Duration::from_millis(millis);
                 let now = self.now;
                 self.requests
-                    .retain(|(_, at)| now.since(*at) < LATEST_DOUBLE);
+                    .retain(|(_, at)| now.since(*at) < MAX_DUPLICATE_DELAY);
                 self.lose_old_orders();
                 self.tick();
             }
@@ -501,11 +505,11 @@
 
     /// An instance lists its permits within the time for which the owner remembers what it left.
     fn deliver_held_in_time(&mut self, millis: u64) {
-        let late = self.now + Duration::from_millis(millis) > self.started + LATEST_DOUBLE;
+        let late = self.now + Duration::from_millis(millis) > self.started + MAX_DUPLICATE_DELAY;
         let is_held = |it: &OwnerEvent| matches!(it, OwnerEvent::PermitsHeld { .. });
-        let place = self.boxed.iter().position(is_held);
-        if let (true, Some(place)) = (late, place) {
-            self.step(Step::Deliver(place));
+        let index = self.mailbox.iter().position(is_held);
+        if let (true, Some(index)) = (late, index) {
+            self.step(Step::Deliver(index));
         }
     }
 
@@ -526,7 +530,7 @@
         let pending = self.orders.remove(n % self.orders.len());
         let result = self.carry_out(&pending.order, refuse);
         if result == Err(OrderFailure::Fenced) && !pending.answered && !lose_answer {
-            self.fenced_off = true;
+            self.will_learn_of_fencing = true;
         }
         if !pending.answered {
             let result = if lose_answer {
@@ -535,7 +539,7 @@
                 result
             };
             let order = pending.order.id;
-            self.boxed.push(OwnerEvent::OrderEnded { order, result });
+            self.mailbox.push(OwnerEvent::OrderEnded { order, result });
         }
     }
 
@@ -576,7 +580,7 @@
         if !pending.answered {
             pending.answered = true;
             let (order, result) = (pending.order.id, Err(OrderFailure::Unknown));
-            self.boxed.push(OwnerEvent::OrderEnded { order, result });
+            self.mailbox.push(OwnerEvent::OrderEnded { order, result });
         }
     }
 
@@ -585,7 +589,7 @@
         let (kept, lost): (Vec<_>, Vec<_>) = self
             .orders
             .drain(..)
-            .partition(|it| now.since(it.given) < FLIGHT_BOUND);
+            .partition(|it| now.since(it.given) < MAX_ORDER_DELAY);
         self.orders = kept;
         for pending in lost.into_iter().filter(|it| !it.answered) {
             let (order, result) = (pending.order.id, Err(OrderFailure::Unknown));
@@ -605,7 +609,7 @@
         self.scheduler_up = true;
         self.step(Step::Share(MAX_BATCH));
         for _ in 0..600 {
-            while !self.boxed.is_empty() {
+            while !self.mailbox.is_empty() {
                 self.step(Step::Deliver(0));
             }
             if self.oracle.waiting().is_empty() {
@@ -629,7 +633,7 @@
 }
 
 /// An answer over HTTP arrives once.
-fn may_double(event: &OwnerEvent) -> bool {
+fn may_be_duplicated(event: &OwnerEvent) -> bool {
     !matches!(
         event,
         OwnerEvent::TakeoverComplete | OwnerEvent::Inventory(_)
@@ -644,7 +648,7 @@
 
 impl StateMachineTest for OwnerTest {
     type SystemUnderTest = World;
-    type Reference = Chance;
+    type Reference = RandomSteps;
 
     fn init_test(start: &Start) -> World {
         World::new(start)
@@ -664,7 +668,7 @@
     #![proptest_config(support::proptest_config(300))]
 
     #[test]
-    fn an_owner_keeps_its_promises(sequential 1..120 => OwnerTest);
+    fn an_owner_keeps_its_invariants(sequential 1..120 => OwnerTest);
 }
 
 /// Each bug of a kind that a change could bring in is found, and by the check that is meant for it.
@@ -678,11 +682,12 @@
 #[case::takes_answer_twice(Bug::TakesAnswerTwice, "a permit for an adapter that is not loaded")]
 #[case::loads_without_turn(Bug::LoadsWithoutTurn, "a load without a turn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let message = support::failure_message(check, Chance::init_state(), step(), |start, steps| {
-        let mut world = World::new(&start);
-        world.owner.seed(bug);
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
-    });
+    let message =
+        support::failure_message(check, RandomSteps::init_state(), step(), |start, steps| {
+            let mut world = World::new(&start);
+            world.owner.seed(bug);
+            steps.into_iter().for_each(|step| world.step(step));
+            world.settle();
+        });
     assert!(message.contains(check), "{message}");
 }
