--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -270,7 +270,7 @@
         let mut req = request(number, Some(model.clone()), Class::Live);
         req.attempt = AttemptId::from_u128(number);
         self.loaded.insert(model.clone());
-        self.oracle.opened_before(req.attempt, model.clone());
+        self.oracle.add_earlier_call(req.attempt, model.clone());
         self.old.push(Permit {
             attempt: req.attempt,
             entry: req.entry,
@@ -313,7 +313,7 @@
                 ((watts - 100.0) / 10.0).round() as usize
             }
         };
-        self.oracle.before(&event, sequences, self.now);
+        self.oracle.observe_event(&event, sequences, self.now);
         if let OwnerEvent::TurnGranted { order, .. } = event {
             self.granted.insert(order);
         }
@@ -328,7 +328,7 @@
         if fenced && self.will_learn_of_fencing {
             self.oracle.fence();
         }
-        self.oracle.after(&actions, &self.owner, self.now);
+        self.oracle.check_actions(&actions, &self.owner, self.now);
         for action in actions {
             self.note(action);
         }
--- a/crates/chervilshunt_core/tests/support/owner_oracle.rs
+++ b/crates/chervilshunt_core/tests/support/owner_oracle.rs
@@ -13,13 +13,13 @@
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, InstanceId, Moment};
 
 /// Time after which the permits of an instance that left have surely ended.
-pub(crate) const GONE: Duration = Duration::from_secs(12);
+pub(crate) const LEFT_ENTRY_PERMIT_TIME: Duration = Duration::from_secs(12);
 
 /// Failed calls below which an owner may not close its target: half of the five that it looks at.
 const FAILED_CALLS_TO_CLOSE: u32 = 3;
 
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     model: Option<AdapterVersion>,
     entry: InstanceId,
     ends: Option<Moment>,
@@ -33,11 +33,11 @@
     share_bound: usize,
     share_sequence: u64,
     waiting: BTreeMap<AttemptId, (PermitRequest, Moment)>,
-    open: BTreeMap<AttemptId, Open>,
+    open: BTreeMap<AttemptId, OpenCall>,
     answered: BTreeMap<AttemptId, (u8, PermitAnswer)>,
     released: BTreeSet<AttemptId>,
     /// Calls of an earlier owner's permits that the owner has not been told of.
-    unheard: BTreeSet<AttemptId>,
+    unreported: BTreeSet<AttemptId>,
     left: BTreeSet<InstanceId>,
     complete: bool,
     draining: bool,
@@ -75,22 +75,27 @@
     }
 
     /// A call that was opened under an earlier owner's permit.
-    pub(crate) fn opened_before(&mut self, attempt: AttemptId, model: AdapterVersion) {
+    pub(crate) fn add_earlier_call(&mut self, attempt: AttemptId, model: AdapterVersion) {
         let (model, entry) = (Some(model), InstanceId::from("e0"));
         let ends = None;
-        self.open.insert(attempt, Open { model, entry, ends });
-        self.unheard.insert(attempt);
+        self.open.insert(attempt, OpenCall { model, entry, ends });
+        self.unreported.insert(attempt);
     }
 
     /// Takes an event that is about to reach the owner.
-    pub(crate) fn before(&mut self, event: &OwnerEvent, watts: impl Fn(f64) -> usize, now: Moment) {
+    pub(crate) fn observe_event(
+        &mut self,
+        event: &OwnerEvent,
+        watts: impl Fn(f64) -> usize,
+        now: Moment,
+    ) {
         match event {
             OwnerEvent::PermitRequested(req) => {
                 let hops = self.answered.get(&req.attempt).map(|it| it.0);
-                let anew = hops.is_none_or(|hops| req.hops > hops);
+                let is_new = hops.is_none_or(|hops| req.hops > hops);
                 let known =
                     self.open.contains_key(&req.attempt) || self.released.contains(&req.attempt);
-                if anew && !known {
+                if is_new && !known {
                     self.answered.remove(&req.attempt);
                     self.waiting
                         .entry(req.attempt)
@@ -113,16 +118,19 @@
                 self.released.extend(gone.map(|(attempt, _)| attempt));
                 self.left.insert(entry.clone());
                 for (attempt, open) in self.open.iter_mut().filter(|it| it.1.entry == *entry) {
-                    if !self.unheard.contains(attempt) {
-                        open.ends.get_or_insert(now + GONE);
+                    if !self.unreported.contains(attempt) {
+                        open.ends.get_or_insert(now + LEFT_ENTRY_PERMIT_TIME);
                     }
                 }
             }
             OwnerEvent::PermitsHeld { entry, permits } => {
                 let left = self.left.contains(entry);
-                for permit in permits.iter().filter(|it| self.unheard.remove(&it.attempt)) {
+                for permit in permits
+                    .iter()
+                    .filter(|it| self.unreported.remove(&it.attempt))
+                {
                     if let (true, Some(open)) = (left, self.open.get_mut(&permit.attempt)) {
-                        open.ends = Some(now + GONE);
+                        open.ends = Some(now + LEFT_ENTRY_PERMIT_TIME);
                     }
                 }
             }
@@ -145,7 +153,7 @@
     }
 
     /// Checks what the owner did about it.
-    pub(crate) fn after(&mut self, actions: &[OwnerAction], owner: &Owner, now: Moment) {
+    pub(crate) fn check_actions(&mut self, actions: &[OwnerAction], owner: &Owner, now: Moment) {
         for action in actions {
             match action {
                 OwnerAction::Answer {
@@ -190,7 +198,7 @@
                 assert!(!self.fenced, "a grant after it was fenced off");
                 assert_eq!((&permit.model, permit.class), (&req.model, req.class));
                 let (model, entry, ends) = (req.model.clone(), req.entry.clone(), None);
-                self.open.insert(attempt, Open { model, entry, ends });
+                self.open.insert(attempt, OpenCall { model, entry, ends });
                 assert!(
                     self.open.len() <= self.max_batch,
                     "more than the batch holds"
@@ -241,10 +249,10 @@
         let waiting = view.live_waiting + view.deferrable_waiting;
         assert_eq!(waiting, self.waiting.len(), "requests waiting");
         let out = view.live_permits + view.deferrable_permits;
-        let learnt = self.open.len();
+        let open = self.open.len();
         assert!(
-            out == learnt || (out < learnt && !self.complete),
-            "permits out: {out}, {learnt}"
+            out == open || (out < open && !self.complete),
+            "permits out: {out}, {open}"
         );
         let overdue =
             |(req, at): &(PermitRequest, Moment)| *at + Duration::from_millis(req.deadline_ms);
