--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -1,4 +1,4 @@
-//! New versions of a base model, while requests for its adapters go on.
+//! Updates of a base model to a new version while requests for its adapters continue.
 
 #[path = "support/model_updates.rs"]
 mod model_updates;
@@ -12,16 +12,18 @@
 };
 use rstest::rstest;
 
-/// The second in which a replay's caller asks for the base model, and for an adapter.
+/// Interval between two requests of a replay's caller, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 100;
-/// Until when the targets have to be updated: nine targets, a quarter of them at a time, and each waits
-/// for requests of 3 s, then loads for 0.6 s; twice that is enough for the reports and listings between.
+/// Time by which all targets must have the newest version, in milliseconds. Nine targets are
+/// updated, a quarter of them at a time; each waits for requests of 3 s and then loads for 0.6 s.
+/// The bound is twice that, which leaves time for the reports and listings in between.
 const UPDATE_DEADLINE_MS: u64 = NAMED_AT + 36_000;
-/// The operators want no request to begin on an older version later than this after its naming.
+/// The operators require that no request starts on an older version later than this after the new
+/// version was named.
 const MAX_VERSION_LAG_MS: u64 = 5_000;
 
-/// Plays an update while an adapter is asked for, and checks that all targets end with the newest version,
-/// a quarter of them out of use at a time at the most.
+/// Runs an update while an adapter is requested, and checks that all targets end with the newest
+/// version and that at most a quarter of them are out of service at the same time.
 fn run_update(fates: &[Fate]) -> Replay {
     let mut replay = Replay::new();
     replay.fates = fates.to_vec();
@@ -35,11 +37,12 @@
     replay
 }
 
-/// Callers of all models are refused for as long as the process runs, 2.5 s after it has started, with
-/// all targets there. A newer version of the base model has been named that no target has loaded; the
-/// instance, which hears no placer and chooses by itself, took every target for unfit, whatever adapter
-/// was asked for. The log had `no_target` 677 times between two starts of the placer, and 6,415 times
-/// where all instances chose by themselves, with nine targets listed.
+/// Guards against refusals of all requests after a newer version of the base model has been named
+/// that no target has loaded yet. An instance that receives nothing from a placer and chooses on
+/// its own rejected every target for this reason, whichever adapter was requested, from 2.5 s after
+/// its start for as long as it ran. The log had `no_target` 677 times between two starts of the
+/// placer, and 6,415 times where all instances chose on their own, although nine targets were
+/// listed.
 #[test]
 fn an_adapter_is_served_where_the_base_model_is_older_than_the_newest() {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
@@ -60,24 +63,25 @@
         matches!(&chosen, Choice::Send { target: it, expect_version: None, .. } if *it == target(0)),
         "{chosen:?}"
     );
-    // The base model itself was named: its older version would be a wrong answer.
+    // The request names the base model itself, so an older version would give a wrong answer.
     assert_eq!(choose(&base(), 10_000), Choice::Wait(Wait::NotHeld));
 }
 
-/// Two of nine targets get no request any more, and the others keep the old version for good. A load of
-/// a base model that is there, in whatever version, holds already and is answered so; the planner took
-/// it for under way until the target would list the newest version. The log had two `order` lines of the
-/// model, both `Done`, and after them none until the next placer.
+/// Guards against targets that keep the old version and get no more requests. A target answers a
+/// load of a base model that it holds in any version as done, but the planner treated the load as
+/// in progress until the target would list the newest version. Two of nine targets were affected:
+/// the log had two `order` lines for the model, both `Done`, and no further ones until the next
+/// placer.
 #[test]
 fn all_targets_load_the_newest_version() {
     let replay = run_update(&[]);
     assert!(replay.refused.is_empty(), "{:?}", replay.refused);
 }
 
-/// A request for the base model is sent from one target to the next and refused by five of them, until
-/// the share of repeated sendings is used up that all instances have together. The placer named targets
-/// whose version was older than the one that instances ask for. The log had five `placed` and five
-/// `not passed on` within 20 ms, then `budget_spent`.
+/// Guards against placing a request for the base model on targets whose version is older than the
+/// one that instances ask for. Five targets in turn refused such a request, until the retry budget
+/// that all instances share was used up. The log had five `placed` and five `not passed on` within
+/// 20 ms, then `budget_spent`.
 #[test]
 fn a_request_for_the_base_model_is_never_sent_to_an_older_version() {
     let mut replay = Replay::new();
@@ -90,8 +94,9 @@
     assert!(replay.refused.iter().all(|(_, placed)| refused(placed)));
 }
 
-/// Targets stay as they are, or out of use, for want of the answers to their orders. Each way in which an
-/// answer can be lost leaves the target in a state that its next report shows.
+/// Guards against targets that keep the old version or stay out of service because the answers to
+/// their orders are missing. Each way in which an answer can be lost leaves the target in a state
+/// that its next report shows.
 #[rstest]
 #[case::unload_has_no_answer(&[Fate::AnswerLost, Fate::AnswerLost])]
 #[case::unload_is_lost(&[Fate::Lost, Fate::Lost])]
@@ -104,9 +109,9 @@
     run_update(fates);
 }
 
-/// Adapters are loaded over and over for nothing. A version is named that the weight store does not have,
-/// so that each load brings the old one again; taken for outdated at once, every target would give its
-/// model up every few seconds, with all its adapters.
+/// Guards against loading adapters repeatedly without effect. The named version is missing from the
+/// weight store, so each load brings the old version again. If a target were treated as outdated at
+/// once, it would unload its model with all adapters every few seconds.
 #[test]
 fn a_version_that_the_store_lacks_is_not_loaded_repeatedly() {
     let mut replay = Replay::new();
