--- a/crates/chervilshunt_core/tests/owner.rs
+++ b/crates/chervilshunt_core/tests/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's answers, event by event.
+//! Tests of the owner's answers to single events.
 
 mod support;
 
@@ -36,7 +36,7 @@
         turns.collect::<Vec<_>>()
     };
     let [order] = turns(&asked)[..] else {
-        panic!("one turn is asked for: {asked:?}");
+        panic!("expected one requested turn: {asked:?}");
     };
     assert!(turns(&again).is_empty(), "the load is shared: {again:?}");
     let turn = OwnerEvent::TurnGranted {
@@ -53,10 +53,10 @@
     assert_eq!(granted(&loaded).len(), 2);
 }
 
-/// What callers see: requests for adapters that are not loaded wait, at every target of the store.
-/// An owner that uses turns to load is cut off from the load scheduler and can't report their end.
-/// It therefore says all along that it uses them, so that the scheduler need not wait long without
-/// word; and it stops saying so of a load that is stuck.
+/// An owner that is cut off from the load scheduler can't report the end of its turns, and the
+/// loads of all other targets of the store would wait. The scheduler relies on frequent renewals to
+/// time such turns out early, so the owner must renew a turn while it is in use, and stop doing so
+/// once the load is stuck.
 #[test]
 fn renews_a_turn_each_second_until_the_load_is_stuck() {
     let mut owner = owner_with(config(2, 4), &[]);
@@ -65,12 +65,12 @@
         OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
-    let order = order.expect("a turn is asked for");
+    let order = order.expect("a turn is requested");
     let queue_wait = std::time::Duration::ZERO;
     owner.handle(OwnerEvent::TurnGranted { order, queue_wait }, at(0));
     let mut renewals = Vec::new();
     while renewals.last().is_none_or(|last| *last < 15_000) {
-        let now = owner.next_wakeup().expect("a load is under way");
+        let now = owner.next_wakeup().expect("a load is in progress");
         let actions = owner.handle(OwnerEvent::Tick, now);
         let holds = actions.iter().any(
             |action| matches!(action, OwnerAction::RenewTurn { order: held, .. } if *held == order),
@@ -99,15 +99,12 @@
     owner.handle(release(1, finished()), at(21));
     assert_eq!(owner.view(at(21)).live_permits, 0);
     let late = owner.handle(ask(1, 1), at(22));
-    assert!(
-        granted(&late).is_empty(),
-        "a late double is granted nothing"
-    );
+    assert!(granted(&late).is_empty(), "a late duplicate gets no permit");
 }
 
-/// What the caller sees: an answer from an adapter that was loaded before its request.
-/// The only slot's adapter serves a request while another is asked for. The load has to wait for
-/// the release, however long it takes.
+/// Guards against the eviction of an adapter that serves a request. The adapter in the only slot
+/// serves a request while another adapter is requested. The load must wait for the release, however
+/// long it takes.
 #[test]
 fn never_evicts_a_pinned_adapter() {
     let mut owner = owner_with(config(1, 4), &[model(1)]);
@@ -127,7 +124,7 @@
         _ => None,
     });
     let turn = OwnerEvent::TurnGranted {
-        order: turn.expect("a turn is asked for"),
+        order: turn.expect("a turn is requested"),
         queue_wait: std::time::Duration::ZERO,
     };
     actions = owner.handle(turn, at(31_100));
@@ -149,7 +146,7 @@
     let actions = owner.handle(event, at(20));
     let answers = answers(&actions);
     let [(_, PermitAnswer::Refused { reason, .. })] = &*answers else {
-        panic!("one refusal: {answers:?}");
+        panic!("expected one refusal: {answers:?}");
     };
     assert_eq!(*reason, expected);
 }
@@ -160,7 +157,7 @@
     let mut req = request(1, Some(model(1)), Class::Live);
     req.deadline_ms = 5_000;
     owner.handle(OwnerEvent::PermitRequested(req), at(10));
-    let wakeup = owner.next_wakeup().expect("there is work");
+    let wakeup = owner.next_wakeup().expect("a request waits");
     assert!(wakeup <= at(5_010));
     let actions = owner.handle(OwnerEvent::Tick, at(5_010));
     let answers = answers(&actions);
@@ -174,15 +171,15 @@
         ),
     ] = &*answers
     else {
-        panic!("one refusal: {answers:?}");
+        panic!("expected one refusal: {answers:?}");
     };
     assert_eq!(*reason, RefusalReason::Deadline);
     assert!(*retry_after_ms > 0);
 }
 
-/// What the caller sees: a request that waits is served after the engine restarted empty.
-/// The engine answers a call that it does not hold the adapter; the owner asks what it holds,
-/// and loads again before it grants the next permit.
+/// A request must be served after the engine has restarted without adapters. A call reports that
+/// the engine does not hold its adapter. The owner then requests the inventory, and loads the
+/// adapter again before it grants the next permit.
 #[test]
 fn loads_again_after_the_engine_restarted_empty() {
     let mut owner = owner_with(config(2, 4), &[model(1)]);
@@ -206,7 +203,7 @@
         OwnerAction::RequestTurn { order, .. } => Some(*order),
         _ => None,
     });
-    let order = order.expect("a turn is asked for");
+    let order = order.expect("a turn is requested");
     let turn = OwnerEvent::TurnGranted {
         order,
         queue_wait: std::time::Duration::ZERO,
@@ -229,10 +226,10 @@
     assert!(granted(&next).is_empty());
 }
 
-/// What the caller sees: an answer cut short by an eviction that nobody alive has ordered.
-/// The earlier owner gave an unload, and lost the role before it reached the engine. An engine
-/// that checks fencing numbers refuses it only if it has seen the new owner's, so no permit is
-/// granted for an adapter before an order of the new owner has come back.
+/// Guards against an answer cut short by an eviction that an earlier owner ordered. That owner sent
+/// an unload and lost the role before the order reached the engine. An engine that checks fencing
+/// numbers refuses the order only if it has seen the new owner's number, so no permit for an
+/// adapter may be granted before an order of the new owner has been answered.
 #[test]
 fn grants_nothing_before_the_engine_knows_the_new_fencing_number() {
     let mut owner = Owner::new(config(2, 4), at(0));
@@ -240,7 +237,7 @@
     let listed = owner.handle(OwnerEvent::Inventory(vec![model(1)]), at(1));
     owner.handle(OwnerEvent::TakeoverComplete, at(1));
     let [barrier] = &*orders(&listed) else {
-        panic!("one order: {listed:?}");
+        panic!("expected one order: {listed:?}");
     };
     assert_eq!((barrier.kind, &barrier.model), (OrderKind::Load, &model(1)));
     assert!(granted(&owner.handle(ask(1, 1), at(10))).is_empty());
@@ -251,10 +248,10 @@
     assert_eq!(granted(&listed).len(), 1);
 }
 
-/// What the caller sees: the failure of one target, though another one is sound.
-/// A target fails a request, which comes to this one as a retry. This one has no power, and so sends
-/// what it can on to the next in the ranking. Sent back, the request would fail at the first target
-/// again, until its tries are used up. It has to stay, and its demand brings the power.
+/// Guards against a retry that returns to the target that failed it. The retry arrives at a target
+/// without power, which redirects what it can to the next target in the ranking. Redirected to the
+/// target that failed it, the request would fail again until its attempts are used up, although
+/// another target is healthy. It must stay, and its demand brings the power.
 #[rstest]
 #[case::first_try(&[], &["t1"])]
 #[case::after_a_failure(&["t1"], &[])]
@@ -284,9 +281,9 @@
     assert_eq!(redirects, expected);
 }
 
-/// A new owner can't hear of all permits of the one before, as an instance is cut off, and may evict
-/// nothing for as long. Its slots are full: a caller of another adapter would wait for one of them
-/// until its deadline, while another target may load the adapter at once.
+/// While an instance is cut off, a new owner can't learn all permits of the earlier owner and may
+/// not evict. If its slots are full, a request for another adapter would wait until its deadline,
+/// although another target may be able to load the adapter at once.
 #[rstest]
 #[case::takeover_incomplete(false)]
 #[case::takeover_complete(true)]
@@ -316,9 +313,10 @@
     }
 }
 
-/// What the caller sees: its one deferrable request for a cold adapter is refused at its deadline,
-/// and so is each further try. The engine's only slot has an adapter in steady use; waiting alone
-/// never made up for the stall that giving it up would cost, since nobody else waited along.
+/// Guards against a single deferrable request for an adapter that is not loaded being refused at
+/// its deadline, on each attempt. The adapter in the engine's only slot is in steady use, and the
+/// waiting time of one request alone never justified the stall that evicting that adapter would
+/// cost.
 #[test]
 fn a_lone_deferrable_request_gets_a_slot_before_its_deadline() {
     let mut owner = owner_with(config(1, 4), &[model(1)]);
@@ -334,8 +332,8 @@
     req.deadline_ms = 20_000;
     owner.handle(OwnerEvent::PermitRequested(req), at(now));
     let deadline = now + 20_000;
-    let mut turn_asked_at = None;
-    while now < deadline && turn_asked_at.is_none() {
+    let mut turn_requested_at = None;
+    while now < deadline && turn_requested_at.is_none() {
         attempt += 1;
         let mut actions = owner.handle(ask(attempt, 1), at(now));
         actions.extend(owner.handle(release(attempt, finished()), at(now + 50)));
@@ -343,13 +341,13 @@
         let asked = actions
             .iter()
             .any(|it| matches!(it, OwnerAction::RequestTurn { model: it, .. } if *it == model(2)));
-        turn_asked_at = asked.then_some(now);
+        turn_requested_at = asked.then_some(now);
         now += 100;
     }
-    let asked_at = turn_asked_at.expect("a turn is asked for before the deadline");
+    let requested_at = turn_requested_at.expect("a turn is requested before the deadline");
     assert!(
-        asked_at + 5_000 < deadline,
-        "asked {} ms before the deadline",
-        deadline - asked_at
+        requested_at + 5_000 < deadline,
+        "turn requested {} ms before the deadline",
+        deadline - requested_at
     );
 }
