--- a/crates/chervilshunt_core/tests/owner_flood.rs
+++ b/crates/chervilshunt_core/tests/owner_flood.rs
@@ -1,4 +1,4 @@
-//! The owner's loads under a flood of deferrable work.
+//! The owner's loads under a flood of deferrable requests.
 
 mod support;
 
@@ -15,7 +15,7 @@
     owner.handle(OwnerEvent::PermitRequested(req), now);
 }
 
-/// Returns the adapters for which a turn is asked for until a time.
+/// Returns the adapters for which the owner requests a turn until a time.
 fn turns_requested_until(owner: &mut Owner, from: Moment, until: Moment) -> Vec<AdapterVersion> {
     let mut asked = Vec::new();
     let mut now = from;
@@ -32,10 +32,10 @@
     asked
 }
 
-/// What the caller sees: live requests wait for loads while deferrable work is queued in plenty.
-/// The batch is full, and deferrable requests for a loaded adapter wait for room. A load for
-/// further deferrable work would take a slot and a turn from live work and gain nothing; but what
-/// has waited for minutes gets its load, as other deferrable work may never run dry.
+/// Guards against loads for deferrable work that delay live requests without a gain. The batch is
+/// full, and deferrable requests for a loaded adapter wait for batch capacity; a load for more
+/// deferrable work would take a slot and a turn from live work. A request that has waited for
+/// minutes gets its load all the same, since other deferrable work may never run out.
 #[rstest]
 #[case::none_is_ready(0, 60, true)]
 #[case::few_are_ready(3, 60, true)]
@@ -59,9 +59,9 @@
     assert_eq!(asked, Vec::from_iter(loads.then(|| model(2))));
 }
 
-/// What the caller sees: live requests wait for a slot while deferrable work holds them.
-/// Deferrable requests for many adapters arrive at an empty engine. Each load that is under way for
-/// them alone counts against a sixteenth of the slots, so that the rest stay for live work.
+/// Guards against live requests that wait for slots held by deferrable work. Deferrable requests
+/// for many adapters arrive at an engine without adapters. Each load in progress for them alone
+/// counts against a sixteenth of the slots, so that the rest stays free for live work.
 #[rstest]
 #[case::small(8, 1)]
 #[case::usual(32, 2)]
@@ -78,10 +78,10 @@
     assert_eq!(asked.len(), most);
 }
 
-/// What the caller sees: live requests wait for seconds until a deferrable answer ends.
-/// In a flood all deferrable requests have waited for minutes. Each that took a free seat as soon
-/// as no live request waited would fill the seats kept for live work, so they get one of these
-/// now and then only: enough that they never wait for ever.
+/// Guards against live requests that wait for seconds until a deferrable answer ends. In a flood
+/// all deferrable requests have waited for minutes. If each took a free batch slot whenever no live
+/// request waits, they would fill the slots reserved for live work. They get one of these only from
+/// time to time, which is enough for each to be served eventually.
 #[rstest]
 #[case::young(60, 0)]
 #[case::at_once(121, 1)]
@@ -106,10 +106,11 @@
     assert_eq!(view.deferrable_permits, taken);
 }
 
-/// What the caller sees: a refusal in the middle of its deadline, though its load was still to come.
-/// The weight store is overloaded, and newer requests get their loads first. Refusing the overtaken
-/// ones early does not lessen the work: their callers come back as the newest and overtake the
-/// rest. So a request waits until its load comes, or its deadline, and is then refused at once.
+/// Guards against a refusal long before the deadline although the load was still to come. The
+/// weight store is overloaded, and newer requests get their loads first. Refusing the overtaken
+/// requests early does not reduce the work: their callers retry, become the newest and overtake the
+/// others. A request therefore waits until its load or its deadline, and is refused promptly at the
+/// deadline.
 #[rstest]
 #[case::a_quarter_of_its_time(16_000, None)]
 #[case::nearly_all_of_its_time(59_500, None)]
@@ -128,7 +129,7 @@
     let second = request(2, Some(model(2)), Class::Live);
     owner.handle(OwnerEvent::PermitRequested(second), at(20));
     let turn = OwnerEvent::TurnGranted {
-        order: order.expect("a turn is asked for"),
+        order: order.expect("a turn is requested"),
         queue_wait: Duration::from_secs(120),
     };
     owner.handle(turn, at(30));
