--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -1,8 +1,8 @@
-//! An owner under random events, late, doubled and crossed, against an oracle.
+//! An owner under random events, some of them late, duplicated or reordered, checked by an oracle.
 //!
-//! The engine, the load scheduler, the entry instances and the links between them are a few lines
-//! each. A message to the owner lies in a box until a step delivers it, in any order; a doubled one
-//! stays in the box.
+//! The engine, the load scheduler, the entry instances and the links between them are modelled in a
+//! few lines each. A message to the owner stays in a mailbox until a step delivers it, in any
+//! order; a duplicated message is delivered and stays in the mailbox.
 
 mod support;
 
@@ -27,9 +27,9 @@
 const MAX_BATCH: u32 = 4;
 const QUEUE_BOUND: usize = 5;
 const MODELS: u32 = 6;
-/// An order that is still on its way after this time is lost, as [`Step::Advance`] sees to.
+/// An order that is still in transit after this time is lost; [`Step::Advance`] enforces this.
 const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
-/// A doubled request arrives at the latest this long after the first.
+/// Maximum time between a request and its duplicate.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
@@ -49,16 +49,16 @@
     Deliver(usize),
     Duplicate(usize),
     GrantTurn(usize),
-    /// The engine carries an order out, or refuses it, and may lose the answer.
+    /// The engine carries an order out or refuses it, and its answer may be lost.
     Engine {
         order: usize,
         refuse: bool,
         lose_answer: bool,
     },
-    /// The answer to an order is lost while the order is still on its way.
+    /// The answer to an order is lost while the order is still in transit.
     GiveUpOrder(usize),
     Restart,
-    /// Another owner with a higher fencing number gives the engine an order.
+    /// Another owner with a higher fencing number sends the engine an order.
     Superseded,
     Reachable(bool),
     EntryLeft(u8),
@@ -136,18 +136,20 @@
     ]
 }
 
-/// The steps depend on nothing but chance: the indexes wrap round at what there is.
+/// The steps are random and independent of the state: their indexes wrap around at the number of
+/// available items.
 #[derive(Debug)]
 struct RandomSteps;
 
-/// What the earlier owner left: permits by number, their adapters, and what else is loaded.
+/// What the earlier owner left behind: the adapters of its permits, and how many adapters are
+/// loaded.
 #[derive(Clone, Debug)]
 struct Start {
     old_permits: Vec<u32>,
     loaded: u32,
     peers: u32,
     fencing: Fencing,
-    /// Whether an unload by the earlier owner is still on its way.
+    /// Whether an unload by the earlier owner is still in transit.
     unload_in_transit: bool,
 }
 
@@ -192,7 +194,7 @@
     answered: bool,
 }
 
-/// The owner with everything round it.
+/// The owner and the simulated components around it.
 struct World {
     owner: Owner,
     now: Moment,
@@ -202,7 +204,7 @@
     old: Vec<Permit>,
     mailbox: Vec<OwnerEvent>,
     turns: Vec<OrderId>,
-    /// Turns asked for, and those of them that the owner holds.
+    /// Turns that were requested, and those of them that the owner holds.
     asked: BTreeSet<OrderId>,
     granted: BTreeSet<OrderId>,
     scheduler_up: bool,
@@ -212,9 +214,9 @@
     share_sequence: u64,
     next_attempt: u128,
     fencing: Fencing,
-    /// Whether the engine is gone and the owner has yet to be told.
+    /// Whether the engine has restarted and the owner has not been notified yet.
     engine_lost: bool,
-    /// Whether the owner is about to learn that somebody else owns the target.
+    /// Whether the owner is about to learn that another instance owns the target.
     will_learn_of_fencing: bool,
     /// The highest fencing number that the engine has seen.
     highest: Epoch,
@@ -282,7 +284,7 @@
         });
     }
 
-    /// The earlier owner unloads an idle adapter, and loses its role before the order arrives.
+    /// The earlier owner unloads an idle adapter and loses its role before the order arrives.
     fn add_unload_in_transit(&mut self) {
         let idle = self.loaded.iter().find(|it| !self.oracle.pins(it)).cloned();
         let Some(model) = idle else {
@@ -370,7 +372,7 @@
                 });
             }
             OwnerAction::RequestInventory => {
-                // The client drops the answer to a question that it asks again.
+                // The client drops the answer to a request that it repeats.
                 self.mailbox
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
                 let listed = self.loaded.iter().cloned().collect();
@@ -380,7 +382,8 @@
         }
     }
 
-    /// A load that was asked for goes out in its turn, but while there is no scheduler.
+    /// A load for which a turn was requested must be sent with that turn, except while the
+    /// scheduler is unreachable.
     fn check_turn(&self, order: &EngineOrder) {
         let in_turn = self.granted.contains(&order.id) || !self.asked.contains(&order.id);
         assert!(in_turn || !self.scheduler_up, "a load without a turn");
@@ -454,7 +457,7 @@
             } => self.engine(order, refuse, lose_answer),
             Step::GiveUpOrder(n) => self.give_up_order(n),
             Step::Restart => {
-                // What ran there is cut; the entry instances give their permits back.
+                // Its running calls are aborted, and the entry instances release their permits.
                 self.loaded.clear();
                 self.engine_lost = true;
                 self.mailbox
@@ -503,7 +506,8 @@
         }
     }
 
-    /// An instance lists its permits within the time for which the owner remembers what it left.
+    /// Ensures that an instance lists its permits within the time for which the owner remembers
+    /// that the instance left.
     fn deliver_held_in_time(&mut self, millis: u64) {
         let late = self.now + Duration::from_millis(millis) > self.started + MAX_DUPLICATE_DELAY;
         let is_held = |it: &OwnerEvent| matches!(it, OwnerEvent::PermitsHeld { .. });
@@ -570,7 +574,7 @@
         }
     }
 
-    /// The daemon gives an order up, which may yet arrive at the engine.
+    /// The daemon gives up on an order, which may still reach the engine.
     fn give_up_order(&mut self, n: usize) {
         if self.orders.is_empty() {
             return;
@@ -597,7 +601,7 @@
         }
     }
 
-    /// With all faults over, every request that waits is answered in bounded time.
+    /// Once all faults are over, every waiting request must be answered within bounded time.
     fn settle(&mut self) {
         for event in [
             OwnerEvent::Draining(false),
@@ -625,14 +629,14 @@
             self.step(Step::Advance(500));
         }
         panic!(
-            "requests wait for ever: {:?}, {:#?}",
+            "requests wait forever: {:?}, {:#?}",
             self.oracle.waiting(),
             self.owner.view(self.now)
         );
     }
 }
 
-/// An answer over HTTP arrives once.
+/// An answer over HTTP arrives only once.
 fn may_be_duplicated(event: &OwnerEvent) -> bool {
     !matches!(
         event,
@@ -671,11 +675,12 @@
     fn an_owner_keeps_its_invariants(sequential 1..120 => OwnerTest);
 }
 
-/// Each bug of a kind that a change could bring in is found, and by the check that is meant for it.
+/// Each seeded bug, of a kind that a change could introduce, must be detected by the check intended
+/// for it.
 #[rstest]
 #[case::evicts_in_takeover(Bug::EvictsInTakeover, "an eviction before the takeover is complete")]
 #[case::release_frees_all_pins(Bug::ReleaseFreesAllPins, "a pinned adapter is unloaded")]
-#[case::takeover_forgets_permits(Bug::TakeoverForgetsPermits, "permits out")]
+#[case::takeover_forgets_permits(Bug::TakeoverForgetsPermits, "outstanding permits")]
 #[case::grants_beyond_batch(Bug::GrantsBeyondBatch, "more than the")]
 #[case::forgets_settled_attempts(Bug::ForgetsSettledAttempts, "requests waiting")]
 #[case::ignores_fenced_answer(Bug::IgnoresFencedAnswer, "after it was fenced off")]
--- a/crates/chervilshunt_core/tests/support/owner_oracle.rs
+++ b/crates/chervilshunt_core/tests/support/owner_oracle.rs
@@ -1,7 +1,7 @@
-//! What an owner may never do, whatever happens round it.
+//! The invariants of an owner.
 //!
-//! The oracle sees the events that reach the owner and the actions that come back. It knows which
-//! calls are truly open, and so what the owner may not touch.
+//! The oracle sees the events that reach the owner and the actions that it returns. It knows which
+//! calls are really open, and therefore which adapters the owner must not unload.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,10 +12,12 @@
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, InstanceId, Moment};
 
-/// Time after which the permits of an instance that left have surely ended.
+/// Time after which the permits of an instance that left have certainly ended: the permit window of
+/// 2 s and the grace period of 10 s.
 pub(crate) const LEFT_ENTRY_PERMIT_TIME: Duration = Duration::from_secs(12);
 
-/// Failed calls below which an owner may not close its target: half of the five that it looks at.
+/// Number of failed calls below which an owner must not close its target: half of the five calls
+/// that the breaker looks at.
 const FAILED_CALLS_TO_CLOSE: u32 = 3;
 
 #[derive(Debug)]
@@ -36,14 +38,14 @@
     open: BTreeMap<AttemptId, OpenCall>,
     answered: BTreeMap<AttemptId, (u8, PermitAnswer)>,
     released: BTreeSet<AttemptId>,
-    /// Calls of an earlier owner's permits that the owner has not been told of.
+    /// Calls under an earlier owner's permits that have not been reported to the owner.
     unreported: BTreeSet<AttemptId>,
     left: BTreeSet<InstanceId>,
     complete: bool,
     draining: bool,
     down: bool,
     fenced: bool,
-    /// Calls that were told to have failed.
+    /// Number of calls that were reported as failed.
     failed_calls: u32,
 }
 
@@ -57,24 +59,24 @@
         }
     }
 
-    /// Says whether a call with this adapter is open.
+    /// Returns whether a call with this adapter is open.
     pub(crate) fn pins(&self, model: &AdapterVersion) -> bool {
         self.open
             .values()
             .any(|it| it.model.as_ref() == Some(model))
     }
 
-    /// Returns the attempts whose permits are out.
+    /// Returns the attempts whose permits are outstanding.
     pub(crate) fn open(&self) -> Vec<AttemptId> {
         self.open.keys().copied().collect()
     }
 
-    /// Returns the attempts that wait.
+    /// Returns the attempts that are waiting.
     pub(crate) fn waiting(&self) -> Vec<AttemptId> {
         self.waiting.keys().copied().collect()
     }
 
-    /// A call that was opened under an earlier owner's permit.
+    /// Adds a call that was opened under an earlier owner's permit.
     pub(crate) fn add_earlier_call(&mut self, attempt: AttemptId, model: AdapterVersion) {
         let (model, entry) = (Some(model), InstanceId::from("e0"));
         let ends = None;
@@ -82,7 +84,7 @@
         self.unreported.insert(attempt);
     }
 
-    /// Takes an event that is about to reach the owner.
+    /// Records an event that is about to reach the owner.
     pub(crate) fn observe_event(
         &mut self,
         event: &OwnerEvent,
@@ -152,7 +154,7 @@
         self.released.extend(ended.map(|(attempt, _)| attempt));
     }
 
-    /// Checks what the owner did about it.
+    /// Checks the owner's actions in response to the event.
     pub(crate) fn check_actions(&mut self, actions: &[OwnerAction], owner: &Owner, now: Moment) {
         for action in actions {
             match action {
@@ -174,7 +176,8 @@
         self.check_counts(owner, now);
     }
 
-    /// Notes that the engine has refused the owner's fencing number, and it knows.
+    /// Records that the engine has refused the owner's fencing number and that the owner knows
+    /// this.
     pub(crate) fn fence(&mut self) {
         self.fenced = true;
     }
@@ -205,7 +208,7 @@
                 );
                 assert!(
                     self.open.len() <= self.share_bound,
-                    "more than the share of power bears"
+                    "more than the share of power allows"
                 );
             }
             PermitAnswer::Redirect { targets } => assert!(!targets.is_empty()),
@@ -213,7 +216,7 @@
                 reason,
                 retry_after_ms,
             } => {
-                assert!(*retry_after_ms > 0, "a refusal without a time to come back");
+                assert!(*retry_after_ms > 0, "a refusal without a retry time");
                 self.check_refusal(&req, *reason, arrived, now);
             }
         }
@@ -252,7 +255,7 @@
         let open = self.open.len();
         assert!(
             out == open || (out < open && !self.complete),
-            "permits out: {out}, {open}"
+            "outstanding permits: {out} at the owner, {open} open calls"
         );
         let overdue =
             |(req, at): &(PermitRequest, Moment)| *at + Duration::from_millis(req.deadline_ms);
@@ -260,7 +263,7 @@
             assert!(next > now, "a request is held beyond its deadline");
             assert!(
                 owner.next_wakeup().is_some_and(|at| at <= next),
-                "sleeps past a deadline"
+                "the next wakeup is after a deadline"
             );
         }
     }
@@ -273,7 +276,7 @@
         .any(|it| matches!(it, OwnerAction::Log(log) if of_model(log)))
 }
 
-/// Whether two answers are the same but for the hint.
+/// Returns whether two answers are equal, apart from the spread hint of a granted permit.
 fn same(left: &PermitAnswer, right: &PermitAnswer) -> bool {
     match (left, right) {
         (PermitAnswer::Granted { permit, .. }, PermitAnswer::Granted { permit: other, .. }) => {
