--- a/crates/chervilshunt_core/tests/support/mod.rs
+++ b/crates/chervilshunt_core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the core's tests share.
+//! Builders shared by the tests of the core.
 #![allow(dead_code, reason = "each test binary uses a part of these")]
 
 use std::cell::RefCell;
@@ -80,13 +80,13 @@
     }
 }
 
-/// An owner whose engine has answered that it holds `loaded`, with its takeover complete.
+/// Returns an owner whose engine has listed `loaded` and whose takeover is complete.
 pub(crate) fn owner_with(cfg: OwnerConfig, loaded: &[AdapterVersion]) -> Owner {
     let mut owner = Owner::new(cfg, at(0));
     owner.handle(OwnerEvent::Tick, at(0));
     let listed = owner.handle(OwnerEvent::Inventory(loaded.to_vec()), at(1));
     for order in orders(&listed) {
-        // The first order is the load of an adapter that the engine holds already.
+        // The first order is the load of an adapter that the engine already holds.
         let (order, result) = (order.id, Err(OrderFailure::Refused));
         owner.handle(OwnerEvent::OrderEnded { order, result }, at(1));
         owner.handle(OwnerEvent::Inventory(loaded.to_vec()), at(1));
@@ -122,11 +122,12 @@
     granted.collect()
 }
 
-/// Runs random steps until the check that says `check` complains, and returns what it said.
+/// Runs random steps until a check fails with a message that contains `check`, and returns the
+/// message.
 ///
-/// A bug may be found by another check before, on other steps. That does not show that the check which
-/// is meant for it can find it, and so it is passed over; if the meant one never complains, what the
-/// other said is returned.
+/// Another check may detect a bug first, on other steps. That does not show that the intended check
+/// can detect it, so such failures are passed over. If the intended check never fails, the message
+/// of the last other failure is returned.
 pub(crate) fn failure_message<S: Debug, T: Debug>(
     check: &str,
     start: impl Strategy<Value = S>,
@@ -160,8 +161,8 @@
     }
 }
 
-/// The same cases on every run: a failure in CI is one that anybody can repeat. `PROPTEST_RNG_SEED`
-/// and `PROPTEST_CASES` widen the search by hand.
+/// Returns a configuration that runs the same cases each time, so that anybody can reproduce a
+/// failure in CI. `PROPTEST_RNG_SEED` and `PROPTEST_CASES` allow a wider search by hand.
 pub(crate) fn proptest_config(cases: u32) -> proptest::test_runner::Config {
     use proptest::test_runner::{Config, RngSeed};
     let default = Config::default();
