--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -239,8 +239,8 @@
                 return (!next.is_empty()).then_some((next, "nothing may be evicted yet"));
             }
             let stuck = full && self.slots.idle().next().is_none() && self.may_evict();
-            let wanted = self.loads.get(&model).is_some();
-            if !stuck || wanted {
+            let load_requested = self.loads.get(&model).is_some();
+            if !stuck || load_requested {
                 return None;
             }
             let next = self.next_ranked(req, MAX_HOPS);
--- a/crates/chervilshunt_core/src/owner/batch.rs
+++ b/crates/chervilshunt_core/src/owner/batch.rs
@@ -47,9 +47,9 @@
     /// occupies.
     pub(super) fn reserved_batch_slots(&self, now: Moment) -> usize {
         let average = self.live_load.average(LIVE_LOAD_HALF_LIFE, now);
-        let wanted =
+        let needed =
             average + HEADROOM_STD_DEVS * self.stall_weight().sqrt() * average.max(0.25).sqrt();
-        (wanted.ceil() as usize).saturating_sub(self.permits.live())
+        (needed.ceil() as usize).saturating_sub(self.permits.live())
     }
 
     /// Returns when the age of a waiting deferrable request next has to be checked.
@@ -95,10 +95,10 @@
         if self.permits.len() > 0 {
             return true;
         }
-        let wanted = (self.power.batch_bound() as f64 * MIN_FILL_PART).ceil() as usize;
+        let needed = (self.power.batch_bound() as f64 * MIN_FILL_PART).ceil() as usize;
         let oldest = self.queue.oldest_ready(Class::Deferrable);
         let held = oldest.is_some_and(|it| now.since(it.arrived) >= self.max_fill_wait());
-        held || self.queue.ready(Class::Deferrable) >= wanted
+        held || self.queue.ready(Class::Deferrable) >= needed
     }
 
     fn max_fill_wait(&self) -> Duration {
--- a/crates/chervilshunt_core/src/owner/engine.rs
+++ b/crates/chervilshunt_core/src/owner/engine.rs
@@ -75,9 +75,9 @@
     ///
     /// A listing that was not requested is a late duplicate and is ignored.
     pub(super) fn inventory_answered(&mut self) -> Option<Moment> {
-        let asked = self.inventory_requested.take()?;
+        let requested_at = self.inventory_requested.take()?;
         self.inventory_known = true;
-        Some(asked)
+        Some(requested_at)
     }
 
     /// Returns when an unanswered request for the inventory is repeated.
--- a/crates/chervilshunt_core/src/owner/evict.rs
+++ b/crates/chervilshunt_core/src/owner/evict.rs
@@ -151,13 +151,13 @@
     ///
     /// Otherwise a target whose slots are all in steady use would never load another adapter.
     pub(super) fn retire_one(&mut self, urgency: &LoadUrgency, now: Moment) -> bool {
-        let patience = match urgency.class {
+        let retire_after = match urgency.class {
             Some(Class::Live) => RETIRE_AFTER_LIVE,
             Some(Class::Deferrable) => RETIRE_AFTER_DEFERRABLE,
             None => return false,
         };
-        let patient = u128::from(urgency.oldest_ms) < patience.as_millis();
-        if patient || !self.may_evict() {
+        let too_early = u128::from(urgency.oldest_ms) < retire_after.as_millis();
+        if too_early || !self.may_evict() {
             return false;
         }
         let serving = self.slots.pinned().filter(|(_, slot)| !slot.retiring);
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -119,8 +119,9 @@
         let idle_store = self.loads.scheduler_reachable
             && self.loads.is_empty()
             && self.loads.queue_wait(now) <= self.loads.load_time();
-        let wanted = self.cfg.mechanisms.ahead && pause_over && self.may_load() && !self.draining;
-        if !wanted || !idle_store {
+        let may_preload =
+            self.cfg.mechanisms.ahead && pause_over && self.may_load() && !self.draining;
+        if !may_preload || !idle_store {
             return;
         }
         self.last_preload_check = now;
@@ -370,7 +371,7 @@
         });
         let under_way =
             |phase| matches!(phase, LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn);
-        let mut asked = self.loads.count(under_way);
+        let mut requested = self.loads.count(under_way);
         let free = self.slots.free() + self.slots.unloading();
         let idle = if self.may_evict() {
             self.slots.idle().count()
@@ -380,7 +381,7 @@
         let victim = self.victim(now);
         let mut deferrable = self.deferrable_slots();
         for (urgency, model) in parked {
-            if asked >= MAX_REQUESTED_TURNS {
+            if requested >= MAX_REQUESTED_TURNS {
                 return;
             }
             if urgency.class == Some(Class::Deferrable) {
@@ -390,18 +391,18 @@
                 }
                 deferrable += 1;
             }
-            if asked < free {
-                asked += 1;
+            if requested < free {
+                requested += 1;
                 self.request_turn(&model, now, out);
                 continue;
             }
             let worth = victim.as_ref().map_or(f64::INFINITY, |it| it.worth);
-            if asked >= free + idle {
-                self.retire_if_overdue(&urgency, asked - free, now);
+            if requested >= free + idle {
+                self.retire_if_overdue(&urgency, requested - free, now);
                 return;
             }
             if self.worth_evicting(&urgency, worth, now) {
-                asked += 1;
+                requested += 1;
                 self.request_turn(&model, now, out);
             }
         }
@@ -439,13 +440,13 @@
 
     /// Retires one adapter for loads that find all slots pinned, unless enough adapters are
     /// retiring already.
-    fn retire_if_overdue(&mut self, urgency: &LoadUrgency, wanted: usize, now: Moment) {
+    fn retire_if_overdue(&mut self, urgency: &LoadUrgency, needed: usize, now: Moment) {
         let retiring = self
             .slots
             .pinned()
             .filter(|(_, slot)| slot.retiring)
             .count();
-        if retiring <= wanted {
+        if retiring <= needed {
             self.retire_one(urgency, now);
         }
     }
@@ -463,7 +464,7 @@
         if !due || self.loads.count(under_way) > 0 {
             return;
         }
-        let asked = self
+        let requested = self
             .loads
             .at_phase(|phase| matches!(phase, LoadPhase::TurnRequested { .. }));
         let urgent = |model: &AdapterVersion| {
@@ -471,7 +472,7 @@
             let rank = urgency.class.map_or(2, |class| class as u8);
             (rank, std::cmp::Reverse(urgency.waiters))
         };
-        let Some(model) = asked.into_iter().min_by_key(|model| urgent(model)) else {
+        let Some(model) = requested.into_iter().min_by_key(|model| urgent(model)) else {
             return;
         };
         self.loads.unscheduled = Some(now);
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -80,14 +80,14 @@
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let Some(asked) = self.engine.inventory_answered() else {
+        let Some(requested_at) = self.engine.inventory_answered() else {
             return;
         };
         if self.fenced {
             return;
         }
         self.start_barrier(listed, out);
-        let change = self.slots.reconcile(listed, asked, now);
+        let change = self.slots.reconcile(listed, requested_at, now);
         for model in &change.missing {
             self.model_unavailable(model, now);
             self.remember_evicted(model);
@@ -103,7 +103,7 @@
         if change.incomplete {
             self.engine.require_inventory();
         }
-        self.slots.prune_recent_unloads(asked, now);
+        self.slots.prune_recent_unloads(requested_at, now);
         self.loads.review_due = true;
     }
 
@@ -223,8 +223,8 @@
     ) {
         // If the engine has loaded nothing since this load was requested, the engine may be at
         // fault, and the next-ranked target may succeed. Otherwise the weights are at fault.
-        let wanted = self.loads.get(model).map_or(now, |load| load.requested_at);
-        let engine_at_fault = self.last_load.is_none_or(|last| last < wanted);
+        let load_requested_at = self.loads.get(model).map_or(now, |load| load.requested_at);
+        let engine_at_fault = self.last_load.is_none_or(|last| last < load_requested_at);
         let rejected: Vec<AttemptId> = self
             .queue
             .blocked_on(model)
--- a/crates/chervilshunt_core/src/owner/slots.rs
+++ b/crates/chervilshunt_core/src/owner/slots.rs
@@ -349,14 +349,14 @@
         true
     }
 
-    /// Reconciles the slots with the engine's listing, which was requested at `asked`.
+    /// Reconciles the slots with the engine's listing, which was requested at `requested_at`.
     ///
     /// Adapters that an order has loaded or unloaded since then are left as they are, because the
     /// listing may be older.
     pub(super) fn reconcile(
         &mut self,
         listed: &[AdapterVersion],
-        asked: Moment,
+        requested_at: Moment,
         now: Moment,
     ) -> InventoryChange {
         let mut change = InventoryChange::default();
@@ -368,19 +368,19 @@
             .cloned()
             .collect();
         for model in held.into_iter().filter(missing) {
-            if self.mark_missing(&model, asked) {
+            if self.mark_missing(&model, requested_at) {
                 change.missing.push(model);
             }
         }
-        self.resolve_unanswered(listed, asked, now, &mut change);
+        self.resolve_unanswered(listed, requested_at, now, &mut change);
         for model in listed {
             let unknown = !self.holds(model) && !self.transition.contains_key(model);
             let unloaded_since = self
                 .recent_unloads
                 .get(model)
-                .is_some_and(|it| it.at >= asked);
+                .is_some_and(|it| it.at >= requested_at);
             if unknown && !unloaded_since {
-                self.insert_loaded(model.clone(), asked);
+                self.insert_loaded(model.clone(), requested_at);
                 change.found.push(model.clone());
             }
         }
@@ -397,7 +397,7 @@
     fn resolve_unanswered(
         &mut self,
         listed: &[AdapterVersion],
-        asked: Moment,
+        requested_at: Moment,
         now: Moment,
         change: &mut InventoryChange,
     ) {
@@ -413,13 +413,13 @@
             .map(|(model, slot)| (model.clone(), *slot))
             .collect();
         for (model, slot) in unanswered {
-            if slot.since > asked {
+            if slot.since > requested_at {
                 change.incomplete = true;
                 continue;
             }
             match (slot.what, listed.contains(&model)) {
                 (SlotTransition::MaybeLoaded, true) => {
-                    self.mark_loaded(&model, asked);
+                    self.mark_loaded(&model, requested_at);
                     change.found.push(model);
                 }
                 (SlotTransition::MaybeUnloaded, true) => change.not_unloaded.push(model),
--- a/crates/chervilshunt_core/src/owner/takeover.rs
+++ b/crates/chervilshunt_core/src/owner/takeover.rs
@@ -16,7 +16,7 @@
     complete: bool,
     /// The lowest number of sequences that the engine reported after the last moment at which an
     /// earlier owner's permit could be used.
-    reported: Option<usize>,
+    fewest_reported: Option<usize>,
     barrier: Barrier,
 }
 
@@ -42,7 +42,7 @@
         Self {
             started: now,
             complete: false,
-            reported: None,
+            fewest_reported: None,
             barrier: Barrier::Undecided,
         }
     }
@@ -100,8 +100,8 @@
             return;
         }
         let sequences = report.running as usize + report.waiting as usize;
-        let fewest = self.takeover.reported.unwrap_or(usize::MAX);
-        self.takeover.reported = Some(fewest.min(sequences));
+        let fewest = self.takeover.fewest_reported.unwrap_or(usize::MAX);
+        self.takeover.fewest_reported = Some(fewest.min(sequences));
     }
 
     /// Returns the maximum number of sequences that may run under permits that are not known.
@@ -113,7 +113,7 @@
         if self.takeover.complete {
             return 0;
         }
-        self.takeover.reported.unwrap_or(usize::MAX)
+        self.takeover.fewest_reported.unwrap_or(usize::MAX)
     }
 
     /// Orders a load without effect, from which the engine learns the fencing number.
