--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -9,7 +9,7 @@
 use super::action::OwnerAction;
 use super::answer::answer_to;
 use super::loads::LoadPhase;
-use super::orders::load_tries;
+use super::orders::max_load_attempts;
 use super::queue::TimedRequest;
 use super::settled::Settlement;
 use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER_RANGE};
@@ -323,7 +323,7 @@
         let LoadPhase::Backoff { until } = load.phase else {
             return None;
         };
-        (load.tries >= load_tries(req.class) && until > now).then_some(until)
+        (load.failed_attempts >= max_load_attempts(req.class) && until > now).then_some(until)
     }
 
     fn enqueue(
--- a/crates/chervilshunt_core/src/owner/loads.rs
+++ b/crates/chervilshunt_core/src/owner/loads.rs
@@ -44,7 +44,7 @@
     pub(super) order: OrderId,
     pub(super) phase: LoadPhase,
     /// Number of failed attempts.
-    pub(super) tries: u32,
+    pub(super) failed_attempts: u32,
     /// When the load was requested or last got a new order id.
     pub(super) since: Moment,
     /// When the load was first requested.
@@ -162,7 +162,7 @@
         let load = Load {
             order,
             phase: LoadPhase::Parked,
-            tries: 0,
+            failed_attempts: 0,
             since: now,
             requested_at: now,
             preload,
@@ -192,12 +192,12 @@
         let Some(load) = self.by_model.get_mut(model) else {
             return 0;
         };
-        load.tries += 1;
-        let tries = load.tries;
-        let doubled = LOAD_BACKOFF * 2_u32.saturating_pow(tries - 1).min(1_024);
+        load.failed_attempts += 1;
+        let failed_attempts = load.failed_attempts;
+        let doubled = LOAD_BACKOFF * 2_u32.saturating_pow(failed_attempts - 1).min(1_024);
         let until = now + doubled.min(MAX_LOAD_BACKOFF);
         self.renumber(model, LoadPhase::Backoff { until }, now);
-        tries
+        failed_attempts
     }
 
     /// Delays a load until a time without counting a failure.
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -6,7 +6,7 @@
 use super::loads::LoadPhase;
 use super::order::{EngineOrder, OrderFailure, OrderId, OrderKind};
 use super::slots::SlotTransition;
-use super::tuning::{DEFERRABLE_LOAD_TRIES, LIVE_LOAD_TRIES};
+use super::tuning::{DEFERRABLE_LOAD_ATTEMPTS, LIVE_LOAD_ATTEMPTS};
 use super::{ORDER_BITS, Owner};
 use crate::RefusalReason;
 use crate::bugs::Bug;
@@ -182,8 +182,8 @@
         // The engine may refuse a load because it already holds the adapter, or because it holds
         // other adapters than expected. Its listing shows which.
         self.engine.require_inventory();
-        let tries = self.loads.record_failure(model, now);
-        self.refuse_after_failure(model, tries, now, out);
+        let failed_attempts = self.loads.record_failure(model, now);
+        self.refuse_after_failure(model, failed_attempts, now, out);
     }
 
     fn unload_ended(
@@ -217,7 +217,7 @@
     fn refuse_after_failure(
         &mut self,
         model: &AdapterVersion,
-        tries: u32,
+        failed_attempts: u32,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
@@ -232,7 +232,7 @@
             .copied()
             .filter(|attempt| {
                 let class = self.queue.get(*attempt).map(|it| it.req.class);
-                class.is_some_and(|class| tries >= load_tries(class))
+                class.is_some_and(|class| failed_attempts >= max_load_attempts(class))
             })
             .collect();
         for attempt in rejected {
@@ -255,9 +255,9 @@
 }
 
 /// Returns the number of failed load attempts after which requests of a class are refused.
-pub(super) fn load_tries(class: Class) -> u32 {
+pub(super) fn max_load_attempts(class: Class) -> u32 {
     match class {
-        Class::Live => LIVE_LOAD_TRIES,
-        Class::Deferrable => DEFERRABLE_LOAD_TRIES,
+        Class::Live => LIVE_LOAD_ATTEMPTS,
+        Class::Deferrable => DEFERRABLE_LOAD_ATTEMPTS,
     }
 }
--- a/crates/chervilshunt_core/src/owner/tuning.rs
+++ b/crates/chervilshunt_core/src/owner/tuning.rs
@@ -45,11 +45,11 @@
 pub(super) const MAX_SPREAD: usize = 8;
 
 /// Number of failed load attempts after which live requests for an adapter are refused.
-pub(super) const LIVE_LOAD_TRIES: u32 = 5;
+pub(super) const LIVE_LOAD_ATTEMPTS: u32 = 5;
 
 /// Number of failed load attempts after which deferrable requests for an adapter are refused. If
 /// half of all loads fail, one adapter in 65,536 reaches it.
-pub(super) const DEFERRABLE_LOAD_TRIES: u32 = 16;
+pub(super) const DEFERRABLE_LOAD_ATTEMPTS: u32 = 16;
 
 /// Backoff after the first failed load of an adapter; it doubles with each further failure.
 pub(super) const LOAD_BACKOFF: Duration = Duration::from_millis(100);
--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -154,7 +154,7 @@
             state,
             pins,
             waiters: self.queue.blocked_on(model).len(),
-            failed_loads: load.map_or(0, |load| load.tries),
+            failed_loads: load.map_or(0, |load| load.failed_attempts),
             class: urgency.and_then(|urgency| urgency.class),
             load_requested_for: load.map(|load| now.since(load.requested_at)),
         }
