--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -67,8 +67,7 @@
     permits: Permits,
     queue: Queue,
     settled: SettledAttempts,
-    /// Entry instances that left within [`tuning::SETTLED_RETENTION`], with the time when they
-    /// left.
+    /// Entry instances that left recently, with the time when they left.
     left_entries: IndexMap<InstanceId, Moment>,
     slots: Slots,
     loads: Loads,
@@ -154,8 +153,7 @@
         self.bugs = Bugs::seeded(bug);
     }
 
-    /// Returns the latest time by which the owner needs an [`OwnerEvent::Tick`] if no other event
-    /// arrives.
+    /// Returns when the owner next needs an [`OwnerEvent::Tick`] if no other event arrives.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let renewal =
             (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW_INTERVAL);
--- a/crates/chervilshunt_core/src/owner/config.rs
+++ b/crates/chervilshunt_core/src/owner/config.rs
@@ -34,8 +34,8 @@
     pub permit_window: Duration,
     /// Minimum time between two loads that start while the load scheduler is unreachable.
     ///
-    /// With the number of targets of a weight store, multiplied by the seconds between two loads of
-    /// the store, all targets together stay within the store's load rate.
+    /// Set to the number of targets that share a weight store multiplied by the store's interval
+    /// between loads, it keeps all of them together within the store's load rate.
     pub unscheduled_load_interval: Duration,
     /// The other targets of the service, over which an adapter may be spread.
     pub peers: Vec<TargetName>,
--- a/crates/chervilshunt_core/src/owner/order.rs
+++ b/crates/chervilshunt_core/src/owner/order.rs
@@ -3,7 +3,7 @@
 use chervilshunt_model::{AdapterVersion, Class, Epoch};
 use serde::{Deserialize, Serialize};
 
-/// The id of an order to the engine, and of the turn that a load is requested or granted.
+/// The id of an order to the engine. The turn for a load has the id of the load's order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId(pub u64);
 
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -41,7 +41,7 @@
     tag: Tag,
     queue_class: Class,
     blocked: bool,
-    /// When the request last changed between blocked and ready.
+    /// Since when the request has been blocked or ready.
     state_since: Moment,
     /// How long the request was blocked before that.
     blocked_before: Duration,
--- a/crates/chervilshunt_core/src/owner/tuning.rs
+++ b/crates/chervilshunt_core/src/owner/tuning.rs
@@ -104,8 +104,9 @@
 /// Time after which an unanswered request for the inventory is repeated.
 pub(super) const INVENTORY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time after a permit's window after which the call of an instance that has left is taken to have
-/// ended: its connection to the engine is gone, and the engine aborts sequences that nobody reads.
+/// Grace period after a permit's window, after which the call of an instance that has left is taken
+/// to have ended: its connection to the engine is gone, and the engine aborts sequences that nobody
+/// reads.
 pub(super) const ENTRY_LEFT_GRACE: Duration = Duration::from_secs(10);
 
 /// Time for which the answer to an attempt is kept, so that a late or duplicate message neither
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -205,7 +205,7 @@
     mailbox: Vec<OwnerEvent>,
     turns: Vec<OrderId>,
     /// Turns that were requested, and those of them that the owner holds.
-    asked: BTreeSet<OrderId>,
+    requested_turns: BTreeSet<OrderId>,
     granted: BTreeSet<OrderId>,
     scheduler_up: bool,
     orders: Vec<PendingOrder>,
@@ -241,7 +241,7 @@
             old: Vec::new(),
             mailbox: Vec::new(),
             turns: Vec::new(),
-            asked: BTreeSet::new(),
+            requested_turns: BTreeSet::new(),
             granted: BTreeSet::new(),
             scheduler_up: true,
             orders: Vec::new(),
@@ -350,7 +350,7 @@
                 );
             }
             OwnerAction::RequestTurn { order, .. } => {
-                self.asked.insert(order);
+                self.requested_turns.insert(order);
                 if !self.turns.contains(&order) {
                     self.turns.push(order);
                 }
@@ -385,7 +385,7 @@
     /// A load for which a turn was requested must be sent with that turn, except while the
     /// scheduler is unreachable.
     fn check_turn(&self, order: &EngineOrder) {
-        let in_turn = self.granted.contains(&order.id) || !self.asked.contains(&order.id);
+        let in_turn = self.granted.contains(&order.id) || !self.requested_turns.contains(&order.id);
         assert!(in_turn || !self.scheduler_up, "a load without a turn");
     }
 
