--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -261,7 +261,7 @@
             OwnerAction::Answer {
                 attempt, answer, ..
             } => CoreEvent::Entry(EntryEvent::Answered { attempt, answer }),
-            OwnerAction::AskTurn {
+            OwnerAction::RequestTurn {
                 order,
                 model,
                 urgency,
@@ -288,7 +288,7 @@
                     result,
                 })
             }
-            OwnerAction::HoldTurn { order, model } => {
+            OwnerAction::RenewTurn { order, model } => {
                 let target = name;
                 CoreEvent::Scheduler(SchedulerEvent::TurnHeld {
                     target,
@@ -297,7 +297,7 @@
                 })
             }
             OwnerAction::Order(order) => CoreEvent::Order(target, order),
-            OwnerAction::AskInventory => {
+            OwnerAction::RequestInventory => {
                 let held = world
                     .engines
                     .get(target)
@@ -420,7 +420,7 @@
             waiting: world.engines[engine].waiting() as u32,
             age: REPORT_AGE,
         };
-        let event = CoreEvent::Owner(engine, OwnerEvent::Reported(report));
+        let event = CoreEvent::Owner(engine, OwnerEvent::EngineReported(report));
         world.plan_policy(world.now + REPORT_AGE, event);
     }
 
@@ -429,7 +429,7 @@
         let late = Duration::from_millis(self.rng.random_range(0..CACHE_LATENESS_MS));
         let held = world.engines[engine].prefixes();
         let told = held.filter(|_| !self.rng.random_bool(CACHE_GAP)).collect();
-        let event = CoreEvent::Owner(engine, OwnerEvent::Cached(told));
+        let event = CoreEvent::Owner(engine, OwnerEvent::PrefixesCached(told));
         world.plan_policy(world.now + late, event);
     }
 }
--- a/crates/chervilshunt_core/examples/role_costs.rs
+++ b/crates/chervilshunt_core/examples/role_costs.rs
@@ -135,7 +135,7 @@
     while let Some(event) = events.pop() {
         for action in owner.handle(event, now) {
             match action {
-                OwnerAction::AskTurn { order, .. } => events.push(OwnerEvent::TurnGranted {
+                OwnerAction::RequestTurn { order, .. } => events.push(OwnerEvent::TurnGranted {
                     order,
                     queue_wait: Duration::ZERO,
                 }),
@@ -143,13 +143,13 @@
                     order: order.id,
                     result: Ok(()),
                 }),
-                OwnerAction::AskInventory => events.push(OwnerEvent::Inventory(Vec::new())),
+                OwnerAction::RequestInventory => events.push(OwnerEvent::Inventory(Vec::new())),
                 OwnerAction::Answer { answer, .. } => {
                     let granted = matches!(answer, PermitAnswer::Granted { .. });
                     assert!(granted, "permit not granted: {answer:?}");
                 }
                 OwnerAction::EndTurn { .. }
-                | OwnerAction::HoldTurn { .. }
+                | OwnerAction::RenewTurn { .. }
                 | OwnerAction::ConfirmShare { .. }
                 | OwnerAction::ReportDemand { .. }
                 | OwnerAction::Log(_) => {}
--- a/crates/chervilshunt_core/src/owner.rs
+++ b/crates/chervilshunt_core/src/owner.rs
@@ -1,12 +1,13 @@
 //! The owner of one target: permits, queue, adapter slots, loads and orders to the engine.
 //!
-//! An owner is a state machine without a clock or a socket. Each event first changes its state,
-//! and then everything that has come due or become possible is done: deadlines, loads, permits.
-//! See `docs/design/placement.md` and `docs/design/admission.md`.
+//! An owner is a state machine that performs no I/O and reads no clock. Each event first updates
+//! its state; the owner then processes everything that is due or has become possible: deadlines,
+//! loads and permits. See `docs/design/placement.md` and `docs/design/admission.md`.
 
 mod action;
 mod admit;
 mod answer;
+mod batch;
 mod config;
 mod demand;
 mod engine;
@@ -21,7 +22,6 @@
 mod power;
 mod queue;
 mod release;
-mod seats;
 mod settled;
 mod slots;
 mod spread;
@@ -43,22 +43,23 @@
 use crate::decay::{DecayedLevel, DurationAverage};
 use crate::{Decision, DecisionKind, RefusalReason, WaitTimes};
 use engine::EngineView;
-use health::Health;
+use health::CallHealth;
 use loads::Loads;
 use permits::Permits;
 use power::PowerShare;
-use queue::{Asked, Queue};
+use queue::{Queue, TimedRequest};
 use settled::SettledAttempts;
 use slots::Slots;
 use spread::Spread;
 use takeover::Takeover;
 
-/// Bits of an order's id that count within one epoch.
+/// Bits of an order id that number the orders within one epoch; the epoch fills the bits above.
 ///
-/// A late end of an earlier owner's order can't be taken for the end of one's own.
+/// The result of an order from an earlier owner that arrives late can therefore not be mistaken for
+/// the result of one of this owner's orders.
 const ORDER_BITS: u32 = 40;
 
-/// The owner of one target.
+/// The state machine that owns one target.
 #[derive(Debug)]
 pub struct Owner {
     cfg: OwnerConfig,
@@ -66,39 +67,40 @@
     permits: Permits,
     queue: Queue,
     settled: SettledAttempts,
-    /// Entry instances that have left of late.
-    left: IndexMap<InstanceId, Moment>,
+    /// Entry instances that left recently, with the time when they left.
+    left_entries: IndexMap<InstanceId, Moment>,
     slots: Slots,
     loads: Loads,
-    /// Orders that the engine has not answered.
+    /// Orders to the engine that have not ended.
     orders: IndexMap<OrderId, (OrderKind, AdapterVersion)>,
     demand: demand::DemandTable,
-    /// Adapters that lost their slots of late, as candidates for a load ahead of demand.
+    /// Recently evicted adapters, which are the candidates for a preload.
     evicted: IndexSet<AdapterVersion>,
     spread: Spread,
     engine: EngineView,
-    health: Health,
+    health: CallHealth,
     power: PowerShare,
     service_time: DurationAverage,
     live_load: DecayedLevel,
-    live_since_aged: u32,
-    /// When a deferrable request last got its permit.
-    deferrable_granted: Moment,
-    last_loaded: Option<Moment>,
-    looked_ahead: Moment,
+    live_grants_since_deferrable: u32,
+    /// When a deferrable request was last granted a permit.
+    last_deferrable_grant: Moment,
+    last_load: Option<Moment>,
+    last_preload_check: Moment,
     /// When the last event was handled.
-    handled: Moment,
+    last_event: Moment,
     draining: bool,
-    /// Whether the engine has told that somebody else owns the target.
+    /// Whether the engine has refused this owner's fencing number, which means that another
+    /// instance owns the target.
     fenced: bool,
     bugs: Bugs,
 }
 
 impl Owner {
-    /// Starts to own a target, of which nothing is known yet.
+    /// Creates the owner of a target about which nothing is known yet.
     ///
-    /// The first event, or the [`OwnerEvent::Tick`] that [`Self::next_wakeup`] asks for, brings
-    /// the question for the engine's adapters.
+    /// The owner requests the engine's inventory at the first event, or at the [`OwnerEvent::Tick`]
+    /// that [`Self::next_wakeup`] schedules.
     pub fn new(cfg: OwnerConfig, now: Moment) -> Self {
         let first_order = cfg.epoch.get() << ORDER_BITS;
         Self {
@@ -106,7 +108,7 @@
             permits: Permits::default(),
             queue: Queue::default(),
             settled: SettledAttempts::default(),
-            left: IndexMap::new(),
+            left_entries: IndexMap::new(),
             slots: Slots::new(cfg.slots),
             loads: Loads::new(first_order, now),
             orders: IndexMap::new(),
@@ -114,15 +116,15 @@
             evicted: IndexSet::new(),
             spread: Spread::new(&cfg.target, &cfg.peers),
             engine: EngineView::new(cfg.slots > 0),
-            health: Health::new(cfg.breaker, now),
+            health: CallHealth::new(cfg.breaker, now),
             power: PowerShare::new(&cfg),
-            service_time: DurationAverage::new(tuning::SERVICE_TIME_GUESS),
+            service_time: DurationAverage::new(tuning::INITIAL_SERVICE_TIME),
             live_load: DecayedLevel::default(),
-            live_since_aged: 0,
-            deferrable_granted: now,
-            last_loaded: None,
-            looked_ahead: now,
-            handled: now,
+            live_grants_since_deferrable: 0,
+            last_deferrable_grant: now,
+            last_load: None,
+            last_preload_check: now,
+            last_event: now,
             draining: false,
             fenced: false,
             bugs: Bugs::default(),
@@ -130,57 +132,58 @@
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions that follow from it.
     pub fn handle(&mut self, event: OwnerEvent, now: Moment) -> Vec<OwnerAction> {
         let mut out = Vec::new();
-        self.handled = now;
-        self.take(event, now, &mut out);
+        self.last_event = now;
+        self.apply(event, now, &mut out);
         self.expire(now, &mut out);
-        self.pass_probe(now, &mut out);
-        self.look_ahead(now);
+        self.pass_long_probe(now, &mut out);
+        self.preload_evicted(now);
         self.advance_loads(now, &mut out);
         self.dispatch(now, &mut out);
-        self.ask_inventory(now, &mut out);
+        self.request_inventory_if_due(now, &mut out);
         self.report_power(now, &mut out);
         out
     }
 
-    /// Seeds a bug, to show that a test finds it.
+    /// Seeds a bug, so that a test can show that it detects the bug.
     #[cfg(feature = "seeded-bugs")]
     pub const fn seed(&mut self, bug: crate::Bug) {
         self.bugs = Bugs::seeded(bug);
     }
 
-    /// Returns when [`OwnerEvent::Tick`] is next wanted.
+    /// Returns when the owner next needs an [`OwnerEvent::Tick`] if no other event arrives.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let renewal = (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW);
-        let ahead = !self.evicted.is_empty() && self.loads.is_empty();
+        let renewal =
+            (!self.loads.is_empty()).then(|| self.loads.reviewed + tuning::PARKED_REVIEW_INTERVAL);
+        let preload = !self.evicted.is_empty() && self.loads.is_empty();
         let due = [
             self.queue.next_deadline(),
             self.permits.next_end(),
             self.loads.next_backoff(),
             renewal,
-            ahead.then(|| self.looked_ahead + tuning::AHEAD_PAUSE),
-            self.engine.next_ask(),
-            self.next_age(self.handled),
-            self.next_health(),
-            Some(self.power.next_report().unwrap_or(self.handled)),
+            preload.then(|| self.last_preload_check + tuning::PRELOAD_INTERVAL),
+            self.engine.next_inventory_request(),
+            self.next_age_check(self.last_event),
+            self.next_breaker_check(),
+            Some(self.power.next_report().unwrap_or(self.last_event)),
         ];
         due.into_iter().flatten().min()
     }
 
-    fn take(&mut self, event: OwnerEvent, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn apply(&mut self, event: OwnerEvent, now: Moment, out: &mut Vec<OwnerAction>) {
         match event {
-            OwnerEvent::PermitRequested(req) => self.request(req, now, out),
-            OwnerEvent::PermitReleased(released) => self.release(&released, now, out),
+            OwnerEvent::PermitRequested(req) => self.permit_requested(req, now, out),
+            OwnerEvent::PermitReleased(released) => self.permit_released(&released, now, out),
             OwnerEvent::EntryLeft(entry) => self.entry_left(&entry, now),
             OwnerEvent::TurnGranted { order, queue_wait } => {
-                self.loads.queue_told(queue_wait, now);
+                self.loads.set_queue_wait(queue_wait, now);
                 self.turn_granted(order, now, out);
             }
             OwnerEvent::SchedulerReachable(yes) => self.scheduler_reachable(yes, now, out),
             OwnerEvent::OrderEnded { order, result } => self.order_ended(order, result, now, out),
-            OwnerEvent::Reported(report) => {
+            OwnerEvent::EngineReported(report) => {
                 self.report_in_takeover(&report, now);
                 self.engine.reported(&report, now);
             }
@@ -189,11 +192,11 @@
             OwnerEvent::TakeoverComplete => self.takeover_complete(),
             OwnerEvent::Reachable(reachable) => self.reachable(reachable, now, out),
             OwnerEvent::ShareSet { sequence, watts } => self.share_set(sequence, watts, now, out),
-            OwnerEvent::Cached(prefixes) => self.engine.set_cached(prefixes),
+            OwnerEvent::PrefixesCached(prefixes) => self.engine.set_cached(prefixes),
             OwnerEvent::Draining(draining) => {
                 self.draining = draining;
                 if draining {
-                    self.turn_all_away(RefusalReason::Draining, now, out);
+                    self.redirect_or_refuse_all(RefusalReason::Draining, now, out);
                 }
             }
             OwnerEvent::PeersChanged(peers) => self.spread.set_peers(&self.cfg.target, &peers),
@@ -201,14 +204,14 @@
         }
     }
 
-    /// Ends what has come due: waiting requests at their deadlines, permits of entry instances
+    /// Ends what has expired: waiting requests at their deadlines, and permits of entry instances
     /// that have left.
     fn expire(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         while let Some(attempt) = self.queue.expired(now) {
             self.refuse_queued(attempt, RefusalReason::Deadline, now, out);
         }
-        while let Some(attempt) = self.permits.ended(now) {
-            self.free(attempt, now, out);
+        while let Some(attempt) = self.permits.next_ended(now) {
+            self.release_unreported(attempt, now, out);
         }
     }
 
@@ -218,15 +221,15 @@
         }
         self.engine.reachable = reachable;
         if !reachable {
-            self.engine.forget_work();
-            self.give_orders_up(now, out);
-            self.turn_all_away(RefusalReason::TargetDown, now, out);
+            self.engine.clear_work();
+            self.fail_pending_orders(now, out);
+            self.redirect_or_refuse_all(RefusalReason::TargetDown, now, out);
             return;
         }
         if self.slots.exist() {
-            // It may have restarted empty: nothing is granted for an adapter until it has listed
-            // what it holds.
-            self.engine.doubt_inventory();
+            // The engine may have restarted without adapters, so no permit for an adapter is
+            // granted until the engine has listed its adapters.
+            self.engine.invalidate_inventory();
         }
     }
 
@@ -248,11 +251,12 @@
             self.log(DecisionKind::Power, None, None, reason, None, out);
         }
         if self.power.parked() {
-            self.send_all_on(now, out);
+            self.redirect_all(now, out);
         }
     }
 
-    /// Tells the power allocator what the work at hand could use, and of power given back.
+    /// Reports to the power allocator the power that the current work could use, and power that has
+    /// been released.
     fn report_power(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if let Some(less) = self.power.confirm_less(self.drawing_sequences()) {
             out.push(OwnerAction::ConfirmShare {
@@ -260,9 +264,10 @@
                 watts: less.watts,
             });
         }
-        // Requests that wait for a load can't use power yet: counted, they would have targets
-        // parked, and their slots lost, just when slots and loads are short.
-        // Seats reserved for bursts don't count either: all targets' are never in use at once.
+        // Requests that wait for a load can't use power yet. Counting them would cause targets to
+        // be parked, which loses their adapter slots at the time when slots and loads are scarce.
+        // Batch slots reserved for bursts are not counted either: the reserves of all targets are
+        // never in use at the same time.
         let live = self.permits.live() + self.queue.ready(Class::Live);
         let deferrable = self.permits.deferrable() + self.queue.ready(Class::Deferrable);
         if let Some((live_watts, deferrable_watts)) = self.power.report(live, deferrable, now) {
@@ -273,14 +278,16 @@
         }
     }
 
-    /// Returns the sequences that may draw power, known or not.
+    /// Returns the number of sequences that may draw power, including those whose permits are not
+    /// known yet.
     fn drawing_sequences(&self) -> usize {
-        let known = self.permits.len() + self.engine.foreign();
+        let known = self.permits.len() + self.engine.external_sequences();
         let drawing = known.saturating_add(self.unknown_sequences());
         drawing.min(self.cfg.max_batch as usize)
     }
 
-    /// Notes that permits were granted, learnt or released.
+    /// Updates the live load and the permit counts after permits were granted, reported or
+    /// released.
     fn permits_changed(&mut self, now: Moment) {
         let live = self.permits.live() as f64;
         self.live_load.set(live, tuning::LIVE_LOAD_HALF_LIFE, now);
@@ -295,29 +302,29 @@
         self.evicted.insert(model.clone());
     }
 
-    /// Puts a decision about a request into words.
-    fn decision(&self, kind: DecisionKind, asked: &Asked, reason: &'static str) -> Decision {
+    /// Builds the log record of a decision about a request.
+    fn decision(&self, kind: DecisionKind, timed: &TimedRequest, reason: &'static str) -> Decision {
         Decision {
             kind,
             target: self.cfg.target.clone(),
-            model: asked.req.model.clone(),
-            attempt: Some(asked.req.attempt),
-            class: Some(asked.req.class),
+            model: timed.req.model.clone(),
+            attempt: Some(timed.req.attempt),
+            class: Some(timed.req.class),
             reason,
             alternatives: SmallVec::new(),
             sent_on: SmallVec::new(),
-            waited: asked.waited,
+            waited: timed.waited,
         }
     }
 
-    fn log_asked(
+    fn log_request(
         &self,
         kind: DecisionKind,
-        asked: &Asked,
+        timed: &TimedRequest,
         reason: &'static str,
         out: &mut Vec<OwnerAction>,
     ) {
-        out.push(OwnerAction::Log(self.decision(kind, asked, reason)));
+        out.push(OwnerAction::Log(self.decision(kind, timed, reason)));
     }
 
     fn log_model(
--- a/crates/chervilshunt_core/src/owner/admit.rs
+++ b/crates/chervilshunt_core/src/owner/admit.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request for a permit.
+//! Admission of permit requests: grant, queue, redirect or refuse.
 
 use std::time::Duration;
 
@@ -8,33 +8,38 @@
 use super::Owner;
 use super::action::OwnerAction;
 use super::answer::answer_to;
-use super::loads::Phase;
-use super::orders::load_tries;
-use super::queue::Asked;
+use super::loads::LoadPhase;
+use super::orders::max_load_attempts;
+use super::queue::TimedRequest;
 use super::settled::Settlement;
-use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER};
+use super::tuning::{MAX_CLOSED_HOPS, MAX_HOPS, RETRY_AFTER_RANGE};
 use crate::bugs::Bug;
 use crate::{DecisionKind, PermitAnswer, PermitRequest, RefusalReason};
 
 impl Owner {
-    /// Takes a request for a permit: grants, queues, redirects or refuses it.
-    pub(super) fn request(&mut self, req: PermitRequest, now: Moment, out: &mut Vec<OwnerAction>) {
-        if self.answered_before(&req, out) {
+    /// Handles a permit request: grants, queues, redirects or refuses it.
+    pub(super) fn permit_requested(
+        &mut self,
+        req: PermitRequest,
+        now: Moment,
+        out: &mut Vec<OwnerAction>,
+    ) {
+        if self.repeat_answer(&req, out) {
             return;
         }
         if let Some(model) = &req.model {
             let loaded = self.slots.serves(model);
             self.demand.count(model, req.class, loaded, now);
-            if self.is_wide(model) {
+            if self.is_spread(model) {
                 self.update_spread(model, now);
             }
         }
-        if let Some(reason) = self.closed(now) {
-            self.turn_away(req, reason, now, out);
+        if let Some(reason) = self.closed_reason(now) {
+            self.redirect_or_refuse(req, reason, now, out);
             return;
         }
         if req.deadline_ms == 0 {
-            self.refuse(req, RefusalReason::Deadline, RETRY_AFTER.0, now, out);
+            self.refuse(req, RefusalReason::Deadline, RETRY_AFTER_RANGE.0, now, out);
             return;
         }
         if self.power.parked() {
@@ -44,26 +49,30 @@
                 return;
             }
         }
-        let lane = self.lane(req.class);
+        let queue_class = self.queue_class(req.class);
         let waits_for_load = self.waits_for_load(&req);
-        if !waits_for_load && self.queue.ready(lane) == 0 && self.admits(lane, now) {
-            self.queue.pass(&req, lane, self.cfg.mechanisms.fairness);
+        if !waits_for_load && self.queue.ready(queue_class) == 0 && self.admits(queue_class, now) {
+            self.queue
+                .record_immediate_grant(&req, queue_class, self.cfg.mechanisms.fairness);
             self.grant(req, "room in the batch", now, out);
             return;
         }
-        if let Some((targets, reason)) = self.better_elsewhere(&req, waits_for_load, now) {
+        if let Some((targets, reason)) = self.find_better_targets(&req, waits_for_load, now) {
             self.redirect(req, targets, reason, now, out);
             return;
         }
-        if let Some((reason, retry_after)) = self.hopeless(&req, waits_for_load, now) {
+        if let Some((reason, retry_after)) = self.reason_not_to_queue(&req, waits_for_load, now) {
             self.refuse(req, reason, retry_after, now, out);
             return;
         }
-        self.enqueue(req, lane, waits_for_load, now, out);
+        self.enqueue(req, queue_class, waits_for_load, now, out);
     }
 
-    /// Turns every waiting request away, as the target takes no new work.
-    pub(super) fn turn_all_away(
+    /// Redirects or refuses every waiting request because the target takes no new work.
+    ///
+    /// Deferrable requests that no other target can take stay in the queue if the reason is
+    /// temporary.
+    pub(super) fn redirect_or_refuse_all(
         &mut self,
         reason: RefusalReason,
         now: Moment,
@@ -74,15 +83,16 @@
             let Some(waiting) = self.queue.get(attempt) else {
                 continue;
             };
-            if may_come_back(reason) && self.stays_while_down(&waiting.req) {
+            if is_temporary(reason) && self.waits_out_outage(&waiting.req) {
                 continue;
             }
-            self.turn_queued_away(attempt, reason, now, out);
+            self.redirect_or_refuse_queued(attempt, reason, now, out);
         }
     }
 
-    /// Sends every waiting request on, as the target has no power to serve it.
-    pub(super) fn send_all_on(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    /// Redirects every waiting request that another target can take, because this target has no
+    /// power to serve it.
+    pub(super) fn redirect_all(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let waiting: Vec<AttemptId> = self.queue.iter().map(|it| it.req.attempt).collect();
         for attempt in waiting {
             let Some(waiting) = self.queue.get(attempt) else {
@@ -98,8 +108,8 @@
         }
     }
 
-    /// Sends a request that waits to another target, or refuses it.
-    pub(super) fn turn_queued_away(
+    /// Redirects a waiting request to another target, or refuses it if there is none.
+    pub(super) fn redirect_or_refuse_queued(
         &mut self,
         attempt: AttemptId,
         reason: RefusalReason,
@@ -107,11 +117,11 @@
         out: &mut Vec<OwnerAction>,
     ) {
         if let Some(waiting) = self.queue.remove(attempt) {
-            self.turn_away(waiting.end(now), reason, now, out);
+            self.redirect_or_refuse(waiting.end(now), reason, now, out);
         }
     }
 
-    /// Refuses a request that waits.
+    /// Refuses a waiting request.
     pub(super) fn refuse_queued(
         &mut self,
         attempt: AttemptId,
@@ -126,8 +136,9 @@
         self.refuse(waiting.end(now), reason, retry_after, now, out);
     }
 
-    /// Returns the class under which a request is treated.
-    pub(super) fn lane(&self, class: Class) -> Class {
+    /// Returns the class under which a request is queued; without the `fill` mechanism all are
+    /// live.
+    pub(super) fn queue_class(&self, class: Class) -> Class {
         if self.cfg.mechanisms.fill {
             class
         } else {
@@ -135,7 +146,7 @@
         }
     }
 
-    fn answered_before(&self, req: &PermitRequest, out: &mut Vec<OwnerAction>) -> bool {
+    fn repeat_answer(&self, req: &PermitRequest, out: &mut Vec<OwnerAction>) -> bool {
         if let Some(held) = self.permits.get(req.attempt) {
             let answer = PermitAnswer::Granted {
                 permit: held.permit.clone(),
@@ -158,7 +169,7 @@
         }
     }
 
-    pub(super) fn closed(&self, now: Moment) -> Option<RefusalReason> {
+    pub(super) fn closed_reason(&self, now: Moment) -> Option<RefusalReason> {
         if self.fenced {
             return Some(RefusalReason::NotOwner);
         }
@@ -172,32 +183,32 @@
         failing.map(|_| RefusalReason::TargetFailing)
     }
 
-    fn turn_away(
+    fn redirect_or_refuse(
         &mut self,
-        asked: impl Into<Asked>,
+        timed: impl Into<TimedRequest>,
         reason: RefusalReason,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let asked = asked.into();
-        let req = &asked.req;
+        let timed = timed.into();
+        let req = &timed.req;
         let targets = self.next_ranked(req, MAX_CLOSED_HOPS);
         if !targets.is_empty() && reason != RefusalReason::NotOwner {
-            self.redirect(asked, targets, reason.as_str(), now, out);
+            self.redirect(timed, targets, reason.as_str(), now, out);
             return;
         }
-        if may_come_back(reason) && self.stays_while_down(req) {
-            let lane = self.lane(req.class);
+        if is_temporary(reason) && self.waits_out_outage(req) {
+            let queue_class = self.queue_class(req.class);
             let waits_for_load = self.waits_for_load(req);
-            self.enqueue(asked.req, lane, waits_for_load, now, out);
+            self.enqueue(timed.req, queue_class, waits_for_load, now, out);
             return;
         }
         let retry_after = self.retry_after(req, reason, now);
-        self.refuse(asked, reason, retry_after, now, out);
+        self.refuse(timed, reason, retry_after, now, out);
     }
 
-    /// Whether a request waits until the target is back, rather than fail.
-    fn stays_while_down(&self, req: &PermitRequest) -> bool {
+    /// Returns whether a request waits until the target is back instead of failing.
+    fn waits_out_outage(&self, req: &PermitRequest) -> bool {
         req.class == Class::Deferrable && self.next_ranked(req, MAX_CLOSED_HOPS).is_empty()
     }
 
@@ -206,8 +217,9 @@
         self.slots.exist() && model.is_some_and(|model| !self.slots.serves(model))
     }
 
-    /// Returns where a request is better off that can't be granted at once, with the reason.
-    fn better_elsewhere(
+    /// Returns targets that are likely to serve a request sooner than this one, with the reason,
+    /// for a request that can't be granted at once.
+    fn find_better_targets(
         &mut self,
         req: &PermitRequest,
         waits_for_load: bool,
@@ -220,23 +232,27 @@
         self.update_spread(&model, now);
         if waits_for_load {
             let full = self.slots.exist() && self.slots.free() == 0;
-            // An instance that can't be asked for its permits holds up evictions for as long as it
-            // is listed: a request that waited here for a slot would run into its deadline.
+            // An instance that can't be asked for its permits blocks evictions for as long as it is
+            // listed. A request that waited here for a slot would reach its deadline.
             if full && self.knows_adapters() && !self.takeover.complete() {
                 let next = self.next_ranked(req, MAX_HOPS);
                 return (!next.is_empty()).then_some((next, "nothing may be evicted yet"));
             }
             let stuck = full && self.slots.idle().next().is_none() && self.may_evict();
-            let wanted = self.loads.get(&model).is_some();
-            if !stuck || wanted {
+            let load_requested = self.loads.get(&model).is_some();
+            if !stuck || load_requested {
                 return None;
             }
             let next = self.next_ranked(req, MAX_HOPS);
             return (!next.is_empty()).then_some((next, "all slots are pinned"));
         }
-        let wait = self.expected_wait(self.lane(req.class)).as_secs_f64();
+        let wait = self
+            .expected_wait(self.queue_class(req.class))
+            .as_secs_f64();
         self.widen_for_wait(&model, wait, now);
-        if self.cfg.mechanisms.prefix && self.engine.is_cached(req.prefix) && self.free_seats() > 0
+        if self.cfg.mechanisms.prefix
+            && self.engine.is_cached(req.prefix)
+            && self.free_batch_slots() > 0
         {
             return None;
         }
@@ -244,33 +260,33 @@
         (!others.is_empty()).then_some((others, "spread over several targets"))
     }
 
-    /// Returns why a request would be held for nothing, and when to ask again.
-    fn hopeless(
+    /// Returns why it would be pointless to queue a request, and after which time to retry.
+    fn reason_not_to_queue(
         &self,
         req: &PermitRequest,
         waits_for_load: bool,
         now: Moment,
     ) -> Option<(RefusalReason, Duration)> {
-        let lane = self.lane(req.class);
+        let queue_class = self.queue_class(req.class);
         let left = Duration::from_millis(req.deadline_ms);
-        if let Some(until) = self.load_given_up(req, now) {
+        if let Some(until) = self.load_suspended_until(req, now) {
             return Some((RefusalReason::LoadFailed, now.until(until)));
         }
-        if self.queue.len(lane) >= self.queue_bound(lane) {
-            return Some((RefusalReason::QueueFull, self.expected_wait(lane)));
+        if self.queue.len(queue_class) >= self.queue_bound(queue_class) {
+            return Some((RefusalReason::QueueFull, self.expected_wait(queue_class)));
         }
         if req.class == Class::Deferrable {
             return None;
         }
-        let mut wait = self.expected_wait(lane);
+        let mut wait = self.expected_wait(queue_class);
         if waits_for_load {
             wait = wait.max(self.expected_load(req, now));
         }
         (wait > left).then_some((RefusalReason::Deadline, wait))
     }
 
-    fn queue_bound(&self, lane: Class) -> usize {
-        match lane {
+    fn queue_bound(&self, queue_class: Class) -> usize {
+        match queue_class {
             Class::Live => self.cfg.live_queue_bound,
             Class::Deferrable => self.cfg.deferrable_queue_bound,
         }
@@ -279,38 +295,41 @@
     pub(super) fn expected_load(&self, req: &PermitRequest, now: Moment) -> Duration {
         let load = req.model.as_ref().and_then(|model| self.loads.get(model));
         match load.map(|load| load.phase) {
-            Some(Phase::Ordered { at }) => self.loads.load_time().saturating_sub(now.since(at)),
-            Some(Phase::HasTurn) => self.loads.load_time(),
-            Some(Phase::Asked { .. } | Phase::Parked | Phase::Backoff { .. }) | None => {
-                self.loads.load_time() + self.expected_turn(req.model.as_ref(), now)
-            }
+            Some(LoadPhase::Ordered { at }) => self.loads.load_time().saturating_sub(now.since(at)),
+            Some(LoadPhase::HasTurn) => self.loads.load_time(),
+            Some(
+                LoadPhase::TurnRequested { .. } | LoadPhase::Parked | LoadPhase::Backoff { .. },
+            )
+            | None => self.loads.load_time() + self.expected_turn(req.model.as_ref(), now),
         }
     }
 
-    /// Returns the time until the turn of an adapter: the more wait for it, the sooner it comes.
+    /// Returns the expected time until the turn of an adapter. It is shorter the more requests wait
+    /// for the adapter, because the load scheduler prefers urgent loads.
     fn expected_turn(&self, model: Option<&AdapterVersion>, now: Moment) -> Duration {
         let queue_wait = self.loads.queue_wait(now);
         let Some(model) = model else {
             return queue_wait;
         };
         let waiting = self.queue.blocked_on(model).len() as f64;
-        let coming = self.demand.surge(model, now) * queue_wait.as_secs_f64();
+        let coming = self.demand.short_term(model, now) * queue_wait.as_secs_f64();
         queue_wait.div_f64(1.0 + waiting + coming)
     }
 
-    /// Returns until when an adapter isn't tried again whose tries are used up.
-    pub(super) fn load_given_up(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
+    /// Returns the time before which an adapter that has used up its load attempts is not tried
+    /// again.
+    pub(super) fn load_suspended_until(&self, req: &PermitRequest, now: Moment) -> Option<Moment> {
         let load = self.loads.get(req.model.as_ref()?)?;
-        let Phase::Backoff { until } = load.phase else {
+        let LoadPhase::Backoff { until } = load.phase else {
             return None;
         };
-        (load.tries >= load_tries(req.class) && until > now).then_some(until)
+        (load.failed_attempts >= max_load_attempts(req.class) && until > now).then_some(until)
     }
 
     fn enqueue(
         &mut self,
         req: PermitRequest,
-        lane: Class,
+        queue_class: Class,
         waits_for_load: bool,
         now: Moment,
         out: &mut Vec<OwnerAction>,
@@ -320,20 +339,20 @@
         } else {
             "no room in the batch"
         };
-        let asked = Asked::from(req);
-        self.log_asked(DecisionKind::Queue, &asked, reason, out);
-        let req = asked.req;
+        let timed = TimedRequest::from(req);
+        self.log_request(DecisionKind::Queue, &timed, reason, out);
+        let req = timed.req;
         let model = req.model.clone();
         let fair = self.cfg.mechanisms.fairness;
-        self.queue.push(req, lane, fair, waits_for_load, now);
+        self.queue.push(req, queue_class, fair, waits_for_load, now);
         if let (true, Some(model)) = (waits_for_load, model) {
-            self.want_load(&model, now, out);
+            self.request_load(&model, now, out);
         }
     }
 }
 
-/// Whether a target that takes nothing for this reason is likely to be back before long.
-fn may_come_back(reason: RefusalReason) -> bool {
+/// Returns whether a target that takes no work for this reason is likely to recover soon.
+fn is_temporary(reason: RefusalReason) -> bool {
     match reason {
         RefusalReason::TargetDown | RefusalReason::TargetFailing => true,
         RefusalReason::QueueFull
--- a/crates/chervilshunt_core/src/owner/loading.rs
+++ b/crates/chervilshunt_core/src/owner/loading.rs
@@ -1,41 +1,41 @@
-//! Loads, from the first request that waits to the order that goes out.
+//! The steps of a load, from the first waiting request to the order to the engine.
 
 use chervilshunt_model::{AdapterVersion, Class, Moment};
 use indexmap::IndexMap;
 
 use super::Owner;
 use super::action::OwnerAction;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::order::{LoadUrgency, OrderId, OrderKind};
-use super::slots::Moving;
+use super::slots::SlotTransition;
 use super::tuning::{
-    AHEAD_DEMAND, AHEAD_PAUSE, DEFERRABLE_LOAD_AGE, DEFERRABLE_SLOT_PART, ENOUGH_DEFERRABLE,
-    MAX_ASKED_TURNS, PARKED_REVIEW, TURN_RENEWAL,
+    DEFERRABLE_LOAD_AGE, DEFERRABLE_SLOT_DIVISOR, ENOUGH_READY_DEFERRABLE, MAX_REQUESTED_TURNS,
+    PARKED_REVIEW_INTERVAL, PRELOAD_DEMAND_PER_S, PRELOAD_INTERVAL, TURN_RENEWAL_INTERVAL,
 };
 use crate::DecisionKind;
 use crate::bugs::Bug;
 
-/// The urgency of a load that nobody waits for.
-const AHEAD: LoadUrgency = LoadUrgency {
+/// The urgency of a load that no request waits for.
+const PRELOAD_URGENCY: LoadUrgency = LoadUrgency {
     class: None,
     waiters: 0,
     oldest_ms: 0,
 };
 
 impl Owner {
-    /// Wants the adapter of a waiting request loaded, and tells the scheduler if that makes a
-    /// turn asked for before more urgent.
-    pub(super) fn want_load(
+    /// Requests a load of the adapter of a waiting request. If that makes an already requested turn
+    /// more urgent, the load scheduler is notified.
+    pub(super) fn request_load(
         &mut self,
         model: &AdapterVersion,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        self.loads.want(model, false, now);
+        self.loads.request(model, false, now);
         let Some(load) = self.loads.get(model) else {
             return;
         };
-        let Phase::Asked { .. } = load.phase else {
+        let LoadPhase::TurnRequested { .. } = load.phase else {
             return;
         };
         let first_live = self
@@ -43,47 +43,48 @@
             .urgency(model, now)
             .is_some_and(|it| it.class == Some(Class::Live) && it.waiters == 1);
         if first_live {
-            self.ask_turn(model, now, out);
+            self.request_turn(model, now, out);
         }
     }
 
-    /// Moves every load on as far as it can go.
+    /// Advances every load as far as possible.
     pub(super) fn advance_loads(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.loads.is_empty() || self.fenced {
             return;
         }
-        self.drop_unwanted(now, out);
+        self.withdraw_unneeded(now, out);
         self.end_backoffs(now);
-        self.place_loads(now, out);
-        self.renew_turns(now, out);
-        self.hold_turns(now, out);
-        if self.loads.review_due || now.since(self.loads.reviewed) >= PARKED_REVIEW {
+        self.use_turns(now, out);
+        self.renew_turn_requests(now, out);
+        self.renew_held_turns(now, out);
+        if self.loads.review_due || now.since(self.loads.reviewed) >= PARKED_REVIEW_INTERVAL {
             self.loads.review_due = false;
             self.loads.reviewed = now;
             self.review_parked(now, out);
         }
-        self.begin_unscheduled(now, out);
+        self.start_unscheduled_load(now, out);
     }
 
-    /// Takes the turn that the scheduler gave.
+    /// Accepts a turn that the scheduler granted.
     pub(super) fn turn_granted(&mut self, order: OrderId, now: Moment, out: &mut Vec<OwnerAction>) {
         let model = self.loads.model_of(order).cloned();
         let load = model.as_ref().and_then(|model| self.loads.get_mut(model));
         let Some(load) = load else {
-            // The turn is of a load withdrawn meanwhile, or the grant is late: give it back, or
-            // the store would idle until the turn times out.
+            // The load was withdrawn in the meantime, or the grant is late. The turn is returned,
+            // because the store would otherwise be idle until the turn times out.
             out.push(OwnerAction::EndTurn {
                 order,
                 loaded: None,
             });
             return;
         };
-        if let Phase::Asked { .. } = load.phase {
+        if let LoadPhase::TurnRequested { .. } = load.phase {
             load.begin_turn(now);
         }
     }
 
-    /// Tells a scheduler that has come back of all turns, as it may be a new one.
+    /// Records whether the scheduler is reachable. A scheduler that is back is notified of all
+    /// turns, since it may be a new one.
     pub(super) fn scheduler_reachable(
         &mut self,
         reachable: bool,
@@ -97,32 +98,34 @@
         }
         for model in self
             .loads
-            .at_phase(|phase| matches!(phase, Phase::Asked { .. }))
+            .at_phase(|phase| matches!(phase, LoadPhase::TurnRequested { .. }))
         {
-            self.ask_turn(&model, now, out);
+            self.request_turn(&model, now, out);
         }
-        let holding = |phase| matches!(phase, Phase::HasTurn | Phase::Ordered { .. });
+        let holding = |phase| matches!(phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         for model in self.loads.at_phase(holding) {
             let Some(load) = self.loads.get(&model) else {
                 continue;
             };
             let order = load.order;
-            out.push(OwnerAction::HoldTurn { order, model });
+            out.push(OwnerAction::RenewTurn { order, model });
         }
     }
 
-    /// Looks for an adapter whose lasting demand pays for a load ahead of the next request.
-    pub(super) fn look_ahead(&mut self, now: Moment) {
-        let pause_over = now.since(self.looked_ahead) >= AHEAD_PAUSE;
+    /// Requests a preload of the evicted adapter with the highest long-term demand if that demand
+    /// justifies it.
+    pub(super) fn preload_evicted(&mut self, now: Moment) {
+        let pause_over = now.since(self.last_preload_check) >= PRELOAD_INTERVAL;
         let idle_store = self.loads.scheduler_reachable
             && self.loads.is_empty()
             && self.loads.queue_wait(now) <= self.loads.load_time();
-        let wanted = self.cfg.mechanisms.ahead && pause_over && self.may_load() && !self.draining;
-        if !wanted || !idle_store {
+        let may_preload =
+            self.cfg.mechanisms.ahead && pause_over && self.may_load() && !self.draining;
+        if !may_preload || !idle_store {
             return;
         }
-        self.looked_ahead = now;
-        let demand = |model: &AdapterVersion| self.demand.lasting(model, now);
+        self.last_preload_check = now;
+        let demand = |model: &AdapterVersion| self.demand.long_term(model, now);
         let best = self
             .evicted
             .iter()
@@ -130,34 +133,38 @@
         let Some(best) = best.cloned() else {
             return;
         };
-        if self.slots.free() > 0 && demand(&best) > AHEAD_DEMAND {
-            self.loads.want(&best, true, now);
+        if self.slots.free() > 0 && demand(&best) > PRELOAD_DEMAND_PER_S {
+            self.loads.request(&best, true, now);
         }
     }
 
-    /// Whether adapters may be loaded at all.
+    /// Returns whether adapters may be loaded at all.
     pub(super) fn may_load(&self) -> bool {
         self.knows_adapters() && self.engine.reachable && !self.fenced
     }
 
-    /// Whether the engine's adapters are known, and change by this owner's orders alone.
+    /// Returns whether the engine's adapters are known and only orders of this owner can change
+    /// them.
     pub(super) fn knows_adapters(&self) -> bool {
         let settled = !self.slots.exist() || self.takeover.barrier_passed();
         self.engine.inventory_known && settled
     }
 
-    fn drop_unwanted(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let unwanted: Vec<AdapterVersion> = self
+    fn withdraw_unneeded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let unneeded: Vec<AdapterVersion> = self
             .loads
             .iter()
             .filter(|(model, load)| {
-                !load.ahead
+                !load.preload
                     && self.queue.blocked_on(model).is_empty()
-                    && !matches!(load.phase, Phase::Ordered { .. } | Phase::Backoff { .. })
+                    && !matches!(
+                        load.phase,
+                        LoadPhase::Ordered { .. } | LoadPhase::Backoff { .. }
+                    )
             })
             .map(|(model, _)| model.clone())
             .collect();
-        for model in unwanted {
+        for model in unneeded {
             self.withdraw(&model, out);
         }
         self.unretire_if_unneeded(now, out);
@@ -167,7 +174,10 @@
         let Some(load) = self.loads.remove(model) else {
             return;
         };
-        if matches!(load.phase, Phase::Asked { .. } | Phase::HasTurn) {
+        if matches!(
+            load.phase,
+            LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn
+        ) {
             out.push(OwnerAction::EndTurn {
                 order: load.order,
                 loaded: None,
@@ -175,7 +185,7 @@
         }
     }
 
-    /// Lets retiring adapters serve again once nothing else needs their slots.
+    /// Lets retiring adapters serve again once no load needs their slots.
     fn unretire_if_unneeded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if !self.slots.any_retiring() {
             return;
@@ -190,7 +200,7 @@
     }
 
     fn end_backoffs(&mut self, now: Moment) {
-        let over = |phase| matches!(phase, Phase::Backoff { until } if until <= now);
+        let over = |phase| matches!(phase, LoadPhase::Backoff { until } if until <= now);
         for model in self.loads.at_phase(over) {
             if self.queue.blocked_on(&model).is_empty() {
                 self.loads.remove(&model);
@@ -201,27 +211,32 @@
         }
     }
 
-    fn place_loads(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        for model in self.loads.at_phase(|phase| phase == Phase::HasTurn) {
-            self.place_load(&model, now, out);
+    fn use_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        for model in self.loads.at_phase(|phase| phase == LoadPhase::HasTurn) {
+            self.use_turn(&model, now, out);
         }
     }
 
-    /// Uses a turn: orders the load if a slot is free, an unload if one has to be freed.
-    fn place_load(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
+    /// Uses a turn: orders the load if a slot is free, or an unload if a slot has to be freed
+    /// first.
+    fn use_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
         if !self.may_load() {
-            self.give_turn_back(model, None, now, out);
+            self.return_turn(model, None, now, out);
             return;
         }
         if let Some(until) = self.slots.barred_until(model, now) {
-            self.give_turn_back(model, Some(until), now, out);
+            self.return_turn(model, Some(until), now, out);
             return;
         }
-        match self.slots.moving(model) {
+        match self.slots.transition(model) {
             None => {}
-            Some(Moving::Unloading(_)) => return,
-            Some(Moving::Loading(_) | Moving::MaybeLoaded | Moving::MaybeUnloaded) => {
-                self.give_turn_back(model, None, now, out);
+            Some(SlotTransition::Unloading(_)) => return,
+            Some(
+                SlotTransition::Loading(_)
+                | SlotTransition::MaybeLoaded
+                | SlotTransition::MaybeUnloaded,
+            ) => {
+                self.return_turn(model, None, now, out);
                 return;
             }
         }
@@ -229,12 +244,12 @@
             self.order_load(model, now, out);
             return;
         }
-        let waiting = self.loads.count(|phase| phase == Phase::HasTurn);
+        let waiting = self.loads.count(|phase| phase == LoadPhase::HasTurn);
         if self.slots.unloading() >= waiting {
             return;
         }
         if !self.evict_for(model, now, out) {
-            self.give_turn_back(model, None, now, out);
+            self.return_turn(model, None, now, out);
         }
     }
 
@@ -242,22 +257,22 @@
         let Some(load) = self.loads.get_mut(model) else {
             return;
         };
-        load.phase = Phase::Ordered { at: now };
-        let (order, ahead) = (load.order, load.ahead);
-        self.slots.load(model.clone(), order, now);
+        load.phase = LoadPhase::Ordered { at: now };
+        let (order, preload) = (load.order, load.preload);
+        self.slots.start_load(model.clone(), order, now);
         self.evicted.swap_remove(model);
-        let reason = if ahead {
+        let reason = if preload {
             "ahead of demand"
         } else {
             "requests wait for it"
         };
         self.log_model(DecisionKind::Load, model, reason, None, out);
-        self.give_order(order, OrderKind::Load, model, out);
+        self.send_order(order, OrderKind::Load, model, out);
     }
 
     /// Orders the unload of the adapter of least worth.
     ///
-    /// Returns whether there is one that may go for the sake of `model`.
+    /// Returns whether there is an adapter that may be evicted for `model`.
     fn evict_for(
         &mut self,
         model: &AdapterVersion,
@@ -267,14 +282,14 @@
         let Some(victim) = self.victim(now) else {
             return false;
         };
-        if self.loads.get(model).is_some_and(|load| load.ahead) {
+        if self.loads.get(model).is_some_and(|load| load.preload) {
             return false;
         }
         let Some(evictable) = self.slots.take_evictable(&victim.model) else {
             return false;
         };
         let order = self.loads.new_order();
-        self.slots.unload(evictable, order, now);
+        self.slots.start_unload(evictable, order, now);
         self.model_unavailable(&victim.model, now);
         self.remember_evicted(&victim.model);
         let reason = "least expected cost of loading again";
@@ -285,12 +300,12 @@
             victim.runner_up,
             out,
         );
-        self.give_order(order, OrderKind::Unload, &victim.model, out);
+        self.send_order(order, OrderKind::Unload, &victim.model, out);
         true
     }
 
-    /// Ends a turn that can't be used now, so that the store does not idle meanwhile.
-    fn give_turn_back(
+    /// Ends a turn that can't be used now, so that the store is not idle in the meantime.
+    fn return_turn(
         &mut self,
         model: &AdapterVersion,
         until: Option<Moment>,
@@ -305,40 +320,43 @@
             loaded: None,
         });
         match until {
-            Some(until) => self.loads.hold_back(model, until, now),
+            Some(until) => self.loads.delay_until(model, until, now),
             None => self.loads.park(model, now),
         }
     }
 
-    fn renew_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let due =
-            |phase| matches!(phase, Phase::Asked { renewed } if now.since(renewed) >= TURN_RENEWAL);
+    fn renew_turn_requests(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let due = |phase| matches!(phase, LoadPhase::TurnRequested { renewed } if now.since(renewed) >= TURN_RENEWAL_INTERVAL);
         for model in self.loads.at_phase(due) {
-            self.ask_turn(&model, now, out);
+            self.request_turn(&model, now, out);
         }
     }
 
-    /// Tells the load scheduler of turns that are in use for long.
+    /// Notifies the load scheduler of turns that have been in use for some time.
     ///
-    /// Without word of a turn the scheduler soon takes it to be over: an owner that is cut off from
-    /// it can't report the end, and would hold up every other load of the store.
-    fn hold_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let due = self.loads.iter().filter(|(_, load)| load.turn_is_due(now));
+    /// The scheduler treats a turn that is not renewed as ended after a short time: an owner that
+    /// is cut off from it can't report the end of a turn, and would block every other load of the
+    /// store.
+    fn renew_held_turns(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let due = self
+            .loads
+            .iter()
+            .filter(|(_, load)| load.turn_renewal_due(now));
         let due: Vec<AdapterVersion> = due.map(|(model, _)| model.clone()).collect();
         for model in due {
             if let Some(load) = self.loads.get_mut(&model) {
-                load.told = now;
+                load.reported_at = now;
                 let order = load.order;
-                out.push(OwnerAction::HoldTurn { order, model });
+                out.push(OwnerAction::RenewTurn { order, model });
             }
         }
     }
 
-    /// Asks for turns for the parked loads that are worth a slot, the most urgent first.
+    /// Requests turns for the parked loads that justify a slot, the most urgent first.
     fn review_parked(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         let mut parked: Vec<(LoadUrgency, AdapterVersion)> = self
             .loads
-            .at_phase(|phase| phase == Phase::Parked)
+            .at_phase(|phase| phase == LoadPhase::Parked)
             .into_iter()
             .filter(|model| !self.slots.holds(model))
             .map(|model| (self.urgency(&model, now), model))
@@ -351,8 +369,9 @@
             let waited = u64::from(urgency.waiters) * (urgency.oldest_ms + 1);
             (rank, std::cmp::Reverse(waited))
         });
-        let under_way = |phase| matches!(phase, Phase::Asked { .. } | Phase::HasTurn);
-        let mut asked = self.loads.count(under_way);
+        let under_way =
+            |phase| matches!(phase, LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn);
+        let mut requested = self.loads.count(under_way);
         let free = self.slots.free() + self.slots.unloading();
         let idle = if self.may_evict() {
             self.slots.idle().count()
@@ -362,37 +381,37 @@
         let victim = self.victim(now);
         let mut deferrable = self.deferrable_slots();
         for (urgency, model) in parked {
-            if asked >= MAX_ASKED_TURNS {
+            if requested >= MAX_REQUESTED_TURNS {
                 return;
             }
             if urgency.class == Some(Class::Deferrable) {
-                let full = deferrable >= self.most_deferrable_slots();
+                let full = deferrable >= self.max_deferrable_slots();
                 if full || self.has_enough_deferrable(&urgency) {
                     continue;
                 }
                 deferrable += 1;
             }
-            if asked < free {
-                asked += 1;
-                self.ask_turn(&model, now, out);
+            if requested < free {
+                requested += 1;
+                self.request_turn(&model, now, out);
                 continue;
             }
             let worth = victim.as_ref().map_or(f64::INFINITY, |it| it.worth);
-            if asked >= free + idle {
-                self.make_room_in_time(&urgency, asked - free, now);
+            if requested >= free + idle {
+                self.retire_if_overdue(&urgency, requested - free, now);
                 return;
             }
             if self.worth_evicting(&urgency, worth, now) {
-                asked += 1;
-                self.ask_turn(&model, now, out);
+                requested += 1;
+                self.request_turn(&model, now, out);
             }
         }
     }
 
-    /// Returns the slots that serve deferrable work alone, or are about to.
+    /// Returns the number of slots that serve deferrable work alone or are about to.
     ///
-    /// A flood of deferrable work over many adapters would otherwise pin slot after slot for as
-    /// long as its answers take, and live requests would wait for a slot to be let go.
+    /// Otherwise a flood of deferrable work over many adapters would pin slot after slot for the
+    /// duration of its answers, and live requests would wait for a slot to be released.
     fn deferrable_slots(&self) -> usize {
         let mut live: IndexMap<&AdapterVersion, bool> = IndexMap::new();
         for permit in self.permits.iter().map(|held| &held.permit) {
@@ -402,35 +421,37 @@
         }
         let pinned = live.values().filter(|live| !**live).count();
         let loads = self.loads.iter().filter(|(model, load)| {
-            let under_way = !matches!(load.phase, Phase::Parked | Phase::Backoff { .. });
-            under_way && self.queue.lane_blocked_on(model) == Some(Class::Deferrable)
+            let under_way = !matches!(load.phase, LoadPhase::Parked | LoadPhase::Backoff { .. });
+            under_way && self.queue.class_blocked_on(model) == Some(Class::Deferrable)
         });
         pinned + loads.count()
     }
 
-    fn most_deferrable_slots(&self) -> usize {
-        (self.cfg.slots as usize / DEFERRABLE_SLOT_PART).max(1)
+    fn max_deferrable_slots(&self) -> usize {
+        (self.cfg.slots as usize / DEFERRABLE_SLOT_DIVISOR).max(1)
     }
 
-    /// Whether deferrable work that needs no load fills the batch for now.
+    /// Returns whether enough deferrable requests that need no load are waiting, so that a recent
+    /// deferrable load can be postponed.
     fn has_enough_deferrable(&self, urgency: &LoadUrgency) -> bool {
         let young = u128::from(urgency.oldest_ms) < DEFERRABLE_LOAD_AGE.as_millis();
-        young && self.queue.ready(Class::Deferrable) >= ENOUGH_DEFERRABLE
+        young && self.queue.ready(Class::Deferrable) >= ENOUGH_READY_DEFERRABLE
     }
 
-    /// Retires one adapter for loads that find all slots pinned, unless enough are retiring.
-    fn make_room_in_time(&mut self, urgency: &LoadUrgency, wanted: usize, now: Moment) {
+    /// Retires one adapter for loads that find all slots pinned, unless enough adapters are
+    /// retiring already.
+    fn retire_if_overdue(&mut self, urgency: &LoadUrgency, needed: usize, now: Moment) {
         let retiring = self
             .slots
             .pinned()
             .filter(|(_, slot)| slot.retiring)
             .count();
-        if retiring <= wanted {
+        if retiring <= needed {
             self.retire_one(urgency, now);
         }
     }
 
-    fn begin_unscheduled(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn start_unscheduled_load(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         if self.loads.scheduler_reachable {
             return;
         }
@@ -439,38 +460,38 @@
             .loads
             .unscheduled
             .is_none_or(|last| now.since(last) >= interval);
-        let under_way = |phase| matches!(phase, Phase::HasTurn | Phase::Ordered { .. });
+        let under_way = |phase| matches!(phase, LoadPhase::HasTurn | LoadPhase::Ordered { .. });
         if !due || self.loads.count(under_way) > 0 {
             return;
         }
-        let asked = self
+        let requested = self
             .loads
-            .at_phase(|phase| matches!(phase, Phase::Asked { .. }));
+            .at_phase(|phase| matches!(phase, LoadPhase::TurnRequested { .. }));
         let urgent = |model: &AdapterVersion| {
             let urgency = self.urgency(model, now);
             let rank = urgency.class.map_or(2, |class| class as u8);
             (rank, std::cmp::Reverse(urgency.waiters))
         };
-        let Some(model) = asked.into_iter().min_by_key(|model| urgent(model)) else {
+        let Some(model) = requested.into_iter().min_by_key(|model| urgent(model)) else {
             return;
         };
         self.loads.unscheduled = Some(now);
         if let Some(load) = self.loads.get_mut(&model) {
             load.begin_turn(now);
         }
-        self.place_load(&model, now, out);
+        self.use_turn(&model, now, out);
     }
 
-    fn ask_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
+    fn request_turn(&mut self, model: &AdapterVersion, now: Moment, out: &mut Vec<OwnerAction>) {
         let urgency = self.urgency(model, now);
         let Some(load) = self.loads.get_mut(model) else {
             return;
         };
-        load.phase = Phase::Asked { renewed: now };
+        load.phase = LoadPhase::TurnRequested { renewed: now };
         if self.bugs.has(Bug::LoadsWithoutTurn) {
-            load.phase = Phase::HasTurn;
+            load.phase = LoadPhase::HasTurn;
         }
-        out.push(OwnerAction::AskTurn {
+        out.push(OwnerAction::RequestTurn {
             order: load.order,
             model: model.clone(),
             urgency,
@@ -478,6 +499,6 @@
     }
 
     fn urgency(&self, model: &AdapterVersion, now: Moment) -> LoadUrgency {
-        self.queue.urgency(model, now).unwrap_or(AHEAD)
+        self.queue.urgency(model, now).unwrap_or(PRELOAD_URGENCY)
     }
 }
--- a/crates/chervilshunt_core/src/owner/orders.rs
+++ b/crates/chervilshunt_core/src/owner/orders.rs
@@ -1,19 +1,19 @@
-//! Orders to the engine and what became of them.
+//! Orders to the engine and the handling of their results.
 
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, Moment};
 
 use super::action::OwnerAction;
-use super::loads::Phase;
+use super::loads::LoadPhase;
 use super::order::{EngineOrder, OrderFailure, OrderId, OrderKind};
-use super::slots::Moving;
-use super::tuning::{DEFERRABLE_LOAD_TRIES, LIVE_LOAD_TRIES};
+use super::slots::SlotTransition;
+use super::tuning::{DEFERRABLE_LOAD_ATTEMPTS, LIVE_LOAD_ATTEMPTS};
 use super::{ORDER_BITS, Owner};
 use crate::RefusalReason;
 use crate::bugs::Bug;
 
 impl Owner {
-    /// Gives the engine an order.
-    pub(super) fn give_order(
+    /// Sends an order to the engine.
+    pub(super) fn send_order(
         &mut self,
         id: OrderId,
         kind: OrderKind,
@@ -29,9 +29,10 @@
         }));
     }
 
-    /// Takes the end of an order; one that has ended before counts for nothing.
+    /// Handles the end of an order; an order that has ended before is ignored.
     ///
-    /// That the engine refuses the fencing number tells of another owner, however late it comes.
+    /// A refusal of the fencing number shows that another instance owns the target, so it counts
+    /// however late it arrives.
     pub(super) fn order_ended(
         &mut self,
         order: OrderId,
@@ -61,64 +62,65 @@
         self.loads.review_due = true;
     }
 
-    /// Takes all orders on their way for unanswered, as the engine is gone.
+    /// Ends all pending orders with an unknown result, because the engine is unreachable.
     ///
-    /// An answer that comes in later may have been given before a restart, and what it tells of
-    /// is gone with it.
-    pub(super) fn give_orders_up(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
-        let on_their_way: Vec<OrderId> = self.orders.keys().copied().collect();
-        for order in on_their_way {
+    /// A result that arrives later may have been sent before a restart, in which case its effect is
+    /// lost.
+    pub(super) fn fail_pending_orders(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
+        let pending: Vec<OrderId> = self.orders.keys().copied().collect();
+        for order in pending {
             self.order_ended(order, Err(OrderFailure::Unknown), now, out);
         }
     }
 
-    /// Brings the slots in line with the engine's listing.
+    /// Reconciles the slots with the engine's listing.
     pub(super) fn inventory(
         &mut self,
         listed: &[AdapterVersion],
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        let Some(asked) = self.engine.inventory_answered() else {
+        let Some(requested_at) = self.engine.inventory_answered() else {
             return;
         };
         if self.fenced {
             return;
         }
-        self.raise_barrier(listed, out);
-        let change = self.slots.reconcile(listed, asked, now);
-        for model in &change.lost {
+        self.start_barrier(listed, out);
+        let change = self.slots.reconcile(listed, requested_at, now);
+        for model in &change.missing {
             self.model_unavailable(model, now);
             self.remember_evicted(model);
         }
         for model in &change.found {
             self.model_available(model, now, out);
         }
-        for model in &change.still_there {
+        for model in &change.not_unloaded {
             let order = self.loads.new_order();
-            self.slots.unload_again(model, order, now);
-            self.give_order(order, OrderKind::Unload, model, out);
+            self.slots.restart_unload(model, order, now);
+            self.send_order(order, OrderKind::Unload, model, out);
         }
-        if change.undecided {
-            self.engine.want_inventory();
+        if change.incomplete {
+            self.engine.require_inventory();
         }
-        self.slots.forget_unloaded(asked, now);
+        self.slots.prune_recent_unloads(requested_at, now);
         self.loads.review_due = true;
     }
 
-    /// Takes a call's word that the engine does not hold the adapter of its permit.
+    /// Handles a call's report that the engine does not hold the adapter of its permit.
     ///
-    /// An adapter that was loaded after the permit was granted stays: the call was then answered
+    /// An adapter that was loaded after the permit was granted stays, since the call was answered
     /// before that load.
     pub(super) fn adapter_missing(&mut self, model: &AdapterVersion, granted: Moment, now: Moment) {
-        if self.slots.lose(model, granted) {
+        if self.slots.mark_missing(model, granted) {
             self.model_unavailable(model, now);
             self.remember_evicted(model);
         }
-        self.engine.want_inventory();
+        self.engine.require_inventory();
     }
 
-    /// Lets the requests for an adapter that is loaded from now on wait for room alone.
+    /// Moves the requests for an adapter that is loaded now from waiting for its load to waiting
+    /// for batch capacity.
     pub(super) fn model_available(
         &mut self,
         model: &AdapterVersion,
@@ -130,7 +132,10 @@
         let Some(load) = self.loads.remove(model) else {
             return;
         };
-        if matches!(load.phase, Phase::Asked { .. } | Phase::HasTurn) {
+        if matches!(
+            load.phase,
+            LoadPhase::TurnRequested { .. } | LoadPhase::HasTurn
+        ) {
             out.push(OwnerAction::EndTurn {
                 order: load.order,
                 loaded: None,
@@ -138,10 +143,10 @@
         }
     }
 
-    /// Lets the requests for an adapter that takes no permits any more wait for its load.
+    /// Moves the requests for an adapter that no longer takes permits back to waiting for its load.
     pub(super) fn model_unavailable(&mut self, model: &AdapterVersion, now: Moment) {
         if self.queue.block(model, now) {
-            self.loads.want(model, false, now);
+            self.loads.request(model, false, now);
         }
     }
 
@@ -158,24 +163,27 @@
             loaded: Some(result.is_ok()),
         });
         let phase = self.loads.get(model).map(|load| load.phase);
-        if let (Some(Phase::Ordered { at }), Ok(())) = (phase, result) {
-            self.loads.took(now.since(at));
+        if let (Some(LoadPhase::Ordered { at }), Ok(())) = (phase, result) {
+            self.loads.record_load_time(now.since(at));
         }
         match result {
             Ok(()) => {
-                self.slots.loaded(model, now);
-                self.last_loaded = Some(now);
+                self.slots.mark_loaded(model, now);
+                self.last_load = Some(now);
                 self.model_available(model, now, out);
                 return;
             }
-            Err(OrderFailure::Unknown) => self.slots.unanswered(model, Moving::MaybeLoaded, now),
-            Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.load_failed(model),
-        }
-        // The engine may refuse because it holds the adapter already, or other adapters than it
-        // was thought to hold: its listing tells.
-        self.engine.want_inventory();
-        let tries = self.loads.fail(model, now);
-        self.refuse_after_failure(model, tries, now, out);
+            Err(OrderFailure::Unknown) => {
+                self.slots
+                    .mark_unanswered(model, SlotTransition::MaybeLoaded, now)
+            }
+            Err(OrderFailure::Refused | OrderFailure::Fenced) => self.slots.mark_load_failed(model),
+        }
+        // The engine may refuse a load because it already holds the adapter, or because it holds
+        // other adapters than expected. Its listing shows which.
+        self.engine.require_inventory();
+        let failed_attempts = self.loads.record_failure(model, now);
+        self.refuse_after_failure(model, failed_attempts, now, out);
     }
 
     fn unload_ended(
@@ -185,55 +193,58 @@
         result: Result<(), OrderFailure>,
         now: Moment,
     ) {
-        if self.slots.moving(model) != Some(Moving::Unloading(order)) {
+        if self.slots.transition(model) != Some(SlotTransition::Unloading(order)) {
             return;
         }
         match result {
-            Ok(()) => self.slots.unloaded(model, now, now),
+            Ok(()) => self.slots.mark_unloaded(model, now, now),
             Err(OrderFailure::Unknown) => {
-                self.slots.unanswered(model, Moving::MaybeUnloaded, now);
-                self.engine.want_inventory();
+                self.slots
+                    .mark_unanswered(model, SlotTransition::MaybeUnloaded, now);
+                self.engine.require_inventory();
             }
             Err(OrderFailure::Refused | OrderFailure::Fenced) => {
-                // Either the engine does not hold it, or it would not let go: the listing tells.
-                self.slots.unanswered(model, Moving::MaybeUnloaded, now);
-                self.engine.want_inventory();
+                // The engine may not hold the adapter, or may have refused to unload it. Its
+                // listing shows which.
+                self.slots
+                    .mark_unanswered(model, SlotTransition::MaybeUnloaded, now);
+                self.engine.require_inventory();
             }
         }
     }
 
-    /// Refuses the requests whose tries are used up, at once.
+    /// Refuses or redirects at once the requests whose load attempts are used up.
     fn refuse_after_failure(
         &mut self,
         model: &AdapterVersion,
-        tries: u32,
+        failed_attempts: u32,
         now: Moment,
         out: &mut Vec<OwnerAction>,
     ) {
-        // An engine that has loaded nothing since this load was first wanted may be at fault, and
-        // the next-ranked one may do better; otherwise the weights are.
-        let wanted = self.loads.get(model).map_or(now, |load| load.wanted);
-        let engine_at_fault = self.last_loaded.is_none_or(|last| last < wanted);
-        let given_up: Vec<AttemptId> = self
+        // If the engine has loaded nothing since this load was requested, the engine may be at
+        // fault, and the next-ranked target may succeed. Otherwise the weights are at fault.
+        let load_requested_at = self.loads.get(model).map_or(now, |load| load.requested_at);
+        let engine_at_fault = self.last_load.is_none_or(|last| last < load_requested_at);
+        let rejected: Vec<AttemptId> = self
             .queue
             .blocked_on(model)
             .iter()
             .copied()
             .filter(|attempt| {
-                let lane = self.queue.get(*attempt).map(|it| it.req.class);
-                lane.is_some_and(|class| tries >= load_tries(class))
+                let class = self.queue.get(*attempt).map(|it| it.req.class);
+                class.is_some_and(|class| failed_attempts >= max_load_attempts(class))
             })
             .collect();
-        for attempt in given_up {
+        for attempt in rejected {
             if engine_at_fault {
-                self.turn_queued_away(attempt, RefusalReason::LoadFailed, now, out);
+                self.redirect_or_refuse_queued(attempt, RefusalReason::LoadFailed, now, out);
             } else {
                 self.refuse_queued(attempt, RefusalReason::LoadFailed, now, out);
             }
         }
     }
 
-    /// Stops all work: somebody else owns the target.
+    /// Stops all work because another instance owns the target.
     fn superseded(&mut self, now: Moment, out: &mut Vec<OwnerAction>) {
         self.fenced = true;
         let waiting: Vec<AttemptId> = self.queue.iter().map(|it| it.req.attempt).collect();
@@ -243,10 +254,10 @@
     }
 }
 
-/// Returns the tries to load an adapter before requests of a class are refused.
-pub(super) fn load_tries(class: Class) -> u32 {
+/// Returns the number of failed load attempts after which requests of a class are refused.
+pub(super) fn max_load_attempts(class: Class) -> u32 {
     match class {
-        Class::Live => LIVE_LOAD_TRIES,
-        Class::Deferrable => DEFERRABLE_LOAD_TRIES,
+        Class::Live => LIVE_LOAD_ATTEMPTS,
+        Class::Deferrable => DEFERRABLE_LOAD_ATTEMPTS,
     }
 }
--- a/crates/chervilshunt_core/src/owner/queue.rs
+++ b/crates/chervilshunt_core/src/owner/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait for a permit, each class in fair order.
+//! Requests that wait for a permit, in fair order within each class.
 //!
-//! Fairness between callers is start-time fair queueing: a request's tag is the point in the
-//! class's virtual time at which its caller's earlier work ends. A caller that floods the queue
-//! pushes its own tags ahead and nobody else's.
+//! Fairness between callers is start-time fair queueing: the tag of a request is the point in the
+//! virtual time of its class at which the caller's earlier work ends. A caller that floods the
+//! queue delays its own tags and nobody else's.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,51 +12,51 @@
 
 use crate::{LoadUrgency, PermitRequest, WaitTimes};
 
-/// Prompt tokens that cost an engine as much as one generated token: a prompt is worked through
-/// in parallel, an answer token by token.
-const PROMPT_TOKENS_PER_TOKEN: u64 = 16;
+/// Number of prompt tokens that cost an engine as much as one generated token: a prompt is
+/// processed in parallel, an answer token by token.
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 16;
 
-/// Virtual time of one token at weight 1; it leaves room to divide by weights.
+/// Virtual time of one token at weight 1, large enough that dividing by weights leaves precision.
 const TOKEN_SCALE: u64 = 1_024;
 
-/// Callers remembered for each class before those without a lead are forgotten.
-const CALLERS_KEPT: usize = 1_024;
+/// Number of callers tracked for each class before those that are not ahead of the virtual time are
+/// removed.
+const MAX_TRACKED_CALLERS: usize = 1_024;
 
-/// Place in the fair order of a class.
+/// Position in the fair order of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Tag {
     start: u64,
     arrival: u64,
 }
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
-    /// The request.
+pub(super) struct QueuedRequest {
     pub(super) req: PermitRequest,
     /// When it arrived.
     pub(super) arrived: Moment,
-    /// When the caller gives up.
+    /// When the caller gives up waiting.
     pub(super) deadline: Moment,
     tag: Tag,
-    lane: Class,
+    queue_class: Class,
     blocked: bool,
-    /// Since when it has been blocked or not.
-    relinked: Moment,
-    /// How long it was blocked before that.
-    was_blocked: Duration,
+    /// Since when the request has been blocked or ready.
+    state_since: Moment,
+    /// How long the request was blocked before that.
+    blocked_before: Duration,
 }
 
-/// A request that is decided about, fresh or out of the queue.
+/// A request under decision, either new or taken out of the queue, with the time that it has
+/// waited.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
-    /// The request.
+pub(super) struct TimedRequest {
     pub(super) req: PermitRequest,
     /// How long it has waited.
     pub(super) waited: WaitTimes,
 }
 
-impl From<PermitRequest> for Asked {
+impl From<PermitRequest> for TimedRequest {
     fn from(req: PermitRequest) -> Self {
         Self {
             req,
@@ -65,10 +65,10 @@
     }
 }
 
-impl Waiting {
-    /// Ends the wait.
-    pub(super) fn end(self, now: Moment) -> Asked {
-        Asked {
+impl QueuedRequest {
+    /// Ends the wait and returns the request with its waiting time.
+    pub(super) fn end(self, now: Moment) -> TimedRequest {
+        TimedRequest {
             waited: WaitTimes {
                 total: now.since(self.arrived),
                 for_load: self.blocked_for(now),
@@ -79,27 +79,30 @@
 
     fn blocked_for(&self, now: Moment) -> Duration {
         let since = if self.blocked {
-            now.since(self.relinked)
+            now.since(self.state_since)
         } else {
             Duration::ZERO
         };
-        self.was_blocked + since
+        self.blocked_before + since
     }
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct ClassQueue {
     ready: BTreeMap<Tag, AttemptId>,
     len: usize,
     virtual_time: u64,
     finish: IndexMap<CallerName, u64>,
 }
 
-/// Requests that wait at one owner.
+/// The requests that wait at one owner.
+///
+/// A request is blocked while its adapter is not loaded, and ready while it waits for batch
+/// capacity alone.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: IndexMap<AttemptId, Waiting>,
-    lanes: [Lane; 2],
+    waiting: IndexMap<AttemptId, QueuedRequest>,
+    queues: [ClassQueue; 2],
     blocked: IndexMap<AdapterVersion, Vec<AttemptId>>,
     ready_by_model: IndexMap<AdapterVersion, u32>,
     ready_by_age: [BTreeSet<(Moment, AttemptId)>; 2],
@@ -108,96 +111,101 @@
 }
 
 impl Queue {
-    /// Returns the requests of a class that wait.
-    pub(super) fn len(&self, lane: Class) -> usize {
-        self.lanes[lane as usize].len
+    /// Returns the number of waiting requests of a class.
+    pub(super) fn len(&self, queue_class: Class) -> usize {
+        self.queues[queue_class as usize].len
     }
 
-    /// Returns the requests of a class that wait for nothing but room.
-    pub(super) fn ready(&self, lane: Class) -> usize {
-        self.lanes[lane as usize].ready.len()
+    /// Returns the number of ready requests of a class.
+    pub(super) fn ready(&self, queue_class: Class) -> usize {
+        self.queues[queue_class as usize].ready.len()
     }
 
-    /// Returns the request of an attempt, if it waits.
-    pub(super) fn get(&self, attempt: AttemptId) -> Option<&Waiting> {
+    /// Returns the request of an attempt, if it is waiting.
+    pub(super) fn get(&self, attempt: AttemptId) -> Option<&QueuedRequest> {
         self.waiting.get(&attempt)
     }
 
-    /// Returns the requests for an adapter that wait for nothing but room.
+    /// Returns the number of ready requests for an adapter.
     pub(super) fn ready_for(&self, model: &AdapterVersion) -> u32 {
         self.ready_by_model.get(model).copied().unwrap_or(0)
     }
 
-    /// Adds a request; `fair` orders it between callers, otherwise it goes to the end.
+    /// Adds a request. With `fair` it is ordered between callers, otherwise by arrival.
     pub(super) fn push(
         &mut self,
         req: PermitRequest,
-        lane: Class,
+        queue_class: Class,
         fair: bool,
         blocked: bool,
         now: Moment,
     ) {
         let attempt = req.attempt;
-        let tag = self.tag(&req, lane, fair);
+        let tag = self.tag(&req, queue_class, fair);
         let deadline = now + Duration::from_millis(req.deadline_ms);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             req,
             arrived: now,
             deadline,
             tag,
-            lane,
+            queue_class,
             blocked,
-            relinked: now,
-            was_blocked: Duration::ZERO,
+            state_since: now,
+            blocked_before: Duration::ZERO,
         };
         self.deadlines.insert((deadline, attempt));
-        self.lanes[lane as usize].len += 1;
+        self.queues[queue_class as usize].len += 1;
         self.link(attempt, &waiting);
         self.waiting.insert(attempt, waiting);
     }
 
-    /// Takes a request out, whatever it waits for.
-    pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<Waiting> {
+    /// Removes a request, whether it is blocked or ready.
+    pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.waiting.swap_remove(&attempt)?;
         self.deadlines.remove(&(waiting.deadline, attempt));
-        self.lanes[waiting.lane as usize].len -= 1;
+        self.queues[waiting.queue_class as usize].len -= 1;
         self.unlink(attempt, &waiting);
         Some(waiting)
     }
 
-    /// Takes a request out that gets its permit now, which moves its class's virtual time on.
-    pub(super) fn take(&mut self, attempt: AttemptId) -> Option<Waiting> {
+    /// Removes a request that is granted its permit, which advances the virtual time of its class.
+    pub(super) fn take_for_grant(&mut self, attempt: AttemptId) -> Option<QueuedRequest> {
         let waiting = self.remove(attempt)?;
-        let lane = &mut self.lanes[waiting.lane as usize];
-        lane.virtual_time = lane.virtual_time.max(waiting.tag.start);
+        let queue = &mut self.queues[waiting.queue_class as usize];
+        queue.virtual_time = queue.virtual_time.max(waiting.tag.start);
         Some(waiting)
     }
 
-    /// Counts a request that got its permit without waiting.
-    pub(super) fn pass(&mut self, req: &PermitRequest, lane: Class, fair: bool) {
-        let tag = self.tag(req, lane, fair);
-        let lane = &mut self.lanes[lane as usize];
-        lane.virtual_time = lane.virtual_time.max(tag.start);
+    /// Counts a request that is granted its permit without waiting.
+    pub(super) fn record_immediate_grant(
+        &mut self,
+        req: &PermitRequest,
+        queue_class: Class,
+        fair: bool,
+    ) {
+        let tag = self.tag(req, queue_class, fair);
+        let queue = &mut self.queues[queue_class as usize];
+        queue.virtual_time = queue.virtual_time.max(tag.start);
     }
 
-    /// Returns the requests of a class that wait for nothing but room, in fair order.
-    pub(super) fn in_order(&self, lane: Class) -> impl Iterator<Item = &Waiting> {
-        let ready = self.lanes[lane as usize].ready.values();
+    /// Returns the ready requests of a class in fair order.
+    pub(super) fn in_order(&self, queue_class: Class) -> impl Iterator<Item = &QueuedRequest> {
+        let ready = self.queues[queue_class as usize].ready.values();
         ready.filter_map(|attempt| self.waiting.get(attempt))
     }
 
-    /// Returns the request of a class that has waited longest for nothing but room.
-    pub(super) fn oldest_ready(&self, lane: Class) -> Option<&Waiting> {
-        let (_, attempt) = self.ready_by_age[lane as usize].first()?;
+    /// Returns the ready request of a class that arrived first.
+    pub(super) fn oldest_ready(&self, queue_class: Class) -> Option<&QueuedRequest> {
+        let (_, attempt) = self.ready_by_age[queue_class as usize].first()?;
         self.waiting.get(attempt)
     }
 
-    /// Returns all requests that wait.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    /// Returns all waiting requests.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.waiting.values()
     }
 
-    /// Returns the attempts of an instance.
+    /// Returns the attempts of an instance that are waiting.
     pub(super) fn of_entry(&self, entry: &InstanceId) -> Vec<AttemptId> {
         let of_entry = self.waiting.values().filter(|it| it.req.entry == *entry);
         of_entry.map(|it| it.req.attempt).collect()
@@ -214,12 +222,13 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Returns the attempts that wait for an adapter to be loaded, in order of arrival.
+    /// Returns the attempts that wait for an adapter to be loaded, in the order in which they
+    /// became blocked.
     pub(super) fn blocked_on(&self, model: &AdapterVersion) -> &[AttemptId] {
         self.blocked.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns how badly an adapter is waited for, if it is.
+    /// Returns the urgency of a load of an adapter, if requests wait for it.
     pub(super) fn urgency(&self, model: &AdapterVersion, now: Moment) -> Option<LoadUrgency> {
         let waiting = self.blocked_on(model).iter();
         let mut waiting = waiting
@@ -227,13 +236,13 @@
             .peekable();
         let first = waiting.peek()?;
         let mut urgency = LoadUrgency {
-            class: Some(first.lane),
+            class: Some(first.queue_class),
             waiters: 0,
             oldest_ms: 0,
         };
         let mut oldest = now;
         for it in waiting {
-            urgency.class = urgency.class.min(Some(it.lane));
+            urgency.class = urgency.class.min(Some(it.queue_class));
             urgency.waiters += 1;
             oldest = oldest.min(it.arrived);
         }
@@ -242,29 +251,29 @@
     }
 
     /// Returns the most urgent class of the requests that wait for an adapter to be loaded.
-    pub(super) fn lane_blocked_on(&self, model: &AdapterVersion) -> Option<Class> {
+    pub(super) fn class_blocked_on(&self, model: &AdapterVersion) -> Option<Class> {
         let waiting = self.blocked_on(model).iter();
         waiting
             .filter_map(|attempt| self.waiting.get(attempt))
-            .map(|it| it.lane)
+            .map(|it| it.queue_class)
             .min()
     }
 
-    /// Lets the requests for an adapter that has been loaded wait for nothing but room.
+    /// Makes the requests for an adapter that has been loaded ready.
     pub(super) fn unblock(&mut self, model: &AdapterVersion, now: Moment) {
         for attempt in self.blocked.swap_remove(model).unwrap_or_default() {
-            self.relink(attempt, false, now);
+            self.set_blocked(attempt, false, now);
         }
     }
 
-    /// Lets the requests for an adapter that is no longer loaded wait for it.
+    /// Makes the ready requests for an adapter that is no longer loaded blocked.
     ///
     /// Returns whether there are any.
     pub(super) fn block(&mut self, model: &AdapterVersion, now: Moment) -> bool {
         if self.ready_for(model) == 0 {
             return false;
         }
-        let of_model = |it: &&Waiting| !it.blocked && it.req.model.as_ref() == Some(model);
+        let of_model = |it: &&QueuedRequest| !it.blocked && it.req.model.as_ref() == Some(model);
         let mut of_model: Vec<(Tag, AttemptId)> = self
             .waiting
             .values()
@@ -273,38 +282,38 @@
             .collect();
         of_model.sort_unstable();
         for (_, attempt) in of_model {
-            self.relink(attempt, true, now);
+            self.set_blocked(attempt, true, now);
         }
         true
     }
 
-    fn relink(&mut self, attempt: AttemptId, blocked: bool, now: Moment) {
+    fn set_blocked(&mut self, attempt: AttemptId, blocked: bool, now: Moment) {
         let Some(mut waiting) = self.waiting.get(&attempt).cloned() else {
             return;
         };
         self.unlink(attempt, &waiting);
-        waiting.was_blocked = waiting.blocked_for(now);
-        waiting.relinked = now;
+        waiting.blocked_before = waiting.blocked_for(now);
+        waiting.state_since = now;
         waiting.blocked = blocked;
         self.link(attempt, &waiting);
         self.waiting.insert(attempt, waiting);
     }
 
-    fn link(&mut self, attempt: AttemptId, waiting: &Waiting) {
+    fn link(&mut self, attempt: AttemptId, waiting: &QueuedRequest) {
         if let (true, Some(model)) = (waiting.blocked, &waiting.req.model) {
             self.blocked.entry(model.clone()).or_default().push(attempt);
             return;
         }
-        self.lanes[waiting.lane as usize]
+        self.queues[waiting.queue_class as usize]
             .ready
             .insert(waiting.tag, attempt);
-        self.ready_by_age[waiting.lane as usize].insert((waiting.arrived, attempt));
+        self.ready_by_age[waiting.queue_class as usize].insert((waiting.arrived, attempt));
         if let Some(model) = &waiting.req.model {
             *self.ready_by_model.entry(model.clone()).or_insert(0) += 1;
         }
     }
 
-    fn unlink(&mut self, attempt: AttemptId, waiting: &Waiting) {
+    fn unlink(&mut self, attempt: AttemptId, waiting: &QueuedRequest) {
         if let (true, Some(model)) = (waiting.blocked, &waiting.req.model) {
             let Some(blocked) = self.blocked.get_mut(model) else {
                 return;
@@ -315,8 +324,10 @@
             }
             return;
         }
-        self.lanes[waiting.lane as usize].ready.remove(&waiting.tag);
-        self.ready_by_age[waiting.lane as usize].remove(&(waiting.arrived, attempt));
+        self.queues[waiting.queue_class as usize]
+            .ready
+            .remove(&waiting.tag);
+        self.ready_by_age[waiting.queue_class as usize].remove(&(waiting.arrived, attempt));
         let Some(model) = &waiting.req.model else {
             return;
         };
@@ -328,28 +339,29 @@
         }
     }
 
-    fn tag(&mut self, req: &PermitRequest, lane: Class, fair: bool) -> Tag {
+    fn tag(&mut self, req: &PermitRequest, queue_class: Class, fair: bool) -> Tag {
         self.arrivals += 1;
         let arrival = self.arrivals;
         if !fair {
             return Tag { start: 0, arrival };
         }
-        let lane = &mut self.lanes[lane as usize];
-        let cost =
-            u64::from(req.prompt_tokens) / PROMPT_TOKENS_PER_TOKEN + u64::from(req.max_tokens);
+        let queue = &mut self.queues[queue_class as usize];
+        let cost = u64::from(req.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
+            + u64::from(req.max_tokens);
         let cost = cost.max(1) * TOKEN_SCALE / u64::from(req.weight.max(1));
-        lane.forget_callers();
-        let finish = lane.finish.entry(req.caller.clone()).or_insert(0);
-        let start = (*finish).max(lane.virtual_time);
+        queue.forget_callers();
+        let finish = queue.finish.entry(req.caller.clone()).or_insert(0);
+        let start = (*finish).max(queue.virtual_time);
         *finish = start + cost;
         Tag { start, arrival }
     }
 }
 
-impl Lane {
-    /// Forgets callers whose work ended before the virtual time: they start level with newcomers.
+impl ClassQueue {
+    /// Removes callers whose work ended before the virtual time; they have no advantage or
+    /// disadvantage against new callers.
     fn forget_callers(&mut self) {
-        if self.finish.len() < CALLERS_KEPT.max(2 * self.len) {
+        if self.finish.len() < MAX_TRACKED_CALLERS.max(2 * self.len) {
             return;
         }
         let now = self.virtual_time;
--- a/crates/chervilshunt_core/src/owner/view.rs
+++ b/crates/chervilshunt_core/src/owner/view.rs
@@ -1,4 +1,4 @@
-//! What an owner shows of itself to operators and metrics.
+//! The state of an owner as shown to operators and metrics.
 
 use std::time::Duration;
 
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 
 use super::Owner;
-use super::loads::Phase;
-use super::slots::Moving;
+use super::loads::LoadPhase;
+use super::slots::SlotTransition;
 use crate::Permit;
 
 /// The state of an owner at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnerView {
-    /// Permits that are out, by class.
+    /// Number of outstanding live permits.
     pub live_permits: usize,
-    /// Deferrable permits that are out.
+    /// Number of outstanding deferrable permits.
     pub deferrable_permits: usize,
-    /// Live requests that wait.
+    /// Number of live requests in the queue.
     pub live_waiting: usize,
-    /// Deferrable requests that wait.
+    /// Number of deferrable requests in the queue.
     pub deferrable_waiting: usize,
-    /// Sequences that may run at a time within the share of power.
+    /// Number of sequences that may run at the same time within the share of power.
     pub batch_bound: usize,
     /// The share of power, in watts.
     pub share_watts: f64,
-    /// Adapters in slots, on their way, or waited for.
+    /// The adapters that are in slots, in transition or requested.
     pub adapters: Vec<AdapterView>,
-    /// Adapters whose demand is remembered.
+    /// Number of adapters whose demand is recorded.
     pub known_adapters: usize,
     /// Whether evictions are safe: the permits of earlier owners are known or have ended.
     pub takeover_complete: bool,
@@ -40,16 +40,16 @@
     pub model: AdapterVersion,
     /// Its state.
     pub state: AdapterState,
-    /// Permits that pin it.
+    /// Number of permits that pin it.
     pub pins: u32,
-    /// Requests that wait for it to be loaded.
+    /// Number of requests that wait for it to be loaded.
     pub waiters: usize,
-    /// Loads that failed in a row.
+    /// Number of failed attempts of its current load.
     pub failed_loads: u32,
-    /// The class of the most urgent request that waits for the load; none without one.
+    /// The class of the most urgent request that waits for the load, or `None` if no request does.
     pub class: Option<Class>,
-    /// How long its load has been wanted; none where no load is.
-    pub wanted_for: Option<Duration>,
+    /// Time since its load was requested, or `None` if none is requested.
+    pub load_requested_for: Option<Duration>,
 }
 
 /// The state of an adapter version at a target.
@@ -60,20 +60,20 @@
     Serving,
     /// It is loaded and serves no permit.
     Idle,
-    /// It is loaded, and makes room once its permits are released.
+    /// It is loaded, takes no further permits, and frees its slot once its permits are released.
     Draining,
-    /// It waits for a slot, for its turn, or for a pause after a failure to end.
+    /// Its load waits for a slot, a turn or the end of a backoff.
     Pending,
     /// The engine is loading it.
     Loading,
     /// The engine is unloading it.
     Unloading,
-    /// An order went unanswered, and the engine has been asked.
+    /// An order for it got no response, and the engine's inventory has been requested.
     Unknown,
 }
 
 impl Owner {
-    /// Returns the state for operators and metrics; not for every request.
+    /// Returns the state for operators and metrics. It is too costly to compute for every request.
     pub fn view(&self, now: Moment) -> OwnerView {
         OwnerView {
             live_permits: self.permits.live(),
@@ -88,19 +88,20 @@
         }
     }
 
-    /// Returns the permits that are out, for operators.
+    /// Returns the outstanding permits, for operators.
     pub fn permits(&self) -> impl Iterator<Item = &Permit> {
         self.permits.iter().map(|held| &held.permit)
     }
 
-    /// Returns the permits that are out with the time since each was granted, or learnt of after a
+    /// Returns the outstanding permits with the time since each was granted, or reported after a
     /// takeover.
     pub fn held_permits(&self, now: Moment) -> impl Iterator<Item = (&Permit, Duration)> {
         let held = self.permits.iter();
         held.map(move |held| (&held.permit, now.since(held.since)))
     }
 
-    /// Returns the time that a load asked for now is expected to take, with its wait for a turn.
+    /// Returns the expected time until an adapter that is requested now is loaded, including the
+    /// wait for a turn.
     pub fn expected_load_time(&self, now: Moment) -> Duration {
         self.loads.expected_time(now)
     }
@@ -116,21 +117,27 @@
         });
         let idle = self.slots.idle();
         let idle = idle.map(|(model, _)| self.adapter_view(model, AdapterState::Idle, 0, now));
-        let moving = self.slots.all_moving().map(|(model, what)| {
+        let transitions = self.slots.transitions().map(|(model, what)| {
             let state = match what {
-                Moving::Loading(_) => AdapterState::Loading,
-                Moving::Unloading(_) => AdapterState::Unloading,
-                Moving::MaybeLoaded | Moving::MaybeUnloaded => AdapterState::Unknown,
+                SlotTransition::Loading(_) => AdapterState::Loading,
+                SlotTransition::Unloading(_) => AdapterState::Unloading,
+                SlotTransition::MaybeLoaded | SlotTransition::MaybeUnloaded => {
+                    AdapterState::Unknown
+                }
             };
             self.adapter_view(model, state, 0, now)
         });
         let pending = self.loads.iter().filter(|(model, load)| {
-            let in_slot = self.slots.holds(model) || self.slots.moving(model).is_some();
-            !in_slot && !matches!(load.phase, Phase::Ordered { .. })
+            let in_slot = self.slots.holds(model) || self.slots.transition(model).is_some();
+            !in_slot && !matches!(load.phase, LoadPhase::Ordered { .. })
         });
         let pending =
             pending.map(|(model, _)| self.adapter_view(model, AdapterState::Pending, 0, now));
-        pinned.chain(idle).chain(moving).chain(pending).collect()
+        pinned
+            .chain(idle)
+            .chain(transitions)
+            .chain(pending)
+            .collect()
     }
 
     fn adapter_view(
@@ -147,9 +154,9 @@
             state,
             pins,
             waiters: self.queue.blocked_on(model).len(),
-            failed_loads: load.map_or(0, |load| load.tries),
+            failed_loads: load.map_or(0, |load| load.failed_attempts),
             class: urgency.and_then(|urgency| urgency.class),
-            wanted_for: load.map(|load| now.since(load.wanted)),
+            load_requested_for: load.map(|load| now.since(load.requested_at)),
         }
     }
 }
--- a/crates/chervilshunt_core/tests/allocator_machine.rs
+++ b/crates/chervilshunt_core/tests/allocator_machine.rs
@@ -414,7 +414,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(400))]
+    #![proptest_config(support::proptest_config(400))]
 
     #[test]
     fn the_power_of_a_site_stays_within_its_cap(sequential 1..120 => AllocatorTest);
@@ -426,11 +426,11 @@
 #[case::accepts_stale_confirmation(Bug::AcceptsStaleConfirmation, "W can be drawn")]
 #[case::forgets_draw_at_takeover(Bug::ForgetsDrawAtTakeover, "W can be drawn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint =
-        support::complaint_of(check, RandomSteps::init_state(), step(), |weight, steps| {
+    let message =
+        support::failure_message(check, RandomSteps::init_state(), step(), |weight, steps| {
             let mut simulation = Simulation::new(weight, Some(bug));
             steps.into_iter().for_each(|step| simulation.step(step));
             simulation.settle();
         });
-    assert!(complaint.contains(check), "{complaint}");
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/owner_machine.rs
+++ b/crates/chervilshunt_core/tests/owner_machine.rs
@@ -1,8 +1,8 @@
-//! An owner under random events, late, doubled and crossed, against an oracle.
+//! An owner under random events, some of them late, duplicated or reordered, checked by an oracle.
 //!
-//! The engine, the load scheduler, the entry instances and the links between them are a few lines
-//! each. A message to the owner lies in a box until a step delivers it, in any order; a doubled one
-//! stays in the box.
+//! The engine, the load scheduler, the entry instances and the links between them are modelled in a
+//! few lines each. A message to the owner stays in a mailbox until a step delivers it, in any
+//! order; a duplicated message is delivered and stays in the mailbox.
 
 mod support;
 
@@ -27,10 +27,10 @@
 const MAX_BATCH: u32 = 4;
 const QUEUE_BOUND: usize = 5;
 const MODELS: u32 = 6;
-/// An order that is still on its way after this time is lost, as [`Step::Advance`] sees to.
-const FLIGHT_BOUND: Duration = Duration::from_secs(15);
-/// A doubled request arrives at the latest this long after the first.
-const LATEST_DOUBLE: Duration = Duration::from_secs(60);
+/// An order that is still in transit after this time is lost; [`Step::Advance`] enforces this.
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
+/// Maximum time between a request and its duplicate.
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -47,18 +47,18 @@
     ReleaseAgain(usize),
     Cancel(usize),
     Deliver(usize),
-    Double(usize),
+    Duplicate(usize),
     GrantTurn(usize),
-    /// The engine carries an order out, or refuses it, and may lose the answer.
+    /// The engine carries an order out or refuses it, and its answer may be lost.
     Engine {
         order: usize,
         refuse: bool,
         lose_answer: bool,
     },
-    /// The answer to an order is lost while the order is still on its way.
+    /// The answer to an order is lost while the order is still in transit.
     GiveUpOrder(usize),
     Restart,
-    /// Another owner with a higher fencing number gives the engine an order.
+    /// Another owner with a higher fencing number sends the engine an order.
     Superseded,
     Reachable(bool),
     EntryLeft(u8),
@@ -117,7 +117,7 @@
         2 => index().prop_map(Step::ReleaseAgain),
         2 => index().prop_map(Step::Cancel),
         30 => index().prop_map(Step::Deliver),
-        3 => index().prop_map(Step::Double),
+        3 => index().prop_map(Step::Duplicate),
         14 => index().prop_map(Step::GrantTurn),
         14 => engine,
         2 => index().prop_map(Step::GiveUpOrder),
@@ -136,22 +136,24 @@
     ]
 }
 
-/// The steps depend on nothing but chance: the indexes wrap round at what there is.
+/// The steps are random and independent of the state: their indexes wrap around at the number of
+/// available items.
 #[derive(Debug)]
-struct Chance;
+struct RandomSteps;
 
-/// What the earlier owner left: permits by number, their adapters, and what else is loaded.
+/// What the earlier owner left behind: the adapters of its permits, and how many adapters are
+/// loaded.
 #[derive(Clone, Debug)]
 struct Start {
     old_permits: Vec<u32>,
     loaded: u32,
     peers: u32,
     fencing: Fencing,
-    /// Whether an unload by the earlier owner is still on its way.
-    stray: bool,
+    /// Whether an unload by the earlier owner is still in transit.
+    unload_in_transit: bool,
 }
 
-impl ReferenceStateMachine for Chance {
+impl ReferenceStateMachine for RandomSteps {
     type State = Start;
     type Transition = Step;
 
@@ -164,13 +166,15 @@
             fencing,
             any::<bool>(),
         )
-            .prop_map(|(old_permits, loaded, peers, fencing, stray)| Start {
-                old_permits,
-                loaded,
-                peers,
-                fencing,
-                stray,
-            })
+            .prop_map(
+                |(old_permits, loaded, peers, fencing, unload_in_transit)| Start {
+                    old_permits,
+                    loaded,
+                    peers,
+                    fencing,
+                    unload_in_transit,
+                },
+            )
             .boxed()
     }
 
@@ -190,7 +194,7 @@
     answered: bool,
 }
 
-/// The owner with everything round it.
+/// The owner and the simulated components around it.
 struct World {
     owner: Owner,
     now: Moment,
@@ -198,10 +202,10 @@
     oracle: Oracle,
     loaded: BTreeSet<AdapterVersion>,
     old: Vec<Permit>,
-    boxed: Vec<OwnerEvent>,
+    mailbox: Vec<OwnerEvent>,
     turns: Vec<OrderId>,
-    /// Turns asked for, and those of them that the owner holds.
-    asked: BTreeSet<OrderId>,
+    /// Turns that were requested, and those of them that the owner holds.
+    requested_turns: BTreeSet<OrderId>,
     granted: BTreeSet<OrderId>,
     scheduler_up: bool,
     orders: Vec<PendingOrder>,
@@ -210,10 +214,10 @@
     share_sequence: u64,
     next_attempt: u128,
     fencing: Fencing,
-    /// Whether the engine is gone and the owner has yet to be told.
-    blind: bool,
-    /// Whether the owner is about to learn that somebody else owns the target.
-    fenced_off: bool,
+    /// Whether the engine has restarted and the owner has not been notified yet.
+    engine_lost: bool,
+    /// Whether the owner is about to learn that another instance owns the target.
+    will_learn_of_fencing: bool,
     /// The highest fencing number that the engine has seen.
     highest: Epoch,
 }
@@ -235,9 +239,9 @@
             oracle: Oracle::new(MAX_BATCH as usize, QUEUE_BOUND),
             loaded: (0..start.loaded).map(model).collect(),
             old: Vec::new(),
-            boxed: Vec::new(),
+            mailbox: Vec::new(),
             turns: Vec::new(),
-            asked: BTreeSet::new(),
+            requested_turns: BTreeSet::new(),
             granted: BTreeSet::new(),
             scheduler_up: true,
             orders: Vec::new(),
@@ -246,18 +250,20 @@
             share_sequence: 0,
             next_attempt: 1_000,
             fencing: start.fencing,
-            blind: false,
-            fenced_off: false,
+            engine_lost: false,
+            will_learn_of_fencing: false,
             highest: Epoch::new(6),
         };
         for (number, old) in start.old_permits.iter().enumerate() {
             world.add_old_permit(number as u128, model(*old));
         }
-        if start.stray && start.fencing == Fencing::Checks {
-            world.add_stray_unload();
+        if start.unload_in_transit && start.fencing == Fencing::Checks {
+            world.add_unload_in_transit();
         }
         let (entry, permits) = (InstanceId::from("e0"), world.old.clone());
-        world.boxed.push(OwnerEvent::PermitsHeld { entry, permits });
+        world
+            .mailbox
+            .push(OwnerEvent::PermitsHeld { entry, permits });
         world.tick();
         world
     }
@@ -266,7 +272,7 @@
         let mut req = request(number, Some(model.clone()), Class::Live);
         req.attempt = AttemptId::from_u128(number);
         self.loaded.insert(model.clone());
-        self.oracle.opened_before(req.attempt, model.clone());
+        self.oracle.add_earlier_call(req.attempt, model.clone());
         self.old.push(Permit {
             attempt: req.attempt,
             entry: req.entry,
@@ -278,8 +284,8 @@
         });
     }
 
-    /// The earlier owner unloads an idle adapter, and loses its role before the order arrives.
-    fn add_stray_unload(&mut self) {
+    /// The earlier owner unloads an idle adapter and loses its role before the order arrives.
+    fn add_unload_in_transit(&mut self) {
         let idle = self.loaded.iter().find(|it| !self.oracle.pins(it)).cloned();
         let Some(model) = idle else {
             return;
@@ -309,7 +315,7 @@
                 ((watts - 100.0) / 10.0).round() as usize
             }
         };
-        self.oracle.before(&event, sequences, self.now);
+        self.oracle.observe_event(&event, sequences, self.now);
         if let OwnerEvent::TurnGranted { order, .. } = event {
             self.granted.insert(order);
         }
@@ -321,10 +327,10 @@
             }
         );
         let actions = self.owner.handle(event, self.now);
-        if fenced && self.fenced_off {
+        if fenced && self.will_learn_of_fencing {
             self.oracle.fence();
         }
-        self.oracle.after(&actions, &self.owner, self.now);
+        self.oracle.check_actions(&actions, &self.owner, self.now);
         for action in actions {
             self.note(action);
         }
@@ -339,12 +345,12 @@
                 let held = permit.model.is_none_or(|it| self.loaded.contains(&it));
                 let open = self.oracle.open().contains(&permit.attempt);
                 assert!(
-                    held || !open || self.blind,
+                    held || !open || self.engine_lost,
                     "a permit for an adapter that is not loaded"
                 );
             }
-            OwnerAction::AskTurn { order, .. } => {
-                self.asked.insert(order);
+            OwnerAction::RequestTurn { order, .. } => {
+                self.requested_turns.insert(order);
                 if !self.turns.contains(&order) {
                     self.turns.push(order);
                 }
@@ -353,7 +359,7 @@
                 self.granted.remove(&order);
                 self.turns.retain(|it| *it != order);
             }
-            OwnerAction::HoldTurn { order, .. } => {
+            OwnerAction::RenewTurn { order, .. } => {
                 self.granted.insert(order);
             }
             OwnerAction::Order(order) => {
@@ -365,20 +371,21 @@
                     answered,
                 });
             }
-            OwnerAction::AskInventory => {
-                // The client drops the answer to a question that it asks again.
-                self.boxed
+            OwnerAction::RequestInventory => {
+                // The client drops the answer to a request that it repeats.
+                self.mailbox
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
                 let listed = self.loaded.iter().cloned().collect();
-                self.boxed.push(OwnerEvent::Inventory(listed));
+                self.mailbox.push(OwnerEvent::Inventory(listed));
             }
             _ => {}
         }
     }
 
-    /// A load that was asked for goes out in its turn, but while there is no scheduler.
+    /// A load for which a turn was requested must be sent with that turn, except while the
+    /// scheduler is unreachable.
     fn check_turn(&self, order: &EngineOrder) {
-        let in_turn = self.granted.contains(&order.id) || !self.asked.contains(&order.id);
+        let in_turn = self.granted.contains(&order.id) || !self.requested_turns.contains(&order.id);
         assert!(in_turn || !self.scheduler_up, "a load without a turn");
     }
 
@@ -421,25 +428,25 @@
                 }
             }
             Step::Deliver(n) => {
-                if !self.boxed.is_empty() {
-                    let event = self.boxed.swap_remove(n % self.boxed.len());
+                if !self.mailbox.is_empty() {
+                    let event = self.mailbox.swap_remove(n % self.mailbox.len());
                     let held = matches!(event, OwnerEvent::PermitsHeld { .. });
                     self.handle(event);
                     if held {
-                        self.boxed.push(OwnerEvent::TakeoverComplete);
+                        self.mailbox.push(OwnerEvent::TakeoverComplete);
                     }
                 }
             }
-            Step::Double(n) => {
-                let event = pick(&self.boxed, n).cloned();
-                if let Some(event) = event.filter(may_double) {
+            Step::Duplicate(n) => {
+                let event = pick(&self.mailbox, n).cloned();
+                if let Some(event) = event.filter(may_be_duplicated) {
                     self.handle(event);
                 }
             }
             Step::GrantTurn(n) => {
                 if let Some(order) = pick(&self.turns, n).copied() {
                     let queue_wait = Duration::from_millis(200);
-                    self.boxed
+                    self.mailbox
                         .push(OwnerEvent::TurnGranted { order, queue_wait });
                 }
             }
@@ -450,16 +457,16 @@
             } => self.engine(order, refuse, lose_answer),
             Step::GiveUpOrder(n) => self.give_up_order(n),
             Step::Restart => {
-                // What ran there is cut; the entry instances give their permits back.
+                // Its running calls are aborted, and the entry instances release their permits.
                 self.loaded.clear();
-                self.blind = true;
-                self.boxed
+                self.engine_lost = true;
+                self.mailbox
                     .retain(|it| !matches!(it, OwnerEvent::Inventory(_)));
                 for attempt in self.oracle.open() {
                     self.release(attempt, ReleaseOutcome::TargetFailed);
                 }
                 self.handle(OwnerEvent::Reachable(false));
-                self.blind = false;
+                self.engine_lost = false;
                 self.handle(OwnerEvent::Reachable(true));
             }
             Step::Superseded if self.fencing == Fencing::Checks => self.highest = Epoch::new(8),
@@ -474,38 +481,39 @@
                     waiting: 0,
                     age: Duration::from_millis(u64::from(age)),
                 };
-                self.boxed.push(OwnerEvent::Reported(report));
+                self.mailbox.push(OwnerEvent::EngineReported(report));
             }
             Step::Share(sequences) => {
                 self.share_sequence += 1;
                 let (sequence, watts) = (self.share_sequence, 100.0 + 10.0 * f64::from(sequences));
-                self.boxed.push(OwnerEvent::ShareSet { sequence, watts });
+                self.mailbox.push(OwnerEvent::ShareSet { sequence, watts });
             }
             Step::Draining(draining) => self.handle(OwnerEvent::Draining(draining)),
             Step::Scheduler(up) => {
                 self.scheduler_up = up;
                 self.handle(OwnerEvent::SchedulerReachable(up));
             }
-            Step::Cached => self.handle(OwnerEvent::Cached(vec![0])),
+            Step::Cached => self.handle(OwnerEvent::PrefixesCached(vec![0])),
             Step::Advance(millis) => {
                 self.deliver_held_in_time(millis);
                 self.now = self.now + Duration::from_millis(millis);
                 let now = self.now;
                 self.requests
-                    .retain(|(_, at)| now.since(*at) < LATEST_DOUBLE);
+                    .retain(|(_, at)| now.since(*at) < MAX_DUPLICATE_DELAY);
                 self.lose_old_orders();
                 self.tick();
             }
         }
     }
 
-    /// An instance lists its permits within the time for which the owner remembers what it left.
+    /// Ensures that an instance lists its permits within the time for which the owner remembers
+    /// that the instance left.
     fn deliver_held_in_time(&mut self, millis: u64) {
-        let late = self.now + Duration::from_millis(millis) > self.started + LATEST_DOUBLE;
+        let late = self.now + Duration::from_millis(millis) > self.started + MAX_DUPLICATE_DELAY;
         let is_held = |it: &OwnerEvent| matches!(it, OwnerEvent::PermitsHeld { .. });
-        let place = self.boxed.iter().position(is_held);
-        if let (true, Some(place)) = (late, place) {
-            self.step(Step::Deliver(place));
+        let index = self.mailbox.iter().position(is_held);
+        if let (true, Some(index)) = (late, index) {
+            self.step(Step::Deliver(index));
         }
     }
 
@@ -526,7 +534,7 @@
         let pending = self.orders.remove(n % self.orders.len());
         let result = self.carry_out(&pending.order, refuse);
         if result == Err(OrderFailure::Fenced) && !pending.answered && !lose_answer {
-            self.fenced_off = true;
+            self.will_learn_of_fencing = true;
         }
         if !pending.answered {
             let result = if lose_answer {
@@ -535,7 +543,7 @@
                 result
             };
             let order = pending.order.id;
-            self.boxed.push(OwnerEvent::OrderEnded { order, result });
+            self.mailbox.push(OwnerEvent::OrderEnded { order, result });
         }
     }
 
@@ -566,7 +574,7 @@
         }
     }
 
-    /// The daemon gives an order up, which may yet arrive at the engine.
+    /// The daemon gives up on an order, which may still reach the engine.
     fn give_up_order(&mut self, n: usize) {
         if self.orders.is_empty() {
             return;
@@ -576,7 +584,7 @@
         if !pending.answered {
             pending.answered = true;
             let (order, result) = (pending.order.id, Err(OrderFailure::Unknown));
-            self.boxed.push(OwnerEvent::OrderEnded { order, result });
+            self.mailbox.push(OwnerEvent::OrderEnded { order, result });
         }
     }
 
@@ -585,7 +593,7 @@
         let (kept, lost): (Vec<_>, Vec<_>) = self
             .orders
             .drain(..)
-            .partition(|it| now.since(it.given) < FLIGHT_BOUND);
+            .partition(|it| now.since(it.given) < MAX_ORDER_DELAY);
         self.orders = kept;
         for pending in lost.into_iter().filter(|it| !it.answered) {
             let (order, result) = (pending.order.id, Err(OrderFailure::Unknown));
@@ -593,7 +601,7 @@
         }
     }
 
-    /// With all faults over, every request that waits is answered in bounded time.
+    /// Once all faults are over, every waiting request must be answered within bounded time.
     fn settle(&mut self) {
         for event in [
             OwnerEvent::Draining(false),
@@ -605,7 +613,7 @@
         self.scheduler_up = true;
         self.step(Step::Share(MAX_BATCH));
         for _ in 0..600 {
-            while !self.boxed.is_empty() {
+            while !self.mailbox.is_empty() {
                 self.step(Step::Deliver(0));
             }
             if self.oracle.waiting().is_empty() {
@@ -621,15 +629,15 @@
             self.step(Step::Advance(500));
         }
         panic!(
-            "requests wait for ever: {:?}, {:#?}",
+            "requests wait forever: {:?}, {:#?}",
             self.oracle.waiting(),
             self.owner.view(self.now)
         );
     }
 }
 
-/// An answer over HTTP arrives once.
-fn may_double(event: &OwnerEvent) -> bool {
+/// An answer over HTTP arrives only once.
+fn may_be_duplicated(event: &OwnerEvent) -> bool {
     !matches!(
         event,
         OwnerEvent::TakeoverComplete | OwnerEvent::Inventory(_)
@@ -644,7 +652,7 @@
 
 impl StateMachineTest for OwnerTest {
     type SystemUnderTest = World;
-    type Reference = Chance;
+    type Reference = RandomSteps;
 
     fn init_test(start: &Start) -> World {
         World::new(start)
@@ -661,28 +669,30 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(300))]
+    #![proptest_config(support::proptest_config(300))]
 
     #[test]
-    fn an_owner_keeps_its_promises(sequential 1..120 => OwnerTest);
+    fn an_owner_keeps_its_invariants(sequential 1..120 => OwnerTest);
 }
 
-/// Each bug of a kind that a change could bring in is found, and by the check that is meant for it.
+/// Each seeded bug, of a kind that a change could introduce, must be detected by the check intended
+/// for it.
 #[rstest]
 #[case::evicts_in_takeover(Bug::EvictsInTakeover, "an eviction before the takeover is complete")]
 #[case::release_frees_all_pins(Bug::ReleaseFreesAllPins, "a pinned adapter is unloaded")]
-#[case::takeover_forgets_permits(Bug::TakeoverForgetsPermits, "permits out")]
+#[case::takeover_forgets_permits(Bug::TakeoverForgetsPermits, "outstanding permits")]
 #[case::grants_beyond_batch(Bug::GrantsBeyondBatch, "more than the")]
 #[case::forgets_settled_attempts(Bug::ForgetsSettledAttempts, "requests waiting")]
 #[case::ignores_fenced_answer(Bug::IgnoresFencedAnswer, "after it was fenced off")]
 #[case::handles_answer_twice(Bug::HandlesAnswerTwice, "a permit for an adapter that is not loaded")]
 #[case::loads_without_turn(Bug::LoadsWithoutTurn, "a load without a turn")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, Chance::init_state(), step(), |start, steps| {
-        let mut world = World::new(&start);
-        world.owner.seed(bug);
-        steps.into_iter().for_each(|step| world.step(step));
-        world.settle();
-    });
-    assert!(complaint.contains(check), "{complaint}");
+    let message =
+        support::failure_message(check, RandomSteps::init_state(), step(), |start, steps| {
+            let mut world = World::new(&start);
+            world.owner.seed(bug);
+            steps.into_iter().for_each(|step| world.step(step));
+            world.settle();
+        });
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/scheduler_machine.rs
+++ b/crates/chervilshunt_core/tests/scheduler_machine.rs
@@ -343,7 +343,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(support::fuzz(300))]
+    #![proptest_config(support::proptest_config(300))]
 
     #[test]
     fn a_load_scheduler_respects_the_limits_of_its_store(sequential 1..120 => SchedulerTest);
@@ -358,11 +358,12 @@
 #[case::counts_end_twice(Bug::CountsEndTwice, "loads drawn in a second")]
 #[case::never_times_out(Bug::NeverTimesOut, "turns are never granted")]
 fn the_oracle_finds_a_seeded_bug(#[case] bug: Bug, #[case] check: &str) {
-    let complaint = support::complaint_of(check, RandomSteps::init_state(), step(), |(), steps| {
-        let mut simulation = Simulation::new();
-        simulation.scheduler.seed(bug);
-        steps.into_iter().for_each(|step| simulation.step(step));
-        simulation.settle();
-    });
-    assert!(complaint.contains(check), "{complaint}");
+    let message =
+        support::failure_message(check, RandomSteps::init_state(), step(), |(), steps| {
+            let mut simulation = Simulation::new();
+            simulation.scheduler.seed(bug);
+            steps.into_iter().for_each(|step| simulation.step(step));
+            simulation.settle();
+        });
+    assert!(message.contains(check), "{message}");
 }
--- a/crates/chervilshunt_core/tests/support/owner_oracle.rs
+++ b/crates/chervilshunt_core/tests/support/owner_oracle.rs
@@ -1,7 +1,7 @@
-//! What an owner may never do, whatever happens round it.
+//! The invariants of an owner.
 //!
-//! The oracle sees the events that reach the owner and the actions that come back. It knows which
-//! calls are truly open, and so what the owner may not touch.
+//! The oracle sees the events that reach the owner and the actions that it returns. It knows which
+//! calls are really open, and therefore which adapters the owner must not unload.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,14 +12,16 @@
 };
 use chervilshunt_model::{AdapterVersion, AttemptId, Class, InstanceId, Moment};
 
-/// Time after which the permits of an instance that left have surely ended.
-pub(crate) const GONE: Duration = Duration::from_secs(12);
+/// Time after which the permits of an instance that left have certainly ended: the permit window of
+/// 2 s and the grace period of 10 s.
+pub(crate) const LEFT_ENTRY_PERMIT_TIME: Duration = Duration::from_secs(12);
 
-/// Failed calls below which an owner may not close its target: half of the five that it looks at.
+/// Number of failed calls below which an owner must not close its target: half of the five calls
+/// that the breaker looks at.
 const FAILED_CALLS_TO_CLOSE: u32 = 3;
 
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     model: Option<AdapterVersion>,
     entry: InstanceId,
     ends: Option<Moment>,
@@ -33,17 +35,17 @@
     share_bound: usize,
     share_sequence: u64,
     waiting: BTreeMap<AttemptId, (PermitRequest, Moment)>,
-    open: BTreeMap<AttemptId, Open>,
+    open: BTreeMap<AttemptId, OpenCall>,
     answered: BTreeMap<AttemptId, (u8, PermitAnswer)>,
     released: BTreeSet<AttemptId>,
-    /// Calls of an earlier owner's permits that the owner has not been told of.
-    unheard: BTreeSet<AttemptId>,
+    /// Calls under an earlier owner's permits that have not been reported to the owner.
+    unreported: BTreeSet<AttemptId>,
     left: BTreeSet<InstanceId>,
     complete: bool,
     draining: bool,
     down: bool,
     fenced: bool,
-    /// Calls that were told to have failed.
+    /// Number of calls that were reported as failed.
     failed_calls: u32,
 }
 
@@ -57,40 +59,45 @@
         }
     }
 
-    /// Says whether a call with this adapter is open.
+    /// Returns whether a call with this adapter is open.
     pub(crate) fn pins(&self, model: &AdapterVersion) -> bool {
         self.open
             .values()
             .any(|it| it.model.as_ref() == Some(model))
     }
 
-    /// Returns the attempts whose permits are out.
+    /// Returns the attempts whose permits are outstanding.
     pub(crate) fn open(&self) -> Vec<AttemptId> {
         self.open.keys().copied().collect()
     }
 
-    /// Returns the attempts that wait.
+    /// Returns the attempts that are waiting.
     pub(crate) fn waiting(&self) -> Vec<AttemptId> {
         self.waiting.keys().copied().collect()
     }
 
-    /// A call that was opened under an earlier owner's permit.
-    pub(crate) fn opened_before(&mut self, attempt: AttemptId, model: AdapterVersion) {
+    /// Adds a call that was opened under an earlier owner's permit.
+    pub(crate) fn add_earlier_call(&mut self, attempt: AttemptId, model: AdapterVersion) {
         let (model, entry) = (Some(model), InstanceId::from("e0"));
         let ends = None;
-        self.open.insert(attempt, Open { model, entry, ends });
-        self.unheard.insert(attempt);
+        self.open.insert(attempt, OpenCall { model, entry, ends });
+        self.unreported.insert(attempt);
     }
 
-    /// Takes an event that is about to reach the owner.
-    pub(crate) fn before(&mut self, event: &OwnerEvent, watts: impl Fn(f64) -> usize, now: Moment) {
+    /// Records an event that is about to reach the owner.
+    pub(crate) fn observe_event(
+        &mut self,
+        event: &OwnerEvent,
+        watts: impl Fn(f64) -> usize,
+        now: Moment,
+    ) {
         match event {
             OwnerEvent::PermitRequested(req) => {
                 let hops = self.answered.get(&req.attempt).map(|it| it.0);
-                let anew = hops.is_none_or(|hops| req.hops > hops);
+                let is_new = hops.is_none_or(|hops| req.hops > hops);
                 let known =
                     self.open.contains_key(&req.attempt) || self.released.contains(&req.attempt);
-                if anew && !known {
+                if is_new && !known {
                     self.answered.remove(&req.attempt);
                     self.waiting
                         .entry(req.attempt)
@@ -113,16 +120,19 @@
                 self.released.extend(gone.map(|(attempt, _)| attempt));
                 self.left.insert(entry.clone());
                 for (attempt, open) in self.open.iter_mut().filter(|it| it.1.entry == *entry) {
-                    if !self.unheard.contains(attempt) {
-                        open.ends.get_or_insert(now + GONE);
+                    if !self.unreported.contains(attempt) {
+                        open.ends.get_or_insert(now + LEFT_ENTRY_PERMIT_TIME);
                     }
                 }
             }
             OwnerEvent::PermitsHeld { entry, permits } => {
                 let left = self.left.contains(entry);
-                for permit in permits.iter().filter(|it| self.unheard.remove(&it.attempt)) {
+                for permit in permits
+                    .iter()
+                    .filter(|it| self.unreported.remove(&it.attempt))
+                {
                     if let (true, Some(open)) = (left, self.open.get_mut(&permit.attempt)) {
-                        open.ends = Some(now + GONE);
+                        open.ends = Some(now + LEFT_ENTRY_PERMIT_TIME);
                     }
                 }
             }
@@ -144,8 +154,8 @@
         self.released.extend(ended.map(|(attempt, _)| attempt));
     }
 
-    /// Checks what the owner did about it.
-    pub(crate) fn after(&mut self, actions: &[OwnerAction], owner: &Owner, now: Moment) {
+    /// Checks the owner's actions in response to the event.
+    pub(crate) fn check_actions(&mut self, actions: &[OwnerAction], owner: &Owner, now: Moment) {
         for action in actions {
             match action {
                 OwnerAction::Answer {
@@ -166,7 +176,8 @@
         self.check_counts(owner, now);
     }
 
-    /// Notes that the engine has refused the owner's fencing number, and it knows.
+    /// Records that the engine has refused the owner's fencing number and that the owner knows
+    /// this.
     pub(crate) fn fence(&mut self) {
         self.fenced = true;
     }
@@ -190,14 +201,14 @@
                 assert!(!self.fenced, "a grant after it was fenced off");
                 assert_eq!((&permit.model, permit.class), (&req.model, req.class));
                 let (model, entry, ends) = (req.model.clone(), req.entry.clone(), None);
-                self.open.insert(attempt, Open { model, entry, ends });
+                self.open.insert(attempt, OpenCall { model, entry, ends });
                 assert!(
                     self.open.len() <= self.max_batch,
                     "more than the batch holds"
                 );
                 assert!(
                     self.open.len() <= self.share_bound,
-                    "more than the share of power bears"
+                    "more than the share of power allows"
                 );
             }
             PermitAnswer::Redirect { targets } => assert!(!targets.is_empty()),
@@ -205,7 +216,7 @@
                 reason,
                 retry_after_ms,
             } => {
-                assert!(*retry_after_ms > 0, "a refusal without a time to come back");
+                assert!(*retry_after_ms > 0, "a refusal without a retry time");
                 self.check_refusal(&req, *reason, arrived, now);
             }
         }
@@ -241,10 +252,10 @@
         let waiting = view.live_waiting + view.deferrable_waiting;
         assert_eq!(waiting, self.waiting.len(), "requests waiting");
         let out = view.live_permits + view.deferrable_permits;
-        let learnt = self.open.len();
+        let open = self.open.len();
         assert!(
-            out == learnt || (out < learnt && !self.complete),
-            "permits out: {out}, {learnt}"
+            out == open || (out < open && !self.complete),
+            "outstanding permits: {out} at the owner, {open} open calls"
         );
         let overdue =
             |(req, at): &(PermitRequest, Moment)| *at + Duration::from_millis(req.deadline_ms);
@@ -252,7 +263,7 @@
             assert!(next > now, "a request is held beyond its deadline");
             assert!(
                 owner.next_wakeup().is_some_and(|at| at <= next),
-                "sleeps past a deadline"
+                "the next wakeup is after a deadline"
             );
         }
     }
@@ -265,7 +276,7 @@
         .any(|it| matches!(it, OwnerAction::Log(log) if of_model(log)))
 }
 
-/// Whether two answers are the same but for the hint.
+/// Returns whether two answers are equal, apart from the spread hint of a granted permit.
 fn same(left: &PermitAnswer, right: &PermitAnswer) -> bool {
     match (left, right) {
         (PermitAnswer::Granted { permit, .. }, PermitAnswer::Granted { permit: other, .. }) => {
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -34,7 +34,7 @@
             OwnerAction::Answer {
                 attempt, answer, ..
             } => owned.answer(attempt, answer),
-            OwnerAction::AskTurn {
+            OwnerAction::RequestTurn {
                 order,
                 model,
                 urgency,
@@ -62,7 +62,7 @@
                 };
                 self.to_role(PeerMessage::TurnEnded(ended), steps);
             }
-            OwnerAction::HoldTurn { order, model } => {
+            OwnerAction::RenewTurn { order, model } => {
                 let held = TurnHeld {
                     store,
                     target: target.clone(),
@@ -72,7 +72,7 @@
                 self.to_role(PeerMessage::TurnHeld(held), steps);
             }
             OwnerAction::Order(order) => self.give_order(target, order, steps),
-            OwnerAction::AskInventory => self.ask_inventory(target),
+            OwnerAction::RequestInventory => self.ask_inventory(target),
             OwnerAction::ConfirmShare { sequence, watts } => {
                 owned.confirmed = Some((sequence, watts));
                 self.confirm_share(target, steps);
