--- a/crates/chervilshunt_coord/src/bugs.rs
+++ b/crates/chervilshunt_coord/src/bugs.rs
@@ -1,44 +1,48 @@
-//! Protocol bugs that tests seed, to show that their checks find them.
+//! Protocol bugs that tests seed into the state machines to prove that their checks detect them.
 
-/// A bug that a test can seed into a machine.
+/// A protocol bug that a test can seed into a state machine.
 ///
-/// Outside this crate's own tests no bug can be seeded and the branches compile to nothing.
+/// No bug can be seeded outside this crate's tests, where the branches for them compile to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(dead_code, reason = "only tests construct bugs")]
 pub(crate) enum Bug {
-    /// A lease counts from the answer to its renewal, not from before it was sent.
+    /// The lease's validity is counted from the reply to a renewal instead of from before the
+    /// renewal was sent.
     LeaseFromReply,
-    /// The holder doesn't look at its lease before an order.
+    /// The holder does not check that its lease is valid before it sends an order.
     LeaseNotChecked,
-    /// A taker doesn't wait until the lease has been unchanged for its full time.
+    /// An instance takes over without waiting for the lease to stay unchanged for its full
+    /// duration.
     TakerDoesNotWait,
-    /// A taker raises the epoch without marking the lease lapsed.
+    /// An instance raises the epoch for a takeover without marking the old lease lapsed.
     LapseNotMarked,
-    /// A role changes hands without a higher epoch.
+    /// A role passes to another holder without a higher epoch.
     EpochNotRaised,
-    /// A holder that has handed a role over gives orders until the assignment says so.
+    /// A holder that has released a role keeps sending orders until the assignment records the
+    /// handover.
     OrdersAfterRelease,
-    /// The head moves before all live instances have acknowledged.
+    /// The head moves to the new revision before all live instances have acknowledged the change.
     HeadMovedBeforeAcks,
-    /// A head with a lower generation than one seen before is taken.
+    /// A head with a lower generation than one already seen is accepted.
     StaleHeadAccepted,
-    /// An instance that acknowledged and hears no decision goes on taking work.
+    /// An instance that acknowledged a change and receives no decision keeps taking work.
     UndecidedTakesWork,
-    /// An instance that joins reads the head before its lease exists.
+    /// A joining instance reads the head before its lease exists.
     HeadReadBeforeLease,
-    /// A claim is granted before it is recorded.
+    /// A claim is granted before it is recorded in the platform.
     ClaimBeforeRecord,
-    /// A claim keeper that starts doesn't read what was recorded.
+    /// A claim keeper starts without reading the claims recorded by earlier keepers.
     ClaimsNotRead,
-    /// An instance vouches although it has promised not to.
+    /// An instance vouches although it has promised not to vouch.
     VouchDespitePromise,
-    /// A write whose answer was lost is taken as not done.
+    /// A write with a lost answer is treated as a failed write.
     LostAnswerIsFailure,
-    /// The promises of a hold are counted from their arrival, not from before they were asked for.
+    /// The promises behind a hold are counted from their arrival instead of from before they were
+    /// requested.
     HoldFromReply,
 }
 
-/// The bug seeded into a machine, if any.
+/// The bug seeded into a state machine, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Bugs {
     #[cfg(test)]
@@ -52,7 +56,7 @@
         seeded: None,
     };
 
-    /// Seeds a bug.
+    /// Returns a value with `bug` seeded.
     #[cfg(test)]
     pub(crate) const fn seeded(bug: Bug) -> Self {
         Self { seeded: Some(bug) }
