--- a/crates/chervilshunt_coord/src/claims.rs
+++ b/crates/chervilshunt_coord/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims of idempotency keys: a keyed, non-idempotent request runs at most once.
+//! Idempotency claims: a keyed, non-idempotent request runs at most once.
 //!
-//! A [`ClaimKeeper`] decides for one shard of the keys and records every claim in the platform
-//! before the request may be sent. See `docs/design/at-most-once.md`.
+//! A [`ClaimKeeper`] decides for one shard of the idempotency keys. It records every claim in the
+//! platform before the request may be sent. See `docs/design/at-most-once.md`.
 
 mod keeper;
 mod log;
--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -1,4 +1,4 @@
-//! Decides, for one shard of the idempotency keys, whether a keyed request may run.
+//! Decides whether keyed requests of one shard may run.
 
 mod claim;
 mod types;
@@ -18,17 +18,18 @@
     CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, Stored,
 };
 
-/// The machines of claim keepers number their calls from here on, by shard.
+/// Machine number of the claim log of shard 0 in call ids; shard `n` adds `n`.
 const FIRST_LOG_MACHINE: u32 = 1_000;
 
-/// The machines of claim keepers number their reads of leases from here on, by shard.
+/// Machine number of the lease reads of shard 0 in call ids; shard `n` adds `n`.
 const FIRST_LEASE_MACHINE: u32 = 1_000_000;
 
-/// Decides, for one shard of the idempotency keys, whether a keyed request may run.
+/// Decides whether keyed requests of one shard may run.
 ///
-/// A claim is granted only once it is recorded in the platform, so that whoever keeps the claims
-/// next knows of it. Many claims share one write. What became of a claimed request is recorded
-/// too, but nobody waits for that: if it is lost, a retry is told that the outcome is unknown.
+/// A claim is granted only after it is recorded in the platform, so that the next keeper of the
+/// shard finds it there. Claims are batched: many share one write. The outcomes of claimed requests
+/// are recorded too, but no request waits for that: if an outcome is lost, a retry is answered
+/// [`ClaimAnswer::Unknown`].
 #[derive(Debug)]
 pub struct ClaimKeeper {
     cfg: ClaimConfig,
@@ -37,24 +38,27 @@
     ready: bool,
     superseded: bool,
     claims: BTreeMap<ClaimKey, Claim>,
-    /// Requests that came before the log was read, with when they are given up.
+    /// Requests that arrived before the log was read, each with the time at which it is refused.
     early: VecDeque<(ClaimRequest, Moment)>,
-    /// Claims that were being recorded, in the order in which they are given up; those that were
-    /// recorded meanwhile are passed over. Looking at all claims instead would cost a keeper with
-    /// 200,000 of them more processor time at rest than a node may spend on control.
+    /// Keys of claims whose recording was pending, ordered by the time at which they are refused.
+    /// Entries whose claims have been recorded since are skipped.
+    ///
+    /// Scanning all claims instead would cost an idle keeper with 200,000 claims more CPU time than
+    /// a node may spend on control.
     recording: VecDeque<(Moment, ClaimKey)>,
-    /// What is to be recorded with the next pages.
+    /// Entries to write with the next pages.
     unrecorded: VecDeque<ClaimEntry>,
     commit_at: Moment,
-    /// Since when the platform has not answered.
+    /// When the platform first failed to answer; `None` after a successful read or write of the
+    /// log.
     failing_since: Option<Moment>,
-    /// Leases that are being read, for the instances that run claimed requests.
+    /// Pending reads of the leases of instances that run claimed requests.
     lease_reads: BTreeMap<CallId, ClaimKey>,
     bugs: Bugs,
 }
 
 impl ClaimKeeper {
-    /// Begins to keep a shard's claims: the first tick reads what was recorded.
+    /// Starts a keeper; the first tick reads the pages that earlier keepers recorded.
     pub fn new(cfg: ClaimConfig, now: Moment) -> Self {
         let log = ClaimLog::new(
             cfg.shard,
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Returns the shard whose keeper made a call, if a keeper made it.
+    /// Returns the shard whose keeper made `call`, or `None` if no claim keeper made it.
     pub const fn shard_of_call(call: CallId) -> Option<u32> {
         let machine = call.machine();
         if machine >= FIRST_LEASE_MACHINE {
@@ -93,23 +97,22 @@
         }
     }
 
-    /// Seeds a bug.
     #[cfg(test)]
     pub(crate) fn seed(&mut self, bugs: Bugs) {
         self.bugs = bugs;
     }
 
-    /// Returns the number of claims that are remembered.
+    /// Returns the number of claims held in memory.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns whether no claim is remembered.
+    /// Returns whether no claim is held in memory.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Returns when [`ClaimEvent::Tick`] is next wanted.
+    /// Returns when the next [`ClaimEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         if self.superseded {
             return None;
@@ -121,9 +124,10 @@
         [log, commit, early, waiting].into_iter().flatten().min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     ///
-    /// [`ClaimEvent::Asked`] may be handed in only while the role may be acted under.
+    /// [`ClaimEvent::Asked`] may be passed in only while this instance may act under the
+    /// shard's role.
     pub fn handle(&mut self, event: ClaimEvent, now: Moment) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
@@ -161,14 +165,15 @@
         }
     }
 
-    /// Answers a request whose key is claimed; none if its claim is being recorded.
+    /// Returns the answer to a request whose key is already claimed; `None` while that claim is
+    /// being recorded for the same attempt.
     fn answer_known(&self, claim: &Claim, req: &ClaimRequest) -> Option<ClaimAnswer> {
         if claim.fingerprint != req.fingerprint {
             return Some(ClaimAnswer::OtherRequest);
         }
         let is_same_try = claim.attempt == req.attempt;
         Some(match &claim.state {
-            // The same try asks once more, as the answer was lost or the question doubled.
+            // The same attempt asks again: the answer was lost or the request was duplicated.
             ClaimState::Recording { .. } if is_same_try => return None,
             ClaimState::Running if is_same_try => ClaimAnswer::Granted,
             ClaimState::Recording { .. } | ClaimState::Running => ClaimAnswer::InProgress {
@@ -234,7 +239,7 @@
         }
     }
 
-    /// Finds out whether the instance that runs a claimed request still does.
+    /// Checks whether the instance that runs a claimed request is still alive and still running it.
     fn look_after(
         &mut self,
         key: ClaimKey,
@@ -287,7 +292,8 @@
         }
     }
 
-    /// Ends a claim whose entry instance is gone: nobody will ever know what became of it.
+    /// Ends a claim as unknown if the lease of its entry instance has ended: no outcome will be
+    /// reported any more.
     fn on_lease(&mut self, key: ClaimKey, result: PlatformResult) {
         let gone = match result {
             PlatformResult::Found(Stored {
@@ -383,7 +389,7 @@
         actions.push(ClaimAction::Superseded);
     }
 
-    /// Refuses the requests that have waited for long; it's their final answer.
+    /// Refuses requests that have waited too long; the refusal is their final answer.
     fn give_up(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
         while let Some((req, _)) = self.early.pop_front_if(|(_, at)| now >= *at) {
             actions.push(self.not_now(&req));
@@ -394,7 +400,7 @@
             let Some(claim) = waits.cloned() else {
                 continue;
             };
-            // The claim may be recorded all the same, so it is recorded that it did not run.
+            // The write of the claim may still succeed, so its end as not run is recorded too.
             self.on_ended(key, claim.attempt, ClaimOutcome::NotRun);
             actions.push(self.not_now(&claim.request(key)));
         }
@@ -417,7 +423,7 @@
         }
     }
 
-    /// Deletes the pages whose claims have all been kept for long enough.
+    /// Deletes the oldest pages whose claims have all been kept for the retention period.
     fn forget_old(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
         let old: Vec<_> = self.log.pages_before(now - self.cfg.keep_for).collect();
         for sequence in old {
--- a/crates/chervilshunt_coord/src/claims/keeper/claim.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/claim.rs
@@ -1,4 +1,4 @@
-//! One claimed key.
+//! The state of one claimed key.
 
 use chervilshunt_model::{AttemptId, Moment};
 
@@ -6,32 +6,32 @@
 use crate::claims::record::{ClaimKey, ClaimOutcome};
 use crate::holder::Holder;
 
-/// A claimed key.
+/// A claimed key and the state of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Claim {
     pub(super) fingerprint: u64,
     pub(super) attempt: AttemptId,
     pub(super) entry: Holder,
     pub(super) state: ClaimState,
-    /// The last page that says something of it.
+    /// The sequence number of the last page that mentions this claim.
     pub(super) last_page: Option<u64>,
-    /// When it may be looked after the instance that runs it.
+    /// The earliest time of the next check of the instance that runs the request.
     pub(super) check_at: Moment,
 }
 
-/// How far a claimed request has come.
+/// The progress of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ClaimState {
-    /// The claim is being recorded; nobody may send the request yet.
+    /// The claim is being recorded; the request may not be sent yet.
     Recording { give_up_at: Moment },
-    /// The claim was granted, now or by an earlier keeper.
+    /// The claim was granted, by this keeper or an earlier one.
     Running,
     /// The request has ended.
     Ended(ClaimOutcome),
 }
 
 impl Claim {
-    /// Returns the request that it was made for.
+    /// Returns the request that this claim was made for.
     pub(super) fn request(&self, key: ClaimKey) -> ClaimRequest {
         ClaimRequest {
             key,
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Returns whether this outcome tells more than what is known.
+    /// Returns whether `outcome` adds information to the current state.
     pub(super) fn may_become(&self, outcome: &ClaimOutcome) -> bool {
         match &self.state {
             ClaimState::Recording { .. } | ClaimState::Running => true,
-            // It was called unknown because its instance was taken for dead, and now that one
-            // says what became of it. That it did not run comes too late to free the key: another
-            // keeper may know it as unknown.
+            // The outcome was set to unknown because the instance was presumed dead, and now that
+            // instance reports how the request ended. A late `NotRun` must not free the key, as
+            // another keeper may already know the claim as unknown.
             ClaimState::Ended(ClaimOutcome::Unknown) => {
                 matches!(outcome, ClaimOutcome::Done { .. })
             }
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -1,4 +1,4 @@
-//! What a claim keeper is told to do, reacts to, and wants done.
+//! Configuration, events and actions of a claim keeper.
 
 use std::time::Duration;
 
@@ -9,37 +9,40 @@
 use crate::holder::Holder;
 use crate::platform::{CallId, PlatformCall, PlatformResult};
 
-/// How a claim keeper behaves.
+/// Configuration of a claim keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimConfig {
-    /// The shard of the keys.
+    /// The shard of the idempotency keys.
     pub shard: u32,
-    /// This run of this instance.
+    /// This instance and its incarnation.
     pub me: Holder,
-    /// The epoch under which it holds the role.
+    /// The epoch under which this instance holds the shard's role.
     pub epoch: Epoch,
-    /// The least time between two pages; claims that come meanwhile share a page.
+    /// The minimum time between two pages; claims that arrive meanwhile share a page.
     pub commit_every: Duration,
-    /// The most records of a page, which bounds it far below the platform's megabyte.
+    /// The maximum number of entries of a page, which keeps pages far below the platform's limit of
+    /// 1 MB.
+    ///
+    /// It also limits the requests that wait until the log has been read.
     pub page_at_most: usize,
-    /// How long a request waits for its claim to be recorded.
+    /// How long a request waits for its claim to be recorded before it is refused.
     pub wait_at_most: Duration,
-    /// How long claims and outcomes are remembered.
+    /// How long claims and outcomes are kept.
     pub keep_for: Duration,
-    /// The most claims that are remembered; more are refused.
+    /// The maximum number of claims held in memory; further requests are refused.
     pub remember_at_most: usize,
-    /// How long after a failed call the next try follows.
+    /// The delay before a failed call to the platform is retried.
     pub retry_every: Duration,
-    /// How often, at the most, it is looked after the instance that runs a claimed request.
+    /// The minimum time between two checks of the instance that runs a claimed request.
     pub check_every: Duration,
-    /// When a caller who is told to come back should do so.
+    /// The delay after which a refused caller is asked to retry.
     pub retry_after: Duration,
-    /// What keyed requests get while the platform can't be asked.
+    /// How keyed requests are handled while the platform is unavailable.
     pub in_outage: ClaimsInOutage,
 }
 
 impl ClaimConfig {
-    /// Takes the defaults for all that need not be said.
+    /// Creates a configuration with default values for everything else.
     pub const fn new(shard: u32, me: Holder, epoch: Epoch) -> Self {
         Self {
             shard,
@@ -58,71 +61,71 @@
     }
 }
 
-/// What keyed requests get while the platform can't be asked.
+/// How keyed requests are handled while the platform is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimsInOutage {
-    /// They are refused, as not run, and told when to come back.
+    /// They are refused as not run, with a retry delay.
     Refuse,
     /// They run, and their claims are kept in memory until they can be recorded.
     ///
-    /// If their keeper crashes during the outage a retry may run once more.
+    /// If the keeper crashes during the outage, a retry may run the request a second time.
     RunUnrecorded,
 }
 
 /// A request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The key.
+    /// The idempotency key.
     pub key: ClaimKey,
-    /// A hash of the request, to tell a retry from another request under the same key.
+    /// A hash of the request, which distinguishes a retry from another request under the same key.
     pub fingerprint: u64,
-    /// The try that the claim is for.
+    /// The attempt that the claim is for.
     pub attempt: AttemptId,
-    /// The run of the instance that would carry it out.
+    /// The entry instance, with its incarnation, that would send the request.
     pub entry: Holder,
 }
 
 /// The answer to a request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The request may be sent, by this try alone.
+    /// The request may be sent, by this attempt only.
     Granted,
-    /// Another try is running.
+    /// Another attempt is running.
     InProgress {
-        /// When to come back, in milliseconds.
+        /// The delay before the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
     /// The request has run, with this outcome.
     Ended {
-        /// The status of the answer.
+        /// The status code of the answer.
         status: u16,
-        /// What the answer said, if that was kept.
+        /// The body of the answer, if it was kept.
         body: Option<std::sync::Arc<str>>,
     },
-    /// The request may have run; nobody knows.
+    /// The request may have run; its outcome is lost.
     Unknown,
-    /// Another request has used the key.
+    /// The key was used for another request.
     OtherRequest,
-    /// It can't be said now; this try did not and will not run.
+    /// No claim can be made at the moment; this attempt has not run and will not run.
     NotNow {
-        /// When to come back, in milliseconds.
+        /// The delay before the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// What a claim keeper has to react to.
+/// An input to a claim keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// An instance asks for a claim.
+    /// An instance requests a claim.
     Asked(ClaimRequest),
-    /// The try that a claim was granted to, or asked for, has ended.
+    /// The attempt that a claim was granted to, or requested for, has ended.
     Ended {
-        /// The key.
+        /// The idempotency key.
         key: ClaimKey,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// The outcome of the request.
         outcome: ClaimOutcome,
     },
     /// A call to the platform has ended.
@@ -131,32 +134,32 @@
     Tick,
 }
 
-/// What a claim keeper wants done.
+/// An action for the driver of a claim keeper to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Call the platform.
     Call(PlatformCall),
     /// Answer a request for a claim.
     Answer {
-        /// Who asked.
+        /// The instance that requested the claim.
         entry: Holder,
-        /// For which try.
+        /// The attempt that the claim was requested for.
         attempt: AttemptId,
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// Ask an instance after a try: if it no longer runs, how did it end?
+    /// Ask an instance whether it still runs an attempt and, if not, how the attempt ended.
     ///
-    /// An instance that doesn't know the try has not sent it and never will, and says
-    /// [`ClaimOutcome::NotRun`] only if it has kept all its tries since it started.
+    /// An instance that does not know the attempt has not sent it and never will. It may answer
+    /// [`ClaimOutcome::NotRun`] only if it has kept records of all its attempts since it started.
     AskEntry {
-        /// The run of the instance.
+        /// The instance and its incarnation.
         entry: Holder,
-        /// The key.
+        /// The idempotency key.
         key: ClaimKey,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Another instance keeps the shard's claims now; this keeper grants nothing more.
+    /// Another instance now keeps the shard's claims; this keeper grants no more.
     Superseded,
 }
