--- a/crates/chervilshunt_coord/src/claims/log.rs
+++ b/crates/chervilshunt_coord/src/claims/log.rs
@@ -1,4 +1,4 @@
-//! The log of one shard's claims in the platform.
+//! The log of one shard's claims, stored in the platform.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,40 +11,40 @@
     CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose, Stored,
 };
 
-/// What came of the log's calls.
+/// The effect of a platform call's result on the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LogNews {
-    /// The pages that earlier keepers wrote, oldest first; the log is ready.
+    /// The pages written by earlier keepers, oldest first; the log is ready.
     Loaded(Vec<ClaimPage>),
     /// The page that was being written is recorded.
     Recorded(ClaimPage),
-    /// The platform does not answer; the page is still to be recorded.
+    /// The platform does not answer; the current operation is retried.
     Failed,
-    /// Another keeper writes the log; this one may not any more.
+    /// Another keeper writes the log; this keeper no longer may.
     Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Doing {
-    /// The pages have to be listed.
+    /// The pages have yet to be listed.
     Begin,
     Listing(CallId),
-    /// The first page of this keeper is being written; with what was listed before.
+    /// The first page of this keeper is being written; holds the pages listed before.
     Sealing(CallId, Vec<ClaimPage>),
     Idle,
     Writing(CallId, ClaimPage),
-    /// The page may be recorded: it has to be read back.
+    /// The write may have succeeded: the page has to be read back.
     Unsettled(ClaimPage),
     Settling(CallId, ClaimPage),
     Superseded,
 }
 
-/// Appends pages to the log, each under the number after the last.
+/// Appends pages to the log, each under the next sequence number.
 ///
-/// A page is created and never changed, so two keepers can't both write under a number. A keeper
-/// starts by writing a page of its own: from then on whatever an earlier keeper, woken from a
-/// pause, still tries to record fails, and that claim is not granted. This holds whatever the
-/// leases say.
+/// Pages are created and never changed, so two keepers cannot both write the same sequence number.
+/// A keeper starts by writing an empty page of its own. After that, any page that an earlier keeper
+/// still tries to write, for example after a pause of its process, fails, and the claims in it are
+/// not granted. This does not depend on leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ClaimLog {
     shard: u32,
@@ -55,7 +55,8 @@
     next: u64,
     doing: Doing,
     retry_at: Moment,
-    /// The pages in the platform with when they were recorded or read, oldest first.
+    /// The sequence numbers of the pages in the platform, with the time at which each was recorded
+    /// or read, oldest first.
     pages: VecDeque<(u64, Moment)>,
 }
 
@@ -89,12 +90,12 @@
         self.doing == Doing::Superseded
     }
 
-    /// Returns when [`Self::advance`] has something to do.
+    /// Returns when [`Self::advance`] next has a call to make.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         matches!(self.doing, Doing::Begin | Doing::Unsettled(_)).then_some(self.retry_at)
     }
 
-    /// Calls what is due.
+    /// Returns the next call that is due, if any.
     pub(super) fn advance(&mut self, now: Moment) -> Option<PlatformCall> {
         if now < self.retry_at {
             return None;
@@ -123,7 +124,7 @@
         Some(call)
     }
 
-    /// Begins to record a page; only when idle.
+    /// Starts to write a page; may be called only while idle.
     pub(super) fn append(&mut self, entries: Vec<ClaimEntry>) -> PlatformCall {
         let page = self.page(entries);
         let object = Object::Claims(page.clone());
@@ -132,8 +133,9 @@
         call
     }
 
-    /// Returns the pages recorded or read before `before`, oldest first, but never the last one:
-    /// without it the next keeper would begin to count anew.
+    /// Returns the pages recorded or read before `before`, oldest first, without the last page.
+    ///
+    /// If the last page were deleted, the next keeper would start again at sequence number 0.
     pub(super) fn pages_before(&self, before: Moment) -> impl Iterator<Item = u64> {
         let all_but_last = self.pages.len().saturating_sub(1);
         self.pages
@@ -156,7 +158,7 @@
         )
     }
 
-    /// Takes the result of a call; returns what came of it, and the next call.
+    /// Handles the result of a call; returns its effect on the log and the next call.
     pub(super) fn on_reply(
         &mut self,
         call: CallId,
@@ -218,8 +220,8 @@
         if let PlatformResult::Written(_) = result {
             return Some(self.loaded(pages, now));
         }
-        // Another page may have come first: an earlier keeper's last one, or this seal, whose
-        // answer was lost. The list tells.
+        // The sequence number may be taken, either by an earlier keeper's last page or by this
+        // keeper's own first page whose answer was lost. Listing the pages again shows which.
         self.begin_again(now);
         (!result.is_answer()).then_some(LogNews::Failed)
     }
--- a/crates/chervilshunt_coord/src/claims/record.rs
+++ b/crates/chervilshunt_coord/src/claims/record.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps of claims.
+//! The claim records stored in the platform.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,18 +10,19 @@
 
 use crate::holder::Holder;
 
-/// Separates the parts of which a key is hashed; no part contains it.
+/// Separates the hashed parts of a key. No part contains it.
 const PART_SEPARATOR: u8 = 0;
 
-/// An idempotency key with all that it is unique within, as a hash.
+/// A hash of an idempotency key and the scope within which it is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ClaimKey(u128);
 
 impl ClaimKey {
-    /// Hashes the key that a caller gave for a service.
+    /// Hashes the key that a caller sent for a service.
     ///
-    /// Two callers, or two services, may use the same key without meaning the same request.
+    /// The scope is the caller and the service: the same key of two callers, or for two services,
+    /// denotes different requests.
     pub fn new(caller: &str, service: &str, key: &str) -> Self {
         let mut buf = Vec::with_capacity(caller.len() + service.len() + key.len() + 2);
         for part in [caller, service, key] {
@@ -31,7 +32,7 @@
         Self(xxh3_128(&buf))
     }
 
-    /// Returns the shard of the key, of `shards`.
+    /// Returns the shard of the key, out of `shards`.
     pub fn shard(self, shards: u32) -> u32 {
         let shard = self.0 % u128::from(shards.max(1));
         u32::try_from(shard).unwrap_or(0)
@@ -66,23 +67,24 @@
     }
 }
 
-/// How a claimed request ended.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// It was answered; what a retry is told of it.
+    /// The request was answered; the fields are replayed to a retry.
     #[serde(rename = "d")]
     Done {
-        /// The status of the answer.
+        /// The status code of the answer.
         #[serde(rename = "s")]
         status: u16,
-        /// What the answer said, cut to a bound; for the retry of a caller that did not get it.
+        /// The body of the answer, truncated to a maximum length, for the retry of a caller that
+        /// did not receive it.
         #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
         body: Option<Arc<str>>,
     },
-    /// It may have run; nobody will ever know.
+    /// The request may have run; its outcome is lost.
     #[serde(rename = "u")]
     Unknown,
-    /// It surely did not run, and its key is free again.
+    /// The request did not run, and its key is free again.
     #[serde(rename = "n")]
     NotRun,
 }
@@ -90,9 +92,9 @@
 /// The name of a page of claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimPageName {
-    /// The shard of the keys.
+    /// The shard of the idempotency keys.
     pub shard: u32,
-    /// The place of the page in the shard's log, without gaps.
+    /// The position of the page in the shard's log, without gaps.
     pub sequence: u64,
 }
 
@@ -102,45 +104,46 @@
     }
 }
 
-/// A page of a shard's log of claims; once written it never changes.
+/// A page of a shard's claim log; immutable once written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimPage {
-    /// Its name.
+    /// The name of the page.
     pub name: ClaimPageName,
-    /// Who wrote it.
+    /// The instance that wrote the page.
     pub writer: Holder,
-    /// Under which epoch of the role.
+    /// The epoch of the role under which the page was written.
     pub epoch: Epoch,
-    /// What it records.
+    /// The recorded entries.
     pub entries: Vec<ClaimEntry>,
 }
 
-/// One record of a page of claims.
+/// One entry of a page of claims.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimEntry {
     /// A key was claimed.
     #[serde(rename = "c")]
     Claimed {
-        /// The key.
+        /// The idempotency key.
         #[serde(rename = "k")]
         key: ClaimKey,
-        /// A hash of the request, to tell a retry from another request under the same key.
+        /// A hash of the request, which distinguishes a retry from another request under the same
+        /// key.
         #[serde(rename = "f")]
         fingerprint: u64,
-        /// The try that the claim is for.
+        /// The attempt that the claim is for.
         #[serde(rename = "a")]
         attempt: AttemptId,
-        /// The run of the instance that carries it out.
+        /// The entry instance, with its incarnation, that sends the request.
         #[serde(rename = "e")]
         entry: Holder,
     },
     /// The request of a claimed key ended.
     #[serde(rename = "x")]
     Ended {
-        /// The key.
+        /// The idempotency key.
         #[serde(rename = "k")]
         key: ClaimKey,
-        /// How.
+        /// The outcome of the request.
         #[serde(rename = "o")]
         outcome: ClaimOutcome,
     },
