--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -1,4 +1,4 @@
-//! Holds the configuration in force, acknowledges changes and learns how they end.
+//! Keeps the configuration in force up to date, acknowledges changes and follows their outcomes.
 
 mod load;
 mod prepared;
@@ -23,23 +23,24 @@
     Purpose, Stored,
 };
 
-/// How a follower behaves.
+/// Configuration of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FollowerConfig {
-    /// How long after a failed call the next try follows.
+    /// The delay before a failed call to the platform is retried.
     pub retry_every: Duration,
-    /// How long after an acknowledgement a missing decision is asked for.
+    /// How long after an acknowledgement the follower asks for a decision that has not arrived.
     pub ask_after: Duration,
-    /// How long after an acknowledgement, or after learning of a newer revision that isn't loaded
-    /// yet, new work is no longer taken.
+    /// How long after an acknowledgement without a decision, or after seeing a newer revision that
+    /// is not loaded yet, no new work is taken.
     pub stop_after: Duration,
-    /// How long a change may stay under way in the head before its proposer is taken for dead.
+    /// How long a change may stay pending in the head before its proposer is presumed dead.
     pub abandon_after: Duration,
-    /// How long after seeing a change in the head it is acknowledged by the lease, as nobody asked.
+    /// How long after a change is seen in the head it is acknowledged by way of the lease if no
+    /// request to acknowledge it has arrived.
     pub acknowledge_unasked_after: Duration,
-    /// How often the head is read, in case a watch has missed something.
+    /// The interval at which the head is read in case a watch has missed an event.
     pub read_every: Duration,
-    /// The most pages that are read at a time.
+    /// The maximum number of concurrent page reads.
     pub reads_at_a_time: usize,
 }
 
@@ -57,17 +58,17 @@
     }
 }
 
-/// What a follower has to react to.
+/// An input to a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerEvent<C> {
-    /// The own lease exists, so that whoever proposes a change from now on counts this run: the
-    /// head may be read.
+    /// This instance's lease exists, so that every change proposed from now on waits for this run
+    /// of the instance: the head may be read.
     Start,
-    /// The head has changed in a way that was not seen: it has to be read.
+    /// The head may have changed unobserved and has to be read.
     Recheck,
-    /// The head was seen; it may be stale.
+    /// The head was read or reported by a watch; it may be stale.
     Seen(Box<HeadRecord>, ObjectVersion),
-    /// An instance said something.
+    /// A message from another instance.
     Message(InstanceId, ConfigMessage<C>),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
@@ -75,7 +76,7 @@
     Tick,
 }
 
-/// What a follower wants done.
+/// An action for the driver of a follower to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerAction<S, C> {
     /// Call the platform.
@@ -84,28 +85,30 @@
     Send(InstanceId, ConfigMessage<C>),
     /// Ask a few instances how a change ended.
     AskAround(ConfigMessage<C>),
-    /// Say in the lease that the change written at this generation is acknowledged.
+    /// Record in this instance's lease that the change written at this generation of the head is
+    /// acknowledged.
     AcknowledgeByLease(u64),
     /// This configuration is in force from now on.
     InForce(InForce<S>),
 }
 
-/// A configuration that is in force.
+/// A configuration in force.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub struct InForce<S> {
     /// The configuration.
     pub state: Arc<S>,
-    /// Its revision.
+    /// The revision of the configuration.
     pub revision: Revision,
-    /// Which contents of which pages make it up.
+    /// The pages that make up the configuration, each with the stamp of its content.
     pub pages: Arc<BTreeMap<PageKey, PageStamp>>,
 }
 
-/// Holds the configuration in force, acknowledges changes and learns how they end.
+/// Keeps the configuration in force up to date, acknowledges changes and follows their outcomes.
 ///
-/// Having acknowledged a change, it relies on being told the end. If it hears nothing it stops
-/// taking new work after a bound, as others may be working by the new configuration already; only
-/// a decision written into the head lets it go on.
+/// After acknowledging a change, a follower depends on receiving the decision. If none arrives
+/// within [`FollowerConfig::stop_after`], it stops taking new work, because other instances may
+/// already be using the new configuration. It resumes only once it learns of a decision that is
+/// written into the head.
 #[derive(Clone, Debug, Hash)]
 pub struct Follower<S, C> {
     cfg: FollowerConfig,
@@ -114,7 +117,7 @@
     elector: Elector,
     calls: Calls,
     started: bool,
-    /// Whether the head was read since the lease exists.
+    /// Whether the head was read after the lease was created.
     has_read: bool,
     reading: Option<CallId>,
     read_at: Option<Moment>,
@@ -124,7 +127,7 @@
     loading: Option<Loading<S>>,
     load_retry_at: Moment,
     prepared: Option<Prepared<S>>,
-    /// The generation of the latest decision that is known, from the head or from a peer.
+    /// The generation of the latest known decision, from the head or from a peer.
     decided: u64,
     behind_since: Option<Moment>,
     pending_since: Option<(u64, Moment)>,
@@ -134,7 +137,7 @@
 }
 
 impl<S: Clone, C: Clone> Follower<S, C> {
-    /// Starts to follow; nothing is read before [`FollowerEvent::Start`].
+    /// Creates a follower; it reads nothing before [`FollowerEvent::Start`].
     pub fn new(
         cfg: FollowerConfig,
         model: ConfigModel<S, C>,
@@ -144,7 +147,7 @@
         Self::with_machine(cfg, model, me, elector, 0)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Like [`Self::new`], with calls numbered as those of `machine`.
     pub(crate) fn with_machine(
         cfg: FollowerConfig,
         model: ConfigModel<S, C>,
@@ -177,15 +180,15 @@
         }
     }
 
-    /// Seeds a bug.
     #[cfg(test)]
     pub(crate) fn seed(&mut self, bugs: Bugs) {
         self.bugs = bugs;
     }
 
-    /// Begins anew under another incarnation, as the lease was lost.
+    /// Restarts under another incarnation after the lease was lost.
     ///
-    /// What is in force stays, but isn't known to be the latest before the head was read again.
+    /// The configuration in force is kept, but it is not known to be the latest until the head has
+    /// been read again.
     pub(crate) fn begin_anew(&mut self, me: Holder) {
         self.me = me;
         self.started = false;
@@ -209,7 +212,7 @@
         self.head.as_ref()
     }
 
-    /// Returns whether a configuration is in force and known to be the latest one.
+    /// Returns whether a configuration is in force and known to be the latest.
     pub fn is_settled(&self) -> bool {
         self.in_force.is_some()
             && self.has_read
@@ -218,12 +221,13 @@
             && self.pending_since.is_none()
     }
 
-    /// Returns whether new work may be taken by the configuration in force.
+    /// Returns whether new work may be taken under the configuration in force.
     pub fn may_take_work(&self, now: Moment) -> bool {
         self.in_force.is_some() && self.stops_at().is_none_or(|at| now < at)
     }
 
-    /// Returns when new work may no longer be taken unless something is learnt before.
+    /// Returns when new work must no longer be taken unless a decision or a newer configuration
+    /// arrives before.
     pub fn stops_at(&self) -> Option<Moment> {
         let undecided = self.prepared.as_ref().map(|prepared| prepared.since);
         let undecided = undecided.filter(|_| !self.bugs.has(Bug::UndecidedTakesWork));
@@ -231,7 +235,7 @@
         Some(since + self.cfg.stop_after)
     }
 
-    /// Returns when [`FollowerEvent::Tick`] is next wanted.
+    /// Returns when the next [`FollowerEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let read = self.read_at.filter(|_| self.reading.is_none());
         let load = self
@@ -246,7 +250,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: FollowerEvent<C>, now: Moment) -> Vec<FollowerAction<S, C>> {
         let mut actions = Vec::new();
         match event {
@@ -326,12 +330,12 @@
         }
     }
 
-    /// Has the head read at once.
+    /// Schedules a read of the head for `now`.
     fn read_soon(&mut self, now: Moment) {
         self.read_at = Some(self.read_at.map_or(now, |at| at.min(now)));
     }
 
-    /// Takes a head over if it is newer than the one that is known.
+    /// Accepts a head if it is newer than the known one.
     fn on_head(
         &mut self,
         head: HeadRecord,
@@ -340,8 +344,8 @@
         actions: &mut Vec<FollowerAction<S, C>>,
     ) {
         let known = self.head.as_ref().map_or(0, |(head, _)| head.generation);
-        // Reads and watches may be served late. Taking an old head would put an old configuration
-        // back in force.
+        // Reads and watches may return old data. Accepting an old head would put an old
+        // configuration back in force.
         let stale = head.generation <= known;
         if stale && !self.bugs.has(Bug::StaleHeadAccepted) {
             return;
@@ -381,10 +385,11 @@
         }
     }
 
-    /// Returns when a change that stays under way is to be given up in its proposer's place.
+    /// Returns when a change that is still pending is to be given up in place of its proposer.
     fn clear_at(&self) -> Option<Moment> {
         let (generation, since) = self.pending_since?;
-        // Spread by instance, so that the first one to do it spares the others the call.
+        // The delay differs between instances, so that the first one to give the change up spares
+        // the others the call.
         let spread = jittered(
             self.cfg.abandon_after,
             self.me.incarnation.get(),
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -1,4 +1,4 @@
-//! Loads the pages that the head names and that are not in force yet.
+//! Loads the pages that the head refers to and that are not in force yet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::config::stamp::PageStamp;
 use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, Stored};
 
-/// A configuration that is being put together.
+/// A configuration whose pages are being loaded.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Loading<S> {
     state: S,
@@ -35,7 +35,8 @@
             .is_none_or(|in_force| in_force.revision < revision)
     }
 
-    /// Starts to load what the head names, if it isn't in force.
+    /// Starts to load the configuration that the head refers to, if it is newer than the one in
+    /// force.
     pub(super) fn load_if_behind(&mut self, now: Moment, actions: &mut Vec<FollowerAction<S, C>>) {
         let Some((head, _)) = &self.head else {
             return;
@@ -68,7 +69,8 @@
         self.finish_loading(actions);
     }
 
-    /// Sends the next reads of pages.
+    /// Starts the next reads of missing pages, up to
+    /// [`FollowerConfig::reads_at_a_time`](super::FollowerConfig::reads_at_a_time).
     pub(super) fn read_pages(&mut self, now: Moment, actions: &mut Vec<FollowerAction<S, C>>) {
         let Some((head, _)) = &self.head else {
             return;
@@ -114,7 +116,8 @@
                 ..
             }) if stamp.fits(&body) => body,
             PlatformResult::NotFound => {
-                // The head has moved on twice since it was read, and the page was deleted.
+                // The page was deleted, because at least two changes were accepted since the head
+                // was read.
                 self.read_soon(now);
                 self.load_retry_at = now + self.cfg.retry_every;
                 return;
--- a/crates/chervilshunt_coord/src/config/follower/prepared.rs
+++ b/crates/chervilshunt_coord/src/config/follower/prepared.rs
@@ -1,4 +1,4 @@
-//! Changes that were acknowledged and whose end is not known yet.
+//! Changes that were acknowledged and whose outcome is not known yet.
 
 use std::sync::Arc;
 
@@ -15,7 +15,8 @@
     pub(super) change: ChangeId,
     pub(super) generation: u64,
     pub(super) base: Revision,
-    /// The configuration after the change; none if it is to be loaded once the change is accepted.
+    /// The configuration after the change; `None` if it has to be loaded once the change is
+    /// accepted.
     pub(super) after: Option<After<S>>,
     pub(super) proposer: Option<InstanceId>,
     pub(super) since: Moment,
@@ -26,7 +27,7 @@
 #[derive(Clone, Debug, Hash)]
 pub(super) struct After<S> {
     state: Arc<S>,
-    /// The pages that differ.
+    /// The pages that the change replaces.
     stamps: Vec<(PageKey, PageStamp)>,
 }
 
@@ -88,7 +89,7 @@
         actions.push(FollowerAction::Send(from.clone(), message));
     }
 
-    /// Computes the configuration after a change and holds it ready.
+    /// Computes the configuration after a change and keeps it until the change is decided.
     fn prepare(&mut self, prepare: &Prepare<C>, now: Moment) -> Result<(), String> {
         let base = self
             .in_force
@@ -96,8 +97,9 @@
             .filter(|in_force| in_force.revision == prepare.base);
         let after = match base {
             None => {
-                // The base isn't loaded. Acknowledging is right all the same: what counts is that
-                // no work is taken by an older configuration once the change is accepted.
+                // The base revision is not loaded. The change is acknowledged all the same: the
+                // acknowledgement only promises that no work is taken under an older configuration
+                // once the change is accepted.
                 self.behind_since.get_or_insert(now);
                 self.read_soon(now);
                 None
@@ -130,8 +132,9 @@
     }
 
     fn hold(&mut self, prepared: Prepared<S>) {
-        // A change prepared before has been decided, as only one is under way at a time. What
-        // came of it shows in the head, which is read because the base doesn't fit then.
+        // An earlier prepared change has been decided, because only one change is pending at a
+        // time. Its outcome is found in the head, which is read because the base revision then
+        // differs.
         self.prepared = Some(prepared);
     }
 
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Lets go of the prepared change if the head shows its end.
+    /// Completes the prepared change if the head shows its outcome.
     pub(super) fn settle_prepared(&mut self, now: Moment, actions: &mut Vec<FollowerAction<S, C>>) {
         let Some((head, _)) = &self.head else {
             return;
@@ -232,7 +235,7 @@
         actions.push(FollowerAction::Send(from.clone(), message));
     }
 
-    /// Asks the platform and a few peers for a decision that doesn't come.
+    /// Asks the proposer and a few peers for an overdue decision, and has the head read.
     pub(super) fn ask_for_decision(
         &mut self,
         now: Moment,
@@ -253,7 +256,8 @@
         actions.push(FollowerAction::AskAround(message));
     }
 
-    /// Returns when a change that nobody asked about is acknowledged by the lease.
+    /// Returns when a pending change is acknowledged by way of the lease because no request to
+    /// acknowledge it has arrived.
     pub(super) fn acknowledge_unasked_at(&self) -> Option<Moment> {
         let (generation, since) = self.pending_since?;
         let asked = self
@@ -263,8 +267,11 @@
         (!asked && generation > self.decided).then(|| since + self.cfg.acknowledge_unasked_after)
     }
 
-    /// Acknowledges by the lease what the head shows and nobody asked about: a cut link between
-    /// two instances that both reach the platform need not hold up a change.
+    /// Acknowledges by way of the lease a change that is pending in the head and that no instance
+    /// has asked about.
+    ///
+    /// Thus a broken link between two instances that both reach the platform does not block a
+    /// change.
     pub(super) fn acknowledge_unasked(
         &mut self,
         now: Moment,
