--- a/crates/chervilshunt_coord/src/config/head.rs
+++ b/crates/chervilshunt_coord/src/config/head.rs
@@ -1,4 +1,4 @@
-//! The configuration's head object: which pages are in force, and which change is under way.
+//! The configuration's head object: the pages in force and the pending change.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -12,30 +12,30 @@
 use crate::holder::Holder;
 use crate::platform::PageName;
 
-/// Outcomes that the head remembers.
+/// Maximum number of change outcomes kept in the head.
 const REMEMBERED_OUTCOMES: usize = 32;
 
-/// Electorates that the head remembers.
+/// Maximum number of electorates kept in the head.
 const REMEMBERED_ELECTORATES: usize = 8;
 
-/// The configuration's head; there is one.
+/// The head of the configuration; there is exactly one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeadRecord {
-    /// Rises with every write, so that a stale read is recognised.
+    /// Rises with every write, so that stale reads are detected.
     pub generation: u64,
     /// The revision in force.
     pub revision: Revision,
-    /// Which contents of which pages make up the configuration in force.
+    /// The pages that make up the configuration in force, each with the stamp of its content.
     #[serde(with = "page_map")]
     pub pages: BTreeMap<PageKey, PageStamp>,
-    /// The change under way.
+    /// The pending change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pending: Option<PendingChange>,
-    /// The outcomes of the latest changes, oldest first: the revision of an accepted change, none
+    /// The outcomes of the latest changes, oldest first: the revision of an accepted change, `None`
     /// for one that was given up.
     #[serde(default)]
     pub outcomes: VecDeque<(ChangeId, Option<Revision>)>,
-    /// Pages that no revision refers to since the latest change.
+    /// Pages that the latest accepted change replaced and that no revision refers to any more.
     #[serde(default)]
     pub garbage: Vec<PageName>,
     /// The latest electorates, oldest first.
@@ -48,13 +48,13 @@
 pub struct PendingChange {
     /// The change.
     pub change: ChangeId,
-    /// Who proposes it.
+    /// The instance that proposes the change.
     pub proposer: Holder,
-    /// The contents of the pages that it replaces.
+    /// The pages that the change replaces, each with the stamp of its new content.
     pub pages: BTreeMap<PageKey, PageStamp>,
 }
 
-/// The instances whose word decides whether the platform has failed for the fleet.
+/// The instances that decide together whether the platform has failed for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Electorate {
     /// Rises with every change of the electors.
@@ -63,17 +63,17 @@
     pub electors: Vec<Elector>,
 }
 
-/// An elector: whoever answers at the address.
+/// An elector, identified by its address: whichever instance answers there is the elector.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Elector {
     /// The instance.
     pub instance: InstanceId,
-    /// Where it listens for peers.
+    /// The address at which it accepts connections from peers.
     pub address: SocketAddr,
 }
 
 impl HeadRecord {
-    /// Makes the head of a fleet that starts with these electors.
+    /// Creates the first head of a fleet with these electors.
     pub fn first(electors: Vec<Elector>) -> Self {
         Self {
             generation: 1,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Returns the outcome of a change, if the head remembers it: the revision if it was
-    /// accepted, none within if it was given up.
+    /// Returns the outcome of a change if the head still has it: `Some(Some(revision))` if it was
+    /// accepted, `Some(None)` if it was given up.
     pub fn outcome(&self, change: ChangeId) -> Option<Option<Revision>> {
         let mut newest_first = self.outcomes.iter().rev();
         newest_first
@@ -94,14 +94,14 @@
             .map(|(_, outcome)| *outcome)
     }
 
-    /// Returns the electorate of that version, if the head remembers it.
+    /// Returns the electorate with the given version if the head still has it.
     pub fn electorate(&self, version: u64) -> Option<&Electorate> {
         self.electorates
             .iter()
             .find(|electorate| electorate.version == version)
     }
 
-    /// Returns the head with a change under way.
+    /// Returns the next head with `pending` as the pending change.
     pub(crate) fn with_pending(&self, pending: PendingChange) -> Self {
         Self {
             generation: self.generation + 1,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the head after the change under way was accepted.
+    /// Returns the next head after acceptance of the pending change.
     pub(crate) fn accepted(&self) -> Self {
         let mut next = self.given_up();
         let Some(pending) = &self.pending else {
@@ -134,7 +134,7 @@
         next
     }
 
-    /// Returns the head after the change under way was given up.
+    /// Returns the next head after the pending change was given up.
     pub(crate) fn given_up(&self) -> Self {
         let mut next = self.clone();
         next.generation += 1;
@@ -147,7 +147,7 @@
         next
     }
 
-    /// Returns the head with other electors.
+    /// Returns the next head with other electors.
     pub(crate) fn with_electors(&self, electors: Vec<Elector>) -> Self {
         let mut next = self.clone();
         next.generation += 1;
--- a/crates/chervilshunt_coord/src/config/message.rs
+++ b/crates/chervilshunt_coord/src/config/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other about changes of configuration.
+//! Messages between instances about configuration changes.
 
 use chervilshunt_model::{ChangeId, InstanceId, Revision};
 use serde::{Deserialize, Serialize};
@@ -7,65 +7,66 @@
 use super::stamp::PageStamp;
 use crate::holder::Holder;
 
-/// A message about a change of configuration.
+/// A message about a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ConfigMessage<C> {
     /// Asks for an acknowledgement.
     #[serde(rename = "p")]
     Prepare(Box<Prepare<C>>),
-    /// Acknowledges a change, or says why not.
+    /// Acknowledges a change or refuses to.
     #[serde(rename = "a")]
     Acknowledge {
         /// The change.
         change: ChangeId,
-        /// The head's generation with the change under way.
+        /// The head's generation in which the change is pending.
         generation: u64,
-        /// Who acknowledges.
+        /// The acknowledging instance and its incarnation.
         holder: Holder,
-        /// Who waits for it; whoever else receives it passes it on.
+        /// The proposer, which waits for this message; any other receiver forwards it there.
         proposer: InstanceId,
-        /// Why it can't, if so.
+        /// The reason of a refusal; `None` in an acknowledgement.
         refusal: Option<String>,
     },
-    /// Says how a change ended.
+    /// Announces the outcome of a change.
     #[serde(rename = "d")]
     Decided {
         /// The change.
         change: ChangeId,
-        /// The head's generation since.
+        /// The head's generation after the decision.
         generation: u64,
-        /// The revision if it was accepted.
+        /// The new revision if the change was accepted.
         accepted: Option<Revision>,
     },
-    /// Asks how a change ended.
+    /// Asks for the outcome of a change.
     #[serde(rename = "q")]
     AskDecision {
         /// The change.
         change: ChangeId,
     },
-    /// Passes a message on to others, so that nobody has to talk to everyone.
+    /// Asks the receiver to forward a message to other instances, so that no instance has to
+    /// contact all others.
     #[serde(rename = "f")]
     Forward {
-        /// To whom.
+        /// The instances to forward to.
         to: Vec<InstanceId>,
-        /// What.
+        /// The message to forward.
         message: Box<Self>,
     },
 }
 
-/// Asks a live instance to acknowledge a change before it is accepted.
+/// A request to a live instance to acknowledge a change before it is accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Prepare<C> {
     /// The change.
     pub change: ChangeId,
-    /// The head's generation with the change under way.
+    /// The head's generation in which the change is pending.
     pub generation: u64,
-    /// The revision that the change builds on.
+    /// The revision to which the change applies.
     pub base: Revision,
-    /// What changes.
+    /// The change itself.
     pub body: C,
-    /// The contents of the pages after it, to make sure that all come to the same.
+    /// The stamps of the changed pages, to verify that all instances compute the same content.
     pub pages: Vec<(PageKey, PageStamp)>,
-    /// Who waits for the acknowledgement.
+    /// The proposer, which waits for the acknowledgement.
     pub proposer: InstanceId,
 }
--- a/crates/chervilshunt_coord/src/config/model.rs
+++ b/crates/chervilshunt_coord/src/config/model.rs
@@ -1,4 +1,4 @@
-//! What the acceptance of changes has to know of the configuration itself.
+//! The operations on a configuration type that the acceptance of changes needs.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -7,13 +7,13 @@
 use chervilshunt_model::{ChangeId, ChangeSet, Deployment, Page, PageId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// The place of a page in the configuration, such as `common`.
+/// The key of a page in the configuration, such as `common`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PageKey(Arc<str>);
 
 impl PageKey {
-    /// Wraps a key.
+    /// Creates a key from its text.
     pub fn new(key: impl Into<Arc<str>>) -> Self {
         Self(key.into())
     }
@@ -30,25 +30,28 @@
     }
 }
 
-/// A configuration after a change, with the pages that differ.
+/// A configuration after a change, with the keys of the pages that the change replaces.
 pub type Applied<S> = (S, Vec<PageKey>);
 
-/// How a configuration of type `S` is changed by changes of type `C` and cut into pages.
+/// The operations that apply changes of type `C` to a configuration of type `S` and divide it into
+/// pages.
 ///
-/// All functions have to give the same result in every process.
+/// All functions must be deterministic: they have to return the same result in every process.
 #[derive(Debug)]
 pub struct ConfigModel<S, C> {
-    /// Makes the configuration before the first change.
+    /// Returns the configuration before the first change.
     pub empty: fn() -> S,
     /// Returns the id of a change.
     pub change_id: fn(&C) -> ChangeId,
-    /// Applies a change, giving the configuration at the next revision and the pages that differ.
+    /// Applies a change; returns the configuration at the next revision and the pages that differ,
+    /// or the reason why the change is invalid.
     pub apply: fn(&S, &C) -> Result<Applied<S>, String>,
-    /// Writes a page as text.
+    /// Serializes a page as text.
     pub page: fn(&S, &PageKey) -> String,
-    /// Returns the configuration with a page replaced by its text.
+    /// Returns the configuration with one page replaced by its deserialized text, or the reason why
+    /// the text is invalid.
     pub with_page: fn(&S, &PageKey, &str) -> Result<S, String>,
-    /// Returns the configuration as that of another revision.
+    /// Returns the configuration with another revision number.
     pub at_revision: fn(&S, Revision) -> S,
 }
 
@@ -60,12 +63,12 @@
 
 impl<S, C> Copy for ConfigModel<S, C> {}
 
-/// All models of one type count as the same, so that machines that hold one can be hashed.
+/// All models of one type hash alike, so that state machines that hold a model can be hashed.
 impl<S, C> Hash for ConfigModel<S, C> {
     fn hash<H: Hasher>(&self, _state: &mut H) {}
 }
 
-/// Returns the model for a program that uses roles and leases and has no configuration.
+/// Returns the model for programs that use roles and leases without a configuration.
 pub fn no_configuration() -> ConfigModel<(), ()> {
     ConfigModel {
         empty: || (),
--- a/crates/chervilshunt_coord/src/config/page_map.rs
+++ b/crates/chervilshunt_coord/src/config/page_map.rs
@@ -1,7 +1,7 @@
-//! The pages of the head as the platform holds them: grouped by the first part of their keys.
+//! The serialized form of the head's page map: pages grouped by the common prefix of their keys.
 //!
-//! Each instance gets the head of all 257 pages twice with each change. Written in full, the keys
-//! alone are a third of it. See `docs/CAPACITY.md`.
+//! Each instance receives the head with all its 257 pages twice for each change. With ungrouped
+//! keys, the keys alone would be a third of its size. See `docs/CAPACITY.md`.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use super::model::PageKey;
 use super::stamp::PageStamp;
 
-/// Ends the part of a key that a group has in common.
+/// Ends the key prefix that the pages of a group share.
 const SEPARATOR: char = '-';
 
-/// What a member of the map holds.
+/// The value of one member of the serialized map.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Member {
-    /// The page of this key, in heads that were written before pages were grouped.
+    /// The page with this key, in heads written before pages were grouped.
     Page(PageStamp),
-    /// Pages by the rest of their keys.
+    /// The pages of a group by the rest of their keys.
     Group(BTreeMap<String, PageStamp>),
 }
 
@@ -54,7 +54,7 @@
     Ok(pages)
 }
 
-/// Cuts a key behind its last separator.
+/// Splits a key after its last separator.
 fn split(key: &str) -> (&str, &str) {
     let end = key.rfind(SEPARATOR).map_or(0, |place| place + 1);
     key.split_at(end)
--- a/crates/chervilshunt_coord/src/config/page_map/tests.rs
+++ b/crates/chervilshunt_coord/src/config/page_map/tests.rs
@@ -1,4 +1,5 @@
-//! Heads come through the platform with all their pages, those of earlier versions too.
+//! Heads keep all their pages when they are written and read, including heads written by earlier
+//! versions.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +10,8 @@
 use super::{PageKey, PageStamp};
 use crate::config::HeadRecord;
 
-/// Bytes of the pages of a full configuration in the head; each change brings them twice to each
-/// instance.
+/// Maximum size in bytes of the pages of a full configuration in the head. Each change sends them
+/// to each instance twice.
 const PAGES_BYTES: usize = 6_300;
 const PAGES: usize = 257;
 
@@ -37,8 +38,9 @@
     assert_eq!(read, head);
 }
 
-/// After an upgrade a fleet would read no configuration, and take no work. The platform still has
-/// the head that the earlier version wrote: keys in full, stamps as hexadecimal numbers.
+/// Guards against a fleet that cannot read its configuration after an upgrade and takes no work.
+/// The platform then still has the head written by the earlier version, with full keys and with
+/// stamps in hexadecimal.
 #[test]
 fn reads_the_head_of_an_earlier_version() {
     let head = head(["common", "adapters-00"]);
--- a/crates/chervilshunt_coord/src/config/stamp.rs
+++ b/crates/chervilshunt_coord/src/config/stamp.rs
@@ -1,4 +1,4 @@
-//! Stamps of pages: which content a page has.
+//! Page stamps, which identify the content of a page.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,14 +16,14 @@
 const HASH_BYTES: usize = size_of::<u64>();
 const STAMP_BYTES: usize = HASH_BYTES + size_of::<u32>();
 
-/// Which content of a page: the hash of its text, and the change that wrote it.
+/// Identifies the content of a page by the hash of its text and the change that wrote it.
 ///
-/// In the name of the page's object it is written as hexadecimal numbers, as such names have small
-/// letters only; in the head and in messages as Base64, as each instance reads hundreds with each
-/// change.
+/// A stamp is written as hexadecimal numbers in the name of the page's object, because such names
+/// allow only lower-case letters. In the head and in messages it is written as Base64 to save
+/// space, because each instance reads hundreds of stamps for each change.
 ///
-/// The change is part of it so that no two changes write the same page object; else one could
-/// delete, as no longer needed, what another has just come to rely on.
+/// The change is part of the stamp so that no two changes write the same page object. Otherwise one
+/// change could delete an object as unused that another change has just started to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct PageStamp {
@@ -32,7 +32,7 @@
 }
 
 impl PageStamp {
-    /// Stamps the text of a page that `change` writes.
+    /// Returns the stamp of a page text written by `change`.
     pub(crate) fn of(body: &str, change: ChangeId) -> Self {
         let change = text_hash(&change.to_string()) >> 32;
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns whether `body` is the text that was stamped.
+    /// Returns whether `body` has the hash in this stamp.
     pub(crate) fn fits(self, body: &str) -> bool {
         self.hash == text_hash(body)
     }
@@ -84,7 +84,7 @@
     type Error = PageStampError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        // Heads that were written before stamps had a short form.
+        // Heads written by earlier versions have stamps in the hexadecimal form.
         if text.contains('.') {
             return text.parse();
         }
@@ -98,26 +98,26 @@
     }
 }
 
-/// Why a text is no stamp of a page.
+/// Why a text is not a valid page stamp.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum PageStampError {
     /// The text has no separator.
     #[snafu(display("a page's stamp must be written as HASH.CHANGE"))]
     NoChange,
-    /// The short form is no Base64 text.
+    /// The Base64 form is not valid Base64.
     #[snafu(display("a page's stamp must be Base64 text: {source}"))]
     BadText {
-        /// What the decoder said.
+        /// The error of the decoder.
         source: base64::DecodeError,
     },
-    /// The short form is of another length.
+    /// The Base64 form has the wrong length.
     #[snafu(display("a page's stamp must have {STAMP_BYTES} bytes"))]
     BadLength,
-    /// A part is no hexadecimal number.
+    /// A part is not a hexadecimal number.
     #[snafu(display("hash and change of a page's stamp must be hexadecimal: {source}"))]
     BadNumber {
-        /// What the number parser said.
+        /// The error of the number parser.
         source: std::num::ParseIntError,
     },
 }
