--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -1,4 +1,4 @@
-//! Brings changes of configuration through, one at a time.
+//! Commits configuration changes, one at a time.
 
 mod collect;
 mod decision;
@@ -23,27 +23,29 @@
     CallId, Calls, ObjectVersion, PageName, PlatformCall, PlatformResult, Purpose,
 };
 
-/// How a proposer behaves.
+/// Configuration of a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
-    /// How long after a failed call the next try follows.
+    /// The delay before a failed call to the platform is retried.
     pub retry_every: Duration,
-    /// How long a change waits for others before it, and for the platform, before it is refused.
+    /// How long a change may wait for earlier changes and for the platform before it is refused.
     pub begin_within: Duration,
-    /// How long acknowledgements are waited for.
+    /// How long to wait for acknowledgements.
     ///
-    /// It has to be shorter than the time after which those that acknowledged stop taking work.
+    /// This must be shorter than [`FollowerConfig::stop_after`](super::FollowerConfig::stop_after),
+    /// after which instances that acknowledged stop taking work.
     pub collect_within: Duration,
-    /// How long after the first request the instances that did not answer are asked directly.
+    /// How long after the first request the instances that have not answered are asked directly.
     pub ask_again_after: Duration,
-    /// How long an unsettled outcome is kept from the operator before it is called unknown.
+    /// How long an uncertain outcome is held back before it is reported to the operator as unknown.
     pub settle_within: Duration,
-    /// The most instances that are asked directly; more are asked by way of others.
+    /// The maximum number of instances that are contacted directly; larger sets are reached through
+    /// relays.
     pub direct_at_most: usize,
-    /// The most changes that wait.
+    /// The maximum number of waiting changes.
     pub queue_at_most: usize,
-    /// When a change that was refused because an instance didn't answer may be tried again: by
-    /// then that instance has answered or its lease has lapsed.
+    /// The retry delay of a change that was refused because an instance did not answer. By then the
+    /// instance has answered or its lease has lapsed.
     pub retry_unreachable_after: Duration,
 }
 
@@ -62,16 +64,16 @@
     }
 }
 
-/// Under which number the outcome of a proposal comes back.
+/// Identifies a proposal when its outcome is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeTicket(pub u64);
 
-/// What a proposer has to react to.
+/// An input to a proposer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposerEvent<C> {
-    /// Somebody wants a change.
+    /// An operator proposes a change.
     Propose(ChangeTicket, C),
-    /// An instance said something.
+    /// A message from an instance.
     Message(InstanceId, ConfigMessage<C>),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
@@ -79,16 +81,16 @@
     Tick,
 }
 
-/// What a proposer wants done.
+/// An action for the driver of a proposer to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposerAction<C> {
     /// Call the platform.
     Call(PlatformCall),
-    /// Send a message to an instance, this one included.
+    /// Send a message to an instance, which may be this one.
     Send(InstanceId, ConfigMessage<C>),
     /// The head was read or written.
     Seen(Box<HeadRecord>, ObjectVersion),
-    /// A live instance doesn't answer: its lease has to be watched.
+    /// A live instance does not answer: its lease has to be watched.
     Watch(Holder),
     /// The change is accepted.
     Accepted(ChangeTicket, Revision),
@@ -99,32 +101,33 @@
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ChangeRefusal {
-    /// It can't be carried out, as this text says.
+    /// The change is invalid, for the reason in the text.
     Invalid(String),
-    /// This instance has no configuration yet, or not the latest one.
+    /// This instance has no configuration yet or not the latest one.
     NotReady,
-    /// Other changes are under way.
+    /// Other changes are being processed.
     Busy,
-    /// The platform can't be asked.
+    /// The platform is unavailable.
     PlatformUnavailable,
-    /// These live instances did not acknowledge it.
+    /// These live instances did not acknowledge the change.
     Unreachable(Vec<InstanceId>),
-    /// This instance can't carry it out, as the text says.
+    /// This instance refused to acknowledge the change, for the reason in the text.
     NotAcknowledged(InstanceId, String),
-    /// It was given up in this instance's place, which took too long.
+    /// Another instance gave the change up because this instance took too long.
     GivenUp,
-    /// It may have been accepted or may yet be: the platform can't be asked. Proposing the same
-    /// change again, with the same id, tells.
+    /// The change may have been accepted or may still be, as the platform is unavailable. Proposing
+    /// the same change again with the same id shows the outcome.
     Unknown,
 }
 
 impl ChangeRefusal {
-    /// Returns whether the change may yet come into force.
+    /// Returns whether the change may still come into force.
     pub const fn is_unknown(&self) -> bool {
         matches!(self, Self::Unknown)
     }
 
-    /// Returns when the change may be tried again; `None` if that is of no use.
+    /// Returns the delay after which the change may be proposed again; `None` if that cannot
+    /// succeed.
     pub fn retry_after(&self, cfg: &ProposerConfig) -> Option<Duration> {
         match self {
             Self::Invalid(_) => None,
@@ -135,10 +138,10 @@
     }
 }
 
-/// A change on its way.
+/// A change that is being processed.
 #[derive(Clone, Debug, Hash)]
 struct Proposal<C> {
-    /// None once the operator has been told that the outcome is unknown.
+    /// `None` once the outcome was reported to the operator as unknown.
     ticket: Option<ChangeTicket>,
     change: C,
     id: ChangeId,
@@ -147,12 +150,12 @@
     settle_by: Option<Moment>,
     retry_at: Moment,
     pages: Vec<PageWrite>,
-    /// Pages that earlier tries wrote.
+    /// Pages written by earlier attempts of this proposal that it no longer uses.
     unused: Vec<PageName>,
-    /// Pages that the change before made needless.
+    /// Pages that the previous change made unnecessary.
     garbage: Vec<PageName>,
     collecting: Collecting,
-    /// Whether acceptance was decided on, or giving up, and why.
+    /// Whether the change is to be accepted, or given up and why; `None` before that is decided.
     verdict: Option<Verdict>,
 }
 
@@ -162,11 +165,12 @@
     GiveUp(ChangeRefusal),
 }
 
-/// Brings changes through, one at a time.
+/// Commits changes, one at a time.
 ///
-/// The change is first written into the head as pending, and only then are the live instances
-/// listed. So an instance that joins either created its lease before the list and is asked, or
-/// reads the head after it and finds the change there. See `docs/design/configuration.md`.
+/// A change is written into the head as pending first, and only then are the live instances listed.
+/// A joining instance therefore either created its lease before the list and is asked for its
+/// acknowledgement, or reads the head after the write and finds the pending change there. See
+/// `docs/design/configuration.md`.
 #[derive(Clone, Debug, Hash)]
 pub struct Proposer<S, C> {
     cfg: ProposerConfig,
@@ -179,12 +183,12 @@
 }
 
 impl<S: Clone, C: Clone> Proposer<S, C> {
-    /// Starts without a change.
+    /// Creates a proposer without a change.
     pub const fn new(cfg: ProposerConfig, model: ConfigModel<S, C>, me: Holder) -> Self {
         Self::with_machine(cfg, model, me, 0)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Like [`Self::new`], with calls numbered as those of `machine`.
     pub(crate) const fn with_machine(
         cfg: ProposerConfig,
         model: ConfigModel<S, C>,
@@ -202,32 +206,31 @@
         }
     }
 
-    /// Seeds a bug.
     #[cfg(test)]
     pub(crate) fn seed(&mut self, bugs: Bugs) {
         self.bugs = bugs;
     }
 
-    /// Begins anew under another incarnation, as the lease was lost.
+    /// Continues under another incarnation after the lease was lost.
     pub(crate) fn begin_anew(&mut self, me: Holder) {
         self.me = me;
     }
 
-    /// Returns whether no change is on its way.
+    /// Returns whether no change is being processed or waiting.
     pub fn is_idle(&self) -> bool {
         self.proposal.is_none() && self.queue.is_empty()
     }
 
-    /// Returns when [`ProposerEvent::Tick`] is next wanted.
+    /// Returns when the next [`ProposerEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let queued = self.queue.front().map(|(.., by)| *by);
         let proposal = self.proposal.as_ref().and_then(Proposal::next_wakeup);
         queued.into_iter().chain(proposal).min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     ///
-    /// `base` is the configuration in force here.
+    /// `base` is the configuration in force on this instance.
     pub fn handle(
         &mut self,
         event: ProposerEvent<C>,
--- a/crates/chervilshunt_coord/src/config/proposer/collect.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/collect.rs
@@ -1,4 +1,4 @@
-//! The acknowledgements of one change.
+//! Collects the acknowledgements of one change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,19 @@
 use crate::holder::Holder;
 use crate::lease::LeaseRecord;
 
-/// Who has to acknowledge a change, and who has.
+/// The instances that have to acknowledge a change, and the answers received so far.
 #[derive(Clone, Debug, Default, Hash)]
 pub(super) struct Collecting {
-    /// None until the live instances were listed.
+    /// `None` until the live instances have been listed.
     live: Option<BTreeSet<Holder>>,
     acknowledged: BTreeSet<Holder>,
     refusals: BTreeMap<Holder, String>,
 }
 
 impl Collecting {
-    /// Takes the leases as listed after the change was written into the head.
+    /// Sets the live instances from the leases listed after the change was written into the head.
+    ///
+    /// Leases that record `generation` or a later one count as acknowledgements.
     pub(super) fn set_live(&mut self, leases: &[LeaseRecord], generation: u64) {
         let live = leases.iter().filter(|lease| lease.state.is_live());
         self.live = Some(live.clone().map(|lease| lease.holder.clone()).collect());
@@ -38,7 +40,6 @@
         }
     }
 
-    /// Returns the live instances.
     pub(super) fn live(&self) -> impl Iterator<Item = &Holder> {
         self.live.iter().flatten()
     }
@@ -50,12 +51,12 @@
         })
     }
 
-    /// Returns whether all live instances have acknowledged.
+    /// Returns whether all live instances have acknowledged the change and none has refused.
     pub(super) fn is_complete(&self) -> bool {
         self.live.is_some() && self.refusals.is_empty() && self.missing().next().is_none()
     }
 
-    /// Returns the first live instance that can't carry the change out, and why.
+    /// Returns the first live instance that refused, with its reason.
     pub(super) fn refusal(&self) -> Option<(&Holder, &String)> {
         self.refusals
             .iter()
@@ -63,10 +64,11 @@
     }
 }
 
-/// Returns whom to send what so that `message` reaches all of `to`.
+/// Returns the messages to send so that `message` reaches all of `to`.
 ///
-/// Up to `direct_at_most` instances are sent to directly. Of more, about the square root are, and
-/// each passes the message on to as many: at 370 instances nobody talks to more than 40.
+/// Up to `direct_at_most` instances are contacted directly. For larger sets, about the square root
+/// of their number act as relays, and each forwards the message to as many others: with 370
+/// instances, none contacts more than 40.
 pub(super) fn fan_out<C: Clone>(
     message: &ConfigMessage<C>,
     to: &[InstanceId],
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -1,4 +1,4 @@
-//! How a proposal ends: the decision is written into the head and told to everyone.
+//! The end of a proposal: the decision is written into the head and sent to all live instances.
 
 use chervilshunt_model::{Moment, Revision};
 
@@ -47,7 +47,7 @@
         if self.bugs.has(Bug::LostAnswerIsFailure) {
             return self.finish(ChangeRefusal::PlatformUnavailable, actions);
         }
-        // Whether it was carried out, and if not what came before it, shows in the head.
+        // The head shows whether the write succeeded or which other write came first.
         proposal.stage = Stage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
@@ -56,7 +56,7 @@
         };
     }
 
-    /// Ends the proposal as the head says, and tells everyone.
+    /// Ends the proposal with the outcome recorded in the head and notifies the live instances.
     pub(super) fn end(
         &mut self,
         head: &HeadRecord,
--- a/crates/chervilshunt_coord/src/config/proposer/pages.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/pages.rs
@@ -1,4 +1,4 @@
-//! The pages that a proposal writes, and those that nobody needs after it.
+//! The pages that a proposal writes, and the deletion of pages that are no longer needed.
 
 use std::sync::Arc;
 
@@ -90,7 +90,7 @@
             *call = None;
         }
         match result {
-            // Only this change writes pages of these names, so one that exists is its own.
+            // Only this change writes pages with these names, so an existing page is its own.
             PlatformResult::Written(_) | PlatformResult::AlreadyExists => {
                 if let Some(page) = proposal.pages.iter_mut().find(|page| !page.written) {
                     page.written = true;
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Deletes the pages that nobody can come to need any more.
+    /// Deletes the pages that no instance can need any more.
     ///
-    /// What this change replaces stays until the next one: an instance that read the head just
-    /// before may be loading it.
+    /// Pages that this change replaces are kept until the next change, because an instance that
+    /// read the head just before may still be loading them.
     pub(super) fn delete_unused_pages(
         &mut self,
         accepted: bool,
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -17,22 +17,23 @@
     CallId, Object, ObjectKind, ObjectName, ObjectVersion, PlatformOp, PlatformResult, Stored,
 };
 
-/// How far a proposal has come.
+/// The current step of a proposal.
 #[derive(Clone, Debug, Hash)]
 pub(super) enum Stage {
     /// The head has to be read.
     Begin,
     /// The head is being read.
     ReadingHead(CallId),
-    /// The pages are being written, one after the other; none is under way while one is retried.
+    /// The pages are being written one after the other; the call is `None` while a failed write
+    /// waits for its retry.
     WritingPages(Option<CallId>, Box<HeadRecord>, ObjectVersion),
-    /// The change is being written into the head.
+    /// The change is being written into the head as pending.
     WritingPending(CallId, Box<HeadRecord>),
-    /// The change stands in the head; the live instances have to be listed.
+    /// The change is pending in the head; the live instances have to be listed.
     Pending(Box<HeadRecord>, ObjectVersion),
     /// The live instances are being listed.
     Listing(CallId, Box<HeadRecord>, ObjectVersion),
-    /// Acknowledgements come in.
+    /// Acknowledgements are being collected.
     Collecting {
         head: Box<HeadRecord>,
         version: ObjectVersion,
@@ -74,7 +75,7 @@
 }
 
 impl<S: Clone, C: Clone> Proposer<S, C> {
-    /// Takes whatever steps are due.
+    /// Takes all steps that are due.
     pub(super) fn advance(
         &mut self,
         base: Option<&InForce<S>>,
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Tells the operator that the outcome is unknown, once it has been so for long.
+    /// Reports the outcome to the operator as unknown if it is still uncertain after
+    /// [`ProposerConfig::settle_within`](super::ProposerConfig::settle_within).
     fn call_unknown(&mut self, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -196,7 +198,8 @@
         }
         let pending = head.pending.as_ref().map(|pending| pending.change);
         if pending == Some(proposal.id) {
-            // The write whose answer was lost was carried out, or the decision was not yet.
+            // Either the write of the pending change succeeded although its answer was lost, or the
+            // decision is not written yet.
             proposal.stage = if proposal.verdict.is_some() {
                 Stage::Decided(head, version)
             } else {
@@ -209,11 +212,12 @@
             return self.retry(ChangeRefusal::Busy, now, actions);
         }
         if proposal.verdict.is_some() {
-            // The head no longer remembers the outcome; far more changes have followed.
+            // The outcome is no longer in the head, as too many changes have followed.
             return self.finish(ChangeRefusal::Unknown, actions);
         }
         if proposal.ticket.is_none() {
-            // The operator was told that the outcome is unknown, and now it is known to be no.
+            // The outcome was already reported to the operator as unknown, and the change was not
+            // accepted.
             return self.finish(ChangeRefusal::Unknown, actions);
         }
         proposal.settle_by = None;
@@ -251,7 +255,8 @@
             proposal.retry_at = now;
             return;
         }
-        // A conflict may be the work of an earlier try whose answer was lost: the head tells.
+        // A conflict may come from an earlier attempt of this proposal whose answer was lost;
+        // reading the head shows which.
         proposal.stage = Stage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
@@ -312,7 +317,7 @@
         self.ask(base, &to, true, actions);
     }
 
-    /// Asks instances for their acknowledgement.
+    /// Asks instances to acknowledge the change.
     fn ask(
         &self,
         base: Option<&InForce<S>>,
@@ -408,7 +413,7 @@
         }
     }
 
-    /// Tries again later, or refuses the change if it has waited for long.
+    /// Schedules another attempt, or refuses the change if its time to begin is over.
     fn retry(&mut self, refusal: ChangeRefusal, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
         let retry_every = self.cfg.retry_every;
         let Some(proposal) = &mut self.proposal else {
