--- a/crates/chervilshunt_coord/src/hashing.rs
+++ b/crates/chervilshunt_coord/src/hashing.rs
@@ -6,7 +6,8 @@
 
 /// Returns the rendezvous weight of `candidate` for `key`.
 ///
-/// All instances have to rank alike, or several would think themselves first.
+/// All instances must compute the same ranking; otherwise several could consider themselves the
+/// highest-ranked.
 pub(crate) fn rendezvous_weight(key: &str, candidate: &str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(candidate.as_bytes(), seed)
@@ -17,9 +18,9 @@
     xxh3_64_with_seed(text.as_bytes(), 0)
 }
 
-/// Spreads a delay over `base` to `base + base / 2`, the same for the same seed and number.
+/// Returns a delay between `base` and `base + base / 2`, the same for the same `seed` and `number`.
 ///
-/// Instances that start together would otherwise call the platform in step for ever.
+/// Without the jitter, instances that start together would call the platform in lockstep forever.
 pub(crate) fn jittered(base: Duration, seed: u64, number: u64) -> Duration {
     let draw = xxh3_64_with_seed(&number.to_le_bytes(), seed) % 512;
     let draw = u32::try_from(draw).unwrap_or(0);
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -1,42 +1,45 @@
-//! Membership, leases, roles, acceptance of configuration and claims, as state machines.
+//! Leases, membership, roles, configuration changes and idempotency claims, as state machines.
 //!
-//! Nothing here does input or output. Each machine takes an event and the present time and gives
-//! back what is to be done; calls to the platform, messages to other instances and timers belong
-//! to whoever drives it. What was weighed is in `docs/design/`, how programs other than
-//! `chervilshuntd` use the parts in `docs/design/embedding.md`.
+//! This crate does no input or output. Each state machine takes an event and the current time and
+//! returns the actions to carry out. Calls to the platform, messages to other instances and timers
+//! are the job of the driver, the program that embeds the state machines. The design decisions are
+//! described in `docs/design/`; `docs/design/embedding.md` shows how programs other than
+//! `chervilshuntd` use the crate.
 //!
-//! # Which part to take
+//! # Choosing a state machine
 //!
-//! | for | take | example |
+//! | purpose | types | example |
 //! | --- | --- | --- |
 //! | one lease with fencing between a few processes | [`LeaseKeeper`], [`LeaseObserver`] | `lease.rs` |
-//! | one duty with one holder, before targets that check no fencing token | [`SoleKeeper`] | |
+//! | one duty with one holder, for targets that check no fencing token | [`SoleKeeper`] | |
 //! | roles, each with one holder, over many instances | [`Coordinator`] with [`no_configuration`] | `roles.rs` |
-//! | a configuration that is in force everywhere or nowhere | [`Coordinator`] with a [`ConfigModel`] | `configuration.rs` |
+//! | a configuration that takes effect on all instances or on none | [`Coordinator`] with a [`ConfigModel`] | `configuration.rs` |
 //! | idempotency keys that are claimed once | [`ClaimKeeper`], under a role of its own | |
 //!
-//! `cargo run -p chervilshunt_coord --example NAME` runs them in virtual time, on a
+//! `cargo run -p chervilshunt_coord --example NAME` runs an example in virtual time, on a
 //! [`MemoryPlatform`].
 //!
-//! # How a [`Coordinator`] is driven
+//! # Driving a [`Coordinator`]
 //!
-//! 1. Draw an [`Incarnation`] at random at each start: it is what tells a restarted process from
-//!    the one before. Give [`CoordEvent::Tick`] once, and again whenever
-//!    [`Coordinator::next_wakeup`] says so, by a monotonic clock.
-//! 2. Carry out each [`CoordAction::Platform`] and answer it exactly once;
-//!    [`PlatformResult::Unknown`] where a write may have been carried out, and only then. Reads
-//!    must show the last write, and updates must be conditional on the version.
-//! 3. Send each [`CoordAction::Send`] to its instance, once or not at all; the other side gives it
-//!    to its coordinator as [`CoordEvent::PeerMessage`]. Messages may be lost, doubled or late.
-//! 4. Pass on what watches of assignments and of the head show, and the instance list, as
-//!    [`CoordEvent::ObjectSeen`] and [`CoordEvent::InstanceListChanged`]. Both may be late.
-//! 5. After [`CoordAction::ConfigInForce`], say with [`CoordEvent::RolesWanted`] which roles that
-//!    revision needs. A program's own roles are [`Role::Other`].
-//! 6. On [`CoordAction::RoleEnding`], end what goes on under the role, then give
+//! 1. Draw a random [`Incarnation`] at each start: it distinguishes a restarted process from the
+//!    previous one. Pass in [`CoordEvent::Tick`] once, and again whenever
+//!    [`Coordinator::next_wakeup`] is due on a monotonic clock.
+//! 2. Carry out each [`CoordAction::Platform`] and report its result exactly once. Use
+//!    [`PlatformResult::Unknown`] if, and only if, a write may have been carried out. Reads must
+//!    return the last write, and updates must be conditional on the version.
+//! 3. Send each [`CoordAction::Send`] to its instance, at most once; the receiver passes it to its
+//!    coordinator as [`CoordEvent::PeerMessage`]. Messages may be lost, duplicated or late.
+//! 4. Pass in what the watches of assignments and of the head report, as
+//!    [`CoordEvent::ObjectSeen`], and the instance list, as [`CoordEvent::InstanceListChanged`].
+//!    Both may be late.
+//! 5. After [`CoordAction::ConfigInForce`], pass in the roles that this revision needs with
+//!    [`CoordEvent::RolesWanted`]. A program's own roles are [`Role::Other`].
+//! 6. On [`CoordAction::RoleEnding`], finish the work under the role, then pass in
 //!    [`CoordEvent::RoleReleased`].
-//! 7. Right before each order ask [`Coordinator::may_order`] for the epoch and send that along as
-//!    the fencing number; right before new work is taken ask [`Coordinator::may_take_work`]. Both
-//!    with the time of that moment, as the process may have been paused since it was last told.
+//! 7. Immediately before each order call [`Coordinator::may_order`] and send the returned epoch
+//!    with the order as the fencing number. Immediately before taking new work call
+//!    [`Coordinator::may_take_work`]. Pass the current time to both, as the process may have been
+//!    paused since its last event.
 
 mod bugs;
 mod claims;
@@ -53,8 +56,8 @@
 #[cfg(test)]
 mod tests;
 
-// What the machines take and give, so that a program with a configuration of its own needs no other
-// crate of this workspace.
+// The types in the state machines' events and actions are re-exported, so that a program with a
+// configuration of its own needs no other crate of this workspace.
 pub use chervilshunt_model::{
     ChangeId, Epoch, InstanceId, Moment, RegionName, Revision, SiteName, StoreName, TargetName,
     ZoneName,
--- a/crates/chervilshunt_coord/src/membership.rs
+++ b/crates/chervilshunt_coord/src/membership.rs
@@ -1,4 +1,4 @@
-//! One view of the instances from the instance list, the leases and the peer connections.
+//! A view of the instances that combines the instance list, the leases and the peer connections.
 
 mod ring;
 mod view;
--- a/crates/chervilshunt_coord/src/membership/ring.rs
+++ b/crates/chervilshunt_coord/src/membership/ring.rs
@@ -1,4 +1,4 @@
-//! Which leases an instance watches.
+//! The assignment of leases to the instances that watch them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,16 +6,17 @@
 
 use crate::hashing::text_hash;
 
-/// Returns the instances that `me` watches: those that have it among their `watchers` watchers.
+/// Returns the instances whose leases `me` watches: those that have `me` among their `watchers`
+/// watchers.
 ///
-/// `instances` are those that may watch; `departed` ones are to be watched alone. No zone is known of
-/// them, and all instances have to choose alike: were each to take a zone of its own for theirs, each
-/// would leave them to the instances of other zones, and nobody would watch them.
+/// `instances` can watch and be watched; `departed` instances are only watched. Their zones are
+/// unknown, and all instances must compute the same assignment. If each instance assumed its own
+/// zone for them, it would leave them to the instances of other zones, and nobody would watch them.
 ///
-/// All instances stand on a ring by the hash of their id, and each is watched by the ones after it,
-/// those of other availability zones first, so that a zone's failure does not take instances and
-/// all their watchers at once. So each watches as many as it is watched by, however many there
-/// are.
+/// All instances are placed on a ring by the hash of their id. Each is watched by its successors on
+/// the ring, those in other availability zones first, so that the failure of a zone does not take
+/// down instances together with all their watchers. Each instance thus watches about as many
+/// others as watch it, regardless of the number of instances.
 pub(crate) fn watched_by(
     me: &InstanceId,
     instances: &BTreeMap<InstanceId, ZoneName>,
--- a/crates/chervilshunt_coord/src/membership/view.rs
+++ b/crates/chervilshunt_coord/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of the others.
+//! What an instance knows about the other instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,49 +6,49 @@
 use chervilshunt_model::{InstanceId, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// An instance as the platform's instance list shows it, with a lag.
+/// An instance as shown by the platform's instance list, which lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct InstanceEntry {
     /// The instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for peers.
+    /// The address at which it accepts connections from peers.
     pub peer_address: SocketAddr,
-    /// Where it listens for operators.
+    /// The address at which it accepts connections from operators.
     pub operators_address: SocketAddr,
-    /// Whether the list says that it answers.
+    /// Whether the list shows the instance as serving.
     pub serving: bool,
-    /// Whether the list says that it is leaving.
+    /// Whether the list shows the instance as terminating.
     pub terminating: bool,
 }
 
-/// Whether an instance can be counted on.
+/// The liveness of an instance as seen by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerState {
-    /// Nothing speaks against it.
+    /// The instance shows no sign of failure.
     Live,
-    /// It gives its roles away and takes no new work.
+    /// The instance is handing over its roles and takes no new work.
     Leaving,
-    /// Its connection broke or its lease stays unchanged.
+    /// Its connection broke or its lease has not been renewed.
     Suspect,
 }
 
-/// An instance with what is known of it.
+/// What is known about an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for peers.
+    /// The address at which it accepts connections from peers.
     pub peer_address: SocketAddr,
-    /// Where it listens for operators.
+    /// The address at which it accepts connections from operators.
     pub operators_address: SocketAddr,
-    /// Whether it can be counted on.
+    /// Its liveness.
     pub state: PeerState,
 }
 
-/// All instances that are known, this one included.
+/// All known instances, including this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerView {
     /// The instances by id.
