--- a/crates/chervilshunt_coord/src/platform.rs
+++ b/crates/chervilshunt_coord/src/platform.rs
@@ -1,8 +1,9 @@
-//! What the machines ask of the platform's object API, as typed calls and results.
+//! The calls that the state machines make to the platform's object API, as typed operations and
+//! results.
 //!
-//! The machines never call the platform themselves: they return a [`PlatformCall`] and are later
-//! told its [`PlatformResult`]. Whoever carries the calls out has to give each exactly one result,
-//! if need be [`PlatformResult::Unknown`] after a timeout.
+//! The state machines never call the platform themselves: they return a [`PlatformCall`] and later
+//! receive its [`PlatformResult`]. The driver that carries out the calls must report exactly one
+//! result for each; after a timeout, this is [`PlatformResult::Unknown`].
 
 mod call;
 mod memory;
--- a/crates/chervilshunt_coord/src/platform/call.rs
+++ b/crates/chervilshunt_coord/src/platform/call.rs
@@ -4,7 +4,7 @@
 
 use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, Stored};
 
-/// The id of a call; unique within one process.
+/// The id of a call, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId {
     machine: u32,
@@ -12,21 +12,21 @@
 }
 
 impl CallId {
-    /// Returns the machine that made the call, as given to [`Calls::new`].
+    /// Returns the number of the state machine that made the call, as passed to [`Calls::new`].
     pub(crate) const fn machine(self) -> u32 {
         self.machine
     }
 }
 
-/// What a call is for; the key of the metrics of calls.
+/// The purpose of a call, used as a label of the call metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
-    /// The own lease.
+    /// Keeping this instance's own lease.
     Lease,
-    /// The leases of others.
+    /// Watching the leases of other instances.
     Membership,
-    /// Who holds which role.
+    /// Assignments of roles.
     Roles,
     /// Configuration.
     Configuration,
@@ -35,7 +35,7 @@
 }
 
 impl Purpose {
-    /// Returns the name that metrics and logs use.
+    /// Returns the name used in metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Lease => "lease",
@@ -50,31 +50,31 @@
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PlatformCall {
-    /// Under which id the result comes back.
+    /// The id under which the result is reported.
     pub id: CallId,
-    /// What it is for.
+    /// The purpose of the call.
     pub purpose: Purpose,
-    /// What is asked.
+    /// The operation to carry out.
     pub op: PlatformOp,
 }
 
-/// What is asked of the platform.
+/// An operation of the platform's object API.
 ///
-/// Reads and lists have to be linearizable: they return the last value written, not one from a
-/// cache (in Kubernetes: no `resourceVersion` parameter).
+/// Reads and lists must be linearizable: they return the last value written, not a cached one (in
+/// Kubernetes, this means that the request has no `resourceVersion` parameter).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PlatformOp {
     /// Read one object.
     Read(ObjectName),
     /// List all objects of a kind.
     List(ObjectKind),
-    /// List the pages of one shard of claims.
+    /// List the claim pages of one shard.
     ListClaims(u32),
-    /// Create an object; refused if there is one of that name.
+    /// Create an object; refused if an object with its name exists.
     Create(Object),
-    /// Replace an object if it still has the version.
+    /// Replace an object if its version is still the given one.
     Update(Object, ObjectVersion),
-    /// Delete an object, if a version is given only if it still has that.
+    /// Delete an object; if a version is given, only if the object still has it.
     Delete(ObjectName, Option<ObjectVersion>),
 }
 
@@ -87,15 +87,15 @@
     NotFound,
     /// The objects that were listed.
     Listed(Vec<Stored>),
-    /// The object was created, replaced or deleted; this is its version now.
+    /// The object was created, replaced or deleted; this is the new version.
     Written(ObjectVersion),
-    /// The object no longer has the version that the call named.
+    /// The object's version differs from the one in the call.
     Conflict,
-    /// There is an object of that name already.
+    /// An object with that name already exists.
     AlreadyExists,
-    /// The platform could not be asked, or said that it did nothing.
+    /// The platform could not be reached, or reported that it did nothing.
     Unavailable,
-    /// No answer came: a write may have been carried out, or may yet be.
+    /// No answer arrived: a write may have been carried out or may still be.
     Unknown,
 }
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// Gives calls their ids.
+/// Creates the calls of one state machine and numbers them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Calls {
     machine: u32,
@@ -123,7 +123,7 @@
 }
 
 impl Calls {
-    /// Starts to number the calls of a machine.
+    /// Creates the calls of state machine `machine`, numbered from 0.
     pub(crate) const fn new(machine: u32, purpose: Purpose) -> Self {
         Self {
             machine,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Makes a call.
+    /// Creates a call with the next id.
     pub(crate) fn call(&mut self, op: PlatformOp) -> PlatformCall {
         let id = CallId {
             machine: self.machine,
--- a/crates/chervilshunt_coord/src/platform/memory.rs
+++ b/crates/chervilshunt_coord/src/platform/memory.rs
@@ -1,6 +1,6 @@
-//! The platform's object API, in memory.
+//! An in-memory implementation of the platform's object API, without persistence.
 //!
-//! For examples and for the tests of programs that embed this crate; it keeps nothing.
+//! It serves the examples and the tests of programs that embed this crate.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 
 /// Objects with versions and conditional updates.
 ///
-/// It does what the machines rely on and no more: reads and lists show the last write, and an
-/// update or a deletion that names an old version changes nothing. Whoever drives the machines
-/// makes calls fail, be late or lose their answer as a test needs it.
+/// It provides only the guarantees that the state machines rely on: reads and lists return the last
+/// write, and an update or a deletion with an outdated version changes nothing. The driver of the
+/// state machines can make calls fail, delay them or drop their answers as a test requires.
 #[derive(Clone, Debug, Default, Hash)]
 pub struct MemoryPlatform {
     objects: BTreeMap<ObjectName, (Object, u64)>,
     version: u64,
 }
 
-/// What came of a call.
+/// The effect of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CarriedOut {
-    /// What the caller is told.
+    /// The result to report to the caller.
     pub result: PlatformResult,
-    /// The object that the call wrote, as a watch shows it to others.
+    /// The object that the call wrote, as a watch reports it to other instances.
     pub written: Option<Stored>,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl MemoryPlatform {
-    /// Carries a call out.
+    /// Carries out an operation.
     pub fn carry_out(&mut self, op: &PlatformOp) -> CarriedOut {
         match op {
             PlatformOp::Read(name) => {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns an object.
+    /// Returns an object with its version.
     pub fn get(&self, name: &ObjectName) -> Option<Stored> {
         let (object, version) = self.objects.get(name)?;
         Some(Stored {
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Returns all objects of a kind, by name.
+    /// Returns all objects of a kind, ordered by name.
     pub fn list(&self, kind: ObjectKind) -> Vec<Stored> {
         let names = self.objects.keys().filter(|name| name.kind() == kind);
         names.filter_map(|name| self.get(name)).collect()
--- a/crates/chervilshunt_coord/src/platform/object.rs
+++ b/crates/chervilshunt_coord/src/platform/object.rs
@@ -1,4 +1,4 @@
-//! The objects that the machines keep in the platform's object API.
+//! The objects that the state machines store in the platform's object API.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,13 +11,14 @@
 use crate::lease::LeaseRecord;
 use crate::roles::{AssignmentRecord, AssignmentShard};
 
-/// The platform's version of an object, opaque but for equality; `metadata.resourceVersion`.
+/// The platform's version of an object (`metadata.resourceVersion`). It is opaque: it can only be
+/// compared for equality.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ObjectVersion(Arc<str>);
 
 impl ObjectVersion {
-    /// Wraps a version.
+    /// Creates a version from its text.
     pub fn new(version: impl Into<Arc<str>>) -> Self {
         Self(version.into())
     }
@@ -28,13 +29,13 @@
     }
 }
 
-/// The name of a page of configuration; it contains the hash of the page's content.
+/// The name of a configuration page, which contains the hash of the page's content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PageName(Arc<str>);
 
 impl PageName {
-    /// Wraps a name.
+    /// Creates a name from its text.
     pub fn new(name: impl Into<Arc<str>>) -> Self {
         Self(name.into())
     }
@@ -54,35 +55,35 @@
 /// The kinds of objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObjectKind {
-    /// Kubernetes' Lease, one for each run of an instance.
+    /// A Kubernetes Lease; there is one for each run of an instance.
     Lease,
-    /// Who holds which roles, one for each shard of the roles.
+    /// The holders of roles; there is one object for each shard of the roles.
     Assignment,
-    /// The configuration's head; there is one.
+    /// The head of the configuration; there is exactly one.
     Head,
-    /// A page of configuration.
+    /// A configuration page.
     Page,
     /// A page of claims.
     Claims,
 }
 
-/// The name of an object with its kind.
+/// The kind and name of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectName {
     /// The lease of one run of an instance.
     Lease(Holder),
-    /// One shard of the roles.
+    /// The role assignments of one shard.
     Assignment(AssignmentShard),
-    /// The configuration's head.
+    /// The head of the configuration.
     Head,
-    /// A page of configuration.
+    /// A configuration page.
     Page(PageName),
     /// A page of claims.
     Claims(ClaimPageName),
 }
 
 impl ObjectName {
-    /// Returns the kind.
+    /// Returns the kind of the object.
     pub const fn kind(&self) -> ObjectKind {
         match self {
             Self::Lease(_) => ObjectKind::Lease,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Returns `metadata.name`, unique within the kind and made of characters that Kubernetes
-    /// takes, provided that instance ids are.
+    /// Returns `metadata.name`, which is unique within the kind. It contains only characters that
+    /// Kubernetes accepts, provided that this holds for the instance ids.
     pub fn object_name(&self) -> String {
         match self {
             Self::Lease(holder) => holder.to_string(),
@@ -106,29 +107,29 @@
     }
 }
 
-/// The content of an object: what stands under `spec`.
+/// The content of an object, which is stored under `spec`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Object {
     /// A lease.
     Lease(Box<LeaseRecord>),
-    /// One shard of the roles.
+    /// The role assignments of one shard.
     Assignment(AssignmentRecord),
-    /// The configuration's head.
+    /// The head of the configuration.
     Head(Box<HeadRecord>),
     /// A page of claims.
     Claims(ClaimPage),
-    /// A page of configuration.
+    /// A configuration page.
     Page {
-        /// Its name.
+        /// The name of the page.
         name: PageName,
-        /// Its content, as JSON text.
+        /// The content of the page as JSON text.
         body: Arc<str>,
     },
 }
 
 impl Object {
-    /// Returns the name.
+    /// Returns the kind and name of the object.
     pub fn name(&self) -> ObjectName {
         match self {
             Self::Lease(lease) => ObjectName::Lease(lease.holder.clone()),
@@ -139,10 +140,10 @@
         }
     }
 
-    /// Reads the content of an object of `kind` from `spec`.
+    /// Deserializes the content of an object of `kind` from `spec`.
     ///
     /// # Errors
-    /// Fails if the value does not have the shape of that kind.
+    /// Fails if `spec` does not have the structure of that kind.
     pub fn from_spec(kind: ObjectKind, spec: serde_json::Value) -> Result<Self, serde_json::Error> {
         #[derive(Deserialize)]
         struct PageSpec {
@@ -162,10 +163,10 @@
     }
 }
 
-/// An object as the platform holds it.
+/// An object as stored in the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Stored {
-    /// The content.
+    /// The content of the object.
     pub object: Object,
     /// The version that a conditional update has to name.
     pub version: ObjectVersion,
