--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -1,11 +1,14 @@
-//! Three instances and a configuration of rate limits, changed three times.
+//! Three instances share a configuration of rate limits that is changed three times.
 //!
-//! Run it with `cargo run -p chervilshunt_coord --example configuration`. Time is virtual. The first
-//! change is accepted by all. The second is refused, as an instance is cut off that could not know
-//! of it, and accepted once it is back. The third is written, but the answer to the write is lost:
-//! the proposer settles it by reading. After each step it is checked that no instance goes back to
-//! an older revision, and that the limits at a revision are the same everywhere. See
-//! `docs/design/configuration.md`.
+//! Run it with `cargo run -p chervilshunt_coord --example configuration`. Time is virtual.
+//!
+//! The first change is accepted by all instances. The second is refused while one instance is cut
+//! off and cannot learn of it, and is accepted after that instance is reachable again. The third is
+//! written, but the answer to the write is lost, and the proposer finds the outcome by reading the
+//! head.
+//!
+//! After each step the example checks that no instance returns to an older revision and that the
+//! limits at each revision are the same on all instances. See `docs/design/configuration.md`.
 
 mod support;
 
@@ -19,14 +22,14 @@
 
 use self::support::{Fleet, Reaction};
 
-/// The configuration: how many requests a second each caller may make.
+/// The configuration: the number of requests per second that each caller may make.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Limits {
     revision: Revision,
     by_caller: BTreeMap<String, u64>,
 }
 
-/// A change of it.
+/// A change of one caller's limit.
 #[derive(Clone, Debug)]
 pub(crate) struct SetLimit {
     id: ChangeId,
@@ -36,10 +39,10 @@
 
 type Limited = Fleet<Limits, SetLimit>;
 
-/// What the instances were seen with.
+/// The configurations observed on the instances so far.
 #[derive(Default)]
 struct Seen {
-    /// The limits at each revision, as the first instance had them that came to it.
+    /// The limits at each revision, as first observed on any instance.
     limits: BTreeMap<Revision, Limits>,
     latest: BTreeMap<InstanceId, Revision>,
 }
@@ -48,7 +51,7 @@
     print!("{}", run());
 }
 
-/// Plays the story, checks it, and returns what happened.
+/// Runs the scenario, checks it, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(model(), program);
     let mut seen = Seen::default();
@@ -83,7 +86,7 @@
     fleet.told
 }
 
-/// Says how limits are changed and cut into pages: one for each caller.
+/// Returns the model of the limits, with one page for each caller.
 fn model() -> ConfigModel<Limits, SetLimit> {
     ConfigModel {
         empty: Limits::default,
@@ -115,7 +118,7 @@
     Ok(next)
 }
 
-/// What the program does when its coordinator tells it something.
+/// Returns the program's reaction to an action of its coordinator.
 fn program(action: &CoordAction<Limits, SetLimit>) -> Reaction<SetLimit> {
     let line = match action {
         CoordAction::ConfigInForce { revision, state } => Some(format!(
@@ -164,13 +167,13 @@
     fleet.deliver(&at.into(), CoordEvent::ProposeChange { ticket, change });
 }
 
-/// Returns whether a call is the one that puts a change in force.
+/// Returns whether an operation writes the acceptance of a change into the head.
 fn moves_head(op: &PlatformOp) -> bool {
     matches!(op, PlatformOp::Update(Object::Head(head), _)
         if head.pending.is_none() && head.revision > Revision::new(0))
 }
 
-/// Lets time pass and checks what must always hold.
+/// Lets time pass and checks the invariants after each step.
 fn pass(fleet: &mut Limited, seconds: u64, seen: &mut Seen) {
     fleet.run(Duration::from_secs(seconds), |fleet| {
         for (id, node) in &fleet.nodes {
--- a/crates/chervilshunt_coord/examples/lease.rs
+++ b/crates/chervilshunt_coord/examples/lease.rs
@@ -1,11 +1,12 @@
-//! Two processes, one valve: a lease decides who may turn it, and a paused holder gives no order
-//! after it wakes.
+//! Two processes control one valve: a lease decides which of them may send orders, and a holder
+//! that was paused sends none after it resumes.
 //!
-//! Run it with `cargo run -p chervilshunt_coord --example lease`. Time is virtual. `first` holds
-//! the lease and is paused for longer than the lease counts. `second` watches the lease, marks it
-//! lapsed, and goes on under the next epoch. Two things keep `first` from interfering: it looks at
-//! its lease right before each order, and an order that was on its way all the while is refused by
-//! the valve for its old epoch. See `docs/design/leases.md`.
+//! Run it with `cargo run -p chervilshunt_coord --example lease`. Time is virtual.
+//!
+//! `first` holds the lease and is paused for longer than the lease is valid. `second` watches the
+//! lease, marks it lapsed, and continues under the next epoch. Two mechanisms keep `first` from
+//! interfering: it checks its lease immediately before each order, and the valve refuses an order
+//! that was delayed in transit because its epoch is outdated. See `docs/design/leases.md`.
 
 use std::ops::Range;
 
@@ -14,18 +15,18 @@
     LeaseRecord, MemoryPlatform, Moment, ObserverAction, ObserverConfig, ObserverEvent,
 };
 
-/// When `first` stops.
+/// The second at which `first` is paused.
 const PAUSED_AT: u64 = 12;
-/// When it wakes.
+/// The second at which `first` resumes.
 const WOKEN_AT: u64 = 42;
 const PAUSE: Range<u64> = PAUSED_AT..WOKEN_AT;
-/// When the story ends.
+/// The second at which the scenario ends.
 const END: u64 = 60;
 
 const FIRST_EPOCH: Epoch = Epoch::new(1);
 const SECOND_EPOCH: Epoch = Epoch::new(2);
 
-/// Takes orders, and refuses those with an epoch older than the highest that it has seen.
+/// Accepts orders and refuses those with an epoch older than the highest one seen.
 #[derive(Debug, Default)]
 struct Valve {
     highest: Epoch,
@@ -47,7 +48,7 @@
     print!("{}", run());
 }
 
-/// Plays the story, checks that nobody ordered out of turn, and returns what happened.
+/// Runs the scenario, checks that no process ordered without the lease, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut story = Story::begin();
     for second in 0..END {
@@ -66,7 +67,7 @@
     story.told
 }
 
-/// Both processes, what is between them, and what has happened.
+/// Both processes, the platform and the valve between them, and the transcript.
 struct Story {
     second: u64,
     told: String,
@@ -110,7 +111,7 @@
         self.told += &format!("{:3} s  {what}\n", self.second);
     }
 
-    /// Orders if the lease counts at this very moment, then renews it if that is due.
+    /// Sends an order if the lease is valid at this moment, then renews the lease if that is due.
     fn first_acts(&mut self) {
         let may_order = self.lease.is_valid(self.now());
         if may_order {
@@ -127,7 +128,7 @@
         self.drive_lease(LeaseEvent::Tick);
     }
 
-    /// Watches the lease of the other, and orders once that has ended.
+    /// Watches the lease of `first`, and sends orders once that lease has ended.
     fn second_acts(&mut self) {
         self.drive_observer(ObserverEvent::Tick);
         if self.taken_over.is_some() {
@@ -140,7 +141,7 @@
         self.tell("the order from before the pause arrives; the valve refuses its epoch");
     }
 
-    /// Carries out the calls of the lease keeper until it has no more.
+    /// Carries out the calls of the lease keeper until there are none left.
     fn drive_lease(&mut self, event: LeaseEvent) {
         for action in self.lease.handle(event, self.now()) {
             match action {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Carries out the calls of the observer until it has no more, and lets it mark what expired.
+    /// Carries out the calls of the observer until there are none left, and has it mark expired
+    /// leases as lapsed.
     fn drive_observer(&mut self, event: ObserverEvent) {
         for action in self.observer.handle(event, self.now()) {
             match action {
@@ -200,7 +202,7 @@
     }
 }
 
-/// The run of the process that has the lease; a real one draws its incarnation at random.
+/// The run of the process that holds the lease; a real program draws the incarnation at random.
 fn first() -> Holder {
     Holder::new("first", Incarnation::new(1))
 }
--- a/crates/chervilshunt_coord/examples/machine_costs.rs
+++ b/crates/chervilshunt_coord/examples/machine_costs.rs
@@ -1,6 +1,6 @@
-//! Measures what claims and roles cost an instance in memory and time, by their number.
+//! Measures the memory and time that claims and roles cost an instance, by their number.
 //!
-//! Run it with `cargo run --release -p chervilshunt_coord --example machine_costs`. The figures are
+//! Run it with `cargo run --release -p chervilshunt_coord --example machine_costs`. The results are
 //! in `docs/CAPACITY.md`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -17,11 +17,11 @@
 #[global_allocator]
 static ALLOC: PeakAlloc = PeakAlloc;
 
-/// Claims that a keeper remembers.
+/// Numbers of claims held by a keeper.
 const CLAIMS: [usize; 4] = [1_000, 5_000, 20_000, 40_000];
-/// Claims that share a page.
+/// Number of claims that share a page.
 const BATCH: usize = 10;
-/// Roles of a deployment.
+/// Numbers of roles of a deployment.
 const ROLES: [usize; 4] = [100, 400, 800, 1_630];
 
 fn main() {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the heap of a keeper that remembers so many claims, and the time of each.
+/// Returns the heap bytes of a keeper with `claims` claims and the microseconds per claim.
 fn keeper(claims: usize) -> (usize, f64) {
     let before = ALLOC.current_usage();
     let mut now = Moment::from_millis(1_000);
@@ -47,7 +47,8 @@
     settle(&mut keeper, ClaimEvent::Tick, now, &mut granted);
     let begun = Instant::now();
     for first in (0..claims).step_by(BATCH) {
-        // The least time between two pages has passed with each step, so that a step is a page.
+        // The minimum time between two pages has passed at each step, so that each step writes a
+        // page.
         now = now + Duration::from_millis(100);
         for number in first..first + BATCH {
             settle(
@@ -77,7 +78,7 @@
     (ALLOC.current_usage() - before, micros)
 }
 
-/// Hands an event to a keeper and answers all its calls as a platform would that is empty.
+/// Passes an event to a keeper and answers all its calls like an empty platform.
 fn settle(keeper: &mut ClaimKeeper, event: ClaimEvent, now: Moment, granted: &mut usize) {
     let mut events = VecDeque::from([event]);
     while let Some(event) = events.pop_front() {
@@ -113,7 +114,8 @@
     }
 }
 
-/// Returns the heap of a role table, and the time to take in the change of one object.
+/// Returns the heap bytes of a role table with `roles` roles and the microseconds to process the
+/// change of one object.
 fn table(roles: usize) -> (usize, f64) {
     const CHANGES: usize = 2_000;
     let mut records: BTreeMap<AssignmentShard, AssignmentRecord> = BTreeMap::new();
@@ -132,7 +134,8 @@
     let zone = ZoneName::from("zone-01");
     let mut table = RoleTable::new(RoleConfig::default(), holder(999), zone, now);
     for record in records.values() {
-        // Read back from JSON, as the watch gives it, so that no text is shared with the original.
+        // Deserialized from JSON, as a watch delivers it, so that no text is shared with the
+        // original.
         let text = serde_json::to_string(record).expect("it can be written");
         let record = serde_json::from_str(&text).expect("it was written");
         drop(table.handle(RoleEvent::Seen(record, ObjectVersion::new("1")), now));
--- a/crates/chervilshunt_coord/examples/record_sizes.rs
+++ b/crates/chervilshunt_coord/examples/record_sizes.rs
@@ -1,6 +1,7 @@
-//! Measures the bytes of what instances keep in the platform and send each other to act together.
+//! Measures the sizes of the objects that instances store in the platform and of the messages that
+//! they exchange for coordination.
 //!
-//! Run it with `cargo run --release -p chervilshunt_coord --example record_sizes`. The figures are
+//! Run it with `cargo run --release -p chervilshunt_coord --example record_sizes`. The results are
 //! in `docs/CAPACITY.md`.
 
 use std::collections::BTreeMap;
@@ -13,13 +14,13 @@
 use chervilshunt_model::{AttemptId, ChangeId, Epoch, InstanceId, Revision, TargetName};
 use serde::Serialize;
 
-/// Pages that a configuration is cut into.
+/// Numbers of pages of a configuration.
 const PAGES: [usize; 4] = [1, 65, 129, 257];
-/// Roles that stand in one assignment object.
+/// Numbers of roles in one assignment object.
 const ROLES: [usize; 4] = [5, 10, 26, 60];
-/// Instances that one message is passed on to.
+/// Numbers of instances to which one message is forwarded.
 const FORWARDED: [usize; 4] = [2, 5, 10, 18];
-/// Records in one page of claims.
+/// Numbers of claims in one page.
 const CLAIMS: [usize; 4] = [1, 10, 100, 1_000];
 
 fn main() {
@@ -56,7 +57,7 @@
     println!("request for a claim: {} CBOR bytes", cbor(&claim_request()));
 }
 
-/// Prints sizes by counts, and the line through them.
+/// Prints the size for each count, and the linear fit through them.
 fn table(title: &str, counts: &[usize], size: impl Fn(usize) -> usize) {
     println!("{title}:");
     let points: Vec<(f64, f64)> = counts
@@ -71,7 +72,8 @@
     println!("    {fixed:.0} + {slope:.1} each, R2 {r2:.4}");
 }
 
-/// Returns the line of least squares, and the share of the variance that it explains.
+/// Returns the intercept and slope of the least-squares line, and the share of the variance that it
+/// explains.
 fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / n;
@@ -151,7 +153,7 @@
     }
 }
 
-/// Makes a request to acknowledge; its body stands for a change set of 160 bytes.
+/// Creates a request to acknowledge whose body has the size of a change set of 160 bytes.
 fn prepare() -> ConfigMessage<String> {
     ConfigMessage::Prepare(Box::new(Prepare {
         change: change(1),
--- a/crates/chervilshunt_coord/examples/roles.rs
+++ b/crates/chervilshunt_coord/examples/roles.rs
@@ -1,8 +1,9 @@
-//! Three instances share four roles: one joins late, one hands its roles over, one fails.
+//! Three instances share four roles: one joins late, one hands its roles over, and one fails.
 //!
-//! Run it with `cargo run -p chervilshunt_coord --example roles`. Time is virtual. After each step
-//! of each instance it is checked that no role has two instances that may order under it, and that
-//! a role's epoch never falls. See `docs/design/roles.md`.
+//! Run it with `cargo run -p chervilshunt_coord --example roles`. Time is virtual.
+//!
+//! After each step of each instance the example checks that at most one instance may send orders
+//! under each role and that the epoch of a role never decreases. See `docs/design/roles.md`.
 
 mod support;
 
@@ -19,7 +20,7 @@
     print!("{}", run());
 }
 
-/// Plays the story, checks it, and returns what happened.
+/// Runs the scenario, checks it, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(no_configuration(), program);
     let mut epochs = BTreeMap::new();
@@ -48,7 +49,7 @@
     fleet.told
 }
 
-/// What the program does when its coordinator tells it something.
+/// Returns the program's reaction to an action of its coordinator.
 fn program(action: &CoordAction<(), ()>) -> Reaction<()> {
     let (line, events) = match action {
         CoordAction::ConfigInForce { revision, .. } => {
@@ -69,7 +70,8 @@
             };
             (Some(format!("{how} {role}, epoch {epoch}")), Vec::new())
         }
-        // A real program first ends what it does under the role, and passes on what it knows.
+        // A real program first finishes its work under the role and passes its state on to the next
+        // holder.
         CoordAction::RoleEnding { role, .. } => {
             (None, vec![CoordEvent::RoleReleased(role.clone())])
         }
@@ -89,7 +91,7 @@
     roles.into()
 }
 
-/// Lets time pass and checks what must always hold.
+/// Lets time pass and checks the invariants after each step.
 fn pass(fleet: &mut Fleet<(), ()>, seconds: u64, epochs: &mut BTreeMap<Role, Epoch>) {
     fleet.run(Duration::from_secs(seconds), |fleet| {
         for WantedRole { role, .. } in wanted() {
@@ -107,7 +109,8 @@
     });
 }
 
-/// Returns who may order under a role right now: each instance is asked, as before each order.
+/// Returns the instances that may currently send orders under a role. Each instance is asked, as it
+/// would ask its coordinator before each order.
 fn holders<'a>(fleet: &'a Fleet<(), ()>, role: &Role) -> Vec<(&'a str, Epoch)> {
     let nodes = fleet.nodes.iter();
     let holders = nodes.filter_map(|(id, node)| Some((id, node.may_order(role, fleet.now)?)));
--- a/crates/chervilshunt_coord/examples/support/mod.rs
+++ b/crates/chervilshunt_coord/examples/support/mod.rs
@@ -1,8 +1,8 @@
-//! What a program puts round coordinators, in small: the platform and messages, in virtual time.
+//! A minimal driver for coordinators: the platform, messages and timers, in virtual time.
 //!
-//! The same loop drives a coordinator in a real program: carry out each call and answer it once,
-//! send each message, pass on what watches and the instance list show, and tick when
-//! `next_wakeup` says so.
+//! A real program drives a coordinator with the same loop: it carries out each call and reports its
+//! result once, sends each message, passes in what watches and the instance list report, and passes
+//! in a tick when `next_wakeup` is due.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,18 +13,19 @@
     PlatformResult,
 };
 
-/// How long a call to the platform takes each way, and a message.
+/// The delay of a call to the platform in each direction, and of a message.
 const DELAY: Duration = Duration::from_millis(5);
-/// After how long a call without an answer counts as unknown.
+/// The time after which a call without an answer is reported as unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a program makes of an action: a line to tell, and events for the coordinator.
+/// The reaction of a program to an action: a line for the transcript and events for the
+/// coordinator.
 pub(crate) struct Reaction<C> {
     pub(crate) line: Option<String>,
     pub(crate) events: Vec<CoordEvent<C>>,
 }
 
-/// Says what a program makes of the actions that are neither calls nor messages.
+/// Returns the reaction of a program to actions that are neither calls nor messages.
 pub(crate) type Program<S, C> = fn(&CoordAction<S, C>) -> Reaction<C>;
 
 enum Step<C> {
@@ -32,13 +33,13 @@
     Event(CoordEvent<C>),
 }
 
-/// Some instances, each in a zone of its own, with what is between them.
+/// A fleet of instances, each in its own zone, with the platform and the messages between them.
 pub(crate) struct Fleet<S, C> {
     pub(crate) now: Moment,
     pub(crate) nodes: BTreeMap<InstanceId, Coordinator<S, C>>,
-    /// Instances that reach neither the platform nor others.
+    /// Instances that can reach neither the platform nor other instances.
     pub(crate) cut_off: BTreeSet<InstanceId>,
-    /// Picks the write whose answer is lost, once.
+    /// Selects the write whose answer is lost; applies once.
     pub(crate) lose_answer: Option<fn(&PlatformOp) -> bool>,
     pub(crate) told: String,
     model: ConfigModel<S, C>,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Starts an instance; the instance list shows it from now on.
+    /// Starts an instance and adds it to the instance list.
     pub(crate) fn start(&mut self, id: &str) {
         // A real program draws the incarnation at random.
         let me = Holder::new(id, Incarnation::new(self.steps));
@@ -77,13 +78,14 @@
         self.deliver(&id.into(), CoordEvent::Tick);
     }
 
-    /// Ends a process without a word; what it asked of the platform may yet be carried out.
+    /// Ends a process without a shutdown; its pending calls to the platform may still be carried
+    /// out.
     pub(crate) fn crash(&mut self, id: &str) {
         self.nodes.remove(&InstanceId::from(id));
         self.show_list();
     }
 
-    /// Gives a coordinator an event and does what it wants.
+    /// Passes an event to a coordinator and carries out its actions.
     pub(crate) fn deliver(&mut self, id: &InstanceId, event: CoordEvent<C>) {
         let Some(coordinator) = self.nodes.get_mut(id) else {
             return;
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Lets time pass, calling `check` after each step.
+    /// Lets time pass and calls `check` after each step.
     pub(crate) fn run(&mut self, time: Duration, mut check: impl FnMut(&Self)) {
         let end = self.now + time;
         loop {
@@ -122,7 +124,8 @@
         );
     }
 
-    /// Returns when a coordinator next wants to be ticked; never twice at the same moment.
+    /// Returns when the next tick of any coordinator is due, at least 1 ms from now, so that time
+    /// always advances.
     fn next_wakeup(&self) -> Option<Moment> {
         let wakeups = self.nodes.values().filter_map(Coordinator::next_wakeup);
         Some(wakeups.min()?.max(self.now + Duration::from_millis(1)))
