--- a/crates/chervilshunt_coord/src/tests.rs
+++ b/crates/chervilshunt_coord/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the machines together.
+//! Tests of the state machines together.
 
 mod claims;
 mod explore;
--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -1,9 +1,11 @@
-//! A key's request is sent at most once, whatever happens to keepers, entries and the platform.
+//! The request of a key is sent at most once, whatever happens to keepers, entry instances and the
+//! platform.
 //!
-//! Callers try again under the same key at any instance. Calls to the platform are carried out in
-//! any order, late, or never, and answers get lost; keepers are replaced while they still run and
-//! still hear of what they had asked. Whoever is granted a claim sends the request; a second send
-//! under one key is the failure, and so is a send after the try was told that it did not run.
+//! Callers retry under the same key at any instance. Calls to the platform are carried out in any
+//! order, late or never, and answers are lost. Keepers are replaced while they still run, and still
+//! receive the results of their calls. An entry instance sends the request when its claim is
+//! granted. The test fails if a request is sent twice under one key, or if it is sent after its
+//! attempt was reported as not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,25 +25,25 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An entry asks a keeper for a key; both are counted from the newest.
+    /// An entry instance requests a claim of a keeper; `keeper` counts back from the newest one.
     Ask {
         keeper: usize,
         entry: usize,
         key: u8,
     },
-    /// The last question is asked once more, of any keeper.
+    /// The last claim request is repeated at any keeper.
     AskAgain { keeper: usize },
-    /// The platform carries a call out, and its answer arrives or not.
+    /// The platform carries out a call, and its answer arrives or is lost.
     Carry { call: usize, answered: bool },
-    /// A call that was or wasn't carried out times out.
+    /// A call times out, whether or not it was carried out.
     TimeOut { call: usize },
-    /// An answer of a keeper arrives.
+    /// An answer of a keeper arrives at the entry instance.
     Arrive { answer: usize },
-    /// A request that was sent is answered, and the keeper learns of it.
+    /// A request that was sent is answered, and a keeper is notified.
     Finish { sent: usize, keeper: usize },
-    /// Another keeper takes over; the old one does not know.
+    /// Another keeper takes over without the old one's knowledge.
     TakeOver,
-    /// An entry crashes and is started anew.
+    /// An entry instance crashes and restarts.
     Crash { entry: usize },
     /// Time passes.
     Pass { millis: u64 },
@@ -63,7 +65,7 @@
     ]
 }
 
-/// A call that was made, and its result once it was carried out.
+/// A call to the platform and whether it was carried out.
 struct Pending {
     keeper: usize,
     call: PlatformCall,
@@ -80,7 +82,7 @@
     last: Option<ClaimRequest>,
     attempts: u128,
     incarnations: [u64; ENTRIES],
-    /// Tries that were sent, by key; each counts, also those of entries that crashed.
+    /// Attempts that were sent, by key, including those of entry instances that crashed since.
     sent: BTreeMap<ClaimKey, BTreeSet<AttemptId>>,
     told_not_run: BTreeSet<AttemptId>,
     bugs: Bugs,
@@ -173,7 +175,7 @@
                     let pending = self.calls.remove(call);
                     let event = ClaimEvent::Reply(pending.call.id, PlatformResult::Unknown);
                     if !pending.carried_out {
-                        // It may yet be carried out, long after the keeper gave it up.
+                        // The call may still be carried out, long after the keeper gave up on it.
                         self.calls.push(pending);
                     } else {
                         self.hand(pending.keeper, event);
@@ -239,7 +241,7 @@
         }
         match answer {
             ClaimAnswer::Granted => {
-                // The try's final answer came first; an entry acts on that alone.
+                // An entry instance acts only on the first final answer to an attempt.
                 if !self.told_not_run.contains(&attempt) {
                     self.sent.entry(key).or_default().insert(attempt);
                 }
--- a/crates/chervilshunt_coord/src/tests/explore.rs
+++ b/crates/chervilshunt_coord/src/tests/explore.rs
@@ -1,4 +1,5 @@
-//! Visits every state that a small world can reach within a number of steps.
+//! Exhaustive search of the states that a small simulated system can reach within a number of
+//! steps.
 
 use std::fmt::Debug;
 use std::hash::{Hash, Hasher};
@@ -6,10 +7,10 @@
 use pathfinding::directed::bfs::bfs_reach;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A world with the number of steps that led to it.
+/// A world and the number of steps that led to it.
 ///
-/// Two are the same if the hashes of their worlds are, of 128 bits. The steps don't count: the
-/// search visits each world first by the fewest.
+/// Two are equal if the 128-bit hashes of their worlds are. The number of steps is not compared:
+/// the breadth-first search visits each world first by the fewest steps.
 #[derive(Clone)]
 struct Visited<W> {
     world: W,
@@ -43,18 +44,20 @@
     }
 }
 
-/// Returns the number of steps to search: `usual`, or as many as the environment asks for.
+/// Returns the search depth in steps: `usual`, or the value of the environment variable
+/// `CHERVILSHUNT_COORD_DEPTH`.
 pub(super) fn depth(usual: usize) -> usize {
     let asked = std::env::var("CHERVILSHUNT_COORD_DEPTH").ok();
     asked.and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
 
-/// What was visited, or the first violation found.
+/// The number of visited worlds, or the first violation found.
 pub(super) type Explored = Result<usize, String>;
 
-/// Visits all worlds within `depth` steps of `start`, and returns their number.
+/// Visits all worlds within `depth` steps of `start` and returns their number.
 ///
-/// `steps` returns the worlds that one step leads to, and `check` says what is wrong with one.
+/// `steps` returns the worlds that one step leads to; `check` returns an error that describes what
+/// is wrong with a world.
 pub(super) fn explore<W: Clone + Debug + Hash>(
     start: W,
     depth: usize,
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -1,10 +1,10 @@
-//! All interleavings of one change of configuration with an instance that joins meanwhile.
+//! Explores all interleavings of one configuration change with an instance that joins meanwhile.
 //!
-//! One instance proposes a change while another works and a third joins. Calls are carried out at
-//! any time, their answers come at any time or never, messages come in any order or never, and
-//! time passes. Once the head has moved, whoever still takes work by the old configuration after
-//! the bound breaks the promise; so does an operator who was told that a change was refused that is
-//! in force.
+//! One instance proposes a change while another takes work and a third joins. Calls are carried out
+//! at any time, their answers arrive at any time or are lost, messages arrive in any order or
+//! never, and time passes. The test fails if an instance still takes work under the old
+//! configuration later than the allowed time after the head has moved, or if the operator was told
+//! that a change was refused that took effect.
 
 use std::time::Duration;
 
@@ -28,10 +28,11 @@
 const STEP: Duration = Duration::from_secs(2);
 const HORIZON: Duration = Duration::from_secs(8);
 
-/// Within this time of the head's move a revision is in force wherever work is taken.
+/// The time after the head's move within which the new revision must be in force on every instance
+/// that takes work.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 
-/// The proposer and one that works; the third joins.
+/// The proposer, an instance that takes work, and the instance that joins.
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const PROPOSER: usize = 0;
 const NEWCOMER: usize = 2;
@@ -54,7 +55,7 @@
     now: Moment,
     platform: MemoryPlatform,
     followers: Vec<Follower<Table, SetCell>>,
-    /// Whether each has begun to take work; the newcomer does once it is settled.
+    /// Whether each instance has started to take work; the joining one does once it is settled.
     works: Vec<bool>,
     proposer: Proposer<Table, SetCell>,
     pending: Vec<Pending>,
@@ -96,7 +97,8 @@
                 address: ([127, 0, 0, 1], 1).into(),
             };
             let cfg = FollowerConfig {
-                // Asking again and giving up in the proposer's place are not in this world.
+                // Repeated requests and giving up in the proposer's place are not part of this
+                // model.
                 ask_after: HORIZON * 2,
                 abandon_after: HORIZON * 2,
                 acknowledge_unasked_after: HORIZON * 2,
@@ -143,7 +145,7 @@
         world
     }
 
-    /// The newcomer's lease comes into being, and it learns of that.
+    /// Creates the lease of the joining instance and starts its follower.
     fn join(&mut self) {
         self.joined = true;
         let lease = lease(NEWCOMER, LeaseState::Joining);
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Some coordinators with a platform and links between them, in virtual time.
+//! Simulates a fleet of coordinators with a platform and links between them, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,25 +15,25 @@
     MemoryPlatform, PlatformCall, PlatformResult, Role, Stored, WantedRole,
 };
 
-/// How long a call to the platform or a message takes at the least.
+/// The minimum delay of a call to the platform or a message.
 const DELAY: Duration = Duration::from_millis(4);
 
-/// After how long a call without an answer counts as unknown.
+/// The time after which a call without an answer is reported as unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the program takes to hand a role over.
+/// The time that the program needs to hand a role over.
 const HANDOVER: Duration = Duration::from_millis(30);
 
-/// By how much the instance list lags.
+/// The lag of the instance list.
 const LIST_LAG: Duration = Duration::from_secs(3);
 
-/// An instance with what happened on it.
+/// A simulated instance and its state.
 pub(super) struct Node {
     pub(super) coordinator: Coordinator<Table, SetCell>,
     process: u64,
     pub(super) running: bool,
     paused: bool,
-    /// Its clock is ahead of the true time by this.
+    /// The offset of its clock from the simulation's time.
     clock_ahead: Duration,
     zone: &'static str,
     waiting: Vec<Happening>,
@@ -41,7 +41,7 @@
     pub(super) in_force: Option<Table>,
     pub(super) left: bool,
     woken_for: Option<Moment>,
-    /// Calls that have had no result yet; each gets one.
+    /// Calls that have no result yet; each receives exactly one.
     open_calls: BTreeSet<CallId>,
 }
 
@@ -51,7 +51,7 @@
         self.running && !self.paused
     }
 
-    /// Returns a number that no other process has.
+    /// Returns the unique number of this process.
     pub(super) const fn process(&self) -> u64 {
         self.process
     }
@@ -97,28 +97,28 @@
     }
 }
 
-/// What goes wrong on the way.
+/// Injected faults of the platform and the network.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Faults {
-    /// Instances that can't reach the platform.
+    /// Instances that cannot reach the platform.
     pub(super) cut_from_platform: BTreeSet<InstanceId>,
-    /// Pairs of instances that can't reach each other.
+    /// Pairs of instances that cannot reach each other.
     pub(super) cut_links: BTreeSet<(InstanceId, InstanceId)>,
-    /// Of 100 answers of the platform that many are lost after the call was carried out.
+    /// Percentage of the platform's answers that are lost after the call was carried out.
     pub(super) lost_answers: u64,
-    /// Of 100 calls that many are carried out a good deal later than they time out.
+    /// Percentage of calls that are carried out well after they have timed out.
     pub(super) late_calls: u64,
-    /// Of 100 messages that many are lost.
+    /// Percentage of messages that are lost.
     pub(super) lost_messages: u64,
-    /// Of 100 messages that many come twice.
+    /// Percentage of messages that are delivered twice.
     pub(super) doubled_messages: u64,
-    /// The longest further delay of messages, calls and watches, in milliseconds.
+    /// The maximum additional delay of messages, calls and watch events, in milliseconds.
     pub(super) slow_ms: u64,
-    /// Of 100 events of a watch that many never come.
+    /// Percentage of watch events that are lost.
     pub(super) missed_watches: u64,
 }
 
-/// Some coordinators with what is between them.
+/// A fleet of coordinators, with the platform and the network between them.
 pub(super) struct Fleet {
     pub(super) now: Moment,
     pub(super) platform: MemoryPlatform,
@@ -133,7 +133,7 @@
     draws: u64,
     seed: u64,
     processes: u64,
-    /// How long a lease lasts; all times that have to fit it are in proportion.
+    /// The duration of a lease; all related times are scaled with it.
     lease: Duration,
     bugs: Bugs,
 }
@@ -167,7 +167,7 @@
         self.bugs = bugs;
     }
 
-    /// Starts an instance, or starts it again after a crash.
+    /// Starts an instance, or restarts it after a crash.
     pub(super) fn start(&mut self, id: &str, zone: &'static str) {
         self.processes += 1;
         let process = self.processes;
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Wakes a paused instance; what it was sent meanwhile arrives in the order of its sending.
+    /// Resumes a paused instance. What was sent to it meanwhile arrives in the order in which it
+    /// was sent.
     pub(super) fn resume(&mut self, id: &str) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -247,7 +248,7 @@
         self.deliver(&id.into(), CoordEvent::ProposeChange { ticket, change });
     }
 
-    /// Lets time pass, calling `check` after everything that happens.
+    /// Lets time pass and calls `check` after each event.
     pub(super) fn run_checked(&mut self, time: Duration, mut check: impl FnMut(&Self)) {
         let end = self.now + time;
         while let Some(Reverse(due)) = self.queue.peek() {
@@ -269,12 +270,12 @@
         self.run_checked(time, |_| {});
     }
 
-    /// Returns a node's own time.
+    /// Returns the time on a node's own clock.
     pub(super) fn clock_of(&self, node: &Node) -> Moment {
         self.now + node.clock_ahead
     }
 
-    /// Returns the nodes that run and are not paused, with their time.
+    /// Returns the nodes that run and are not paused, each with its own time.
     pub(super) fn awake(&self) -> impl Iterator<Item = (&InstanceId, &Node, Moment)> {
         self.nodes
             .iter()
@@ -374,7 +375,7 @@
         self.deliver(&id, event);
     }
 
-    /// Carries a call out at the platform, even if the caller has died since.
+    /// Carries out a call at the platform, even if the caller has crashed since.
     fn carry_out(&mut self, id: &InstanceId, process: u64, call: &PlatformCall) {
         let CarriedOut { result, written } = self.platform.carry_out(&call.op);
         if let Some(stored) = written {
--- a/crates/chervilshunt_coord/src/tests/promises.rs
+++ b/crates/chervilshunt_coord/src/tests/promises.rs
@@ -1,9 +1,9 @@
-//! Whatever goes wrong, in whatever order, the promises hold.
+//! The guarantees to callers and targets hold under any sequence of faults.
 //!
-//! A fleet of coordinators runs while instances crash, freeze, leave and come back, lose the
-//! platform, their peers or both, while answers and messages are lost, late and doubled, and while
-//! operators propose changes. After everything that happens it is checked what callers and targets
-//! rely on; at the end all is healed, and everybody has to be back at work.
+//! A fleet of coordinators runs while instances crash, freeze, leave and return, lose the platform,
+//! their peers or both, while answers and messages are lost, late and duplicated, and while
+//! operators propose changes. The guarantees are checked after every event. At the end all faults
+//! are removed, and every instance has to take work again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,10 +22,11 @@
 const INSTANCES: usize = 5;
 const ROLES: usize = 6;
 
-/// Within this time of its acceptance a revision is in force wherever work is taken.
+/// The time after its acceptance within which a revision must be in force on every instance that
+/// takes work.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
 
-/// Within this time after everything is healed all instances are back at work.
+/// The time after the end of all faults within which all instances must take work again.
 const RECOVERED_WITHIN: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
@@ -80,7 +81,7 @@
     ]
 }
 
-/// What has been seen so far, to compare with.
+/// The observations so far, to which later ones are compared.
 #[derive(Default)]
 struct Seen {
     holders: BTreeMap<(Role, Epoch), (InstanceId, u64)>,
@@ -101,7 +102,8 @@
         }
     }
 
-    /// No two instances may give orders under one role, and no epoch is used twice.
+    /// Checks that no two instances may order under one role and that no epoch is used by two
+    /// processes.
     fn check_orders(&mut self, fleet: &Fleet) -> Result<(), String> {
         let mut ordering: BTreeMap<&Role, &InstanceId> = BTreeMap::new();
         for (id, node, now) in fleet.awake() {
@@ -125,8 +127,8 @@
         Ok(())
     }
 
-    /// A configuration never reverts, is the same everywhere, and once accepted is in force
-    /// wherever work is taken.
+    /// Checks that a configuration never reverts, is the same everywhere, and is in force on every
+    /// instance that takes work soon after its acceptance.
     fn check_configuration(&mut self, fleet: &Fleet) -> Result<(), String> {
         if let Some(Object::Head(head)) = fleet
             .platform
@@ -166,8 +168,8 @@
         Ok(())
     }
 
-    /// After all is healed, everybody works by the same configuration, which holds just what was
-    /// accepted, and every role has a holder.
+    /// Checks that after the end of all faults all instances use the same configuration, that it
+    /// contains exactly the accepted changes, and that every role has a holder.
     fn check_end(&self, fleet: &Fleet) -> Result<(), String> {
         for (id, node, now) in fleet.awake() {
             if !node.coordinator.may_take_work(now) {
@@ -205,8 +207,9 @@
 
 /// Returns the page that a change sets.
 ///
-/// Most have one of their own, so that it shows whether the change is in force. Every third sets a
-/// page that others set too, so that a configuration that reverts is a whole one.
+/// Most changes set a page of their own, which shows whether the change is in force. Every third
+/// sets a shared page, so that an older configuration can be loaded completely if a stale head is
+/// accepted.
 fn page(ticket: ChangeTicket) -> String {
     if has_own_page(ticket) {
         format!("page{}", ticket.0)
--- a/crates/chervilshunt_coord/src/tests/runs.rs
+++ b/crates/chervilshunt_coord/src/tests/runs.rs
@@ -1,9 +1,10 @@
-//! Runs properties with fixed seeds.
+//! Runs property tests with fixed seeds.
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseResult, TestError, TestRng, TestRunner};
 
-/// Returns how many cases to run: `usual`, or as many as the environment asks for.
+/// Returns the number of cases to run: `usual`, or the value of the environment variable
+/// `CHERVILSHUNT_COORD_CASES`.
 pub(super) fn cases(usual: u32) -> u32 {
     let asked = std::env::var("CHERVILSHUNT_COORD_CASES").ok();
     asked.and_then(|text| text.parse().ok()).unwrap_or(usual)
@@ -19,7 +20,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Fails the test, with the smallest input found, if the property doesn't hold.
+/// Fails the test with the smallest failing input found if the property does not hold.
 pub(super) fn holds<S: Strategy>(
     cases: u32,
     strategy: &S,
@@ -30,7 +31,8 @@
     }
 }
 
-/// Fails the test if the property holds in all cases: then the check would find no bug.
+/// Fails the test if the property holds in all cases, which means that the check does not detect
+/// the seeded bug.
 pub(super) fn is_caught<S: Strategy>(
     cases: u32,
     strategy: &S,
--- a/crates/chervilshunt_coord/src/tests/smoke.rs
+++ b/crates/chervilshunt_coord/src/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! A fleet without faults does what it is for.
+//! A fleet without network or platform faults works as intended.
 
 use std::time::Duration;
 
@@ -65,9 +65,11 @@
     }
 }
 
-/// What callers see: requests to the targets of a crashed instance are served again.
-/// The instance leaves the list long before its lease has run out. Those that watch the lease have
-/// to go on, although the list no longer says in which zone it was, or its roles rest for good.
+/// Guards against requests to the targets of a crashed instance that are never served again.
+///
+/// The crashed instance leaves the instance list long before its lease has run out. The instances
+/// that watch the lease have to continue although the list no longer shows its zone; otherwise its
+/// roles would never be taken over.
 #[rstest]
 #[case::fewer_others_than_watchers(3, 6)]
 #[case::more_others_in_each_zone_than_watchers(12, 24)]
@@ -89,10 +91,11 @@
     }
 }
 
-/// What the operator sees: no change of configuration is accepted any more.
-/// An instance that holds no role crashes. Nobody watches its lease, as nothing has to be taken
-/// over, until it doesn't acknowledge a change: the proposer then watches the lease until it can be
-/// marked lapsed, and the next change is accepted without the instance.
+/// Guards against a fleet that accepts no more configuration changes after a crash.
+///
+/// The crashed instance holds no role, so nobody watches its lease, as nothing has to be taken
+/// over. Once it fails to acknowledge a change, the proposer watches the lease until it can be
+/// marked lapsed, and the next change is accepted without that instance.
 #[test]
 fn changes_are_accepted_again_after_an_instance_without_roles_crashed() {
     let mut fleet = fleet_of(4, 1);
--- a/crates/chervilshunt_coord/src/tests/table.rs
+++ b/crates/chervilshunt_coord/src/tests/table.rs
@@ -1,4 +1,4 @@
-//! A small configuration for tests: numbers by page.
+//! A small configuration for tests: a number for each page.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 
 use crate::{Applied, ConfigModel, PageKey};
 
-/// Numbers by page.
+/// A number for each page.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Table {
     pub(super) revision: Revision,
     pub(super) cells: BTreeMap<String, u64>,
 }
 
-/// Sets one number.
+/// A change that sets one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct SetCell {
     pub(super) id: ChangeId,
--- a/crates/chervilshunt_coord/tests/examples.rs
+++ b/crates/chervilshunt_coord/tests/examples.rs
@@ -1,6 +1,7 @@
-//! The examples run and tell the same story each time.
+//! Runs the examples and compares their output with snapshots.
 //!
-//! Each checks its own invariants while it runs, so that a run that ends without a panic held them.
+//! Each example checks its own invariants while it runs, so a run that ends without a panic has met
+//! them.
 
 #![expect(
     clippy::duplicate_mod,
