--- a/crates/chervilshunt_coord/examples/machine_costs.rs
+++ b/crates/chervilshunt_coord/examples/machine_costs.rs
@@ -53,7 +53,7 @@
         for number in first..first + BATCH {
             settle(
                 &mut keeper,
-                ClaimEvent::Asked(request(number)),
+                ClaimEvent::Requested(request(number)),
                 now,
                 &mut granted,
             );
--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -126,12 +126,12 @@
 
     /// Handles one event and returns the actions to carry out.
     ///
-    /// [`ClaimEvent::Asked`] may be passed in only while this instance may act under the
+    /// [`ClaimEvent::Requested`] may be passed in only while this instance may act under the
     /// shard's role.
     pub fn handle(&mut self, event: ClaimEvent, now: Moment) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
-            ClaimEvent::Asked(req) => self.on_asked(req, now, &mut actions),
+            ClaimEvent::Requested(req) => self.on_asked(req, now, &mut actions),
             ClaimEvent::Ended {
                 key,
                 attempt,
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
     /// An instance requests a claim.
-    Asked(ClaimRequest),
+    Requested(ClaimRequest),
     /// The attempt that a claim was granted to, or requested for, has ended.
     Ended {
         /// The idempotency key.
--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -161,12 +161,12 @@
                 self.keys.insert(req.attempt, req.key);
                 self.last = Some(req.clone());
                 let keeper = self.newest(keeper);
-                self.hand(keeper, ClaimEvent::Asked(req));
+                self.hand(keeper, ClaimEvent::Requested(req));
             }
             Step::AskAgain { keeper } => {
                 let keeper = self.newest(keeper);
                 if let Some(req) = self.last.clone() {
-                    self.hand(keeper, ClaimEvent::Asked(req));
+                    self.hand(keeper, ClaimEvent::Requested(req));
                 }
             }
             Step::Carry { call, answered } => self.carry(call, answered),
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -71,7 +71,7 @@
             return;
         }
         self.claimants.insert(req.attempt, reply);
-        self.work_off([Step::Claims(shard, ClaimEvent::Asked(req))]);
+        self.work_off([Step::Claims(shard, ClaimEvent::Requested(req))]);
     }
 
     pub(super) fn end_claim(&mut self, ended: ClaimEnded) -> bool {
