--- a/crates/chervilshunt_coord/examples/machine_costs.rs
+++ b/crates/chervilshunt_coord/examples/machine_costs.rs
@@ -88,7 +88,7 @@
                     events.push_back(ClaimEvent::Reply(call.id, answer(&call.op)));
                 }
                 ClaimAction::Answer { .. } => *granted += 1,
-                ClaimAction::AskEntry { .. } => {}
+                ClaimAction::QueryAttempt { .. } => {}
                 ClaimAction::Superseded => panic!("nobody else keeps the shard"),
             }
         }
--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -257,7 +257,7 @@
             return;
         }
         claim.check_at = now + check_every;
-        actions.push(ClaimAction::AskEntry {
+        actions.push(ClaimAction::QueryAttempt {
             entry: entry.clone(),
             key,
             attempt,
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -152,7 +152,7 @@
     ///
     /// An instance that does not know the attempt has not sent it and never will. It may answer
     /// [`ClaimOutcome::NotRun`] only if it has kept records of all its attempts since it started.
-    AskEntry {
+    QueryAttempt {
         /// The instance and its incarnation.
         entry: Holder,
         /// The idempotency key.
--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -138,7 +138,7 @@
                     let key = self.keys[&attempt];
                     self.answers.push((entry, key, attempt, answer));
                 }
-                ClaimAction::AskEntry { .. } | ClaimAction::Superseded => {}
+                ClaimAction::QueryAttempt { .. } | ClaimAction::Superseded => {}
             }
         }
     }
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -106,7 +106,7 @@
                 ClaimAction::Answer {
                     attempt, answer, ..
                 } => self.answer_claim(attempt, answer),
-                ClaimAction::AskEntry {
+                ClaimAction::QueryAttempt {
                     entry,
                     key,
                     attempt,
