--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -149,7 +149,7 @@
         if self.superseded {
             actions.push(self.not_now(&req));
         } else if !self.ready {
-            if self.early.len() >= self.cfg.page_at_most {
+            if self.early.len() >= self.cfg.max_page_entries {
                 actions.push(self.not_now(&req));
             } else {
                 self.early.push_back((req, now + self.cfg.wait_at_most));
@@ -416,7 +416,7 @@
         }
         self.forget_old(now, actions);
         if !self.unrecorded.is_empty() && now >= self.commit_at {
-            let count = self.unrecorded.len().min(self.cfg.page_at_most);
+            let count = self.unrecorded.len().min(self.cfg.max_page_entries);
             let entries = self.unrecorded.drain(..count).collect();
             self.commit_at = now + self.cfg.commit_every;
             actions.push(ClaimAction::Call(self.log.append(entries)));
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -24,7 +24,7 @@
     /// 1 MB.
     ///
     /// It also limits the requests that wait until the log has been read.
-    pub page_at_most: usize,
+    pub max_page_entries: usize,
     /// How long a request waits for its claim to be recorded before it is refused.
     pub wait_at_most: Duration,
     /// How long claims and outcomes are kept.
@@ -49,7 +49,7 @@
             me,
             epoch,
             commit_every: Duration::from_millis(100),
-            page_at_most: 1_000,
+            max_page_entries: 1_000,
             wait_at_most: Duration::from_secs(2),
             keep_for: Duration::from_secs(3_600),
             remember_at_most: 200_000,
