--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -152,7 +152,7 @@
             if self.early.len() >= self.cfg.max_page_entries {
                 actions.push(self.not_now(&req));
             } else {
-                self.early.push_back((req, now + self.cfg.wait_at_most));
+                self.early.push_back((req, now + self.cfg.claim_timeout));
             }
         } else if let Some(claim) = self.claims.get(&req.key) {
             let answer = self.answer_known(claim, &req);
@@ -193,7 +193,7 @@
             actions.push(answer_to(&req, ClaimAnswer::Granted));
             ClaimState::Running
         } else {
-            let give_up_at = now + self.cfg.wait_at_most;
+            let give_up_at = now + self.cfg.claim_timeout;
             self.recording.push_back((give_up_at, req.key));
             ClaimState::Recording { give_up_at }
         };
@@ -217,7 +217,7 @@
     fn runs_unrecorded(&self, now: Moment) -> bool {
         let failing = self
             .failing_since
-            .is_some_and(|since| now.since(since) >= self.cfg.wait_at_most);
+            .is_some_and(|since| now.since(since) >= self.cfg.claim_timeout);
         failing && self.cfg.in_outage == ClaimsInOutage::RunUnrecorded
     }
 
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -26,7 +26,7 @@
     /// It also limits the requests that wait until the log has been read.
     pub max_page_entries: usize,
     /// How long a request waits for its claim to be recorded before it is refused.
-    pub wait_at_most: Duration,
+    pub claim_timeout: Duration,
     /// How long claims and outcomes are kept.
     pub keep_for: Duration,
     /// The maximum number of claims held in memory; further requests are refused.
@@ -50,7 +50,7 @@
             epoch,
             commit_every: Duration::from_millis(100),
             max_page_entries: 1_000,
-            wait_at_most: Duration::from_secs(2),
+            claim_timeout: Duration::from_secs(2),
             keep_for: Duration::from_secs(3_600),
             remember_at_most: 200_000,
             retry_every: Duration::from_millis(300),
