--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -425,7 +425,7 @@
 
     /// Deletes the oldest pages whose claims have all been kept for the retention period.
     fn forget_old(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
-        let old: Vec<_> = self.log.pages_before(now - self.cfg.keep_for).collect();
+        let old: Vec<_> = self.log.pages_before(now - self.cfg.retention).collect();
         for sequence in old {
             let running = self.claims.values().any(|claim| {
                 claim.last_page == Some(sequence) && claim.state == ClaimState::Running
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -28,7 +28,7 @@
     /// How long a request waits for its claim to be recorded before it is refused.
     pub claim_timeout: Duration,
     /// How long claims and outcomes are kept.
-    pub keep_for: Duration,
+    pub retention: Duration,
     /// The maximum number of claims held in memory; further requests are refused.
     pub remember_at_most: usize,
     /// The delay before a failed call to the platform is retried.
@@ -51,7 +51,7 @@
             commit_every: Duration::from_millis(100),
             max_page_entries: 1_000,
             claim_timeout: Duration::from_secs(2),
-            keep_for: Duration::from_secs(3_600),
+            retention: Duration::from_secs(3_600),
             remember_at_most: 200_000,
             retry_every: Duration::from_millis(300),
             check_every: Duration::from_secs(2),
