--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -158,7 +158,7 @@
             let answer = self.answer_known(claim, &req);
             self.look_after(req.key, &req, now, actions);
             actions.extend(answer.map(|answer| answer_to(&req, answer)));
-        } else if self.claims.len() >= self.cfg.remember_at_most {
+        } else if self.claims.len() >= self.cfg.max_claims {
             actions.push(self.not_now(&req));
         } else {
             self.claim(req, now, actions);
--- a/crates/chervilshunt_coord/src/claims/keeper/types.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/types.rs
@@ -30,7 +30,7 @@
     /// How long claims and outcomes are kept.
     pub retention: Duration,
     /// The maximum number of claims held in memory; further requests are refused.
-    pub remember_at_most: usize,
+    pub max_claims: usize,
     /// The delay before a failed call to the platform is retried.
     pub retry_every: Duration,
     /// The minimum time between two checks of the instance that runs a claimed request.
@@ -52,7 +52,7 @@
             max_page_entries: 1_000,
             claim_timeout: Duration::from_secs(2),
             retention: Duration::from_secs(3_600),
-            remember_at_most: 200_000,
+            max_claims: 200_000,
             retry_every: Duration::from_millis(300),
             check_every: Duration::from_secs(2),
             retry_after: Duration::from_secs(2),
