--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -43,7 +43,7 @@
     /// relays.
     pub direct_at_most: usize,
     /// The maximum number of waiting changes.
-    pub queue_at_most: usize,
+    pub max_queued_changes: usize,
     /// The retry delay of a change that was refused because an instance did not answer. By then the
     /// instance has answered or its lease has lapsed.
     pub retry_unreachable_after: Duration,
@@ -58,7 +58,7 @@
             ask_again_after: Duration::from_millis(800),
             settle_within: Duration::from_secs(10),
             direct_at_most: 20,
-            queue_at_most: 64,
+            max_queued_changes: 64,
             retry_unreachable_after: Duration::from_secs(20),
         }
     }
@@ -240,7 +240,7 @@
         let mut actions = Vec::new();
         match event {
             ProposerEvent::Propose(ticket, change) => {
-                if self.queue.len() >= self.cfg.queue_at_most {
+                if self.queue.len() >= self.cfg.max_queued_changes {
                     actions.push(ProposerAction::Refused(ticket, ChangeRefusal::Busy));
                 } else {
                     let begin_by = now + self.cfg.begin_within;
