--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -15,7 +15,7 @@
 use super::record::{ClaimEntry, ClaimKey, ClaimOutcome, ClaimPage};
 use crate::bugs::{Bug, Bugs};
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, Stored,
+    CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, StoredObject,
 };
 
 /// Machine number of the claim log of shard 0 in call ids; shard `n` adds `n`.
@@ -296,7 +296,7 @@
     /// reported any more.
     fn on_lease(&mut self, key: ClaimKey, result: PlatformResult) {
         let gone = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Lease(lease),
                 ..
             }) => !lease.state.is_live(),
--- a/crates/chervilshunt_coord/src/claims/log.rs
+++ b/crates/chervilshunt_coord/src/claims/log.rs
@@ -8,7 +8,8 @@
 use super::record::{ClaimEntry, ClaimPage, ClaimPageName};
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose, Stored,
+    CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose,
+    StoredObject,
 };
 
 /// The effect of a platform call's result on the log.
@@ -299,7 +300,7 @@
     }
 }
 
-fn claim_page(stored: Stored) -> Option<ClaimPage> {
+fn claim_page(stored: StoredObject) -> Option<ClaimPage> {
     match stored.object {
         Object::Claims(page) => Some(page),
         Object::Lease(_) | Object::Assignment(_) | Object::Head(_) | Object::Page { .. } => None,
--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -20,7 +20,7 @@
 use crate::holder::Holder;
 use crate::platform::{
     CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, Stored,
+    Purpose, StoredObject,
 };
 
 /// Configuration of a follower.
@@ -296,7 +296,7 @@
         actions: &mut Vec<FollowerAction<S, C>>,
     ) {
         match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Head(head),
                 version,
             }) => {
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -8,7 +8,7 @@
 use super::{Follower, FollowerAction, InForce};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
-use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, Stored};
+use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, StoredObject};
 
 /// A configuration whose pages are being loaded.
 #[derive(Clone, Debug, Hash)]
@@ -111,7 +111,7 @@
             return;
         };
         let body = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Page { body, .. },
                 ..
             }) if stamp.fits(&body) => body,
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -14,7 +14,7 @@
 use crate::config::stamp::PageStamp;
 use crate::lease::LeaseRecord;
 use crate::platform::{
-    CallId, Object, ObjectKind, ObjectName, ObjectVersion, PlatformOp, PlatformResult, Stored,
+    CallId, Object, ObjectKind, ObjectName, ObjectVersion, PlatformOp, PlatformResult, StoredObject,
 };
 
 /// The current step of a proposal.
@@ -182,7 +182,7 @@
         actions: &mut Vec<ProposerAction<C>>,
     ) {
         let (head, version) = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Head(head),
                 version,
             }) => (head, version),
@@ -428,7 +428,7 @@
     }
 }
 
-fn leases(objects: Vec<Stored>) -> Vec<LeaseRecord> {
+fn leases(objects: Vec<StoredObject>) -> Vec<LeaseRecord> {
     let leases = objects
         .into_iter()
         .filter_map(|stored| match stored.object {
--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -25,7 +25,7 @@
 };
 use crate::membership::{InstanceEntry, PeerView};
 use crate::outage::{ElectorConfig, ElectorDesk, Hold, HoldConfig, Vouching};
-use crate::platform::{CallId, Object, PlatformResult, Stored};
+use crate::platform::{CallId, Object, PlatformResult, StoredObject};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
 
@@ -404,7 +404,7 @@
     }
 
     /// Takes what a watch showed.
-    fn on_seen(&mut self, stored: Stored, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+    fn on_seen(&mut self, stored: StoredObject, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         match stored.object {
             Object::Assignment(record) => {
                 self.drive_roles(RoleEvent::Seen(record, stored.version), now, actions);
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -9,7 +9,7 @@
 use crate::config::{ChangeRefusal, ChangeTicket, ConfigMessage};
 use crate::membership::{InstanceEntry, PeerView};
 use crate::outage::HoldMessage;
-use crate::platform::{CallId, PlatformCall, PlatformResult, Stored};
+use crate::platform::{CallId, PlatformCall, PlatformResult, StoredObject};
 use crate::roles::{AssignmentShard, Role, WantedRole};
 
 /// What a coordinator has to react to.
@@ -23,7 +23,7 @@
         result: PlatformResult,
     },
     /// A watch showed the head or an assignment; it may be stale.
-    ObjectSeen(Stored),
+    ObjectSeen(StoredObject),
     /// The platform's instance list, whole.
     InstanceListChanged(Vec<InstanceEntry>),
     /// Another instance said something.
--- a/crates/chervilshunt_coord/src/lease/keeper.rs
+++ b/crates/chervilshunt_coord/src/lease/keeper.rs
@@ -9,7 +9,7 @@
 use crate::hashing::jittered;
 use crate::platform::{
     CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, Stored,
+    Purpose, StoredObject,
 };
 
 /// How a lease is kept.
@@ -303,7 +303,7 @@
 
     fn on_read(&mut self, result: PlatformResult, now: Moment, actions: &mut Vec<LeaseAction>) {
         match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Lease(record),
                 version,
             }) => {
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -11,7 +11,7 @@
 use crate::holder::Holder;
 use crate::platform::{
     CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, Stored,
+    Purpose, StoredObject,
 };
 
 /// How leases are watched.
@@ -278,7 +278,7 @@
         };
         watched.next_at = now + jittered(read_every, text_hash(&holder.to_string()), watched.reads);
         match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Lease(record),
                 version,
             }) => {
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -88,7 +88,7 @@
 };
 pub use platform::{
     CallId, CarriedOut, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
-    PlatformCall, PlatformOp, PlatformResult, Purpose, Stored,
+    PlatformCall, PlatformOp, PlatformResult, Purpose, StoredObject,
 };
 pub use roles::{
     AssignmentRecord, AssignmentShard, Candidate, Role, RoleAction, RoleConfig, RoleEntry,
--- a/crates/chervilshunt_coord/src/platform.rs
+++ b/crates/chervilshunt_coord/src/platform.rs
@@ -12,4 +12,4 @@
 pub(crate) use call::Calls;
 pub use call::{CallId, PlatformCall, PlatformOp, PlatformResult, Purpose};
 pub use memory::{CarriedOut, MemoryPlatform};
-pub use object::{Object, ObjectKind, ObjectName, ObjectVersion, PageName, Stored};
+pub use object::{Object, ObjectKind, ObjectName, ObjectVersion, PageName, StoredObject};
--- a/crates/chervilshunt_coord/src/platform/call.rs
+++ b/crates/chervilshunt_coord/src/platform/call.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, Stored};
+use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, StoredObject};
 
 /// The id of a call, unique within one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -82,11 +82,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PlatformResult {
     /// The object that was read.
-    Found(Stored),
+    Found(StoredObject),
     /// There is no such object.
     NotFound,
     /// The objects that were listed.
-    Listed(Vec<Stored>),
+    Listed(Vec<StoredObject>),
     /// The object was created, replaced or deleted; this is the new version.
     Written(ObjectVersion),
     /// The object's version differs from the one in the call.
--- a/crates/chervilshunt_coord/src/platform/memory.rs
+++ b/crates/chervilshunt_coord/src/platform/memory.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use super::call::{PlatformOp, PlatformResult};
-use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, Stored};
+use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, StoredObject};
 
 /// Objects with versions and conditional updates.
 ///
@@ -24,7 +24,7 @@
     /// The result to report to the caller.
     pub result: PlatformResult,
     /// The object that the call wrote, as a watch reports it to other instances.
-    pub written: Option<Stored>,
+    pub written: Option<StoredObject>,
 }
 
 impl CarriedOut {
@@ -72,16 +72,16 @@
     }
 
     /// Returns an object with its version.
-    pub fn get(&self, name: &ObjectName) -> Option<Stored> {
+    pub fn get(&self, name: &ObjectName) -> Option<StoredObject> {
         let (object, version) = self.objects.get(name)?;
-        Some(Stored {
+        Some(StoredObject {
             object: object.clone(),
             version: ObjectVersion::new(version.to_string()),
         })
     }
 
     /// Returns all objects of a kind, ordered by name.
-    pub fn list(&self, kind: ObjectKind) -> Vec<Stored> {
+    pub fn list(&self, kind: ObjectKind) -> Vec<StoredObject> {
         let names = self.objects.keys().filter(|name| name.kind() == kind);
         names.filter_map(|name| self.get(name)).collect()
     }
--- a/crates/chervilshunt_coord/src/platform/object.rs
+++ b/crates/chervilshunt_coord/src/platform/object.rs
@@ -165,7 +165,7 @@
 
 /// An object as stored in the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Stored {
+pub struct StoredObject {
     /// The content of the object.
     pub object: Object,
     /// The version that a conditional update has to name.
--- a/crates/chervilshunt_coord/src/roles/table/replies.rs
+++ b/crates/chervilshunt_coord/src/roles/table/replies.rs
@@ -8,7 +8,7 @@
 use crate::hashing::jittered;
 use crate::lease::{LeaseRecord, LeaseState};
 use crate::platform::{
-    CallId, Object, ObjectName, ObjectVersion, PlatformOp, PlatformResult, Stored,
+    CallId, Object, ObjectName, ObjectVersion, PlatformOp, PlatformResult, StoredObject,
 };
 use crate::roles::assignment::{AssignmentRecord, AssignmentShard};
 
@@ -88,7 +88,7 @@
         let entries = u32::try_from(self.wanted.len()).unwrap_or(u32::MAX);
         let every = self.cfg.list_every + self.cfg.list_later_by_role * entries;
         self.list_at = now + jittered(every, self.me.incarnation.get(), now.as_micros());
-        for Stored { object, version } in objects {
+        for StoredObject { object, version } in objects {
             if let Object::Assignment(record) = object {
                 self.adopt(record, version, now, actions);
             }
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -12,7 +12,7 @@
 use crate::{
     CallId, CarriedOut, ChangeRefusal, ChangeTicket, CoordAction, CoordEvent, CoordMessage,
     Coordinator, CoordinatorConfig, Holder, Incarnation, InstanceEntry, LeaseConfig,
-    MemoryPlatform, PlatformCall, PlatformResult, Role, Stored, WantedRole,
+    MemoryPlatform, PlatformCall, PlatformResult, Role, StoredObject, WantedRole,
 };
 
 /// The minimum delay of a call to the platform or a message.
@@ -62,7 +62,7 @@
     Carry(PlatformCall),
     Reply(CallId, PlatformResult),
     Message(InstanceId, CoordMessage<SetCell>),
-    Watch(Stored),
+    Watch(StoredObject),
     List,
     Released(Role),
     Wake,
@@ -389,7 +389,7 @@
         }
     }
 
-    fn tell_watchers(&mut self, stored: &Stored) {
+    fn tell_watchers(&mut self, stored: &StoredObject) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
--- a/crates/chervilshunt_daemon/src/control/platform_calls.rs
+++ b/crates/chervilshunt_daemon/src/control/platform_calls.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_coord::{
     Object as Content, ObjectKind, ObjectName, ObjectVersion, PlatformCall, PlatformOp,
-    PlatformResult, Stored,
+    PlatformResult, StoredObject,
 };
 use chervilshunt_platform::{
     ASSIGNMENTS, CLAIM_PAGES, CONFIG_HEADS, CONFIG_PAGES, LEASES, Object, Platform, PlatformError,
@@ -59,7 +59,7 @@
 }
 
 /// Reads an object as the platform has it; none if it is not of the shape that this system writes.
-pub(super) fn to_stored(kind: ObjectKind, object: Object<Value>) -> Option<Stored> {
+pub(super) fn to_stored(kind: ObjectKind, object: Object<Value>) -> Option<StoredObject> {
     let version = object.resource_version?;
     let spec = match kind {
         ObjectKind::Lease => serde_json::from_str(object.annotations.get(LEASE_RECORD)?).ok()?,
@@ -68,7 +68,7 @@
         }
     };
     let content = Content::from_spec(kind, spec).ok()?;
-    Some(Stored {
+    Some(StoredObject {
         object: content,
         version: ObjectVersion::new(version.to_string()),
     })
--- a/crates/chervilshunt_daemon/src/control/watches.rs
+++ b/crates/chervilshunt_daemon/src/control/watches.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use chervilshunt_coord::{InstanceEntry, ObjectKind, Stored};
+use chervilshunt_coord::{InstanceEntry, ObjectKind, StoredObject};
 use chervilshunt_model::{InstanceId, ServiceName, TargetName, ZoneName};
 use chervilshunt_platform::{
     ASSIGNMENTS, CONFIG_HEADS, ENDPOINT_SLICES, InstanceList, Platform, Resource, Selector,
@@ -22,7 +22,7 @@
 
 /// A watch showed an object.
 #[derive(Debug)]
-pub(super) struct ObjectSeen(pub(super) Stored);
+pub(super) struct ObjectSeen(pub(super) StoredObject);
 
 /// The instance list has changed.
 #[derive(Debug)]
