--- a/crates/chervilshunt_coord/src/platform/memory.rs
+++ b/crates/chervilshunt_coord/src/platform/memory.rs
@@ -20,14 +20,14 @@
 
 /// The effect of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct CarriedOut {
+pub struct CallOutcome {
     /// The result to report to the caller.
     pub result: PlatformResult,
     /// The object that the call wrote, as a watch reports it to other instances.
     pub written: Option<StoredObject>,
 }
 
-impl CarriedOut {
+impl CallOutcome {
     const fn answer(result: PlatformResult) -> Self {
         Self {
             result,
@@ -38,35 +38,35 @@
 
 impl MemoryPlatform {
     /// Carries out an operation.
-    pub fn carry_out(&mut self, op: &PlatformOp) -> CarriedOut {
+    pub fn carry_out(&mut self, op: &PlatformOp) -> CallOutcome {
         match op {
             PlatformOp::Read(name) => {
                 let found = self.get(name);
-                CarriedOut::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
+                CallOutcome::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
             }
-            PlatformOp::List(kind) => CarriedOut::answer(PlatformResult::Listed(self.list(*kind))),
+            PlatformOp::List(kind) => CallOutcome::answer(PlatformResult::Listed(self.list(*kind))),
             PlatformOp::ListClaims(shard) => {
                 let mut pages = self.list(ObjectKind::Claims);
                 pages.retain(|stored| {
                     matches!(&stored.object, Object::Claims(page) if page.name.shard == *shard)
                 });
-                CarriedOut::answer(PlatformResult::Listed(pages))
+                CallOutcome::answer(PlatformResult::Listed(pages))
             }
             PlatformOp::Create(object) => {
                 if self.objects.contains_key(&object.name()) {
-                    return CarriedOut::answer(PlatformResult::AlreadyExists);
+                    return CallOutcome::answer(PlatformResult::AlreadyExists);
                 }
                 self.put(object)
             }
             PlatformOp::Update(object, version) => match self.objects.get(&object.name()) {
-                None => CarriedOut::answer(PlatformResult::NotFound),
+                None => CallOutcome::answer(PlatformResult::NotFound),
                 Some((_, held)) if held.to_string() != version.as_str() => {
-                    CarriedOut::answer(PlatformResult::Conflict)
+                    CallOutcome::answer(PlatformResult::Conflict)
                 }
                 Some(_) => self.put(object),
             },
             PlatformOp::Delete(name, version) => {
-                CarriedOut::answer(self.delete(name, version.as_ref()))
+                CallOutcome::answer(self.delete(name, version.as_ref()))
             }
         }
     }
@@ -86,13 +86,13 @@
         names.filter_map(|name| self.get(name)).collect()
     }
 
-    fn put(&mut self, object: &Object) -> CarriedOut {
+    fn put(&mut self, object: &Object) -> CallOutcome {
         self.version += 1;
         let name = object.name();
         self.objects
             .insert(name.clone(), (object.clone(), self.version));
         let version = ObjectVersion::new(self.version.to_string());
-        CarriedOut {
+        CallOutcome {
             result: PlatformResult::Written(version),
             written: self.get(&name),
         }
