--- a/crates/chervilshunt_coord/src/config.rs
+++ b/crates/chervilshunt_coord/src/config.rs
@@ -13,7 +13,7 @@
 mod proposer;
 mod stamp;
 
-pub use follower::{Follower, FollowerAction, FollowerConfig, FollowerEvent, InForce};
+pub use follower::{ConfigInForce, Follower, FollowerAction, FollowerConfig, FollowerEvent};
 pub use head::{Elector, Electorate, HeadRecord, PendingChange};
 pub use message::{ConfigMessage, Prepare};
 pub use model::{Applied, ConfigModel, PageKey, deployment_model, no_configuration};
--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -89,12 +89,12 @@
     /// acknowledged.
     AcknowledgeByLease(u64),
     /// This configuration is in force from now on.
-    InForce(InForce<S>),
+    ConfigInForce(ConfigInForce<S>),
 }
 
 /// A configuration in force.
 #[derive(Clone, Debug, PartialEq, Hash)]
-pub struct InForce<S> {
+pub struct ConfigInForce<S> {
     /// The configuration.
     pub state: Arc<S>,
     /// The revision of the configuration.
@@ -123,7 +123,7 @@
     read_at: Option<Moment>,
     creating: Option<CallId>,
     head: Option<(HeadRecord, ObjectVersion)>,
-    in_force: Option<InForce<S>>,
+    in_force: Option<ConfigInForce<S>>,
     loading: Option<Loading<S>>,
     load_retry_at: Moment,
     prepared: Option<Prepared<S>>,
@@ -198,7 +198,7 @@
     }
 
     /// Returns the configuration in force, if one is loaded.
-    pub const fn in_force(&self) -> Option<&InForce<S>> {
+    pub const fn in_force(&self) -> Option<&ConfigInForce<S>> {
         self.in_force.as_ref()
     }
 
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_model::{Moment, Revision};
 
-use super::{Follower, FollowerAction, InForce};
+use super::{ConfigInForce, Follower, FollowerAction};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
 use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, StoredObject};
@@ -158,7 +158,7 @@
         let Some(loading) = self.loading.take() else {
             return;
         };
-        let next = InForce {
+        let next = ConfigInForce {
             state: Arc::new((self.model.at_revision)(&loading.state, revision)),
             revision,
             pages: Arc::new(loading.pages),
@@ -168,7 +168,7 @@
 
     pub(super) fn put_in_force(
         &mut self,
-        next: InForce<S>,
+        next: ConfigInForce<S>,
         actions: &mut Vec<FollowerAction<S, C>>,
     ) {
         let reached = self
@@ -179,6 +179,6 @@
             self.loading = None;
         }
         self.in_force = Some(next.clone());
-        actions.push(FollowerAction::InForce(next));
+        actions.push(FollowerAction::ConfigInForce(next));
     }
 }
--- a/crates/chervilshunt_coord/src/config/follower/prepared.rs
+++ b/crates/chervilshunt_coord/src/config/follower/prepared.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::{ChangeId, InstanceId, Moment, Revision};
 
-use super::{Follower, FollowerAction, InForce};
+use super::{ConfigInForce, Follower, FollowerAction};
 use crate::config::message::{ConfigMessage, Prepare};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
@@ -205,7 +205,7 @@
             (Some(in_force), Some(After { state, stamps })) => {
                 let mut pages = (*in_force.pages).clone();
                 pages.extend(stamps);
-                let next = InForce {
+                let next = ConfigInForce {
                     state,
                     revision,
                     pages: Arc::new(pages),
--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -13,7 +13,7 @@
 use self::collect::Collecting;
 use self::pages::PageWrite;
 use self::steps::Stage;
-use super::follower::InForce;
+use super::follower::ConfigInForce;
 use super::head::HeadRecord;
 use super::message::ConfigMessage;
 use super::model::ConfigModel;
@@ -234,7 +234,7 @@
     pub fn handle(
         &mut self,
         event: ProposerEvent<C>,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
     ) -> Vec<ProposerAction<C>> {
         let mut actions = Vec::new();
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -7,7 +7,7 @@
 use super::collect::fan_out;
 use super::{ChangeRefusal, Proposal, Proposer, ProposerAction, Verdict};
 use crate::bugs::Bug;
-use crate::config::follower::InForce;
+use crate::config::follower::ConfigInForce;
 use crate::config::head::HeadRecord;
 use crate::config::message::{ConfigMessage, Prepare};
 use crate::config::model::PageKey;
@@ -78,7 +78,7 @@
     /// Takes all steps that are due.
     pub(super) fn advance(
         &mut self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -131,7 +131,7 @@
         &mut self,
         call: CallId,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -177,7 +177,7 @@
     fn on_head_read(
         &mut self,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -285,7 +285,7 @@
         head: Box<HeadRecord>,
         version: ObjectVersion,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -320,7 +320,7 @@
     /// Asks instances to acknowledge the change.
     fn ask(
         &self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         to: &[InstanceId],
         by_way_of_others: bool,
         actions: &mut Vec<ProposerAction<C>>,
@@ -359,7 +359,7 @@
 
     fn collect(
         &mut self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -15,8 +15,8 @@
 pub use self::types::{CoordAction, CoordDecision, CoordEvent, CoordMessage, DecisionKind};
 use crate::bugs::{Bug, Bugs};
 use crate::config::{
-    ConfigModel, Elector, Follower, FollowerConfig, FollowerEvent, HeadRecord, InForce, Proposer,
-    ProposerConfig, ProposerEvent,
+    ConfigInForce, ConfigModel, Elector, Follower, FollowerConfig, FollowerEvent, HeadRecord,
+    Proposer, ProposerConfig, ProposerEvent,
 };
 use crate::holder::Holder;
 use crate::lease::{
@@ -273,7 +273,7 @@
     }
 
     /// Returns the configuration in force here, if one is loaded.
-    pub const fn in_force(&self) -> Option<&InForce<S>> {
+    pub const fn in_force(&self) -> Option<&ConfigInForce<S>> {
         self.follower.in_force()
     }
 
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -197,7 +197,7 @@
                 FollowerAction::AcknowledgeByLease(generation) => {
                     self.drive_lease(LeaseEvent::Acknowledge(generation), now, actions);
                 }
-                FollowerAction::InForce(in_force) => {
+                FollowerAction::ConfigInForce(in_force) => {
                     actions.push(CoordAction::ConfigInForce {
                         revision: in_force.revision,
                         state: in_force.state,
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -67,8 +67,8 @@
     ClaimOutcome, ClaimPage, ClaimPageName, ClaimRequest, ClaimsInOutage,
 };
 pub use config::{
-    Applied, ChangeRefusal, ChangeTicket, ConfigMessage, ConfigModel, Elector, Electorate,
-    Follower, FollowerAction, FollowerConfig, FollowerEvent, HeadRecord, InForce, PageKey,
+    Applied, ChangeRefusal, ChangeTicket, ConfigInForce, ConfigMessage, ConfigModel, Elector,
+    Electorate, Follower, FollowerAction, FollowerConfig, FollowerEvent, HeadRecord, PageKey,
     PageStamp, PageStampError, PendingChange, Prepare, Proposer, ProposerAction, ProposerConfig,
     ProposerEvent, deployment_model, no_configuration,
 };
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -160,7 +160,7 @@
                 FollowerAction::Send(to, message) => self.send(number, &to, message),
                 FollowerAction::AskAround(_)
                 | FollowerAction::AcknowledgeByLease(_)
-                | FollowerAction::InForce(_) => {}
+                | FollowerAction::ConfigInForce(_) => {}
             }
         }
         if number == NEWCOMER && self.joined && self.followers[number].is_settled() {
