--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -84,7 +84,7 @@
     /// Send a message to an instance.
     Send(InstanceId, ConfigMessage<C>),
     /// Ask a few instances how a change ended.
-    AskAround(ConfigMessage<C>),
+    AskPeers(ConfigMessage<C>),
     /// Record in this instance's lease that the change written at this generation of the head is
     /// acknowledged.
     AcknowledgeByLease(u64),
--- a/crates/chervilshunt_coord/src/config/follower/prepared.rs
+++ b/crates/chervilshunt_coord/src/config/follower/prepared.rs
@@ -253,7 +253,7 @@
             actions.push(FollowerAction::Send(proposer.clone(), message.clone()));
         }
         self.read_soon(now);
-        actions.push(FollowerAction::AskAround(message));
+        actions.push(FollowerAction::AskPeers(message));
     }
 
     /// Returns when a pending change is acknowledged by way of the lease because no request to
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -193,7 +193,7 @@
             match action {
                 FollowerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 FollowerAction::Send(to, message) => self.send_config(to, message, now, actions),
-                FollowerAction::AskAround(message) => self.ask_around(&message, actions),
+                FollowerAction::AskPeers(message) => self.ask_around(&message, actions),
                 FollowerAction::AcknowledgeByLease(generation) => {
                     self.drive_lease(LeaseEvent::Acknowledge(generation), now, actions);
                 }
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -158,7 +158,7 @@
             match action {
                 FollowerAction::Call(call) => self.begin(Caller::Follower(number), call),
                 FollowerAction::Send(to, message) => self.send(number, &to, message),
-                FollowerAction::AskAround(_)
+                FollowerAction::AskPeers(_)
                 | FollowerAction::AcknowledgeByLease(_)
                 | FollowerAction::ConfigInForce(_) => {}
             }
