--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -67,7 +67,7 @@
     /// The head may have changed unobserved and has to be read.
     Recheck,
     /// The head was read or reported by a watch; it may be stale.
-    Seen(Box<HeadRecord>, ObjectVersion),
+    HeadSeen(Box<HeadRecord>, ObjectVersion),
     /// A message from another instance.
     Message(InstanceId, ConfigMessage<C>),
     /// A call to the platform has ended.
@@ -259,7 +259,9 @@
                 self.read_at = Some(now);
             }
             FollowerEvent::Recheck => self.read_soon(now),
-            FollowerEvent::Seen(head, version) => self.on_head(*head, version, now, &mut actions),
+            FollowerEvent::HeadSeen(head, version) => {
+                self.on_head(*head, version, now, &mut actions)
+            }
             FollowerEvent::Message(from, message) => {
                 self.on_message(&from, message, now, &mut actions);
             }
--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -410,7 +410,7 @@
                 self.drive_roles(RoleEvent::Seen(record, stored.version), now, actions);
             }
             Object::Head(head) => {
-                let event = FollowerEvent::Seen(head, stored.version);
+                let event = FollowerEvent::HeadSeen(head, stored.version);
                 self.drive_follower(event, now, actions);
             }
             Object::Lease(_) | Object::Claims(_) | Object::Page { .. } => {}
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -219,7 +219,7 @@
                 ProposerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 ProposerAction::Send(to, message) => self.send_config(to, message, now, actions),
                 ProposerAction::Seen(head, version) => {
-                    self.drive_follower(FollowerEvent::Seen(head, version), now, actions);
+                    self.drive_follower(FollowerEvent::HeadSeen(head, version), now, actions);
                 }
                 ProposerAction::Watch(holder) => {
                     let instance = Some(holder.instance.clone());
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -136,7 +136,7 @@
             return;
         };
         let event = match result {
-            PlatformResult::Written(version) => FollowerEvent::Seen(head, version),
+            PlatformResult::Written(version) => FollowerEvent::HeadSeen(head, version),
             _ => FollowerEvent::Recheck,
         };
         self.drive_follower(event, now, actions);
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -175,7 +175,7 @@
                 ProposerAction::Call(call) => self.begin(Caller::Proposer, call),
                 ProposerAction::Send(to, message) => self.send(PROPOSER, &to, message),
                 ProposerAction::Seen(head, version) => {
-                    self.hand_follower(PROPOSER, FollowerEvent::Seen(head, version));
+                    self.hand_follower(PROPOSER, FollowerEvent::HeadSeen(head, version));
                 }
                 ProposerAction::Refused(_, refusal) => self.refused = Some(refusal),
                 ProposerAction::Accepted(..) | ProposerAction::Watch(_) => {}
