--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -89,7 +89,7 @@
     /// Send a message to an instance, which may be this one.
     Send(InstanceId, ConfigMessage<C>),
     /// The head was read or written.
-    Seen(Box<HeadRecord>, ObjectVersion),
+    HeadSeen(Box<HeadRecord>, ObjectVersion),
     /// A live instance does not answer: its lease has to be watched.
     Watch(Holder),
     /// The change is accepted.
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -41,7 +41,7 @@
         };
         if let PlatformResult::Written(version) = result {
             let outcome = head.outcome(proposal.id).flatten();
-            actions.push(ProposerAction::Seen(head.clone(), version));
+            actions.push(ProposerAction::HeadSeen(head.clone(), version));
             return self.end(&head, outcome, actions);
         }
         if self.bugs.has(Bug::LostAnswerIsFailure) {
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -189,7 +189,7 @@
             PlatformResult::NotFound => return self.retry(ChangeRefusal::NotReady, now, actions),
             _ => return self.retry(ChangeRefusal::PlatformUnavailable, now, actions),
         };
-        actions.push(ProposerAction::Seen(head.clone(), version.clone()));
+        actions.push(ProposerAction::HeadSeen(head.clone(), version.clone()));
         let Some(proposal) = &mut self.proposal else {
             return;
         };
@@ -250,7 +250,7 @@
             return;
         };
         if let PlatformResult::Written(version) = result {
-            actions.push(ProposerAction::Seen(head.clone(), version.clone()));
+            actions.push(ProposerAction::HeadSeen(head.clone(), version.clone()));
             proposal.stage = Stage::Pending(head, version);
             proposal.retry_at = now;
             return;
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -218,7 +218,7 @@
             match action {
                 ProposerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 ProposerAction::Send(to, message) => self.send_config(to, message, now, actions),
-                ProposerAction::Seen(head, version) => {
+                ProposerAction::HeadSeen(head, version) => {
                     self.drive_follower(FollowerEvent::HeadSeen(head, version), now, actions);
                 }
                 ProposerAction::Watch(holder) => {
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -174,7 +174,7 @@
             match action {
                 ProposerAction::Call(call) => self.begin(Caller::Proposer, call),
                 ProposerAction::Send(to, message) => self.send(PROPOSER, &to, message),
-                ProposerAction::Seen(head, version) => {
+                ProposerAction::HeadSeen(head, version) => {
                     self.hand_follower(PROPOSER, FollowerEvent::HeadSeen(head, version));
                 }
                 ProposerAction::Refused(_, refusal) => self.refused = Some(refusal),
