--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -91,7 +91,7 @@
     /// The head was read or written.
     HeadSeen(Box<HeadRecord>, ObjectVersion),
     /// A live instance does not answer: its lease has to be watched.
-    Watch(Holder),
+    WatchLease(Holder),
     /// The change is accepted.
     Accepted(ChangeTicket, Revision),
     /// The change is not accepted.
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -384,7 +384,7 @@
             Some(Verdict::GiveUp(refusal))
         } else if now >= *until {
             let missing: Vec<_> = proposal.collecting.missing().cloned().collect();
-            actions.extend(missing.iter().cloned().map(ProposerAction::Watch));
+            actions.extend(missing.iter().cloned().map(ProposerAction::WatchLease));
             let missing = missing.into_iter().map(|holder| holder.instance);
             Some(Verdict::GiveUp(ChangeRefusal::Unreachable(
                 missing.collect(),
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -221,7 +221,7 @@
                 ProposerAction::HeadSeen(head, version) => {
                     self.drive_follower(FollowerEvent::HeadSeen(head, version), now, actions);
                 }
-                ProposerAction::Watch(holder) => {
+                ProposerAction::WatchLease(holder) => {
                     let instance = Some(holder.instance.clone());
                     let reason = "it did not acknowledge a change in time";
                     log(
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -178,7 +178,7 @@
                     self.hand_follower(PROPOSER, FollowerEvent::HeadSeen(head, version));
                 }
                 ProposerAction::Refused(_, refusal) => self.refused = Some(refusal),
-                ProposerAction::Accepted(..) | ProposerAction::Watch(_) => {}
+                ProposerAction::Accepted(..) | ProposerAction::WatchLease(_) => {}
             }
         }
     }
