--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{
-    Applied, ChangeId, ChangeRefusal, ChangeTicket, ConfigModel, CoordAction, CoordEvent,
+    AppliedChange, ChangeId, ChangeRefusal, ChangeTicket, ConfigModel, CoordAction, CoordEvent,
     InstanceId, Object, PageKey, PlatformOp, Revision,
 };
 
@@ -104,7 +104,7 @@
     }
 }
 
-fn set_limit(limits: &Limits, change: &SetLimit) -> Result<Applied<Limits>, String> {
+fn set_limit(limits: &Limits, change: &SetLimit) -> Result<AppliedChange<Limits>, String> {
     let mut next = limits.clone();
     next.revision = limits.revision.next();
     next.by_caller.insert(change.caller.clone(), change.limit);
--- a/crates/chervilshunt_coord/src/config.rs
+++ b/crates/chervilshunt_coord/src/config.rs
@@ -16,7 +16,7 @@
 pub use follower::{ConfigInForce, Follower, FollowerAction, FollowerConfig, FollowerEvent};
 pub use head::{Elector, Electorate, HeadRecord, PendingChange};
 pub use message::{ConfigMessage, Prepare};
-pub use model::{Applied, ConfigModel, PageKey, deployment_model, no_configuration};
+pub use model::{AppliedChange, ConfigModel, PageKey, deployment_model, no_configuration};
 pub use proposer::{
     ChangeRefusal, ChangeTicket, Proposer, ProposerAction, ProposerConfig, ProposerEvent,
 };
--- a/crates/chervilshunt_coord/src/config/model.rs
+++ b/crates/chervilshunt_coord/src/config/model.rs
@@ -31,7 +31,7 @@
 }
 
 /// A configuration after a change, with the keys of the pages that the change replaces.
-pub type Applied<S> = (S, Vec<PageKey>);
+pub type AppliedChange<S> = (S, Vec<PageKey>);
 
 /// The operations that apply changes of type `C` to a configuration of type `S` and divide it into
 /// pages.
@@ -45,7 +45,7 @@
     pub change_id: fn(&C) -> ChangeId,
     /// Applies a change; returns the configuration at the next revision and the pages that differ,
     /// or the reason why the change is invalid.
-    pub apply: fn(&S, &C) -> Result<Applied<S>, String>,
+    pub apply: fn(&S, &C) -> Result<AppliedChange<S>, String>,
     /// Serializes a page as text.
     pub page: fn(&S, &PageKey) -> String,
     /// Returns the configuration with one page replaced by its deserialized text, or the reason why
@@ -95,7 +95,7 @@
 fn apply_to_deployment(
     deployment: &Deployment,
     change: &ChangeSet,
-) -> Result<Applied<Deployment>, String> {
+) -> Result<AppliedChange<Deployment>, String> {
     let next = deployment
         .apply(change)
         .map_err(|error| error.to_string())?;
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -67,7 +67,7 @@
     ClaimOutcome, ClaimPage, ClaimPageName, ClaimRequest, ClaimsInOutage,
 };
 pub use config::{
-    Applied, ChangeRefusal, ChangeTicket, ConfigInForce, ConfigMessage, ConfigModel, Elector,
+    AppliedChange, ChangeRefusal, ChangeTicket, ConfigInForce, ConfigMessage, ConfigModel, Elector,
     Electorate, Follower, FollowerAction, FollowerConfig, FollowerEvent, HeadRecord, PageKey,
     PageStamp, PageStampError, PendingChange, Prepare, Proposer, ProposerAction, ProposerConfig,
     ProposerEvent, deployment_model, no_configuration,
--- a/crates/chervilshunt_coord/src/tests/table.rs
+++ b/crates/chervilshunt_coord/src/tests/table.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::{ChangeId, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::{Applied, ConfigModel, PageKey};
+use crate::{AppliedChange, ConfigModel, PageKey};
 
 /// A number for each page.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
     }
 }
 
-fn set_cell(table: &Table, change: &SetCell) -> Result<Applied<Table>, String> {
+fn set_cell(table: &Table, change: &SetCell) -> Result<AppliedChange<Table>, String> {
     let mut next = table.clone();
     next.revision = table.revision.next();
     next.cells.insert(change.page.clone(), change.value);
