--- a/crates/chervilshunt_coord/src/bugs.rs
+++ b/crates/chervilshunt_coord/src/bugs.rs
@@ -13,7 +13,7 @@
     LeaseNotChecked,
     /// An instance takes over without waiting for the lease to stay unchanged for its full
     /// duration.
-    TakerDoesNotWait,
+    TakeoverDoesNotWait,
     /// An instance raises the epoch for a takeover without marking the old lease lapsed.
     LapseNotMarked,
     /// A role passes to another holder without a higher epoch.
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -345,7 +345,7 @@
     }
 
     fn unchanged_for(&self) -> Duration {
-        if self.bugs.has(Bug::TakerDoesNotWait) {
+        if self.bugs.has(Bug::TakeoverDoesNotWait) {
             Duration::ZERO
         } else {
             self.cfg.unchanged_for
--- a/crates/chervilshunt_coord/src/tests/explore_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_lease.rs
@@ -221,7 +221,7 @@
 #[rstest]
 #[case::lease_counted_from_the_reply(Bug::LeaseFromReply)]
 #[case::lease_not_looked_at_before_an_order(Bug::LeaseNotChecked)]
-#[case::taker_does_not_wait(Bug::TakerDoesNotWait)]
+#[case::taker_does_not_wait(Bug::TakeoverDoesNotWait)]
 #[case::lapse_not_marked(Bug::LapseNotMarked)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
     let result = explored(Bugs::seeded(bug));
