--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -11,7 +11,7 @@
 pub use self::types::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimRequest, ClaimsInOutage,
 };
-use super::log::{ClaimLog, LogNews};
+use super::log::{ClaimLog, LogEvent};
 use super::record::{ClaimEntry, ClaimKey, ClaimOutcome, ClaimPage};
 use crate::bugs::{Bug, Bugs};
 use crate::platform::{
@@ -279,16 +279,16 @@
             self.on_lease(key, result);
             return;
         }
-        let (news, next) = self.log.on_reply(call, result, now);
+        let (event, next) = self.log.on_reply(call, result, now);
         actions.extend(next.map(ClaimAction::Call));
-        match news {
+        match event {
             None => {}
-            Some(LogNews::Loaded(pages)) => self.on_loaded(pages, now, actions),
-            Some(LogNews::Recorded(page)) => self.on_recorded(&page, actions),
-            Some(LogNews::Failed) => {
+            Some(LogEvent::Loaded(pages)) => self.on_loaded(pages, now, actions),
+            Some(LogEvent::Recorded(page)) => self.on_recorded(&page, actions),
+            Some(LogEvent::Failed) => {
                 self.failing_since.get_or_insert(now);
             }
-            Some(LogNews::Superseded) => self.on_superseded(actions),
+            Some(LogEvent::Superseded) => self.on_superseded(actions),
         }
     }
 
--- a/crates/chervilshunt_coord/src/claims/log.rs
+++ b/crates/chervilshunt_coord/src/claims/log.rs
@@ -14,7 +14,7 @@
 
 /// The effect of a platform call's result on the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum LogNews {
+pub(super) enum LogEvent {
     /// The pages written by earlier keepers, oldest first; the log is ready.
     Loaded(Vec<ClaimPage>),
     /// The page that was being written is recorded.
@@ -26,17 +26,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
+enum LogState {
     /// The pages have yet to be listed.
-    Begin,
+    ListDue,
     Listing(CallId),
     /// The first page of this keeper is being written; holds the pages listed before.
     Sealing(CallId, Vec<ClaimPage>),
     Idle,
     Writing(CallId, ClaimPage),
     /// The write may have succeeded: the page has to be read back.
-    Unsettled(ClaimPage),
-    Settling(CallId, ClaimPage),
+    Unconfirmed(ClaimPage),
+    Confirming(CallId, ClaimPage),
     Superseded,
 }
 
@@ -54,7 +54,7 @@
     calls: Calls,
     retry_every: Duration,
     next: u64,
-    doing: Doing,
+    state: LogState,
     retry_at: Moment,
     /// The sequence numbers of the pages in the platform, with the time at which each was recorded
     /// or read, oldest first.
@@ -77,23 +77,23 @@
             calls: Calls::new(machine, Purpose::Claims),
             retry_every,
             next: 0,
-            doing: Doing::Begin,
+            state: LogState::ListDue,
             retry_at: now,
             pages: VecDeque::new(),
         }
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.doing == Doing::Idle
+        self.state == LogState::Idle
     }
 
     pub(super) fn is_superseded(&self) -> bool {
-        self.doing == Doing::Superseded
+        self.state == LogState::Superseded
     }
 
     /// Returns when [`Self::advance`] next has a call to make.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
-        matches!(self.doing, Doing::Begin | Doing::Unsettled(_)).then_some(self.retry_at)
+        matches!(self.state, LogState::ListDue | LogState::Unconfirmed(_)).then_some(self.retry_at)
     }
 
     /// Returns the next call that is due, if any.
@@ -101,26 +101,26 @@
         if now < self.retry_at {
             return None;
         }
-        let call = match &self.doing {
-            Doing::Begin => {
+        let call = match &self.state {
+            LogState::ListDue => {
                 let call = self.calls.call(PlatformOp::ListClaims(self.shard));
-                self.doing = Doing::Listing(call.id);
+                self.state = LogState::Listing(call.id);
                 call
             }
-            Doing::Unsettled(page) => {
+            LogState::Unconfirmed(page) => {
                 let page = page.clone();
                 let call = self
                     .calls
                     .call(PlatformOp::Read(ObjectName::Claims(page.name)));
-                self.doing = Doing::Settling(call.id, page);
+                self.state = LogState::Confirming(call.id, page);
                 call
             }
-            Doing::Listing(_)
-            | Doing::Sealing(..)
-            | Doing::Idle
-            | Doing::Writing(..)
-            | Doing::Settling(..)
-            | Doing::Superseded => return None,
+            LogState::Listing(_)
+            | LogState::Sealing(..)
+            | LogState::Idle
+            | LogState::Writing(..)
+            | LogState::Confirming(..)
+            | LogState::Superseded => return None,
         };
         Some(call)
     }
@@ -130,7 +130,7 @@
         let page = self.page(entries);
         let object = Object::Claims(page.clone());
         let call = self.calls.call(PlatformOp::Create(object));
-        self.doing = Doing::Writing(call.id, page);
+        self.state = LogState::Writing(call.id, page);
         call
     }
 
@@ -165,15 +165,19 @@
         call: CallId,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
-        let doing = std::mem::replace(&mut self.doing, Doing::Superseded);
-        match doing {
-            Doing::Listing(id) if id == call => self.on_listed(result, now),
-            Doing::Sealing(id, pages) if id == call => (self.on_sealed(pages, &result, now), None),
-            Doing::Writing(id, page) if id == call => (self.on_written(page, &result, now), None),
-            Doing::Settling(id, page) if id == call => self.on_settled(page, result, now),
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
+        let state = std::mem::replace(&mut self.state, LogState::Superseded);
+        match state {
+            LogState::Listing(id) if id == call => self.on_listed(result, now),
+            LogState::Sealing(id, pages) if id == call => {
+                (self.on_sealed(pages, &result, now), None)
+            }
+            LogState::Writing(id, page) if id == call => {
+                (self.on_written(page, &result, now), None)
+            }
+            LogState::Confirming(id, page) if id == call => self.on_read_back(page, result, now),
             other => {
-                self.doing = other;
+                self.state = other;
                 (None, None)
             }
         }
@@ -195,20 +199,20 @@
         &mut self,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
         let PlatformResult::Listed(objects) = result else {
-            self.begin_again(now);
-            return (Some(LogNews::Failed), None);
+            self.list_again(now);
+            return (Some(LogEvent::Failed), None);
         };
         let mut pages: Vec<_> = objects.into_iter().filter_map(claim_page).collect();
         pages.sort_by_key(|page| page.name.sequence);
         if pages.last().is_some_and(|last| last.epoch > self.epoch) {
-            return (Some(LogNews::Superseded), None);
+            return (Some(LogEvent::Superseded), None);
         }
         self.next = pages.last().map_or(0, |last| last.name.sequence + 1);
         let seal = Object::Claims(self.page(Vec::new()));
         let call = self.calls.call(PlatformOp::Create(seal));
-        self.doing = Doing::Sealing(call.id, pages);
+        self.state = LogState::Sealing(call.id, pages);
         (None, Some(call))
     }
 
@@ -217,22 +221,22 @@
         pages: Vec<ClaimPage>,
         result: &PlatformResult,
         now: Moment,
-    ) -> Option<LogNews> {
+    ) -> Option<LogEvent> {
         if let PlatformResult::Written(_) = result {
             return Some(self.loaded(pages, now));
         }
         // The sequence number may be taken, either by an earlier keeper's last page or by this
         // keeper's own first page whose answer was lost. Listing the pages again shows which.
-        self.begin_again(now);
-        (!result.is_answer()).then_some(LogNews::Failed)
+        self.list_again(now);
+        (!result.is_answer()).then_some(LogEvent::Failed)
     }
 
-    fn loaded(&mut self, pages: Vec<ClaimPage>, now: Moment) -> LogNews {
+    fn loaded(&mut self, pages: Vec<ClaimPage>, now: Moment) -> LogEvent {
         self.pages = pages.iter().map(|page| (page.name.sequence, now)).collect();
         self.pages.push_back((self.next, now));
         self.next += 1;
-        self.doing = Doing::Idle;
-        LogNews::Loaded(pages)
+        self.state = LogState::Idle;
+        LogEvent::Loaded(pages)
     }
 
     fn on_written(
@@ -240,38 +244,38 @@
         page: ClaimPage,
         result: &PlatformResult,
         now: Moment,
-    ) -> Option<LogNews> {
+    ) -> Option<LogEvent> {
         if let PlatformResult::Written(_) = result {
             return Some(self.recorded(page, now));
         }
         let answered = result.is_answer();
-        self.doing = Doing::Unsettled(page);
+        self.state = LogState::Unconfirmed(page);
         self.retry_at = if answered {
             now
         } else {
             now + self.retry_every
         };
-        (!answered).then_some(LogNews::Failed)
+        (!answered).then_some(LogEvent::Failed)
     }
 
-    fn on_settled(
+    fn on_read_back(
         &mut self,
         page: ClaimPage,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
         match result {
             PlatformResult::Found(stored) => match claim_page(stored) {
                 Some(found) if found.writer == self.me && found.epoch == self.epoch => {
                     (Some(self.recorded(found, now)), None)
                 }
-                _ => (Some(LogNews::Superseded), None),
+                _ => (Some(LogEvent::Superseded), None),
             },
             PlatformResult::NotFound => {
                 let call = self
                     .calls
                     .call(PlatformOp::Create(Object::Claims(page.clone())));
-                self.doing = Doing::Writing(call.id, page);
+                self.state = LogState::Writing(call.id, page);
                 (None, Some(call))
             }
             PlatformResult::Listed(_)
@@ -280,22 +284,22 @@
             | PlatformResult::AlreadyExists
             | PlatformResult::Unavailable
             | PlatformResult::Unknown => {
-                self.doing = Doing::Unsettled(page);
+                self.state = LogState::Unconfirmed(page);
                 self.retry_at = now + self.retry_every;
-                (Some(LogNews::Failed), None)
+                (Some(LogEvent::Failed), None)
             }
         }
     }
 
-    fn recorded(&mut self, page: ClaimPage, now: Moment) -> LogNews {
+    fn recorded(&mut self, page: ClaimPage, now: Moment) -> LogEvent {
         self.pages.push_back((self.next, now));
         self.next += 1;
-        self.doing = Doing::Idle;
-        LogNews::Recorded(page)
+        self.state = LogState::Idle;
+        LogEvent::Recorded(page)
     }
 
-    fn begin_again(&mut self, now: Moment) {
-        self.doing = Doing::Begin;
+    fn list_again(&mut self, now: Moment) {
+        self.state = LogState::ListDue;
         self.retry_at = now + self.retry_every;
     }
 }
