--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -39,7 +39,7 @@
     superseded: bool,
     claims: BTreeMap<ClaimKey, Claim>,
     /// Requests that arrived before the log was read, each with the time at which it is refused.
-    early: VecDeque<(ClaimRequest, Moment)>,
+    queued: VecDeque<(ClaimRequest, Moment)>,
     /// Keys of claims whose recording was pending, ordered by the time at which they are refused.
     /// Entries whose claims have been recorded since are skipped.
     ///
@@ -75,7 +75,7 @@
             ready: false,
             superseded: false,
             claims: BTreeMap::new(),
-            early: VecDeque::new(),
+            queued: VecDeque::new(),
             recording: VecDeque::new(),
             unrecorded: VecDeque::new(),
             commit_at: now,
@@ -119,9 +119,9 @@
         }
         let log = self.log.next_wakeup();
         let commit = (self.log.is_idle() && !self.unrecorded.is_empty()).then_some(self.commit_at);
-        let early = self.early.front().map(|(_, give_up_at)| *give_up_at);
-        let waiting = self.recording.front().map(|(give_up_at, _)| *give_up_at);
-        [log, commit, early, waiting].into_iter().flatten().min()
+        let queued = self.queued.front().map(|(_, refuse_at)| *refuse_at);
+        let recording = self.recording.front().map(|(refuse_at, _)| *refuse_at);
+        [log, commit, queued, recording].into_iter().flatten().min()
     }
 
     /// Handles one event and returns the actions to carry out.
@@ -131,7 +131,7 @@
     pub fn handle(&mut self, event: ClaimEvent, now: Moment) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
-            ClaimEvent::Requested(req) => self.on_asked(req, now, &mut actions),
+            ClaimEvent::Requested(req) => self.on_request(req, now, &mut actions),
             ClaimEvent::Ended {
                 key,
                 attempt,
@@ -140,26 +140,26 @@
             ClaimEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             ClaimEvent::Tick => {}
         }
-        self.give_up(now, &mut actions);
+        self.refuse_overdue(now, &mut actions);
         self.advance(now, &mut actions);
         actions
     }
 
-    fn on_asked(&mut self, req: ClaimRequest, now: Moment, actions: &mut Vec<ClaimAction>) {
+    fn on_request(&mut self, req: ClaimRequest, now: Moment, actions: &mut Vec<ClaimAction>) {
         if self.superseded {
-            actions.push(self.not_now(&req));
+            actions.push(self.refuse(&req));
         } else if !self.ready {
-            if self.early.len() >= self.cfg.max_page_entries {
-                actions.push(self.not_now(&req));
+            if self.queued.len() >= self.cfg.max_page_entries {
+                actions.push(self.refuse(&req));
             } else {
-                self.early.push_back((req, now + self.cfg.claim_timeout));
+                self.queued.push_back((req, now + self.cfg.claim_timeout));
             }
         } else if let Some(claim) = self.claims.get(&req.key) {
             let answer = self.answer_known(claim, &req);
-            self.look_after(req.key, &req, now, actions);
+            self.check_entry(req.key, &req, now, actions);
             actions.extend(answer.map(|answer| answer_to(&req, answer)));
         } else if self.claims.len() >= self.cfg.max_claims {
-            actions.push(self.not_now(&req));
+            actions.push(self.refuse(&req));
         } else {
             self.claim(req, now, actions);
         }
@@ -193,9 +193,9 @@
             actions.push(answer_to(&req, ClaimAnswer::Granted));
             ClaimState::Running
         } else {
-            let give_up_at = now + self.cfg.claim_timeout;
-            self.recording.push_back((give_up_at, req.key));
-            ClaimState::Recording { give_up_at }
+            let refuse_at = now + self.cfg.claim_timeout;
+            self.recording.push_back((refuse_at, req.key));
+            ClaimState::Recording { refuse_at }
         };
         self.unrecorded.push_back(ClaimEntry::Claimed {
             key: req.key,
@@ -225,7 +225,7 @@
         let Some(claim) = self.claims.get_mut(&key) else {
             return;
         };
-        if claim.attempt != attempt || !claim.may_become(&outcome) {
+        if claim.attempt != attempt || !claim.accepts_outcome(&outcome) {
             return;
         }
         self.unrecorded.push_back(ClaimEntry::Ended {
@@ -240,7 +240,7 @@
     }
 
     /// Checks whether the instance that runs a claimed request is still alive and still running it.
-    fn look_after(
+    fn check_entry(
         &mut self,
         key: ClaimKey,
         req: &ClaimRequest,
@@ -319,8 +319,8 @@
                 self.load(page, now);
             }
         }
-        for (req, _) in std::mem::take(&mut self.early) {
-            self.on_asked(req, now, actions);
+        for (req, _) in std::mem::take(&mut self.queued) {
+            self.on_request(req, now, actions);
         }
     }
 
@@ -382,27 +382,27 @@
     fn on_superseded(&mut self, actions: &mut Vec<ClaimAction>) {
         self.superseded = true;
         for (key, claim) in std::mem::take(&mut self.claims) {
-            if claim.gives_up_at().is_some() {
-                actions.push(self.not_now(&claim.request(key)));
+            if claim.refuse_at().is_some() {
+                actions.push(self.refuse(&claim.request(key)));
             }
         }
         actions.push(ClaimAction::Superseded);
     }
 
     /// Refuses requests that have waited too long; the refusal is their final answer.
-    fn give_up(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
-        while let Some((req, _)) = self.early.pop_front_if(|(_, at)| now >= *at) {
-            actions.push(self.not_now(&req));
+    fn refuse_overdue(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
+        while let Some((req, _)) = self.queued.pop_front_if(|(_, at)| now >= *at) {
+            actions.push(self.refuse(&req));
         }
-        while let Some((give_up_at, key)) = self.recording.pop_front_if(|(at, _)| now >= *at) {
+        while let Some((refuse_at, key)) = self.recording.pop_front_if(|(at, _)| now >= *at) {
             let claim = self.claims.get(&key);
-            let waits = claim.filter(|claim| claim.gives_up_at() == Some(give_up_at));
+            let waits = claim.filter(|claim| claim.refuse_at() == Some(refuse_at));
             let Some(claim) = waits.cloned() else {
                 continue;
             };
             // The write of the claim may still succeed, so its end as not run is recorded too.
             self.on_ended(key, claim.attempt, ClaimOutcome::NotRun);
-            actions.push(self.not_now(&claim.request(key)));
+            actions.push(self.refuse(&claim.request(key)));
         }
     }
 
@@ -414,7 +414,7 @@
         if !self.log.is_idle() {
             return;
         }
-        self.forget_old(now, actions);
+        self.delete_expired_pages(now, actions);
         if !self.unrecorded.is_empty() && now >= self.commit_at {
             let count = self.unrecorded.len().min(self.cfg.max_page_entries);
             let entries = self.unrecorded.drain(..count).collect();
@@ -424,7 +424,7 @@
     }
 
     /// Deletes the oldest pages whose claims have all been kept for the retention period.
-    fn forget_old(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
+    fn delete_expired_pages(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
         let old: Vec<_> = self.log.pages_before(now - self.cfg.retention).collect();
         for sequence in old {
             let running = self.claims.values().any(|claim| {
@@ -443,7 +443,7 @@
         u64::try_from(self.cfg.retry_after.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn not_now(&self, req: &ClaimRequest) -> ClaimAction {
+    fn refuse(&self, req: &ClaimRequest) -> ClaimAction {
         let retry_after_ms = self.retry_after_ms();
         answer_to(req, ClaimAnswer::NotNow { retry_after_ms })
     }
--- a/crates/chervilshunt_coord/src/claims/keeper/claim.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/claim.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ClaimState {
     /// The claim is being recorded; the request may not be sent yet.
-    Recording { give_up_at: Moment },
+    Recording { refuse_at: Moment },
     /// The claim was granted, by this keeper or an earlier one.
     Running,
     /// The request has ended.
@@ -41,15 +41,15 @@
         }
     }
 
-    pub(super) fn gives_up_at(&self) -> Option<Moment> {
+    pub(super) fn refuse_at(&self) -> Option<Moment> {
         match self.state {
-            ClaimState::Recording { give_up_at } => Some(give_up_at),
+            ClaimState::Recording { refuse_at } => Some(refuse_at),
             ClaimState::Running | ClaimState::Ended(_) => None,
         }
     }
 
     /// Returns whether `outcome` adds information to the current state.
-    pub(super) fn may_become(&self, outcome: &ClaimOutcome) -> bool {
+    pub(super) fn accepts_outcome(&self, outcome: &ClaimOutcome) -> bool {
         match &self.state {
             ClaimState::Recording { .. } | ClaimState::Running => true,
             // The outcome was set to unknown because the instance was presumed dead, and now that
