--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -9,7 +9,7 @@
 
 use chervilshunt_model::{InstanceId, Moment, Revision};
 
-use self::load::Loading;
+use self::load::ConfigLoad;
 use self::prepared::Prepared;
 use super::head::{Elector, HeadRecord};
 use super::message::ConfigMessage;
@@ -124,7 +124,7 @@
     creating: Option<CallId>,
     head: Option<(HeadRecord, ObjectVersion)>,
     in_force: Option<ConfigInForce<S>>,
-    loading: Option<Loading<S>>,
+    loading: Option<ConfigLoad<S>>,
     load_retry_at: Moment,
     prepared: Option<Prepared<S>>,
     /// The generation of the latest known decision, from the head or from a peer.
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -12,13 +12,13 @@
 
 /// A configuration whose pages are being loaded.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct Loading<S> {
+pub(super) struct ConfigLoad<S> {
     state: S,
     pages: BTreeMap<PageKey, PageStamp>,
     reads: BTreeMap<CallId, (PageKey, PageStamp)>,
 }
 
-impl<S> Loading<S> {
+impl<S> ConfigLoad<S> {
     pub(super) fn is_reading(&self) -> bool {
         !self.reads.is_empty()
     }
@@ -60,7 +60,7 @@
                 Some(in_force) => ((*in_force.state).clone(), (*in_force.pages).clone()),
                 None => ((self.model.empty)(), BTreeMap::new()),
             };
-            self.loading = Some(Loading {
+            self.loading = Some(ConfigLoad {
                 state,
                 pages,
                 reads: BTreeMap::new(),
