--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -10,7 +10,7 @@
 use chervilshunt_model::{InstanceId, Moment, Revision};
 
 use self::load::ConfigLoad;
-use self::prepared::Prepared;
+use self::prepared::PreparedChange;
 use super::head::{Elector, HeadRecord};
 use super::message::ConfigMessage;
 use super::model::{ConfigModel, PageKey};
@@ -126,7 +126,7 @@
     in_force: Option<ConfigInForce<S>>,
     loading: Option<ConfigLoad<S>>,
     load_retry_at: Moment,
-    prepared: Option<Prepared<S>>,
+    prepared: Option<PreparedChange<S>>,
     /// The generation of the latest known decision, from the head or from a peer.
     decided: u64,
     behind_since: Option<Moment>,
--- a/crates/chervilshunt_coord/src/config/follower/prepared.rs
+++ b/crates/chervilshunt_coord/src/config/follower/prepared.rs
@@ -11,13 +11,13 @@
 
 /// A change that was acknowledged.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct Prepared<S> {
+pub(super) struct PreparedChange<S> {
     pub(super) change: ChangeId,
     pub(super) generation: u64,
     pub(super) base: Revision,
     /// The configuration after the change; `None` if it has to be loaded once the change is
     /// accepted.
-    pub(super) after: Option<After<S>>,
+    pub(super) after: Option<NextConfig<S>>,
     pub(super) proposer: Option<InstanceId>,
     pub(super) since: Moment,
     pub(super) ask_at: Moment,
@@ -25,7 +25,7 @@
 
 /// The configuration after a change.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct After<S> {
+pub(super) struct NextConfig<S> {
     state: Arc<S>,
     /// The pages that the change replaces.
     stamps: Vec<(PageKey, PageStamp)>,
@@ -113,13 +113,13 @@
                 });
                 let stamps: Vec<_> = stamps.collect();
                 let same = stamps == prepare.pages;
-                same.then(|| After {
+                same.then(|| NextConfig {
                     state: Arc::new(after),
                     stamps,
                 })
             }
         };
-        self.hold(Prepared {
+        self.set_prepared(PreparedChange {
             change: prepare.change,
             generation: prepare.generation,
             base: prepare.base,
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    fn hold(&mut self, prepared: Prepared<S>) {
+    fn set_prepared(&mut self, prepared: PreparedChange<S>) {
         // An earlier prepared change has been decided, because only one change is pending at a
         // time. Its outcome is found in the head, which is read because the base revision then
         // differs.
@@ -202,7 +202,7 @@
             .as_ref()
             .filter(|in_force| in_force.revision == prepared.base);
         match (base, prepared.after) {
-            (Some(in_force), Some(After { state, stamps })) => {
+            (Some(in_force), Some(NextConfig { state, stamps })) => {
                 let mut pages = (*in_force.pages).clone();
                 pages.extend(stamps);
                 let next = ConfigInForce {
@@ -287,7 +287,7 @@
             return;
         };
         let generation = head.generation;
-        let prepared = Prepared {
+        let prepared = PreparedChange {
             change: pending.change,
             generation,
             base: head.revision,
@@ -296,7 +296,7 @@
             since: now,
             ask_at: now + self.cfg.ask_after,
         };
-        self.hold(prepared);
+        self.set_prepared(prepared);
         actions.push(FollowerAction::AcknowledgeByLease(generation));
     }
 }
