--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -156,11 +156,11 @@
     garbage: Vec<PageName>,
     collecting: Collecting,
     /// Whether the change is to be accepted, or given up and why; `None` before that is decided.
-    verdict: Option<Verdict>,
+    decision: Option<ProposalDecision>,
 }
 
 #[derive(Clone, Debug, Hash)]
-enum Verdict {
+enum ProposalDecision {
     Accept,
     GiveUp(ChangeRefusal),
 }
@@ -293,7 +293,7 @@
                 unused: Vec::new(),
                 garbage: Vec::new(),
                 collecting: Collecting::default(),
-                verdict: None,
+                decision: None,
             });
             return;
         }
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -4,7 +4,7 @@
 
 use super::collect::fan_out;
 use super::steps::Stage;
-use super::{ChangeRefusal, Proposer, ProposerAction, Verdict};
+use super::{ChangeRefusal, ProposalDecision, Proposer, ProposerAction};
 use crate::bugs::Bug;
 use crate::config::head::HeadRecord;
 use crate::config::message::ConfigMessage;
@@ -18,9 +18,9 @@
         let Stage::Decided(head, version) = &proposal.stage else {
             return;
         };
-        let next = match &proposal.verdict {
-            Some(Verdict::Accept) => head.accepted(),
-            Some(Verdict::GiveUp(_)) | None => head.given_up(),
+        let next = match &proposal.decision {
+            Some(ProposalDecision::Accept) => head.accepted(),
+            Some(ProposalDecision::GiveUp(_)) | None => head.given_up(),
         };
         let op = PlatformOp::Update(Object::Head(Box::new(next.clone())), version.clone());
         let call = self.calls.call(op);
@@ -86,15 +86,15 @@
         let Some(proposal) = &self.proposal else {
             return;
         };
-        let refusal = match (accepted, &proposal.verdict) {
+        let refusal = match (accepted, &proposal.decision) {
             (Some(revision), _) => {
                 if let Some(ticket) = self.proposal.take().and_then(|proposal| proposal.ticket) {
                     actions.push(ProposerAction::Accepted(ticket, revision));
                 }
                 return;
             }
-            (None, Some(Verdict::GiveUp(refusal))) => refusal.clone(),
-            (None, Some(Verdict::Accept) | None) => ChangeRefusal::GivenUp,
+            (None, Some(ProposalDecision::GiveUp(refusal))) => refusal.clone(),
+            (None, Some(ProposalDecision::Accept) | None) => ChangeRefusal::GivenUp,
         };
         self.finish(refusal, actions);
     }
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::{InstanceId, Moment};
 
 use super::collect::fan_out;
-use super::{ChangeRefusal, Proposal, Proposer, ProposerAction, Verdict};
+use super::{ChangeRefusal, Proposal, ProposalDecision, Proposer, ProposerAction};
 use crate::bugs::Bug;
 use crate::config::follower::ConfigInForce;
 use crate::config::head::HeadRecord;
@@ -200,7 +200,7 @@
         if pending == Some(proposal.id) {
             // Either the write of the pending change succeeded although its answer was lost, or the
             // decision is not written yet.
-            proposal.stage = if proposal.verdict.is_some() {
+            proposal.stage = if proposal.decision.is_some() {
                 Stage::Decided(head, version)
             } else {
                 Stage::Pending(head, version)
@@ -211,7 +211,7 @@
         if pending.is_some() {
             return self.retry(ChangeRefusal::Busy, now, actions);
         }
-        if proposal.verdict.is_some() {
+        if proposal.decision.is_some() {
             // The outcome is no longer in the head, as too many changes have followed.
             return self.finish(ChangeRefusal::Unknown, actions);
         }
@@ -293,7 +293,7 @@
             return;
         };
         let PlatformResult::Listed(objects) = result else {
-            proposal.verdict = Some(Verdict::GiveUp(ChangeRefusal::PlatformUnavailable));
+            proposal.decision = Some(ProposalDecision::GiveUp(ChangeRefusal::PlatformUnavailable));
             proposal.settle_by = Some(now + self.cfg.settle_within);
             proposal.stage = Stage::Decided(head, version);
             proposal.retry_at = now;
@@ -377,24 +377,24 @@
         else {
             return;
         };
-        let verdict = if complete || proposal.collecting.is_complete() {
-            Some(Verdict::Accept)
+        let decision = if complete || proposal.collecting.is_complete() {
+            Some(ProposalDecision::Accept)
         } else if let Some((holder, reason)) = proposal.collecting.refusal() {
             let refusal = ChangeRefusal::NotAcknowledged(holder.instance.clone(), reason.clone());
-            Some(Verdict::GiveUp(refusal))
+            Some(ProposalDecision::GiveUp(refusal))
         } else if now >= *until {
             let missing: Vec<_> = proposal.collecting.missing().cloned().collect();
             actions.extend(missing.iter().cloned().map(ProposerAction::WatchLease));
             let missing = missing.into_iter().map(|holder| holder.instance);
-            Some(Verdict::GiveUp(ChangeRefusal::Unreachable(
+            Some(ProposalDecision::GiveUp(ChangeRefusal::Unreachable(
                 missing.collect(),
             )))
         } else {
             None
         };
-        if verdict.is_some() {
+        if decision.is_some() {
             proposal.stage = Stage::Decided(head.clone(), version.clone());
-            proposal.verdict = verdict;
+            proposal.decision = decision;
             proposal.settle_by = Some(now + self.cfg.settle_within);
             proposal.retry_at = now;
             return self.write_decision(actions);
@@ -420,7 +420,7 @@
             return;
         };
         let unsettled = proposal.settle_by.is_some() || proposal.ticket.is_none();
-        if now >= proposal.begin_by && !unsettled && proposal.verdict.is_none() {
+        if now >= proposal.begin_by && !unsettled && proposal.decision.is_none() {
             return self.finish(refusal, actions);
         }
         proposal.stage = Stage::Begin;
