--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -12,7 +12,7 @@
 
 use self::collect::Collecting;
 use self::pages::PageWrite;
-use self::steps::Stage;
+use self::steps::ProposalStage;
 use super::follower::ConfigInForce;
 use super::head::HeadRecord;
 use super::message::ConfigMessage;
@@ -145,7 +145,7 @@
     ticket: Option<ChangeTicket>,
     change: C,
     id: ChangeId,
-    stage: Stage,
+    stage: ProposalStage,
     begin_by: Moment,
     settle_by: Option<Moment>,
     retry_at: Moment,
@@ -285,7 +285,7 @@
                 ticket: Some(ticket),
                 id: (self.model.change_id)(&change),
                 change,
-                stage: Stage::Begin,
+                stage: ProposalStage::Begin,
                 begin_by,
                 settle_by: None,
                 retry_at: now,
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -3,7 +3,7 @@
 use chervilshunt_model::{Moment, Revision};
 
 use super::collect::fan_out;
-use super::steps::Stage;
+use super::steps::ProposalStage;
 use super::{ChangeRefusal, ProposalDecision, Proposer, ProposerAction};
 use crate::bugs::Bug;
 use crate::config::head::HeadRecord;
@@ -15,7 +15,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Decided(head, version) = &proposal.stage else {
+        let ProposalStage::Decided(head, version) = &proposal.stage else {
             return;
         };
         let next = match &proposal.decision {
@@ -24,7 +24,7 @@
         };
         let op = PlatformOp::Update(Object::Head(Box::new(next.clone())), version.clone());
         let call = self.calls.call(op);
-        proposal.stage = Stage::WritingDecision(call.id, Box::new(next));
+        proposal.stage = ProposalStage::WritingDecision(call.id, Box::new(next));
         actions.push(ProposerAction::Call(call));
     }
 
@@ -48,7 +48,7 @@
             return self.finish(ChangeRefusal::PlatformUnavailable, actions);
         }
         // The head shows whether the write succeeded or which other write came first.
-        proposal.stage = Stage::Begin;
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
         } else {
--- a/crates/chervilshunt_coord/src/config/proposer/pages.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/pages.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::Moment;
 
-use super::steps::Stage;
+use super::steps::ProposalStage;
 use super::{ChangeRefusal, Proposer, ProposerAction};
 use crate::config::head::{HeadRecord, PendingChange};
 use crate::config::model::PageKey;
@@ -51,7 +51,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::WritingPages(None, head, version) = &proposal.stage else {
+        let ProposalStage::WritingPages(None, head, version) = &proposal.stage else {
             return;
         };
         if let Some(page) = proposal.pages.iter().find(|page| !page.written) {
@@ -60,7 +60,8 @@
                 body: Arc::clone(&page.body),
             };
             let call = self.calls.call(PlatformOp::Create(object));
-            proposal.stage = Stage::WritingPages(Some(call.id), head.clone(), version.clone());
+            proposal.stage =
+                ProposalStage::WritingPages(Some(call.id), head.clone(), version.clone());
             actions.push(ProposerAction::Call(call));
             return;
         }
@@ -72,7 +73,7 @@
         let next = Box::new(head.with_pending(pending));
         let op = PlatformOp::Update(Object::Head(next.clone()), version.clone());
         let call = self.calls.call(op);
-        proposal.stage = Stage::WritingPending(call.id, next);
+        proposal.stage = ProposalStage::WritingPending(call.id, next);
         actions.push(ProposerAction::Call(call));
     }
 
@@ -86,7 +87,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        if let Stage::WritingPages(call, ..) = &mut proposal.stage {
+        if let ProposalStage::WritingPages(call, ..) = &mut proposal.stage {
             *call = None;
         }
         match result {
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -19,7 +19,7 @@
 
 /// The current step of a proposal.
 #[derive(Clone, Debug, Hash)]
-pub(super) enum Stage {
+pub(super) enum ProposalStage {
     /// The head has to be read.
     Begin,
     /// The head is being read.
@@ -50,17 +50,19 @@
 impl<C> Proposal<C> {
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         let stage = match &self.stage {
-            Stage::Begin | Stage::Pending(..) | Stage::Decided(..) => Some(self.retry_at),
-            Stage::WritingPages(call, ..) => call.is_none().then_some(self.retry_at),
-            Stage::Collecting {
+            ProposalStage::Begin | ProposalStage::Pending(..) | ProposalStage::Decided(..) => {
+                Some(self.retry_at)
+            }
+            ProposalStage::WritingPages(call, ..) => call.is_none().then_some(self.retry_at),
+            ProposalStage::Collecting {
                 until,
                 ask_again_at,
                 ..
             } => Some(ask_again_at.map_or(*until, |at| at.min(*until))),
-            Stage::ReadingHead(_)
-            | Stage::WritingPending(..)
-            | Stage::Listing(..)
-            | Stage::WritingDecision(..) => None,
+            ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::WritingDecision(..) => None,
         };
         let settle_by = self.settle_by.filter(|_| self.ticket.is_some());
         stage.into_iter().chain(settle_by).min()
@@ -91,25 +93,25 @@
             return;
         };
         match &proposal.stage {
-            Stage::Begin if now >= proposal.retry_at => {
+            ProposalStage::Begin if now >= proposal.retry_at => {
                 let call = self.calls.call(PlatformOp::Read(ObjectName::Head));
-                proposal.stage = Stage::ReadingHead(call.id);
+                proposal.stage = ProposalStage::ReadingHead(call.id);
                 actions.push(ProposerAction::Call(call));
             }
-            Stage::WritingPages(None, ..) if now >= proposal.retry_at => {
+            ProposalStage::WritingPages(None, ..) if now >= proposal.retry_at => {
                 self.write_next_page(actions);
             }
-            Stage::Pending(..) if now >= proposal.retry_at => self.list_live(actions),
-            Stage::Collecting { .. } => self.collect(base, now, actions),
-            Stage::Decided(..) if now >= proposal.retry_at => self.write_decision(actions),
-            Stage::Begin
-            | Stage::ReadingHead(_)
-            | Stage::WritingPages(..)
-            | Stage::WritingPending(..)
-            | Stage::Pending(..)
-            | Stage::Listing(..)
-            | Stage::Decided(..)
-            | Stage::WritingDecision(..) => {}
+            ProposalStage::Pending(..) if now >= proposal.retry_at => self.list_live(actions),
+            ProposalStage::Collecting { .. } => self.collect(base, now, actions),
+            ProposalStage::Decided(..) if now >= proposal.retry_at => self.write_decision(actions),
+            ProposalStage::Begin
+            | ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPages(..)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Pending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::Decided(..)
+            | ProposalStage::WritingDecision(..) => {}
         }
     }
 
@@ -139,38 +141,40 @@
             return;
         };
         match &mut proposal.stage {
-            Stage::ReadingHead(id) if *id == call => self.on_head_read(result, base, now, actions),
-            Stage::WritingPages(id, ..) if *id == Some(call) => {
+            ProposalStage::ReadingHead(id) if *id == call => {
+                self.on_head_read(result, base, now, actions)
+            }
+            ProposalStage::WritingPages(id, ..) if *id == Some(call) => {
                 self.on_page_written(&result, now, actions);
             }
-            Stage::WritingPending(id, head) if *id == call => {
+            ProposalStage::WritingPending(id, head) if *id == call => {
                 let head = head.clone();
                 self.on_pending_written(head, result, now, actions);
             }
-            Stage::Listing(id, head, version) if *id == call => {
+            ProposalStage::Listing(id, head, version) if *id == call => {
                 let (head, version) = (head.clone(), version.clone());
                 self.on_listed(head, version, result, base, now, actions);
             }
-            Stage::Collecting { listing, head, .. } if *listing == Some(call) => {
+            ProposalStage::Collecting { listing, head, .. } if *listing == Some(call) => {
                 *listing = None;
                 let generation = head.generation;
                 if let PlatformResult::Listed(objects) = result {
                     proposal.collecting.set_live(&leases(objects), generation);
                 }
             }
-            Stage::WritingDecision(id, head) if *id == call => {
+            ProposalStage::WritingDecision(id, head) if *id == call => {
                 let head = head.clone();
                 self.on_decision_written(head, result, now, actions);
             }
-            Stage::Begin
-            | Stage::ReadingHead(_)
-            | Stage::WritingPages(..)
-            | Stage::WritingPending(..)
-            | Stage::Pending(..)
-            | Stage::Listing(..)
-            | Stage::Collecting { .. }
-            | Stage::Decided(..)
-            | Stage::WritingDecision(..) => {}
+            ProposalStage::Begin
+            | ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPages(..)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Pending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::Collecting { .. }
+            | ProposalStage::Decided(..)
+            | ProposalStage::WritingDecision(..) => {}
         }
     }
 
@@ -201,9 +205,9 @@
             // Either the write of the pending change succeeded although its answer was lost, or the
             // decision is not written yet.
             proposal.stage = if proposal.decision.is_some() {
-                Stage::Decided(head, version)
+                ProposalStage::Decided(head, version)
             } else {
-                Stage::Pending(head, version)
+                ProposalStage::Pending(head, version)
             };
             proposal.retry_at = now;
             return;
@@ -231,7 +235,7 @@
                 let Some(proposal) = &mut self.proposal else {
                     return;
                 };
-                proposal.stage = Stage::WritingPages(None, head, version);
+                proposal.stage = ProposalStage::WritingPages(None, head, version);
                 proposal.retry_at = now;
             }
         }
@@ -251,13 +255,13 @@
         };
         if let PlatformResult::Written(version) = result {
             actions.push(ProposerAction::HeadSeen(head.clone(), version.clone()));
-            proposal.stage = Stage::Pending(head, version);
+            proposal.stage = ProposalStage::Pending(head, version);
             proposal.retry_at = now;
             return;
         }
         // A conflict may come from an earlier attempt of this proposal whose answer was lost;
         // reading the head shows which.
-        proposal.stage = Stage::Begin;
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
         } else {
@@ -272,11 +276,11 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Pending(head, version) = &proposal.stage else {
+        let ProposalStage::Pending(head, version) = &proposal.stage else {
             return;
         };
         let call = self.calls.call(PlatformOp::List(ObjectKind::Lease));
-        proposal.stage = Stage::Listing(call.id, head.clone(), version.clone());
+        proposal.stage = ProposalStage::Listing(call.id, head.clone(), version.clone());
         actions.push(ProposerAction::Call(call));
     }
 
@@ -295,7 +299,7 @@
         let PlatformResult::Listed(objects) = result else {
             proposal.decision = Some(ProposalDecision::GiveUp(ChangeRefusal::PlatformUnavailable));
             proposal.settle_by = Some(now + self.cfg.settle_within);
-            proposal.stage = Stage::Decided(head, version);
+            proposal.stage = ProposalStage::Decided(head, version);
             proposal.retry_at = now;
             return;
         };
@@ -307,7 +311,7 @@
             .missing()
             .map(|holder| holder.instance.clone())
             .collect();
-        proposal.stage = Stage::Collecting {
+        proposal.stage = ProposalStage::Collecting {
             head,
             version,
             until: now + self.cfg.collect_within,
@@ -328,7 +332,7 @@
         let Some(proposal) = &self.proposal else {
             return;
         };
-        let Stage::Collecting { head, .. } = &proposal.stage else {
+        let ProposalStage::Collecting { head, .. } = &proposal.stage else {
             return;
         };
         let revision = base.map_or(head.revision, |base| base.revision);
@@ -367,7 +371,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Collecting {
+        let ProposalStage::Collecting {
             head,
             version,
             until,
@@ -393,7 +397,7 @@
             None
         };
         if decision.is_some() {
-            proposal.stage = Stage::Decided(head.clone(), version.clone());
+            proposal.stage = ProposalStage::Decided(head.clone(), version.clone());
             proposal.decision = decision;
             proposal.settle_by = Some(now + self.cfg.settle_within);
             proposal.retry_at = now;
@@ -423,7 +427,7 @@
         if now >= proposal.begin_by && !unsettled && proposal.decision.is_none() {
             return self.finish(refusal, actions);
         }
-        proposal.stage = Stage::Begin;
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = now + retry_every;
     }
 }
