--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -10,7 +10,7 @@
 
 use chervilshunt_model::{ChangeId, InstanceId, Moment, Revision};
 
-use self::collect::Collecting;
+use self::collect::Acknowledgements;
 use self::pages::PageWrite;
 use self::steps::ProposalStage;
 use super::follower::ConfigInForce;
@@ -154,7 +154,7 @@
     unused: Vec<PageName>,
     /// Pages that the previous change made unnecessary.
     garbage: Vec<PageName>,
-    collecting: Collecting,
+    acknowledgements: Acknowledgements,
     /// Whether the change is to be accepted, or given up and why; `None` before that is decided.
     decision: Option<ProposalDecision>,
 }
@@ -271,7 +271,7 @@
             return;
         };
         if change == proposal.id {
-            proposal.collecting.acknowledge(holder, refusal);
+            proposal.acknowledgements.acknowledge(holder, refusal);
         }
     }
 
@@ -292,7 +292,7 @@
                 pages: Vec::new(),
                 unused: Vec::new(),
                 garbage: Vec::new(),
-                collecting: Collecting::default(),
+                acknowledgements: Acknowledgements::default(),
                 decision: None,
             });
             return;
--- a/crates/chervilshunt_coord/src/config/proposer/collect.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/collect.rs
@@ -10,14 +10,14 @@
 
 /// The instances that have to acknowledge a change, and the answers received so far.
 #[derive(Clone, Debug, Default, Hash)]
-pub(super) struct Collecting {
+pub(super) struct Acknowledgements {
     /// `None` until the live instances have been listed.
     live: Option<BTreeSet<Holder>>,
     acknowledged: BTreeSet<Holder>,
     refusals: BTreeMap<Holder, String>,
 }
 
-impl Collecting {
+impl Acknowledgements {
     /// Sets the live instances from the leases listed after the change was written into the head.
     ///
     /// Leases that record `generation` or a later one count as acknowledgements.
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -72,7 +72,7 @@
             accepted,
         };
         let to: Vec<_> = proposal
-            .collecting
+            .acknowledgements
             .live()
             .map(|holder| holder.instance.clone())
             .collect();
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -159,7 +159,9 @@
                 *listing = None;
                 let generation = head.generation;
                 if let PlatformResult::Listed(objects) = result {
-                    proposal.collecting.set_live(&leases(objects), generation);
+                    proposal
+                        .acknowledgements
+                        .set_live(&leases(objects), generation);
                 }
             }
             ProposalStage::WritingDecision(id, head) if *id == call => {
@@ -304,10 +306,10 @@
             return;
         };
         proposal
-            .collecting
+            .acknowledgements
             .set_live(&leases(objects), head.generation);
         let to: Vec<_> = proposal
-            .collecting
+            .acknowledgements
             .missing()
             .map(|holder| holder.instance.clone())
             .collect();
@@ -381,13 +383,13 @@
         else {
             return;
         };
-        let decision = if complete || proposal.collecting.is_complete() {
+        let decision = if complete || proposal.acknowledgements.is_complete() {
             Some(ProposalDecision::Accept)
-        } else if let Some((holder, reason)) = proposal.collecting.refusal() {
+        } else if let Some((holder, reason)) = proposal.acknowledgements.refusal() {
             let refusal = ChangeRefusal::NotAcknowledged(holder.instance.clone(), reason.clone());
             Some(ProposalDecision::GiveUp(refusal))
         } else if now >= *until {
-            let missing: Vec<_> = proposal.collecting.missing().cloned().collect();
+            let missing: Vec<_> = proposal.acknowledgements.missing().cloned().collect();
             actions.extend(missing.iter().cloned().map(ProposerAction::WatchLease));
             let missing = missing.into_iter().map(|holder| holder.instance);
             Some(ProposalDecision::GiveUp(ChangeRefusal::Unreachable(
@@ -409,7 +411,7 @@
             *listing = Some(call.id);
             actions.push(ProposerAction::Call(call));
             let to: Vec<_> = proposal
-                .collecting
+                .acknowledgements
                 .missing()
                 .map(|holder| holder.instance.clone())
                 .collect();
