--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -88,7 +88,7 @@
         if self.proposal.is_none() {
             self.begin_next(now, actions);
         }
-        self.call_unknown(now, actions);
+        self.report_unknown(now, actions);
         let Some(proposal) = &mut self.proposal else {
             return;
         };
@@ -117,7 +117,7 @@
 
     /// Reports the outcome to the operator as unknown if it is still uncertain after
     /// [`ProposerConfig::settle_within`](super::ProposerConfig::settle_within).
-    fn call_unknown(&mut self, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
+    fn report_unknown(&mut self, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
         let Some(proposal) = &mut self.proposal else {
             return;
         };
