--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -328,7 +328,7 @@
         &self,
         base: Option<&ConfigInForce<S>>,
         to: &[InstanceId],
-        by_way_of_others: bool,
+        use_relays: bool,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
         let Some(proposal) = &self.proposal else {
@@ -350,7 +350,7 @@
                 .collect(),
             proposer: self.me.instance.clone(),
         }));
-        let direct_at_most = if by_way_of_others {
+        let direct_at_most = if use_relays {
             self.cfg.direct_at_most
         } else {
             usize::MAX
