--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -114,7 +114,7 @@
             PlatformResult::Found(StoredObject {
                 object: Object::Page { body, .. },
                 ..
-            }) if stamp.fits(&body) => body,
+            }) if stamp.matches_body(&body) => body,
             PlatformResult::NotFound => {
                 // The page was deleted, because at least two changes were accepted since the head
                 // was read.
--- a/crates/chervilshunt_coord/src/config/stamp.rs
+++ b/crates/chervilshunt_coord/src/config/stamp.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether `body` has the hash in this stamp.
-    pub(crate) fn fits(self, body: &str) -> bool {
+    pub(crate) fn matches_body(self, body: &str) -> bool {
         self.hash == text_hash(body)
     }
 
