--- a/crates/chervilshunt_coord/src/config/page_map.rs
+++ b/crates/chervilshunt_coord/src/config/page_map.rs
@@ -56,7 +56,7 @@
 
 /// Splits a key after its last separator.
 fn split(key: &str) -> (&str, &str) {
-    let end = key.rfind(SEPARATOR).map_or(0, |place| place + 1);
+    let end = key.rfind(SEPARATOR).map_or(0, |index| index + 1);
     key.split_at(end)
 }
 
--- a/crates/chervilshunt_coord/src/membership/ring.rs
+++ b/crates/chervilshunt_coord/src/membership/ring.rs
@@ -28,24 +28,24 @@
     let mut ring: Vec<_> = listed.chain(departed).collect();
     ring.sort_by_key(|(instance, _)| (text_hash(instance.as_str()), *instance));
     let watched = (0..ring.len())
-        .filter(|place| ring[*place].0 != me && watchers_of(*place, &ring, watchers).contains(&me));
-    watched.map(|place| ring[place].0.clone()).collect()
+        .filter(|index| ring[*index].0 != me && watchers_of(*index, &ring, watchers).contains(&me));
+    watched.map(|index| ring[index].0.clone()).collect()
 }
 
 fn watchers_of<'a>(
-    place: usize,
+    index: usize,
     ring: &[(&'a InstanceId, Option<&'a ZoneName>)],
     watchers: usize,
 ) -> Vec<&'a InstanceId> {
-    let zone = ring[place].1;
+    let zone = ring[index].1;
     let after = || {
-        let others = (1..ring.len()).map(|step| ring[(place + step) % ring.len()]);
+        let others = (1..ring.len()).map(|step| ring[(index + step) % ring.len()]);
         others.filter(|(_, zone)| zone.is_some())
     };
-    let abroad = after().filter(|(_, other)| *other != zone).take(watchers);
-    let mut chosen: Vec<_> = abroad.map(|(instance, _)| instance).collect();
-    let lacking = watchers.saturating_sub(chosen.len());
-    let at_home = after().filter(|(_, other)| *other == zone).take(lacking);
-    chosen.extend(at_home.map(|(instance, _)| instance));
+    let other_zones = after().filter(|(_, other)| *other != zone).take(watchers);
+    let mut chosen: Vec<_> = other_zones.map(|(instance, _)| instance).collect();
+    let remaining = watchers.saturating_sub(chosen.len());
+    let same_zone = after().filter(|(_, other)| *other == zone).take(remaining);
+    chosen.extend(same_zone.map(|(instance, _)| instance));
     chosen
 }
