--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use super::runs::{holds, is_caught};
+use super::runs::{assert_caught, assert_holds};
 use crate::bugs::{Bug, Bugs};
 use crate::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimKeeper, ClaimKey, ClaimOutcome,
@@ -284,12 +284,12 @@
 
 #[test]
 fn a_request_is_sent_at_most_once_for_its_key() {
-    holds(1_000, &steps(), |steps| run(&steps, Bugs::NONE));
+    assert_holds(1_000, &steps(), |steps| run(&steps, Bugs::NONE));
 }
 
 #[rstest]
 #[case::granted_before_it_is_recorded(Bug::ClaimBeforeRecord)]
 #[case::what_was_recorded_is_not_read(Bug::ClaimsNotRead)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
-    is_caught(1_000, &steps(), |steps| run(&steps, Bugs::seeded(bug)));
+    assert_caught(1_000, &steps(), |steps| run(&steps, Bugs::seeded(bug)));
 }
--- a/crates/chervilshunt_coord/src/tests/promises.rs
+++ b/crates/chervilshunt_coord/src/tests/promises.rs
@@ -13,7 +13,7 @@
 use rstest::rstest;
 
 use super::fleet::Fleet;
-use super::runs::{cases, holds, is_caught};
+use super::runs::{assert_caught, assert_holds, cases};
 use super::smoke::{ZONES, set_cell, some_roles};
 use super::table::Table;
 use crate::bugs::{Bug, Bugs};
@@ -327,7 +327,7 @@
 
 #[test]
 fn the_promises_hold() {
-    holds(cases(60), &runs(), |(seed, steps)| {
+    assert_holds(cases(60), &runs(), |(seed, steps)| {
         run(seed, &steps, Bugs::NONE)
     });
 }
@@ -339,7 +339,7 @@
 #[case::head_moved_before_acknowledgements(Bug::HeadMovedBeforeAcks)]
 #[case::stale_head_accepted(Bug::StaleHeadAccepted)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
-    is_caught(cases(600), &runs(), |(seed, steps)| {
+    assert_caught(cases(600), &runs(), |(seed, steps)| {
         run(seed, &steps, Bugs::seeded(bug))
     });
 }
--- a/crates/chervilshunt_coord/src/tests/runs.rs
+++ b/crates/chervilshunt_coord/src/tests/runs.rs
@@ -21,7 +21,7 @@
 }
 
 /// Fails the test with the smallest failing input found if the property does not hold.
-pub(super) fn holds<S: Strategy>(
+pub(super) fn assert_holds<S: Strategy>(
     cases: u32,
     strategy: &S,
     property: impl Fn(S::Value) -> TestCaseResult,
@@ -33,7 +33,7 @@
 
 /// Fails the test if the property holds in all cases, which means that the check does not detect
 /// the seeded bug.
-pub(super) fn is_caught<S: Strategy>(
+pub(super) fn assert_caught<S: Strategy>(
     cases: u32,
     strategy: &S,
     property: impl Fn(S::Value) -> TestCaseResult,
