--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -34,7 +34,7 @@
     /// The last claim request is repeated at any keeper.
     AskAgain { keeper: usize },
     /// The platform carries out a call, and its answer arrives or is lost.
-    Carry { call: usize, answered: bool },
+    CarryOut { call: usize, answered: bool },
     /// A call times out, whether or not it was carried out.
     TimeOut { call: usize },
     /// An answer of a keeper arrives at the entry instance.
@@ -46,7 +46,7 @@
     /// An entry instance crashes and restarts.
     Crash { entry: usize },
     /// Time passes.
-    Pass { millis: u64 },
+    Wait { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -55,13 +55,13 @@
             .prop_map(|(keeper, entry, key)| Step::Ask { keeper, entry, key }),
         1 => (0..3_usize).prop_map(|keeper| Step::AskAgain { keeper }),
         6 => (0..4_usize, prop::bool::weighted(0.8))
-            .prop_map(|(call, answered)| Step::Carry { call, answered }),
+            .prop_map(|(call, answered)| Step::CarryOut { call, answered }),
         2 => (0..4_usize).prop_map(|call| Step::TimeOut { call }),
         5 => (0..4_usize).prop_map(|answer| Step::Arrive { answer }),
         2 => (0..4_usize, 0..3_usize).prop_map(|(sent, keeper)| Step::Finish { sent, keeper }),
         1 => Just(Step::TakeOver),
         1 => (0..ENTRIES).prop_map(|entry| Step::Crash { entry }),
-        3 => (1..3_000_u64).prop_map(|millis| Step::Pass { millis }),
+        3 => (1..3_000_u64).prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
@@ -84,7 +84,7 @@
     incarnations: [u64; ENTRIES],
     /// Attempts that were sent, by key, including those of entry instances that crashed since.
     sent: BTreeMap<ClaimKey, BTreeSet<AttemptId>>,
-    told_not_run: BTreeSet<AttemptId>,
+    reported_not_run: BTreeSet<AttemptId>,
     bugs: Bugs,
 }
 
@@ -101,7 +101,7 @@
             attempts: 0,
             incarnations: [0; ENTRIES],
             sent: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
             bugs,
         };
         world.take_over();
@@ -115,14 +115,14 @@
         let mut keeper = ClaimKeeper::new(ClaimConfig::new(0, me, epoch), self.now);
         keeper.seed(self.bugs);
         self.keepers.push(keeper);
-        self.hand(number, ClaimEvent::Tick);
+        self.deliver(number, ClaimEvent::Tick);
     }
 
     fn newest(&self, back: usize) -> usize {
         self.keepers.len().saturating_sub(1 + back)
     }
 
-    fn hand(&mut self, keeper: usize, event: ClaimEvent) {
+    fn deliver(&mut self, keeper: usize, event: ClaimEvent) {
         for action in self.keepers[keeper].handle(event, self.now) {
             match action {
                 ClaimAction::Call(call) => self.calls.push(Pending {
@@ -161,15 +161,15 @@
                 self.keys.insert(req.attempt, req.key);
                 self.last = Some(req.clone());
                 let keeper = self.newest(keeper);
-                self.hand(keeper, ClaimEvent::Requested(req));
+                self.deliver(keeper, ClaimEvent::Requested(req));
             }
             Step::AskAgain { keeper } => {
                 let keeper = self.newest(keeper);
                 if let Some(req) = self.last.clone() {
-                    self.hand(keeper, ClaimEvent::Requested(req));
+                    self.deliver(keeper, ClaimEvent::Requested(req));
                 }
             }
-            Step::Carry { call, answered } => self.carry(call, answered),
+            Step::CarryOut { call, answered } => self.carry_out(call, answered),
             Step::TimeOut { call } => {
                 if call < self.calls.len() {
                     let pending = self.calls.remove(call);
@@ -178,14 +178,14 @@
                         // The call may still be carried out, long after the keeper gave up on it.
                         self.calls.push(pending);
                     } else {
-                        self.hand(pending.keeper, event);
+                        self.deliver(pending.keeper, event);
                     }
                 }
             }
             Step::Arrive { answer } => {
                 if answer < self.answers.len() {
                     let (entry, key, attempt, answer) = self.answers.remove(answer);
-                    self.arrive(&entry, key, attempt, &answer);
+                    self.deliver_answer(&entry, key, attempt, &answer);
                 }
             }
             Step::Finish { sent, keeper } => {
@@ -200,7 +200,7 @@
                         body: None,
                     };
                     let keeper = self.newest(keeper);
-                    self.hand(
+                    self.deliver(
                         keeper,
                         ClaimEvent::Ended {
                             key,
@@ -212,17 +212,17 @@
             }
             Step::TakeOver => self.take_over(),
             Step::Crash { entry } => self.incarnations[entry] += 1,
-            Step::Pass { millis } => {
+            Step::Wait { millis } => {
                 self.now = self.now + Duration::from_millis(millis);
                 for keeper in 0..self.keepers.len() {
-                    self.hand(keeper, ClaimEvent::Tick);
+                    self.deliver(keeper, ClaimEvent::Tick);
                 }
             }
         }
         self.check()
     }
 
-    fn carry(&mut self, call: usize, answered: bool) {
+    fn carry_out(&mut self, call: usize, answered: bool) {
         if call >= self.calls.len() {
             return;
         }
@@ -230,11 +230,17 @@
         self.calls[call].carried_out = true;
         if answered {
             let pending = self.calls.remove(call);
-            self.hand(pending.keeper, ClaimEvent::Reply(pending.call.id, result));
+            self.deliver(pending.keeper, ClaimEvent::Reply(pending.call.id, result));
         }
     }
 
-    fn arrive(&mut self, entry: &Holder, key: ClaimKey, attempt: AttemptId, answer: &ClaimAnswer) {
+    fn deliver_answer(
+        &mut self,
+        entry: &Holder,
+        key: ClaimKey,
+        attempt: AttemptId,
+        answer: &ClaimAnswer,
+    ) {
         let alive = (0..ENTRIES).any(|number| self.entry(number) == *entry);
         if !alive {
             return;
@@ -242,7 +248,7 @@
         match answer {
             ClaimAnswer::Granted => {
                 // An entry instance acts only on the first final answer to an attempt.
-                if !self.told_not_run.contains(&attempt) {
+                if !self.reported_not_run.contains(&attempt) {
                     self.sent.entry(key).or_default().insert(attempt);
                 }
             }
@@ -252,7 +258,7 @@
                     .get(&key)
                     .is_some_and(|tries| tries.contains(&attempt));
                 if !was_sent {
-                    self.told_not_run.insert(attempt);
+                    self.reported_not_run.insert(attempt);
                 }
             }
             ClaimAnswer::InProgress { .. }
@@ -289,7 +295,7 @@
 
 #[rstest]
 #[case::granted_before_it_is_recorded(Bug::ClaimBeforeRecord)]
-#[case::what_was_recorded_is_not_read(Bug::ClaimsNotRead)]
+#[case::recorded_claims_not_read(Bug::ClaimsNotRead)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
     assert_caught(1_000, &steps(), |steps| run(&steps, Bugs::seeded(bug)));
 }
