--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -35,17 +35,17 @@
 /// The proposer, an instance that takes work, and the instance that joins.
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const PROPOSER: usize = 0;
-const NEWCOMER: usize = 2;
+const JOINING: usize = 2;
 
 #[derive(Clone, Debug, Hash)]
-enum Caller {
+enum CallOrigin {
     Follower(usize),
     Proposer,
 }
 
 #[derive(Clone, Debug, Hash)]
 struct Pending {
-    caller: Caller,
+    origin: CallOrigin,
     call: PlatformCall,
     result: Option<PlatformResult>,
 }
@@ -60,7 +60,7 @@
     proposer: Proposer<Table, SetCell>,
     pending: Vec<Pending>,
     messages: Vec<(usize, usize, ConfigMessage<SetCell>)>,
-    moved_at: Option<Moment>,
+    head_moved_at: Option<Moment>,
     refused: Option<ChangeRefusal>,
     lost_answers: usize,
     joined: bool,
@@ -125,57 +125,57 @@
             proposer,
             pending: Vec::new(),
             messages: Vec::new(),
-            moved_at: None,
+            head_moved_at: None,
             refused: None,
             lost_answers: 0,
             joined: false,
         };
-        for number in 0..NEWCOMER {
+        for number in 0..JOINING {
             let lease = lease(number, LeaseState::Active);
             world.platform.carry_out(&PlatformOp::Create(lease));
-            world.hand_follower(number, FollowerEvent::Start);
+            world.deliver_to_follower(number, FollowerEvent::Start);
             world.carry_out(0);
             world.answer(0, false);
         }
         if bugs.has(Bug::HeadReadBeforeLease) {
-            world.hand_follower(NEWCOMER, FollowerEvent::Start);
+            world.deliver_to_follower(JOINING, FollowerEvent::Start);
         }
         let change = set_cell(1, "x", 42);
-        world.hand_proposer(ProposerEvent::Propose(ChangeTicket(1), change));
+        world.deliver_to_proposer(ProposerEvent::Propose(ChangeTicket(1), change));
         world
     }
 
     /// Creates the lease of the joining instance and starts its follower.
     fn join(&mut self) {
         self.joined = true;
-        let lease = lease(NEWCOMER, LeaseState::Joining);
+        let lease = lease(JOINING, LeaseState::Joining);
         self.platform.carry_out(&PlatformOp::Create(lease));
-        self.hand_follower(NEWCOMER, FollowerEvent::Start);
+        self.deliver_to_follower(JOINING, FollowerEvent::Start);
     }
 
-    fn hand_follower(&mut self, number: usize, event: FollowerEvent<SetCell>) {
+    fn deliver_to_follower(&mut self, number: usize, event: FollowerEvent<SetCell>) {
         for action in self.followers[number].handle(event, self.now) {
             match action {
-                FollowerAction::Call(call) => self.begin(Caller::Follower(number), call),
+                FollowerAction::Call(call) => self.begin(CallOrigin::Follower(number), call),
                 FollowerAction::Send(to, message) => self.send(number, &to, message),
                 FollowerAction::AskPeers(_)
                 | FollowerAction::AcknowledgeByLease(_)
                 | FollowerAction::ConfigInForce(_) => {}
             }
         }
-        if number == NEWCOMER && self.joined && self.followers[number].is_settled() {
+        if number == JOINING && self.joined && self.followers[number].is_settled() {
             self.works[number] = true;
         }
     }
 
-    fn hand_proposer(&mut self, event: ProposerEvent<SetCell>) {
+    fn deliver_to_proposer(&mut self, event: ProposerEvent<SetCell>) {
         let base = self.followers[PROPOSER].in_force().cloned();
         for action in self.proposer.handle(event, base.as_ref(), self.now) {
             match action {
-                ProposerAction::Call(call) => self.begin(Caller::Proposer, call),
+                ProposerAction::Call(call) => self.begin(CallOrigin::Proposer, call),
                 ProposerAction::Send(to, message) => self.send(PROPOSER, &to, message),
                 ProposerAction::HeadSeen(head, version) => {
-                    self.hand_follower(PROPOSER, FollowerEvent::HeadSeen(head, version));
+                    self.deliver_to_follower(PROPOSER, FollowerEvent::HeadSeen(head, version));
                 }
                 ProposerAction::Refused(_, refusal) => self.refused = Some(refusal),
                 ProposerAction::Accepted(..) | ProposerAction::WatchLease(_) => {}
@@ -183,9 +183,9 @@
         }
     }
 
-    fn begin(&mut self, caller: Caller, call: PlatformCall) {
+    fn begin(&mut self, origin: CallOrigin, call: PlatformCall) {
         self.pending.push(Pending {
-            caller,
+            origin,
             call,
             result: None,
         });
@@ -195,18 +195,18 @@
         let to = NAMES.iter().position(|name| *name == to.as_str());
         let to = to.expect("messages go to instances");
         if to == from {
-            self.hand_message(from, to, message);
+            self.deliver_message(from, to, message);
         } else {
             self.messages.push((from, to, message));
         }
     }
 
-    fn hand_message(&mut self, from: usize, to: usize, message: ConfigMessage<SetCell>) {
+    fn deliver_message(&mut self, from: usize, to: usize, message: ConfigMessage<SetCell>) {
         let from = NAMES[from].into();
         if matches!(message, ConfigMessage::Acknowledge { .. }) {
-            self.hand_proposer(ProposerEvent::Message(from, message));
+            self.deliver_to_proposer(ProposerEvent::Message(from, message));
         } else {
-            self.hand_follower(to, FollowerEvent::Message(from, message));
+            self.deliver_to_follower(to, FollowerEvent::Message(from, message));
         }
     }
 
@@ -223,27 +223,27 @@
         if let Some(Object::Head(head)) = head
             && head.revision > Revision::new(0)
         {
-            self.moved_at.get_or_insert(self.now);
+            self.head_moved_at.get_or_insert(self.now);
         }
     }
 
     fn answer(&mut self, number: usize, lost: bool) {
         let Pending {
-            caller,
+            origin,
             call,
             result,
         } = self.pending.remove(number);
         let result = result.filter(|_| !lost).unwrap_or(PlatformResult::Unknown);
         self.lost_answers += usize::from(lost);
-        self.reply(&caller, call.id, result);
+        self.reply(&origin, call.id, result);
     }
 
-    fn reply(&mut self, caller: &Caller, call: CallId, result: PlatformResult) {
-        match caller {
-            Caller::Follower(number) => {
-                self.hand_follower(*number, FollowerEvent::Reply(call, result));
+    fn reply(&mut self, origin: &CallOrigin, call: CallId, result: PlatformResult) {
+        match origin {
+            CallOrigin::Follower(number) => {
+                self.deliver_to_follower(*number, FollowerEvent::Reply(call, result));
             }
-            Caller::Proposer => self.hand_proposer(ProposerEvent::Reply(call, result)),
+            CallOrigin::Proposer => self.deliver_to_proposer(ProposerEvent::Reply(call, result)),
         }
     }
 
@@ -263,11 +263,11 @@
         for number in 0..NAMES.len() {
             let wakeup = self.followers[number].next_wakeup();
             if wakeup.is_some_and(|at| at <= self.now) {
-                step(&|world| world.hand_follower(number, FollowerEvent::Tick));
+                step(&|world| world.deliver_to_follower(number, FollowerEvent::Tick));
             }
         }
         if self.proposer.next_wakeup().is_some_and(|at| at <= self.now) {
-            step(&|world| world.hand_proposer(ProposerEvent::Tick));
+            step(&|world| world.deliver_to_proposer(ProposerEvent::Tick));
         }
         for (number, pending) in self.pending.iter().enumerate() {
             if pending.result.is_none() {
@@ -282,18 +282,18 @@
         for number in 0..self.messages.len() {
             step(&|world| {
                 let (from, to, message) = world.messages.remove(number);
-                world.hand_message(from, to, message);
+                world.deliver_message(from, to, message);
             });
         }
         next
     }
 
     fn check(&self) -> Result<(), String> {
-        let told_no = matches!(&self.refused, Some(refusal) if !refusal.is_unknown());
-        if told_no && self.moved_at.is_some() {
+        let refused = matches!(&self.refused, Some(refusal) if !refusal.is_unknown());
+        if refused && self.head_moved_at.is_some() {
             return Err("a refused change is in force".to_owned());
         }
-        let Some(moved_at) = self.moved_at else {
+        let Some(head_moved_at) = self.head_moved_at else {
             return Ok(());
         };
         for (number, follower) in self.followers.iter().enumerate() {
@@ -301,7 +301,7 @@
                 .in_force()
                 .is_none_or(|in_force| in_force.revision == Revision::new(0));
             let takes_work = self.works[number] && follower.may_take_work(self.now);
-            if takes_work && old && self.now > moved_at + IN_FORCE_WITHIN {
+            if takes_work && old && self.now > head_moved_at + IN_FORCE_WITHIN {
                 return Err(format!(
                     "{} works by what was in force before",
                     NAMES[number]
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn nobody_works_by_an_old_configuration_after_the_bound() {
+fn no_work_under_an_old_configuration_after_the_deadline() {
     let visited = explored(Bugs::NONE).unwrap_or_else(|violation| panic!("{violation}"));
     assert!(visited > STATES, "only {visited} states were visited");
     println!("{visited} states within {} steps", depth(DEPTH));
