--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -36,11 +36,11 @@
     /// The offset of its clock from the simulation's time.
     clock_ahead: Duration,
     zone: &'static str,
-    waiting: Vec<Happening>,
+    waiting: Vec<FleetEvent>,
     pub(super) epochs: BTreeMap<Role, Epoch>,
     pub(super) in_force: Option<Table>,
     pub(super) left: bool,
-    woken_for: Option<Moment>,
+    wakeup_at: Option<Moment>,
     /// Calls that have no result yet; each receives exactly one.
     open_calls: BTreeSet<CallId>,
 }
@@ -58,8 +58,8 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
-    Carry(PlatformCall),
+enum FleetEvent {
+    CarryOut(PlatformCall),
     Reply(CallId, PlatformResult),
     Message(InstanceId, CoordMessage<SetCell>),
     Watch(StoredObject),
@@ -69,31 +69,31 @@
 }
 
 #[derive(Debug)]
-struct Due {
+struct ScheduledEvent {
     at: Moment,
-    order: u64,
+    sequence: u64,
     node: InstanceId,
     process: u64,
-    what: Happening,
+    what: FleetEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -128,8 +128,8 @@
     pub(super) refused: BTreeMap<ChangeTicket, ChangeRefusal>,
     pub(super) messages: u64,
     wanted: Vec<WantedRole>,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    sequence: u64,
     draws: u64,
     seed: u64,
     processes: u64,
@@ -150,7 +150,7 @@
             messages: 0,
             wanted,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             draws: 0,
             seed,
             processes: 0,
@@ -197,12 +197,12 @@
             epochs: BTreeMap::new(),
             in_force: None,
             left: false,
-            woken_for: None,
+            wakeup_at: None,
             open_calls: BTreeSet::new(),
         };
         let id = InstanceId::new(id);
         self.nodes.insert(id.clone(), node);
-        self.list_changes();
+        self.schedule_list_updates();
         self.deliver(&id, CoordEvent::Tick);
     }
 
@@ -211,7 +211,7 @@
             node.running = false;
             node.epochs.clear();
         }
-        self.list_changes();
+        self.schedule_list_updates();
     }
 
     pub(super) fn pause(&mut self, id: &str) {
@@ -259,7 +259,7 @@
                 break;
             };
             self.now = self.now.max(due.at);
-            self.happen(due);
+            self.process_event(due);
             check(self);
         }
         self.now = end;
@@ -298,26 +298,26 @@
         DELAY + Duration::from_millis(self.draw(4) + if slow > 0 { self.draw(slow) } else { 0 })
     }
 
-    fn schedule(&mut self, after: Duration, node: &InstanceId, process: u64, what: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+    fn schedule(&mut self, after: Duration, node: &InstanceId, process: u64, what: FleetEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent {
             at: self.now + after,
-            order: self.order,
+            sequence: self.sequence,
             node: node.clone(),
             process,
             what,
         }));
     }
 
-    fn list_changes(&mut self) {
+    fn schedule_list_updates(&mut self) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
             .map(|(id, node)| (id.clone(), node.process))
             .collect();
         for (id, process) in nodes {
-            let lag = jittered(LIST_LAG, self.seed, self.order);
-            self.schedule(lag, &id, process, Happening::List);
+            let lag = jittered(LIST_LAG, self.seed, self.sequence);
+            self.schedule(lag, &id, process, FleetEvent::List);
         }
     }
 
@@ -334,14 +334,14 @@
         entries.collect()
     }
 
-    fn happen(&mut self, due: Due) {
-        let Due {
+    fn process_event(&mut self, due: ScheduledEvent) {
+        let ScheduledEvent {
             node: id,
             process,
             what,
             ..
         } = due;
-        if let Happening::Carry(call) = what {
+        if let FleetEvent::CarryOut(call) = what {
             self.carry_out(&id, process, &call);
             return;
         }
@@ -355,20 +355,20 @@
             node.waiting.push(what);
             return;
         }
-        if let Happening::Reply(call, _) = &what
+        if let FleetEvent::Reply(call, _) = &what
             && !node.open_calls.remove(call)
         {
             return;
         }
         let event = match what {
-            Happening::Carry(_) => return,
-            Happening::Reply(call, result) => CoordEvent::PlatformReply { call, result },
-            Happening::Message(from, message) => CoordEvent::PeerMessage { from, message },
-            Happening::Watch(stored) => CoordEvent::ObjectSeen(stored),
-            Happening::List => CoordEvent::InstanceListChanged(self.instance_list()),
-            Happening::Released(role) => CoordEvent::RoleReleased(role),
-            Happening::Wake => {
-                node.woken_for = None;
+            FleetEvent::CarryOut(_) => return,
+            FleetEvent::Reply(call, result) => CoordEvent::PlatformReply { call, result },
+            FleetEvent::Message(from, message) => CoordEvent::PeerMessage { from, message },
+            FleetEvent::Watch(stored) => CoordEvent::ObjectSeen(stored),
+            FleetEvent::List => CoordEvent::InstanceListChanged(self.instance_list()),
+            FleetEvent::Released(role) => CoordEvent::RoleReleased(role),
+            FleetEvent::Wake => {
+                node.wakeup_at = None;
                 CoordEvent::Tick
             }
         };
@@ -379,17 +379,17 @@
     fn carry_out(&mut self, id: &InstanceId, process: u64, call: &PlatformCall) {
         let CallOutcome { result, written } = self.platform.carry_out(&call.op);
         if let Some(stored) = written {
-            self.tell_watchers(&stored);
+            self.notify_watchers(&stored);
         }
         let cut = self.faults.cut_from_platform.contains(id);
         let lost = self.faults.lost_answers;
         if !cut && !self.chance(lost) {
             let delay = self.delay();
-            self.schedule(delay, id, process, Happening::Reply(call.id, result));
+            self.schedule(delay, id, process, FleetEvent::Reply(call.id, result));
         }
     }
 
-    fn tell_watchers(&mut self, stored: &StoredObject) {
+    fn notify_watchers(&mut self, stored: &StoredObject) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
@@ -401,7 +401,7 @@
                 continue;
             }
             let delay = self.delay();
-            self.schedule(delay, &id, process, Happening::Watch(stored.clone()));
+            self.schedule(delay, &id, process, FleetEvent::Watch(stored.clone()));
         }
     }
 
@@ -430,12 +430,12 @@
         };
         let now = self.now + node.clock_ahead;
         let at = at.max(now + Duration::from_millis(1));
-        if node.woken_for.is_some_and(|planned| planned <= at) {
+        if node.wakeup_at.is_some_and(|planned| planned <= at) {
             return;
         }
-        node.woken_for = Some(at);
+        node.wakeup_at = Some(at);
         let process = node.process;
-        self.schedule(at.since(now), id, process, Happening::Wake);
+        self.schedule(at.since(now), id, process, FleetEvent::Wake);
     }
 
     fn act(&mut self, id: &InstanceId, process: u64, action: CoordAction<Table, SetCell>) {
@@ -448,7 +448,7 @@
                 }
             }
             CoordAction::RoleEnding { role, .. } => {
-                self.schedule(HANDOVER, id, process, Happening::Released(role));
+                self.schedule(HANDOVER, id, process, FleetEvent::Released(role));
             }
             CoordAction::RoleLost { role } => {
                 if let Some(node) = self.nodes.get_mut(id) {
@@ -475,7 +475,7 @@
                     node.left = true;
                     node.running = false;
                 }
-                self.list_changes();
+                self.schedule_list_updates();
             }
             CoordAction::TakeoverComplete { .. }
             | CoordAction::HolderChanged { .. }
@@ -490,7 +490,7 @@
         if let Some(node) = self.nodes.get_mut(id) {
             node.open_calls.insert(call.id);
         }
-        let unknown = Happening::Reply(call.id, PlatformResult::Unknown);
+        let unknown = FleetEvent::Reply(call.id, PlatformResult::Unknown);
         self.schedule(CALL_TIMEOUT, id, process, unknown);
         if self.faults.cut_from_platform.contains(id) {
             return;
@@ -501,7 +501,7 @@
         } else {
             self.delay()
         };
-        self.schedule(delay, id, process, Happening::Carry(call));
+        self.schedule(delay, id, process, FleetEvent::CarryOut(call));
     }
 
     fn send(&mut self, from: &InstanceId, to: &InstanceId, message: &CoordMessage<SetCell>) {
@@ -521,7 +521,7 @@
         let copies = if self.chance(doubled) { 2 } else { 1 };
         for _ in 0..copies {
             let delay = self.delay();
-            let what = Happening::Message(from.clone(), message.clone());
+            let what = FleetEvent::Message(from.clone(), message.clone());
             self.schedule(delay, to, process, what);
         }
     }
