--- a/crates/chervilshunt_coord/src/tests/promises.rs
+++ b/crates/chervilshunt_coord/src/tests/promises.rs
@@ -53,7 +53,7 @@
         lost: u64,
         doubled: u64,
     },
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -77,13 +77,13 @@
             }
         ),
         2 => (0..40_u64, 0..40_u64).prop_map(|(lost, doubled)| Step::DisturbMessages { lost, doubled }),
-        10 => prop_oneof![1..100_u64, 1..3_000_u64, 1..25_000_u64].prop_map(Step::Pass),
+        10 => prop_oneof![1..100_u64, 1..3_000_u64, 1..25_000_u64].prop_map(Step::Wait),
     ]
 }
 
 /// The observations so far, to which later ones are compared.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     holders: BTreeMap<(Role, Epoch), (InstanceId, u64)>,
     /// When the head was first seen at each revision.
     revisions: BTreeMap<Revision, Moment>,
@@ -92,7 +92,7 @@
     violation: Option<String>,
 }
 
-impl Seen {
+impl Observations {
     fn check(&mut self, fleet: &Fleet) {
         let violation = self
             .check_orders(fleet)
@@ -231,7 +231,7 @@
     (id(low).as_str().into(), id(high).as_str().into())
 }
 
-fn take(fleet: &mut Fleet, step: &Step, tickets: &mut u64, seen: &mut Seen) {
+fn apply(fleet: &mut Fleet, step: &Step, tickets: &mut u64, observed: &mut Observations) {
     match *step {
         Step::Crash(who) => fleet.crash(&id(who)),
         Step::Start(who) => {
@@ -289,8 +289,8 @@
             fleet.faults.lost_messages = lost;
             fleet.faults.doubled_messages = doubled;
         }
-        Step::Pass(millis) => {
-            fleet.run_checked(Duration::from_millis(millis), |fleet| seen.check(fleet));
+        Step::Wait(millis) => {
+            fleet.run_checked(Duration::from_millis(millis), |fleet| observed.check(fleet));
         }
     }
 }
@@ -298,26 +298,26 @@
 fn run(seed: u64, steps: &[Step], bugs: Bugs) -> Result<(), TestCaseError> {
     let mut fleet = Fleet::new(seed, some_roles(ROLES));
     fleet.seed_bugs(bugs);
-    let mut seen = Seen::default();
+    let mut observed = Observations::default();
     for who in 0..INSTANCES {
         fleet.start(&id(who), ZONES[who % 3]);
     }
-    fleet.run_checked(Duration::from_secs(15), |fleet| seen.check(fleet));
+    fleet.run_checked(Duration::from_secs(15), |fleet| observed.check(fleet));
     let mut tickets = 0;
     for step in steps {
-        take(&mut fleet, step, &mut tickets, &mut seen);
-        if let Some(violation) = seen.violation {
+        apply(&mut fleet, step, &mut tickets, &mut observed);
+        if let Some(violation) = observed.violation {
             return Err(TestCaseError::fail(violation));
         }
     }
     fleet.faults = super::fleet::Faults::default();
     for who in 0..INSTANCES {
         fleet.resume(&id(who));
-        take(&mut fleet, &Step::Start(who), &mut tickets, &mut seen);
+        apply(&mut fleet, &Step::Start(who), &mut tickets, &mut observed);
     }
-    fleet.run_checked(RECOVERED_WITHIN, |fleet| seen.check(fleet));
-    let end = seen.violation.take().map_or(Ok(()), Err);
-    end.and_then(|()| seen.check_end(&fleet))
+    fleet.run_checked(RECOVERED_WITHIN, |fleet| observed.check(fleet));
+    let end = observed.violation.take().map_or(Ok(()), Err);
+    end.and_then(|()| observed.check_end(&fleet))
         .map_err(TestCaseError::fail)
 }
 
@@ -326,14 +326,14 @@
 }
 
 #[test]
-fn the_promises_hold() {
+fn guarantees_hold_under_faults() {
     assert_holds(cases(60), &runs(), |(seed, steps)| {
         run(seed, &steps, Bugs::NONE)
     });
 }
 
 #[rstest]
-#[case::lease_not_looked_at_before_an_order(Bug::LeaseNotChecked)]
+#[case::lease_not_checked_before_an_order(Bug::LeaseNotChecked)]
 #[case::lapse_not_marked(Bug::LapseNotMarked)]
 #[case::epoch_not_raised(Bug::EpochNotRaised)]
 #[case::head_moved_before_acknowledgements(Bug::HeadMovedBeforeAcks)]
