--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -37,11 +37,11 @@
     limit: u64,
 }
 
-type Limited = Fleet<Limits, SetLimit>;
+type LimitsFleet = Fleet<Limits, SetLimit>;
 
 /// The configurations observed on the instances so far.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     /// The limits at each revision, as first observed on any instance.
     limits: BTreeMap<Revision, Limits>,
     latest: BTreeMap<InstanceId, Revision>,
@@ -54,36 +54,36 @@
 /// Runs the scenario, checks it, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(model(), program);
-    let mut seen = Seen::default();
+    let mut observed = Observations::default();
     for id in ["a", "b", "c"] {
         fleet.start(id);
     }
-    pass(&mut fleet, 20, &mut seen);
+    pass(&mut fleet, 20, &mut observed);
 
-    fleet.tell("operator at a: limit(depot) = 40");
+    fleet.log("operator at a: limit(depot) = 40");
     propose(&mut fleet, "a", 1, "depot", 40);
-    pass(&mut fleet, 1, &mut seen);
+    pass(&mut fleet, 1, &mut observed);
     assert_in_force(&fleet, "depot", Some(40));
 
-    fleet.tell("c is cut off; operator at a: limit(depot) = 60");
+    fleet.log("c is cut off; operator at a: limit(depot) = 60");
     fleet.cut_off.insert("c".into());
     propose(&mut fleet, "a", 2, "depot", 60);
-    pass(&mut fleet, 4, &mut seen);
+    pass(&mut fleet, 4, &mut observed);
     assert_in_force(&fleet, "depot", Some(40));
 
-    fleet.tell("c is back; operator at a: limit(depot) = 60");
+    fleet.log("c is back; operator at a: limit(depot) = 60");
     fleet.cut_off.clear();
-    pass(&mut fleet, 4, &mut seen);
+    pass(&mut fleet, 4, &mut observed);
     propose(&mut fleet, "a", 3, "depot", 60);
-    pass(&mut fleet, 1, &mut seen);
+    pass(&mut fleet, 1, &mut observed);
     assert_in_force(&fleet, "depot", Some(60));
 
-    fleet.tell("operator at b: limit(office) = 5");
+    fleet.log("operator at b: limit(office) = 5");
     fleet.lose_answer = Some(moves_head);
     propose(&mut fleet, "b", 4, "office", 5);
-    pass(&mut fleet, 5, &mut seen);
+    pass(&mut fleet, 5, &mut observed);
     assert_in_force(&fleet, "office", Some(5));
-    fleet.told
+    fleet.transcript
 }
 
 /// Returns the model of the limits, with one page for each caller.
@@ -157,7 +157,7 @@
     }
 }
 
-fn propose(fleet: &mut Limited, at: &str, number: u64, caller: &str, limit: u64) {
+fn propose(fleet: &mut LimitsFleet, at: &str, number: u64, caller: &str, limit: u64) {
     let change = SetLimit {
         id: ChangeId::from_u128(number.into()),
         caller: caller.to_owned(),
@@ -174,18 +174,18 @@
 }
 
 /// Lets time pass and checks the invariants after each step.
-fn pass(fleet: &mut Limited, seconds: u64, seen: &mut Seen) {
+fn pass(fleet: &mut LimitsFleet, seconds: u64, observed: &mut Observations) {
     fleet.run(Duration::from_secs(seconds), |fleet| {
         for (id, node) in &fleet.nodes {
             let Some(in_force) = node.in_force() else {
                 continue;
             };
-            let before = seen.latest.insert(id.clone(), in_force.revision);
+            let before = observed.latest.insert(id.clone(), in_force.revision);
             assert!(
                 before <= Some(in_force.revision),
                 "{id} went back from {before:?}"
             );
-            let limits = seen
+            let limits = observed
                 .limits
                 .entry(in_force.revision)
                 .or_insert_with(|| (*in_force.state).clone());
@@ -195,7 +195,7 @@
 }
 
 /// Checks that all instances that take work have this limit.
-fn assert_in_force(fleet: &Limited, caller: &str, limit: Option<u64>) {
+fn assert_in_force(fleet: &LimitsFleet, caller: &str, limit: Option<u64>) {
     for (id, node) in &fleet.nodes {
         let in_force = node
             .in_force()
--- a/crates/chervilshunt_coord/examples/lease.rs
+++ b/crates/chervilshunt_coord/examples/lease.rs
@@ -50,27 +50,27 @@
 
 /// Runs the scenario, checks that no process ordered without the lease, and returns a transcript.
 pub(crate) fn run() -> String {
-    let mut story = Story::begin();
+    let mut scenario = Scenario::begin();
     for second in 0..END {
-        story.second = second;
+        scenario.second = second;
         if !PAUSE.contains(&second) {
-            story.first_acts();
+            scenario.first_acts();
         }
-        story.second_acts();
+        scenario.second_acts();
         match second {
-            PAUSED_AT => story.tell("first is paused, with an order on its way"),
-            WOKEN_AT => story.late_order_arrives(),
+            PAUSED_AT => scenario.log("first is paused, with an order on its way"),
+            WOKEN_AT => scenario.late_order_arrives(),
             _ => {}
         }
     }
-    story.check();
-    story.told
+    scenario.check();
+    scenario.transcript
 }
 
 /// Both processes, the platform and the valve between them, and the transcript.
-struct Story {
+struct Scenario {
     second: u64,
-    told: String,
+    transcript: String,
     platform: MemoryPlatform,
     valve: Valve,
     lease: LeaseKeeper,
@@ -79,7 +79,7 @@
     taken_over: Option<u64>,
 }
 
-impl Story {
+impl Scenario {
     fn begin() -> Self {
         let address = ([127, 0, 0, 1], 1).into();
         let cfg = LeaseConfig::default();
@@ -93,7 +93,7 @@
         );
         Self {
             second: 0,
-            told: String::new(),
+            transcript: String::new(),
             platform: MemoryPlatform::default(),
             valve: Valve::default(),
             lease: LeaseKeeper::new(cfg, record, Moment::ZERO),
@@ -107,8 +107,8 @@
         Moment::from_millis(self.second * 1_000)
     }
 
-    fn tell(&mut self, what: &str) {
-        self.told += &format!("{:3} s  {what}\n", self.second);
+    fn log(&mut self, what: &str) {
+        self.transcript += &format!("{:3} s  {what}\n", self.second);
     }
 
     /// Sends an order if the lease is valid at this moment, then renews the lease if that is due.
@@ -119,7 +119,7 @@
         }
         if self.first_orders != may_order {
             self.first_orders = may_order;
-            self.tell(if may_order {
+            self.log(if may_order {
                 "first orders"
             } else {
                 "first sees that its lease has run out, and does not order"
@@ -138,7 +138,7 @@
 
     fn late_order_arrives(&mut self) {
         assert!(!self.valve.take(self.second, "first", FIRST_EPOCH));
-        self.tell("the order from before the pause arrives; the valve refuses its epoch");
+        self.log("the order from before the pause arrives; the valve refuses its epoch");
     }
 
     /// Carries out the calls of the lease keeper until there are none left.
@@ -150,10 +150,10 @@
                     self.drive_lease(LeaseEvent::Reply(call.id, result));
                 }
                 LeaseAction::Created => {
-                    self.tell("first has the lease; second watches it");
+                    self.log("first has the lease; second watches it");
                     self.drive_observer(ObserverEvent::Watch(first()));
                 }
-                LeaseAction::Lost => self.tell("first learns that the lease was marked lapsed"),
+                LeaseAction::Lost => self.log("first learns that the lease was marked lapsed"),
                 LeaseAction::Renewed(_) => {}
             }
         }
@@ -174,7 +174,7 @@
                 ObserverAction::Ended(holder, by_us) => {
                     assert!(by_us && holder == first());
                     self.taken_over = Some(self.second);
-                    self.tell("second has marked the lease lapsed, and takes over");
+                    self.log("second has marked the lease lapsed, and takes over");
                 }
                 ObserverAction::Renewed(_) => {}
             }
@@ -195,7 +195,7 @@
         );
         let (first, all) = (of_first.count(), self.valve.orders.len());
         self.second = END;
-        self.tell(&format!(
+        self.log(&format!(
             "carried out: {first} of first, {} of second",
             all - first
         ));
--- a/crates/chervilshunt_coord/examples/roles.rs
+++ b/crates/chervilshunt_coord/examples/roles.rs
@@ -24,29 +24,29 @@
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(no_configuration(), program);
     let mut epochs = BTreeMap::new();
-    fleet.tell("a and b start");
+    fleet.log("a and b start");
     fleet.start("a");
     fleet.start("b");
     pass(&mut fleet, 20, &mut epochs);
     show_holders(&mut fleet);
 
-    fleet.tell("c joins");
+    fleet.log("c joins");
     fleet.start("c");
     pass(&mut fleet, 20, &mut epochs);
     show_holders(&mut fleet);
 
-    fleet.tell("a is asked to leave");
+    fleet.log("a is asked to leave");
     fleet.deliver(&"a".into(), CoordEvent::ShutdownRequested);
     fleet.deliver(&"a".into(), CoordEvent::Drained);
     pass(&mut fleet, 5, &mut epochs);
     assert!(!fleet.nodes.contains_key("a"), "a has left");
     show_holders(&mut fleet);
 
-    fleet.tell("b fails");
+    fleet.log("b fails");
     fleet.crash("b");
     pass(&mut fleet, 60, &mut epochs);
     show_holders(&mut fleet);
-    fleet.told
+    fleet.transcript
 }
 
 /// Returns the program's reaction to an action of its coordinator.
@@ -124,6 +124,6 @@
             panic!("{role} is held by {holders:?}");
         };
         let line = format!("  {role}: {holder}, epoch {epoch}");
-        fleet.tell(&line);
+        fleet.log(&line);
     }
 }
--- a/crates/chervilshunt_coord/examples/support/mod.rs
+++ b/crates/chervilshunt_coord/examples/support/mod.rs
@@ -41,7 +41,7 @@
     pub(crate) cut_off: BTreeSet<InstanceId>,
     /// Selects the write whose answer is lost; applies once.
     pub(crate) lose_answer: Option<fn(&PlatformOp) -> bool>,
-    pub(crate) told: String,
+    pub(crate) transcript: String,
     model: ConfigModel<S, C>,
     program: Program<S, C>,
     platform: MemoryPlatform,
@@ -56,7 +56,7 @@
             nodes: BTreeMap::new(),
             cut_off: BTreeSet::new(),
             lose_answer: None,
-            told: String::new(),
+            transcript: String::new(),
             model,
             program,
             platform: MemoryPlatform::default(),
@@ -117,8 +117,8 @@
         self.now = end;
     }
 
-    pub(crate) fn tell(&mut self, line: &str) {
-        self.told += &format!(
+    pub(crate) fn log(&mut self, line: &str) {
+        self.transcript += &format!(
             "{:6.1} s  {line}\n",
             self.now.since(Moment::ZERO).as_secs_f64()
         );
@@ -163,7 +163,7 @@
             other => {
                 let Reaction { line, events } = (self.program)(&other);
                 if let Some(line) = line {
-                    self.tell(&format!("{id}: {line}"));
+                    self.log(&format!("{id}: {line}"));
                 }
                 if matches!(other, CoordAction::Left) {
                     self.crash(id.as_str());
@@ -180,7 +180,7 @@
         let call_id = call.id;
         if self.lose_answer.is_some_and(|picks| picks(&call.op)) {
             self.lose_answer = None;
-            self.tell(&format!(
+            self.log(&format!(
                 "{id}: the platform has written, but its answer is lost"
             ));
             let result = PlatformResult::Unknown;
--- a/crates/chervilshunt_coord/tests/examples.rs
+++ b/crates/chervilshunt_coord/tests/examples.rs
@@ -24,6 +24,6 @@
 #[case::lease("lease", lease::run)]
 #[case::roles("roles", roles::run)]
 #[case::configuration("configuration", configuration::run)]
-fn an_example_tells_its_story(#[case] name: &str, #[case] run: fn() -> String) {
+fn example_output_matches_its_snapshot(#[case] name: &str, #[case] run: fn() -> String) {
     insta::assert_snapshot!(name, run());
 }
