--- a/crates/chervilshunt_coord/src/config/model.rs
+++ b/crates/chervilshunt_coord/src/config/model.rs
@@ -73,7 +73,7 @@
     ConfigModel {
         empty: || (),
         change_id: |()| ChangeId::from_u128(0),
-        apply: |(), ()| Err("there is no configuration".to_owned()),
+        apply: |(), ()| Err("this program has no configuration to change".to_owned()),
         page: |(), _key| String::new(),
         with_page: |(), _key, _body| Ok(()),
         at_revision: |(), _revision| (),
--- a/crates/chervilshunt_coord/src/config/stamp.rs
+++ b/crates/chervilshunt_coord/src/config/stamp.rs
@@ -103,19 +103,19 @@
 #[non_exhaustive]
 pub enum PageStampError {
     /// The text has no separator.
-    #[snafu(display("a page's stamp must be written as HASH.CHANGE"))]
+    #[snafu(display("page stamp without a separator, expected HASH.CHANGE"))]
     NoChange,
     /// The Base64 form is not valid Base64.
-    #[snafu(display("a page's stamp must be Base64 text: {source}"))]
+    #[snafu(display("page stamp is not valid Base64: {source}"))]
     BadText {
         /// The error of the decoder.
         source: base64::DecodeError,
     },
     /// The Base64 form has the wrong length.
-    #[snafu(display("a page's stamp must have {STAMP_BYTES} bytes"))]
+    #[snafu(display("page stamp does not have {STAMP_BYTES} bytes"))]
     BadLength,
     /// A part is not a hexadecimal number.
-    #[snafu(display("hash and change of a page's stamp must be hexadecimal: {source}"))]
+    #[snafu(display("hash or change of a page stamp is not a hexadecimal number: {source}"))]
     BadNumber {
         /// The error of the number parser.
         source: std::num::ParseIntError,
