--- a/crates/chervilshunt_coord/src/config/page_map/tests.rs
+++ b/crates/chervilshunt_coord/src/config/page_map/tests.rs
@@ -12,7 +12,7 @@
 
 /// Maximum size in bytes of the pages of a full configuration in the head. Each change sends them
 /// to each instance twice.
-const PAGES_BYTES: usize = 6_300;
+const MAX_PAGES_BYTES: usize = 6_300;
 const PAGES: usize = 257;
 
 fn head<'a>(keys: impl IntoIterator<Item = &'a str>) -> HeadRecord {
@@ -31,7 +31,7 @@
 #[case::common(&["common"])]
 #[case::both(&["common", "adapters-00", "adapters-ff"])]
 #[case::alike(&["adapters", "adapters-", "-adapters", "-", "", "a-b-c", "a-bc"])]
-fn pages_come_through(#[case] keys: &[&str]) {
+fn pages_survive_a_round_trip(#[case] keys: &[&str]) {
     let head = head(keys.iter().copied());
     let text = serde_json::to_string(&head).expect("it can be written");
     let read: HeadRecord = serde_json::from_str(&text).expect("and read");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn pages_of_a_full_configuration_stay_within_their_bytes() {
+fn pages_of_a_full_configuration_stay_within_the_size_limit() {
     let keys: Vec<String> = (1..PAGES)
         .map(|number| format!("adapters-{:02x}", number - 1))
         .chain(["common".to_owned()])
@@ -77,5 +77,5 @@
     let bytes = |head: &HeadRecord| serde_json::to_string(head).map(|text| text.len());
     let full = bytes(&full).expect("it can be written");
     let empty = bytes(&head([])).expect("it can be written");
-    assert!(full - empty <= PAGES_BYTES, "{} bytes", full - empty);
+    assert!(full - empty <= MAX_PAGES_BYTES, "{} bytes", full - empty);
 }
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -291,7 +291,7 @@
     fn check(&self) -> Result<(), String> {
         let refused = matches!(&self.refused, Some(refusal) if !refusal.is_unknown());
         if refused && self.head_moved_at.is_some() {
-            return Err("a refused change is in force".to_owned());
+            return Err("a change that was reported as refused is in force".to_owned());
         }
         let Some(head_moved_at) = self.head_moved_at else {
             return Ok(());
@@ -303,7 +303,7 @@
             let takes_work = self.works[number] && follower.may_take_work(self.now);
             if takes_work && old && self.now > head_moved_at + IN_FORCE_WITHIN {
                 return Err(format!(
-                    "{} works by what was in force before",
+                    "{} takes work under the previous configuration",
                     NAMES[number]
                 ));
             }
--- a/crates/chervilshunt_coord/src/tests/promises.rs
+++ b/crates/chervilshunt_coord/src/tests/promises.rs
@@ -112,7 +112,9 @@
                     continue;
                 };
                 if let Some(other) = ordering.insert(role, id) {
-                    return Err(format!("{id} and {other} may both order under {role}"));
+                    return Err(format!(
+                        "{id} and {other} may both send orders under {role}"
+                    ));
                 }
                 let holder = (id.clone(), node.process());
                 let first = self.holders.entry((role.clone(), epoch));
@@ -151,7 +153,7 @@
             let before = before.or_insert(table.revision);
             if table.revision < *before {
                 return Err(format!(
-                    "{id} went back from {before} to {}",
+                    "{id} reverted from revision {before} to {}",
                     table.revision
                 ));
             }
@@ -162,7 +164,9 @@
                 && node.coordinator.may_take_work(now)
             {
                 let own = table.revision;
-                return Err(format!("{id} takes work by {own} long after {revision}"));
+                return Err(format!(
+                    "{id} takes work under revision {own} too long after revision {revision}"
+                ));
             }
         }
         Ok(())
@@ -173,18 +177,20 @@
     fn check_end(&self, fleet: &Fleet) -> Result<(), String> {
         for (id, node, now) in fleet.awake() {
             if !node.coordinator.may_take_work(now) {
-                return Err(format!("{id} did not come back to work"));
+                return Err(format!("{id} takes no work after recovery"));
             }
             let Some(table) = &node.in_force else {
                 return Err(format!("{id} has no configuration"));
             };
             if self.revisions.keys().next_back() != Some(&table.revision) {
-                return Err(format!("{id} did not learn of the latest revision"));
+                return Err(format!("{id} does not have the latest revision"));
             }
             let own = |ticket: &&ChangeTicket| has_own_page(**ticket);
             for (ticket, refusal) in fleet.refused.iter().filter(|(ticket, _)| own(ticket)) {
                 if *refusal != ChangeRefusal::Unknown && table.cells.contains_key(&page(*ticket)) {
-                    return Err(format!("{ticket:?} came into force, though {refusal:?}"));
+                    return Err(format!(
+                        "{ticket:?} is in force although it was refused: {refusal:?}"
+                    ));
                 }
             }
             for ticket in fleet.accepted.keys().filter(own) {
--- a/crates/chervilshunt_coord/src/tests/table.rs
+++ b/crates/chervilshunt_coord/src/tests/table.rs
@@ -52,7 +52,7 @@
     let mut next = table.clone();
     let value = body
         .parse()
-        .map_err(|_error| format!("{body} is no number"))?;
+        .map_err(|_error| format!("{body} is not a number"))?;
     next.cells.insert(key.as_str().to_owned(), value);
     Ok(next)
 }
