--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -71,7 +71,7 @@
     pass(&mut fleet, 4, &mut observed);
     assert_in_force(&fleet, "depot", Some(40));
 
-    fleet.log("c is back; operator at a: limit(depot) = 60");
+    fleet.log("c is reachable again; operator at a: limit(depot) = 60");
     fleet.cut_off.clear();
     pass(&mut fleet, 4, &mut observed);
     propose(&mut fleet, "a", 3, "depot", 60);
@@ -137,7 +137,7 @@
             let secs = retry_after.map_or(0, |after| after.as_secs());
             let instances = instances.join(", ");
             Some(format!(
-                "refused: {instances} can't be reached; come back in {secs} s"
+                "refused: {instances} did not acknowledge; retry after {secs} s"
             ))
         }
         CoordAction::ChangeRefused { refusal, .. } => Some(format!("refused: {refusal:?}")),
@@ -183,7 +183,7 @@
             let before = observed.latest.insert(id.clone(), in_force.revision);
             assert!(
                 before <= Some(in_force.revision),
-                "{id} went back from {before:?}"
+                "{id} reverted from {before:?}"
             );
             let limits = observed
                 .limits
--- a/crates/chervilshunt_coord/examples/lease.rs
+++ b/crates/chervilshunt_coord/examples/lease.rs
@@ -58,7 +58,7 @@
         }
         scenario.second_acts();
         match second {
-            PAUSED_AT => scenario.log("first is paused, with an order on its way"),
+            PAUSED_AT => scenario.log("first is paused with an order in transit"),
             WOKEN_AT => scenario.late_order_arrives(),
             _ => {}
         }
@@ -120,9 +120,9 @@
         if self.first_orders != may_order {
             self.first_orders = may_order;
             self.log(if may_order {
-                "first orders"
+                "first sends orders"
             } else {
-                "first sees that its lease has run out, and does not order"
+                "first finds its lease expired and sends no order"
             });
         }
         self.drive_lease(LeaseEvent::Tick);
@@ -138,7 +138,7 @@
 
     fn late_order_arrives(&mut self) {
         assert!(!self.valve.take(self.second, "first", FIRST_EPOCH));
-        self.log("the order from before the pause arrives; the valve refuses its epoch");
+        self.log("the order sent before the pause arrives; the valve refuses its epoch");
     }
 
     /// Carries out the calls of the lease keeper until there are none left.
@@ -150,10 +150,10 @@
                     self.drive_lease(LeaseEvent::Reply(call.id, result));
                 }
                 LeaseAction::Created => {
-                    self.log("first has the lease; second watches it");
+                    self.log("first holds the lease; second watches it");
                     self.drive_observer(ObserverEvent::Watch(first()));
                 }
-                LeaseAction::Lost => self.log("first learns that the lease was marked lapsed"),
+                LeaseAction::Lost => self.log("first finds the lease marked lapsed"),
                 LeaseAction::Renewed(_) => {}
             }
         }
@@ -174,7 +174,7 @@
                 ObserverAction::Ended(holder, by_us) => {
                     assert!(by_us && holder == first());
                     self.taken_over = Some(self.second);
-                    self.log("second has marked the lease lapsed, and takes over");
+                    self.log("second has marked the lease lapsed and takes over");
                 }
                 ObserverAction::Renewed(_) => {}
             }
@@ -187,7 +187,7 @@
         let last_of_first = of_first.clone().map(|(at, _)| *at).max();
         assert!(
             last_of_first < Some(PAUSED_AT),
-            "first ordered after its pause"
+            "first sent an order after its pause"
         );
         assert!(
             PAUSE.contains(&taken_over),
@@ -196,7 +196,7 @@
         let (first, all) = (of_first.count(), self.valve.orders.len());
         self.second = END;
         self.log(&format!(
-            "carried out: {first} of first, {} of second",
+            "orders carried out: {first} from first, {} from second",
             all - first
         ));
     }
--- a/crates/chervilshunt_coord/examples/roles.rs
+++ b/crates/chervilshunt_coord/examples/roles.rs
@@ -35,7 +35,7 @@
     pass(&mut fleet, 20, &mut epochs);
     show_holders(&mut fleet);
 
-    fleet.log("a is asked to leave");
+    fleet.log("a is shut down");
     fleet.deliver(&"a".into(), CoordEvent::ShutdownRequested);
     fleet.deliver(&"a".into(), CoordEvent::Drained);
     pass(&mut fleet, 5, &mut epochs);
@@ -65,7 +65,7 @@
         } => {
             let how = match previous {
                 None => "is the first to hold".to_owned(),
-                Some(from) if *handed_over => format!("was handed over by {from}:"),
+                Some(from) if *handed_over => format!("received by handover from {from}:"),
                 Some(from) => format!("takes over from {from}, which failed:"),
             };
             (Some(format!("{how} {role}, epoch {epoch}")), Vec::new())
--- a/crates/chervilshunt_coord/examples/support/mod.rs
+++ b/crates/chervilshunt_coord/examples/support/mod.rs
@@ -181,7 +181,7 @@
         if self.lose_answer.is_some_and(|picks| picks(&call.op)) {
             self.lose_answer = None;
             self.log(&format!(
-                "{id}: the platform has written, but its answer is lost"
+                "{id}: the platform carried out the write, but its answer is lost"
             ));
             let result = PlatformResult::Unknown;
             let event = CoordEvent::PlatformReply {
