--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -1,11 +1,14 @@
-//! Three instances and a configuration of rate limits, changed three times.
+//! Three instances share a configuration of rate limits that is changed three times.
 //!
-//! Run it with `cargo run -p chervilshunt_coord --example configuration`. Time is virtual. The first
-//! change is accepted by all. The second is refused, as an instance is cut off that could not know
-//! of it, and accepted once it is back. The third is written, but the answer to the write is lost:
-//! the proposer settles it by reading. After each step it is checked that no instance goes back to
-//! an older revision, and that the limits at a revision are the same everywhere. See
-//! `docs/design/configuration.md`.
+//! Run it with `cargo run -p chervilshunt_coord --example configuration`. Time is virtual.
+//!
+//! The first change is accepted by all instances. The second is refused while one instance is cut
+//! off and cannot learn of it, and is accepted after that instance is reachable again. The third is
+//! written, but the answer to the write is lost, and the proposer finds the outcome by reading the
+//! head.
+//!
+//! After each step the example checks that no instance returns to an older revision and that the
+//! limits at each revision are the same on all instances. See `docs/design/configuration.md`.
 
 mod support;
 
@@ -13,20 +16,20 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{
-    Applied, ChangeId, ChangeRefusal, ChangeTicket, ConfigModel, CoordAction, CoordEvent,
+    AppliedChange, ChangeId, ChangeRefusal, ChangeTicket, ConfigModel, CoordAction, CoordEvent,
     InstanceId, Object, PageKey, PlatformOp, Revision,
 };
 
 use self::support::{Fleet, Reaction};
 
-/// The configuration: how many requests a second each caller may make.
+/// The configuration: the number of requests per second that each caller may make.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Limits {
     revision: Revision,
     by_caller: BTreeMap<String, u64>,
 }
 
-/// A change of it.
+/// A change of one caller's limit.
 #[derive(Clone, Debug)]
 pub(crate) struct SetLimit {
     id: ChangeId,
@@ -34,12 +37,12 @@
     limit: u64,
 }
 
-type Limited = Fleet<Limits, SetLimit>;
+type LimitsFleet = Fleet<Limits, SetLimit>;
 
-/// What the instances were seen with.
+/// The configurations observed on the instances so far.
 #[derive(Default)]
-struct Seen {
-    /// The limits at each revision, as the first instance had them that came to it.
+struct Observations {
+    /// The limits at each revision, as first observed on any instance.
     limits: BTreeMap<Revision, Limits>,
     latest: BTreeMap<InstanceId, Revision>,
 }
@@ -48,42 +51,42 @@
     print!("{}", run());
 }
 
-/// Plays the story, checks it, and returns what happened.
+/// Runs the scenario, checks it, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(model(), program);
-    let mut seen = Seen::default();
+    let mut observed = Observations::default();
     for id in ["a", "b", "c"] {
         fleet.start(id);
     }
-    pass(&mut fleet, 20, &mut seen);
+    pass(&mut fleet, 20, &mut observed);
 
-    fleet.tell("operator at a: limit(depot) = 40");
+    fleet.log("operator at a: limit(depot) = 40");
     propose(&mut fleet, "a", 1, "depot", 40);
-    pass(&mut fleet, 1, &mut seen);
+    pass(&mut fleet, 1, &mut observed);
     assert_in_force(&fleet, "depot", Some(40));
 
-    fleet.tell("c is cut off; operator at a: limit(depot) = 60");
+    fleet.log("c is cut off; operator at a: limit(depot) = 60");
     fleet.cut_off.insert("c".into());
     propose(&mut fleet, "a", 2, "depot", 60);
-    pass(&mut fleet, 4, &mut seen);
+    pass(&mut fleet, 4, &mut observed);
     assert_in_force(&fleet, "depot", Some(40));
 
-    fleet.tell("c is back; operator at a: limit(depot) = 60");
+    fleet.log("c is reachable again; operator at a: limit(depot) = 60");
     fleet.cut_off.clear();
-    pass(&mut fleet, 4, &mut seen);
+    pass(&mut fleet, 4, &mut observed);
     propose(&mut fleet, "a", 3, "depot", 60);
-    pass(&mut fleet, 1, &mut seen);
+    pass(&mut fleet, 1, &mut observed);
     assert_in_force(&fleet, "depot", Some(60));
 
-    fleet.tell("operator at b: limit(office) = 5");
+    fleet.log("operator at b: limit(office) = 5");
     fleet.lose_answer = Some(moves_head);
     propose(&mut fleet, "b", 4, "office", 5);
-    pass(&mut fleet, 5, &mut seen);
+    pass(&mut fleet, 5, &mut observed);
     assert_in_force(&fleet, "office", Some(5));
-    fleet.told
+    fleet.transcript
 }
 
-/// Says how limits are changed and cut into pages: one for each caller.
+/// Returns the model of the limits, with one page for each caller.
 fn model() -> ConfigModel<Limits, SetLimit> {
     ConfigModel {
         empty: Limits::default,
@@ -101,7 +104,7 @@
     }
 }
 
-fn set_limit(limits: &Limits, change: &SetLimit) -> Result<Applied<Limits>, String> {
+fn set_limit(limits: &Limits, change: &SetLimit) -> Result<AppliedChange<Limits>, String> {
     let mut next = limits.clone();
     next.revision = limits.revision.next();
     next.by_caller.insert(change.caller.clone(), change.limit);
@@ -115,7 +118,7 @@
     Ok(next)
 }
 
-/// What the program does when its coordinator tells it something.
+/// Returns the program's reaction to an action of its coordinator.
 fn program(action: &CoordAction<Limits, SetLimit>) -> Reaction<SetLimit> {
     let line = match action {
         CoordAction::ConfigInForce { revision, state } => Some(format!(
@@ -134,7 +137,7 @@
             let secs = retry_after.map_or(0, |after| after.as_secs());
             let instances = instances.join(", ");
             Some(format!(
-                "refused: {instances} can't be reached; come back in {secs} s"
+                "refused: {instances} did not acknowledge; retry after {secs} s"
             ))
         }
         CoordAction::ChangeRefused { refusal, .. } => Some(format!("refused: {refusal:?}")),
@@ -154,7 +157,7 @@
     }
 }
 
-fn propose(fleet: &mut Limited, at: &str, number: u64, caller: &str, limit: u64) {
+fn propose(fleet: &mut LimitsFleet, at: &str, number: u64, caller: &str, limit: u64) {
     let change = SetLimit {
         id: ChangeId::from_u128(number.into()),
         caller: caller.to_owned(),
@@ -164,25 +167,25 @@
     fleet.deliver(&at.into(), CoordEvent::ProposeChange { ticket, change });
 }
 
-/// Returns whether a call is the one that puts a change in force.
+/// Returns whether an operation writes the acceptance of a change into the head.
 fn moves_head(op: &PlatformOp) -> bool {
     matches!(op, PlatformOp::Update(Object::Head(head), _)
         if head.pending.is_none() && head.revision > Revision::new(0))
 }
 
-/// Lets time pass and checks what must always hold.
-fn pass(fleet: &mut Limited, seconds: u64, seen: &mut Seen) {
+/// Lets time pass and checks the invariants after each step.
+fn pass(fleet: &mut LimitsFleet, seconds: u64, observed: &mut Observations) {
     fleet.run(Duration::from_secs(seconds), |fleet| {
         for (id, node) in &fleet.nodes {
             let Some(in_force) = node.in_force() else {
                 continue;
             };
-            let before = seen.latest.insert(id.clone(), in_force.revision);
+            let before = observed.latest.insert(id.clone(), in_force.revision);
             assert!(
                 before <= Some(in_force.revision),
-                "{id} went back from {before:?}"
+                "{id} reverted from {before:?}"
             );
-            let limits = seen
+            let limits = observed
                 .limits
                 .entry(in_force.revision)
                 .or_insert_with(|| (*in_force.state).clone());
@@ -192,7 +195,7 @@
 }
 
 /// Checks that all instances that take work have this limit.
-fn assert_in_force(fleet: &Limited, caller: &str, limit: Option<u64>) {
+fn assert_in_force(fleet: &LimitsFleet, caller: &str, limit: Option<u64>) {
     for (id, node) in &fleet.nodes {
         let in_force = node
             .in_force()
--- a/crates/chervilshunt_coord/examples/lease.rs
+++ b/crates/chervilshunt_coord/examples/lease.rs
@@ -1,11 +1,12 @@
-//! Two processes, one valve: a lease decides who may turn it, and a paused holder gives no order
-//! after it wakes.
+//! Two processes control one valve: a lease decides which of them may send orders, and a holder
+//! that was paused sends none after it resumes.
 //!
-//! Run it with `cargo run -p chervilshunt_coord --example lease`. Time is virtual. `first` holds
-//! the lease and is paused for longer than the lease counts. `second` watches the lease, marks it
-//! lapsed, and goes on under the next epoch. Two things keep `first` from interfering: it looks at
-//! its lease right before each order, and an order that was on its way all the while is refused by
-//! the valve for its old epoch. See `docs/design/leases.md`.
+//! Run it with `cargo run -p chervilshunt_coord --example lease`. Time is virtual.
+//!
+//! `first` holds the lease and is paused for longer than the lease is valid. `second` watches the
+//! lease, marks it lapsed, and continues under the next epoch. Two mechanisms keep `first` from
+//! interfering: it checks its lease immediately before each order, and the valve refuses an order
+//! that was delayed in transit because its epoch is outdated. See `docs/design/leases.md`.
 
 use std::ops::Range;
 
@@ -14,18 +15,18 @@
     LeaseRecord, MemoryPlatform, Moment, ObserverAction, ObserverConfig, ObserverEvent,
 };
 
-/// When `first` stops.
+/// The second at which `first` is paused.
 const PAUSED_AT: u64 = 12;
-/// When it wakes.
+/// The second at which `first` resumes.
 const WOKEN_AT: u64 = 42;
 const PAUSE: Range<u64> = PAUSED_AT..WOKEN_AT;
-/// When the story ends.
+/// The second at which the scenario ends.
 const END: u64 = 60;
 
 const FIRST_EPOCH: Epoch = Epoch::new(1);
 const SECOND_EPOCH: Epoch = Epoch::new(2);
 
-/// Takes orders, and refuses those with an epoch older than the highest that it has seen.
+/// Accepts orders and refuses those with an epoch older than the highest one seen.
 #[derive(Debug, Default)]
 struct Valve {
     highest: Epoch,
@@ -47,29 +48,29 @@
     print!("{}", run());
 }
 
-/// Plays the story, checks that nobody ordered out of turn, and returns what happened.
+/// Runs the scenario, checks that no process ordered without the lease, and returns a transcript.
 pub(crate) fn run() -> String {
-    let mut story = Story::begin();
+    let mut scenario = Scenario::begin();
     for second in 0..END {
-        story.second = second;
+        scenario.second = second;
         if !PAUSE.contains(&second) {
-            story.first_acts();
+            scenario.first_acts();
         }
-        story.second_acts();
+        scenario.second_acts();
         match second {
-            PAUSED_AT => story.tell("first is paused, with an order on its way"),
-            WOKEN_AT => story.late_order_arrives(),
+            PAUSED_AT => scenario.log("first is paused with an order in transit"),
+            WOKEN_AT => scenario.late_order_arrives(),
             _ => {}
         }
     }
-    story.check();
-    story.told
+    scenario.check();
+    scenario.transcript
 }
 
-/// Both processes, what is between them, and what has happened.
-struct Story {
+/// Both processes, the platform and the valve between them, and the transcript.
+struct Scenario {
     second: u64,
-    told: String,
+    transcript: String,
     platform: MemoryPlatform,
     valve: Valve,
     lease: LeaseKeeper,
@@ -78,7 +79,7 @@
     taken_over: Option<u64>,
 }
 
-impl Story {
+impl Scenario {
     fn begin() -> Self {
         let address = ([127, 0, 0, 1], 1).into();
         let cfg = LeaseConfig::default();
@@ -92,7 +93,7 @@
         );
         Self {
             second: 0,
-            told: String::new(),
+            transcript: String::new(),
             platform: MemoryPlatform::default(),
             valve: Valve::default(),
             lease: LeaseKeeper::new(cfg, record, Moment::ZERO),
@@ -106,11 +107,11 @@
         Moment::from_millis(self.second * 1_000)
     }
 
-    fn tell(&mut self, what: &str) {
-        self.told += &format!("{:3} s  {what}\n", self.second);
+    fn log(&mut self, what: &str) {
+        self.transcript += &format!("{:3} s  {what}\n", self.second);
     }
 
-    /// Orders if the lease counts at this very moment, then renews it if that is due.
+    /// Sends an order if the lease is valid at this moment, then renews the lease if that is due.
     fn first_acts(&mut self) {
         let may_order = self.lease.is_valid(self.now());
         if may_order {
@@ -118,16 +119,16 @@
         }
         if self.first_orders != may_order {
             self.first_orders = may_order;
-            self.tell(if may_order {
-                "first orders"
+            self.log(if may_order {
+                "first sends orders"
             } else {
-                "first sees that its lease has run out, and does not order"
+                "first finds its lease expired and sends no order"
             });
         }
         self.drive_lease(LeaseEvent::Tick);
     }
 
-    /// Watches the lease of the other, and orders once that has ended.
+    /// Watches the lease of `first`, and sends orders once that lease has ended.
     fn second_acts(&mut self) {
         self.drive_observer(ObserverEvent::Tick);
         if self.taken_over.is_some() {
@@ -137,10 +138,10 @@
 
     fn late_order_arrives(&mut self) {
         assert!(!self.valve.take(self.second, "first", FIRST_EPOCH));
-        self.tell("the order from before the pause arrives; the valve refuses its epoch");
+        self.log("the order sent before the pause arrives; the valve refuses its epoch");
     }
 
-    /// Carries out the calls of the lease keeper until it has no more.
+    /// Carries out the calls of the lease keeper until there are none left.
     fn drive_lease(&mut self, event: LeaseEvent) {
         for action in self.lease.handle(event, self.now()) {
             match action {
@@ -149,16 +150,17 @@
                     self.drive_lease(LeaseEvent::Reply(call.id, result));
                 }
                 LeaseAction::Created => {
-                    self.tell("first has the lease; second watches it");
+                    self.log("first holds the lease; second watches it");
                     self.drive_observer(ObserverEvent::Watch(first()));
                 }
-                LeaseAction::Lost => self.tell("first learns that the lease was marked lapsed"),
+                LeaseAction::Lost => self.log("first finds the lease marked lapsed"),
                 LeaseAction::Renewed(_) => {}
             }
         }
     }
 
-    /// Carries out the calls of the observer until it has no more, and lets it mark what expired.
+    /// Carries out the calls of the observer until there are none left, and has it mark expired
+    /// leases as lapsed.
     fn drive_observer(&mut self, event: ObserverEvent) {
         for action in self.observer.handle(event, self.now()) {
             match action {
@@ -172,7 +174,7 @@
                 ObserverAction::Ended(holder, by_us) => {
                     assert!(by_us && holder == first());
                     self.taken_over = Some(self.second);
-                    self.tell("second has marked the lease lapsed, and takes over");
+                    self.log("second has marked the lease lapsed and takes over");
                 }
                 ObserverAction::Renewed(_) => {}
             }
@@ -185,7 +187,7 @@
         let last_of_first = of_first.clone().map(|(at, _)| *at).max();
         assert!(
             last_of_first < Some(PAUSED_AT),
-            "first ordered after its pause"
+            "first sent an order after its pause"
         );
         assert!(
             PAUSE.contains(&taken_over),
@@ -193,14 +195,14 @@
         );
         let (first, all) = (of_first.count(), self.valve.orders.len());
         self.second = END;
-        self.tell(&format!(
-            "carried out: {first} of first, {} of second",
+        self.log(&format!(
+            "orders carried out: {first} from first, {} from second",
             all - first
         ));
     }
 }
 
-/// The run of the process that has the lease; a real one draws its incarnation at random.
+/// The run of the process that holds the lease; a real program draws the incarnation at random.
 fn first() -> Holder {
     Holder::new("first", Incarnation::new(1))
 }
--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -1,4 +1,4 @@
-//! Decides, for one shard of the idempotency keys, whether a keyed request may run.
+//! Decides whether keyed requests of one shard may run.
 
 mod claim;
 mod types;
@@ -11,24 +11,25 @@
 pub use self::types::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimRequest, ClaimsInOutage,
 };
-use super::log::{ClaimLog, LogNews};
+use super::log::{ClaimLog, LogEvent};
 use super::record::{ClaimEntry, ClaimKey, ClaimOutcome, ClaimPage};
 use crate::bugs::{Bug, Bugs};
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, Stored,
+    CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, StoredObject,
 };
 
-/// The machines of claim keepers number their calls from here on, by shard.
+/// Machine number of the claim log of shard 0 in call ids; shard `n` adds `n`.
 const FIRST_LOG_MACHINE: u32 = 1_000;
 
-/// The machines of claim keepers number their reads of leases from here on, by shard.
+/// Machine number of the lease reads of shard 0 in call ids; shard `n` adds `n`.
 const FIRST_LEASE_MACHINE: u32 = 1_000_000;
 
-/// Decides, for one shard of the idempotency keys, whether a keyed request may run.
+/// Decides whether keyed requests of one shard may run.
 ///
-/// A claim is granted only once it is recorded in the platform, so that whoever keeps the claims
-/// next knows of it. Many claims share one write. What became of a claimed request is recorded
-/// too, but nobody waits for that: if it is lost, a retry is told that the outcome is unknown.
+/// A claim is granted only after it is recorded in the platform, so that the next keeper of the
+/// shard finds it there. Claims are batched: many share one write. The outcomes of claimed requests
+/// are recorded too, but no request waits for that: if an outcome is lost, a retry is answered
+/// [`ClaimAnswer::Unknown`].
 #[derive(Debug)]
 pub struct ClaimKeeper {
     cfg: ClaimConfig,
@@ -37,24 +38,27 @@
     ready: bool,
     superseded: bool,
     claims: BTreeMap<ClaimKey, Claim>,
-    /// Requests that came before the log was read, with when they are given up.
-    early: VecDeque<(ClaimRequest, Moment)>,
-    /// Claims that were being recorded, in the order in which they are given up; those that were
-    /// recorded meanwhile are passed over. Looking at all claims instead would cost a keeper with
-    /// 200,000 of them more processor time at rest than a node may spend on control.
+    /// Requests that arrived before the log was read, each with the time at which it is refused.
+    queued: VecDeque<(ClaimRequest, Moment)>,
+    /// Keys of claims whose recording was pending, ordered by the time at which they are refused.
+    /// Entries whose claims have been recorded since are skipped.
+    ///
+    /// Scanning all claims instead would cost an idle keeper with 200,000 claims more CPU time than
+    /// a node may spend on control.
     recording: VecDeque<(Moment, ClaimKey)>,
-    /// What is to be recorded with the next pages.
+    /// Entries to write with the next pages.
     unrecorded: VecDeque<ClaimEntry>,
     commit_at: Moment,
-    /// Since when the platform has not answered.
+    /// When the platform first failed to answer; `None` after a successful read or write of the
+    /// log.
     failing_since: Option<Moment>,
-    /// Leases that are being read, for the instances that run claimed requests.
+    /// Pending reads of the leases of instances that run claimed requests.
     lease_reads: BTreeMap<CallId, ClaimKey>,
     bugs: Bugs,
 }
 
 impl ClaimKeeper {
-    /// Begins to keep a shard's claims: the first tick reads what was recorded.
+    /// Starts a keeper; the first tick reads the pages that earlier keepers recorded.
     pub fn new(cfg: ClaimConfig, now: Moment) -> Self {
         let log = ClaimLog::new(
             cfg.shard,
@@ -71,7 +75,7 @@
             ready: false,
             superseded: false,
             claims: BTreeMap::new(),
-            early: VecDeque::new(),
+            queued: VecDeque::new(),
             recording: VecDeque::new(),
             unrecorded: VecDeque::new(),
             commit_at: now,
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Returns the shard whose keeper made a call, if a keeper made it.
+    /// Returns the shard whose keeper made `call`, or `None` if no claim keeper made it.
     pub const fn shard_of_call(call: CallId) -> Option<u32> {
         let machine = call.machine();
         if machine >= FIRST_LEASE_MACHINE {
@@ -93,41 +97,41 @@
         }
     }
 
-    /// Seeds a bug.
     #[cfg(test)]
     pub(crate) fn seed(&mut self, bugs: Bugs) {
         self.bugs = bugs;
     }
 
-    /// Returns the number of claims that are remembered.
+    /// Returns the number of claims held in memory.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Returns whether no claim is remembered.
+    /// Returns whether no claim is held in memory.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Returns when [`ClaimEvent::Tick`] is next wanted.
+    /// Returns when the next [`ClaimEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         if self.superseded {
             return None;
         }
         let log = self.log.next_wakeup();
         let commit = (self.log.is_idle() && !self.unrecorded.is_empty()).then_some(self.commit_at);
-        let early = self.early.front().map(|(_, give_up_at)| *give_up_at);
-        let waiting = self.recording.front().map(|(give_up_at, _)| *give_up_at);
-        [log, commit, early, waiting].into_iter().flatten().min()
+        let queued = self.queued.front().map(|(_, refuse_at)| *refuse_at);
+        let recording = self.recording.front().map(|(refuse_at, _)| *refuse_at);
+        [log, commit, queued, recording].into_iter().flatten().min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     ///
-    /// [`ClaimEvent::Asked`] may be handed in only while the role may be acted under.
+    /// [`ClaimEvent::Requested`] may be passed in only while this instance may act under the
+    /// shard's role.
     pub fn handle(&mut self, event: ClaimEvent, now: Moment) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         match event {
-            ClaimEvent::Asked(req) => self.on_asked(req, now, &mut actions),
+            ClaimEvent::Requested(req) => self.on_request(req, now, &mut actions),
             ClaimEvent::Ended {
                 key,
                 attempt,
@@ -136,39 +140,40 @@
             ClaimEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             ClaimEvent::Tick => {}
         }
-        self.give_up(now, &mut actions);
+        self.refuse_overdue(now, &mut actions);
         self.advance(now, &mut actions);
         actions
     }
 
-    fn on_asked(&mut self, req: ClaimRequest, now: Moment, actions: &mut Vec<ClaimAction>) {
+    fn on_request(&mut self, req: ClaimRequest, now: Moment, actions: &mut Vec<ClaimAction>) {
         if self.superseded {
-            actions.push(self.not_now(&req));
+            actions.push(self.refuse(&req));
         } else if !self.ready {
-            if self.early.len() >= self.cfg.page_at_most {
-                actions.push(self.not_now(&req));
+            if self.queued.len() >= self.cfg.max_page_entries {
+                actions.push(self.refuse(&req));
             } else {
-                self.early.push_back((req, now + self.cfg.wait_at_most));
+                self.queued.push_back((req, now + self.cfg.claim_timeout));
             }
         } else if let Some(claim) = self.claims.get(&req.key) {
             let answer = self.answer_known(claim, &req);
-            self.look_after(req.key, &req, now, actions);
+            self.check_entry(req.key, &req, now, actions);
             actions.extend(answer.map(|answer| answer_to(&req, answer)));
-        } else if self.claims.len() >= self.cfg.remember_at_most {
-            actions.push(self.not_now(&req));
+        } else if self.claims.len() >= self.cfg.max_claims {
+            actions.push(self.refuse(&req));
         } else {
             self.claim(req, now, actions);
         }
     }
 
-    /// Answers a request whose key is claimed; none if its claim is being recorded.
+    /// Returns the answer to a request whose key is already claimed; `None` while that claim is
+    /// being recorded for the same attempt.
     fn answer_known(&self, claim: &Claim, req: &ClaimRequest) -> Option<ClaimAnswer> {
         if claim.fingerprint != req.fingerprint {
             return Some(ClaimAnswer::OtherRequest);
         }
         let is_same_try = claim.attempt == req.attempt;
         Some(match &claim.state {
-            // The same try asks once more, as the answer was lost or the question doubled.
+            // The same attempt asks again: the answer was lost or the request was duplicated.
             ClaimState::Recording { .. } if is_same_try => return None,
             ClaimState::Running if is_same_try => ClaimAnswer::Granted,
             ClaimState::Recording { .. } | ClaimState::Running => ClaimAnswer::InProgress {
@@ -188,9 +193,9 @@
             actions.push(answer_to(&req, ClaimAnswer::Granted));
             ClaimState::Running
         } else {
-            let give_up_at = now + self.cfg.wait_at_most;
-            self.recording.push_back((give_up_at, req.key));
-            ClaimState::Recording { give_up_at }
+            let refuse_at = now + self.cfg.claim_timeout;
+            self.recording.push_back((refuse_at, req.key));
+            ClaimState::Recording { refuse_at }
         };
         self.unrecorded.push_back(ClaimEntry::Claimed {
             key: req.key,
@@ -212,7 +217,7 @@
     fn runs_unrecorded(&self, now: Moment) -> bool {
         let failing = self
             .failing_since
-            .is_some_and(|since| now.since(since) >= self.cfg.wait_at_most);
+            .is_some_and(|since| now.since(since) >= self.cfg.claim_timeout);
         failing && self.cfg.in_outage == ClaimsInOutage::RunUnrecorded
     }
 
@@ -220,7 +225,7 @@
         let Some(claim) = self.claims.get_mut(&key) else {
             return;
         };
-        if claim.attempt != attempt || !claim.may_become(&outcome) {
+        if claim.attempt != attempt || !claim.accepts_outcome(&outcome) {
             return;
         }
         self.unrecorded.push_back(ClaimEntry::Ended {
@@ -234,8 +239,8 @@
         }
     }
 
-    /// Finds out whether the instance that runs a claimed request still does.
-    fn look_after(
+    /// Checks whether the instance that runs a claimed request is still alive and still running it.
+    fn check_entry(
         &mut self,
         key: ClaimKey,
         req: &ClaimRequest,
@@ -252,7 +257,7 @@
             return;
         }
         claim.check_at = now + check_every;
-        actions.push(ClaimAction::AskEntry {
+        actions.push(ClaimAction::QueryAttempt {
             entry: entry.clone(),
             key,
             attempt,
@@ -274,23 +279,24 @@
             self.on_lease(key, result);
             return;
         }
-        let (news, next) = self.log.on_reply(call, result, now);
+        let (event, next) = self.log.on_reply(call, result, now);
         actions.extend(next.map(ClaimAction::Call));
-        match news {
+        match event {
             None => {}
-            Some(LogNews::Loaded(pages)) => self.on_loaded(pages, now, actions),
-            Some(LogNews::Recorded(page)) => self.on_recorded(&page, actions),
-            Some(LogNews::Failed) => {
+            Some(LogEvent::Loaded(pages)) => self.on_loaded(pages, now, actions),
+            Some(LogEvent::Recorded(page)) => self.on_recorded(&page, actions),
+            Some(LogEvent::Failed) => {
                 self.failing_since.get_or_insert(now);
             }
-            Some(LogNews::Superseded) => self.on_superseded(actions),
+            Some(LogEvent::Superseded) => self.on_superseded(actions),
         }
     }
 
-    /// Ends a claim whose entry instance is gone: nobody will ever know what became of it.
+    /// Ends a claim as unknown if the lease of its entry instance has ended: no outcome will be
+    /// reported any more.
     fn on_lease(&mut self, key: ClaimKey, result: PlatformResult) {
         let gone = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Lease(lease),
                 ..
             }) => !lease.state.is_live(),
@@ -313,8 +319,8 @@
                 self.load(page, now);
             }
         }
-        for (req, _) in std::mem::take(&mut self.early) {
-            self.on_asked(req, now, actions);
+        for (req, _) in std::mem::take(&mut self.queued) {
+            self.on_request(req, now, actions);
         }
     }
 
@@ -376,27 +382,27 @@
     fn on_superseded(&mut self, actions: &mut Vec<ClaimAction>) {
         self.superseded = true;
         for (key, claim) in std::mem::take(&mut self.claims) {
-            if claim.gives_up_at().is_some() {
-                actions.push(self.not_now(&claim.request(key)));
+            if claim.refuse_at().is_some() {
+                actions.push(self.refuse(&claim.request(key)));
             }
         }
         actions.push(ClaimAction::Superseded);
     }
 
-    /// Refuses the requests that have waited for long; it's their final answer.
-    fn give_up(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
-        while let Some((req, _)) = self.early.pop_front_if(|(_, at)| now >= *at) {
-            actions.push(self.not_now(&req));
+    /// Refuses requests that have waited too long; the refusal is their final answer.
+    fn refuse_overdue(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
+        while let Some((req, _)) = self.queued.pop_front_if(|(_, at)| now >= *at) {
+            actions.push(self.refuse(&req));
         }
-        while let Some((give_up_at, key)) = self.recording.pop_front_if(|(at, _)| now >= *at) {
+        while let Some((refuse_at, key)) = self.recording.pop_front_if(|(at, _)| now >= *at) {
             let claim = self.claims.get(&key);
-            let waits = claim.filter(|claim| claim.gives_up_at() == Some(give_up_at));
+            let waits = claim.filter(|claim| claim.refuse_at() == Some(refuse_at));
             let Some(claim) = waits.cloned() else {
                 continue;
             };
-            // The claim may be recorded all the same, so it is recorded that it did not run.
+            // The write of the claim may still succeed, so its end as not run is recorded too.
             self.on_ended(key, claim.attempt, ClaimOutcome::NotRun);
-            actions.push(self.not_now(&claim.request(key)));
+            actions.push(self.refuse(&claim.request(key)));
         }
     }
 
@@ -408,18 +414,18 @@
         if !self.log.is_idle() {
             return;
         }
-        self.forget_old(now, actions);
+        self.delete_expired_pages(now, actions);
         if !self.unrecorded.is_empty() && now >= self.commit_at {
-            let count = self.unrecorded.len().min(self.cfg.page_at_most);
+            let count = self.unrecorded.len().min(self.cfg.max_page_entries);
             let entries = self.unrecorded.drain(..count).collect();
             self.commit_at = now + self.cfg.commit_every;
             actions.push(ClaimAction::Call(self.log.append(entries)));
         }
     }
 
-    /// Deletes the pages whose claims have all been kept for long enough.
-    fn forget_old(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
-        let old: Vec<_> = self.log.pages_before(now - self.cfg.keep_for).collect();
+    /// Deletes the oldest pages whose claims have all been kept for the retention period.
+    fn delete_expired_pages(&mut self, now: Moment, actions: &mut Vec<ClaimAction>) {
+        let old: Vec<_> = self.log.pages_before(now - self.cfg.retention).collect();
         for sequence in old {
             let running = self.claims.values().any(|claim| {
                 claim.last_page == Some(sequence) && claim.state == ClaimState::Running
@@ -437,7 +443,7 @@
         u64::try_from(self.cfg.retry_after.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn not_now(&self, req: &ClaimRequest) -> ClaimAction {
+    fn refuse(&self, req: &ClaimRequest) -> ClaimAction {
         let retry_after_ms = self.retry_after_ms();
         answer_to(req, ClaimAnswer::NotNow { retry_after_ms })
     }
--- a/crates/chervilshunt_coord/src/claims/log.rs
+++ b/crates/chervilshunt_coord/src/claims/log.rs
@@ -1,4 +1,4 @@
-//! The log of one shard's claims in the platform.
+//! The log of one shard's claims, stored in the platform.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,43 +8,44 @@
 use super::record::{ClaimEntry, ClaimPage, ClaimPageName};
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose, Stored,
+    CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose,
+    StoredObject,
 };
 
-/// What came of the log's calls.
+/// The effect of a platform call's result on the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum LogNews {
-    /// The pages that earlier keepers wrote, oldest first; the log is ready.
+pub(super) enum LogEvent {
+    /// The pages written by earlier keepers, oldest first; the log is ready.
     Loaded(Vec<ClaimPage>),
     /// The page that was being written is recorded.
     Recorded(ClaimPage),
-    /// The platform does not answer; the page is still to be recorded.
+    /// The platform does not answer; the current operation is retried.
     Failed,
-    /// Another keeper writes the log; this one may not any more.
+    /// Another keeper writes the log; this keeper no longer may.
     Superseded,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    /// The pages have to be listed.
-    Begin,
+enum LogState {
+    /// The pages have yet to be listed.
+    ListDue,
     Listing(CallId),
-    /// The first page of this keeper is being written; with what was listed before.
+    /// The first page of this keeper is being written; holds the pages listed before.
     Sealing(CallId, Vec<ClaimPage>),
     Idle,
     Writing(CallId, ClaimPage),
-    /// The page may be recorded: it has to be read back.
-    Unsettled(ClaimPage),
-    Settling(CallId, ClaimPage),
+    /// The write may have succeeded: the page has to be read back.
+    Unconfirmed(ClaimPage),
+    Confirming(CallId, ClaimPage),
     Superseded,
 }
 
-/// Appends pages to the log, each under the number after the last.
+/// Appends pages to the log, each under the next sequence number.
 ///
-/// A page is created and never changed, so two keepers can't both write under a number. A keeper
-/// starts by writing a page of its own: from then on whatever an earlier keeper, woken from a
-/// pause, still tries to record fails, and that claim is not granted. This holds whatever the
-/// leases say.
+/// Pages are created and never changed, so two keepers cannot both write the same sequence number.
+/// A keeper starts by writing an empty page of its own. After that, any page that an earlier keeper
+/// still tries to write, for example after a pause of its process, fails, and the claims in it are
+/// not granted. This does not depend on leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ClaimLog {
     shard: u32,
@@ -53,9 +54,10 @@
     calls: Calls,
     retry_every: Duration,
     next: u64,
-    doing: Doing,
+    state: LogState,
     retry_at: Moment,
-    /// The pages in the platform with when they were recorded or read, oldest first.
+    /// The sequence numbers of the pages in the platform, with the time at which each was recorded
+    /// or read, oldest first.
     pages: VecDeque<(u64, Moment)>,
 }
 
@@ -75,65 +77,66 @@
             calls: Calls::new(machine, Purpose::Claims),
             retry_every,
             next: 0,
-            doing: Doing::Begin,
+            state: LogState::ListDue,
             retry_at: now,
             pages: VecDeque::new(),
         }
     }
 
     pub(super) fn is_idle(&self) -> bool {
-        self.doing == Doing::Idle
+        self.state == LogState::Idle
     }
 
     pub(super) fn is_superseded(&self) -> bool {
-        self.doing == Doing::Superseded
+        self.state == LogState::Superseded
     }
 
-    /// Returns when [`Self::advance`] has something to do.
+    /// Returns when [`Self::advance`] next has a call to make.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
-        matches!(self.doing, Doing::Begin | Doing::Unsettled(_)).then_some(self.retry_at)
+        matches!(self.state, LogState::ListDue | LogState::Unconfirmed(_)).then_some(self.retry_at)
     }
 
-    /// Calls what is due.
+    /// Returns the next call that is due, if any.
     pub(super) fn advance(&mut self, now: Moment) -> Option<PlatformCall> {
         if now < self.retry_at {
             return None;
         }
-        let call = match &self.doing {
-            Doing::Begin => {
+        let call = match &self.state {
+            LogState::ListDue => {
                 let call = self.calls.call(PlatformOp::ListClaims(self.shard));
-                self.doing = Doing::Listing(call.id);
+                self.state = LogState::Listing(call.id);
                 call
             }
-            Doing::Unsettled(page) => {
+            LogState::Unconfirmed(page) => {
                 let page = page.clone();
                 let call = self
                     .calls
                     .call(PlatformOp::Read(ObjectName::Claims(page.name)));
-                self.doing = Doing::Settling(call.id, page);
+                self.state = LogState::Confirming(call.id, page);
                 call
             }
-            Doing::Listing(_)
-            | Doing::Sealing(..)
-            | Doing::Idle
-            | Doing::Writing(..)
-            | Doing::Settling(..)
-            | Doing::Superseded => return None,
+            LogState::Listing(_)
+            | LogState::Sealing(..)
+            | LogState::Idle
+            | LogState::Writing(..)
+            | LogState::Confirming(..)
+            | LogState::Superseded => return None,
         };
         Some(call)
     }
 
-    /// Begins to record a page; only when idle.
+    /// Starts to write a page; may be called only while idle.
     pub(super) fn append(&mut self, entries: Vec<ClaimEntry>) -> PlatformCall {
         let page = self.page(entries);
         let object = Object::Claims(page.clone());
         let call = self.calls.call(PlatformOp::Create(object));
-        self.doing = Doing::Writing(call.id, page);
+        self.state = LogState::Writing(call.id, page);
         call
     }
 
-    /// Returns the pages recorded or read before `before`, oldest first, but never the last one:
-    /// without it the next keeper would begin to count anew.
+    /// Returns the pages recorded or read before `before`, oldest first, without the last page.
+    ///
+    /// If the last page were deleted, the next keeper would start again at sequence number 0.
     pub(super) fn pages_before(&self, before: Moment) -> impl Iterator<Item = u64> {
         let all_but_last = self.pages.len().saturating_sub(1);
         self.pages
@@ -156,21 +159,25 @@
         )
     }
 
-    /// Takes the result of a call; returns what came of it, and the next call.
+    /// Handles the result of a call; returns its effect on the log and the next call.
     pub(super) fn on_reply(
         &mut self,
         call: CallId,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
-        let doing = std::mem::replace(&mut self.doing, Doing::Superseded);
-        match doing {
-            Doing::Listing(id) if id == call => self.on_listed(result, now),
-            Doing::Sealing(id, pages) if id == call => (self.on_sealed(pages, &result, now), None),
-            Doing::Writing(id, page) if id == call => (self.on_written(page, &result, now), None),
-            Doing::Settling(id, page) if id == call => self.on_settled(page, result, now),
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
+        let state = std::mem::replace(&mut self.state, LogState::Superseded);
+        match state {
+            LogState::Listing(id) if id == call => self.on_listed(result, now),
+            LogState::Sealing(id, pages) if id == call => {
+                (self.on_sealed(pages, &result, now), None)
+            }
+            LogState::Writing(id, page) if id == call => {
+                (self.on_written(page, &result, now), None)
+            }
+            LogState::Confirming(id, page) if id == call => self.on_read_back(page, result, now),
             other => {
-                self.doing = other;
+                self.state = other;
                 (None, None)
             }
         }
@@ -192,20 +199,20 @@
         &mut self,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
         let PlatformResult::Listed(objects) = result else {
-            self.begin_again(now);
-            return (Some(LogNews::Failed), None);
+            self.list_again(now);
+            return (Some(LogEvent::Failed), None);
         };
         let mut pages: Vec<_> = objects.into_iter().filter_map(claim_page).collect();
         pages.sort_by_key(|page| page.name.sequence);
         if pages.last().is_some_and(|last| last.epoch > self.epoch) {
-            return (Some(LogNews::Superseded), None);
+            return (Some(LogEvent::Superseded), None);
         }
         self.next = pages.last().map_or(0, |last| last.name.sequence + 1);
         let seal = Object::Claims(self.page(Vec::new()));
         let call = self.calls.call(PlatformOp::Create(seal));
-        self.doing = Doing::Sealing(call.id, pages);
+        self.state = LogState::Sealing(call.id, pages);
         (None, Some(call))
     }
 
@@ -214,22 +221,22 @@
         pages: Vec<ClaimPage>,
         result: &PlatformResult,
         now: Moment,
-    ) -> Option<LogNews> {
+    ) -> Option<LogEvent> {
         if let PlatformResult::Written(_) = result {
             return Some(self.loaded(pages, now));
         }
-        // Another page may have come first: an earlier keeper's last one, or this seal, whose
-        // answer was lost. The list tells.
-        self.begin_again(now);
-        (!result.is_answer()).then_some(LogNews::Failed)
+        // The sequence number may be taken, either by an earlier keeper's last page or by this
+        // keeper's own first page whose answer was lost. Listing the pages again shows which.
+        self.list_again(now);
+        (!result.is_answer()).then_some(LogEvent::Failed)
     }
 
-    fn loaded(&mut self, pages: Vec<ClaimPage>, now: Moment) -> LogNews {
+    fn loaded(&mut self, pages: Vec<ClaimPage>, now: Moment) -> LogEvent {
         self.pages = pages.iter().map(|page| (page.name.sequence, now)).collect();
         self.pages.push_back((self.next, now));
         self.next += 1;
-        self.doing = Doing::Idle;
-        LogNews::Loaded(pages)
+        self.state = LogState::Idle;
+        LogEvent::Loaded(pages)
     }
 
     fn on_written(
@@ -237,38 +244,38 @@
         page: ClaimPage,
         result: &PlatformResult,
         now: Moment,
-    ) -> Option<LogNews> {
+    ) -> Option<LogEvent> {
         if let PlatformResult::Written(_) = result {
             return Some(self.recorded(page, now));
         }
         let answered = result.is_answer();
-        self.doing = Doing::Unsettled(page);
+        self.state = LogState::Unconfirmed(page);
         self.retry_at = if answered {
             now
         } else {
             now + self.retry_every
         };
-        (!answered).then_some(LogNews::Failed)
+        (!answered).then_some(LogEvent::Failed)
     }
 
-    fn on_settled(
+    fn on_read_back(
         &mut self,
         page: ClaimPage,
         result: PlatformResult,
         now: Moment,
-    ) -> (Option<LogNews>, Option<PlatformCall>) {
+    ) -> (Option<LogEvent>, Option<PlatformCall>) {
         match result {
             PlatformResult::Found(stored) => match claim_page(stored) {
                 Some(found) if found.writer == self.me && found.epoch == self.epoch => {
                     (Some(self.recorded(found, now)), None)
                 }
-                _ => (Some(LogNews::Superseded), None),
+                _ => (Some(LogEvent::Superseded), None),
             },
             PlatformResult::NotFound => {
                 let call = self
                     .calls
                     .call(PlatformOp::Create(Object::Claims(page.clone())));
-                self.doing = Doing::Writing(call.id, page);
+                self.state = LogState::Writing(call.id, page);
                 (None, Some(call))
             }
             PlatformResult::Listed(_)
@@ -277,27 +284,27 @@
             | PlatformResult::AlreadyExists
             | PlatformResult::Unavailable
             | PlatformResult::Unknown => {
-                self.doing = Doing::Unsettled(page);
+                self.state = LogState::Unconfirmed(page);
                 self.retry_at = now + self.retry_every;
-                (Some(LogNews::Failed), None)
+                (Some(LogEvent::Failed), None)
             }
         }
     }
 
-    fn recorded(&mut self, page: ClaimPage, now: Moment) -> LogNews {
+    fn recorded(&mut self, page: ClaimPage, now: Moment) -> LogEvent {
         self.pages.push_back((self.next, now));
         self.next += 1;
-        self.doing = Doing::Idle;
-        LogNews::Recorded(page)
+        self.state = LogState::Idle;
+        LogEvent::Recorded(page)
     }
 
-    fn begin_again(&mut self, now: Moment) {
-        self.doing = Doing::Begin;
+    fn list_again(&mut self, now: Moment) {
+        self.state = LogState::ListDue;
         self.retry_at = now + self.retry_every;
     }
 }
 
-fn claim_page(stored: Stored) -> Option<ClaimPage> {
+fn claim_page(stored: StoredObject) -> Option<ClaimPage> {
     match stored.object {
         Object::Claims(page) => Some(page),
         Object::Lease(_) | Object::Assignment(_) | Object::Head(_) | Object::Page { .. } => None,
--- a/crates/chervilshunt_coord/src/config.rs
+++ b/crates/chervilshunt_coord/src/config.rs
@@ -1,9 +1,9 @@
-//! Configuration: changes of many objects that come into force everywhere or not at all.
+//! Configuration: changes of many objects that take effect on all instances or on none.
 //!
-//! A [`Follower`] holds the configuration in force and acknowledges changes; a [`Proposer`] brings
-//! a change through: pages first, then the change into the head as pending, then the
-//! acknowledgements of all live instances, then the head's revision. See
-//! `docs/design/configuration.md`.
+//! A [`Follower`] holds the configuration in force and acknowledges changes. A [`Proposer`] commits
+//! a change in four steps: it writes the changed pages, writes the change into the head as pending,
+//! collects the acknowledgements of all live instances, and writes the new revision into the head.
+//! See `docs/design/configuration.md`.
 
 mod follower;
 mod head;
@@ -13,10 +13,10 @@
 mod proposer;
 mod stamp;
 
-pub use follower::{Follower, FollowerAction, FollowerConfig, FollowerEvent, InForce};
+pub use follower::{ConfigInForce, Follower, FollowerAction, FollowerConfig, FollowerEvent};
 pub use head::{Elector, Electorate, HeadRecord, PendingChange};
 pub use message::{ConfigMessage, Prepare};
-pub use model::{Applied, ConfigModel, PageKey, deployment_model, no_configuration};
+pub use model::{AppliedChange, ConfigModel, PageKey, deployment_model, no_configuration};
 pub use proposer::{
     ChangeRefusal, ChangeTicket, Proposer, ProposerAction, ProposerConfig, ProposerEvent,
 };
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -1,24 +1,24 @@
-//! Loads the pages that the head names and that are not in force yet.
+//! Loads the pages that the head refers to and that are not in force yet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use chervilshunt_model::{Moment, Revision};
 
-use super::{Follower, FollowerAction, InForce};
+use super::{ConfigInForce, Follower, FollowerAction};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
-use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, Stored};
+use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, StoredObject};
 
-/// A configuration that is being put together.
+/// A configuration whose pages are being loaded.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct Loading<S> {
+pub(super) struct ConfigLoad<S> {
     state: S,
     pages: BTreeMap<PageKey, PageStamp>,
     reads: BTreeMap<CallId, (PageKey, PageStamp)>,
 }
 
-impl<S> Loading<S> {
+impl<S> ConfigLoad<S> {
     pub(super) fn is_reading(&self) -> bool {
         !self.reads.is_empty()
     }
@@ -35,7 +35,8 @@
             .is_none_or(|in_force| in_force.revision < revision)
     }
 
-    /// Starts to load what the head names, if it isn't in force.
+    /// Starts to load the configuration that the head refers to, if it is newer than the one in
+    /// force.
     pub(super) fn load_if_behind(&mut self, now: Moment, actions: &mut Vec<FollowerAction<S, C>>) {
         let Some((head, _)) = &self.head else {
             return;
@@ -59,7 +60,7 @@
                 Some(in_force) => ((*in_force.state).clone(), (*in_force.pages).clone()),
                 None => ((self.model.empty)(), BTreeMap::new()),
             };
-            self.loading = Some(Loading {
+            self.loading = Some(ConfigLoad {
                 state,
                 pages,
                 reads: BTreeMap::new(),
@@ -68,7 +69,8 @@
         self.finish_loading(actions);
     }
 
-    /// Sends the next reads of pages.
+    /// Starts the next reads of missing pages, up to
+    /// [`FollowerConfig::reads_at_a_time`](super::FollowerConfig::reads_at_a_time).
     pub(super) fn read_pages(&mut self, now: Moment, actions: &mut Vec<FollowerAction<S, C>>) {
         let Some((head, _)) = &self.head else {
             return;
@@ -109,12 +111,13 @@
             return;
         };
         let body = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Page { body, .. },
                 ..
-            }) if stamp.fits(&body) => body,
+            }) if stamp.matches_body(&body) => body,
             PlatformResult::NotFound => {
-                // The head has moved on twice since it was read, and the page was deleted.
+                // The page was deleted, because at least two changes were accepted since the head
+                // was read.
                 self.read_soon(now);
                 self.load_retry_at = now + self.cfg.retry_every;
                 return;
@@ -155,7 +158,7 @@
         let Some(loading) = self.loading.take() else {
             return;
         };
-        let next = InForce {
+        let next = ConfigInForce {
             state: Arc::new((self.model.at_revision)(&loading.state, revision)),
             revision,
             pages: Arc::new(loading.pages),
@@ -165,7 +168,7 @@
 
     pub(super) fn put_in_force(
         &mut self,
-        next: InForce<S>,
+        next: ConfigInForce<S>,
         actions: &mut Vec<FollowerAction<S, C>>,
     ) {
         let reached = self
@@ -176,6 +179,6 @@
             self.loading = None;
         }
         self.in_force = Some(next.clone());
-        actions.push(FollowerAction::InForce(next));
+        actions.push(FollowerAction::ConfigInForce(next));
     }
 }
--- a/crates/chervilshunt_coord/src/config/page_map/tests.rs
+++ b/crates/chervilshunt_coord/src/config/page_map/tests.rs
@@ -1,4 +1,5 @@
-//! Heads come through the platform with all their pages, those of earlier versions too.
+//! Heads keep all their pages when they are written and read, including heads written by earlier
+//! versions.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +10,9 @@
 use super::{PageKey, PageStamp};
 use crate::config::HeadRecord;
 
-/// Bytes of the pages of a full configuration in the head; each change brings them twice to each
-/// instance.
-const PAGES_BYTES: usize = 6_300;
+/// Maximum size in bytes of the pages of a full configuration in the head. Each change sends them
+/// to each instance twice.
+const MAX_PAGES_BYTES: usize = 6_300;
 const PAGES: usize = 257;
 
 fn head<'a>(keys: impl IntoIterator<Item = &'a str>) -> HeadRecord {
@@ -30,15 +31,16 @@
 #[case::common(&["common"])]
 #[case::both(&["common", "adapters-00", "adapters-ff"])]
 #[case::alike(&["adapters", "adapters-", "-adapters", "-", "", "a-b-c", "a-bc"])]
-fn pages_come_through(#[case] keys: &[&str]) {
+fn pages_survive_a_round_trip(#[case] keys: &[&str]) {
     let head = head(keys.iter().copied());
     let text = serde_json::to_string(&head).expect("it can be written");
     let read: HeadRecord = serde_json::from_str(&text).expect("and read");
     assert_eq!(read, head);
 }
 
-/// After an upgrade a fleet would read no configuration, and take no work. The platform still has
-/// the head that the earlier version wrote: keys in full, stamps as hexadecimal numbers.
+/// Guards against a fleet that cannot read its configuration after an upgrade and takes no work.
+/// The platform then still has the head written by the earlier version, with full keys and with
+/// stamps in hexadecimal.
 #[test]
 fn reads_the_head_of_an_earlier_version() {
     let head = head(["common", "adapters-00"]);
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn pages_of_a_full_configuration_stay_within_their_bytes() {
+fn pages_of_a_full_configuration_stay_within_the_size_limit() {
     let keys: Vec<String> = (1..PAGES)
         .map(|number| format!("adapters-{:02x}", number - 1))
         .chain(["common".to_owned()])
@@ -75,5 +77,5 @@
     let bytes = |head: &HeadRecord| serde_json::to_string(head).map(|text| text.len());
     let full = bytes(&full).expect("it can be written");
     let empty = bytes(&head([])).expect("it can be written");
-    assert!(full - empty <= PAGES_BYTES, "{} bytes", full - empty);
+    assert!(full - empty <= MAX_PAGES_BYTES, "{} bytes", full - empty);
 }
--- a/crates/chervilshunt_coord/src/config/proposer/decision.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/decision.rs
@@ -1,10 +1,10 @@
-//! How a proposal ends: the decision is written into the head and told to everyone.
+//! The end of a proposal: the decision is written into the head and sent to all live instances.
 
 use chervilshunt_model::{Moment, Revision};
 
 use super::collect::fan_out;
-use super::steps::Stage;
-use super::{ChangeRefusal, Proposer, ProposerAction, Verdict};
+use super::steps::ProposalStage;
+use super::{ChangeRefusal, ProposalDecision, Proposer, ProposerAction};
 use crate::bugs::Bug;
 use crate::config::head::HeadRecord;
 use crate::config::message::ConfigMessage;
@@ -15,16 +15,16 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Decided(head, version) = &proposal.stage else {
+        let ProposalStage::Decided(head, version) = &proposal.stage else {
             return;
         };
-        let next = match &proposal.verdict {
-            Some(Verdict::Accept) => head.accepted(),
-            Some(Verdict::GiveUp(_)) | None => head.given_up(),
+        let next = match &proposal.decision {
+            Some(ProposalDecision::Accept) => head.accepted(),
+            Some(ProposalDecision::GiveUp(_)) | None => head.given_up(),
         };
         let op = PlatformOp::Update(Object::Head(Box::new(next.clone())), version.clone());
         let call = self.calls.call(op);
-        proposal.stage = Stage::WritingDecision(call.id, Box::new(next));
+        proposal.stage = ProposalStage::WritingDecision(call.id, Box::new(next));
         actions.push(ProposerAction::Call(call));
     }
 
@@ -41,14 +41,14 @@
         };
         if let PlatformResult::Written(version) = result {
             let outcome = head.outcome(proposal.id).flatten();
-            actions.push(ProposerAction::Seen(head.clone(), version));
+            actions.push(ProposerAction::HeadSeen(head.clone(), version));
             return self.end(&head, outcome, actions);
         }
         if self.bugs.has(Bug::LostAnswerIsFailure) {
             return self.finish(ChangeRefusal::PlatformUnavailable, actions);
         }
-        // Whether it was carried out, and if not what came before it, shows in the head.
-        proposal.stage = Stage::Begin;
+        // The head shows whether the write succeeded or which other write came first.
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
         } else {
@@ -56,7 +56,7 @@
         };
     }
 
-    /// Ends the proposal as the head says, and tells everyone.
+    /// Ends the proposal with the outcome recorded in the head and notifies the live instances.
     pub(super) fn end(
         &mut self,
         head: &HeadRecord,
@@ -72,7 +72,7 @@
             accepted,
         };
         let to: Vec<_> = proposal
-            .collecting
+            .acknowledgements
             .live()
             .map(|holder| holder.instance.clone())
             .collect();
@@ -86,15 +86,15 @@
         let Some(proposal) = &self.proposal else {
             return;
         };
-        let refusal = match (accepted, &proposal.verdict) {
+        let refusal = match (accepted, &proposal.decision) {
             (Some(revision), _) => {
                 if let Some(ticket) = self.proposal.take().and_then(|proposal| proposal.ticket) {
                     actions.push(ProposerAction::Accepted(ticket, revision));
                 }
                 return;
             }
-            (None, Some(Verdict::GiveUp(refusal))) => refusal.clone(),
-            (None, Some(Verdict::Accept) | None) => ChangeRefusal::GivenUp,
+            (None, Some(ProposalDecision::GiveUp(refusal))) => refusal.clone(),
+            (None, Some(ProposalDecision::Accept) | None) => ChangeRefusal::GivenUp,
         };
         self.finish(refusal, actions);
     }
--- a/crates/chervilshunt_coord/src/config/proposer/pages.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/pages.rs
@@ -1,10 +1,10 @@
-//! The pages that a proposal writes, and those that nobody needs after it.
+//! The pages that a proposal writes, and the deletion of pages that are no longer needed.
 
 use std::sync::Arc;
 
 use chervilshunt_model::Moment;
 
-use super::steps::Stage;
+use super::steps::ProposalStage;
 use super::{ChangeRefusal, Proposer, ProposerAction};
 use crate::config::head::{HeadRecord, PendingChange};
 use crate::config::model::PageKey;
@@ -51,7 +51,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::WritingPages(None, head, version) = &proposal.stage else {
+        let ProposalStage::WritingPages(None, head, version) = &proposal.stage else {
             return;
         };
         if let Some(page) = proposal.pages.iter().find(|page| !page.written) {
@@ -60,7 +60,8 @@
                 body: Arc::clone(&page.body),
             };
             let call = self.calls.call(PlatformOp::Create(object));
-            proposal.stage = Stage::WritingPages(Some(call.id), head.clone(), version.clone());
+            proposal.stage =
+                ProposalStage::WritingPages(Some(call.id), head.clone(), version.clone());
             actions.push(ProposerAction::Call(call));
             return;
         }
@@ -72,7 +73,7 @@
         let next = Box::new(head.with_pending(pending));
         let op = PlatformOp::Update(Object::Head(next.clone()), version.clone());
         let call = self.calls.call(op);
-        proposal.stage = Stage::WritingPending(call.id, next);
+        proposal.stage = ProposalStage::WritingPending(call.id, next);
         actions.push(ProposerAction::Call(call));
     }
 
@@ -86,11 +87,11 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        if let Stage::WritingPages(call, ..) = &mut proposal.stage {
+        if let ProposalStage::WritingPages(call, ..) = &mut proposal.stage {
             *call = None;
         }
         match result {
-            // Only this change writes pages of these names, so one that exists is its own.
+            // Only this change writes pages with these names, so an existing page is its own.
             PlatformResult::Written(_) | PlatformResult::AlreadyExists => {
                 if let Some(page) = proposal.pages.iter_mut().find(|page| !page.written) {
                     page.written = true;
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Deletes the pages that nobody can come to need any more.
+    /// Deletes the pages that no instance can need any more.
     ///
-    /// What this change replaces stays until the next one: an instance that read the head just
-    /// before may be loading it.
+    /// Pages that this change replaces are kept until the next change, because an instance that
+    /// read the head just before may still be loading them.
     pub(super) fn delete_unused_pages(
         &mut self,
         accepted: bool,
--- a/crates/chervilshunt_coord/src/config/proposer/steps.rs
+++ b/crates/chervilshunt_coord/src/config/proposer/steps.rs
@@ -5,34 +5,35 @@
 use chervilshunt_model::{InstanceId, Moment};
 
 use super::collect::fan_out;
-use super::{ChangeRefusal, Proposal, Proposer, ProposerAction, Verdict};
+use super::{ChangeRefusal, Proposal, ProposalDecision, Proposer, ProposerAction};
 use crate::bugs::Bug;
-use crate::config::follower::InForce;
+use crate::config::follower::ConfigInForce;
 use crate::config::head::HeadRecord;
 use crate::config::message::{ConfigMessage, Prepare};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
 use crate::lease::LeaseRecord;
 use crate::platform::{
-    CallId, Object, ObjectKind, ObjectName, ObjectVersion, PlatformOp, PlatformResult, Stored,
+    CallId, Object, ObjectKind, ObjectName, ObjectVersion, PlatformOp, PlatformResult, StoredObject,
 };
 
-/// How far a proposal has come.
+/// The current step of a proposal.
 #[derive(Clone, Debug, Hash)]
-pub(super) enum Stage {
+pub(super) enum ProposalStage {
     /// The head has to be read.
     Begin,
     /// The head is being read.
     ReadingHead(CallId),
-    /// The pages are being written, one after the other; none is under way while one is retried.
+    /// The pages are being written one after the other; the call is `None` while a failed write
+    /// waits for its retry.
     WritingPages(Option<CallId>, Box<HeadRecord>, ObjectVersion),
-    /// The change is being written into the head.
+    /// The change is being written into the head as pending.
     WritingPending(CallId, Box<HeadRecord>),
-    /// The change stands in the head; the live instances have to be listed.
+    /// The change is pending in the head; the live instances have to be listed.
     Pending(Box<HeadRecord>, ObjectVersion),
     /// The live instances are being listed.
     Listing(CallId, Box<HeadRecord>, ObjectVersion),
-    /// Acknowledgements come in.
+    /// Acknowledgements are being collected.
     Collecting {
         head: Box<HeadRecord>,
         version: ObjectVersion,
@@ -49,17 +50,19 @@
 impl<C> Proposal<C> {
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         let stage = match &self.stage {
-            Stage::Begin | Stage::Pending(..) | Stage::Decided(..) => Some(self.retry_at),
-            Stage::WritingPages(call, ..) => call.is_none().then_some(self.retry_at),
-            Stage::Collecting {
+            ProposalStage::Begin | ProposalStage::Pending(..) | ProposalStage::Decided(..) => {
+                Some(self.retry_at)
+            }
+            ProposalStage::WritingPages(call, ..) => call.is_none().then_some(self.retry_at),
+            ProposalStage::Collecting {
                 until,
                 ask_again_at,
                 ..
             } => Some(ask_again_at.map_or(*until, |at| at.min(*until))),
-            Stage::ReadingHead(_)
-            | Stage::WritingPending(..)
-            | Stage::Listing(..)
-            | Stage::WritingDecision(..) => None,
+            ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::WritingDecision(..) => None,
         };
         let settle_by = self.settle_by.filter(|_| self.ticket.is_some());
         stage.into_iter().chain(settle_by).min()
@@ -74,10 +77,10 @@
 }
 
 impl<S: Clone, C: Clone> Proposer<S, C> {
-    /// Takes whatever steps are due.
+    /// Takes all steps that are due.
     pub(super) fn advance(
         &mut self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -85,35 +88,36 @@
         if self.proposal.is_none() {
             self.begin_next(now, actions);
         }
-        self.call_unknown(now, actions);
+        self.report_unknown(now, actions);
         let Some(proposal) = &mut self.proposal else {
             return;
         };
         match &proposal.stage {
-            Stage::Begin if now >= proposal.retry_at => {
+            ProposalStage::Begin if now >= proposal.retry_at => {
                 let call = self.calls.call(PlatformOp::Read(ObjectName::Head));
-                proposal.stage = Stage::ReadingHead(call.id);
+                proposal.stage = ProposalStage::ReadingHead(call.id);
                 actions.push(ProposerAction::Call(call));
             }
-            Stage::WritingPages(None, ..) if now >= proposal.retry_at => {
+            ProposalStage::WritingPages(None, ..) if now >= proposal.retry_at => {
                 self.write_next_page(actions);
             }
-            Stage::Pending(..) if now >= proposal.retry_at => self.list_live(actions),
-            Stage::Collecting { .. } => self.collect(base, now, actions),
-            Stage::Decided(..) if now >= proposal.retry_at => self.write_decision(actions),
-            Stage::Begin
-            | Stage::ReadingHead(_)
-            | Stage::WritingPages(..)
-            | Stage::WritingPending(..)
-            | Stage::Pending(..)
-            | Stage::Listing(..)
-            | Stage::Decided(..)
-            | Stage::WritingDecision(..) => {}
+            ProposalStage::Pending(..) if now >= proposal.retry_at => self.list_live(actions),
+            ProposalStage::Collecting { .. } => self.collect(base, now, actions),
+            ProposalStage::Decided(..) if now >= proposal.retry_at => self.write_decision(actions),
+            ProposalStage::Begin
+            | ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPages(..)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Pending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::Decided(..)
+            | ProposalStage::WritingDecision(..) => {}
         }
     }
 
-    /// Tells the operator that the outcome is unknown, once it has been so for long.
-    fn call_unknown(&mut self, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
+    /// Reports the outcome to the operator as unknown if it is still uncertain after
+    /// [`ProposerConfig::settle_within`](super::ProposerConfig::settle_within).
+    fn report_unknown(&mut self, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
         let Some(proposal) = &mut self.proposal else {
             return;
         };
@@ -129,7 +133,7 @@
         &mut self,
         call: CallId,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -137,57 +141,61 @@
             return;
         };
         match &mut proposal.stage {
-            Stage::ReadingHead(id) if *id == call => self.on_head_read(result, base, now, actions),
-            Stage::WritingPages(id, ..) if *id == Some(call) => {
+            ProposalStage::ReadingHead(id) if *id == call => {
+                self.on_head_read(result, base, now, actions)
+            }
+            ProposalStage::WritingPages(id, ..) if *id == Some(call) => {
                 self.on_page_written(&result, now, actions);
             }
-            Stage::WritingPending(id, head) if *id == call => {
+            ProposalStage::WritingPending(id, head) if *id == call => {
                 let head = head.clone();
                 self.on_pending_written(head, result, now, actions);
             }
-            Stage::Listing(id, head, version) if *id == call => {
+            ProposalStage::Listing(id, head, version) if *id == call => {
                 let (head, version) = (head.clone(), version.clone());
                 self.on_listed(head, version, result, base, now, actions);
             }
-            Stage::Collecting { listing, head, .. } if *listing == Some(call) => {
+            ProposalStage::Collecting { listing, head, .. } if *listing == Some(call) => {
                 *listing = None;
                 let generation = head.generation;
                 if let PlatformResult::Listed(objects) = result {
-                    proposal.collecting.set_live(&leases(objects), generation);
+                    proposal
+                        .acknowledgements
+                        .set_live(&leases(objects), generation);
                 }
             }
-            Stage::WritingDecision(id, head) if *id == call => {
+            ProposalStage::WritingDecision(id, head) if *id == call => {
                 let head = head.clone();
                 self.on_decision_written(head, result, now, actions);
             }
-            Stage::Begin
-            | Stage::ReadingHead(_)
-            | Stage::WritingPages(..)
-            | Stage::WritingPending(..)
-            | Stage::Pending(..)
-            | Stage::Listing(..)
-            | Stage::Collecting { .. }
-            | Stage::Decided(..)
-            | Stage::WritingDecision(..) => {}
+            ProposalStage::Begin
+            | ProposalStage::ReadingHead(_)
+            | ProposalStage::WritingPages(..)
+            | ProposalStage::WritingPending(..)
+            | ProposalStage::Pending(..)
+            | ProposalStage::Listing(..)
+            | ProposalStage::Collecting { .. }
+            | ProposalStage::Decided(..)
+            | ProposalStage::WritingDecision(..) => {}
         }
     }
 
     fn on_head_read(
         &mut self,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
         let (head, version) = match result {
-            PlatformResult::Found(Stored {
+            PlatformResult::Found(StoredObject {
                 object: Object::Head(head),
                 version,
             }) => (head, version),
             PlatformResult::NotFound => return self.retry(ChangeRefusal::NotReady, now, actions),
             _ => return self.retry(ChangeRefusal::PlatformUnavailable, now, actions),
         };
-        actions.push(ProposerAction::Seen(head.clone(), version.clone()));
+        actions.push(ProposerAction::HeadSeen(head.clone(), version.clone()));
         let Some(proposal) = &mut self.proposal else {
             return;
         };
@@ -196,11 +204,12 @@
         }
         let pending = head.pending.as_ref().map(|pending| pending.change);
         if pending == Some(proposal.id) {
-            // The write whose answer was lost was carried out, or the decision was not yet.
-            proposal.stage = if proposal.verdict.is_some() {
-                Stage::Decided(head, version)
+            // Either the write of the pending change succeeded although its answer was lost, or the
+            // decision is not written yet.
+            proposal.stage = if proposal.decision.is_some() {
+                ProposalStage::Decided(head, version)
             } else {
-                Stage::Pending(head, version)
+                ProposalStage::Pending(head, version)
             };
             proposal.retry_at = now;
             return;
@@ -208,12 +217,13 @@
         if pending.is_some() {
             return self.retry(ChangeRefusal::Busy, now, actions);
         }
-        if proposal.verdict.is_some() {
-            // The head no longer remembers the outcome; far more changes have followed.
+        if proposal.decision.is_some() {
+            // The outcome is no longer in the head, as too many changes have followed.
             return self.finish(ChangeRefusal::Unknown, actions);
         }
         if proposal.ticket.is_none() {
-            // The operator was told that the outcome is unknown, and now it is known to be no.
+            // The outcome was already reported to the operator as unknown, and the change was not
+            // accepted.
             return self.finish(ChangeRefusal::Unknown, actions);
         }
         proposal.settle_by = None;
@@ -227,7 +237,7 @@
                 let Some(proposal) = &mut self.proposal else {
                     return;
                 };
-                proposal.stage = Stage::WritingPages(None, head, version);
+                proposal.stage = ProposalStage::WritingPages(None, head, version);
                 proposal.retry_at = now;
             }
         }
@@ -246,13 +256,14 @@
             return;
         };
         if let PlatformResult::Written(version) = result {
-            actions.push(ProposerAction::Seen(head.clone(), version.clone()));
-            proposal.stage = Stage::Pending(head, version);
+            actions.push(ProposerAction::HeadSeen(head.clone(), version.clone()));
+            proposal.stage = ProposalStage::Pending(head, version);
             proposal.retry_at = now;
             return;
         }
-        // A conflict may be the work of an earlier try whose answer was lost: the head tells.
-        proposal.stage = Stage::Begin;
+        // A conflict may come from an earlier attempt of this proposal whose answer was lost;
+        // reading the head shows which.
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = if result.is_answer() {
             now
         } else {
@@ -267,11 +278,11 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Pending(head, version) = &proposal.stage else {
+        let ProposalStage::Pending(head, version) = &proposal.stage else {
             return;
         };
         let call = self.calls.call(PlatformOp::List(ObjectKind::Lease));
-        proposal.stage = Stage::Listing(call.id, head.clone(), version.clone());
+        proposal.stage = ProposalStage::Listing(call.id, head.clone(), version.clone());
         actions.push(ProposerAction::Call(call));
     }
 
@@ -280,7 +291,7 @@
         head: Box<HeadRecord>,
         version: ObjectVersion,
         result: PlatformResult,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -288,21 +299,21 @@
             return;
         };
         let PlatformResult::Listed(objects) = result else {
-            proposal.verdict = Some(Verdict::GiveUp(ChangeRefusal::PlatformUnavailable));
+            proposal.decision = Some(ProposalDecision::GiveUp(ChangeRefusal::PlatformUnavailable));
             proposal.settle_by = Some(now + self.cfg.settle_within);
-            proposal.stage = Stage::Decided(head, version);
+            proposal.stage = ProposalStage::Decided(head, version);
             proposal.retry_at = now;
             return;
         };
         proposal
-            .collecting
+            .acknowledgements
             .set_live(&leases(objects), head.generation);
         let to: Vec<_> = proposal
-            .collecting
+            .acknowledgements
             .missing()
             .map(|holder| holder.instance.clone())
             .collect();
-        proposal.stage = Stage::Collecting {
+        proposal.stage = ProposalStage::Collecting {
             head,
             version,
             until: now + self.cfg.collect_within,
@@ -312,18 +323,18 @@
         self.ask(base, &to, true, actions);
     }
 
-    /// Asks instances for their acknowledgement.
+    /// Asks instances to acknowledge the change.
     fn ask(
         &self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         to: &[InstanceId],
-        by_way_of_others: bool,
+        use_relays: bool,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
         let Some(proposal) = &self.proposal else {
             return;
         };
-        let Stage::Collecting { head, .. } = &proposal.stage else {
+        let ProposalStage::Collecting { head, .. } = &proposal.stage else {
             return;
         };
         let revision = base.map_or(head.revision, |base| base.revision);
@@ -339,7 +350,7 @@
                 .collect(),
             proposer: self.me.instance.clone(),
         }));
-        let direct_at_most = if by_way_of_others {
+        let direct_at_most = if use_relays {
             self.cfg.direct_at_most
         } else {
             usize::MAX
@@ -354,7 +365,7 @@
 
     fn collect(
         &mut self,
-        base: Option<&InForce<S>>,
+        base: Option<&ConfigInForce<S>>,
         now: Moment,
         actions: &mut Vec<ProposerAction<C>>,
     ) {
@@ -362,7 +373,7 @@
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let Stage::Collecting {
+        let ProposalStage::Collecting {
             head,
             version,
             until,
@@ -372,24 +383,24 @@
         else {
             return;
         };
-        let verdict = if complete || proposal.collecting.is_complete() {
-            Some(Verdict::Accept)
-        } else if let Some((holder, reason)) = proposal.collecting.refusal() {
+        let decision = if complete || proposal.acknowledgements.is_complete() {
+            Some(ProposalDecision::Accept)
+        } else if let Some((holder, reason)) = proposal.acknowledgements.refusal() {
             let refusal = ChangeRefusal::NotAcknowledged(holder.instance.clone(), reason.clone());
-            Some(Verdict::GiveUp(refusal))
+            Some(ProposalDecision::GiveUp(refusal))
         } else if now >= *until {
-            let missing: Vec<_> = proposal.collecting.missing().cloned().collect();
-            actions.extend(missing.iter().cloned().map(ProposerAction::Watch));
+            let missing: Vec<_> = proposal.acknowledgements.missing().cloned().collect();
+            actions.extend(missing.iter().cloned().map(ProposerAction::WatchLease));
             let missing = missing.into_iter().map(|holder| holder.instance);
-            Some(Verdict::GiveUp(ChangeRefusal::Unreachable(
+            Some(ProposalDecision::GiveUp(ChangeRefusal::Unreachable(
                 missing.collect(),
             )))
         } else {
             None
         };
-        if verdict.is_some() {
-            proposal.stage = Stage::Decided(head.clone(), version.clone());
-            proposal.verdict = verdict;
+        if decision.is_some() {
+            proposal.stage = ProposalStage::Decided(head.clone(), version.clone());
+            proposal.decision = decision;
             proposal.settle_by = Some(now + self.cfg.settle_within);
             proposal.retry_at = now;
             return self.write_decision(actions);
@@ -400,7 +411,7 @@
             *listing = Some(call.id);
             actions.push(ProposerAction::Call(call));
             let to: Vec<_> = proposal
-                .collecting
+                .acknowledgements
                 .missing()
                 .map(|holder| holder.instance.clone())
                 .collect();
@@ -408,22 +419,22 @@
         }
     }
 
-    /// Tries again later, or refuses the change if it has waited for long.
+    /// Schedules another attempt, or refuses the change if its time to begin is over.
     fn retry(&mut self, refusal: ChangeRefusal, now: Moment, actions: &mut Vec<ProposerAction<C>>) {
         let retry_every = self.cfg.retry_every;
         let Some(proposal) = &mut self.proposal else {
             return;
         };
         let unsettled = proposal.settle_by.is_some() || proposal.ticket.is_none();
-        if now >= proposal.begin_by && !unsettled && proposal.verdict.is_none() {
+        if now >= proposal.begin_by && !unsettled && proposal.decision.is_none() {
             return self.finish(refusal, actions);
         }
-        proposal.stage = Stage::Begin;
+        proposal.stage = ProposalStage::Begin;
         proposal.retry_at = now + retry_every;
     }
 }
 
-fn leases(objects: Vec<Stored>) -> Vec<LeaseRecord> {
+fn leases(objects: Vec<StoredObject>) -> Vec<LeaseRecord> {
     let leases = objects
         .into_iter()
         .filter_map(|stored| match stored.object {
--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -15,8 +15,8 @@
 pub use self::types::{CoordAction, CoordDecision, CoordEvent, CoordMessage, DecisionKind};
 use crate::bugs::{Bug, Bugs};
 use crate::config::{
-    ConfigModel, Elector, Follower, FollowerConfig, FollowerEvent, HeadRecord, InForce, Proposer,
-    ProposerConfig, ProposerEvent,
+    ConfigInForce, ConfigModel, Elector, Follower, FollowerConfig, FollowerEvent, HeadRecord,
+    Proposer, ProposerConfig, ProposerEvent,
 };
 use crate::holder::Holder;
 use crate::lease::{
@@ -25,7 +25,7 @@
 };
 use crate::membership::{InstanceEntry, PeerView};
 use crate::outage::{ElectorConfig, ElectorDesk, Hold, HoldConfig, Vouching};
-use crate::platform::{CallId, Object, PlatformResult, Stored};
+use crate::platform::{CallId, Object, PlatformResult, StoredObject};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
 
@@ -273,7 +273,7 @@
     }
 
     /// Returns the configuration in force here, if one is loaded.
-    pub const fn in_force(&self) -> Option<&InForce<S>> {
+    pub const fn in_force(&self) -> Option<&ConfigInForce<S>> {
         self.follower.in_force()
     }
 
@@ -404,13 +404,13 @@
     }
 
     /// Takes what a watch showed.
-    fn on_seen(&mut self, stored: Stored, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+    fn on_seen(&mut self, stored: StoredObject, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         match stored.object {
             Object::Assignment(record) => {
                 self.drive_roles(RoleEvent::Seen(record, stored.version), now, actions);
             }
             Object::Head(head) => {
-                let event = FollowerEvent::Seen(head, stored.version);
+                let event = FollowerEvent::HeadSeen(head, stored.version);
                 self.drive_follower(event, now, actions);
             }
             Object::Lease(_) | Object::Claims(_) | Object::Page { .. } => {}
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -193,11 +193,11 @@
             match action {
                 FollowerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 FollowerAction::Send(to, message) => self.send_config(to, message, now, actions),
-                FollowerAction::AskAround(message) => self.ask_around(&message, actions),
+                FollowerAction::AskPeers(message) => self.ask_around(&message, actions),
                 FollowerAction::AcknowledgeByLease(generation) => {
                     self.drive_lease(LeaseEvent::Acknowledge(generation), now, actions);
                 }
-                FollowerAction::InForce(in_force) => {
+                FollowerAction::ConfigInForce(in_force) => {
                     actions.push(CoordAction::ConfigInForce {
                         revision: in_force.revision,
                         state: in_force.state,
@@ -218,10 +218,10 @@
             match action {
                 ProposerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 ProposerAction::Send(to, message) => self.send_config(to, message, now, actions),
-                ProposerAction::Seen(head, version) => {
-                    self.drive_follower(FollowerEvent::Seen(head, version), now, actions);
+                ProposerAction::HeadSeen(head, version) => {
+                    self.drive_follower(FollowerEvent::HeadSeen(head, version), now, actions);
                 }
-                ProposerAction::Watch(holder) => {
+                ProposerAction::WatchLease(holder) => {
                     let instance = Some(holder.instance.clone());
                     let reason = "it did not acknowledge a change in time";
                     log(
--- a/crates/chervilshunt_coord/src/platform/memory.rs
+++ b/crates/chervilshunt_coord/src/platform/memory.rs
@@ -1,33 +1,33 @@
-//! The platform's object API, in memory.
+//! An in-memory implementation of the platform's object API, without persistence.
 //!
-//! For examples and for the tests of programs that embed this crate; it keeps nothing.
+//! It serves the examples and the tests of programs that embed this crate.
 
 use std::collections::BTreeMap;
 
 use super::call::{PlatformOp, PlatformResult};
-use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, Stored};
+use super::object::{Object, ObjectKind, ObjectName, ObjectVersion, StoredObject};
 
 /// Objects with versions and conditional updates.
 ///
-/// It does what the machines rely on and no more: reads and lists show the last write, and an
-/// update or a deletion that names an old version changes nothing. Whoever drives the machines
-/// makes calls fail, be late or lose their answer as a test needs it.
+/// It provides only the guarantees that the state machines rely on: reads and lists return the last
+/// write, and an update or a deletion with an outdated version changes nothing. The driver of the
+/// state machines can make calls fail, delay them or drop their answers as a test requires.
 #[derive(Clone, Debug, Default, Hash)]
 pub struct MemoryPlatform {
     objects: BTreeMap<ObjectName, (Object, u64)>,
     version: u64,
 }
 
-/// What came of a call.
+/// The effect of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct CarriedOut {
-    /// What the caller is told.
+pub struct CallOutcome {
+    /// The result to report to the caller.
     pub result: PlatformResult,
-    /// The object that the call wrote, as a watch shows it to others.
-    pub written: Option<Stored>,
+    /// The object that the call wrote, as a watch reports it to other instances.
+    pub written: Option<StoredObject>,
 }
 
-impl CarriedOut {
+impl CallOutcome {
     const fn answer(result: PlatformResult) -> Self {
         Self {
             result,
@@ -37,62 +37,62 @@
 }
 
 impl MemoryPlatform {
-    /// Carries a call out.
-    pub fn carry_out(&mut self, op: &PlatformOp) -> CarriedOut {
+    /// Carries out an operation.
+    pub fn carry_out(&mut self, op: &PlatformOp) -> CallOutcome {
         match op {
             PlatformOp::Read(name) => {
                 let found = self.get(name);
-                CarriedOut::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
+                CallOutcome::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
             }
-            PlatformOp::List(kind) => CarriedOut::answer(PlatformResult::Listed(self.list(*kind))),
+            PlatformOp::List(kind) => CallOutcome::answer(PlatformResult::Listed(self.list(*kind))),
             PlatformOp::ListClaims(shard) => {
                 let mut pages = self.list(ObjectKind::Claims);
                 pages.retain(|stored| {
                     matches!(&stored.object, Object::Claims(page) if page.name.shard == *shard)
                 });
-                CarriedOut::answer(PlatformResult::Listed(pages))
+                CallOutcome::answer(PlatformResult::Listed(pages))
             }
             PlatformOp::Create(object) => {
                 if self.objects.contains_key(&object.name()) {
-                    return CarriedOut::answer(PlatformResult::AlreadyExists);
+                    return CallOutcome::answer(PlatformResult::AlreadyExists);
                 }
                 self.put(object)
             }
             PlatformOp::Update(object, version) => match self.objects.get(&object.name()) {
-                None => CarriedOut::answer(PlatformResult::NotFound),
+                None => CallOutcome::answer(PlatformResult::NotFound),
                 Some((_, held)) if held.to_string() != version.as_str() => {
-                    CarriedOut::answer(PlatformResult::Conflict)
+                    CallOutcome::answer(PlatformResult::Conflict)
                 }
                 Some(_) => self.put(object),
             },
             PlatformOp::Delete(name, version) => {
-                CarriedOut::answer(self.delete(name, version.as_ref()))
+                CallOutcome::answer(self.delete(name, version.as_ref()))
             }
         }
     }
 
-    /// Returns an object.
-    pub fn get(&self, name: &ObjectName) -> Option<Stored> {
+    /// Returns an object with its version.
+    pub fn get(&self, name: &ObjectName) -> Option<StoredObject> {
         let (object, version) = self.objects.get(name)?;
-        Some(Stored {
+        Some(StoredObject {
             object: object.clone(),
             version: ObjectVersion::new(version.to_string()),
         })
     }
 
-    /// Returns all objects of a kind, by name.
-    pub fn list(&self, kind: ObjectKind) -> Vec<Stored> {
+    /// Returns all objects of a kind, ordered by name.
+    pub fn list(&self, kind: ObjectKind) -> Vec<StoredObject> {
         let names = self.objects.keys().filter(|name| name.kind() == kind);
         names.filter_map(|name| self.get(name)).collect()
     }
 
-    fn put(&mut self, object: &Object) -> CarriedOut {
+    fn put(&mut self, object: &Object) -> CallOutcome {
         self.version += 1;
         let name = object.name();
         self.objects
             .insert(name.clone(), (object.clone(), self.version));
         let version = ObjectVersion::new(self.version.to_string());
-        CarriedOut {
+        CallOutcome {
             result: PlatformResult::Written(version),
             written: self.get(&name),
         }
--- a/crates/chervilshunt_coord/src/tests/claims.rs
+++ b/crates/chervilshunt_coord/src/tests/claims.rs
@@ -1,9 +1,11 @@
-//! A key's request is sent at most once, whatever happens to keepers, entries and the platform.
+//! The request of a key is sent at most once, whatever happens to keepers, entry instances and the
+//! platform.
 //!
-//! Callers try again under the same key at any instance. Calls to the platform are carried out in
-//! any order, late, or never, and answers get lost; keepers are replaced while they still run and
-//! still hear of what they had asked. Whoever is granted a claim sends the request; a second send
-//! under one key is the failure, and so is a send after the try was told that it did not run.
+//! Callers retry under the same key at any instance. Calls to the platform are carried out in any
+//! order, late or never, and answers are lost. Keepers are replaced while they still run, and still
+//! receive the results of their calls. An entry instance sends the request when its claim is
+//! granted. The test fails if a request is sent twice under one key, or if it is sent after its
+//! attempt was reported as not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,7 +14,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use super::runs::{holds, is_caught};
+use super::runs::{assert_caught, assert_holds};
 use crate::bugs::{Bug, Bugs};
 use crate::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimKeeper, ClaimKey, ClaimOutcome,
@@ -23,28 +25,28 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An entry asks a keeper for a key; both are counted from the newest.
+    /// An entry instance requests a claim of a keeper; `keeper` counts back from the newest one.
     Ask {
         keeper: usize,
         entry: usize,
         key: u8,
     },
-    /// The last question is asked once more, of any keeper.
+    /// The last claim request is repeated at any keeper.
     AskAgain { keeper: usize },
-    /// The platform carries a call out, and its answer arrives or not.
-    Carry { call: usize, answered: bool },
-    /// A call that was or wasn't carried out times out.
+    /// The platform carries out a call, and its answer arrives or is lost.
+    CarryOut { call: usize, answered: bool },
+    /// A call times out, whether or not it was carried out.
     TimeOut { call: usize },
-    /// An answer of a keeper arrives.
+    /// An answer of a keeper arrives at the entry instance.
     Arrive { answer: usize },
-    /// A request that was sent is answered, and the keeper learns of it.
+    /// A request that was sent is answered, and a keeper is notified.
     Finish { sent: usize, keeper: usize },
-    /// Another keeper takes over; the old one does not know.
+    /// Another keeper takes over without the old one's knowledge.
     TakeOver,
-    /// An entry crashes and is started anew.
+    /// An entry instance crashes and restarts.
     Crash { entry: usize },
     /// Time passes.
-    Pass { millis: u64 },
+    Wait { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -53,17 +55,17 @@
             .prop_map(|(keeper, entry, key)| Step::Ask { keeper, entry, key }),
         1 => (0..3_usize).prop_map(|keeper| Step::AskAgain { keeper }),
         6 => (0..4_usize, prop::bool::weighted(0.8))
-            .prop_map(|(call, answered)| Step::Carry { call, answered }),
+            .prop_map(|(call, answered)| Step::CarryOut { call, answered }),
         2 => (0..4_usize).prop_map(|call| Step::TimeOut { call }),
         5 => (0..4_usize).prop_map(|answer| Step::Arrive { answer }),
         2 => (0..4_usize, 0..3_usize).prop_map(|(sent, keeper)| Step::Finish { sent, keeper }),
         1 => Just(Step::TakeOver),
         1 => (0..ENTRIES).prop_map(|entry| Step::Crash { entry }),
-        3 => (1..3_000_u64).prop_map(|millis| Step::Pass { millis }),
+        3 => (1..3_000_u64).prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
-/// A call that was made, and its result once it was carried out.
+/// A call to the platform and whether it was carried out.
 struct Pending {
     keeper: usize,
     call: PlatformCall,
@@ -80,9 +82,9 @@
     last: Option<ClaimRequest>,
     attempts: u128,
     incarnations: [u64; ENTRIES],
-    /// Tries that were sent, by key; each counts, also those of entries that crashed.
+    /// Attempts that were sent, by key, including those of entry instances that crashed since.
     sent: BTreeMap<ClaimKey, BTreeSet<AttemptId>>,
-    told_not_run: BTreeSet<AttemptId>,
+    reported_not_run: BTreeSet<AttemptId>,
     bugs: Bugs,
 }
 
@@ -99,7 +101,7 @@
             attempts: 0,
             incarnations: [0; ENTRIES],
             sent: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
             bugs,
         };
         world.take_over();
@@ -113,14 +115,14 @@
         let mut keeper = ClaimKeeper::new(ClaimConfig::new(0, me, epoch), self.now);
         keeper.seed(self.bugs);
         self.keepers.push(keeper);
-        self.hand(number, ClaimEvent::Tick);
+        self.deliver(number, ClaimEvent::Tick);
     }
 
     fn newest(&self, back: usize) -> usize {
         self.keepers.len().saturating_sub(1 + back)
     }
 
-    fn hand(&mut self, keeper: usize, event: ClaimEvent) {
+    fn deliver(&mut self, keeper: usize, event: ClaimEvent) {
         for action in self.keepers[keeper].handle(event, self.now) {
             match action {
                 ClaimAction::Call(call) => self.calls.push(Pending {
@@ -136,7 +138,7 @@
                     let key = self.keys[&attempt];
                     self.answers.push((entry, key, attempt, answer));
                 }
-                ClaimAction::AskEntry { .. } | ClaimAction::Superseded => {}
+                ClaimAction::QueryAttempt { .. } | ClaimAction::Superseded => {}
             }
         }
     }
@@ -159,31 +161,31 @@
                 self.keys.insert(req.attempt, req.key);
                 self.last = Some(req.clone());
                 let keeper = self.newest(keeper);
-                self.hand(keeper, ClaimEvent::Asked(req));
+                self.deliver(keeper, ClaimEvent::Requested(req));
             }
             Step::AskAgain { keeper } => {
                 let keeper = self.newest(keeper);
                 if let Some(req) = self.last.clone() {
-                    self.hand(keeper, ClaimEvent::Asked(req));
+                    self.deliver(keeper, ClaimEvent::Requested(req));
                 }
             }
-            Step::Carry { call, answered } => self.carry(call, answered),
+            Step::CarryOut { call, answered } => self.carry_out(call, answered),
             Step::TimeOut { call } => {
                 if call < self.calls.len() {
                     let pending = self.calls.remove(call);
                     let event = ClaimEvent::Reply(pending.call.id, PlatformResult::Unknown);
                     if !pending.carried_out {
-                        // It may yet be carried out, long after the keeper gave it up.
+                        // The call may still be carried out, long after the keeper gave up on it.
                         self.calls.push(pending);
                     } else {
-                        self.hand(pending.keeper, event);
+                        self.deliver(pending.keeper, event);
                     }
                 }
             }
             Step::Arrive { answer } => {
                 if answer < self.answers.len() {
                     let (entry, key, attempt, answer) = self.answers.remove(answer);
-                    self.arrive(&entry, key, attempt, &answer);
+                    self.deliver_answer(&entry, key, attempt, &answer);
                 }
             }
             Step::Finish { sent, keeper } => {
@@ -198,7 +200,7 @@
                         body: None,
                     };
                     let keeper = self.newest(keeper);
-                    self.hand(
+                    self.deliver(
                         keeper,
                         ClaimEvent::Ended {
                             key,
@@ -210,17 +212,17 @@
             }
             Step::TakeOver => self.take_over(),
             Step::Crash { entry } => self.incarnations[entry] += 1,
-            Step::Pass { millis } => {
+            Step::Wait { millis } => {
                 self.now = self.now + Duration::from_millis(millis);
                 for keeper in 0..self.keepers.len() {
-                    self.hand(keeper, ClaimEvent::Tick);
+                    self.deliver(keeper, ClaimEvent::Tick);
                 }
             }
         }
         self.check()
     }
 
-    fn carry(&mut self, call: usize, answered: bool) {
+    fn carry_out(&mut self, call: usize, answered: bool) {
         if call >= self.calls.len() {
             return;
         }
@@ -228,19 +230,25 @@
         self.calls[call].carried_out = true;
         if answered {
             let pending = self.calls.remove(call);
-            self.hand(pending.keeper, ClaimEvent::Reply(pending.call.id, result));
+            self.deliver(pending.keeper, ClaimEvent::Reply(pending.call.id, result));
         }
     }
 
-    fn arrive(&mut self, entry: &Holder, key: ClaimKey, attempt: AttemptId, answer: &ClaimAnswer) {
+    fn deliver_answer(
+        &mut self,
+        entry: &Holder,
+        key: ClaimKey,
+        attempt: AttemptId,
+        answer: &ClaimAnswer,
+    ) {
         let alive = (0..ENTRIES).any(|number| self.entry(number) == *entry);
         if !alive {
             return;
         }
         match answer {
             ClaimAnswer::Granted => {
-                // The try's final answer came first; an entry acts on that alone.
-                if !self.told_not_run.contains(&attempt) {
+                // An entry instance acts only on the first final answer to an attempt.
+                if !self.reported_not_run.contains(&attempt) {
                     self.sent.entry(key).or_default().insert(attempt);
                 }
             }
@@ -250,7 +258,7 @@
                     .get(&key)
                     .is_some_and(|tries| tries.contains(&attempt));
                 if !was_sent {
-                    self.told_not_run.insert(attempt);
+                    self.reported_not_run.insert(attempt);
                 }
             }
             ClaimAnswer::InProgress { .. }
@@ -282,12 +290,12 @@
 
 #[test]
 fn a_request_is_sent_at_most_once_for_its_key() {
-    holds(1_000, &steps(), |steps| run(&steps, Bugs::NONE));
+    assert_holds(1_000, &steps(), |steps| run(&steps, Bugs::NONE));
 }
 
 #[rstest]
 #[case::granted_before_it_is_recorded(Bug::ClaimBeforeRecord)]
-#[case::what_was_recorded_is_not_read(Bug::ClaimsNotRead)]
+#[case::recorded_claims_not_read(Bug::ClaimsNotRead)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
-    is_caught(1_000, &steps(), |steps| run(&steps, Bugs::seeded(bug)));
+    assert_caught(1_000, &steps(), |steps| run(&steps, Bugs::seeded(bug)));
 }
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Some coordinators with a platform and links between them, in virtual time.
+//! Simulates a fleet of coordinators with a platform and links between them, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -10,38 +10,38 @@
 use crate::bugs::Bugs;
 use crate::hashing::jittered;
 use crate::{
-    CallId, CarriedOut, ChangeRefusal, ChangeTicket, CoordAction, CoordEvent, CoordMessage,
+    CallId, CallOutcome, ChangeRefusal, ChangeTicket, CoordAction, CoordEvent, CoordMessage,
     Coordinator, CoordinatorConfig, Holder, Incarnation, InstanceEntry, LeaseConfig,
-    MemoryPlatform, PlatformCall, PlatformResult, Role, Stored, WantedRole,
+    MemoryPlatform, PlatformCall, PlatformResult, Role, StoredObject, WantedRole,
 };
 
-/// How long a call to the platform or a message takes at the least.
+/// The minimum delay of a call to the platform or a message.
 const DELAY: Duration = Duration::from_millis(4);
 
-/// After how long a call without an answer counts as unknown.
+/// The time after which a call without an answer is reported as unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the program takes to hand a role over.
+/// The time that the program needs to hand a role over.
 const HANDOVER: Duration = Duration::from_millis(30);
 
-/// By how much the instance list lags.
+/// The lag of the instance list.
 const LIST_LAG: Duration = Duration::from_secs(3);
 
-/// An instance with what happened on it.
+/// A simulated instance and its state.
 pub(super) struct Node {
     pub(super) coordinator: Coordinator<Table, SetCell>,
     process: u64,
     pub(super) running: bool,
     paused: bool,
-    /// Its clock is ahead of the true time by this.
+    /// The offset of its clock from the simulation's time.
     clock_ahead: Duration,
     zone: &'static str,
-    waiting: Vec<Happening>,
+    waiting: Vec<FleetEvent>,
     pub(super) epochs: BTreeMap<Role, Epoch>,
     pub(super) in_force: Option<Table>,
     pub(super) left: bool,
-    woken_for: Option<Moment>,
-    /// Calls that have had no result yet; each gets one.
+    wakeup_at: Option<Moment>,
+    /// Calls that have no result yet; each receives exactly one.
     open_calls: BTreeSet<CallId>,
 }
 
@@ -51,74 +51,74 @@
         self.running && !self.paused
     }
 
-    /// Returns a number that no other process has.
+    /// Returns the unique number of this process.
     pub(super) const fn process(&self) -> u64 {
         self.process
     }
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
-    Carry(PlatformCall),
+enum FleetEvent {
+    CarryOut(PlatformCall),
     Reply(CallId, PlatformResult),
     Message(InstanceId, CoordMessage<SetCell>),
-    Watch(Stored),
+    Watch(StoredObject),
     List,
     Released(Role),
     Wake,
 }
 
 #[derive(Debug)]
-struct Due {
+struct ScheduledEvent {
     at: Moment,
-    order: u64,
+    sequence: u64,
     node: InstanceId,
     process: u64,
-    what: Happening,
+    what: FleetEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// What goes wrong on the way.
+/// Injected faults of the platform and the network.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Faults {
-    /// Instances that can't reach the platform.
+    /// Instances that cannot reach the platform.
     pub(super) cut_from_platform: BTreeSet<InstanceId>,
-    /// Pairs of instances that can't reach each other.
+    /// Pairs of instances that cannot reach each other.
     pub(super) cut_links: BTreeSet<(InstanceId, InstanceId)>,
-    /// Of 100 answers of the platform that many are lost after the call was carried out.
+    /// Percentage of the platform's answers that are lost after the call was carried out.
     pub(super) lost_answers: u64,
-    /// Of 100 calls that many are carried out a good deal later than they time out.
+    /// Percentage of calls that are carried out well after they have timed out.
     pub(super) late_calls: u64,
-    /// Of 100 messages that many are lost.
+    /// Percentage of messages that are lost.
     pub(super) lost_messages: u64,
-    /// Of 100 messages that many come twice.
+    /// Percentage of messages that are delivered twice.
     pub(super) doubled_messages: u64,
-    /// The longest further delay of messages, calls and watches, in milliseconds.
+    /// The maximum additional delay of messages, calls and watch events, in milliseconds.
     pub(super) slow_ms: u64,
-    /// Of 100 events of a watch that many never come.
+    /// Percentage of watch events that are lost.
     pub(super) missed_watches: u64,
 }
 
-/// Some coordinators with what is between them.
+/// A fleet of coordinators, with the platform and the network between them.
 pub(super) struct Fleet {
     pub(super) now: Moment,
     pub(super) platform: MemoryPlatform,
@@ -128,12 +128,12 @@
     pub(super) refused: BTreeMap<ChangeTicket, ChangeRefusal>,
     pub(super) messages: u64,
     wanted: Vec<WantedRole>,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    sequence: u64,
     draws: u64,
     seed: u64,
     processes: u64,
-    /// How long a lease lasts; all times that have to fit it are in proportion.
+    /// The duration of a lease; all related times are scaled with it.
     lease: Duration,
     bugs: Bugs,
 }
@@ -150,7 +150,7 @@
             messages: 0,
             wanted,
             queue: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             draws: 0,
             seed,
             processes: 0,
@@ -167,7 +167,7 @@
         self.bugs = bugs;
     }
 
-    /// Starts an instance, or starts it again after a crash.
+    /// Starts an instance, or restarts it after a crash.
     pub(super) fn start(&mut self, id: &str, zone: &'static str) {
         self.processes += 1;
         let process = self.processes;
@@ -197,12 +197,12 @@
             epochs: BTreeMap::new(),
             in_force: None,
             left: false,
-            woken_for: None,
+            wakeup_at: None,
             open_calls: BTreeSet::new(),
         };
         let id = InstanceId::new(id);
         self.nodes.insert(id.clone(), node);
-        self.list_changes();
+        self.schedule_list_updates();
         self.deliver(&id, CoordEvent::Tick);
     }
 
@@ -211,7 +211,7 @@
             node.running = false;
             node.epochs.clear();
         }
-        self.list_changes();
+        self.schedule_list_updates();
     }
 
     pub(super) fn pause(&mut self, id: &str) {
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Wakes a paused instance; what it was sent meanwhile arrives in the order of its sending.
+    /// Resumes a paused instance. What was sent to it meanwhile arrives in the order in which it
+    /// was sent.
     pub(super) fn resume(&mut self, id: &str) {
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -247,7 +248,7 @@
         self.deliver(&id.into(), CoordEvent::ProposeChange { ticket, change });
     }
 
-    /// Lets time pass, calling `check` after everything that happens.
+    /// Lets time pass and calls `check` after each event.
     pub(super) fn run_checked(&mut self, time: Duration, mut check: impl FnMut(&Self)) {
         let end = self.now + time;
         while let Some(Reverse(due)) = self.queue.peek() {
@@ -258,7 +259,7 @@
                 break;
             };
             self.now = self.now.max(due.at);
-            self.happen(due);
+            self.process_event(due);
             check(self);
         }
         self.now = end;
@@ -269,12 +270,12 @@
         self.run_checked(time, |_| {});
     }
 
-    /// Returns a node's own time.
+    /// Returns the time on a node's own clock.
     pub(super) fn clock_of(&self, node: &Node) -> Moment {
         self.now + node.clock_ahead
     }
 
-    /// Returns the nodes that run and are not paused, with their time.
+    /// Returns the nodes that run and are not paused, each with its own time.
     pub(super) fn awake(&self) -> impl Iterator<Item = (&InstanceId, &Node, Moment)> {
         self.nodes
             .iter()
@@ -297,26 +298,26 @@
         DELAY + Duration::from_millis(self.draw(4) + if slow > 0 { self.draw(slow) } else { 0 })
     }
 
-    fn schedule(&mut self, after: Duration, node: &InstanceId, process: u64, what: Happening) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+    fn schedule(&mut self, after: Duration, node: &InstanceId, process: u64, what: FleetEvent) {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent {
             at: self.now + after,
-            order: self.order,
+            sequence: self.sequence,
             node: node.clone(),
             process,
             what,
         }));
     }
 
-    fn list_changes(&mut self) {
+    fn schedule_list_updates(&mut self) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
             .map(|(id, node)| (id.clone(), node.process))
             .collect();
         for (id, process) in nodes {
-            let lag = jittered(LIST_LAG, self.seed, self.order);
-            self.schedule(lag, &id, process, Happening::List);
+            let lag = jittered(LIST_LAG, self.seed, self.sequence);
+            self.schedule(lag, &id, process, FleetEvent::List);
         }
     }
 
@@ -333,14 +334,14 @@
         entries.collect()
     }
 
-    fn happen(&mut self, due: Due) {
-        let Due {
+    fn process_event(&mut self, due: ScheduledEvent) {
+        let ScheduledEvent {
             node: id,
             process,
             what,
             ..
         } = due;
-        if let Happening::Carry(call) = what {
+        if let FleetEvent::CarryOut(call) = what {
             self.carry_out(&id, process, &call);
             return;
         }
@@ -354,41 +355,41 @@
             node.waiting.push(what);
             return;
         }
-        if let Happening::Reply(call, _) = &what
+        if let FleetEvent::Reply(call, _) = &what
             && !node.open_calls.remove(call)
         {
             return;
         }
         let event = match what {
-            Happening::Carry(_) => return,
-            Happening::Reply(call, result) => CoordEvent::PlatformReply { call, result },
-            Happening::Message(from, message) => CoordEvent::PeerMessage { from, message },
-            Happening::Watch(stored) => CoordEvent::ObjectSeen(stored),
-            Happening::List => CoordEvent::InstanceListChanged(self.instance_list()),
-            Happening::Released(role) => CoordEvent::RoleReleased(role),
-            Happening::Wake => {
-                node.woken_for = None;
+            FleetEvent::CarryOut(_) => return,
+            FleetEvent::Reply(call, result) => CoordEvent::PlatformReply { call, result },
+            FleetEvent::Message(from, message) => CoordEvent::PeerMessage { from, message },
+            FleetEvent::Watch(stored) => CoordEvent::ObjectSeen(stored),
+            FleetEvent::List => CoordEvent::InstanceListChanged(self.instance_list()),
+            FleetEvent::Released(role) => CoordEvent::RoleReleased(role),
+            FleetEvent::Wake => {
+                node.wakeup_at = None;
                 CoordEvent::Tick
             }
         };
         self.deliver(&id, event);
     }
 
-    /// Carries a call out at the platform, even if the caller has died since.
+    /// Carries out a call at the platform, even if the caller has crashed since.
     fn carry_out(&mut self, id: &InstanceId, process: u64, call: &PlatformCall) {
-        let CarriedOut { result, written } = self.platform.carry_out(&call.op);
+        let CallOutcome { result, written } = self.platform.carry_out(&call.op);
         if let Some(stored) = written {
-            self.tell_watchers(&stored);
+            self.notify_watchers(&stored);
         }
         let cut = self.faults.cut_from_platform.contains(id);
         let lost = self.faults.lost_answers;
         if !cut && !self.chance(lost) {
             let delay = self.delay();
-            self.schedule(delay, id, process, Happening::Reply(call.id, result));
+            self.schedule(delay, id, process, FleetEvent::Reply(call.id, result));
         }
     }
 
-    fn tell_watchers(&mut self, stored: &Stored) {
+    fn notify_watchers(&mut self, stored: &StoredObject) {
         let nodes: Vec<_> = self
             .nodes
             .iter()
@@ -400,7 +401,7 @@
                 continue;
             }
             let delay = self.delay();
-            self.schedule(delay, &id, process, Happening::Watch(stored.clone()));
+            self.schedule(delay, &id, process, FleetEvent::Watch(stored.clone()));
         }
     }
 
@@ -429,12 +430,12 @@
         };
         let now = self.now + node.clock_ahead;
         let at = at.max(now + Duration::from_millis(1));
-        if node.woken_for.is_some_and(|planned| planned <= at) {
+        if node.wakeup_at.is_some_and(|planned| planned <= at) {
             return;
         }
-        node.woken_for = Some(at);
+        node.wakeup_at = Some(at);
         let process = node.process;
-        self.schedule(at.since(now), id, process, Happening::Wake);
+        self.schedule(at.since(now), id, process, FleetEvent::Wake);
     }
 
     fn act(&mut self, id: &InstanceId, process: u64, action: CoordAction<Table, SetCell>) {
@@ -447,7 +448,7 @@
                 }
             }
             CoordAction::RoleEnding { role, .. } => {
-                self.schedule(HANDOVER, id, process, Happening::Released(role));
+                self.schedule(HANDOVER, id, process, FleetEvent::Released(role));
             }
             CoordAction::RoleLost { role } => {
                 if let Some(node) = self.nodes.get_mut(id) {
@@ -474,7 +475,7 @@
                     node.left = true;
                     node.running = false;
                 }
-                self.list_changes();
+                self.schedule_list_updates();
             }
             CoordAction::TakeoverComplete { .. }
             | CoordAction::HolderChanged { .. }
@@ -489,7 +490,7 @@
         if let Some(node) = self.nodes.get_mut(id) {
             node.open_calls.insert(call.id);
         }
-        let unknown = Happening::Reply(call.id, PlatformResult::Unknown);
+        let unknown = FleetEvent::Reply(call.id, PlatformResult::Unknown);
         self.schedule(CALL_TIMEOUT, id, process, unknown);
         if self.faults.cut_from_platform.contains(id) {
             return;
@@ -500,7 +501,7 @@
         } else {
             self.delay()
         };
-        self.schedule(delay, id, process, Happening::Carry(call));
+        self.schedule(delay, id, process, FleetEvent::CarryOut(call));
     }
 
     fn send(&mut self, from: &InstanceId, to: &InstanceId, message: &CoordMessage<SetCell>) {
@@ -520,7 +521,7 @@
         let copies = if self.chance(doubled) { 2 } else { 1 };
         for _ in 0..copies {
             let delay = self.delay();
-            let what = Happening::Message(from.clone(), message.clone());
+            let what = FleetEvent::Message(from.clone(), message.clone());
             self.schedule(delay, to, process, what);
         }
     }
--- a/crates/chervilshunt_coord/src/tests/promises.rs
+++ b/crates/chervilshunt_coord/src/tests/promises.rs
@@ -1,9 +1,9 @@
-//! Whatever goes wrong, in whatever order, the promises hold.
+//! The guarantees to callers and targets hold under any sequence of faults.
 //!
-//! A fleet of coordinators runs while instances crash, freeze, leave and come back, lose the
-//! platform, their peers or both, while answers and messages are lost, late and doubled, and while
-//! operators propose changes. After everything that happens it is checked what callers and targets
-//! rely on; at the end all is healed, and everybody has to be back at work.
+//! A fleet of coordinators runs while instances crash, freeze, leave and return, lose the platform,
+//! their peers or both, while answers and messages are lost, late and duplicated, and while
+//! operators propose changes. The guarantees are checked after every event. At the end all faults
+//! are removed, and every instance has to take work again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use rstest::rstest;
 
 use super::fleet::Fleet;
-use super::runs::{cases, holds, is_caught};
+use super::runs::{assert_caught, assert_holds, cases};
 use super::smoke::{ZONES, set_cell, some_roles};
 use super::table::Table;
 use crate::bugs::{Bug, Bugs};
@@ -22,10 +22,11 @@
 const INSTANCES: usize = 5;
 const ROLES: usize = 6;
 
-/// Within this time of its acceptance a revision is in force wherever work is taken.
+/// The time after its acceptance within which a revision must be in force on every instance that
+/// takes work.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
 
-/// Within this time after everything is healed all instances are back at work.
+/// The time after the end of all faults within which all instances must take work again.
 const RECOVERED_WITHIN: Duration = Duration::from_secs(120);
 
 #[derive(Clone, Debug)]
@@ -52,7 +53,7 @@
         lost: u64,
         doubled: u64,
     },
-    Pass(u64),
+    Wait(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -76,13 +77,13 @@
             }
         ),
         2 => (0..40_u64, 0..40_u64).prop_map(|(lost, doubled)| Step::DisturbMessages { lost, doubled }),
-        10 => prop_oneof![1..100_u64, 1..3_000_u64, 1..25_000_u64].prop_map(Step::Pass),
+        10 => prop_oneof![1..100_u64, 1..3_000_u64, 1..25_000_u64].prop_map(Step::Wait),
     ]
 }
 
-/// What has been seen so far, to compare with.
+/// The observations so far, to which later ones are compared.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     holders: BTreeMap<(Role, Epoch), (InstanceId, u64)>,
     /// When the head was first seen at each revision.
     revisions: BTreeMap<Revision, Moment>,
@@ -91,7 +92,7 @@
     violation: Option<String>,
 }
 
-impl Seen {
+impl Observations {
     fn check(&mut self, fleet: &Fleet) {
         let violation = self
             .check_orders(fleet)
@@ -101,7 +102,8 @@
         }
     }
 
-    /// No two instances may give orders under one role, and no epoch is used twice.
+    /// Checks that no two instances may order under one role and that no epoch is used by two
+    /// processes.
     fn check_orders(&mut self, fleet: &Fleet) -> Result<(), String> {
         let mut ordering: BTreeMap<&Role, &InstanceId> = BTreeMap::new();
         for (id, node, now) in fleet.awake() {
@@ -110,7 +112,9 @@
                     continue;
                 };
                 if let Some(other) = ordering.insert(role, id) {
-                    return Err(format!("{id} and {other} may both order under {role}"));
+                    return Err(format!(
+                        "{id} and {other} may both send orders under {role}"
+                    ));
                 }
                 let holder = (id.clone(), node.process());
                 let first = self.holders.entry((role.clone(), epoch));
@@ -125,8 +129,8 @@
         Ok(())
     }
 
-    /// A configuration never reverts, is the same everywhere, and once accepted is in force
-    /// wherever work is taken.
+    /// Checks that a configuration never reverts, is the same everywhere, and is in force on every
+    /// instance that takes work soon after its acceptance.
     fn check_configuration(&mut self, fleet: &Fleet) -> Result<(), String> {
         if let Some(Object::Head(head)) = fleet
             .platform
@@ -149,7 +153,7 @@
             let before = before.or_insert(table.revision);
             if table.revision < *before {
                 return Err(format!(
-                    "{id} went back from {before} to {}",
+                    "{id} reverted from revision {before} to {}",
                     table.revision
                 ));
             }
@@ -160,29 +164,33 @@
                 && node.coordinator.may_take_work(now)
             {
                 let own = table.revision;
-                return Err(format!("{id} takes work by {own} long after {revision}"));
+                return Err(format!(
+                    "{id} takes work under revision {own} too long after revision {revision}"
+                ));
             }
         }
         Ok(())
     }
 
-    /// After all is healed, everybody works by the same configuration, which holds just what was
-    /// accepted, and every role has a holder.
+    /// Checks that after the end of all faults all instances use the same configuration, that it
+    /// contains exactly the accepted changes, and that every role has a holder.
     fn check_end(&self, fleet: &Fleet) -> Result<(), String> {
         for (id, node, now) in fleet.awake() {
             if !node.coordinator.may_take_work(now) {
-                return Err(format!("{id} did not come back to work"));
+                return Err(format!("{id} takes no work after recovery"));
             }
             let Some(table) = &node.in_force else {
                 return Err(format!("{id} has no configuration"));
             };
             if self.revisions.keys().next_back() != Some(&table.revision) {
-                return Err(format!("{id} did not learn of the latest revision"));
+                return Err(format!("{id} does not have the latest revision"));
             }
             let own = |ticket: &&ChangeTicket| has_own_page(**ticket);
             for (ticket, refusal) in fleet.refused.iter().filter(|(ticket, _)| own(ticket)) {
                 if *refusal != ChangeRefusal::Unknown && table.cells.contains_key(&page(*ticket)) {
-                    return Err(format!("{ticket:?} came into force, though {refusal:?}"));
+                    return Err(format!(
+                        "{ticket:?} is in force although it was refused: {refusal:?}"
+                    ));
                 }
             }
             for ticket in fleet.accepted.keys().filter(own) {
@@ -205,8 +213,9 @@
 
 /// Returns the page that a change sets.
 ///
-/// Most have one of their own, so that it shows whether the change is in force. Every third sets a
-/// page that others set too, so that a configuration that reverts is a whole one.
+/// Most changes set a page of their own, which shows whether the change is in force. Every third
+/// sets a shared page, so that an older configuration can be loaded completely if a stale head is
+/// accepted.
 fn page(ticket: ChangeTicket) -> String {
     if has_own_page(ticket) {
         format!("page{}", ticket.0)
@@ -228,7 +237,7 @@
     (id(low).as_str().into(), id(high).as_str().into())
 }
 
-fn take(fleet: &mut Fleet, step: &Step, tickets: &mut u64, seen: &mut Seen) {
+fn apply(fleet: &mut Fleet, step: &Step, tickets: &mut u64, observed: &mut Observations) {
     match *step {
         Step::Crash(who) => fleet.crash(&id(who)),
         Step::Start(who) => {
@@ -286,8 +295,8 @@
             fleet.faults.lost_messages = lost;
             fleet.faults.doubled_messages = doubled;
         }
-        Step::Pass(millis) => {
-            fleet.run_checked(Duration::from_millis(millis), |fleet| seen.check(fleet));
+        Step::Wait(millis) => {
+            fleet.run_checked(Duration::from_millis(millis), |fleet| observed.check(fleet));
         }
     }
 }
@@ -295,26 +304,26 @@
 fn run(seed: u64, steps: &[Step], bugs: Bugs) -> Result<(), TestCaseError> {
     let mut fleet = Fleet::new(seed, some_roles(ROLES));
     fleet.seed_bugs(bugs);
-    let mut seen = Seen::default();
+    let mut observed = Observations::default();
     for who in 0..INSTANCES {
         fleet.start(&id(who), ZONES[who % 3]);
     }
-    fleet.run_checked(Duration::from_secs(15), |fleet| seen.check(fleet));
+    fleet.run_checked(Duration::from_secs(15), |fleet| observed.check(fleet));
     let mut tickets = 0;
     for step in steps {
-        take(&mut fleet, step, &mut tickets, &mut seen);
-        if let Some(violation) = seen.violation {
+        apply(&mut fleet, step, &mut tickets, &mut observed);
+        if let Some(violation) = observed.violation {
             return Err(TestCaseError::fail(violation));
         }
     }
     fleet.faults = super::fleet::Faults::default();
     for who in 0..INSTANCES {
         fleet.resume(&id(who));
-        take(&mut fleet, &Step::Start(who), &mut tickets, &mut seen);
+        apply(&mut fleet, &Step::Start(who), &mut tickets, &mut observed);
     }
-    fleet.run_checked(RECOVERED_WITHIN, |fleet| seen.check(fleet));
-    let end = seen.violation.take().map_or(Ok(()), Err);
-    end.and_then(|()| seen.check_end(&fleet))
+    fleet.run_checked(RECOVERED_WITHIN, |fleet| observed.check(fleet));
+    let end = observed.violation.take().map_or(Ok(()), Err);
+    end.and_then(|()| observed.check_end(&fleet))
         .map_err(TestCaseError::fail)
 }
 
@@ -323,20 +332,20 @@
 }
 
 #[test]
-fn the_promises_hold() {
-    holds(cases(60), &runs(), |(seed, steps)| {
+fn guarantees_hold_under_faults() {
+    assert_holds(cases(60), &runs(), |(seed, steps)| {
         run(seed, &steps, Bugs::NONE)
     });
 }
 
 #[rstest]
-#[case::lease_not_looked_at_before_an_order(Bug::LeaseNotChecked)]
+#[case::lease_not_checked_before_an_order(Bug::LeaseNotChecked)]
 #[case::lapse_not_marked(Bug::LapseNotMarked)]
 #[case::epoch_not_raised(Bug::EpochNotRaised)]
 #[case::head_moved_before_acknowledgements(Bug::HeadMovedBeforeAcks)]
 #[case::stale_head_accepted(Bug::StaleHeadAccepted)]
 fn a_seeded_bug_is_caught(#[case] bug: Bug) {
-    is_caught(cases(600), &runs(), |(seed, steps)| {
+    assert_caught(cases(600), &runs(), |(seed, steps)| {
         run(seed, &steps, Bugs::seeded(bug))
     });
 }
--- a/crates/chervilshunt_coord/src/tests/table.rs
+++ b/crates/chervilshunt_coord/src/tests/table.rs
@@ -1,20 +1,20 @@
-//! A small configuration for tests: numbers by page.
+//! A small configuration for tests: a number for each page.
 
 use std::collections::BTreeMap;
 
 use chervilshunt_model::{ChangeId, Revision};
 use serde::{Deserialize, Serialize};
 
-use crate::{Applied, ConfigModel, PageKey};
+use crate::{AppliedChange, ConfigModel, PageKey};
 
-/// Numbers by page.
+/// A number for each page.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct Table {
     pub(super) revision: Revision,
     pub(super) cells: BTreeMap<String, u64>,
 }
 
-/// Sets one number.
+/// A change that sets one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(super) struct SetCell {
     pub(super) id: ChangeId,
@@ -41,7 +41,7 @@
     }
 }
 
-fn set_cell(table: &Table, change: &SetCell) -> Result<Applied<Table>, String> {
+fn set_cell(table: &Table, change: &SetCell) -> Result<AppliedChange<Table>, String> {
     let mut next = table.clone();
     next.revision = table.revision.next();
     next.cells.insert(change.page.clone(), change.value);
@@ -52,7 +52,7 @@
     let mut next = table.clone();
     let value = body
         .parse()
-        .map_err(|_error| format!("{body} is no number"))?;
+        .map_err(|_error| format!("{body} is not a number"))?;
     next.cells.insert(key.as_str().to_owned(), value);
     Ok(next)
 }
--- a/crates/chervilshunt_coord/tests/examples.rs
+++ b/crates/chervilshunt_coord/tests/examples.rs
@@ -1,6 +1,7 @@
-//! The examples run and tell the same story each time.
+//! Runs the examples and compares their output with snapshots.
 //!
-//! Each checks its own invariants while it runs, so that a run that ends without a panic held them.
+//! Each example checks its own invariants while it runs, so a run that ends without a panic has met
+//! them.
 
 #![expect(
     clippy::duplicate_mod,
@@ -23,6 +24,6 @@
 #[case::lease("lease", lease::run)]
 #[case::roles("roles", roles::run)]
 #[case::configuration("configuration", configuration::run)]
-fn an_example_tells_its_story(#[case] name: &str, #[case] run: fn() -> String) {
+fn example_output_matches_its_snapshot(#[case] name: &str, #[case] run: fn() -> String) {
     insta::assert_snapshot!(name, run());
 }
