--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Puts the machines together for a daemon.
+//! Combines the lease, membership, role and configuration state machines for one process.
 
 mod drive;
 mod electors;
@@ -36,41 +36,41 @@
 const PROPOSER: u32 = 5;
 const ELECTORS: u32 = 6;
 
-/// What a coordinator has to know at the start.
+/// Configuration of a [`Coordinator`].
 #[derive(Clone, Debug)]
 pub struct CoordinatorConfig<S, C> {
-    /// This run of this instance; the incarnation has to be drawn at random.
+    /// This run of this instance. The incarnation must be drawn at random.
     pub me: Holder,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneName,
-    /// Its region.
+    /// The region of this instance.
     pub region: RegionName,
-    /// Where it listens for peers.
+    /// The address on which this instance listens for peers.
     pub peer_address: SocketAddr,
-    /// Where it listens for operators.
+    /// The address on which this instance listens for operators.
     pub operators_address: SocketAddr,
-    /// How the configuration is changed and cut into pages.
+    /// How changes apply to the configuration and how it is split into pages.
     pub model: ConfigModel<S, C>,
-    /// How the own lease is kept.
+    /// How this run renews its own lease.
     pub lease: LeaseConfig,
-    /// How the leases of others are watched.
+    /// How the leases of other runs are watched.
     pub observer: ObserverConfig,
     /// How roles are assigned.
     pub roles: RoleConfig,
-    /// How the configuration is followed.
+    /// How this instance follows changes of the configuration.
     pub follower: FollowerConfig,
-    /// How changes are brought through.
+    /// How this instance proposes changes of the configuration.
     pub proposer: ProposerConfig,
-    /// How electors give their word.
+    /// How this instance answers as an elector.
     pub elector: ElectorConfig,
-    /// How the lease is extended while the platform fails.
+    /// How the lease is extended while the platform is unreachable.
     pub hold: HoldConfig,
-    /// How many instances watch each lease.
+    /// The number of instances that watch each lease.
     pub watchers: usize,
 }
 
 impl<S, C> CoordinatorConfig<S, C> {
-    /// Takes the defaults for all that need not be said.
+    /// Creates a configuration with defaults for everything but the arguments.
     pub fn new(
         me: Holder,
         zone: ZoneName,
@@ -116,13 +116,13 @@
     }
 }
 
-/// Membership, roles and configuration of one run of an instance.
+/// Manages membership, roles and configuration for one run of an instance.
 ///
-/// It starts with the first [`CoordEvent::Tick`]. Every [`CoordAction::Platform`] has to be
-/// answered by exactly one [`CoordEvent::PlatformReply`], and `Tick` is wanted at
-/// [`Self::next_wakeup`]. Before each order under a role, and before new work is taken, ask
-/// [`Self::may_order`] and [`Self::may_take_work`] with the time of that moment: a process that was
-/// paused must not go on by what it was told before.
+/// The coordinator starts with the first [`CoordEvent::Tick`]. The driver must answer every
+/// [`CoordAction::Platform`] with exactly one [`CoordEvent::PlatformReply`], and must deliver a
+/// `Tick` at [`Self::next_wakeup`]. Call [`Self::may_order`] right before each order under a role
+/// and [`Self::may_take_work`] right before taking new work, both with the current time: after a
+/// pause of the process, earlier answers and actions may be out of date.
 #[derive(Debug)]
 pub struct Coordinator<S, C> {
     cfg: CoordinatorConfig<S, C>,
@@ -138,19 +138,21 @@
     holding: bool,
     vouching: Vouching,
     upkeep: Upkeep,
-    /// Since when the instance list has been followed, and no longer shows an instance.
+    /// The time of the first instance list. `gone_since` holds when each instance disappeared from
+    /// the list.
     list_since: Option<Moment>,
     gone_since: BTreeMap<InstanceId, Moment>,
     list: BTreeMap<InstanceId, InstanceEntry>,
     lost_peers: BTreeSet<InstanceId>,
     suspects: BTreeSet<InstanceId>,
-    /// Leases that a proposer found not to answer; watched whoever's turn it is.
+    /// Leases of instances that did not acknowledge a proposed change. They are watched even if
+    /// [`watched_by`](crate::membership::watched_by) assigns them to other instances.
     extra_watches: BTreeSet<Holder>,
     ended: BTreeSet<Holder>,
     view: PeerView,
-    /// Whether it has to be found out anew which leases are to be watched.
+    /// Whether the set of leases to watch must be recomputed.
     rewatch: bool,
-    /// Whether the view has to be put together anew.
+    /// Whether the view of the peers must be recomputed.
     review: bool,
     takes_work: bool,
     shutting_down: bool,
@@ -160,7 +162,7 @@
 }
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
-    /// Starts a coordinator; nothing is asked before the first [`CoordEvent::Tick`].
+    /// Creates a coordinator. It makes no calls before the first [`CoordEvent::Tick`].
     pub fn new(cfg: CoordinatorConfig<S, C>, now: Moment) -> Self {
         let me = cfg.me.clone();
         let nonce = me.incarnation.get();
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Seeds a bug into all machines.
+    /// Seeds a bug into all state machines.
     #[cfg(test)]
     pub(crate) fn seed(&mut self, bugs: Bugs) {
         self.bugs = bugs;
@@ -215,16 +217,19 @@
         self.hold.seed(bugs);
     }
 
-    /// Returns this run of this instance; it changes when the lease was lost and is begun anew.
+    /// Returns this run of this instance. It changes when the lease is lost and the instance
+    /// rejoins.
     pub const fn me(&self) -> &Holder {
         &self.cfg.me
     }
 
-    /// Returns the epoch for an order under `role`, if one may be given right now.
+    /// Returns the epoch to send with an order under `role`, or `None` if no order may be given at
+    /// `now`.
     pub fn may_order(&self, role: &Role, now: Moment) -> Option<Epoch> {
         let by_lease = self.lease.is_valid(now) || self.bugs.has(Bug::LeaseNotChecked);
-        // An extended lease is as good as the lease by all that is known, but for whom nothing else
-        // protects it has to be the lease.
+        // An extension by the electors is as safe as the lease as far as this process can know.
+        // Targets that don't check fencing tokens have no other protection, so for them only the
+        // lease itself counts.
         let by_hold = self.is_held(now) && self.roles.is_fenced(role);
         if !by_lease && !by_hold {
             return None;
@@ -232,14 +237,16 @@
         self.roles.may_order(role, now)
     }
 
-    /// Returns whether `role` is this run's under `epoch`, whether or not an order may be given now.
+    /// Returns whether this run holds `role` under `epoch`, whether or not it may give orders at
+    /// the moment.
     pub fn holds(&self, role: &Role, epoch: Epoch) -> bool {
         self.roles
             .entry(role)
             .is_some_and(|entry| entry.holder == self.cfg.me && entry.epoch == epoch)
     }
 
-    /// Returns whether the lease, or its extension while the platform fails, counts now.
+    /// Returns whether the lease, or its extension while the platform is unreachable, is valid at
+    /// `now`.
     pub fn is_valid(&self, now: Moment) -> bool {
         self.lease.is_valid(now) || self.is_held(now)
     }
@@ -248,7 +255,7 @@
         self.lease_state.is_some() && now < self.hold.valid_until()
     }
 
-    /// Returns whether new work may be taken right now.
+    /// Returns whether new work may be taken at `now`.
     pub fn may_take_work(&self, now: Moment) -> bool {
         self.is_valid(now)
             && self.lease_state == Some(LeaseState::Active)
@@ -256,10 +263,12 @@
             && self.follower.may_take_work(now)
     }
 
-    /// Returns until when new work may be taken unless something is learnt before, if it may be now.
+    /// Returns until when new work may be taken if no further event arrives, or `None` if none may
+    /// be taken at `now`.
     ///
-    /// For threads that take work without asking the coordinator: what they were told may be older
-    /// than they know, when the whole process was paused meanwhile.
+    /// For threads that take work without asking the coordinator. After a pause of the whole
+    /// process the last [`CoordAction::TakeWork`] may be out of date, so they also compare the
+    /// clock with this time.
     pub fn takes_work_until(&self, now: Moment) -> Option<Moment> {
         if !self.may_take_work(now) {
             return None;
@@ -272,12 +281,12 @@
         )
     }
 
-    /// Returns the configuration in force here, if one is loaded.
+    /// Returns the configuration that is in force on this instance, if one is loaded.
     pub const fn in_force(&self) -> Option<&InForce<S>> {
         self.follower.in_force()
     }
 
-    /// Returns the latest head that was seen.
+    /// Returns the latest head that was observed.
     pub fn head(&self) -> Option<&HeadRecord> {
         self.follower.head()
     }
@@ -287,22 +296,22 @@
         self.roles.entries()
     }
 
-    /// Returns the entry of a role.
+    /// Returns the entry of `role`, if it has one.
     pub fn role_entry(&self, role: &Role) -> Option<&RoleEntry> {
         self.roles.entry(role)
     }
 
-    /// Returns the instances that are known.
+    /// Returns the view of the known instances.
     pub const fn view(&self) -> &PeerView {
         &self.view
     }
 
-    /// Returns whether changes are on their way from here.
+    /// Returns whether changes proposed through this instance are in progress.
     pub fn is_proposing(&self) -> bool {
         !self.proposer.is_idle()
     }
 
-    /// Returns when [`CoordEvent::Tick`] is next wanted.
+    /// Returns when the next [`CoordEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let valid_until = self.lease.valid_until().max(self.hold.valid_until());
         let takes_work_until = self.takes_work.then_some(valid_until);
@@ -322,7 +331,7 @@
         .min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: CoordEvent<C>, now: Moment) -> Vec<CoordAction<S, C>> {
         let mut actions = Vec::new();
         match event {
@@ -403,7 +412,7 @@
         }
     }
 
-    /// Takes what a watch showed.
+    /// Handles an object reported by a watch.
     fn on_seen(&mut self, stored: Stored, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         match stored.object {
             Object::Assignment(record) => {
@@ -443,7 +452,7 @@
         self.drive_lease(LeaseEvent::SetState(LeaseState::Leaving), now, actions);
     }
 
-    /// Draws the conclusions that concern several machines.
+    /// Applies the consequences of an event that involve several state machines.
     fn conclude(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let joining = self.lease.record().state == LeaseState::Joining;
         if joining && self.lease.is_valid(now) && self.follower.is_settled() && !self.shutting_down
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -1,4 +1,4 @@
-//! Hands events to the machines and passes on what they want.
+//! Passes events to the state machines and carries out their actions.
 
 use chervilshunt_model::{InstanceId, Moment};
 
@@ -49,7 +49,7 @@
         self.drive_roles(RoleEvent::MayHold(may_hold), now, actions);
     }
 
-    /// Joins again under a new incarnation, as the lease of this one was given away.
+    /// Joins again under a new incarnation after the lease of the current one was lost.
     fn begin_anew(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let me = self.cfg.me.instance.clone();
         let reason = "the lease was found lapsed";
@@ -64,7 +64,7 @@
         self.follower.begin_anew(self.cfg.me.clone());
         self.proposer.begin_anew(self.cfg.me.clone());
         if self.shutting_down {
-            // Nothing is left to give away, and nobody waits for this run.
+            // The roles went with the lease, so there is nothing to hand over before the exit.
             actions.push(CoordAction::Left);
             return;
         }
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Sends a message, or handles it at once if it is for this instance.
+    /// Sends a message, or handles it directly if it is addressed to this instance.
     fn send_config(
         &mut self,
         to: InstanceId,
@@ -295,7 +295,7 @@
         actions.push(CoordAction::Send { to, message });
     }
 
-    /// Sends a question to a few instances.
+    /// Sends a question to the next few instances in the order of their ids.
     fn ask_around(&self, message: &ConfigMessage<C>, actions: &mut Vec<CoordAction<S, C>>) {
         let me = &self.cfg.me.instance;
         let after_me = self.view.peers.range(me.clone()..);
@@ -312,7 +312,7 @@
     }
 }
 
-/// How many instances are asked for a decision beside the proposer.
+/// The number of instances that are asked for a decision in addition to the proposer.
 const ASKED_AROUND: usize = 3;
 
 pub(super) fn log<S, C>(
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -1,4 +1,4 @@
-//! Replaces electors that are gone.
+//! Replaces electors that have left and adds missing ones.
 
 use std::time::Duration;
 
@@ -13,33 +13,36 @@
 use crate::outage::choose_electors;
 use crate::platform::{CallId, Calls, Object, PlatformOp, PlatformResult, Purpose};
 
-/// How long an elector must have been gone before it is replaced.
+/// How long an elector must be absent before it is replaced.
 ///
-/// The instance list lags, and differently for each instance: without the wait, two that see
-/// different lists would undo each other's choice until all see the same. Electors that are only
-/// lacking are added without the wait: a fleet that has just begun has one, and as long as that
-/// one alone can vouch, nobody can take over from it.
+/// The instance list lags by a different amount on each instance. Without the delay, two instances
+/// with different lists would undo each other's choice until the lists agree. Missing electors are
+/// added without the delay: a new fleet has a single elector, and while that one alone can vouch,
+/// nobody can take over from it.
 const SETTLE: Duration = Duration::from_secs(10);
 
-/// With fewer electors than this, none may fail.
+/// Below this number of electors, a majority needs all of them, so the failure of any one blocks
+/// takeovers and extensions.
 ///
-/// A lease that names them, as all do in a fleet that has just begun, is renewed at once when there
-/// are more; else it is left to the next renewals, as the whole fleet learns of it at once.
+/// A lease that names fewer, as all leases of a new fleet do, is renewed at once when the
+/// electorate changes. All others name the new electorate with their next regular renewal: the
+/// whole fleet observes the change at the same time, and would otherwise renew all leases in one
+/// burst.
 const FEW_ELECTORS: usize = 3;
 
-/// How long an instance waits for each that comes before it to write the electors.
+/// How long an instance waits per instance ranked before it, before it writes the electors itself.
 const TURN: Duration = Duration::from_millis(500);
 
-/// The most turns that are told apart.
+/// The largest rank used for the delay; all instances ranked later wait equally long.
 const MOST_TURNS: usize = 20;
 
-/// The writing of the electors.
+/// State of the updates of the electors in the head.
 #[derive(Debug)]
 pub(super) struct Upkeep {
     calls: Calls,
     wanted: Option<(Vec<Elector>, Moment)>,
     writing: Option<(CallId, Box<HeadRecord>)>,
-    /// The head's generation when it was last looked whether the electors are right.
+    /// The generation of the head at the last check of the electors.
     checked: Option<u64>,
 }
 
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Makes the electors be looked at again.
+    /// Forces the electors to be checked again.
     pub(super) const fn recheck(&mut self) {
         self.checked = None;
     }
@@ -65,7 +68,8 @@
 }
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
-    /// Writes other electors into the head if some are gone or lacking and nobody else does.
+    /// Writes a new set of electors into the head if some are gone or missing and no other instance
+    /// has done so.
     pub(super) fn keep_up_electors(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let Some((head, version)) = self.follower.stored_head() else {
             return;
--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -1,5 +1,5 @@
-//! Extends the own lease while the platform fails, and makes sure that others' are not extended
-//! before they are marked lapsed.
+//! Extends this run's lease while the platform is unreachable, and ensures that the leases of
+//! others are marked lapsed only if the electors have not extended them.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,8 @@
 use crate::outage::{HoldAction, HoldMessage, VouchAction};
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
-    /// Returns the electors that the own lease names, by the last renewal known to be carried out.
+    /// Returns the electors that the lease names according to the last renewal known to have been
+    /// carried out.
     fn own_electorate(&self) -> Option<&Electorate> {
         self.follower
             .head()?
@@ -59,7 +60,8 @@
         log(actions, DecisionKind::HoldChanged, None, None, reason);
     }
 
-    /// Returns the instances that ask the electors for this one, in their order.
+    /// Returns the instances that may ask the electors on behalf of this one, in order of
+    /// preference. The result is empty if this instance must ask the electors itself.
     fn relays(&self, electorate: &Electorate) -> Vec<InstanceId> {
         let instances = self.instances();
         let me = &self.cfg.me.instance;
@@ -80,7 +82,10 @@
         in_zone
     }
 
-    /// Decides what becomes of a lease that has stayed unchanged for its full time.
+    /// Handles a lease that has stayed unchanged for its full duration.
+    ///
+    /// The lease is marked lapsed at once if its holder cannot have had it extended; in other
+    /// cases, once a majority of its electors has vouched.
     pub(super) fn on_expired(
         &mut self,
         holder: Holder,
@@ -96,8 +101,8 @@
         let is_predecessor =
             holder.instance == self.cfg.me.instance && lease.peer_address == self.cfg.peer_address;
         if is_predecessor {
-            // Answers of electors go to the address at which this process listens now, so they
-            // can't have reached the one before it.
+            // Answers from electors go to the address on which this process now listens, so they
+            // cannot have reached its predecessor.
             return self.drive_observer(ObserverEvent::Mark(holder), now, actions);
         }
         let versions = BTreeSet::from([lease.electorate, lease.electorate_before]);
@@ -106,7 +111,7 @@
             .filter(|version| *version > 0)
             .collect();
         if named.is_empty() {
-            // It has never known electors, so nobody can have extended its lease.
+            // The holder has never named electors, so nobody can have extended its lease.
             return self.drive_observer(ObserverEvent::Mark(holder), now, actions);
         }
         let head = self.follower.head();
@@ -119,8 +124,8 @@
         }
     }
 
-    /// Returns whether the platform's list has ceased to show an instance for so long that
-    /// whatever it promised has run out.
+    /// Returns whether an instance has been missing from the platform's list for so long that every
+    /// promise it made has expired.
     fn is_dead(&self, instance: &InstanceId, now: Moment) -> bool {
         if self.list.contains_key(instance) {
             return false;
@@ -218,7 +223,8 @@
     }
 }
 
-/// How many instances of a zone ask the electors for the others, one after the other's failure.
+/// The number of instances per zone that ask the electors on behalf of the others. The second is
+/// asked if the first does not answer; if neither does, an instance asks the electors itself.
 const RELAYS: usize = 2;
 
 fn millis(duration: std::time::Duration) -> u64 {
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -1,4 +1,4 @@
-//! What a coordinator reacts to, wants done, and says to others.
+//! Events, actions and messages of a coordinator.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::platform::{CallId, PlatformCall, PlatformResult, Stored};
 use crate::roles::{AssignmentShard, Role, WantedRole};
 
-/// What a coordinator has to react to.
+/// An input of a [`Coordinator`](super::Coordinator).
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordEvent<C> {
     /// A call to the platform has ended.
@@ -22,104 +22,105 @@
         /// How it ended.
         result: PlatformResult,
     },
-    /// A watch showed the head or an assignment; it may be stale.
+    /// A watch reported the head or an assignment, which may be stale.
     ObjectSeen(Stored),
-    /// The platform's instance list, whole.
+    /// The platform's complete instance list.
     InstanceListChanged(Vec<InstanceEntry>),
-    /// Another instance said something.
+    /// A message from another instance arrived.
     PeerMessage {
-        /// Who.
+        /// The sender.
         from: InstanceId,
-        /// What.
+        /// The message.
         message: CoordMessage<C>,
     },
-    /// The connection to another instance broke and can't be made again.
+    /// The connection to another instance broke and cannot be re-established.
     PeerLost(InstanceId),
-    /// An instance whose connection was lost has sent something again.
+    /// An instance whose connection was lost is sending again.
     PeerHeard(InstanceId),
-    /// These roles need holders by the configuration of this revision.
+    /// The configuration at this revision requires these roles.
     RolesWanted {
-        /// The revision.
+        /// The revision of the configuration.
         revision: Revision,
-        /// All roles.
+        /// All roles that need a holder.
         roles: Vec<WantedRole>,
     },
-    /// An operator wants a change of configuration.
+    /// An operator requests a change of the configuration.
     ProposeChange {
-        /// Under which number the outcome comes back.
+        /// The number under which the outcome is reported.
         ticket: ChangeTicket,
         /// The change.
         change: C,
     },
-    /// The program has handed the role over: it gives no order under it any more, none is on its
-    /// way, and whoever is next knows what it has to.
+    /// The program has finished handing over the role: it gives no more orders under it, none is in
+    /// flight, and the next holder has all the state that it needs.
     RoleReleased(Role),
-    /// An instance has listed the permits that it holds for a role taken over.
+    /// An instance has reported the permits that it holds for a role that was taken over.
     PermitsAnswered {
         /// The role.
         role: Role,
         /// The instance.
         instance: InstanceId,
     },
-    /// The process is to shut down.
+    /// The process is asked to shut down.
     ShutdownRequested,
-    /// The process that shuts down has finished its last request.
+    /// The process that is shutting down has finished its last request.
     Drained,
-    /// Time has passed.
+    /// Time has passed; due at [`Coordinator::next_wakeup`](super::Coordinator::next_wakeup).
     Tick,
 }
 
-/// What a coordinator wants done.
+/// An output of a [`Coordinator`](super::Coordinator).
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordAction<S, C> {
     /// Call the platform.
     Platform(PlatformCall),
     /// Send a message to another instance.
     Send {
-        /// To whom.
+        /// The receiver.
         to: InstanceId,
-        /// What.
+        /// The message.
         message: CoordMessage<C>,
     },
     /// This run holds the role from now on.
     RoleGained {
         /// The role.
         role: Role,
-        /// The fencing number for its orders.
+        /// The fencing token for orders under the role.
         epoch: Epoch,
         /// The instance that held it before.
         previous: Option<InstanceId>,
-        /// Whether that one handed it over itself.
+        /// Whether the previous holder handed it over, as opposed to losing it.
         handed_over: bool,
-        /// Whom to ask for the permits that they hold; each answer is to be told by
+        /// The instances to ask for the permits that they hold. Each answer must be reported with
         /// [`CoordEvent::PermitsAnswered`].
         ask: Vec<InstanceId>,
     },
-    /// This run is to hand the role over, and to say so with [`CoordEvent::RoleReleased`].
+    /// This run must hand over the role and confirm with [`CoordEvent::RoleReleased`].
     RoleEnding {
         /// The role.
         role: Role,
-        /// To whom, if anybody.
+        /// The next holder, if there is one.
         to: Option<InstanceId>,
     },
-    /// This run holds the role no longer.
+    /// This run no longer holds the role.
     RoleLost {
         /// The role.
         role: Role,
     },
-    /// All that could hold permits of a role taken over have listed them or are gone.
+    /// All instances that could hold permits of a role that was taken over have reported them or
+    /// are gone.
     TakeoverComplete {
         /// The role.
         role: Role,
     },
-    /// The role has another holder, or none.
+    /// The role has a different holder, or none.
     HolderChanged {
         /// The role.
         role: Role,
-        /// Its holder with the epoch.
+        /// Its holder and epoch.
         holder: Option<(InstanceId, Epoch)>,
     },
-    /// The instances that are known have changed.
+    /// The view of the known instances has changed.
     PeersChanged(PeerView),
     /// This configuration is in force from now on.
     ConfigInForce {
@@ -128,90 +129,91 @@
         /// The configuration.
         state: Arc<S>,
     },
-    /// A proposed change is accepted.
+    /// A proposed change was accepted.
     ChangeAccepted {
-        /// The number of the proposal.
+        /// The ticket of the proposal.
         ticket: ChangeTicket,
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: Revision,
     },
-    /// A proposed change is not accepted, or that isn't known; see [`ChangeRefusal::is_unknown`].
+    /// A proposed change was not accepted, or its outcome is unknown; see
+    /// [`ChangeRefusal::is_unknown`].
     ChangeRefused {
-        /// The number of the proposal.
+        /// The ticket of the proposal.
         ticket: ChangeTicket,
-        /// Why.
+        /// The reason.
         refusal: ChangeRefusal,
-        /// When it may be tried again.
+        /// How long to wait before trying again, if that can help.
         retry_after: Option<Duration>,
     },
     /// Whether this instance may take new work from now on.
     TakeWork(bool),
-    /// This run that shuts down holds no role any more.
+    /// This run is shutting down and no longer holds any role.
     RolesGivenAway,
-    /// This run has left: the process may exit.
+    /// This run has left the fleet; the process may exit.
     Left,
-    /// A decision for the log.
+    /// A decision to be logged.
     Log(CoordDecision),
 }
 
-/// What coordinators say to each other.
+/// A message between coordinators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CoordMessage<C> {
-    /// About a change of configuration.
+    /// Concerns a change of the configuration.
     #[serde(rename = "c")]
     Config(ConfigMessage<C>),
-    /// About the platform's failure.
+    /// Concerns leases while the platform is unreachable.
     #[serde(rename = "h")]
     Hold(HoldMessage),
     /// An assignment that concerns the receiver was written.
     #[serde(rename = "r")]
     Assigned {
-        /// The assignment.
+        /// The shard of the assignment.
         shard: AssignmentShard,
         /// Its generation.
         generation: u64,
     },
 }
 
-/// A decision with its reason.
+/// A decision with its reason, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CoordDecision {
-    /// What was decided.
+    /// The kind of decision.
     pub kind: DecisionKind,
-    /// The role that it concerns.
+    /// The role that the decision concerns.
     pub role: Option<Role>,
-    /// The instance that it concerns.
+    /// The instance that the decision concerns.
     pub instance: Option<InstanceId>,
-    /// Why, as a short fixed text.
+    /// The reason, as a short fixed text.
     pub reason: &'static str,
 }
 
-/// What was decided.
+/// The kind of a [`CoordDecision`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
-    /// The lease exists.
+    /// The lease of this run was created.
     LeaseCreated,
-    /// The lease was lost; the run begins anew.
+    /// The lease of this run was lost; the instance rejoins under a new incarnation.
     LeaseLost,
-    /// The lease is extended by promises of the electors, or no longer.
+    /// The lease is now extended by promises of the electors, or no longer is.
     HoldChanged,
-    /// Other electors were chosen.
+    /// A new set of electors was chosen.
     ElectorsChanged,
-    /// The lease of another was found to have run out.
+    /// The lease of another run was found expired.
     LeaseExpired,
-    /// The lease of another has ended.
+    /// The lease of another run has ended.
     LeaseEnded,
     /// A role was gained.
     RoleGained,
-    /// A role is to be handed over.
+    /// A role is being handed over.
     RoleEnding,
     /// A role was lost.
     RoleLost,
-    /// A change of configuration was accepted.
+    /// A change of the configuration was accepted.
     ChangeAccepted,
-    /// A change of configuration was refused.
+    /// A change of the configuration was refused.
     ChangeRefused,
-    /// A live instance did not acknowledge a change.
+    /// A live instance did not acknowledge a change in time.
     InstanceSilent,
 }
--- a/crates/chervilshunt_coord/src/coordinator/watch.rs
+++ b/crates/chervilshunt_coord/src/coordinator/watch.rs
@@ -1,4 +1,4 @@
-//! Which leases are watched, and what is known of the instances.
+//! Selects the leases to watch and maintains the view of the instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,7 +44,7 @@
         self.drive_roles(RoleEvent::Instances(instances), now, actions);
     }
 
-    /// Returns the instances that are believed to be live.
+    /// Returns the instances that are believed to be live, including this one.
     pub(super) fn instances(&self) -> BTreeMap<InstanceId, ZoneName> {
         let listed = self.list.values().filter(|entry| !entry.terminating);
         let mut instances: BTreeMap<_, _> = listed
@@ -54,7 +54,8 @@
         instances
     }
 
-    /// Watches the leases of the holders whose turn falls on this instance.
+    /// Watches the leases of the holders that are assigned to this instance, and of earlier runs of
+    /// this instance.
     pub(super) fn update_watches(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         if !std::mem::take(&mut self.rewatch) {
             return;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Tells of the instances that are known, if that has changed.
+    /// Recomputes the view of the instances and reports it if it has changed.
     pub(super) fn update_view(&mut self, actions: &mut Vec<CoordAction<S, C>>) {
         if !std::mem::take(&mut self.review) {
             return;
