--- a/crates/chervilshunt_coord/src/holder.rs
+++ b/crates/chervilshunt_coord/src/holder.rs
@@ -1,4 +1,4 @@
-//! Who holds a lease or a role: one run of one instance.
+//! Identifies the holder of a lease or a role: one run of one instance.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Separates instance and incarnation in the text form of a holder.
+/// Separates the instance from the incarnation in the text form of a [`Holder`].
 const INCARNATION_SEPARATOR: char = '.';
 
-/// Tells the runs of one instance apart.
+/// Distinguishes the runs of one instance.
 ///
-/// It is drawn at random when a process starts. A restarted process has the id of the one before
-/// it but none of its memory, so it may not act on what that one held.
+/// It is drawn at random when a process starts. A restarted process has the instance id of its
+/// predecessor but not its memory, so it must not act on what its predecessor held.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,7 +21,7 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Wraps a number drawn at random.
+    /// Wraps a randomly drawn number.
     pub const fn new(nonce: u64) -> Self {
         Self(nonce)
     }
@@ -31,7 +31,7 @@
         self.0
     }
 
-    /// Returns the incarnation under which this process joins again after its lease was lost.
+    /// Returns the incarnation under which this process rejoins after losing its lease.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.wrapping_add(1))
@@ -40,19 +40,19 @@
 
 /// One run of one instance, the unit that holds leases and roles.
 ///
-/// Its text form, `INSTANCE.INCARNATION` with the incarnation in hexadecimal, is also the name of
-/// its Lease object.
+/// Its text form is `INSTANCE.INCARNATION` with the incarnation in hexadecimal, and also names its
+/// Lease object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Holder {
     /// The instance.
     pub instance: InstanceId,
-    /// The run of the instance.
+    /// The incarnation, which identifies the run of the instance.
     pub incarnation: Incarnation,
 }
 
 impl Holder {
-    /// Joins an instance and one of its runs.
+    /// Creates a holder from an instance and the incarnation of one of its runs.
     pub fn new(instance: impl Into<InstanceId>, incarnation: Incarnation) -> Self {
         Self {
             instance: instance.into(),
@@ -97,17 +97,17 @@
     }
 }
 
-/// Why a text is no `INSTANCE.INCARNATION`.
+/// The error for a text that is not of the form `INSTANCE.INCARNATION`.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum HolderError {
     /// The text has no separator.
     #[snafu(display("a holder must be written as INSTANCE.INCARNATION"))]
     NoIncarnation,
-    /// The incarnation is no hexadecimal number.
+    /// The incarnation is not a hexadecimal number.
     #[snafu(display("the incarnation of a holder must be a hexadecimal number: {source}"))]
     BadIncarnation {
-        /// What the number parser said.
+        /// The error of the number parser.
         source: std::num::ParseIntError,
     },
 }
--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -1,8 +1,9 @@
-//! Leases: each run of an instance renews one object, and others watch it for signs of life.
+//! Leases: each run of an instance renews its own Lease object, and other instances watch the
+//! object to detect failures.
 //!
-//! [`LeaseKeeper`] renews the own lease and says until when it may be relied upon; a
-//! [`LeaseObserver`] finds out that somebody else's has run out. Why the two can never disagree to
-//! the harm of anybody is in `docs/design/leases.md`.
+//! [`LeaseKeeper`] renews the own lease and tracks until when it is valid. [`LeaseObserver`]
+//! detects that another run's lease has expired. `docs/design/leases.md` shows why a holder never
+//! relies on a lease that an observer has ended.
 
 mod keeper;
 mod observer;
--- a/crates/chervilshunt_coord/src/lease/keeper.rs
+++ b/crates/chervilshunt_coord/src/lease/keeper.rs
@@ -1,4 +1,4 @@
-//! Renews the lease of this run of the instance.
+//! Renews the lease of this run.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
     Purpose, Stored,
 };
 
-/// How a lease is kept.
+/// Configuration of a [`LeaseKeeper`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How long a renewal counts.
+    /// How long a renewal is valid.
     pub duration: Duration,
-    /// How often it is renewed.
+    /// The interval between renewals.
     pub renew_every: Duration,
-    /// How long after a failure the next try follows.
+    /// The delay before a failed call is retried. Jitter adds up to half of it.
     pub retry_every: Duration,
-    /// What is taken off the duration, for clocks that run at different speeds and for the time
-    /// between the last look at the lease and the order leaving the process.
+    /// Subtracted from the duration to allow for differences in clock rates and for the time
+    /// between the last check of the lease and the moment when an order leaves the process.
     pub margin: Duration,
 }
 
@@ -37,37 +37,37 @@
     }
 }
 
-/// What a lease keeper has to react to.
+/// An input of a [`LeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseEvent {
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
-    /// The state is to be another from now on; the lease is renewed at once to say so.
+    /// Changes the state in the lease. The lease is renewed at once to publish it.
     SetState(LeaseState),
-    /// The electorate is to be another from now on; the next renewals say so.
+    /// Changes the electorate named in the lease, starting with the next renewal.
     SetElectorate {
-        /// Its version.
+        /// The version of the electorate.
         version: u64,
-        /// Whether the lease is renewed at once, until it names no other electorate.
+        /// Whether to renew at once, repeatedly until the lease names only this electorate.
         at_once: bool,
     },
-    /// The change that was written into the head at this generation is acknowledged; the lease is
-    /// renewed at once to say so.
+    /// Acknowledges the change that was written into the head at this generation. The lease is
+    /// renewed at once to publish it.
     Acknowledge(u64),
     /// Time has passed.
     Tick,
 }
 
-/// What a lease keeper wants done.
+/// An output of a [`LeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseAction {
     /// Call the platform.
     Call(PlatformCall),
-    /// The lease object is there: whoever lists leases from now on finds this one.
+    /// The Lease object exists: any later list of the leases includes it.
     Created,
-    /// The lease was renewed and the platform holds this state.
+    /// The lease was renewed and the platform now stores this state.
     Renewed(LeaseState),
-    /// Somebody found the lease lapsed, or it is gone: all that was held under it is lost.
+    /// The lease was marked lapsed or its object is gone: everything held under it is lost.
     Lost,
 }
 
@@ -87,12 +87,12 @@
     Read { call: CallId },
 }
 
-/// Renews the lease of this run and says until when it counts.
+/// Renews the lease of this run and tracks until when it is valid.
 ///
-/// The time counts from before a renewal was sent: the platform may have carried it out at once
-/// and the answer may have taken long, while observers count from the moment at which they see the
-/// renewal, which is later. Counting from the answer, the holder would believe in its lease after
-/// observers have given it away.
+/// Validity counts from before a renewal was sent. The platform may carry out the renewal at once
+/// and answer late, while observers count from when they see the renewal, which is later than it
+/// was sent. If validity counted from the answer, the holder could still rely on its lease after
+/// observers have ended it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseKeeper {
     cfg: LeaseConfig,
@@ -100,13 +100,13 @@
     calls: Calls,
     version: Option<ObjectVersion>,
     in_flight: Option<InFlight>,
-    /// Renewals whose outcome is unknown; each may take effect late.
+    /// Renewals whose outcome is unknown. Each may still take effect.
     unsettled: Vec<Sent>,
     must_read: bool,
     next_at: Moment,
     valid_until: Moment,
     confirmed_electorate: u64,
-    /// Whether the lease is renewed at once until it names one electorate alone.
+    /// Whether to renew without waiting until the lease names a single electorate.
     hurries_electorate: bool,
     written_state: Option<LeaseState>,
     written_acknowledged: Option<u64>,
@@ -115,12 +115,12 @@
 }
 
 impl LeaseKeeper {
-    /// Starts to keep the lease that `record` describes; the first tick creates it.
+    /// Creates a keeper for the lease that `record` describes. The first tick creates the object.
     pub fn new(cfg: LeaseConfig, record: LeaseRecord, now: Moment) -> Self {
         Self::with_machine(cfg, record, 0, now)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Works like [`Self::new`], and tags the call ids with the number of the state machine.
     pub(crate) fn with_machine(
         cfg: LeaseConfig,
         record: LeaseRecord,
@@ -152,7 +152,7 @@
         self.bugs = bugs;
     }
 
-    /// Returns until when the lease counts; a moment that has passed if it does not.
+    /// Returns until when the lease is valid; a time in the past if it is not.
     pub fn valid_until(&self) -> Moment {
         if self.lost {
             return Moment::ZERO;
@@ -160,27 +160,27 @@
         self.valid_until
     }
 
-    /// Returns whether the lease counts now.
+    /// Returns whether the lease is valid at `now`.
     pub fn is_valid(&self, now: Moment) -> bool {
         now < self.valid_until()
     }
 
-    /// Returns what the lease says, or will say with its next renewal.
+    /// Returns the content of the lease, including changes that the next renewal will write.
     pub const fn record(&self) -> &LeaseRecord {
         &self.record
     }
 
-    /// Returns the electorate of the last renewal that is known to have been carried out.
+    /// Returns the electorate named by the last renewal known to have been carried out.
     pub const fn confirmed_electorate(&self) -> u64 {
         self.confirmed_electorate
     }
 
-    /// Returns when [`LeaseEvent::Tick`] is next wanted.
+    /// Returns when the next [`LeaseEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         (self.in_flight.is_none() && !self.lost && !self.has_left()).then_some(self.next_at)
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: LeaseEvent, now: Moment) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         match event {
@@ -214,7 +214,7 @@
         self.next_at = self.next_at.min(now);
     }
 
-    /// Sends the next call if it is due and none is under way.
+    /// Starts the next call if it is due and no other is in flight.
     fn advance(&mut self, now: Moment, actions: &mut Vec<LeaseAction>) {
         if self.lost || self.has_left() || self.in_flight.is_some() || now < self.next_at {
             return;
@@ -348,7 +348,7 @@
         self.next_at = now;
     }
 
-    /// Takes note that a renewal was carried out.
+    /// Records that a renewal was carried out.
     fn settle(
         &mut self,
         sent: Sent,
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -1,4 +1,4 @@
-//! Watches the leases of others and marks those that have run out.
+//! Watches the leases of other runs and marks expired ones as lapsed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,18 +14,18 @@
     Purpose, Stored,
 };
 
-/// How leases are watched.
+/// Configuration of a [`LeaseObserver`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObserverConfig {
-    /// How often a watched lease is read.
+    /// The interval between reads of a watched lease.
     pub read_every: Duration,
-    /// How long a lease has to stay unchanged before it counts as expired: the duration that its
-    /// holder counts on, without the holder's margin.
+    /// How long a lease must stay unchanged before it counts as expired: the full lease duration,
+    /// without the margin that the holder subtracts.
     pub unchanged_for: Duration,
-    /// The longest time between two reads that still counts as having watched all along.
+    /// The longest interval between two reads that still counts as continuous observation.
     ///
-    /// After an outage of the platform the holder gets the same chance to renew as the observer
-    /// got to read.
+    /// After a longer one, such as an outage of the platform, the full time starts anew, so that
+    /// the holder has as much opportunity to renew as the observer has to read.
     pub longest_gap: Duration,
 }
 
@@ -39,16 +39,18 @@
     }
 }
 
-/// What an observer has to react to.
+/// An input of a [`LeaseObserver`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ObserverEvent {
-    /// Watch this lease from now on. It has been created: one that is not found has ended.
+    /// Starts to watch this lease. It must have been created before: a lease that is not found
+    /// counts as ended.
     Watch(Holder),
-    /// Watch it no longer.
+    /// Stops watching this lease.
     Unwatch(Holder),
-    /// The expired lease may be marked: its holder can't have got it extended by the electors.
+    /// Allows the expired lease to be marked lapsed: its holder cannot have had it extended by the
+    /// electors.
     Mark(Holder),
-    /// Nobody needs the ended lease any more; its object is deleted.
+    /// Deletes the object of an ended lease that is no longer needed.
     Discard(Holder),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
@@ -56,21 +58,23 @@
     Tick,
 }
 
-/// What an observer wants done.
+/// An output of a [`LeaseObserver`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ObserverAction {
     /// Call the platform.
     Call(PlatformCall),
-    /// The lease has changed since it was read before: its holder is alive.
+    /// The lease has changed since the previous read, so its holder is alive.
     ///
-    /// The first read says nothing of that. Taken for a sign of life, it would end the watch of a
-    /// crashed instance at once, and its lease would never be marked.
+    /// The first read does not produce this action, because a first read is no evidence that the
+    /// holder is alive. If it counted as such, the watch of a crashed instance would end at once
+    /// and its lease would never be marked.
     Renewed(Box<LeaseRecord>),
-    /// The lease was seen unchanged for its full time; the observer waits for
-    /// [`ObserverEvent::Mark`] to mark it lapsed. Told again as long as it stays so.
+    /// The lease has stayed unchanged for its full duration. The observer waits for
+    /// [`ObserverEvent::Mark`] before marking it lapsed, and repeats this action while that is the
+    /// case.
     Expired(Holder),
-    /// The lease is lapsed, left or deleted: its holder can never renew it again. Told with
-    /// whether this observer was the one to mark it.
+    /// The lease is lapsed, left or deleted: its holder can never renew it again. The flag is true
+    /// if this observer marked it.
     Ended(Holder, bool),
 }
 
@@ -93,11 +97,12 @@
     reads: u64,
 }
 
-/// Watches leases and marks those that have run out.
+/// Watches leases and marks expired ones as lapsed.
 ///
-/// A lease has run out when it was seen unchanged for its full time on the observer's own clock,
-/// counted from the answer that showed it first. Marking it by a conditional update makes sure
-/// that a paused holder can't renew it later: its update then names an old version.
+/// A lease has expired when it was seen unchanged for its full duration by the observer's own
+/// clock, counted from the answer that first showed it in that version. The mark is a conditional
+/// update, so a paused holder cannot renew the lease later: its update then names an outdated
+/// version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseObserver {
     cfg: ObserverConfig,
@@ -107,12 +112,12 @@
 }
 
 impl LeaseObserver {
-    /// Starts to watch nothing.
+    /// Creates an observer that watches no leases.
     pub const fn new(cfg: ObserverConfig) -> Self {
         Self::with_machine(cfg, 0)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Works like [`Self::new`], and tags the call ids with the number of the state machine.
     pub(crate) const fn with_machine(cfg: ObserverConfig, machine: u32) -> Self {
         Self {
             cfg,
@@ -128,12 +133,12 @@
         self.bugs = bugs;
     }
 
-    /// Returns the leases that are watched.
+    /// Returns the holders of the watched leases.
     pub fn watched(&self) -> impl Iterator<Item = &Holder> {
         self.watched.keys()
     }
 
-    /// Returns what the lease of `holder` said when it was last read.
+    /// Returns the content of the lease of `holder` at its last read.
     pub fn seen(&self, holder: &Holder) -> Option<&LeaseRecord> {
         let (record, _) = self.watched.get(holder)?.seen.as_ref()?;
         Some(record)
@@ -144,7 +149,7 @@
         self.watched.contains_key(holder)
     }
 
-    /// Returns when [`ObserverEvent::Tick`] is next wanted.
+    /// Returns when the next [`ObserverEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let idle = self
             .watched
@@ -153,7 +158,7 @@
         idle.map(|watched| watched.next_at).min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: ObserverEvent, now: Moment) -> Vec<ObserverAction> {
         let mut actions = Vec::new();
         match event {
@@ -340,7 +345,7 @@
             actions.push(ObserverAction::Ended(holder.clone(), true));
             return;
         }
-        // Whatever else happened, the next read shows whether it is marked, renewed or neither.
+        // The next read shows whether the lease was marked, renewed or neither.
         watched.next_at = now;
     }
 
--- a/crates/chervilshunt_coord/src/lease/record.rs
+++ b/crates/chervilshunt_coord/src/lease/record.rs
@@ -8,40 +8,41 @@
 
 use crate::holder::Holder;
 
-/// What a run of an instance says of itself in its Lease object.
+/// The content of a Lease object: what a run of an instance publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct LeaseRecord {
     /// The run of the instance.
     pub holder: Holder,
-    /// What it is about to do, or what was found out about it.
+    /// The state of the run, set by itself or, if it stopped renewing, by an observer.
     pub state: LeaseState,
-    /// A number that rises with every try to renew, so that a write whose answer was lost can be
+    /// Incremented with every attempt to renew, so that a write whose answer was lost can be
     /// recognised when it is read back.
     pub renewals: u64,
-    /// How long a renewal counts, in milliseconds.
+    /// How long a renewal is valid, in milliseconds.
     pub duration_ms: u64,
-    /// The availability zone that it runs in.
+    /// The availability zone of the instance.
     pub zone: ZoneName,
-    /// The region that it runs in.
+    /// The region of the instance.
     pub region: RegionName,
-    /// Where it listens for peers.
+    /// The address on which the instance listens for peers.
     pub peer_address: SocketAddr,
-    /// Where it listens for operators.
+    /// The address on which the instance listens for operators.
     pub operators_address: SocketAddr,
-    /// The electors that it would ask to extend its lease if the platform failed.
+    /// The version of the electorate that the holder asks to extend its lease while the platform is
+    /// unreachable; 0 if it has named none.
     pub electorate: u64,
-    /// The electorate of the renewal before, which counts as long as this one is not known to have
-    /// been carried out.
+    /// The electorate of the last renewal known to have been carried out. The holder may rely on it
+    /// until this renewal is confirmed.
     pub electorate_before: u64,
-    /// The head's generation at which it last acknowledged a change; a way round a peer link that
-    /// is cut.
+    /// The generation of the head at which the holder last acknowledged a change. It reaches the
+    /// proposer even if the link between the two instances is cut.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub acknowledged: Option<u64>,
 }
 
 impl LeaseRecord {
-    /// Makes what a run says of itself when it joins.
+    /// Creates the record of a run that joins.
     pub fn joining(
         holder: Holder,
         duration: Duration,
@@ -66,24 +67,25 @@
     }
 }
 
-/// The stage of life of a run of an instance.
+/// The lifecycle state of a run of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseState {
-    /// It learns the configuration and takes no work yet.
+    /// The run is loading the configuration and takes no work yet.
     Joining,
-    /// It takes work and holds roles.
+    /// The run takes work and holds roles.
     Active,
-    /// It gives its roles away and takes no new work.
+    /// The run hands over its roles and takes no new work.
     Leaving,
-    /// It was found to have stopped renewing; it can never renew this lease again.
+    /// The run stopped renewing its lease, and an observer has ended it. It can never renew this
+    /// lease again.
     Lapsed,
-    /// It has left in good order.
+    /// The run has shut down gracefully.
     Left,
 }
 
 impl LeaseState {
-    /// Returns whether the run may still be at work.
+    /// Returns whether the run may still be active.
     pub const fn is_live(self) -> bool {
         match self {
             Self::Joining | Self::Active | Self::Leaving => true,
