--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -1,11 +1,12 @@
-//! One lease for the whole deployment, for a duty that has exactly one holder at a time.
+//! An exclusive lease for the whole deployment, for a duty that has at most one holder at a time.
 //!
-//! Targets that don't check fencing tokens carry out the order of whoever gives it. So a holder
-//! stops by itself before its lease can be taken, and a taker waits until nothing of the holder
-//! before it can still be on its way. See `docs/design/on-the-platform.md`.
+//! Targets that do not check fencing tokens carry out the order of any sender. A holder therefore
+//! stops on its own before its lease can be taken, and the next holder waits until no order of the
+//! previous one can still be in flight. See `docs/design/on-the-platform.md`.
 //!
-//! The platform may be restored from an older copy, which forgets renewals and holders. So a record counts
-//! only in the era in which it was written, which its term tells. See `docs/design/store-restored.md`.
+//! The platform may be restored from an older copy, which loses renewals and holders. A record
+//! therefore counts only in the platform's era in which it was written, which follows from its
+//! term. See `docs/design/store-restored.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,31 +14,32 @@
 use chervilshunt_model::{InstanceId, Moment, StoreRevision};
 use serde::{Deserialize, Serialize};
 
-/// How the sole lease is kept.
+/// Configuration of a [`SoleKeeper`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoleConfig {
-    /// How long a renewal counts. A longer one bridges more of an outage of the platform, and leaves the
-    /// deployment without a holder for longer after one is lost.
+    /// How long a renewal is valid. A longer duration bridges longer outages of the platform, but
+    /// leaves the deployment without a holder for longer after one fails.
     pub duration: Duration,
-    /// How often the holder renews it.
+    /// The interval between renewals.
     pub renew_every: Duration,
-    /// How long after a failed call the next one follows.
+    /// The delay before the next call after a failed one.
     pub retry_every: Duration,
-    /// What the holder takes off the duration, for clocks that run at different speeds and for the
-    /// time between its last look at the lease and the order leaving the process.
+    /// Subtracted by the holder from the duration, to allow for differences in clock rates and for
+    /// the time between the last check of the lease and the moment when an order leaves the
+    /// process.
     pub margin: Duration,
-    /// How long nobody acts between two holders, so that no order of the one is on its way when
-    /// the other gives its first.
+    /// The pause between two holders in which neither acts, so that no order of the first is still
+    /// in flight when the second sends its own.
     pub rest: Duration,
-    /// How long this instance leaves a lease that can be taken to others.
+    /// How long this instance waits, when the lease can be taken, for others to take it first.
     pub yields_for: Duration,
-    /// How long after its last order a holder that steps down gives the lease up: as long as an order
-    /// can take to leave the process.
+    /// How long a holder that steps down waits before it releases the lease: the longest time for
+    /// an order to leave the process.
     pub last_orders: Duration,
     /// How long a holder that has stepped down does not take the lease again.
     pub stays_down: Duration,
-    /// Whether the whole deployment starts for the first time, so that a lease that isn't there has never
-    /// been held.
+    /// Whether the whole deployment starts for the first time, so that a missing record means that
+    /// the lease was never held.
     pub is_first_start: bool,
 }
 
@@ -57,89 +59,90 @@
     }
 }
 
-/// Who holds the lease, as the platform stores it.
+/// The record of the exclusive lease, as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SoleRecord {
-    /// The instance that holds it; none if it was given up.
+    /// The instance that holds the lease; `None` if it was released.
     pub holder: Option<InstanceId>,
-    /// The process of that instance, unlike that of any other start of it.
+    /// Identifies the process of the holder among all starts of the instance.
     pub process: u64,
-    /// Where the holder takes messages.
+    /// The address on which the holder receives messages.
     pub address: SocketAddr,
-    /// The fencing token of the holder's orders; it rises with each holder, and with each era of the
-    /// platform, in whose later ones terms of the seconds that were lost are not given again.
+    /// The fencing token of the holder's orders. It increases with each holder and with each era of
+    /// the platform; a later era never reuses terms that were lost with the restore.
     pub term: u64,
-    /// How often it has been renewed; observers see by it that the holder lives.
+    /// The number of renewals, by which observers see that the holder is alive.
     pub renewals: u64,
 }
 
-/// The record at one version of the platform's object.
+/// A lease record with the version of the platform's object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRecord {
     /// The record.
     pub record: SoleRecord,
-    /// The version of the object that holds it.
+    /// The version of the object that contains it.
     pub version: StoreRevision,
 }
 
-/// What the holder tells of its lease.
+/// The lease as its holder reports it to other instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// The holder's term.
     #[serde(rename = "t")]
     pub term: u64,
-    /// The version of the record, as the holder last wrote it.
+    /// The version of the record after the holder's last write.
     #[serde(rename = "v")]
     pub version: StoreRevision,
 }
 
-/// How a write of the record ended.
+/// The outcome of a write of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SoleWritten {
-    /// It was carried out; this is the object's version now.
+    /// The write was carried out; the object now has this version.
     Done(StoreRevision),
-    /// The object had another version, and nothing was written.
+    /// The object had a different version, and nothing was written.
     Conflict,
     /// Nothing was written.
     Failed,
-    /// It may have been carried out, or may be carried out later if its condition still holds.
+    /// The write may have been carried out, or may still be if its condition holds.
     Unknown,
 }
 
-/// What a keeper has to react to.
+/// An input of a [`SoleKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SoleEvent {
-    /// The platform shows the record; none if there is no object yet.
+    /// The platform returned the record; `None` if the object does not exist.
     Seen(Option<SeenRecord>),
-    /// The platform has answered in an era.
+    /// The platform answered in this era.
     Era(u64),
     /// A write has ended.
     Written(SoleWritten),
     /// A read has failed.
     ReadFailed,
-    /// Another call of this instance to the platform has failed.
+    /// Another call of this instance to the platform failed.
     PlatformLost,
-    /// The holder has told the term and the version of the record. Whoever hears that need not look
-    /// at the record all the time, and knows how long ago it was renewed when the holder falls silent.
+    /// The holder reported the term and the version of the record. Instances that receive these
+    /// reports need not read the record often, and know when it was last renewed if the holder
+    /// stops responding.
     HolderTold(HeldLease),
-    /// The instance stops: the lease is given up, and not taken again.
+    /// The instance shuts down: the lease is released and not taken again.
     Release,
-    /// The holder can't carry the duty, and others can: the lease is given up.
+    /// The holder cannot carry the duty, and other instances can: it releases the lease.
     StepDown,
     /// Time has passed.
     Tick,
 }
 
-/// What a keeper wants done.
+/// An output of a [`SoleKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SoleAction {
-    /// Write the record, if the object still has this version; create it if there is none.
+    /// Write the record if the object still has this version; create the object if there is none.
     Write(SoleRecord, Option<StoreRevision>),
-    /// Read the record, linearizably.
+    /// Read the record with a linearizable read.
     Read,
-    /// The lease is held from now on, with this term.
+    /// This instance holds the lease from now on, under this term.
     Gained(u64),
-    /// It is held no longer.
+    /// This instance no longer holds the lease.
     Lost,
 }
 
@@ -150,27 +153,27 @@
     Reading,
 }
 
-/// Keeps the sole lease if this instance holds it, and takes it when its holder is gone.
+/// Renews the exclusive lease if this instance holds it, and takes it over if its holder is gone.
 #[derive(Clone, Debug)]
 pub struct SoleKeeper {
     cfg: SoleConfig,
     me: InstanceId,
     process: u64,
     address: SocketAddr,
-    /// A part of the wait for a lapsed lease, so that instances don't all write at once.
+    /// Part of the wait before taking an expired lease, so that instances do not all write at once.
     stagger: Duration,
-    /// The platform's era; none until it has answered.
+    /// The platform's era; `None` until the platform has answered.
     era: Option<u64>,
-    /// When it was first seen that the platform has been restored.
+    /// When a restore of the platform was last detected.
     restored_at: Option<Moment>,
     seen: Option<SeenRecord>,
-    /// The highest term that is known to have been given.
+    /// The highest term observed so far.
     highest_term: u64,
     /// The term under which orders are given while the lease is held.
     held_term: u64,
-    /// Who was last known to hold the lease, and where that takes messages.
+    /// The last known holder of the lease, with the address on which it receives messages.
     known_holder: Option<(InstanceId, SocketAddr)>,
-    /// When the record last changed, on this instance's clock.
+    /// When the record was last observed to change, on this instance's clock.
     changed_at: Moment,
     looked: bool,
     call: Call,
@@ -178,24 +181,25 @@
     valid_until: Moment,
     holds: bool,
     leaving: bool,
-    /// Whether the platform has failed to answer since it was last seen.
+    /// Whether a call to the platform has failed since the last answer.
     in_trouble: bool,
-    /// From when on another's lease may be taken here: larger instances have seen by then that the
-    /// platform is back.
+    /// The earliest time to take the lease from another holder after an outage. By then larger
+    /// instances have noticed that the platform is available again.
     may_take_from: Moment,
-    /// When the lease is given up after stepping down.
+    /// When to release the lease after stepping down.
     gives_up_at: Option<Moment>,
-    /// Until when it is not held here again.
+    /// Until when this instance does not take the lease again after stepping down.
     down_until: Moment,
 }
 
-/// Returns the era of the platform in which a term was given.
+/// Returns the era of the platform in which a term was assigned.
 pub const fn era_of_term(term: u64) -> u64 {
     term / TERMS_PER_ERA
 }
 
 impl SoleKeeper {
-    /// Starts as an observer; `stagger` lies between zero and some hundred milliseconds.
+    /// Creates a keeper that does not hold the lease. `stagger` should be between zero and some
+    /// hundred milliseconds.
     pub fn new(
         cfg: SoleConfig,
         me: InstanceId,
@@ -230,20 +234,20 @@
         }
     }
 
-    /// Returns the term under which orders may be given at this moment.
+    /// Returns the term under which orders may be given at `now`, if any.
     ///
-    /// It is to be asked right before each order leaves: a process may have been paused since it
-    /// was last told that it holds the lease.
+    /// Call this right before each order is sent: the process may have been paused since
+    /// [`SoleAction::Gained`].
     pub fn may_order(&self, now: Moment) -> Option<u64> {
         (self.holds && now < self.valid_until).then_some(self.held_term)
     }
 
-    /// Returns the term of the last holder, as far as is known.
+    /// Returns the term of the last known record.
     pub fn term(&self) -> Option<u64> {
         self.seen.as_ref().map(|it| it.record.term)
     }
 
-    /// Returns what this instance tells others of the lease while it holds it.
+    /// Returns what this instance reports to others about the lease while it holds it.
     pub fn held(&self) -> Option<HeldLease> {
         let seen = self.seen.as_ref().filter(|_| self.holds)?;
         let is_held = seen.record.term == self.held_term;
@@ -253,18 +257,20 @@
         })
     }
 
-    /// Returns who holds the lease, as far as is known, and where it takes messages.
+    /// Returns the last known holder of the lease and the address on which it receives messages.
     pub fn holder(&self) -> Option<(&InstanceId, SocketAddr)> {
         let (holder, address) = self.known_holder.as_ref()?;
         Some((holder, *address))
     }
 
-    /// Returns when another instance can take the lease at the earliest, if its holder is gone.
+    /// Returns the earliest time at which another instance can take the lease if its holder is
+    /// gone.
     pub fn taken_at(&self) -> Moment {
         self.lapses_at()
     }
 
-    /// Returns when [`SoleEvent::Tick`] is next wanted; none while a call or its look is awaited.
+    /// Returns when the next [`SoleEvent::Tick`] is due; `None` while the keeper waits for a call
+    /// or for its first read.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let idle = self.call == Call::None;
         if let Some(gives_up_at) = self.gives_up_at {
@@ -280,7 +286,7 @@
         }
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: SoleEvent, now: Moment) -> Vec<SoleAction> {
         let mut out = Vec::new();
         match event {
@@ -309,10 +315,11 @@
         out
     }
 
-    /// Takes note that the platform answers.
+    /// Records that the platform answers.
     ///
-    /// When it comes back, the lease has lapsed and everybody may write at once. The many small instances
-    /// would mostly be first, and one of them would carry the duty for all that follows.
+    /// When the platform becomes available again, the lease has expired and every instance may
+    /// write at once. The small instances are the most numerous, so without a delay one of them
+    /// would usually be first and would carry the duty from then on.
     fn on_answered(&mut self, now: Moment) {
         if std::mem::replace(&mut self.in_trouble, false) {
             self.may_take_from = self.may_take_from.max(now + self.cfg.yields_for);
@@ -332,7 +339,7 @@
         let known = self.seen.as_ref().map(|it| it.version);
         let Some(seen) = seen else {
             if first {
-                // A holder of seconds that a restore has lost may have acted until now.
+                // A holder whose record a restore has lost may have acted until now.
                 self.changed_at = now;
             }
             return;
@@ -343,10 +350,12 @@
         }
     }
 
-    /// Takes in the platform's era with an answer, and says whether it is the one that is known, or newer.
+    /// Updates the platform's era from an answer. Returns whether the answer is from the current
+    /// era, and not from an earlier one.
     ///
-    /// In a new era nothing that was seen of the record counts. A holder goes on for as long as its last
-    /// renewal counts, since nobody takes the lease before, and writes the record anew meanwhile.
+    /// A new era invalidates everything observed of the record. A holder continues until its last
+    /// renewal expires, because nobody can take the lease before then, and writes the record again
+    /// in the meantime.
     fn take_era(&mut self, era: u64, now: Moment) -> bool {
         let known = self.era;
         if known.is_some_and(|known| era <= known) {
@@ -366,7 +375,7 @@
     fn set_seen(&mut self, seen: SeenRecord) {
         let record = &seen.record;
         self.highest_term = self.highest_term.max(record.term);
-        // A record of before a restore may name a holder that has long been followed by another.
+        // A record from before a restore may name a holder that has been succeeded since.
         if self.known_holder.is_none() || !self.is_void(record) {
             let holder = record.holder.clone();
             self.known_holder = holder.map(|it| (it, record.address));
@@ -374,16 +383,17 @@
         self.seen = Some(seen);
     }
 
-    /// Says whether a record was written in an earlier era than the platform's: it came back with a copy,
-    /// or a write of that era was carried out late. It tells of no holder.
+    /// Returns whether a record is from an earlier era than the platform's. Such a record was
+    /// restored with a copy, or was written by a late write of that era, and says nothing about the
+    /// present holder.
     fn is_void(&self, record: &SoleRecord) -> bool {
         era_of_term(record.term) < self.era.unwrap_or(0)
     }
 
-    /// Takes in a newer version of the record that is known.
+    /// Handles a newer version of the known record, as reported by the holder.
     ///
-    /// One of another term is no news of that record: taken with its version and the known term, the
-    /// lease would be given a term that is not the highest.
+    /// A report with a different term is ignored, because it does not describe the known record.
+    /// Combining its version with the known term would lead to a new term that is not the highest.
     fn on_told(&mut self, told: HeldLease, now: Moment) {
         if !self.take_era(told.version.era, now) {
             return;
@@ -403,7 +413,7 @@
             SoleWritten::Done(version) => {
                 self.on_answered(now);
                 if !self.take_era(version.era, now) {
-                    // It was carried out before the restore, and is gone.
+                    // The write was carried out before the restore, which discarded it.
                     return self.read(out);
                 }
                 let given_up = record.holder.is_none();
@@ -413,7 +423,8 @@
                 self.set_seen(SeenRecord { record, version });
                 self.changed_at = now;
                 if is_void {
-                    // Its condition held by chance, at a revision that was given out again.
+                    // The condition of the write was met by chance, by a revision number that the
+                    // restored platform assigned again.
                     self.next_at = now;
                     return;
                 }
@@ -429,8 +440,8 @@
                 self.in_trouble = true;
                 self.next_at = now + self.cfg.retry_every;
             }
-            // What the platform holds decides: if the write took effect it will be seen as ours,
-            // and renewing it makes it count from then on.
+            // The stored record decides: if the write took effect, the record is recognised as this
+            // instance's own, and counts from its next renewal.
             SoleWritten::Conflict | SoleWritten::Unknown => {
                 self.next_at = now + self.cfg.retry_every;
                 self.read(out);
@@ -443,7 +454,8 @@
         out.push(SoleAction::Read);
     }
 
-    /// Stops acting as the holder; the lease is given up once no order can leave any more.
+    /// Stops acting as the holder. The lease is released once no order can leave the process any
+    /// more.
     fn on_step_down(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
         if !std::mem::replace(&mut self.holds, false) {
             return;
@@ -454,7 +466,7 @@
         out.push(SoleAction::Lost);
     }
 
-    /// Gives the lease up that this instance has stepped down from.
+    /// Releases the lease after this instance has stepped down.
     fn give_up(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
         if self.call != Call::None || self.gives_up_at.is_none_or(|at| now < at) {
             return;
@@ -496,7 +508,7 @@
         }
     }
 
-    /// Ends what this instance believes to hold once it is past, or held by another.
+    /// Stops holding the lease once it has expired or another instance holds it.
     fn settle(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
         let is_anothers = self
             .seen
@@ -547,16 +559,17 @@
             let renewals = seen.record.renewals + 1;
             return Some((self.record(seen.record.term, renewals), version));
         }
-        // A holder whose record came back older, or not at all, writes it anew: nobody else can have
-        // taken the lease yet.
+        // A holder whose record was restored to an older one, or is missing, writes it again:
+        // nobody else can have taken the lease yet.
         let may_take = self.holds || now >= self.lapses_at().max(self.may_take_from);
         may_take.then(|| (self.record(self.next_term(), 0), version))
     }
 
-    /// Returns a term above all that were given, those of seconds that a restore has lost included.
+    /// Returns a term above all that were assigned, including those lost with a restore.
     ///
-    /// After a restore it follows the revision that is replaced, which rises with each holder: a late write
-    /// of before may have replaced the record of a holder that nobody else has seen.
+    /// After a restore the term derives from the revision that is replaced, which rises with each
+    /// holder: a late write from before the restore may have replaced the record of a holder that
+    /// no other instance has seen.
     fn next_term(&self) -> u64 {
         let replaced = self.seen.as_ref().map_or(0, |it| it.version.number);
         let before = match self.era {
@@ -566,7 +579,7 @@
         self.highest_term.max(before) + 1
     }
 
-    /// Returns when there is something to write for an instance that does not hold the lease.
+    /// Returns when an instance that does not act as the holder may next write the record.
     fn next_chance(&self) -> Moment {
         match &self.seen {
             Some(seen) if self.is_ours(&seen.record) => self.next_at,
@@ -574,9 +587,9 @@
         }
     }
 
-    /// Returns when the lease that another holds may be taken.
+    /// Returns when a lease held by another instance may be taken.
     fn lapses_at(&self) -> Moment {
-        // A holder of the seconds that a restore has lost may still act, whatever the record says.
+        // A holder whose record a restore has lost may still act, whatever the present record says.
         let after_any_holder = self.changed_at + self.cfg.duration + self.cfg.rest + self.delay();
         let Some(seen) = &self.seen else {
             if self.restored_at.is_some() || !self.cfg.is_first_start {
@@ -587,8 +600,8 @@
         match &seen.record.holder {
             _ if self.is_void(&seen.record) => after_any_holder,
             None => self.changed_at + self.cfg.rest + self.delay(),
-            // The process before this one on the same instance: it is gone, and its orders were
-            // those of the same holder.
+            // The record is from the previous process of this instance. That process is gone, and
+            // its orders were those of the same holder.
             Some(holder) if *holder == self.me && seen.record.address == self.address => {
                 self.changed_at
             }
@@ -617,6 +630,6 @@
     }
 }
 
-/// The terms of one era of the platform: more than it gives revisions out in, and few enough for some
-/// thousand eras in the whole numbers that every JSON library keeps exact.
+/// The number of terms per era of the platform: more than the revisions of one era, and few enough
+/// that the terms of several thousand eras remain exact in every JSON library.
 const TERMS_PER_ERA: u64 = 1 << 40;
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -1,4 +1,5 @@
-//! The sole lease: who may give orders, and that two holders never come closer than the rest.
+//! Tests of the exclusive lease: who may give orders, and that orders of two holders are always
+//! separated by the handover gap.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -36,7 +37,7 @@
     SoleKeeper::new(CFG, InstanceId::from(name), 1, address, Duration::ZERO, now)
 }
 
-/// Creates the lease for `a` and returns its keeper as the holder.
+/// Creates the lease for `a` and returns its keeper, which holds it.
 fn holder() -> (SoleKeeper, SeenRecord) {
     let mut a = keeper("a", at(0));
     let written = match &*a.handle(SoleEvent::Seen(None), at(0)) {
@@ -54,8 +55,8 @@
 
 #[test]
 fn the_time_counts_from_before_the_write() {
-    // The write's answer takes 2 s. Counted from the answer the holder would go on for 2 s after
-    // others, who saw the write when it was carried out, believe it gone.
+    // The answer to the write takes 2 s. If the lease counted from the answer, the holder would
+    // continue for 2 s after others, which saw the write when it was carried out, consider it gone.
     let mut a = keeper("a", at(0));
     a.handle(SoleEvent::Seen(None), at(0));
     a.handle(SoleEvent::Written(SoleWritten::Done(rev(7))), at(2_000));
@@ -64,8 +65,8 @@
 }
 
 #[rstest]
-// Seen when it changed last at 0: its holder may have renewed it then, and gives its last order
-// 2.6 s later; 3.3 s are for that order to arrive.
+// The record last changed at 0. The holder may have renewed it then, and gives its last order up to
+// 2.6 s later; another 3.3 s allow that order to arrive.
 #[case::too_soon(5_899, false)]
 #[case::lapsed(5_900, true)]
 fn a_lease_is_taken_once_nothing_of_its_holder_can_be_on_its_way(
@@ -82,7 +83,8 @@
     }
 }
 
-/// The machine is too small for the duty; as long as a larger one takes the lease it does not.
+/// Guards against a machine that is too small for the duty taking the lease although a larger one
+/// is about to.
 #[test]
 fn a_small_instance_leaves_the_lease_to_others_for_a_while() {
     let (_, seen) = holder();
@@ -104,8 +106,9 @@
     assert!(!taker.handle(SoleEvent::Tick, at(6_400)).is_empty());
 }
 
-/// The platform is away while the lease lapses. When it is back, all instances find out within moments;
-/// a small one that writes at once is mostly first, as there are many, and carries the duty from then on.
+/// Guards against a small instance taking the lease right after an outage in which the lease
+/// expired. All instances then notice within moments that the platform is available; the small ones
+/// are the most numerous, so one that writes at once is usually first and keeps the duty.
 #[rstest]
 #[case::it_has_tried_itself(true)]
 #[case::it_has_lost_the_platform_before_it_tries(false)]
@@ -140,8 +143,8 @@
     assert!(!small.handle(SoleEvent::Tick, at(9_500)).is_empty());
 }
 
-/// A holder whose machine is too small for the duty steps down. Its last orders leave before it gives
-/// the lease up, and it does not take it again before the others had every chance to.
+/// A holder whose machine is too small for the duty steps down. It must release the lease only
+/// after its last orders have left, and must not take it again before others had the opportunity.
 #[test]
 fn a_holder_that_steps_down_gives_the_lease_up_after_its_last_orders() {
     let (mut a, mut seen) = holder();
@@ -189,9 +192,10 @@
     assert!(!b.handle(SoleEvent::Tick, at(3_410)).is_empty());
 }
 
-/// An instance that the holder tells of its renewals looks at the record rarely. It would take the
-/// record that it last saw for one that nobody renews, and write in vain each 5.9 s; and when the holder
-/// falls silent it would count the lease's time from its next look, a second and more too late.
+/// An instance that receives the holder's reports reads the record rarely. If the reports did not
+/// count, it would treat the record as no longer renewed and attempt a useless write every 5.9 s;
+/// and when the holder stops responding, it would count the lease from its next read, over a second
+/// too late.
 #[rstest]
 #[case::told_of_a_renewal(1, 9, 9_900)]
 #[case::told_again_of_what_is_known(1, 7, 5_900)]
@@ -220,7 +224,8 @@
     assert_eq!((record.term, at_version.number), (2, known));
 }
 
-/// A look shows what the holder has told already: the record has not changed since.
+/// A read returns the version that the holder has already reported, so the record has not changed
+/// since.
 #[test]
 fn a_look_that_shows_what_was_told_does_not_prolong_the_lease() {
     let (_, mut seen) = holder();
@@ -239,8 +244,8 @@
 
 #[test]
 fn a_paused_holder_does_not_order_after_its_pause() {
-    // The machine is suspended for 10 s. Its timers did not fire, and it has heard of nothing; the
-    // boot clock alone tells it on waking that its lease is long over.
+    // The machine is suspended for 10 s, so no timers fired and no messages arrived. Only the boot
+    // clock shows on waking that the lease has expired.
     let (mut a, _) = holder();
     assert_eq!(a.may_order(at(10_000)), None);
     assert!(
@@ -261,7 +266,8 @@
     let unknown = a.handle(SoleEvent::Written(SoleWritten::Unknown), at(1_000));
     assert_eq!(unknown, [SoleAction::Read]);
     a.handle(SoleEvent::Seen(Some(seen)), at(1_010));
-    // The renewal was carried out, and may have been at any time since: only the next one counts.
+    // The renewal may have been carried out at any time since it was sent, so only the next one
+    // counts.
     assert_eq!(a.may_order(at(2_399)), Some(1));
     assert_eq!(a.may_order(at(2_400)), None);
     let renewed = a.handle(SoleEvent::Tick, at(1_300));
@@ -274,23 +280,23 @@
 #[derive(Clone, Debug)]
 enum Step {
     Advance(u64),
-    /// The instance sees what the platform holds.
+    /// The instance reads the record.
     Look(usize),
     /// The instance's oldest call ends: carried out or not, answered or not.
     Call(usize, bool, bool),
     /// The instance gives an order if it may.
     Order(usize),
-    /// The instance can't carry the duty.
+    /// The instance is too small for the duty and steps down.
     Overload(usize),
-    /// The process starts anew.
+    /// The process restarts.
     Restart(usize),
-    /// A write without an answer is carried out now.
+    /// An unanswered write is carried out now.
     Late,
-    /// The platform comes back from a copy of so many milliseconds ago.
+    /// The platform is restored from a copy that is this many milliseconds old.
     Restore(u64),
-    /// The instance learns of the platform's era by another call.
+    /// The instance observes the platform's era through another call.
     Era(usize),
-    /// A look of a while ago is answered now.
+    /// The answer to an earlier read arrives.
     OldLook(usize),
 }
 
@@ -318,9 +324,9 @@
     calls: Vec<VecDeque<SoleAction>>,
     late: Vec<(SoleRecord, Option<StoreRevision>)>,
     era: u64,
-    /// What the platform held from each moment on, in its present history.
+    /// The content of the platform from each time on, in its current history.
     history: Vec<(u64, Option<SeenRecord>)>,
-    /// A look that was made and not answered.
+    /// An earlier read whose answer may still arrive.
     unanswered: Option<(u64, Option<SeenRecord>)>,
     last_order: Option<(usize, u64, u64)>,
     starts: u64,
@@ -329,7 +335,8 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 impl World {
-    /// Starts a deployment for the first time: every instance has looked once, and there is no lease yet.
+    /// Starts a deployment for the first time: there is no lease yet, and every instance has read
+    /// that once.
     fn new() -> Self {
         let mut world = Self {
             now: 0,
@@ -357,9 +364,10 @@
         self.calls[who].extend(calls);
     }
 
-    /// Carries a write out if its condition holds, and returns the object's version then.
+    /// Carries out a write if its condition holds, and returns the new version of the object.
     ///
-    /// The platform knows no eras in a condition: a revision that was given out again satisfies it.
+    /// The platform's conditions do not include the era: a revision number that was assigned again
+    /// satisfies them.
     fn write(
         &mut self,
         record: &SoleRecord,
@@ -378,7 +386,7 @@
         Some(version)
     }
 
-    /// Brings the platform back as it was, in a new era.
+    /// Restores the platform to an earlier state, in a new era.
     fn restore(&mut self, back: u64) {
         let copied_at = self.now.saturating_sub(back);
         while self.history.len() > 1 && self.history.last().is_some_and(|(at, _)| *at > copied_at) {
@@ -396,7 +404,7 @@
         }
     }
 
-    /// Shows an instance what the platform holds, with the era of the answer.
+    /// Delivers the platform's content to an instance, with the era of the answer.
     fn look(&mut self, who: usize, era: u64, seen: Option<SeenRecord>) {
         self.event(who, SoleEvent::Era(era));
         self.event(who, SoleEvent::Seen(seen));
@@ -497,7 +505,7 @@
                 };
                 self.keepers[who] =
                     SoleKeeper::new(cfg, me, self.starts, address, Duration::ZERO, now);
-                // Calls of the process that is gone may still be carried out.
+                // Calls of the terminated process may still be carried out.
                 for call in std::mem::take(&mut self.calls[who]) {
                     if let SoleAction::Write(record, version) = call {
                         self.late.push((record, version));
@@ -516,8 +524,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or restarted, terms only rise from one holder to the next, and
-    /// between the orders of two holders lies the rest.
+    /// With any losses, delays and restarts, terms only increase from one holder to the next, and
+    /// the handover gap separates the orders of two holders.
     #[test]
     fn two_holders_never_order_close_to_each_other(
         steps in prop::collection::vec(step(), 1..150)
@@ -529,8 +537,9 @@
     }
 }
 
-/// Guards against a term that is given twice: a late write of before a restore replaces the record of a
-/// holder that nobody else has seen, as its revision was given out again.
+/// Guards against assigning a term twice. After a restore, a late write from before it replaces the
+/// record of a holder that no other instance has seen, because the revision number was assigned
+/// again.
 #[test]
 fn a_term_whose_record_was_replaced_unseen_is_not_given_again() {
     let steps = [
@@ -566,8 +575,8 @@
     }
 }
 
-/// Guards against an instance that counts the wait for a lease that is missing from its own start: a
-/// holder of seconds that a restore has lost may act until the instance looks.
+/// Guards against counting the wait for a missing lease from the instance's own start. A holder
+/// whose record a restore has lost may act until the instance first reads.
 #[test]
 fn a_lease_that_is_missing_at_the_first_look_is_waited_for_from_then() {
     let steps = [
