--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -1,8 +1,9 @@
-//! What happens to leases while the platform can't be reached.
+//! Handles leases while the platform is unreachable.
 //!
-//! A few instances, the electors, give their word: either that they can't reach the platform
-//! either, so that for a while nobody is to be superseded, or that they can, so that somebody may
-//! be. Neither word is kept anywhere but in memory. See `docs/design/leases.md`.
+//! A few instances, the electors, answer one of two questions. An elector that cannot reach the
+//! platform promises not to vouch for a while, so that no instance is superseded. An elector that
+//! can reach it vouches, so that an instance may be superseded. Promises and vouches are kept in
+//! memory only. See `docs/design/leases.md`.
 
 mod elector;
 mod electorate;
--- a/crates/chervilshunt_coord/src/outage/elector.rs
+++ b/crates/chervilshunt_coord/src/outage/elector.rs
@@ -1,4 +1,4 @@
-//! The word that an elector gives.
+//! The promises and vouches of one elector.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use crate::bugs::{Bug, Bugs};
 
-/// How an elector gives its word.
+/// Configuration of an elector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ElectorConfig {
-    /// How long a promise not to vouch counts.
+    /// How long a promise not to vouch is valid.
     pub promise_for: Duration,
-    /// How long a vouch counts, in which nothing is promised.
+    /// How long a vouch is valid. In this time the elector makes no promise.
     pub vouch_for: Duration,
-    /// How long calls to the platform must have failed before a promise is given.
+    /// How long calls to the platform must have failed before a promise is made.
     pub failing_for: Duration,
-    /// How recent an answer of the platform must be for a vouch.
+    /// The maximum age of the platform's last answer for a vouch.
     pub answered_within: Duration,
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// Gives the word of one elector.
+/// Decides on the promises and vouches of one elector.
 ///
-/// It promises not to vouch, or vouches, and never one while the other counts. So of two
-/// majorities of the same electors, one that has promised and one that vouches, never both exist.
-/// What the process before it at the same address said is not known to it, so it says nothing
-/// until that no longer counts.
+/// The elector either promises not to vouch, or vouches, and never gives one while the other is
+/// valid. A majority of promises and a majority of vouches from the same electorate can therefore
+/// never exist at the same time. A restarted process at the same address does not know what its
+/// predecessor answered, so it answers neither until that has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ElectorDesk {
     cfg: ElectorConfig,
@@ -43,14 +43,14 @@
     promised_until: Moment,
     vouched_until: Moment,
     last_answer: Option<Moment>,
-    /// When the oldest call was made that has waited for an answer since the last one came.
+    /// When the oldest unanswered call since the last answer was made.
     waiting_since: Option<Moment>,
     failing_since: Option<Moment>,
     bugs: Bugs,
 }
 
 impl ElectorDesk {
-    /// Starts without a word given.
+    /// Creates an elector that has neither promised nor vouched.
     pub const fn new(cfg: ElectorConfig, now: Moment) -> Self {
         Self {
             cfg,
@@ -70,15 +70,16 @@
         self.bugs = bugs;
     }
 
-    /// Takes note of a call to the platform that was made.
+    /// Records the start of a call to the platform.
     ///
-    /// A platform that hangs shows by calls that wait. Were it found out only when they time out,
-    /// that could come after a lease is over, and no promise could extend it any more.
+    /// A platform that hangs is detected by calls that stay unanswered. If only their timeout
+    /// counted, a lease could expire before that, and promises could then no longer extend it.
     pub fn note_begun(&mut self, now: Moment) {
         self.waiting_since.get_or_insert(now);
     }
 
-    /// Takes note of a call to the platform that has ended.
+    /// Records the end of a call to the platform; `answered` is false if the platform gave no
+    /// answer.
     pub fn note_call(&mut self, answered: bool, now: Moment) {
         if answered {
             self.last_answer = Some(now);
@@ -90,13 +91,14 @@
         }
     }
 
-    /// Returns whether the platform seems to have failed.
+    /// Returns whether calls to the platform have failed or stayed unanswered for
+    /// [`ElectorConfig::failing_for`].
     pub fn is_failing(&self, now: Moment) -> bool {
         let since = self.failing_since.or(self.waiting_since);
         since.is_some_and(|since| now.since(since) >= self.cfg.failing_for)
     }
 
-    /// Promises not to vouch for a while; `None` if it can't.
+    /// Promises not to vouch for the returned time; returns `None` if no promise can be made.
     pub fn promise(&mut self, now: Moment) -> Option<Duration> {
         let settled = now >= self.started_at + self.cfg.vouch_for;
         if !settled || now < self.vouched_until || !self.is_failing(now) {
@@ -106,8 +108,8 @@
         Some(self.cfg.promise_for)
     }
 
-    /// Vouches that the platform can be reached, and promises nothing for a while; `None` if it
-    /// can't.
+    /// Vouches that the platform is reachable and makes no promise for the returned time; returns
+    /// `None` if the elector cannot vouch.
     pub fn vouch(&mut self, now: Moment) -> Option<Duration> {
         let settled = now >= self.started_at + self.cfg.promise_for;
         let answered = self.failing_since.is_none()
--- a/crates/chervilshunt_coord/src/outage/electorate.rs
+++ b/crates/chervilshunt_coord/src/outage/electorate.rs
@@ -1,4 +1,4 @@
-//! Who the electors are.
+//! Selects the electors.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,16 @@
 use crate::config::Elector;
 use crate::hashing::text_hash;
 
-/// The most electors.
+/// The maximum number of electors.
 ///
-/// With seven, three may fail and a majority is left; more would have to be asked for nothing.
+/// With seven, a majority remains after three failures. More electors would only add messages.
 const MOST_ELECTORS: usize = 7;
 
-/// Returns the electors to have, given those there are and all instances that could be.
+/// Returns the set of electors, given the present ones and all candidates.
 ///
-/// Electors that are still there stay. Others are added zone by zone, so that a zone's failure
-/// takes as few as possible. The number is odd: one more would not let one more fail.
+/// Present electors that are still candidates stay. Others are added from the zones with the fewest
+/// electors, so that the failure of a zone affects as few as possible. The number is odd, because
+/// one more elector would not tolerate one more failure.
 pub(crate) fn choose_electors(
     present: &[Elector],
     instances: &[(Elector, ZoneName)],
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -1,4 +1,4 @@
-//! Extends the own lease, while the platform fails, by the promises of the electors.
+//! Extends the lease of this run by promises of the electors while the platform is unreachable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use crate::bugs::{Bug, Bugs};
 use crate::config::{Elector, Electorate};
 
-/// How a lease is extended.
+/// Configuration of a [`Hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HoldConfig {
-    /// How long before the lease runs out promises are begun to be asked for.
+    /// How long before the lease expires the first promises are requested.
     pub begin_before: Duration,
-    /// How often promises are asked for until a majority has promised.
+    /// The interval between requests until a majority has promised.
     pub ask_every: Duration,
-    /// How often promises are renewed.
+    /// The interval between requests to renew the promises.
     pub renew_every: Duration,
-    /// What is taken off each promise, for clocks that run at different speeds.
+    /// Subtracted from each promise to allow for differences in clock rates.
     pub margin: Duration,
-    /// The most instances that ask the electors themselves; of more, one for each zone does, and
-    /// the others ask that one.
+    /// The largest fleet in which every instance asks the electors itself. In a larger one, one
+    /// instance per zone asks them and the others ask that instance.
     pub direct_at_most: usize,
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// What a hold wants done.
+/// An output of a [`Hold`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HoldAction {
-    /// Send a question to an instance, which may be this one.
+    /// Send a request to an instance, which may be this one.
     Send(InstanceId, HoldMessage),
 }
 
@@ -52,30 +52,30 @@
 
 /// The extension of a lease.
 ///
-/// A holder whose lease runs out may go on as long as a majority of its electors has promised not
-/// to vouch, since without a majority of vouches nobody may mark its lease lapsed. The extension
-/// has to follow on the lease without a gap: in a gap the holder may have been superseded, and
-/// only the platform can tell.
+/// A holder whose lease expires may continue while a majority of its electors has promised not to
+/// vouch, because nobody may mark its lease lapsed without a majority of vouches. The extension
+/// must follow the lease without a gap: in a gap the holder may have been superseded, and only the
+/// platform can tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Hold {
     cfg: HoldConfig,
-    /// Until when each elector has promised.
+    /// Until when each elector's promise is valid.
     promises: BTreeMap<Elector, Moment>,
-    /// Until when a majority has promised, as a relay said.
+    /// Until when a majority has promised, as reported by a relay.
     relayed: Moment,
     asked: BTreeMap<u64, (Asked, Moment)>,
     number: u64,
     ask_at: Moment,
     valid_until: Moment,
-    /// The relays that did not answer since the last one that did.
+    /// The number of requests since a relay last answered; it selects the next relay to ask.
     silent_relays: usize,
     bugs: Bugs,
 }
 
 impl Hold {
-    /// Starts without an extension.
+    /// Creates the state of a lease that is not extended.
     ///
-    /// Questions are numbered from `first_number`, which should be drawn at random.
+    /// Requests are numbered from `first_number`, which should be drawn at random.
     pub const fn new(cfg: HoldConfig, first_number: u64) -> Self {
         Self {
             cfg,
@@ -96,20 +96,20 @@
         self.bugs = bugs;
     }
 
-    /// Returns until when the lease is extended; a moment that has passed if it isn't.
+    /// Returns until when the lease is extended; a time in the past if it is not.
     pub const fn valid_until(&self) -> Moment {
         self.valid_until
     }
 
-    /// Returns when [`Self::ask`] is next wanted, given until when the lease itself counts.
+    /// Returns when [`Self::ask`] is next due, given when the lease itself expires.
     pub fn next_wakeup(&self, lease_until: Moment) -> Moment {
         self.ask_at.max(lease_until - self.cfg.begin_before)
     }
 
-    /// Asks for promises, if the lease is about to run out and it is time.
+    /// Requests promises if the lease is about to expire and a request is due.
     ///
-    /// `relays` are the instances of this zone in the order in which they are to ask the electors
-    /// for the others, none if this instance is to ask for itself.
+    /// `relays` are the instances of this zone that ask the electors on behalf of the others, in
+    /// order of preference; it is empty if this instance asks the electors itself.
     pub fn ask(
         &mut self,
         lease_until: Moment,
@@ -160,7 +160,7 @@
         self.number
     }
 
-    /// Takes the answer to a question.
+    /// Handles the answer to a request.
     pub fn answered(
         &mut self,
         number: u64,
--- a/crates/chervilshunt_coord/src/outage/message.rs
+++ b/crates/chervilshunt_coord/src/outage/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other about the platform's failure.
+//! Messages between instances about leases while the platform is unreachable.
 
 use std::net::SocketAddr;
 
@@ -6,62 +6,64 @@
 
 use crate::holder::Holder;
 
-/// A message about the platform's failure.
+/// A message about extending a lease or marking it lapsed.
 ///
-/// Durations count from the question, not from the answer, on the clock of who asked: the answer
-/// may have been on its way for long.
+/// Durations count from when the request was sent, on the requester's clock, because the answer may
+/// have been delayed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HoldMessage {
     /// Asks an elector to promise that it will not vouch.
     #[serde(rename = "p")]
     AskPromise {
-        /// Under which number the answer comes back.
+        /// The number of this request, repeated in the answer.
         number: u64,
-        /// Where the elector listens; whoever listens elsewhere is another one.
+        /// The address of the elector. A process that listens on another address is not that
+        /// elector.
         address: SocketAddr,
     },
-    /// Promises not to vouch for a while, or doesn't.
+    /// Answers [`Self::AskPromise`].
     #[serde(rename = "q")]
     Promise {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// For how long, in milliseconds; 0 for no promise.
+        /// How long the promise is valid, in milliseconds; 0 if none was made.
         for_ms: u64,
     },
     /// Asks an elector to vouch that it can reach the platform.
     #[serde(rename = "v")]
     AskVouch {
-        /// Under which number the answer comes back.
+        /// The number of this request, repeated in the answer.
         number: u64,
-        /// Where the elector listens; whoever listens elsewhere is another one.
+        /// The address of the elector. A process that listens on another address is not that
+        /// elector.
         address: SocketAddr,
-        /// Whose lease has run out.
+        /// The holder whose lease has expired.
         about: Holder,
     },
-    /// Vouches, and will promise nothing for a while; or doesn't.
+    /// Answers [`Self::AskVouch`]. An elector that vouches makes no promise for this time.
     #[serde(rename = "w")]
     Vouch {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// Whose lease has run out.
+        /// The holder whose lease has expired.
         about: Holder,
-        /// For how long, in milliseconds; 0 if it does not vouch.
+        /// How long the vouch is valid, in milliseconds; 0 if the elector does not vouch.
         for_ms: u64,
     },
-    /// Asks an instance of the same zone how long a majority of the electors has promised.
+    /// Asks an instance of the same zone for how long a majority of the electors has promised.
     #[serde(rename = "h")]
     AskHold {
-        /// Under which number the answer comes back.
+        /// The number of this request, repeated in the answer.
         number: u64,
         /// The version of the electorate.
         electorate: u64,
     },
-    /// Says how long a majority of the electors has promised.
+    /// Answers [`Self::AskHold`].
     #[serde(rename = "i")]
     HoldFor {
-        /// The number of the question.
+        /// The number of the request.
         number: u64,
-        /// For how long, in milliseconds; 0 if there is no majority.
+        /// How long the majority's promises are valid, in milliseconds; 0 if there is no majority.
         for_ms: u64,
     },
 }
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -1,4 +1,4 @@
-//! Collects the vouches without which no lease may be marked lapsed.
+//! Collects the vouches that are required before a lease may be marked lapsed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,30 +9,30 @@
 use crate::config::{Elector, Electorate};
 use crate::holder::Holder;
 
-/// How long an unanswered question for a vouch is waited for.
+/// The interval between requests for vouches about the same holder.
 const ASK_EVERY: Duration = Duration::from_secs(1);
 
-/// What is to be done for vouches.
+/// An output of [`Vouching`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VouchAction {
-    /// Send a question to an instance, which may be this one.
+    /// Send a request to an instance, which may be this one.
     Send(InstanceId, HoldMessage),
 }
 
-/// The vouches about one holder whose lease has run out.
+/// The vouches about one holder whose lease has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Case {
-    /// The electorates that the holder may count on; each needs a majority.
+    /// The electorates on which the holder may rely. A majority of each must vouch.
     electorates: Vec<Electorate>,
     asked: BTreeMap<u64, (Elector, Moment)>,
     vouched_until: BTreeMap<Elector, Moment>,
     ask_at: Moment,
 }
 
-/// Collects vouches about holders whose lease has run out.
+/// Collects vouches about holders whose lease has expired.
 ///
-/// Once, at one moment, a majority of the holder's electors had no promise outstanding, the holder
-/// is not extending its lease and never can again without the platform: its extension needs a
+/// If at one moment a majority of the holder's electors has no promise outstanding, the holder is
+/// not extending its lease and cannot do so again without the platform: an extension needs a
 /// majority of promises at every moment, and the two majorities would share an elector.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vouching {
@@ -41,9 +41,9 @@
 }
 
 impl Vouching {
-    /// Starts without a holder to collect vouches about.
+    /// Creates a collector without any holders.
     ///
-    /// Questions are numbered from `first_number`, which should be drawn at random.
+    /// Requests are numbered from `first_number`, which should be drawn at random.
     pub const fn new(first_number: u64) -> Self {
         Self {
             cases: BTreeMap::new(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Begins, or goes on, to collect vouches about a holder.
+    /// Starts to collect vouches about a holder, or updates its electorates.
     pub fn begin(&mut self, holder: Holder, electorates: Vec<Electorate>, now: Moment) {
         let case = self.cases.entry(holder).or_insert_with(|| Case {
             electorates: Vec::new(),
@@ -62,17 +62,17 @@
         case.electorates = electorates;
     }
 
-    /// Ends the collection, as the holder has renewed its lease or it has ended.
+    /// Stops collecting vouches about a holder that has renewed its lease or whose lease has ended.
     pub fn end(&mut self, holder: &Holder) {
         self.cases.remove(holder);
     }
 
-    /// Returns when [`Self::ask`] is next wanted.
+    /// Returns when [`Self::ask`] is next due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         self.cases.values().map(|case| case.ask_at).min()
     }
 
-    /// Asks the electors, if it is time.
+    /// Requests vouches from the electors where a request is due.
     pub fn ask(&mut self, now: Moment) -> Vec<VouchAction> {
         let mut actions = Vec::new();
         for (holder, case) in &mut self.cases {
@@ -102,10 +102,10 @@
         actions
     }
 
-    /// Takes the answer of an elector; returns whether a majority of each electorate now vouches.
+    /// Handles the answer of an elector. Returns whether a majority of each electorate now vouches.
     ///
-    /// `dead` are the instances that the platform's list has long ceased to show; their promises
-    /// have run out.
+    /// `dead` returns whether the platform's list has been without an instance for so long that its
+    /// promises have expired. Such electors count as vouching.
     pub fn answered(
         &mut self,
         about: &Holder,
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -1,11 +1,12 @@
-//! All interleavings of a holder that extends its lease and a taker that collects vouches.
+//! Explores all interleavings of a holder that extends its lease and an observer that collects
+//! vouches.
 //!
-//! The holder's lease is about to run out and it asks for promises; the taker has seen the lease
-//! unchanged for its full time and asks for vouches. Of three electors one has crashed. The others
-//! lose and regain the platform at any time, so that they would give either word whenever they are
-//! asked. Questions and answers arrive in any order, late or never. Once the taker has its
-//! majority the lease will be marked lapsed, and a holder that is still extended would order beside
-//! its successor.
+//! The holder's lease is about to expire and it requests promises; the observer has seen the lease
+//! unchanged for its full duration and requests vouches. One of three electors has crashed. The
+//! others lose and regain the platform at any time, so each would promise or vouch whenever it is
+//! asked. Requests and answers arrive in any order, late or never. Once the observer has a
+//! majority, the lease will be marked lapsed, and a holder that is still extended would give orders
+//! concurrently with its successor.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -25,10 +26,10 @@
 const STATES: usize = 100_000;
 const HORIZON: u64 = 7;
 
-/// How often promises are asked for.
+/// The number of times that promises are requested.
 const PROMISE_ASKS: usize = 2;
 
-/// How often vouches are asked for.
+/// The number of times that vouches are requested.
 const VOUCH_ASKS: usize = 1;
 const ELECTORS: usize = 3;
 
@@ -36,10 +37,10 @@
 const ALIVE: usize = 2;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// When the world begins, so that the electors have long been up.
+/// The start time. The electors have been up long enough to answer.
 const BEGIN: Moment = Moment::from_millis(100_000);
 
-/// When the holder's lease is over, by its own clock and by the taker's.
+/// When the lease expires for the holder and for the observer.
 const LEASE_OVER: Moment = Moment::from_millis(102_000);
 
 #[derive(Clone, Debug, Hash)]
@@ -178,7 +179,8 @@
         let mut step = |change: &dyn Fn(&mut Self)| {
             let mut world = self.clone();
             change(&mut world);
-            // Messages come in any order, so that of their sending makes no difference.
+            // Messages are delivered in any order, so worlds that differ only in the order of
+            // sending are equal.
             world.messages.sort_by_key(|message| {
                 let mut hasher = Xxh3Default::new();
                 message.hash(&mut hasher);
--- a/crates/chervilshunt_coord/src/tests/outage.rs
+++ b/crates/chervilshunt_coord/src/tests/outage.rs
@@ -1,4 +1,4 @@
-//! What instances may do while the platform fails for all of them, or for some.
+//! Tests of what instances may do while the platform is unreachable for all or some of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const SETTLED: Duration = Duration::from_secs(40);
 
-/// Longer than a lease and than any promise.
+/// Longer than a lease and any promise.
 const LONG: Duration = Duration::from_secs(300);
 
 fn cut_from_platform(fleet: &mut Fleet, ids: &[&str]) {
@@ -42,10 +42,10 @@
     node.coordinator.may_take_work(fleet.clock_of(node))
 }
 
-/// The platform fails for everyone, for longer than any lease. Callers go on being served: every
-/// instance hears from the electors that they can't reach the platform either, so nobody can have
-/// been superseded, and holders of fenced targets go on under the epochs that they have. When the
-/// platform is back everyone renews its lease and nothing has moved.
+/// The platform is unreachable for all instances for longer than a lease. The electors cannot reach
+/// it either, so no instance can have been superseded: all must continue to serve, and holders of
+/// fenced targets must keep their epochs. When the platform is available again, all leases are
+/// renewed and no role has moved.
 #[rstest]
 #[case::seven(7)]
 #[case::three(3)]
@@ -82,8 +82,8 @@
     assert_eq!(before, after, "roles moved although nobody had failed");
 }
 
-/// In a total outage some instances crash as well, an elector among them. The rest go on: a
-/// majority of the electors still gives its word.
+/// During a total outage three of the seven electors crash. The other instances must continue,
+/// because a majority of the electors still answers.
 #[test]
 fn the_others_go_on_if_some_crash_in_a_total_outage() {
     let mut fleet = fleet_of(7, 21);
@@ -104,9 +104,9 @@
     assert_eq!(working.count(), 4);
 }
 
-/// One instance loses the platform, or the platform and its peers. Its callers are told to go
-/// elsewhere before its lease is over, as the electors still reach the platform; its roles are
-/// taken over, and when it is back it joins anew.
+/// One instance cannot reach the platform, or neither the platform nor its peers, while the
+/// electors still reach the platform. It must stop taking work before its lease expires, its roles
+/// must be taken over, and it must rejoin when the platform is reachable again.
 #[rstest]
 #[case::platform_only(7, false)]
 #[case::one_of_three(3, false)]
@@ -137,8 +137,8 @@
     assert!(takes_work(&fleet, "i2"), "i2 has not come back");
 }
 
-/// One instance loses its peers but not the platform: it goes on, and changes of configuration
-/// reach it by way of the platform.
+/// One instance loses its peers but not the platform. It must continue, and receive changes of the
+/// configuration through the platform.
 #[test]
 fn one_that_is_cut_off_from_its_peers_goes_on() {
     let mut fleet = fleet_of(7, 21);
@@ -155,8 +155,8 @@
     assert_eq!(before, orders(&fleet, "i2"));
 }
 
-/// All lose the platform but one. That one may not supersede the others, which is most of the
-/// fleet: the others go on, and it goes on as well.
+/// All instances but one lose the platform. That one must not supersede the others, which are most
+/// of the fleet; all must continue.
 #[test]
 fn one_that_alone_reaches_the_platform_supersedes_nobody() {
     let mut fleet = fleet_of(7, 21);
@@ -175,9 +175,10 @@
     assert_eq!(before, after);
 }
 
-/// A fleet has just begun when one of its instances is paused, or loses the platform, for longer
-/// than its lease. Whichever it is, the other two are enough to take its roles over: were the
-/// instance that made the head still the only elector, nobody could vouch while that one is away.
+/// Shortly after the fleet starts, one of three instances is paused, or loses the platform, for
+/// longer than its lease. The other two must take over its roles, whichever instance it is. If the
+/// instance that created the head were still the only elector, nobody could vouch while that one is
+/// away.
 #[rstest]
 fn a_young_fleet_takes_over_from_any_of_three(
     #[values("i0", "i1", "i2")] away: &str,
@@ -201,9 +202,9 @@
     }
 }
 
-/// The platform hangs: calls get no answer, and time out only when a short lease has almost run
-/// out. Callers go on being served, as a call that has waited for long already tells that the
-/// platform fails.
+/// The platform hangs: calls get no answer, and time out only when a short lease has almost
+/// expired. All must continue to serve, because a call that has been unanswered for long already
+/// counts as a failure of the platform.
 #[test]
 fn all_go_on_when_calls_time_out_later_than_the_lease() {
     let mut fleet = Fleet::new(7, super::smoke::some_roles(9));
@@ -223,8 +224,8 @@
     assert_eq!(stopped.get(), 0, "some instances stopped taking work");
 }
 
-/// A connection breaks, so that a peer is suspected, and the peer sends something over a new one.
-/// Who asked around it meanwhile has to know that it is back, though it says nothing of leases.
+/// A connection breaks, so the peer becomes suspect; then the peer sends a message over a new
+/// connection. The view must show it as live again even if the message does not concern leases.
 #[test]
 fn a_peer_that_is_heard_again_is_no_suspect() {
     let mut fleet = fleet_of(3, 6);
