--- a/crates/chervilshunt_coord/src/roles.rs
+++ b/crates/chervilshunt_coord/src/roles.rs
@@ -1,8 +1,9 @@
 //! Roles: units of responsibility that have one holder at a time.
 //!
-//! The platform keeps who holds which role in a fixed number of [`AssignmentRecord`]s. A
-//! [`RoleTable`] follows them, says which roles this run holds and under which epoch, and writes
-//! them when roles join, move or lose their holder. See `docs/design/roles.md`.
+//! The platform stores the holders of the roles in a fixed number of [`AssignmentRecord`]s. A
+//! [`RoleTable`] follows these records, tracks which roles this run holds and under which epochs,
+//! and updates the records when a role is added, moves or loses its holder. See
+//! `docs/design/roles.md`.
 
 mod assignment;
 mod choose;
--- a/crates/chervilshunt_coord/src/roles/assignment.rs
+++ b/crates/chervilshunt_coord/src/roles/assignment.rs
@@ -1,4 +1,4 @@
-//! Who holds which roles, as the platform keeps it.
+//! The assignment of roles to holders, as the platform stores it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,23 +10,23 @@
 use crate::hashing::text_hash;
 use crate::holder::Holder;
 
-/// Number of objects over which the roles are spread.
+/// The number of objects over which the roles are distributed.
 ///
-/// A role stays in one object for ever, as its epoch has to rise for ever: were a role to change
-/// its object, two objects could name a holder for it. See `docs/design/roles.md`.
+/// The object of a role must never change, because its epoch must keep increasing: if a role moved
+/// between objects, two objects could name a holder for it. See `docs/design/roles.md`.
 const ASSIGNMENT_SHARDS: u64 = 64;
 
-/// Bits of an epoch that count changes of the holder; those above are the configuration's revision
-/// at which the role came into being.
+/// The low bits of an epoch, which count changes of the holder. The high bits are the revision of
+/// the configuration that added the role.
 const EPOCH_CHANGE_BITS: u32 = 20;
 
-/// One of the objects over which the roles are spread.
+/// One of the objects over which the roles are distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AssignmentShard(u16);
 
 impl AssignmentShard {
-    /// Returns the object that holds `role`.
+    /// Returns the shard that contains `role`.
     pub fn of(role: &Role) -> Self {
         let shard = text_hash(&role.to_string()) % ASSIGNMENT_SHARDS;
         Self(u16::try_from(shard).unwrap_or(0))
@@ -39,24 +39,24 @@
     }
 }
 
-/// Who holds the roles of one shard.
+/// The holders of the roles in one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AssignmentRecord {
     /// The shard.
     pub shard: AssignmentShard,
-    /// Rises with every write, so that a stale read is recognised.
+    /// Incremented by every write, so that stale reads can be recognised.
     pub generation: u64,
-    /// The highest revision of the configuration that a writer knew.
+    /// The highest revision of the configuration that any writer of this record knew.
     ///
-    /// A writer that knows only a lower one leaves the set of roles alone, or it would bring back
-    /// a role whose target is gone.
+    /// A writer that knows only a lower revision does not add roles, because it could add back a
+    /// role whose target has been removed.
     pub revision: Revision,
-    /// The roles.
+    /// The roles with their holders.
     pub roles: BTreeMap<Role, RoleEntry>,
 }
 
 impl AssignmentRecord {
-    /// Makes the record that stands for an object which does not exist yet.
+    /// Returns the record that represents an object which does not exist yet.
     pub const fn empty(shard: AssignmentShard) -> Self {
         Self {
             shard,
@@ -67,30 +67,30 @@
     }
 }
 
-/// Who holds one role.
+/// The holder of one role.
 ///
-/// Its members have short names on the wire, as every instance reads every change.
+/// The serialized field names are short because every instance reads every change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoleEntry {
     /// The holder.
     #[serde(rename = "h")]
     pub holder: Holder,
-    /// The fencing number under which it holds the role.
+    /// The epoch, which is the fencing token, under which it holds the role.
     #[serde(rename = "e")]
     pub epoch: Epoch,
-    /// To whom the holder is to hand the role over.
+    /// The run to which the holder must hand over the role.
     #[serde(rename = "n", default, skip_serializing_if = "Option::is_none")]
     pub next: Option<Holder>,
-    /// Who held it before.
+    /// The previous holder.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub previous: Option<Holder>,
-    /// Whether the holder before handed it over itself.
+    /// Whether the previous holder handed over the role, as opposed to losing it.
     #[serde(rename = "o", default, skip_serializing_if = "std::ops::Not::not")]
     pub handed_over: bool,
 }
 
 impl RoleEntry {
-    /// Gives a role that came into being at `revision` to its first holder.
+    /// Assigns a role that was added at `revision` to its first holder.
     pub(crate) fn first(holder: Holder, revision: Revision) -> Self {
         Self {
             holder,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Gives the role to another holder under the next epoch.
+    /// Assigns the role to another holder under the next epoch.
     pub(crate) fn pass_to(&self, holder: Holder, handed_over: bool) -> Self {
         Self {
             holder,
--- a/crates/chervilshunt_coord/src/roles/choose.rs
+++ b/crates/chervilshunt_coord/src/roles/choose.rs
@@ -1,4 +1,4 @@
-//! Which run of an instance a role goes to.
+//! Selection of the holder for a role.
 
 use std::cmp::Reverse;
 
@@ -8,7 +8,7 @@
 use crate::hashing::rendezvous_weight;
 use crate::holder::Holder;
 
-/// A run of an instance that can take roles.
+/// A run of an instance that can hold roles.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     /// The run.
@@ -17,16 +17,17 @@
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// The roles that it holds or is about to.
+    /// The number of roles that it holds or is about to receive.
     pub load: usize,
 }
 
-/// Chooses the holder of `role`: near to `zone`, not overloaded, and else by rendezvous hashing.
+/// Selects a holder for `role` that is close to `zone` and not overloaded, by rendezvous hashing.
 ///
-/// `region` is the region of the zone. Candidates outside the nearest group that has any are not
-/// considered. Within it the load is bounded to a quarter above the average, so that the holders
-/// of a failed instance's roles are spread, and rendezvous hashing makes two instances that
-/// choose at once choose alike. Returns `None` if there is no candidate.
+/// `region` is the region of the zone. Only the nearest non-empty group of candidates is
+/// considered: the zone, then the region, then all. In the group, the load is limited to a quarter
+/// above the average, which spreads the roles of a failed instance. Rendezvous hashing makes two
+/// instances that choose at the same time choose the same holder. Returns `None` if there are no
+/// candidates.
 pub fn choose_holder<'a>(
     role: &Role,
     zone: Option<&ZoneName>,
--- a/crates/chervilshunt_coord/src/roles/rebalance.rs
+++ b/crates/chervilshunt_coord/src/roles/rebalance.rs
@@ -1,4 +1,4 @@
-//! Which roles a run with too few of them asks others for.
+//! Selects the roles that a run with less than its fair share requests from others.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,26 @@
 use super::role::{Role, WantedRole};
 use crate::holder::Holder;
 
-/// What a run sees of the fleet when it looks for roles to ask for.
+/// The fleet as a run sees it when it selects roles to request.
 #[derive(Debug)]
 pub(crate) struct Fleet<'a> {
     pub(crate) me: &'a Holder,
     pub(crate) zone: &'a ZoneName,
-    /// Live instances in the zone, this one included.
+    /// The number of live instances in the zone, including this one.
     pub(crate) in_zone: usize,
-    /// Live instances in all.
+    /// The number of live instances in the fleet.
     pub(crate) in_all: usize,
-    /// The availability zone of each holder that is known.
+    /// The availability zone of each known holder.
     pub(crate) zones: &'a BTreeMap<Holder, ZoneName>,
     pub(crate) wanted: &'a BTreeMap<Role, WantedRole>,
 }
 
-/// Returns the roles to ask for, at most `limit`, the best first.
+/// Returns at most `limit` roles to request, best first.
 ///
-/// A run asks only up to its fair share, so that an instance that comes back moves no more roles
-/// than it had. Asked for are, first, roles that prefer its zone and are held outside, and then
-/// roles of holders that have at least two more than it has: with a difference of one, roles would
-/// go to and fro for ever.
+/// A run requests roles only up to its fair share, so that a returning instance moves no more roles
+/// than it had. It first requests roles that prefer its zone and are held outside it, then roles of
+/// holders that have at least two more than itself: with a difference of one, roles would move back
+/// and forth forever.
 pub(crate) fn roles_to_ask_for<'a>(
     fleet: &Fleet<'_>,
     entries: impl Iterator<Item = (&'a Role, &'a RoleEntry)>,
--- a/crates/chervilshunt_coord/src/roles/role.rs
+++ b/crates/chervilshunt_coord/src/roles/role.rs
@@ -1,4 +1,4 @@
-//! What roles there are.
+//! The kinds of roles.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,7 +14,7 @@
 const CLAIM_KEEPER: &str = "claims";
 const OTHER: &str = "other";
 
-/// A unit of responsibility.
+/// A unit of responsibility with one holder at a time.
 ///
 /// Its text form, such as `target/NAME`, is the key in the platform's objects.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,18 +22,18 @@
 pub enum Role {
     /// The owner of a target.
     Target(TargetName),
-    /// The scheduler of the loads from a weight store.
+    /// The scheduler of loads from a weight store.
     LoadScheduler(StoreName),
-    /// The allocator of the power of a site.
+    /// The power allocator of a site.
     PowerAllocator(SiteName),
-    /// The keeper of the claims of one shard of the idempotency keys.
+    /// The keeper of the idempotency claims of one shard.
     ClaimKeeper(u32),
-    /// A role of a program that embeds this crate.
+    /// A role defined by a program that embeds this crate.
     Other(Arc<str>),
 }
 
 impl Role {
-    /// Returns the kind's name, as metrics and logs use it.
+    /// Returns the name of the kind, as used in metrics and logs.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Target(_) => TARGET,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Why a text names no role.
+/// The error for a text that does not name a role.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum RoleError {
@@ -101,10 +101,10 @@
         /// The kind that was named.
         kind: String,
     },
-    /// The shard is no number.
+    /// The shard is not a number.
     #[snafu(display("the shard of a claim keeper must be a number: {source}"))]
     BadShard {
-        /// What the number parser said.
+        /// The error of the number parser.
         source: std::num::ParseIntError,
     },
 }
@@ -114,8 +114,8 @@
 pub struct WantedRole {
     /// The role.
     pub role: Role,
-    /// The availability zone in which its holder best runs.
+    /// The availability zone in which the holder should preferably run.
     pub zone: Option<ZoneName>,
-    /// Whether whoever takes the holder's orders refuses old epochs.
+    /// Whether the receivers of the holder's orders refuse old epochs.
     pub fenced: bool,
 }
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -1,4 +1,5 @@
-//! Follows who holds which role, and writes it when roles join, move or lose their holder.
+//! Follows the assignment of roles to holders, and updates it when a role is added, moves or loses
+//! its holder.
 
 mod edit;
 mod held;
@@ -20,13 +21,14 @@
 use crate::holder::Holder;
 use crate::platform::{CallId, Calls, Object, ObjectKind, ObjectVersion, PlatformOp, Purpose};
 
-/// The most ranks that are told apart when instances take turns to write.
+/// The largest rank used for the delay when instances take turns to write; all instances ranked
+/// later wait equally long.
 const MAX_RANK: usize = 15;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Doing {
     Nothing,
-    /// It has to be read, as what came of a write isn't known.
+    /// The outcome of a write is unknown, so the record must be read.
     Unsettled,
     Reading(CallId),
     Writing(CallId, Box<AssignmentRecord>),
@@ -38,12 +40,12 @@
     version: Option<ObjectVersion>,
     doing: Doing,
     retry_at: Moment,
-    /// Since when roles of this shard have no entry.
+    /// Since when required roles of this shard have had no entry.
     lacking_since: Option<Moment>,
 }
 
 impl Shard {
-    /// Makes the shard of an object that does not exist.
+    /// Creates the shard of an object that does not exist.
     const fn absent(name: AssignmentShard) -> Self {
         Self {
             record: AssignmentRecord::empty(name),
@@ -55,21 +57,22 @@
     }
 }
 
-/// A run that can take roles, as the last list of leases showed it.
+/// A run that can hold roles, according to the last list of the leases.
 #[derive(Clone, Debug, Hash)]
 struct Member {
     zone: ZoneName,
     region: RegionName,
 }
 
-/// The roles of the whole fleet as this run sees them, and those that it holds.
+/// The roles of the whole fleet as this run sees them, and the roles that it holds.
 #[derive(Clone, Debug, Hash)]
 pub struct RoleTable {
     cfg: RoleConfig,
     me: Holder,
     zone: ZoneName,
     calls: Calls,
-    /// Assignments are followed from the first list on; before it nothing is known to be absent.
+    /// Whether the assignments have been listed once. Before that, a role without an entry is not
+    /// known to lack a holder.
     listed: bool,
     listing: Option<CallId>,
     list_at: Moment,
@@ -82,25 +85,25 @@
     members_listing: Option<CallId>,
     members_at: Option<Moment>,
     members_retry_at: Moment,
-    /// Holders whose lease has ended, with when this run may give their roles to others.
+    /// Holders whose lease has ended, with the time from which this run may reassign their roles.
     ended: BTreeMap<Holder, Moment>,
     held: BTreeMap<Role, Held>,
     may_hold: bool,
     leaving: bool,
     ask_at: Moment,
     asks: u64,
-    /// Whether it has to be found out anew which shards lack wanted roles.
+    /// Whether the shards that lack required roles must be recomputed.
     recheck: bool,
     bugs: Bugs,
 }
 
 impl RoleTable {
-    /// Starts to follow the roles for a run in `zone`; the first tick lists the assignments.
+    /// Creates the role table of a run in `zone`. The first tick lists the assignments.
     pub fn new(cfg: RoleConfig, me: Holder, zone: ZoneName, now: Moment) -> Self {
         Self::with_machine(cfg, me, zone, 0, now)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Works like [`Self::new`], and tags the call ids with the number of the state machine.
     pub(crate) fn with_machine(
         cfg: RoleConfig,
         me: Holder,
@@ -147,7 +150,7 @@
         self.shards.values().flat_map(|shard| &shard.record.roles)
     }
 
-    /// Returns the entry of a role.
+    /// Returns the entry of a role, if it has one.
     pub fn entry(&self, role: &Role) -> Option<&RoleEntry> {
         self.shards
             .get(&AssignmentShard::of(role))?
@@ -156,15 +159,16 @@
             .get(role)
     }
 
-    /// Returns whether `holder` holds a role or is about to.
+    /// Returns whether `holder` holds a role or is about to receive one.
     pub fn has_roles(&self, holder: &Holder) -> bool {
         self.entries()
             .any(|(_, entry)| entry.holder == *holder || entry.next.as_ref() == Some(holder))
     }
 
-    /// Returns the epoch for orders under `role`, if the role is this run's to give orders under.
+    /// Returns the epoch for orders under `role`, if this run holds the role and may give orders
+    /// under it.
     ///
-    /// The caller has to look at its lease as well: this says only who holds the role.
+    /// The caller must also check the lease: this considers only who holds the role.
     pub fn may_order(&self, role: &Role, now: Moment) -> Option<Epoch> {
         let released =
             |held: &Held| held.stage == Stage::Released && !self.bugs.has(Bug::OrdersAfterRelease);
@@ -174,17 +178,17 @@
             .map(|held| held.epoch)
     }
 
-    /// Returns whether whoever takes the orders under `role` refuses old epochs.
+    /// Returns whether the receivers of orders under `role` refuse old epochs.
     pub fn is_fenced(&self, role: &Role) -> bool {
         self.wanted.get(role).is_some_and(|wanted| wanted.fenced)
     }
 
-    /// Returns whether this run holds no role any more, or was never going to.
+    /// Returns whether this run holds no roles.
     pub fn holds_nothing(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Returns when [`RoleEvent::Tick`] is next wanted.
+    /// Returns when the next [`RoleEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let list = self.listing.is_none().then_some(self.list_at);
         if !self.listed {
@@ -206,7 +210,7 @@
         times.chain(list).min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: RoleEvent, now: Moment) -> Vec<RoleAction> {
         let mut actions = Vec::new();
         match event {
@@ -267,9 +271,10 @@
         self.ended.entry(holder).or_insert(now + turn);
     }
 
-    /// Returns how long this instance leaves a change to those that come before it.
+    /// Returns how long this instance waits for those ranked before it to make a change.
     ///
-    /// Without turns, 370 instances would write the same change at once and 369 would fail.
+    /// Without the delay, all of 370 instances would write the same change at once and 369 of the
+    /// writes would fail.
     fn turn(&self, key: &str) -> Duration {
         let mine = rendezvous_weight(key, self.me.instance.as_str());
         let before = self
@@ -281,7 +286,7 @@
         self.cfg.rank_delay * u32::try_from(before.min(MAX_RANK)).unwrap_or(0)
     }
 
-    /// Starts whatever calls are due.
+    /// Starts the calls that are due.
     fn advance(&mut self, now: Moment, actions: &mut Vec<RoleAction>) {
         if self.listing.is_none() && now >= self.list_at {
             let call = self.calls.call(PlatformOp::List(ObjectKind::Assignment));
--- a/crates/chervilshunt_coord/src/roles/table/edit.rs
+++ b/crates/chervilshunt_coord/src/roles/table/edit.rs
@@ -1,4 +1,4 @@
-//! What this run has to change in the assignments.
+//! Determines the changes that this run must make to the assignments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,13 +16,13 @@
 /// A change that is due.
 #[derive(Debug)]
 pub(super) enum Edit {
-    /// A holder has to be chosen, and the list of leases is too old for it.
+    /// A holder must be selected, but the list of the leases is too old.
     NeedsMembers,
-    /// The shard is to be written like this.
+    /// The shard must be written with this content.
     Write(AssignmentRecord),
 }
 
-/// Chooses holders while edits are made, counting the roles it has given out.
+/// Selects holders for several edits, counting the roles that it has already assigned.
 struct Chooser<'a> {
     table: &'a RoleTable,
     candidates: Vec<Candidate>,
@@ -61,7 +61,7 @@
 }
 
 impl RoleTable {
-    /// Returns the changes that are due now.
+    /// Returns the changes that are due.
     pub(super) fn edits(&mut self, now: Moment) -> Vec<Edit> {
         self.note_lacking(now);
         self.forget_ended();
@@ -86,7 +86,7 @@
         edits
     }
 
-    /// Notes since when each shard lacks wanted roles.
+    /// Records since when each shard lacks required roles.
     fn note_lacking(&mut self, now: Moment) {
         if !std::mem::take(&mut self.recheck) {
             return;
@@ -163,7 +163,8 @@
         zones
     }
 
-    /// Returns whether it is worth while to look through all roles.
+    /// Returns whether any role may need a change; a cheap check that avoids iterating over all
+    /// roles.
     fn may_have_work(&self) -> bool {
         self.leaving
             || !self.ended.is_empty()
@@ -240,7 +241,7 @@
             .collect()
     }
 
-    /// Returns the change of one shard.
+    /// Returns the change of one shard, if any.
     fn edit(
         &self,
         name: AssignmentShard,
--- a/crates/chervilshunt_coord/src/roles/table/held.rs
+++ b/crates/chervilshunt_coord/src/roles/table/held.rs
@@ -6,14 +6,14 @@
 use crate::roles::assignment::{AssignmentRecord, RoleEntry};
 use crate::roles::role::Role;
 
-/// How far the end of a held role has come.
+/// The stage of the handover of a held role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Stage {
-    /// Nothing ends it.
+    /// The role is not being handed over.
     Held,
-    /// The program was told to hand it over.
+    /// The program has been asked to hand over the role.
     Ending,
-    /// The program has handed it over; the assignment doesn't say so yet.
+    /// The program has released the role, but the assignment does not show it yet.
     Released,
 }
 
@@ -22,12 +22,12 @@
 pub(super) struct Held {
     pub(super) epoch: Epoch,
     pub(super) stage: Stage,
-    /// When orders may begin.
+    /// The earliest time for orders under the role.
     pub(super) orders_from: Moment,
 }
 
 impl RoleTable {
-    /// Tells what has changed between two records of a shard.
+    /// Reports the differences between two records of a shard.
     pub(super) fn compare(
         &mut self,
         before: &AssignmentRecord,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Ends the held roles that nobody needs any more.
+    /// Starts the handover of held roles that the configuration no longer requires.
     pub(super) fn end_unwanted(&mut self, actions: &mut Vec<RoleAction>) {
         let unwanted: Vec<_> = self
             .held
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Ends the held roles for which nobody is there to take them.
+    /// Ends the held roles when no other run can take them.
     pub(super) fn end_without_taker(&mut self, actions: &mut Vec<RoleAction>) {
         let roles: Vec<_> = self.held.keys().cloned().collect();
         for role in roles {
--- a/crates/chervilshunt_coord/src/roles/table/replies.rs
+++ b/crates/chervilshunt_coord/src/roles/table/replies.rs
@@ -1,4 +1,4 @@
-//! What the platform says, taken into a role table.
+//! Handles the platform's answers for a role table.
 
 use std::collections::BTreeSet;
 
@@ -154,7 +154,8 @@
             (Doing::Writing(..), PlatformResult::Unavailable) => {
                 shard.retry_at = now + retry_every;
             }
-            // The write may have been carried out, or another came before it: the object shows.
+            // The write may have been carried out, or another one came first. Reading the object
+            // shows which.
             (Doing::Writing(..), _) => self.read(name, actions),
             (Doing::Reading(_), _) => {
                 shard.doing = Doing::Unsettled;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Tells those whom a change concerns.
+    /// Notifies the instances whose roles a write has changed.
     fn tell_concerned(&self, after: &AssignmentRecord, actions: &mut Vec<RoleAction>) {
         let before = self.shards.get(&after.shard).map(|shard| &shard.record);
         let changed = after.roles.iter().filter(|(role, entry)| {
@@ -181,7 +182,7 @@
         actions.extend(tells);
     }
 
-    /// Takes an assignment over if it is newer than the one that is known.
+    /// Adopts an assignment if it is newer than the known one.
     pub(super) fn adopt(
         &mut self,
         record: AssignmentRecord,
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -1,4 +1,4 @@
-//! How a role table behaves, what it reacts to, and what it wants done.
+//! Configuration, events and actions of a role table.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,27 +10,29 @@
 use crate::roles::assignment::{AssignmentRecord, AssignmentShard};
 use crate::roles::role::{Role, WantedRole};
 
-/// How roles are assigned.
+/// Configuration of a [`RoleTable`](super::RoleTable).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RoleConfig {
-    /// How much later each further instance steps in, when several could write a change.
+    /// The additional delay per rank, when several instances could write the same change.
     pub rank_delay: Duration,
-    /// How long after a failed call the next try follows.
+    /// The delay before a failed call is retried.
     pub retry_every: Duration,
-    /// How often a run with too few roles asks for more.
+    /// The interval at which a run with less than its fair share requests more roles.
     pub ask_every: Duration,
-    /// The most roles that a run asks for at a time.
+    /// The maximum number of roles that a run requests at a time.
     pub ask_at_most: usize,
-    /// How often all assignments are listed anew, in case a watch has missed something.
+    /// The base interval at which all assignments are listed again, in case a watch missed a
+    /// change.
     pub list_every: Duration,
-    /// How much later that is for each role, to bound the bytes a second.
+    /// Added to the list interval for each required role, to limit the bytes per second that lists
+    /// transfer.
     pub list_later_by_role: Duration,
-    /// How long a list of leases serves to choose holders.
+    /// The maximum age of a list of the leases from which holders are selected.
     pub list_counts_for: Duration,
-    /// The longest time that an order can be on its way to a target.
+    /// The longest time for which an order can be in flight to a target.
     ///
-    /// Who takes a role over from a holder that did not hand it over itself waits this long before
-    /// its first order, if those who take the orders don't refuse old epochs.
+    /// A run that takes a role over from a holder that did not hand it over waits this long before
+    /// its first order if the receivers do not refuse old epochs.
     pub order_flight: Duration,
 }
 
@@ -49,66 +51,67 @@
     }
 }
 
-/// What a role table has to react to.
+/// An input of a [`RoleTable`](super::RoleTable).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleEvent {
-    /// A watch showed an assignment; it may be stale.
+    /// A watch reported an assignment, which may be stale.
     Seen(AssignmentRecord, ObjectVersion),
-    /// Another instance says that it wrote this generation of an assignment.
+    /// Another instance reported that it wrote this generation of an assignment.
     Told(AssignmentShard, u64),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
-    /// These roles need holders at this revision of the configuration.
+    /// The configuration at this revision requires these roles.
     Wanted(Revision, Vec<WantedRole>),
-    /// These instances are believed to be live, this one included.
+    /// The instances that are believed to be live, including this one.
     Instances(BTreeMap<InstanceId, ZoneName>),
-    /// Whether this run's lease says that it holds roles.
+    /// Whether the platform stores this run's lease as active, so that it may hold roles.
     MayHold(bool),
-    /// This run gives all its roles away.
+    /// This run must hand over all of its roles.
     Leave,
-    /// The program has handed the role over: it gives no order under it any more, none is on its
-    /// way, and whoever is next knows what it has to.
+    /// The program has finished handing over the role: it gives no more orders under it, none is in
+    /// flight, and the next holder has all the state that it needs.
     Released(Role),
-    /// The lease of this holder has ended, and whether this instance was the one to mark it.
+    /// The lease of this holder has ended. The flag is true if this instance marked it lapsed.
     Ended(Holder, bool),
-    /// The lease was lost: what was held is lost, and this is the run from now on.
+    /// The lease was lost, and with it all held roles. The instance rejoins as this holder.
     BeginAnew(Holder),
     /// Time has passed.
     Tick,
 }
 
-/// What a role table wants done.
+/// An output of a [`RoleTable`](super::RoleTable).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleAction {
     /// Call the platform.
     Call(PlatformCall),
-    /// Tell an instance that this generation of an assignment concerns it: a watch may be late.
+    /// Notify an instance that this generation of an assignment concerns it, because its watch may
+    /// lag.
     Tell(InstanceId, AssignmentShard, u64),
     /// This run holds the role from now on.
     Gained {
         /// The role.
         role: Role,
-        /// The fencing number for its orders.
+        /// The fencing token for orders under the role.
         epoch: Epoch,
-        /// Who held it before.
+        /// The previous holder.
         previous: Option<Holder>,
-        /// Whether that one handed it over itself.
+        /// Whether the previous holder handed it over, as opposed to losing it.
         handed_over: bool,
     },
-    /// This run is to hand the role over, and to say so with [`RoleEvent::Released`].
+    /// This run must hand over the role and confirm with [`RoleEvent::Released`].
     Ending {
         /// The role.
         role: Role,
-        /// To whom; `None` if nobody needs it any more or nobody is there to take it.
+        /// The next holder; `None` if the role is no longer required or no other run can take it.
         to: Option<InstanceId>,
     },
-    /// This run holds the role no longer.
+    /// This run no longer holds the role.
     Lost(Role),
-    /// The role has another holder, or none.
+    /// The role has a different holder, or none.
     HolderChanged {
         /// The role.
         role: Role,
-        /// Its holder with the epoch.
+        /// Its holder and epoch.
         holder: Option<(InstanceId, Epoch)>,
     },
 }
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -1,10 +1,10 @@
-//! All interleavings of a role that is handed over, or taken over, between two instances.
+//! Explores all interleavings of a role that is handed over, or taken over, between two instances.
 //!
-//! The holder may be asked to leave at any time, and its lease may end at any time, after which it
-//! begins anew whenever it learns of it. Calls to the platform are carried out at any time, their
-//! answers come at any time or never, watches show the assignment at any time or never. Two that
-//! may give orders under the role at once, or one epoch for two holders, break what targets rely
-//! on.
+//! The holder may be asked to leave at any time. Its lease may end at any time, after which it
+//! rejoins when it observes this. Calls to the platform are carried out at any time, their answers
+//! arrive at any time or never, and watches report the assignment at any time or never. Targets
+//! rely on two properties: two runs may never give orders under the role at the same time, and two
+//! holders never share an epoch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The holder's lease is marked lapsed; from now on it orders nothing under it.
+    /// Marks the holder's lease lapsed. From now on the holder gives no orders under it.
     fn lapse(&mut self) {
         self.lease_over = true;
         let name = ObjectName::Lease(run_of(HOLDER, 1));
