--- a/crates/chervilshunt_coord/src/takeover.rs
+++ b/crates/chervilshunt_coord/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Which instances may still hold permits of a role that was taken over.
+//! Tracks the instances that may still hold permits of a role after a takeover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,35 +6,35 @@
 
 use crate::roles::Role;
 
-/// Waits, for each role taken over, until all that could hold permits of it have answered.
+/// For each role taken over, waits until all instances that could hold permits of it have answered.
 ///
-/// An instance whose lease has lapsed may still stream an answer that its permit allowed, so only
-/// its own answer, or its having left the instance list, ends the wait for it.
+/// An instance whose lease has lapsed may still stream a response that its permit allowed. The wait
+/// for it therefore ends only with its own answer or when it leaves the instance list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Takeovers {
     waiting: BTreeMap<Role, BTreeSet<InstanceId>>,
 }
 
 impl Takeovers {
-    /// Begins to wait for these instances.
+    /// Starts to wait for the answers of these instances.
     pub fn begin(&mut self, role: Role, instances: &[InstanceId]) {
         let instances = instances.iter().cloned().collect();
         self.waiting.insert(role, instances);
     }
 
-    /// Ends the wait, as the role is held no longer.
+    /// Stops waiting, because this run no longer holds the role.
     pub fn end(&mut self, role: &Role) {
         self.waiting.remove(role);
     }
 
-    /// Takes the answer of an instance; returns the role if it was the last one.
+    /// Records the answer of an instance. Returns the role if this was the last outstanding answer.
     pub fn answered(&mut self, role: &Role, instance: &InstanceId) -> Option<Role> {
         self.waiting.get_mut(role)?.remove(instance);
         self.take_complete(role)
     }
 
-    /// Waits no longer for instances that are not among `listed`; returns the roles for which
-    /// these were the last ones.
+    /// Stops waiting for instances that are not in `listed`. Returns the roles for which no answer
+    /// is outstanding any more.
     pub fn keep_only(&mut self, listed: &BTreeSet<InstanceId>) -> Vec<Role> {
         for instances in self.waiting.values_mut() {
             instances.retain(|instance| listed.contains(instance));
@@ -46,7 +46,7 @@
             .collect()
     }
 
-    /// Returns the instances that a role waits for.
+    /// Returns the instances whose answers for `role` are outstanding.
     pub fn waiting(&self, role: &Role) -> impl Iterator<Item = &InstanceId> {
         self.waiting.get(role).into_iter().flatten()
     }
--- a/crates/chervilshunt_coord/src/tests/explore_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_lease.rs
@@ -1,9 +1,10 @@
-//! All interleavings of a holder that renews its lease and an observer that takes it for expired.
+//! Explores all interleavings of a holder that renews its lease and an observer that may find it
+//! expired.
 //!
-//! Every call may be carried out at any time, its answer may come at any time or never, and either
-//! side may be paused for any time: it is, whenever the others' steps are taken before its own. A
-//! holder that may give orders after the observer has told of the lease's end would order beside
-//! its successor.
+//! A call may be carried out at any time, and its answer may arrive at any time or never. Either
+//! side may be paused, which is covered by interleavings in which the other steps come first. If
+//! the holder could still give orders after the observer has reported the end of the lease, it
+//! would do so concurrently with its successor.
 
 use std::time::Duration;
 
@@ -18,16 +19,16 @@
     PlatformCall, PlatformResult,
 };
 
-/// The steps of the search.
+/// The depth of the search in steps.
 const DEPTH: usize = 15;
 
-/// The states that lie within, at the least.
+/// The minimum number of states that the search must visit.
 const STATES: usize = 100_000;
 
-/// The time that passes at the most, in seconds.
+/// The maximum time that passes, in seconds.
 const HORIZON: u64 = 7;
 
-/// Calls given up by their caller that the platform may yet carry out.
+/// The maximum number of calls abandoned by their caller that the platform may still carry out.
 const LATE_CALLS: usize = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -95,7 +96,7 @@
             ended: false,
             bugs,
         };
-        // The lease exists before anybody can watch it.
+        // The lease exists before anyone can watch it.
         world.hand_holder(LeaseEvent::Tick);
         world.carry_out(0);
         world.answer(0, false);
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Hands the result over, or none if the answer is lost or never came.
+    /// Delivers the result, or `Unknown` if the answer is lost or the call has not been carried
+    /// out.
     fn answer(&mut self, number: usize, lost: bool) {
         let Pending {
             caller,
