--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -14,6 +14,6 @@
 pub use observer::{LeaseObserver, ObserverAction, ObserverConfig, ObserverEvent};
 pub use record::{LeaseRecord, LeaseState};
 pub use sole::{
-    HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleRecord, SoleWritten,
-    era_of_term,
+    ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord,
+    SoleWritten, era_of_term,
 };
--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -14,7 +14,7 @@
 use chervilshunt_model::{InstanceId, Moment, StoreRevision};
 use serde::{Deserialize, Serialize};
 
-/// Configuration of a [`SoleKeeper`].
+/// Configuration of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SoleConfig {
     /// How long a renewal is valid. A longer duration bridges longer outages of the platform, but
@@ -108,7 +108,7 @@
     Unknown,
 }
 
-/// An input of a [`SoleKeeper`].
+/// An input of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SoleEvent {
     /// The platform returned the record; `None` if the object does not exist.
@@ -133,7 +133,7 @@
     Tick,
 }
 
-/// An output of a [`SoleKeeper`].
+/// An output of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SoleAction {
     /// Write the record if the object still has this version; create the object if there is none.
@@ -155,7 +155,7 @@
 
 /// Renews the exclusive lease if this instance holds it, and takes it over if its holder is gone.
 #[derive(Clone, Debug)]
-pub struct SoleKeeper {
+pub struct ExclusiveLeaseKeeper {
     cfg: SoleConfig,
     me: InstanceId,
     process: u64,
@@ -197,7 +197,7 @@
     term / TERMS_PER_ERA
 }
 
-impl SoleKeeper {
+impl ExclusiveLeaseKeeper {
     /// Creates a keeper that does not hold the lease. `stagger` should be between zero and some
     /// hundred milliseconds.
     pub fn new(
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -10,7 +10,7 @@
 //! | for | take | example |
 //! | --- | --- | --- |
 //! | one lease with fencing between a few processes | [`LeaseKeeper`], [`LeaseObserver`] | `lease.rs` |
-//! | one duty with one holder, before targets that check no fencing token | [`SoleKeeper`] | |
+//! | one duty with one holder, before targets that check no fencing token | [`ExclusiveLeaseKeeper`] | |
 //! | roles, each with one holder, over many instances | [`Coordinator`] with [`no_configuration`] | `roles.rs` |
 //! | a configuration that is in force everywhere or nowhere | [`Coordinator`] with a [`ConfigModel`] | `configuration.rs` |
 //! | idempotency keys that are claimed once | [`ClaimKeeper`], under a role of its own | |
@@ -75,9 +75,9 @@
 };
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
-    HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord,
-    LeaseState, ObserverAction, ObserverConfig, ObserverEvent, SeenRecord, SoleAction, SoleConfig,
-    SoleEvent, SoleKeeper, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseKeeper, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
+    LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig, ObserverEvent,
+    SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord, SoleWritten, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -9,7 +9,8 @@
 use rstest::rstest;
 
 use crate::lease::{
-    HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleRecord, SoleWritten,
+    ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord,
+    SoleWritten,
 };
 
 const CFG: SoleConfig = SoleConfig {
@@ -32,13 +33,13 @@
     Moment::from_millis(100_000 + millis)
 }
 
-fn keeper(name: &str, now: Moment) -> SoleKeeper {
+fn keeper(name: &str, now: Moment) -> ExclusiveLeaseKeeper {
     let address = ([10, 0, 0, name.as_bytes()[0]], 7000).into();
-    SoleKeeper::new(CFG, InstanceId::from(name), 1, address, Duration::ZERO, now)
+    ExclusiveLeaseKeeper::new(CFG, InstanceId::from(name), 1, address, Duration::ZERO, now)
 }
 
 /// Creates the lease for `a` and returns its keeper, which holds it.
-fn holder() -> (SoleKeeper, SeenRecord) {
+fn holder() -> (ExclusiveLeaseKeeper, SeenRecord) {
     let mut a = keeper("a", at(0));
     let written = match &*a.handle(SoleEvent::Seen(None), at(0)) {
         [SoleAction::Write(record, None)] => record.clone(),
@@ -94,7 +95,7 @@
     };
     let small = |now| {
         let address = ([10, 0, 0, 7], 7000).into();
-        SoleKeeper::new(cfg, InstanceId::from("s"), 1, address, Duration::ZERO, now)
+        ExclusiveLeaseKeeper::new(cfg, InstanceId::from("s"), 1, address, Duration::ZERO, now)
     };
     let mut first = small(at(0));
     assert!(first.handle(SoleEvent::Seen(None), at(0)).is_empty());
@@ -119,7 +120,7 @@
         ..CFG
     };
     let address = ([10, 0, 0, 7], 7000).into();
-    let mut small = SoleKeeper::new(
+    let mut small = ExclusiveLeaseKeeper::new(
         cfg,
         InstanceId::from("s"),
         1,
@@ -320,7 +321,7 @@
 struct World {
     now: u64,
     stored: Option<SeenRecord>,
-    keepers: Vec<SoleKeeper>,
+    keepers: Vec<ExclusiveLeaseKeeper>,
     calls: Vec<VecDeque<SoleAction>>,
     late: Vec<(SoleRecord, Option<StoreRevision>)>,
     era: u64,
@@ -504,7 +505,7 @@
                     ..CFG
                 };
                 self.keepers[who] =
-                    SoleKeeper::new(cfg, me, self.starts, address, Duration::ZERO, now);
+                    ExclusiveLeaseKeeper::new(cfg, me, self.starts, address, Duration::ZERO, now);
                 // Calls of the terminated process may still be carried out.
                 for call in std::mem::take(&mut self.calls[who]) {
                     if let SoleAction::Write(record, version) = call {
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::{SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleWritten};
+use chervilshunt_coord::{ExclusiveLeaseKeeper, SoleAction, SoleConfig, SoleEvent, SoleWritten};
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
@@ -55,7 +55,7 @@
     pub(super) shared: Arc<Shared>,
     pub(super) exchange: Arc<Exchange>,
     pub(super) address: Option<Address<Self>>,
-    pub(super) keeper: SoleKeeper,
+    pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
     pub(super) absences: Absences,
     pub(super) paces: Paces,
@@ -92,7 +92,7 @@
             is_first_start: settings.instance.is_first_start,
             ..SoleConfig::default()
         };
-        let keeper = SoleKeeper::new(
+        let keeper = ExclusiveLeaseKeeper::new(
             cfg,
             settings.instance.id.clone(),
             rand::random(),
