--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -14,6 +14,6 @@
 pub use observer::{LeaseObserver, ObserverAction, ObserverConfig, ObserverEvent};
 pub use record::{LeaseRecord, LeaseState};
 pub use sole::{
-    ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord,
-    SoleWritten, era_of_term,
+    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleEvent,
+    SoleRecord, SoleWritten, era_of_term,
 };
--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -16,7 +16,7 @@
 
 /// Configuration of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SoleConfig {
+pub struct ExclusiveLeaseConfig {
     /// How long a renewal is valid. A longer duration bridges longer outages of the platform, but
     /// leaves the deployment without a holder for longer after one fails.
     pub duration: Duration,
@@ -43,7 +43,7 @@
     pub is_first_start: bool,
 }
 
-impl Default for SoleConfig {
+impl Default for ExclusiveLeaseConfig {
     fn default() -> Self {
         Self {
             duration: Duration::from_millis(4_500),
@@ -156,7 +156,7 @@
 /// Renews the exclusive lease if this instance holds it, and takes it over if its holder is gone.
 #[derive(Clone, Debug)]
 pub struct ExclusiveLeaseKeeper {
-    cfg: SoleConfig,
+    cfg: ExclusiveLeaseConfig,
     me: InstanceId,
     process: u64,
     address: SocketAddr,
@@ -201,7 +201,7 @@
     /// Creates a keeper that does not hold the lease. `stagger` should be between zero and some
     /// hundred milliseconds.
     pub fn new(
-        cfg: SoleConfig,
+        cfg: ExclusiveLeaseConfig,
         me: InstanceId,
         process: u64,
         address: SocketAddr,
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -75,9 +75,9 @@
 };
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
-    ExclusiveLeaseKeeper, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
-    LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig, ObserverEvent,
-    SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, HeldLease, LeaseAction, LeaseConfig, LeaseEvent,
+    LeaseKeeper, LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig,
+    ObserverEvent, SeenRecord, SoleAction, SoleEvent, SoleRecord, SoleWritten, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -9,11 +9,11 @@
 use rstest::rstest;
 
 use crate::lease::{
-    ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleConfig, SoleEvent, SoleRecord,
-    SoleWritten,
+    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleEvent,
+    SoleRecord, SoleWritten,
 };
 
-const CFG: SoleConfig = SoleConfig {
+const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
     duration: Duration::from_millis(2_600),
     renew_every: Duration::from_millis(900),
     retry_every: Duration::from_millis(250),
@@ -89,7 +89,7 @@
 #[test]
 fn a_small_instance_leaves_the_lease_to_others_for_a_while() {
     let (_, seen) = holder();
-    let cfg = SoleConfig {
+    let cfg = ExclusiveLeaseConfig {
         yields_for: Duration::from_millis(500),
         ..CFG
     };
@@ -115,7 +115,7 @@
 #[case::it_has_lost_the_platform_before_it_tries(false)]
 fn a_small_instance_leaves_the_lease_to_others_when_the_platform_is_back(#[case] tried: bool) {
     let (_, seen) = holder();
-    let cfg = SoleConfig {
+    let cfg = ExclusiveLeaseConfig {
         yields_for: Duration::from_millis(500),
         ..CFG
     };
@@ -500,7 +500,7 @@
                 let address = ([10, 0, 0, NAMES[who].as_bytes()[0]], 7000).into();
                 let me = InstanceId::from(NAMES[who]);
                 let now = at(self.now);
-                let cfg = SoleConfig {
+                let cfg = ExclusiveLeaseConfig {
                     is_first_start: false,
                     ..CFG
                 };
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::{ExclusiveLeaseKeeper, SoleAction, SoleConfig, SoleEvent, SoleWritten};
+use chervilshunt_coord::{
+    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, SoleAction, SoleEvent, SoleWritten,
+};
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
@@ -86,11 +88,11 @@
     /// Starts as an observer of the lease.
     pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
         let settings = &shared.settings;
-        let cfg = SoleConfig {
+        let cfg = ExclusiveLeaseConfig {
             rest: settings.bounds.lease_rest,
             yields_for: yields_for(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
-            ..SoleConfig::default()
+            ..ExclusiveLeaseConfig::default()
         };
         let keeper = ExclusiveLeaseKeeper::new(
             cfg,
