--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -110,7 +110,7 @@
 
 /// An input of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SoleEvent {
+pub enum ExclusiveLeaseEvent {
     /// The platform returned the record; `None` if the object does not exist.
     Seen(Option<SeenRecord>),
     /// The platform answered in this era.
@@ -269,7 +269,7 @@
         self.lapses_at()
     }
 
-    /// Returns when the next [`SoleEvent::Tick`] is due; `None` while the keeper waits for a call
+    /// Returns when the next [`ExclusiveLeaseEvent::Tick`] is due; `None` while the keeper waits for a call
     /// or for its first read.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let idle = self.call == Call::None;
@@ -287,27 +287,27 @@
     }
 
     /// Handles one event and returns the actions to carry out.
-    pub fn handle(&mut self, event: SoleEvent, now: Moment) -> Vec<SoleAction> {
+    pub fn handle(&mut self, event: ExclusiveLeaseEvent, now: Moment) -> Vec<SoleAction> {
         let mut out = Vec::new();
         match event {
-            SoleEvent::Seen(seen) => {
+            ExclusiveLeaseEvent::Seen(seen) => {
                 self.on_answered(now);
                 self.on_seen(seen, now);
             }
-            SoleEvent::Era(era) => {
+            ExclusiveLeaseEvent::Era(era) => {
                 self.take_era(era, now);
             }
-            SoleEvent::Written(written) => self.on_written(written, now, &mut out),
-            SoleEvent::ReadFailed => {
+            ExclusiveLeaseEvent::Written(written) => self.on_written(written, now, &mut out),
+            ExclusiveLeaseEvent::ReadFailed => {
                 self.call = Call::None;
                 self.in_trouble = true;
                 self.next_at = now + self.cfg.retry_every;
             }
-            SoleEvent::PlatformLost => self.in_trouble = true,
-            SoleEvent::StepDown => self.on_step_down(now, &mut out),
-            SoleEvent::HolderTold(told) => self.on_told(told, now),
-            SoleEvent::Release => self.on_release(&mut out),
-            SoleEvent::Tick => {}
+            ExclusiveLeaseEvent::PlatformLost => self.in_trouble = true,
+            ExclusiveLeaseEvent::StepDown => self.on_step_down(now, &mut out),
+            ExclusiveLeaseEvent::HolderTold(told) => self.on_told(told, now),
+            ExclusiveLeaseEvent::Release => self.on_release(&mut out),
+            ExclusiveLeaseEvent::Tick => {}
         }
         self.settle(now, &mut out);
         self.give_up(now, &mut out);
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -75,9 +75,9 @@
 };
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
-    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, HeldLease, LeaseAction, LeaseConfig, LeaseEvent,
-    LeaseKeeper, LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig,
-    ObserverEvent, SeenRecord, SoleAction, SoleEvent, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, HeldLease, LeaseAction,
+    LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord, LeaseState, ObserverAction,
+    ObserverConfig, ObserverEvent, SeenRecord, SoleAction, SoleRecord, SoleWritten, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 
 use crate::lease::{
-    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, HeldLease, SeenRecord, SoleAction, SoleEvent,
-    SoleRecord, SoleWritten,
+    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, HeldLease, SeenRecord,
+    SoleAction, SoleRecord, SoleWritten,
 };
 
 const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
@@ -41,11 +41,14 @@
 /// Creates the lease for `a` and returns its keeper, which holds it.
 fn holder() -> (ExclusiveLeaseKeeper, SeenRecord) {
     let mut a = keeper("a", at(0));
-    let written = match &*a.handle(SoleEvent::Seen(None), at(0)) {
+    let written = match &*a.handle(ExclusiveLeaseEvent::Seen(None), at(0)) {
         [SoleAction::Write(record, None)] => record.clone(),
         other => panic!("{other:?}"),
     };
-    let gained = a.handle(SoleEvent::Written(SoleWritten::Done(rev(7))), at(5));
+    let gained = a.handle(
+        ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(7))),
+        at(5),
+    );
     assert_eq!(gained, [SoleAction::Gained(1)]);
     let seen = SeenRecord {
         record: written,
@@ -59,8 +62,11 @@
     // The answer to the write takes 2 s. If the lease counted from the answer, the holder would
     // continue for 2 s after others, which saw the write when it was carried out, consider it gone.
     let mut a = keeper("a", at(0));
-    a.handle(SoleEvent::Seen(None), at(0));
-    a.handle(SoleEvent::Written(SoleWritten::Done(rev(7))), at(2_000));
+    a.handle(ExclusiveLeaseEvent::Seen(None), at(0));
+    a.handle(
+        ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(7))),
+        at(2_000),
+    );
     assert_eq!(a.may_order(at(2_399)), Some(1));
     assert_eq!(a.may_order(at(2_400)), None);
 }
@@ -76,8 +82,8 @@
 ) {
     let (_, seen) = holder();
     let mut b = keeper("b", at(0));
-    b.handle(SoleEvent::Seen(Some(seen)), at(0));
-    let actions = b.handle(SoleEvent::Tick, at(now));
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(0));
+    let actions = b.handle(ExclusiveLeaseEvent::Tick, at(now));
     assert_eq!(!actions.is_empty(), taken);
     if let Some(SoleAction::Write(record, version)) = actions.first() {
         assert_eq!((record.term, *version), (2, Some(rev(7))));
@@ -98,13 +104,25 @@
         ExclusiveLeaseKeeper::new(cfg, InstanceId::from("s"), 1, address, Duration::ZERO, now)
     };
     let mut first = small(at(0));
-    assert!(first.handle(SoleEvent::Seen(None), at(0)).is_empty());
+    assert!(
+        first
+            .handle(ExclusiveLeaseEvent::Seen(None), at(0))
+            .is_empty()
+    );
     assert_eq!(first.next_wakeup(), Some(at(500)));
-    assert!(!first.handle(SoleEvent::Tick, at(500)).is_empty());
+    assert!(!first.handle(ExclusiveLeaseEvent::Tick, at(500)).is_empty());
     let mut taker = small(at(0));
-    taker.handle(SoleEvent::Seen(Some(seen)), at(0));
-    assert!(taker.handle(SoleEvent::Tick, at(6_399)).is_empty());
-    assert!(!taker.handle(SoleEvent::Tick, at(6_400)).is_empty());
+    taker.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(0));
+    assert!(
+        taker
+            .handle(ExclusiveLeaseEvent::Tick, at(6_399))
+            .is_empty()
+    );
+    assert!(
+        !taker
+            .handle(ExclusiveLeaseEvent::Tick, at(6_400))
+            .is_empty()
+    );
 }
 
 /// Guards against a small instance taking the lease right after an outage in which the lease
@@ -128,20 +146,28 @@
         Duration::ZERO,
         at(0),
     );
-    small.handle(SoleEvent::Seen(Some(seen.clone())), at(0));
+    small.handle(ExclusiveLeaseEvent::Seen(Some(seen.clone())), at(0));
     if tried {
-        let write = small.handle(SoleEvent::Tick, at(6_400));
+        let write = small.handle(ExclusiveLeaseEvent::Tick, at(6_400));
         assert!(matches!(&*write, [SoleAction::Write(..)]), "{write:?}");
-        small.handle(SoleEvent::Written(SoleWritten::Failed), at(6_410));
+        small.handle(ExclusiveLeaseEvent::Written(SoleWritten::Failed), at(6_410));
     } else {
-        small.handle(SoleEvent::PlatformLost, at(1_000));
+        small.handle(ExclusiveLeaseEvent::PlatformLost, at(1_000));
     }
-    let read = small.handle(SoleEvent::Tick, at(6_660));
+    let read = small.handle(ExclusiveLeaseEvent::Tick, at(6_660));
     assert_eq!(read, [SoleAction::Read], "it finds out whether it is back");
-    let actions = small.handle(SoleEvent::Seen(Some(seen)), at(9_000));
+    let actions = small.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(9_000));
     assert!(actions.is_empty(), "{actions:?}");
-    assert!(small.handle(SoleEvent::Tick, at(9_499)).is_empty());
-    assert!(!small.handle(SoleEvent::Tick, at(9_500)).is_empty());
+    assert!(
+        small
+            .handle(ExclusiveLeaseEvent::Tick, at(9_499))
+            .is_empty()
+    );
+    assert!(
+        !small
+            .handle(ExclusiveLeaseEvent::Tick, at(9_500))
+            .is_empty()
+    );
 }
 
 /// A holder whose machine is too small for the duty steps down. It must release the lease only
@@ -149,10 +175,13 @@
 #[test]
 fn a_holder_that_steps_down_gives_the_lease_up_after_its_last_orders() {
     let (mut a, mut seen) = holder();
-    assert_eq!(a.handle(SoleEvent::StepDown, at(100)), [SoleAction::Lost]);
+    assert_eq!(
+        a.handle(ExclusiveLeaseEvent::StepDown, at(100)),
+        [SoleAction::Lost]
+    );
     assert_eq!(a.may_order(at(100)), None);
-    assert!(a.handle(SoleEvent::Tick, at(699)).is_empty());
-    let actions = a.handle(SoleEvent::Tick, at(700));
+    assert!(a.handle(ExclusiveLeaseEvent::Tick, at(699)).is_empty());
+    let actions = a.handle(ExclusiveLeaseEvent::Tick, at(700));
     let [SoleAction::Write(record, Some(StoreRevision { number: 7, .. }))] = &*actions else {
         panic!("{actions:?}");
     };
@@ -160,22 +189,25 @@
     seen.record = record.clone();
     seen.version = rev(8);
     assert!(
-        a.handle(SoleEvent::Written(SoleWritten::Done(rev(8))), at(705))
-            .is_empty()
+        a.handle(
+            ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(8))),
+            at(705)
+        )
+        .is_empty()
     );
     assert_eq!(a.may_order(at(710)), None);
     let mut b = keeper("b", at(100));
-    b.handle(SoleEvent::Seen(Some(seen)), at(710));
-    assert!(b.handle(SoleEvent::Tick, at(4_009)).is_empty());
-    assert!(!b.handle(SoleEvent::Tick, at(4_010)).is_empty());
-    assert!(a.handle(SoleEvent::Tick, at(60_099)).is_empty());
-    assert!(!a.handle(SoleEvent::Tick, at(60_100)).is_empty());
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(710));
+    assert!(b.handle(ExclusiveLeaseEvent::Tick, at(4_009)).is_empty());
+    assert!(!b.handle(ExclusiveLeaseEvent::Tick, at(4_010)).is_empty());
+    assert!(a.handle(ExclusiveLeaseEvent::Tick, at(60_099)).is_empty());
+    assert!(!a.handle(ExclusiveLeaseEvent::Tick, at(60_100)).is_empty());
 }
 
 #[test]
 fn a_lease_that_was_given_up_is_taken_after_the_rest_alone() {
     let (mut a, mut seen) = holder();
-    let actions = a.handle(SoleEvent::Release, at(100));
+    let actions = a.handle(ExclusiveLeaseEvent::Release, at(100));
     let [
         SoleAction::Lost,
         SoleAction::Write(record, Some(StoreRevision { number: 7, .. })),
@@ -188,9 +220,9 @@
     seen.record = record.clone();
     seen.version = rev(8);
     let mut b = keeper("b", at(100));
-    b.handle(SoleEvent::Seen(Some(seen)), at(110));
-    assert!(b.handle(SoleEvent::Tick, at(3_409)).is_empty());
-    assert!(!b.handle(SoleEvent::Tick, at(3_410)).is_empty());
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(110));
+    assert!(b.handle(ExclusiveLeaseEvent::Tick, at(3_409)).is_empty());
+    assert!(!b.handle(ExclusiveLeaseEvent::Tick, at(3_410)).is_empty());
 }
 
 /// An instance that receives the holder's reports reads the record rarely. If the reports did not
@@ -208,16 +240,19 @@
 ) {
     let (_, seen) = holder();
     let mut b = keeper("b", at(0));
-    b.handle(SoleEvent::Seen(Some(seen)), at(0));
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(0));
     b.handle(
-        SoleEvent::HolderTold(HeldLease {
+        ExclusiveLeaseEvent::HolderTold(HeldLease {
             term,
             version: rev(version),
         }),
         at(4_000),
     );
-    assert!(b.handle(SoleEvent::Tick, at(taken_at - 1)).is_empty());
-    let actions = b.handle(SoleEvent::Tick, at(taken_at));
+    assert!(
+        b.handle(ExclusiveLeaseEvent::Tick, at(taken_at - 1))
+            .is_empty()
+    );
+    let actions = b.handle(ExclusiveLeaseEvent::Tick, at(taken_at));
     let [SoleAction::Write(record, Some(at_version))] = &*actions else {
         panic!("{actions:?}");
     };
@@ -231,16 +266,16 @@
 fn a_look_that_shows_what_was_told_does_not_prolong_the_lease() {
     let (_, mut seen) = holder();
     let mut b = keeper("b", at(0));
-    b.handle(SoleEvent::Seen(Some(seen.clone())), at(0));
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen.clone())), at(0));
     let told = HeldLease {
         term: 1,
         version: rev(9),
     };
-    b.handle(SoleEvent::HolderTold(told), at(900));
+    b.handle(ExclusiveLeaseEvent::HolderTold(told), at(900));
     seen.version = rev(9);
-    b.handle(SoleEvent::Seen(Some(seen)), at(2_200));
-    assert!(b.handle(SoleEvent::Tick, at(6_799)).is_empty());
-    assert!(!b.handle(SoleEvent::Tick, at(6_800)).is_empty());
+    b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(2_200));
+    assert!(b.handle(ExclusiveLeaseEvent::Tick, at(6_799)).is_empty());
+    assert!(!b.handle(ExclusiveLeaseEvent::Tick, at(6_800)).is_empty());
 }
 
 #[test]
@@ -250,7 +285,7 @@
     let (mut a, _) = holder();
     assert_eq!(a.may_order(at(10_000)), None);
     assert!(
-        a.handle(SoleEvent::Tick, at(10_000))
+        a.handle(ExclusiveLeaseEvent::Tick, at(10_000))
             .contains(&SoleAction::Lost)
     );
 }
@@ -258,20 +293,23 @@
 #[test]
 fn a_write_whose_answer_is_lost_is_settled_by_reading() {
     let (mut a, mut seen) = holder();
-    let actions = a.handle(SoleEvent::Tick, at(900));
+    let actions = a.handle(ExclusiveLeaseEvent::Tick, at(900));
     let [SoleAction::Write(record, _)] = &*actions else {
         panic!("{actions:?}");
     };
     seen.record = record.clone();
     seen.version = rev(8);
-    let unknown = a.handle(SoleEvent::Written(SoleWritten::Unknown), at(1_000));
+    let unknown = a.handle(
+        ExclusiveLeaseEvent::Written(SoleWritten::Unknown),
+        at(1_000),
+    );
     assert_eq!(unknown, [SoleAction::Read]);
-    a.handle(SoleEvent::Seen(Some(seen)), at(1_010));
+    a.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(1_010));
     // The renewal may have been carried out at any time since it was sent, so only the next one
     // counts.
     assert_eq!(a.may_order(at(2_399)), Some(1));
     assert_eq!(a.may_order(at(2_400)), None);
-    let renewed = a.handle(SoleEvent::Tick, at(1_300));
+    let renewed = a.handle(ExclusiveLeaseEvent::Tick, at(1_300));
     assert!(matches!(
         &*renewed,
         [SoleAction::Write(_, Some(StoreRevision { number: 8, .. }))]
@@ -357,7 +395,7 @@
         world
     }
 
-    fn event(&mut self, who: usize, event: SoleEvent) {
+    fn event(&mut self, who: usize, event: ExclusiveLeaseEvent) {
         let actions = self.keepers[who].handle(event, at(self.now));
         let calls = actions
             .into_iter()
@@ -407,8 +445,8 @@
 
     /// Delivers the platform's content to an instance, with the era of the answer.
     fn look(&mut self, who: usize, era: u64, seen: Option<SeenRecord>) {
-        self.event(who, SoleEvent::Era(era));
-        self.event(who, SoleEvent::Seen(seen));
+        self.event(who, ExclusiveLeaseEvent::Era(era));
+        self.event(who, ExclusiveLeaseEvent::Seen(seen));
     }
 
     fn call(&mut self, who: usize, done: bool, told: bool) {
@@ -420,9 +458,9 @@
                 let (era, stored) = (self.era, self.stored.clone());
                 return self.look(who, era, stored);
             }
-            SoleAction::Read => SoleEvent::ReadFailed,
+            SoleAction::Read => ExclusiveLeaseEvent::ReadFailed,
             SoleAction::Write(record, version) => {
-                SoleEvent::Written(self.write_with(&record, version, done, told))
+                ExclusiveLeaseEvent::Written(self.write_with(&record, version, done, told))
             }
             SoleAction::Gained(_) | SoleAction::Lost => unreachable!("no calls"),
         };
@@ -477,7 +515,7 @@
             Step::Advance(millis) => {
                 self.now += millis;
                 for who in 0..3 {
-                    self.event(who, SoleEvent::Tick);
+                    self.event(who, ExclusiveLeaseEvent::Tick);
                 }
             }
             Step::Look(who) => {
@@ -486,7 +524,7 @@
                 self.look(who, era, stored);
             }
             Step::Restore(back) => self.restore(back),
-            Step::Era(who) => self.event(who, SoleEvent::Era(self.era)),
+            Step::Era(who) => self.event(who, ExclusiveLeaseEvent::Era(self.era)),
             Step::OldLook(who) => {
                 if let Some((era, Some(seen))) = self.unanswered.clone() {
                     self.look(who, era, Some(seen));
@@ -494,7 +532,7 @@
             }
             Step::Call(who, done, told) => self.call(who, done, told),
             Step::Order(who) => self.order(who),
-            Step::Overload(who) => self.event(who, SoleEvent::StepDown),
+            Step::Overload(who) => self.event(who, ExclusiveLeaseEvent::StepDown),
             Step::Restart(who) => {
                 self.starts += 1;
                 let address = ([10, 0, 0, NAMES[who].as_bytes()[0]], 7000).into();
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{
-    ExclusiveLeaseConfig, ExclusiveLeaseKeeper, SoleAction, SoleEvent, SoleWritten,
+    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, SoleAction, SoleWritten,
 };
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
@@ -129,7 +129,7 @@
     }
 
     /// Carries out what the lease keeper wants.
-    pub(super) fn lease_event(&mut self, event: SoleEvent) {
+    pub(super) fn lease_event(&mut self, event: ExclusiveLeaseEvent) {
         let now = self.now();
         let actions = self.keeper.handle(event, now);
         for action in actions {
@@ -153,7 +153,7 @@
     fn after_message(&mut self) {
         let now = self.now();
         if self.keeper.next_wakeup().is_some_and(|at| at <= now) {
-            self.lease_event(SoleEvent::Tick);
+            self.lease_event(ExclusiveLeaseEvent::Tick);
         }
         self.forget_absent(now);
         self.forget_crashes(now);
@@ -252,9 +252,9 @@
             LeaseAnswer::Written(_) | LeaseAnswer::Read(None) | LeaseAnswer::ReadFailed => {}
         }
         let event = match answer {
-            LeaseAnswer::Written(written) => SoleEvent::Written(written),
-            LeaseAnswer::Read(seen) => SoleEvent::Seen(seen),
-            LeaseAnswer::ReadFailed => SoleEvent::ReadFailed,
+            LeaseAnswer::Written(written) => ExclusiveLeaseEvent::Written(written),
+            LeaseAnswer::Read(seen) => ExclusiveLeaseEvent::Seen(seen),
+            LeaseAnswer::ReadFailed => ExclusiveLeaseEvent::ReadFailed,
         };
         self.lease_event(event);
         self.after_message();
@@ -324,7 +324,7 @@
     /// cold adapters refused for four. Others no longer take the lease.
     async fn handle(&mut self, _stop: Stop, _cx: &mut xtra::Context<Self>) {
         if self.placer.is_none() {
-            self.lease_event(SoleEvent::Release);
+            self.lease_event(ExclusiveLeaseEvent::Release);
         }
         self.after_message();
     }
--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chervilshunt_coord::SoleEvent;
+use chervilshunt_coord::ExclusiveLeaseEvent;
 use chervilshunt_model::Moment;
 
 use super::actor::Control;
@@ -57,7 +57,7 @@
         slog::warn!(self.shared.log, "steps down as the placer";
             "late_by_ms" => late_by.as_millis() as u64,
             "processor_share" => self.processor_share(), "largest_share" => largest);
-        self.lease_event(SoleEvent::StepDown);
+        self.lease_event(ExclusiveLeaseEvent::StepDown);
     }
 }
 
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use chervilshunt_coord::SoleEvent;
+use chervilshunt_coord::ExclusiveLeaseEvent;
 use chervilshunt_model::StoreRevision;
 use tokio::sync::watch;
 
@@ -28,7 +28,7 @@
             return;
         }
         self.known_era = Some(era);
-        self.lease_event(SoleEvent::Era(era));
+        self.lease_event(ExclusiveLeaseEvent::Era(era));
         self.era
             .send_if_modified(|newest| std::mem::replace(newest, era.max(*newest)) < era);
         let Some(known) = known else {
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::SoleEvent;
+use chervilshunt_coord::ExclusiveLeaseEvent;
 use chervilshunt_core::{
     Dispatch, EntryChange, ResidencyEvent, RouteTable, TargetFacts, TargetStart, Weights,
 };
@@ -114,7 +114,7 @@
     fn note_trouble(&mut self, kind: Kind) {
         self.reaches_platform = false;
         self.feed.lost(kind);
-        self.lease_event(SoleEvent::PlatformLost);
+        self.lease_event(ExclusiveLeaseEvent::PlatformLost);
         match kind {
             Kind::Targets => {
                 let now = self.now();
@@ -160,7 +160,7 @@
                 self.crashes_listed(&listed.into_iter().collect(), revision);
                 self.record_lost_crashes();
             }
-            Kind::Lease if names.is_empty() => self.lease_event(SoleEvent::Seen(None)),
+            Kind::Lease if names.is_empty() => self.lease_event(ExclusiveLeaseEvent::Seen(None)),
             Kind::Lease | Kind::Configuration | Kind::Versions => {}
         }
     }
@@ -175,7 +175,7 @@
             }
             Content::Version(weights, version) => self.version_seen(weights, version, revision),
             Content::Crashes(crashes) => self.crashes_recorded(crashes, revision),
-            Content::Lease(seen) => self.lease_event(SoleEvent::Seen(Some(seen))),
+            Content::Lease(seen) => self.lease_event(ExclusiveLeaseEvent::Seen(Some(seen))),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -1,6 +1,6 @@
 //! What this instance tells the placer, and how it takes in what the placer tells.
 
-use chervilshunt_coord::{HeldLease, SoleEvent};
+use chervilshunt_coord::{ExclusiveLeaseEvent, HeldLease};
 use chervilshunt_core::ResidencyEvent;
 use chervilshunt_mesh::InboundMessage;
 use chervilshunt_model::{InstanceId, StoreRevision};
@@ -133,7 +133,7 @@
     fn holder_told(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
-            self.lease_event(SoleEvent::HolderTold(lease));
+            self.lease_event(ExclusiveLeaseEvent::HolderTold(lease));
             self.paces
                 .guide(Kind::Lease)
                 .told(StoreRevision::default(), now);
