--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -14,6 +14,6 @@
 pub use observer::{LeaseObserver, ObserverAction, ObserverConfig, ObserverEvent};
 pub use record::{LeaseRecord, LeaseState};
 pub use sole::{
-    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, HeldLease, SeenRecord,
-    SoleAction, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    HeldLease, SeenRecord, SoleRecord, SoleWritten, era_of_term,
 };
--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -135,7 +135,7 @@
 
 /// An output of a [`ExclusiveLeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SoleAction {
+pub enum ExclusiveLeaseAction {
     /// Write the record if the object still has this version; create the object if there is none.
     Write(SoleRecord, Option<StoreRevision>),
     /// Read the record with a linearizable read.
@@ -237,7 +237,7 @@
     /// Returns the term under which orders may be given at `now`, if any.
     ///
     /// Call this right before each order is sent: the process may have been paused since
-    /// [`SoleAction::Gained`].
+    /// [`ExclusiveLeaseAction::Gained`].
     pub fn may_order(&self, now: Moment) -> Option<u64> {
         (self.holds && now < self.valid_until).then_some(self.held_term)
     }
@@ -287,7 +287,7 @@
     }
 
     /// Handles one event and returns the actions to carry out.
-    pub fn handle(&mut self, event: ExclusiveLeaseEvent, now: Moment) -> Vec<SoleAction> {
+    pub fn handle(&mut self, event: ExclusiveLeaseEvent, now: Moment) -> Vec<ExclusiveLeaseAction> {
         let mut out = Vec::new();
         match event {
             ExclusiveLeaseEvent::Seen(seen) => {
@@ -405,7 +405,12 @@
         }
     }
 
-    fn on_written(&mut self, written: SoleWritten, now: Moment, out: &mut Vec<SoleAction>) {
+    fn on_written(
+        &mut self,
+        written: SoleWritten,
+        now: Moment,
+        out: &mut Vec<ExclusiveLeaseAction>,
+    ) {
         let Call::Writing { record, sent } = std::mem::replace(&mut self.call, Call::None) else {
             return;
         };
@@ -449,25 +454,25 @@
         }
     }
 
-    fn read(&mut self, out: &mut Vec<SoleAction>) {
+    fn read(&mut self, out: &mut Vec<ExclusiveLeaseAction>) {
         self.call = Call::Reading;
-        out.push(SoleAction::Read);
+        out.push(ExclusiveLeaseAction::Read);
     }
 
     /// Stops acting as the holder. The lease is released once no order can leave the process any
     /// more.
-    fn on_step_down(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
+    fn on_step_down(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
         if !std::mem::replace(&mut self.holds, false) {
             return;
         }
         self.valid_until = Moment::ZERO;
         self.gives_up_at = Some(now + self.cfg.last_orders);
         self.down_until = now + self.cfg.stays_down;
-        out.push(SoleAction::Lost);
+        out.push(ExclusiveLeaseAction::Lost);
     }
 
     /// Releases the lease after this instance has stepped down.
-    fn give_up(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
+    fn give_up(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
         if self.call != Call::None || self.gives_up_at.is_none_or(|at| now < at) {
             return;
         }
@@ -483,14 +488,14 @@
             record: record.clone(),
             sent: now,
         };
-        out.push(SoleAction::Write(record, Some(seen.version)));
+        out.push(ExclusiveLeaseAction::Write(record, Some(seen.version)));
     }
 
-    fn on_release(&mut self, out: &mut Vec<SoleAction>) {
+    fn on_release(&mut self, out: &mut Vec<ExclusiveLeaseAction>) {
         self.leaving = true;
         self.valid_until = Moment::ZERO;
         if std::mem::replace(&mut self.holds, false) {
-            out.push(SoleAction::Lost);
+            out.push(ExclusiveLeaseAction::Lost);
         }
         let Some(seen) = self.seen.as_ref().filter(|seen| self.is_ours(&seen.record)) else {
             return;
@@ -499,17 +504,17 @@
             holder: None,
             ..seen.record.clone()
         };
-        out.push(SoleAction::Write(record, Some(seen.version)));
+        out.push(ExclusiveLeaseAction::Write(record, Some(seen.version)));
     }
 
-    fn gain(&mut self, out: &mut Vec<SoleAction>) {
+    fn gain(&mut self, out: &mut Vec<ExclusiveLeaseAction>) {
         if !std::mem::replace(&mut self.holds, true) {
-            out.push(SoleAction::Gained(self.held_term));
+            out.push(ExclusiveLeaseAction::Gained(self.held_term));
         }
     }
 
     /// Stops holding the lease once it has expired or another instance holds it.
-    fn settle(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
+    fn settle(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
         let is_anothers = self
             .seen
             .as_ref()
@@ -517,11 +522,11 @@
         if self.holds && (now >= self.valid_until || is_anothers) {
             self.holds = false;
             self.valid_until = Moment::ZERO;
-            out.push(SoleAction::Lost);
+            out.push(ExclusiveLeaseAction::Lost);
         }
     }
 
-    fn act(&mut self, now: Moment, out: &mut Vec<SoleAction>) {
+    fn act(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
         if self.call != Call::None || self.leaving || now < self.next_at {
             return;
         }
@@ -549,7 +554,7 @@
             record: record.clone(),
             sent,
         };
-        out.push(SoleAction::Write(record, version));
+        out.push(ExclusiveLeaseAction::Write(record, version));
     }
 
     fn next_write(&self, now: Moment) -> Option<(SoleRecord, Option<StoreRevision>)> {
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -75,9 +75,10 @@
 };
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
-    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, HeldLease, LeaseAction,
-    LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord, LeaseState, ObserverAction,
-    ObserverConfig, ObserverEvent, SeenRecord, SoleAction, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord,
+    LeaseState, ObserverAction, ObserverConfig, ObserverEvent, SeenRecord, SoleRecord, SoleWritten,
+    era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 
 use crate::lease::{
-    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, HeldLease, SeenRecord,
-    SoleAction, SoleRecord, SoleWritten,
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    HeldLease, SeenRecord, SoleRecord, SoleWritten,
 };
 
 const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
@@ -42,14 +42,14 @@
 fn holder() -> (ExclusiveLeaseKeeper, SeenRecord) {
     let mut a = keeper("a", at(0));
     let written = match &*a.handle(ExclusiveLeaseEvent::Seen(None), at(0)) {
-        [SoleAction::Write(record, None)] => record.clone(),
+        [ExclusiveLeaseAction::Write(record, None)] => record.clone(),
         other => panic!("{other:?}"),
     };
     let gained = a.handle(
         ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(7))),
         at(5),
     );
-    assert_eq!(gained, [SoleAction::Gained(1)]);
+    assert_eq!(gained, [ExclusiveLeaseAction::Gained(1)]);
     let seen = SeenRecord {
         record: written,
         version: rev(7),
@@ -85,7 +85,7 @@
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(0));
     let actions = b.handle(ExclusiveLeaseEvent::Tick, at(now));
     assert_eq!(!actions.is_empty(), taken);
-    if let Some(SoleAction::Write(record, version)) = actions.first() {
+    if let Some(ExclusiveLeaseAction::Write(record, version)) = actions.first() {
         assert_eq!((record.term, *version), (2, Some(rev(7))));
     }
 }
@@ -149,13 +149,20 @@
     small.handle(ExclusiveLeaseEvent::Seen(Some(seen.clone())), at(0));
     if tried {
         let write = small.handle(ExclusiveLeaseEvent::Tick, at(6_400));
-        assert!(matches!(&*write, [SoleAction::Write(..)]), "{write:?}");
+        assert!(
+            matches!(&*write, [ExclusiveLeaseAction::Write(..)]),
+            "{write:?}"
+        );
         small.handle(ExclusiveLeaseEvent::Written(SoleWritten::Failed), at(6_410));
     } else {
         small.handle(ExclusiveLeaseEvent::PlatformLost, at(1_000));
     }
     let read = small.handle(ExclusiveLeaseEvent::Tick, at(6_660));
-    assert_eq!(read, [SoleAction::Read], "it finds out whether it is back");
+    assert_eq!(
+        read,
+        [ExclusiveLeaseAction::Read],
+        "it finds out whether it is back"
+    );
     let actions = small.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(9_000));
     assert!(actions.is_empty(), "{actions:?}");
     assert!(
@@ -177,12 +184,13 @@
     let (mut a, mut seen) = holder();
     assert_eq!(
         a.handle(ExclusiveLeaseEvent::StepDown, at(100)),
-        [SoleAction::Lost]
+        [ExclusiveLeaseAction::Lost]
     );
     assert_eq!(a.may_order(at(100)), None);
     assert!(a.handle(ExclusiveLeaseEvent::Tick, at(699)).is_empty());
     let actions = a.handle(ExclusiveLeaseEvent::Tick, at(700));
-    let [SoleAction::Write(record, Some(StoreRevision { number: 7, .. }))] = &*actions else {
+    let [ExclusiveLeaseAction::Write(record, Some(StoreRevision { number: 7, .. }))] = &*actions
+    else {
         panic!("{actions:?}");
     };
     assert_eq!(record.holder, None);
@@ -209,8 +217,8 @@
     let (mut a, mut seen) = holder();
     let actions = a.handle(ExclusiveLeaseEvent::Release, at(100));
     let [
-        SoleAction::Lost,
-        SoleAction::Write(record, Some(StoreRevision { number: 7, .. })),
+        ExclusiveLeaseAction::Lost,
+        ExclusiveLeaseAction::Write(record, Some(StoreRevision { number: 7, .. })),
     ] = &*actions
     else {
         panic!("{actions:?}");
@@ -253,7 +261,7 @@
             .is_empty()
     );
     let actions = b.handle(ExclusiveLeaseEvent::Tick, at(taken_at));
-    let [SoleAction::Write(record, Some(at_version))] = &*actions else {
+    let [ExclusiveLeaseAction::Write(record, Some(at_version))] = &*actions else {
         panic!("{actions:?}");
     };
     let known = if term == 1 { version } else { 7 };
@@ -286,7 +294,7 @@
     assert_eq!(a.may_order(at(10_000)), None);
     assert!(
         a.handle(ExclusiveLeaseEvent::Tick, at(10_000))
-            .contains(&SoleAction::Lost)
+            .contains(&ExclusiveLeaseAction::Lost)
     );
 }
 
@@ -294,7 +302,7 @@
 fn a_write_whose_answer_is_lost_is_settled_by_reading() {
     let (mut a, mut seen) = holder();
     let actions = a.handle(ExclusiveLeaseEvent::Tick, at(900));
-    let [SoleAction::Write(record, _)] = &*actions else {
+    let [ExclusiveLeaseAction::Write(record, _)] = &*actions else {
         panic!("{actions:?}");
     };
     seen.record = record.clone();
@@ -303,7 +311,7 @@
         ExclusiveLeaseEvent::Written(SoleWritten::Unknown),
         at(1_000),
     );
-    assert_eq!(unknown, [SoleAction::Read]);
+    assert_eq!(unknown, [ExclusiveLeaseAction::Read]);
     a.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(1_010));
     // The renewal may have been carried out at any time since it was sent, so only the next one
     // counts.
@@ -312,7 +320,10 @@
     let renewed = a.handle(ExclusiveLeaseEvent::Tick, at(1_300));
     assert!(matches!(
         &*renewed,
-        [SoleAction::Write(_, Some(StoreRevision { number: 8, .. }))]
+        [ExclusiveLeaseAction::Write(
+            _,
+            Some(StoreRevision { number: 8, .. })
+        )]
     ));
 }
 
@@ -360,7 +371,7 @@
     now: u64,
     stored: Option<SeenRecord>,
     keepers: Vec<ExclusiveLeaseKeeper>,
-    calls: Vec<VecDeque<SoleAction>>,
+    calls: Vec<VecDeque<ExclusiveLeaseAction>>,
     late: Vec<(SoleRecord, Option<StoreRevision>)>,
     era: u64,
     /// The content of the platform from each time on, in its current history.
@@ -397,9 +408,12 @@
 
     fn event(&mut self, who: usize, event: ExclusiveLeaseEvent) {
         let actions = self.keepers[who].handle(event, at(self.now));
-        let calls = actions
-            .into_iter()
-            .filter(|it| matches!(it, SoleAction::Write(..) | SoleAction::Read));
+        let calls = actions.into_iter().filter(|it| {
+            matches!(
+                it,
+                ExclusiveLeaseAction::Write(..) | ExclusiveLeaseAction::Read
+            )
+        });
         self.calls[who].extend(calls);
     }
 
@@ -454,15 +468,17 @@
             return;
         };
         let event = match call {
-            SoleAction::Read if done => {
+            ExclusiveLeaseAction::Read if done => {
                 let (era, stored) = (self.era, self.stored.clone());
                 return self.look(who, era, stored);
             }
-            SoleAction::Read => ExclusiveLeaseEvent::ReadFailed,
-            SoleAction::Write(record, version) => {
+            ExclusiveLeaseAction::Read => ExclusiveLeaseEvent::ReadFailed,
+            ExclusiveLeaseAction::Write(record, version) => {
                 ExclusiveLeaseEvent::Written(self.write_with(&record, version, done, told))
             }
-            SoleAction::Gained(_) | SoleAction::Lost => unreachable!("no calls"),
+            ExclusiveLeaseAction::Gained(_) | ExclusiveLeaseAction::Lost => {
+                unreachable!("no calls")
+            }
         };
         self.event(who, event);
     }
@@ -546,7 +562,7 @@
                     ExclusiveLeaseKeeper::new(cfg, me, self.starts, address, Duration::ZERO, now);
                 // Calls of the terminated process may still be carried out.
                 for call in std::mem::take(&mut self.calls[who]) {
-                    if let SoleAction::Write(record, version) = call {
+                    if let ExclusiveLeaseAction::Write(record, version) = call {
                         self.late.push((record, version));
                     }
                 }
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{
-    ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper, SoleAction, SoleWritten,
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    SoleWritten,
 };
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
@@ -138,14 +139,14 @@
         self.note_holder();
     }
 
-    fn carry_out_lease(&mut self, action: SoleAction, now: Moment) {
+    fn carry_out_lease(&mut self, action: ExclusiveLeaseAction, now: Moment) {
         match action {
-            SoleAction::Write(record, version) => {
+            ExclusiveLeaseAction::Write(record, version) => {
                 self.call_lease(LeaseCall::Write(record, version));
             }
-            SoleAction::Read => self.call_lease(LeaseCall::Read),
-            SoleAction::Gained(term) => self.become_placer(term, now),
-            SoleAction::Lost => self.cease_placing(),
+            ExclusiveLeaseAction::Read => self.call_lease(LeaseCall::Read),
+            ExclusiveLeaseAction::Gained(term) => self.become_placer(term, now),
+            ExclusiveLeaseAction::Lost => self.cease_placing(),
         }
     }
 
