--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -15,5 +15,5 @@
 pub use record::{LeaseRecord, LeaseState};
 pub use sole::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    HeldLease, SeenRecord, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseRecord, HeldLease, SeenRecord, SoleWritten, era_of_term,
 };
--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -61,7 +61,7 @@
 
 /// The record of the exclusive lease, as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SoleRecord {
+pub struct ExclusiveLeaseRecord {
     /// The instance that holds the lease; `None` if it was released.
     pub holder: Option<InstanceId>,
     /// Identifies the process of the holder among all starts of the instance.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRecord {
     /// The record.
-    pub record: SoleRecord,
+    pub record: ExclusiveLeaseRecord,
     /// The version of the object that contains it.
     pub version: StoreRevision,
 }
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExclusiveLeaseAction {
     /// Write the record if the object still has this version; create the object if there is none.
-    Write(SoleRecord, Option<StoreRevision>),
+    Write(ExclusiveLeaseRecord, Option<StoreRevision>),
     /// Read the record with a linearizable read.
     Read,
     /// This instance holds the lease from now on, under this term.
@@ -149,7 +149,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Call {
     None,
-    Writing { record: SoleRecord, sent: Moment },
+    Writing {
+        record: ExclusiveLeaseRecord,
+        sent: Moment,
+    },
     Reading,
 }
 
@@ -386,7 +389,7 @@
     /// Returns whether a record is from an earlier era than the platform's. Such a record was
     /// restored with a copy, or was written by a late write of that era, and says nothing about the
     /// present holder.
-    fn is_void(&self, record: &SoleRecord) -> bool {
+    fn is_void(&self, record: &ExclusiveLeaseRecord) -> bool {
         era_of_term(record.term) < self.era.unwrap_or(0)
     }
 
@@ -480,7 +483,7 @@
         let Some(seen) = self.seen.as_ref().filter(|seen| self.is_ours(&seen.record)) else {
             return;
         };
-        let record = SoleRecord {
+        let record = ExclusiveLeaseRecord {
             holder: None,
             ..seen.record.clone()
         };
@@ -500,7 +503,7 @@
         let Some(seen) = self.seen.as_ref().filter(|seen| self.is_ours(&seen.record)) else {
             return;
         };
-        let record = SoleRecord {
+        let record = ExclusiveLeaseRecord {
             holder: None,
             ..seen.record.clone()
         };
@@ -557,7 +560,7 @@
         out.push(ExclusiveLeaseAction::Write(record, version));
     }
 
-    fn next_write(&self, now: Moment) -> Option<(SoleRecord, Option<StoreRevision>)> {
+    fn next_write(&self, now: Moment) -> Option<(ExclusiveLeaseRecord, Option<StoreRevision>)> {
         let version = self.seen.as_ref().map(|it| it.version);
         let ours = self.seen.as_ref().filter(|it| self.is_ours(&it.record));
         if let Some(seen) = ours {
@@ -618,14 +621,14 @@
         self.cfg.yields_for + self.stagger
     }
 
-    fn is_ours(&self, record: &SoleRecord) -> bool {
+    fn is_ours(&self, record: &ExclusiveLeaseRecord) -> bool {
         record.holder.as_ref() == Some(&self.me)
             && record.process == self.process
             && !self.is_void(record)
     }
 
-    fn record(&self, term: u64, renewals: u64) -> SoleRecord {
-        SoleRecord {
+    fn record(&self, term: u64, renewals: u64) -> ExclusiveLeaseRecord {
+        ExclusiveLeaseRecord {
             holder: Some(self.me.clone()),
             process: self.process,
             address: self.address,
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -76,9 +76,9 @@
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord,
-    LeaseState, ObserverAction, ObserverConfig, ObserverEvent, SeenRecord, SoleRecord, SoleWritten,
-    era_of_term,
+    ExclusiveLeaseRecord, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
+    LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig, ObserverEvent,
+    SeenRecord, SoleWritten, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -10,7 +10,7 @@
 
 use crate::lease::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    HeldLease, SeenRecord, SoleRecord, SoleWritten,
+    ExclusiveLeaseRecord, HeldLease, SeenRecord, SoleWritten,
 };
 
 const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
@@ -372,7 +372,7 @@
     stored: Option<SeenRecord>,
     keepers: Vec<ExclusiveLeaseKeeper>,
     calls: Vec<VecDeque<ExclusiveLeaseAction>>,
-    late: Vec<(SoleRecord, Option<StoreRevision>)>,
+    late: Vec<(ExclusiveLeaseRecord, Option<StoreRevision>)>,
     era: u64,
     /// The content of the platform from each time on, in its current history.
     history: Vec<(u64, Option<SeenRecord>)>,
@@ -423,7 +423,7 @@
     /// satisfies them.
     fn write(
         &mut self,
-        record: &SoleRecord,
+        record: &ExclusiveLeaseRecord,
         version: Option<StoreRevision>,
     ) -> Option<StoreRevision> {
         let number = |it: StoreRevision| it.number;
@@ -485,7 +485,7 @@
 
     fn write_with(
         &mut self,
-        record: &SoleRecord,
+        record: &ExclusiveLeaseRecord,
         version: Option<StoreRevision>,
         done: bool,
         told: bool,
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::{SoleRecord, SoleWritten};
+use chervilshunt_coord::{ExclusiveLeaseRecord, SoleWritten};
 use chervilshunt_mesh::{Mesh, Peer, Reply};
 use chervilshunt_model::{Moment, StoreRevision};
 use chervilshunt_platform::{Exchange, PlatformError};
@@ -152,7 +152,7 @@
 
     async fn write(
         &self,
-        record: &SoleRecord,
+        record: &ExclusiveLeaseRecord,
         version: Option<StoreRevision>,
         within: Duration,
     ) -> SoleWritten {
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_coord::{SeenRecord, SoleRecord};
+use chervilshunt_coord::{ExclusiveLeaseRecord, SeenRecord};
 use chervilshunt_core::{
     Fingerprint, LoadReport, Order, OrderAnswer, RequestSize, RouteTable, StoredCrashes,
     TargetFacts, TargetReport, Weights,
@@ -191,7 +191,7 @@
     /// Makes the call that waits for changes after a revision, at most for a time.
     pub watch: fn(Kind, StoreRevision, Duration) -> Call,
     /// Makes the call that writes the lease if it still has a version, or creates it.
-    pub write_lease: fn(&SoleRecord, Option<StoreRevision>) -> Call,
+    pub write_lease: fn(&ExclusiveLeaseRecord, Option<StoreRevision>) -> Call,
     /// Makes the call that reads the lease, linearizably.
     pub read_lease: fn() -> Call,
     /// Makes the call that writes a record of crashes if it still has its revision, or creates it.
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
+use chervilshunt_coord::{ExclusiveLeaseRecord, HeldLease, SeenRecord, SoleWritten};
 use chervilshunt_core::{
     Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
     TargetSnapshot, TargetStart, Use, Want, Weights,
@@ -148,7 +148,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseCall {
     /// Writes the record if the object still has a version, or creates it.
-    Write(SoleRecord, Option<StoreRevision>),
+    Write(ExclusiveLeaseRecord, Option<StoreRevision>),
     /// Reads the record, linearizably.
     Read,
 }
