--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -97,7 +97,7 @@
 
 /// The outcome of a write of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SoleWritten {
+pub enum LeaseWriteOutcome {
     /// The write was carried out; the object now has this version.
     Done(StoreRevision),
     /// The object had a different version, and nothing was written.
@@ -116,7 +116,7 @@
     /// The platform answered in this era.
     Era(u64),
     /// A write has ended.
-    Written(SoleWritten),
+    Written(LeaseWriteOutcome),
     /// A read has failed.
     ReadFailed,
     /// Another call of this instance to the platform failed.
@@ -410,7 +410,7 @@
 
     fn on_written(
         &mut self,
-        written: SoleWritten,
+        written: LeaseWriteOutcome,
         now: Moment,
         out: &mut Vec<ExclusiveLeaseAction>,
     ) {
@@ -418,7 +418,7 @@
             return;
         };
         match written {
-            SoleWritten::Done(version) => {
+            LeaseWriteOutcome::Done(version) => {
                 self.on_answered(now);
                 if !self.take_era(version.era, now) {
                     // The write was carried out before the restore, which discarded it.
@@ -444,13 +444,13 @@
                 self.held_term = term;
                 self.gain(out);
             }
-            SoleWritten::Failed => {
+            LeaseWriteOutcome::Failed => {
                 self.in_trouble = true;
                 self.next_at = now + self.cfg.retry_every;
             }
             // The stored record decides: if the write took effect, the record is recognised as this
             // instance's own, and counts from its next renewal.
-            SoleWritten::Conflict | SoleWritten::Unknown => {
+            LeaseWriteOutcome::Conflict | LeaseWriteOutcome::Unknown => {
                 self.next_at = now + self.cfg.retry_every;
                 self.read(out);
             }
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -77,8 +77,8 @@
 pub use lease::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
     ExclusiveLeaseRecord, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
-    LeaseObserver, LeaseRecord, LeaseState, ObserverAction, ObserverConfig, ObserverEvent,
-    SeenRecord, SoleWritten, era_of_term,
+    LeaseObserver, LeaseRecord, LeaseState, LeaseWriteOutcome, ObserverAction, ObserverConfig,
+    ObserverEvent, SeenRecord, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -10,7 +10,7 @@
 
 use crate::lease::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    ExclusiveLeaseRecord, HeldLease, SeenRecord, SoleWritten,
+    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, SeenRecord,
 };
 
 const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
@@ -46,7 +46,7 @@
         other => panic!("{other:?}"),
     };
     let gained = a.handle(
-        ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(7))),
+        ExclusiveLeaseEvent::Written(LeaseWriteOutcome::Done(rev(7))),
         at(5),
     );
     assert_eq!(gained, [ExclusiveLeaseAction::Gained(1)]);
@@ -64,7 +64,7 @@
     let mut a = keeper("a", at(0));
     a.handle(ExclusiveLeaseEvent::Seen(None), at(0));
     a.handle(
-        ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(7))),
+        ExclusiveLeaseEvent::Written(LeaseWriteOutcome::Done(rev(7))),
         at(2_000),
     );
     assert_eq!(a.may_order(at(2_399)), Some(1));
@@ -153,7 +153,10 @@
             matches!(&*write, [ExclusiveLeaseAction::Write(..)]),
             "{write:?}"
         );
-        small.handle(ExclusiveLeaseEvent::Written(SoleWritten::Failed), at(6_410));
+        small.handle(
+            ExclusiveLeaseEvent::Written(LeaseWriteOutcome::Failed),
+            at(6_410),
+        );
     } else {
         small.handle(ExclusiveLeaseEvent::PlatformLost, at(1_000));
     }
@@ -198,7 +201,7 @@
     seen.version = rev(8);
     assert!(
         a.handle(
-            ExclusiveLeaseEvent::Written(SoleWritten::Done(rev(8))),
+            ExclusiveLeaseEvent::Written(LeaseWriteOutcome::Done(rev(8))),
             at(705)
         )
         .is_empty()
@@ -308,7 +311,7 @@
     seen.record = record.clone();
     seen.version = rev(8);
     let unknown = a.handle(
-        ExclusiveLeaseEvent::Written(SoleWritten::Unknown),
+        ExclusiveLeaseEvent::Written(LeaseWriteOutcome::Unknown),
         at(1_000),
     );
     assert_eq!(unknown, [ExclusiveLeaseAction::Read]);
@@ -489,18 +492,18 @@
         version: Option<StoreRevision>,
         done: bool,
         told: bool,
-    ) -> SoleWritten {
+    ) -> LeaseWriteOutcome {
         if !done {
             if told {
-                return SoleWritten::Failed;
+                return LeaseWriteOutcome::Failed;
             }
             self.late.push((record.clone(), version));
-            return SoleWritten::Unknown;
+            return LeaseWriteOutcome::Unknown;
         }
         match self.write(record, version) {
-            _ if !told => SoleWritten::Unknown,
-            Some(version) => SoleWritten::Done(version),
-            None => SoleWritten::Conflict,
+            _ if !told => LeaseWriteOutcome::Unknown,
+            Some(version) => LeaseWriteOutcome::Done(version),
+            None => LeaseWriteOutcome::Conflict,
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -6,7 +6,7 @@
 
 use chervilshunt_coord::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    SoleWritten,
+    LeaseWriteOutcome,
 };
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
@@ -248,7 +248,7 @@
 
     async fn handle(&mut self, answer: LeaseAnswer, _cx: &mut xtra::Context<Self>) {
         match &answer {
-            LeaseAnswer::Written(SoleWritten::Done(version)) => self.note_era(version.era),
+            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.note_era(version.era),
             LeaseAnswer::Read(Some(seen)) => self.note_era(seen.version.era),
             LeaseAnswer::Written(_) | LeaseAnswer::Read(None) | LeaseAnswer::ReadFailed => {}
         }
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::{ExclusiveLeaseRecord, SoleWritten};
+use chervilshunt_coord::{ExclusiveLeaseRecord, LeaseWriteOutcome};
 use chervilshunt_mesh::{Mesh, Peer, Reply};
 use chervilshunt_model::{Moment, StoreRevision};
 use chervilshunt_platform::{Exchange, PlatformError};
@@ -134,7 +134,7 @@
     /// Returns what is known if nobody answers: a write may have been carried out.
     const fn without_answer(&self) -> LeaseAnswer {
         match self {
-            Self::Write(..) => LeaseAnswer::Written(SoleWritten::Unknown),
+            Self::Write(..) => LeaseAnswer::Written(LeaseWriteOutcome::Unknown),
             Self::Read => LeaseAnswer::ReadFailed,
         }
     }
@@ -155,14 +155,14 @@
         record: &ExclusiveLeaseRecord,
         version: Option<StoreRevision>,
         within: Duration,
-    ) -> SoleWritten {
+    ) -> LeaseWriteOutcome {
         let call = (self.dialect.write_lease)(record, version);
         match call_once(&self.exchange, &self.dialect, &call, within).await {
             Ok(answer) => match (self.dialect.read_seen_lease)(answer.era, &answer.body) {
-                Ok(seen) => SoleWritten::Done(seen.version),
+                Ok(seen) => LeaseWriteOutcome::Done(seen.version),
                 Err(malformed) => {
                     self.report_malformed(&malformed);
-                    SoleWritten::Unknown
+                    LeaseWriteOutcome::Unknown
                 }
             },
             Err(error) => {
@@ -195,15 +195,15 @@
     }
 }
 
-fn failed_write(error: &PlatformError) -> SoleWritten {
+fn failed_write(error: &PlatformError) -> LeaseWriteOutcome {
     match error {
         PlatformError::Conflict { .. }
         | PlatformError::AlreadyExists { .. }
-        | PlatformError::NotFound { .. } => SoleWritten::Conflict,
+        | PlatformError::NotFound { .. } => LeaseWriteOutcome::Conflict,
         PlatformError::Unavailable { .. }
         | PlatformError::RateLimited { .. }
         | PlatformError::Denied { .. }
-        | PlatformError::Invalid { .. } => SoleWritten::Failed,
-        _ => SoleWritten::Unknown,
+        | PlatformError::Invalid { .. } => LeaseWriteOutcome::Failed,
+        _ => LeaseWriteOutcome::Unknown,
     }
 }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_coord::{ExclusiveLeaseRecord, HeldLease, SeenRecord, SoleWritten};
+use chervilshunt_coord::{ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, SeenRecord};
 use chervilshunt_core::{
     Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
     TargetSnapshot, TargetStart, Use, Want, Weights,
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseAnswer {
     /// A write has ended.
-    Written(SoleWritten),
+    Written(LeaseWriteOutcome),
     /// A read has ended; none if there is no object.
     Read(Option<SeenRecord>),
     /// A read has failed.
@@ -170,7 +170,8 @@
     pub(crate) const fn is_failure(&self) -> bool {
         matches!(
             self,
-            Self::Written(SoleWritten::Failed | SoleWritten::Unknown) | Self::ReadFailed
+            Self::Written(LeaseWriteOutcome::Failed | LeaseWriteOutcome::Unknown)
+                | Self::ReadFailed
         )
     }
 }
