--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -15,5 +15,5 @@
 pub use record::{LeaseRecord, LeaseState};
 pub use sole::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, SeenRecord, era_of_term,
+    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord, era_of_term,
 };
--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -77,7 +77,7 @@
 
 /// A lease record with the version of the platform's object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenRecord {
+pub struct VersionedLeaseRecord {
     /// The record.
     pub record: ExclusiveLeaseRecord,
     /// The version of the object that contains it.
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExclusiveLeaseEvent {
     /// The platform returned the record; `None` if the object does not exist.
-    Seen(Option<SeenRecord>),
+    Seen(Option<VersionedLeaseRecord>),
     /// The platform answered in this era.
     Era(u64),
     /// A write has ended.
@@ -169,7 +169,7 @@
     era: Option<u64>,
     /// When a restore of the platform was last detected.
     restored_at: Option<Moment>,
-    seen: Option<SeenRecord>,
+    seen: Option<VersionedLeaseRecord>,
     /// The highest term observed so far.
     highest_term: u64,
     /// The term under which orders are given while the lease is held.
@@ -329,7 +329,7 @@
         }
     }
 
-    fn on_seen(&mut self, seen: Option<SeenRecord>, now: Moment) {
+    fn on_seen(&mut self, seen: Option<VersionedLeaseRecord>, now: Moment) {
         if self.call == Call::Reading {
             self.call = Call::None;
         }
@@ -375,7 +375,7 @@
         true
     }
 
-    fn set_seen(&mut self, seen: SeenRecord) {
+    fn set_seen(&mut self, seen: VersionedLeaseRecord) {
         let record = &seen.record;
         self.highest_term = self.highest_term.max(record.term);
         // A record from before a restore may name a holder that has been succeeded since.
@@ -428,7 +428,7 @@
                 let term = record.term;
                 let is_void = self.is_void(&record);
                 self.looked = true;
-                self.set_seen(SeenRecord { record, version });
+                self.set_seen(VersionedLeaseRecord { record, version });
                 self.changed_at = now;
                 if is_void {
                     // The condition of the write was met by chance, by a revision number that the
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -78,7 +78,7 @@
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
     ExclusiveLeaseRecord, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
     LeaseObserver, LeaseRecord, LeaseState, LeaseWriteOutcome, ObserverAction, ObserverConfig,
-    ObserverEvent, SeenRecord, era_of_term,
+    ObserverEvent, VersionedLeaseRecord, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -10,7 +10,7 @@
 
 use crate::lease::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
-    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, SeenRecord,
+    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord,
 };
 
 const CFG: ExclusiveLeaseConfig = ExclusiveLeaseConfig {
@@ -39,7 +39,7 @@
 }
 
 /// Creates the lease for `a` and returns its keeper, which holds it.
-fn holder() -> (ExclusiveLeaseKeeper, SeenRecord) {
+fn holder() -> (ExclusiveLeaseKeeper, VersionedLeaseRecord) {
     let mut a = keeper("a", at(0));
     let written = match &*a.handle(ExclusiveLeaseEvent::Seen(None), at(0)) {
         [ExclusiveLeaseAction::Write(record, None)] => record.clone(),
@@ -50,7 +50,7 @@
         at(5),
     );
     assert_eq!(gained, [ExclusiveLeaseAction::Gained(1)]);
-    let seen = SeenRecord {
+    let seen = VersionedLeaseRecord {
         record: written,
         version: rev(7),
     };
@@ -372,15 +372,15 @@
 
 struct World {
     now: u64,
-    stored: Option<SeenRecord>,
+    stored: Option<VersionedLeaseRecord>,
     keepers: Vec<ExclusiveLeaseKeeper>,
     calls: Vec<VecDeque<ExclusiveLeaseAction>>,
     late: Vec<(ExclusiveLeaseRecord, Option<StoreRevision>)>,
     era: u64,
     /// The content of the platform from each time on, in its current history.
-    history: Vec<(u64, Option<SeenRecord>)>,
+    history: Vec<(u64, Option<VersionedLeaseRecord>)>,
     /// An earlier read whose answer may still arrive.
-    unanswered: Option<(u64, Option<SeenRecord>)>,
+    unanswered: Option<(u64, Option<VersionedLeaseRecord>)>,
     last_order: Option<(usize, u64, u64)>,
     starts: u64,
 }
@@ -434,7 +434,7 @@
             return None;
         }
         let version = StoreRevision::new(self.era, version.map_or(0, number) + 1);
-        self.stored = Some(SeenRecord {
+        self.stored = Some(VersionedLeaseRecord {
             record: record.clone(),
             version,
         });
@@ -461,7 +461,7 @@
     }
 
     /// Delivers the platform's content to an instance, with the era of the answer.
-    fn look(&mut self, who: usize, era: u64, seen: Option<SeenRecord>) {
+    fn look(&mut self, who: usize, era: u64, seen: Option<VersionedLeaseRecord>) {
         self.event(who, ExclusiveLeaseEvent::Era(era));
         self.event(who, ExclusiveLeaseEvent::Seen(seen));
     }
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_coord::{ExclusiveLeaseRecord, SeenRecord};
+use chervilshunt_coord::{ExclusiveLeaseRecord, VersionedLeaseRecord};
 use chervilshunt_core::{
     Fingerprint, LoadReport, Order, OrderAnswer, RequestSize, RouteTable, StoredCrashes,
     TargetFacts, TargetReport, Weights,
@@ -134,7 +134,7 @@
     /// A record of a request that crashes targets.
     Crashes(StoredCrashes),
     /// The placer's lease.
-    Lease(SeenRecord),
+    Lease(VersionedLeaseRecord),
 }
 
 /// An object.
@@ -205,7 +205,7 @@
     /// Reads changes that were told in an era.
     pub read_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
     /// Reads the lease, as a read or write of it is answered.
-    pub read_seen_lease: fn(u64, &[u8]) -> Result<SeenRecord, Malformed>,
+    pub read_seen_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
     /// Reads a record of crashes, as a write of it is answered.
     pub read_written_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
     /// Reads the name of a record of crashes.
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_coord::{ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, SeenRecord};
+use chervilshunt_coord::{
+    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord,
+};
 use chervilshunt_core::{
     Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
     TargetSnapshot, TargetStart, Use, Want, Weights,
@@ -159,7 +161,7 @@
     /// A write has ended.
     Written(LeaseWriteOutcome),
     /// A read has ended; none if there is no object.
-    Read(Option<SeenRecord>),
+    Read(Option<VersionedLeaseRecord>),
     /// A read has failed.
     ReadFailed,
 }
