--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -124,7 +124,7 @@
     /// The holder reported the term and the version of the record. Instances that receive these
     /// reports need not read the record often, and know when it was last renewed if the holder
     /// stops responding.
-    HolderTold(HeldLease),
+    HolderReported(HeldLease),
     /// The instance shuts down: the lease is released and not taken again.
     Release,
     /// The holder cannot carry the duty, and other instances can: it releases the lease.
@@ -308,7 +308,7 @@
             }
             ExclusiveLeaseEvent::PlatformLost => self.in_trouble = true,
             ExclusiveLeaseEvent::StepDown => self.on_step_down(now, &mut out),
-            ExclusiveLeaseEvent::HolderTold(told) => self.on_told(told, now),
+            ExclusiveLeaseEvent::HolderReported(told) => self.on_told(told, now),
             ExclusiveLeaseEvent::Release => self.on_release(&mut out),
             ExclusiveLeaseEvent::Tick => {}
         }
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -253,7 +253,7 @@
     let mut b = keeper("b", at(0));
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(0));
     b.handle(
-        ExclusiveLeaseEvent::HolderTold(HeldLease {
+        ExclusiveLeaseEvent::HolderReported(HeldLease {
             term,
             version: rev(version),
         }),
@@ -282,7 +282,7 @@
         term: 1,
         version: rev(9),
     };
-    b.handle(ExclusiveLeaseEvent::HolderTold(told), at(900));
+    b.handle(ExclusiveLeaseEvent::HolderReported(told), at(900));
     seen.version = rev(9);
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(2_200));
     assert!(b.handle(ExclusiveLeaseEvent::Tick, at(6_799)).is_empty());
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -133,7 +133,7 @@
     fn holder_told(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
-            self.lease_event(ExclusiveLeaseEvent::HolderTold(lease));
+            self.lease_event(ExclusiveLeaseEvent::HolderReported(lease));
             self.paces
                 .guide(Kind::Lease)
                 .told(StoreRevision::default(), now);
