--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -268,7 +268,7 @@
 
     /// Returns the earliest time at which another instance can take the lease if its holder is
     /// gone.
-    pub fn taken_at(&self) -> Moment {
+    pub fn earliest_takeover(&self) -> Moment {
         self.lapses_at()
     }
 
