--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -30,7 +30,7 @@
     pub margin: Duration,
     /// The pause between two holders in which neither acts, so that no order of the first is still
     /// in flight when the second sends its own.
-    pub rest: Duration,
+    pub handover_gap: Duration,
     /// How long this instance waits, when the lease can be taken, for others to take it first.
     pub yields_for: Duration,
     /// How long a holder that steps down waits before it releases the lease: the longest time for
@@ -50,7 +50,7 @@
             renew_every: Duration::from_millis(900),
             retry_every: Duration::from_millis(250),
             margin: Duration::from_millis(200),
-            rest: Duration::from_millis(3_300),
+            handover_gap: Duration::from_millis(3_300),
             yields_for: Duration::ZERO,
             last_orders: Duration::from_millis(600),
             stays_down: Duration::from_secs(60),
@@ -598,7 +598,8 @@
     /// Returns when a lease held by another instance may be taken.
     fn lapses_at(&self) -> Moment {
         // A holder whose record a restore has lost may still act, whatever the present record says.
-        let after_any_holder = self.changed_at + self.cfg.duration + self.cfg.rest + self.delay();
+        let after_any_holder =
+            self.changed_at + self.cfg.duration + self.cfg.handover_gap + self.delay();
         let Some(seen) = &self.seen else {
             if self.restored_at.is_some() || !self.cfg.is_first_start {
                 return after_any_holder;
@@ -607,7 +608,7 @@
         };
         match &seen.record.holder {
             _ if self.is_void(&seen.record) => after_any_holder,
-            None => self.changed_at + self.cfg.rest + self.delay(),
+            None => self.changed_at + self.cfg.handover_gap + self.delay(),
             // The record is from the previous process of this instance. That process is gone, and
             // its orders were those of the same holder.
             Some(holder) if *holder == self.me && seen.record.address == self.address => {
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -18,7 +18,7 @@
     renew_every: Duration::from_millis(900),
     retry_every: Duration::from_millis(250),
     margin: Duration::from_millis(200),
-    rest: Duration::from_millis(3_300),
+    handover_gap: Duration::from_millis(3_300),
     yields_for: Duration::ZERO,
     last_orders: Duration::from_millis(600),
     stays_down: Duration::from_secs(60),
@@ -517,9 +517,9 @@
             && before != who
         {
             assert!(term > last_term, "term {term} after {last_term}");
-            let rest = CFG.rest.as_millis() as u64;
+            let gap = CFG.handover_gap.as_millis() as u64;
             assert!(
-                self.now >= when + rest,
+                self.now >= when + gap,
                 "{} orders {} ms after {}",
                 NAMES[who],
                 self.now - when,
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -90,7 +90,7 @@
     pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
-            rest: settings.bounds.lease_rest,
+            handover_gap: settings.bounds.lease_rest,
             yields_for: yields_for(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
             ..ExclusiveLeaseConfig::default()
