--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -32,7 +32,7 @@
     /// in flight when the second sends its own.
     pub handover_gap: Duration,
     /// How long this instance waits, when the lease can be taken, for others to take it first.
-    pub yields_for: Duration,
+    pub yield_delay: Duration,
     /// How long a holder that steps down waits before it releases the lease: the longest time for
     /// an order to leave the process.
     pub last_orders: Duration,
@@ -51,7 +51,7 @@
             retry_every: Duration::from_millis(250),
             margin: Duration::from_millis(200),
             handover_gap: Duration::from_millis(3_300),
-            yields_for: Duration::ZERO,
+            yield_delay: Duration::ZERO,
             last_orders: Duration::from_millis(600),
             stays_down: Duration::from_secs(60),
             is_first_start: true,
@@ -325,7 +325,7 @@
     /// would usually be first and would carry the duty from then on.
     fn on_answered(&mut self, now: Moment) {
         if std::mem::replace(&mut self.in_trouble, false) {
-            self.may_take_from = self.may_take_from.max(now + self.cfg.yields_for);
+            self.may_take_from = self.may_take_from.max(now + self.cfg.yield_delay);
         }
     }
 
@@ -549,7 +549,7 @@
             .seen
             .as_ref()
             .is_some_and(|it| self.is_ours(&it.record));
-        if self.in_trouble && !is_ours && !self.cfg.yields_for.is_zero() {
+        if self.in_trouble && !is_ours && !self.cfg.yield_delay.is_zero() {
             return self.read(out);
         }
         let sent = now;
@@ -604,7 +604,7 @@
             if self.restored_at.is_some() || !self.cfg.is_first_start {
                 return after_any_holder;
             }
-            return self.changed_at + self.cfg.yields_for;
+            return self.changed_at + self.cfg.yield_delay;
         };
         match &seen.record.holder {
             _ if self.is_void(&seen.record) => after_any_holder,
@@ -619,7 +619,7 @@
     }
 
     fn delay(&self) -> Duration {
-        self.cfg.yields_for + self.stagger
+        self.cfg.yield_delay + self.stagger
     }
 
     fn is_ours(&self, record: &ExclusiveLeaseRecord) -> bool {
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -19,7 +19,7 @@
     retry_every: Duration::from_millis(250),
     margin: Duration::from_millis(200),
     handover_gap: Duration::from_millis(3_300),
-    yields_for: Duration::ZERO,
+    yield_delay: Duration::ZERO,
     last_orders: Duration::from_millis(600),
     stays_down: Duration::from_secs(60),
     is_first_start: true,
@@ -96,7 +96,7 @@
 fn a_small_instance_leaves_the_lease_to_others_for_a_while() {
     let (_, seen) = holder();
     let cfg = ExclusiveLeaseConfig {
-        yields_for: Duration::from_millis(500),
+        yield_delay: Duration::from_millis(500),
         ..CFG
     };
     let small = |now| {
@@ -134,7 +134,7 @@
 fn a_small_instance_leaves_the_lease_to_others_when_the_platform_is_back(#[case] tried: bool) {
     let (_, seen) = holder();
     let cfg = ExclusiveLeaseConfig {
-        yields_for: Duration::from_millis(500),
+        yield_delay: Duration::from_millis(500),
         ..CFG
     };
     let address = ([10, 0, 0, 7], 7000).into();
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -91,7 +91,7 @@
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
             handover_gap: settings.bounds.lease_rest,
-            yields_for: yields_for(settings.instance.processor_share),
+            yield_delay: yields_for(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
             ..ExclusiveLeaseConfig::default()
         };
