--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -35,7 +35,7 @@
     pub yield_delay: Duration,
     /// How long a holder that steps down waits before it releases the lease: the longest time for
     /// an order to leave the process.
-    pub last_orders: Duration,
+    pub order_drain: Duration,
     /// How long a holder that has stepped down does not take the lease again.
     pub stays_down: Duration,
     /// Whether the whole deployment starts for the first time, so that a missing record means that
@@ -52,7 +52,7 @@
             margin: Duration::from_millis(200),
             handover_gap: Duration::from_millis(3_300),
             yield_delay: Duration::ZERO,
-            last_orders: Duration::from_millis(600),
+            order_drain: Duration::from_millis(600),
             stays_down: Duration::from_secs(60),
             is_first_start: true,
         }
@@ -469,7 +469,7 @@
             return;
         }
         self.valid_until = Moment::ZERO;
-        self.gives_up_at = Some(now + self.cfg.last_orders);
+        self.gives_up_at = Some(now + self.cfg.order_drain);
         self.down_until = now + self.cfg.stays_down;
         out.push(ExclusiveLeaseAction::Lost);
     }
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -20,7 +20,7 @@
     margin: Duration::from_millis(200),
     handover_gap: Duration::from_millis(3_300),
     yield_delay: Duration::ZERO,
-    last_orders: Duration::from_millis(600),
+    order_drain: Duration::from_millis(600),
     stays_down: Duration::from_secs(60),
     is_first_start: true,
 };
