--- a/crates/chervilshunt_coord/src/lease/sole.rs
+++ b/crates/chervilshunt_coord/src/lease/sole.rs
@@ -37,7 +37,7 @@
     /// an order to leave the process.
     pub order_drain: Duration,
     /// How long a holder that has stepped down does not take the lease again.
-    pub stays_down: Duration,
+    pub step_down_cooldown: Duration,
     /// Whether the whole deployment starts for the first time, so that a missing record means that
     /// the lease was never held.
     pub is_first_start: bool,
@@ -53,7 +53,7 @@
             handover_gap: Duration::from_millis(3_300),
             yield_delay: Duration::ZERO,
             order_drain: Duration::from_millis(600),
-            stays_down: Duration::from_secs(60),
+            step_down_cooldown: Duration::from_secs(60),
             is_first_start: true,
         }
     }
@@ -470,7 +470,7 @@
         }
         self.valid_until = Moment::ZERO;
         self.gives_up_at = Some(now + self.cfg.order_drain);
-        self.down_until = now + self.cfg.stays_down;
+        self.down_until = now + self.cfg.step_down_cooldown;
         out.push(ExclusiveLeaseAction::Lost);
     }
 
--- a/crates/chervilshunt_coord/src/tests/sole.rs
+++ b/crates/chervilshunt_coord/src/tests/sole.rs
@@ -21,7 +21,7 @@
     handover_gap: Duration::from_millis(3_300),
     yield_delay: Duration::ZERO,
     order_drain: Duration::from_millis(600),
-    stays_down: Duration::from_secs(60),
+    step_down_cooldown: Duration::from_secs(60),
     is_first_start: true,
 };
 
