--- a/crates/chervilshunt_coord/src/lease.rs
+++ b/crates/chervilshunt_coord/src/lease.rs
@@ -5,15 +5,15 @@
 //! detects that another run's lease has expired. `docs/design/leases.md` shows why a holder never
 //! relies on a lease that an observer has ended.
 
+mod exclusive;
 mod keeper;
 mod observer;
 mod record;
-mod sole;
 
-pub use keeper::{LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper};
-pub use observer::{LeaseObserver, ObserverAction, ObserverConfig, ObserverEvent};
-pub use record::{LeaseRecord, LeaseState};
-pub use sole::{
+pub use exclusive::{
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
     ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord, era_of_term,
 };
+pub use keeper::{LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper};
+pub use observer::{LeaseObserver, ObserverAction, ObserverConfig, ObserverEvent};
+pub use record::{LeaseRecord, LeaseState};
--- a/crates/chervilshunt_coord/src/tests.rs
+++ b/crates/chervilshunt_coord/src/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the machines together.
 
 mod claims;
+mod exclusive_lease;
 mod explore;
 mod explore_config;
 mod explore_hold;
@@ -11,5 +12,4 @@
 mod promises;
 mod runs;
 mod smoke;
-mod sole;
 mod table;
