--- a/crates/chervilshunt_coord/src/lease/exclusive.rs
+++ b/crates/chervilshunt_coord/src/lease/exclusive.rs
@@ -147,7 +147,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Call {
+enum PendingCall {
     None,
     Writing {
         record: ExclusiveLeaseRecord,
@@ -178,19 +178,19 @@
     known_holder: Option<(InstanceId, SocketAddr)>,
     /// When the record was last observed to change, on this instance's clock.
     changed_at: Moment,
-    looked: bool,
-    call: Call,
+    has_read: bool,
+    call: PendingCall,
     next_at: Moment,
     valid_until: Moment,
     holds: bool,
     leaving: bool,
     /// Whether a call to the platform has failed since the last answer.
-    in_trouble: bool,
+    platform_failing: bool,
     /// The earliest time to take the lease from another holder after an outage. By then larger
     /// instances have noticed that the platform is available again.
     may_take_from: Moment,
     /// When to release the lease after stepping down.
-    gives_up_at: Option<Moment>,
+    release_at: Option<Moment>,
     /// Until when this instance does not take the lease again after stepping down.
     down_until: Moment,
 }
@@ -224,15 +224,15 @@
             held_term: 0,
             known_holder: None,
             changed_at: now,
-            looked: false,
-            call: Call::None,
+            has_read: false,
+            call: PendingCall::None,
             next_at: now,
             valid_until: Moment::ZERO,
             holds: false,
             leaving: false,
-            in_trouble: false,
+            platform_failing: false,
             may_take_from: Moment::ZERO,
-            gives_up_at: None,
+            release_at: None,
             down_until: Moment::ZERO,
         }
     }
@@ -269,21 +269,21 @@
     /// Returns the earliest time at which another instance can take the lease if its holder is
     /// gone.
     pub fn earliest_takeover(&self) -> Moment {
-        self.lapses_at()
+        self.takeable_at()
     }
 
     /// Returns when the next [`ExclusiveLeaseEvent::Tick`] is due; `None` while the keeper waits for a call
     /// or for its first read.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let idle = self.call == Call::None;
-        if let Some(gives_up_at) = self.gives_up_at {
-            return idle.then_some(gives_up_at);
+        let idle = self.call == PendingCall::None;
+        if let Some(release_at) = self.release_at {
+            return idle.then_some(release_at);
         }
         match (self.holds, idle) {
             (true, true) => Some(self.next_at.min(self.valid_until)),
             (true, false) => Some(self.valid_until),
-            (false, true) if self.looked && !self.leaving => {
-                Some(self.next_at.max(self.next_chance()).max(self.down_until))
+            (false, true) if self.has_read && !self.leaving => {
+                Some(self.next_at.max(self.next_attempt()).max(self.down_until))
             }
             (false, _) => None,
         }
@@ -298,22 +298,22 @@
                 self.on_seen(seen, now);
             }
             ExclusiveLeaseEvent::Era(era) => {
-                self.take_era(era, now);
+                self.observe_era(era, now);
             }
             ExclusiveLeaseEvent::Written(written) => self.on_written(written, now, &mut out),
             ExclusiveLeaseEvent::ReadFailed => {
-                self.call = Call::None;
-                self.in_trouble = true;
+                self.call = PendingCall::None;
+                self.platform_failing = true;
                 self.next_at = now + self.cfg.retry_every;
             }
-            ExclusiveLeaseEvent::PlatformLost => self.in_trouble = true,
+            ExclusiveLeaseEvent::PlatformLost => self.platform_failing = true,
             ExclusiveLeaseEvent::StepDown => self.on_step_down(now, &mut out),
-            ExclusiveLeaseEvent::HolderReported(told) => self.on_told(told, now),
+            ExclusiveLeaseEvent::HolderReported(report) => self.on_holder_report(report, now),
             ExclusiveLeaseEvent::Release => self.on_release(&mut out),
             ExclusiveLeaseEvent::Tick => {}
         }
-        self.settle(now, &mut out);
-        self.give_up(now, &mut out);
+        self.expire(now, &mut out);
+        self.release_if_due(now, &mut out);
         self.act(now, &mut out);
         out
     }
@@ -324,21 +324,21 @@
     /// write at once. The small instances are the most numerous, so without a delay one of them
     /// would usually be first and would carry the duty from then on.
     fn on_answered(&mut self, now: Moment) {
-        if std::mem::replace(&mut self.in_trouble, false) {
+        if std::mem::replace(&mut self.platform_failing, false) {
             self.may_take_from = self.may_take_from.max(now + self.cfg.yield_delay);
         }
     }
 
     fn on_seen(&mut self, seen: Option<VersionedLeaseRecord>, now: Moment) {
-        if self.call == Call::Reading {
-            self.call = Call::None;
+        if self.call == PendingCall::Reading {
+            self.call = PendingCall::None;
         }
         if let Some(seen) = &seen
-            && !self.take_era(seen.version.era, now)
+            && !self.observe_era(seen.version.era, now)
         {
             return;
         }
-        let first = !std::mem::replace(&mut self.looked, true);
+        let first = !std::mem::replace(&mut self.has_read, true);
         let known = self.seen.as_ref().map(|it| it.version);
         let Some(seen) = seen else {
             if first {
@@ -359,7 +359,7 @@
     /// A new era invalidates everything observed of the record. A holder continues until its last
     /// renewal expires, because nobody can take the lease before then, and writes the record again
     /// in the meantime.
-    fn take_era(&mut self, era: u64, now: Moment) -> bool {
+    fn observe_era(&mut self, era: u64, now: Moment) -> bool {
         let known = self.era;
         if known.is_some_and(|known| era <= known) {
             return known == Some(era);
@@ -368,7 +368,7 @@
         if known.is_some() {
             self.restored_at = Some(now);
             self.seen = None;
-            self.looked = false;
+            self.has_read = false;
             self.changed_at = now;
             self.next_at = now;
         }
@@ -379,7 +379,7 @@
         let record = &seen.record;
         self.highest_term = self.highest_term.max(record.term);
         // A record from before a restore may name a holder that has been succeeded since.
-        if self.known_holder.is_none() || !self.is_void(record) {
+        if self.known_holder.is_none() || !self.is_from_earlier_era(record) {
             let holder = record.holder.clone();
             self.known_holder = holder.map(|it| (it, record.address));
         }
@@ -389,7 +389,7 @@
     /// Returns whether a record is from an earlier era than the platform's. Such a record was
     /// restored with a copy, or was written by a late write of that era, and says nothing about the
     /// present holder.
-    fn is_void(&self, record: &ExclusiveLeaseRecord) -> bool {
+    fn is_from_earlier_era(&self, record: &ExclusiveLeaseRecord) -> bool {
         era_of_term(record.term) < self.era.unwrap_or(0)
     }
 
@@ -397,13 +397,16 @@
     ///
     /// A report with a different term is ignored, because it does not describe the known record.
     /// Combining its version with the known term would lead to a new term that is not the highest.
-    fn on_told(&mut self, told: HeldLease, now: Moment) {
-        if !self.take_era(told.version.era, now) {
+    fn on_holder_report(&mut self, report: HeldLease, now: Moment) {
+        if !self.observe_era(report.version.era, now) {
             return;
         }
-        let known = self.seen.as_mut().filter(|it| it.record.term == told.term);
-        if let Some(known) = known.filter(|it| it.version < told.version) {
-            known.version = told.version;
+        let known = self
+            .seen
+            .as_mut()
+            .filter(|it| it.record.term == report.term);
+        if let Some(known) = known.filter(|it| it.version < report.version) {
+            known.version = report.version;
             self.changed_at = now;
         }
     }
@@ -414,29 +417,31 @@
         now: Moment,
         out: &mut Vec<ExclusiveLeaseAction>,
     ) {
-        let Call::Writing { record, sent } = std::mem::replace(&mut self.call, Call::None) else {
+        let PendingCall::Writing { record, sent } =
+            std::mem::replace(&mut self.call, PendingCall::None)
+        else {
             return;
         };
         match written {
             LeaseWriteOutcome::Done(version) => {
                 self.on_answered(now);
-                if !self.take_era(version.era, now) {
+                if !self.observe_era(version.era, now) {
                     // The write was carried out before the restore, which discarded it.
                     return self.read(out);
                 }
-                let given_up = record.holder.is_none();
+                let released = record.holder.is_none();
                 let term = record.term;
-                let is_void = self.is_void(&record);
-                self.looked = true;
+                let is_from_earlier_era = self.is_from_earlier_era(&record);
+                self.has_read = true;
                 self.set_seen(VersionedLeaseRecord { record, version });
                 self.changed_at = now;
-                if is_void {
+                if is_from_earlier_era {
                     // The condition of the write was met by chance, by a revision number that the
                     // restored platform assigned again.
                     self.next_at = now;
                     return;
                 }
-                if self.leaving || given_up || self.gives_up_at.is_some() {
+                if self.leaving || released || self.release_at.is_some() {
                     return;
                 }
                 self.valid_until = sent + self.cfg.duration.saturating_sub(self.cfg.margin);
@@ -445,7 +450,7 @@
                 self.gain(out);
             }
             LeaseWriteOutcome::Failed => {
-                self.in_trouble = true;
+                self.platform_failing = true;
                 self.next_at = now + self.cfg.retry_every;
             }
             // The stored record decides: if the write took effect, the record is recognised as this
@@ -458,7 +463,7 @@
     }
 
     fn read(&mut self, out: &mut Vec<ExclusiveLeaseAction>) {
-        self.call = Call::Reading;
+        self.call = PendingCall::Reading;
         out.push(ExclusiveLeaseAction::Read);
     }
 
@@ -469,17 +474,17 @@
             return;
         }
         self.valid_until = Moment::ZERO;
-        self.gives_up_at = Some(now + self.cfg.order_drain);
+        self.release_at = Some(now + self.cfg.order_drain);
         self.down_until = now + self.cfg.step_down_cooldown;
         out.push(ExclusiveLeaseAction::Lost);
     }
 
     /// Releases the lease after this instance has stepped down.
-    fn give_up(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
-        if self.call != Call::None || self.gives_up_at.is_none_or(|at| now < at) {
+    fn release_if_due(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
+        if self.call != PendingCall::None || self.release_at.is_none_or(|at| now < at) {
             return;
         }
-        self.gives_up_at = None;
+        self.release_at = None;
         let Some(seen) = self.seen.as_ref().filter(|seen| self.is_ours(&seen.record)) else {
             return;
         };
@@ -487,7 +492,7 @@
             holder: None,
             ..seen.record.clone()
         };
-        self.call = Call::Writing {
+        self.call = PendingCall::Writing {
             record: record.clone(),
             sent: now,
         };
@@ -517,11 +522,11 @@
     }
 
     /// Stops holding the lease once it has expired or another instance holds it.
-    fn settle(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
+    fn expire(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
         let is_anothers = self
             .seen
             .as_ref()
-            .is_some_and(|it| !self.is_ours(&it.record) && !self.is_void(&it.record));
+            .is_some_and(|it| !self.is_ours(&it.record) && !self.is_from_earlier_era(&it.record));
         if self.holds && (now >= self.valid_until || is_anothers) {
             self.holds = false;
             self.valid_until = Moment::ZERO;
@@ -530,16 +535,16 @@
     }
 
     fn act(&mut self, now: Moment, out: &mut Vec<ExclusiveLeaseAction>) {
-        if self.call != Call::None || self.leaving || now < self.next_at {
+        if self.call != PendingCall::None || self.leaving || now < self.next_at {
             return;
         }
-        if !self.looked {
+        if !self.has_read {
             if self.holds {
                 self.read(out);
             }
             return;
         }
-        if self.gives_up_at.is_some() || now < self.down_until {
+        if self.release_at.is_some() || now < self.down_until {
             return;
         }
         let Some((record, version)) = self.next_write(now) else {
@@ -549,11 +554,11 @@
             .seen
             .as_ref()
             .is_some_and(|it| self.is_ours(&it.record));
-        if self.in_trouble && !is_ours && !self.cfg.yield_delay.is_zero() {
+        if self.platform_failing && !is_ours && !self.cfg.yield_delay.is_zero() {
             return self.read(out);
         }
         let sent = now;
-        self.call = Call::Writing {
+        self.call = PendingCall::Writing {
             record: record.clone(),
             sent,
         };
@@ -569,7 +574,7 @@
         }
         // A holder whose record was restored to an older one, or is missing, writes it again:
         // nobody else can have taken the lease yet.
-        let may_take = self.holds || now >= self.lapses_at().max(self.may_take_from);
+        let may_take = self.holds || now >= self.takeable_at().max(self.may_take_from);
         may_take.then(|| (self.record(self.next_term(), 0), version))
     }
 
@@ -588,15 +593,15 @@
     }
 
     /// Returns when an instance that does not act as the holder may next write the record.
-    fn next_chance(&self) -> Moment {
+    fn next_attempt(&self) -> Moment {
         match &self.seen {
             Some(seen) if self.is_ours(&seen.record) => self.next_at,
-            Some(_) | None => self.lapses_at().max(self.may_take_from),
+            Some(_) | None => self.takeable_at().max(self.may_take_from),
         }
     }
 
     /// Returns when a lease held by another instance may be taken.
-    fn lapses_at(&self) -> Moment {
+    fn takeable_at(&self) -> Moment {
         // A holder whose record a restore has lost may still act, whatever the present record says.
         let after_any_holder =
             self.changed_at + self.cfg.duration + self.cfg.handover_gap + self.delay();
@@ -607,7 +612,7 @@
             return self.changed_at + self.cfg.yield_delay;
         };
         match &seen.record.holder {
-            _ if self.is_void(&seen.record) => after_any_holder,
+            _ if self.is_from_earlier_era(&seen.record) => after_any_holder,
             None => self.changed_at + self.cfg.handover_gap + self.delay(),
             // The record is from the previous process of this instance. That process is gone, and
             // its orders were those of the same holder.
@@ -625,7 +630,7 @@
     fn is_ours(&self, record: &ExclusiveLeaseRecord) -> bool {
         record.holder.as_ref() == Some(&self.me)
             && record.process == self.process
-            && !self.is_void(record)
+            && !self.is_from_earlier_era(record)
     }
 
     fn record(&self, term: u64, renewals: u64) -> ExclusiveLeaseRecord {
