--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -24,7 +24,7 @@
     ObserverEvent,
 };
 use crate::membership::{InstanceEntry, PeerView};
-use crate::outage::{ElectorConfig, ElectorDesk, Hold, HoldConfig, Vouching};
+use crate::outage::{ElectorConfig, ElectorState, Hold, HoldConfig, Vouching};
 use crate::platform::{CallId, Object, PlatformResult, Stored};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
@@ -133,7 +133,7 @@
     follower: Follower<S, C>,
     proposer: Proposer<S, C>,
     takeovers: Takeovers,
-    desk: ElectorDesk,
+    desk: ElectorState,
     hold: Hold,
     holding: bool,
     vouching: Vouching,
@@ -180,7 +180,7 @@
             ),
             proposer: Proposer::with_machine(cfg.proposer, cfg.model, me, PROPOSER),
             takeovers: Takeovers::default(),
-            desk: ElectorDesk::new(cfg.elector, now),
+            desk: ElectorState::new(cfg.elector, now),
             hold: Hold::new(cfg.hold, nonce),
             holding: false,
             vouching: Vouching::new(nonce),
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,7 +82,7 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorDesk, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
+    ElectorConfig, ElectorState, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
 };
 pub use platform::{
     CallId, CarriedOut, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -11,7 +11,7 @@
 mod message;
 mod vouch;
 
-pub use elector::{ElectorConfig, ElectorDesk};
+pub use elector::{ElectorConfig, ElectorState};
 pub(crate) use electorate::choose_electors;
 pub use hold::{Hold, HoldAction, HoldConfig};
 pub use message::HoldMessage;
--- a/crates/chervilshunt_coord/src/outage/elector.rs
+++ b/crates/chervilshunt_coord/src/outage/elector.rs
@@ -37,7 +37,7 @@
 /// never exist at the same time. A restarted process at the same address does not know what its
 /// predecessor answered, so it answers neither until that has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ElectorDesk {
+pub struct ElectorState {
     cfg: ElectorConfig,
     started_at: Moment,
     promised_until: Moment,
@@ -49,7 +49,7 @@
     bugs: Bugs,
 }
 
-impl ElectorDesk {
+impl ElectorState {
     /// Creates an elector that has neither promised nor vouched.
     pub const fn new(cfg: ElectorConfig, now: Moment) -> Self {
         Self {
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -18,7 +18,7 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorDesk, Electorate, Hold, HoldAction, HoldConfig, HoldMessage,
+    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldAction, HoldConfig, HoldMessage,
     Holder, Incarnation, VouchAction, Vouching,
 };
 
@@ -55,7 +55,7 @@
     now: Moment,
     hold: Hold,
     vouching: Vouching,
-    desks: Vec<ElectorDesk>,
+    desks: Vec<ElectorState>,
     messages: Vec<Message>,
     electorate: Electorate,
     vouched: bool,
@@ -76,7 +76,7 @@
                 failing_for: Duration::ZERO,
                 answered_within: SECOND * 100,
             };
-            let mut desk = ElectorDesk::new(cfg, Moment::ZERO);
+            let mut desk = ElectorState::new(cfg, Moment::ZERO);
             desk.seed(bugs);
             desk
         };
