--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -380,7 +380,7 @@
             .iter()
             .any(|action| matches!(action, CoordAction::Platform(_)))
         {
-            self.desk.note_begun(now);
+            self.desk.record_call_start(now);
         }
         actions
     }
--- a/crates/chervilshunt_coord/src/outage/elector.rs
+++ b/crates/chervilshunt_coord/src/outage/elector.rs
@@ -74,7 +74,7 @@
     ///
     /// A platform that hangs is detected by calls that stay unanswered. If only their timeout
     /// counted, a lease could expire before that, and promises could then no longer extend it.
-    pub fn note_begun(&mut self, now: Moment) {
+    pub fn record_call_start(&mut self, now: Moment) {
         self.waiting_since.get_or_insert(now);
     }
 
