--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -400,7 +400,7 @@
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
-        self.desk.note_call(result.is_answer(), now);
+        self.desk.record_call_end(result.is_answer(), now);
         match call.machine() {
             LEASE => self.drive_lease(LeaseEvent::Reply(call, result), now, actions),
             OBSERVER => self.drive_observer(ObserverEvent::Reply(call, result), now, actions),
--- a/crates/chervilshunt_coord/src/outage/elector.rs
+++ b/crates/chervilshunt_coord/src/outage/elector.rs
@@ -80,7 +80,7 @@
 
     /// Records the end of a call to the platform; `answered` is false if the platform gave no
     /// answer.
-    pub fn note_call(&mut self, answered: bool, now: Moment) {
+    pub fn record_call_end(&mut self, answered: bool, now: Moment) {
         if answered {
             self.last_answer = Some(now);
             self.waiting_since = None;
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -140,14 +140,14 @@
         let now = self.now;
         match self.messages.remove(number) {
             Message::Elector(elector, HoldMessage::AskPromise { number, .. }) => {
-                self.desks[elector].note_call(false, BEGIN);
+                self.desks[elector].record_call_end(false, BEGIN);
                 let promise = self.desks[elector].promise(now);
                 let for_ms = promise.map_or(0, |promise| promise.as_millis() as u64);
                 let answer = HoldMessage::Promise { number, for_ms };
                 self.messages.push(Message::Holder(answer));
             }
             Message::Elector(elector, HoldMessage::AskVouch { number, about, .. }) => {
-                self.desks[elector].note_call(true, BEGIN);
+                self.desks[elector].record_call_end(true, BEGIN);
                 let vouch = self.desks[elector].vouch(now);
                 let for_ms = vouch.map_or(0, |vouch| vouch.as_millis() as u64);
                 let answer = HoldMessage::Vouch {
