--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -24,7 +24,7 @@
     ObserverEvent,
 };
 use crate::membership::{InstanceEntry, PeerView};
-use crate::outage::{ElectorConfig, ElectorState, Hold, HoldConfig, Vouching};
+use crate::outage::{ElectorConfig, ElectorState, Hold, HoldConfig, VouchCollector};
 use crate::platform::{CallId, Object, PlatformResult, Stored};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
@@ -136,7 +136,7 @@
     desk: ElectorState,
     hold: Hold,
     holding: bool,
-    vouching: Vouching,
+    vouching: VouchCollector,
     upkeep: Upkeep,
     /// The time of the first instance list. `gone_since` holds when each instance disappeared from
     /// the list.
@@ -183,7 +183,7 @@
             desk: ElectorState::new(cfg.elector, now),
             hold: Hold::new(cfg.hold, nonce),
             holding: false,
-            vouching: Vouching::new(nonce),
+            vouching: VouchCollector::new(nonce),
             upkeep: Upkeep::new(ELECTORS),
             list_since: None,
             gone_since: BTreeMap::new(),
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,7 +82,8 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorState, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
+    ElectorConfig, ElectorState, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction,
+    VouchCollector,
 };
 pub use platform::{
     CallId, CarriedOut, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -15,4 +15,4 @@
 pub(crate) use electorate::choose_electors;
 pub use hold::{Hold, HoldAction, HoldConfig};
 pub use message::HoldMessage;
-pub use vouch::{VouchAction, Vouching};
+pub use vouch::{VouchAction, VouchCollector};
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -12,7 +12,7 @@
 /// The interval between requests for vouches about the same holder.
 const ASK_EVERY: Duration = Duration::from_secs(1);
 
-/// An output of [`Vouching`].
+/// An output of [`VouchCollector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VouchAction {
     /// Send a request to an instance, which may be this one.
@@ -35,12 +35,12 @@
 /// not extending its lease and cannot do so again without the platform: an extension needs a
 /// majority of promises at every moment, and the two majorities would share an elector.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Vouching {
+pub struct VouchCollector {
     cases: BTreeMap<Holder, Case>,
     number: u64,
 }
 
-impl Vouching {
+impl VouchCollector {
     /// Creates a collector without any holders.
     ///
     /// Requests are numbered from `first_number`, which should be drawn at random.
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -19,7 +19,7 @@
 use crate::bugs::{Bug, Bugs};
 use crate::{
     Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldAction, HoldConfig, HoldMessage,
-    Holder, Incarnation, VouchAction, Vouching,
+    Holder, Incarnation, VouchAction, VouchCollector,
 };
 
 const DEPTH: usize = 13;
@@ -54,7 +54,7 @@
 struct World {
     now: Moment,
     hold: Hold,
-    vouching: Vouching,
+    vouching: VouchCollector,
     desks: Vec<ElectorState>,
     messages: Vec<Message>,
     electorate: Electorate,
@@ -94,7 +94,7 @@
         Self {
             now: BEGIN,
             hold,
-            vouching: Vouching::new(1_000),
+            vouching: VouchCollector::new(1_000),
             desks: (0..ELECTORS).map(|_| desk()).collect(),
             messages: Vec::new(),
             electorate: Electorate {
