--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -24,7 +24,7 @@
     ObserverEvent,
 };
 use crate::membership::{InstanceEntry, PeerView};
-use crate::outage::{ElectorConfig, ElectorState, Hold, HoldConfig, VouchCollector};
+use crate::outage::{ElectorConfig, ElectorState, Hold, LeaseExtensionConfig, VouchCollector};
 use crate::platform::{CallId, Object, PlatformResult, Stored};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
@@ -64,7 +64,7 @@
     /// How this instance answers as an elector.
     pub elector: ElectorConfig,
     /// How the lease is extended while the platform is unreachable.
-    pub hold: HoldConfig,
+    pub hold: LeaseExtensionConfig,
     /// The number of instances that watch each lease.
     pub watchers: usize,
 }
@@ -92,7 +92,7 @@
             follower: FollowerConfig::default(),
             proposer: ProposerConfig::default(),
             elector: ElectorConfig::default(),
-            hold: HoldConfig::default(),
+            hold: LeaseExtensionConfig::default(),
             watchers: 3,
         }
     }
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,7 +82,7 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorState, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction,
+    ElectorConfig, ElectorState, Hold, HoldAction, HoldMessage, LeaseExtensionConfig, VouchAction,
     VouchCollector,
 };
 pub use platform::{
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -11,7 +11,7 @@
 
 /// Configuration of a [`Hold`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct HoldConfig {
+pub struct LeaseExtensionConfig {
     /// How long before the lease expires the first promises are requested.
     pub begin_before: Duration,
     /// The interval between requests until a majority has promised.
@@ -25,7 +25,7 @@
     pub direct_at_most: usize,
 }
 
-impl Default for HoldConfig {
+impl Default for LeaseExtensionConfig {
     fn default() -> Self {
         Self {
             begin_before: Duration::from_secs(8),
@@ -58,7 +58,7 @@
 /// platform can tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Hold {
-    cfg: HoldConfig,
+    cfg: LeaseExtensionConfig,
     /// Until when each elector's promise is valid.
     promises: BTreeMap<Elector, Moment>,
     /// Until when a majority has promised, as reported by a relay.
@@ -76,7 +76,7 @@
     /// Creates the state of a lease that is not extended.
     ///
     /// Requests are numbered from `first_number`, which should be drawn at random.
-    pub const fn new(cfg: HoldConfig, first_number: u64) -> Self {
+    pub const fn new(cfg: LeaseExtensionConfig, first_number: u64) -> Self {
         Self {
             cfg,
             promises: BTreeMap::new(),
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -18,8 +18,8 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldAction, HoldConfig, HoldMessage,
-    Holder, Incarnation, VouchAction, VouchCollector,
+    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldAction, HoldMessage, Holder,
+    Incarnation, LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 
 const DEPTH: usize = 13;
@@ -81,7 +81,7 @@
             desk
         };
         let mut hold = Hold::new(
-            HoldConfig {
+            LeaseExtensionConfig {
                 begin_before: SECOND * 2,
                 ask_every: SECOND,
                 renew_every: SECOND,
--- a/crates/chervilshunt_daemon/src/lease_timing.rs
+++ b/crates/chervilshunt_daemon/src/lease_timing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use chervilshunt_config::LeaseSettings;
-use chervilshunt_coord::{ElectorConfig, HoldConfig, LeaseConfig, ObserverConfig};
+use chervilshunt_coord::{ElectorConfig, LeaseConfig, LeaseExtensionConfig, ObserverConfig};
 
 /// The lease for which the defaults of the coordination are laid out.
 const DEFAULT_DURATION: Duration = Duration::from_secs(15);
@@ -18,7 +18,7 @@
     /// How electors give their word in an outage.
     pub(crate) elector: ElectorConfig,
     /// How the lease is extended in an outage.
-    pub(crate) hold: HoldConfig,
+    pub(crate) hold: LeaseExtensionConfig,
 }
 
 impl LeaseTiming {
@@ -32,7 +32,7 @@
         let ratio = settings.duration.as_secs_f64() / DEFAULT_DURATION.as_secs_f64();
         let scaled = |time: Duration| time.mul_f64(ratio);
         let (lease, observer) = (LeaseConfig::default(), ObserverConfig::default());
-        let (elector, hold) = (ElectorConfig::default(), HoldConfig::default());
+        let (elector, hold) = (ElectorConfig::default(), LeaseExtensionConfig::default());
         Self {
             lease: LeaseConfig {
                 duration: settings.duration,
@@ -51,7 +51,7 @@
                 failing_for: scaled(elector.failing_for),
                 answered_within: scaled(elector.answered_within),
             },
-            hold: HoldConfig {
+            hold: LeaseExtensionConfig {
                 begin_before: scaled(hold.begin_before),
                 ask_every: scaled(hold.ask_every),
                 renew_every: scaled(hold.renew_every),
--- a/crates/chervilshunt_daemon/src/lease_timing/tests.rs
+++ b/crates/chervilshunt_daemon/src/lease_timing/tests.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use chervilshunt_config::LeaseSettings;
-use chervilshunt_coord::{ElectorConfig, HoldConfig, ObserverConfig};
+use chervilshunt_coord::{ElectorConfig, LeaseExtensionConfig, ObserverConfig};
 use rstest::rstest;
 
 use super::LeaseTiming;
@@ -19,7 +19,7 @@
     let timing = timing(Duration::from_secs(15));
     assert_eq!(timing.observer, ObserverConfig::default());
     assert_eq!(timing.elector, ElectorConfig::default());
-    assert_eq!(timing.hold, HoldConfig::default());
+    assert_eq!(timing.hold, LeaseExtensionConfig::default());
 }
 
 /// An operator sets leases of a minute, and observers still wait for 15 s: a pause of 20 s, and
