--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -12,7 +12,7 @@
 use crate::hashing::text_hash;
 use crate::holder::Holder;
 use crate::lease::ObserverEvent;
-use crate::outage::{HoldAction, HoldMessage, VouchAction};
+use crate::outage::{HoldMessage, LeaseExtensionAction, VouchAction};
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
     /// Returns the electors that the lease names according to the last renewal known to have been
@@ -40,7 +40,7 @@
         };
         let relays = self.relays(&electorate);
         for action in self.hold.ask(until, &electorate, &relays, now) {
-            let HoldAction::Send(to, message) = action;
+            let LeaseExtensionAction::Send(to, message) = action;
             self.send_hold(to, message, now, actions);
         }
         self.note_hold(now, actions);
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,8 +82,8 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorState, Hold, HoldAction, HoldMessage, LeaseExtensionConfig, VouchAction,
-    VouchCollector,
+    ElectorConfig, ElectorState, Hold, HoldMessage, LeaseExtensionAction, LeaseExtensionConfig,
+    VouchAction, VouchCollector,
 };
 pub use platform::{
     CallId, CarriedOut, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -13,6 +13,6 @@
 
 pub use elector::{ElectorConfig, ElectorState};
 pub(crate) use electorate::choose_electors;
-pub use hold::{Hold, HoldAction, LeaseExtensionConfig};
+pub use hold::{Hold, LeaseExtensionAction, LeaseExtensionConfig};
 pub use message::HoldMessage;
 pub use vouch::{VouchAction, VouchCollector};
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -39,7 +39,7 @@
 
 /// An output of a [`Hold`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldAction {
+pub enum LeaseExtensionAction {
     /// Send a request to an instance, which may be this one.
     Send(InstanceId, HoldMessage),
 }
@@ -116,7 +116,7 @@
         electorate: &Electorate,
         relays: &[InstanceId],
         now: Moment,
-    ) -> Vec<HoldAction> {
+    ) -> Vec<LeaseExtensionAction> {
         let ends = lease_until.max(self.valid_until);
         if now < self.next_wakeup(lease_until) || now >= ends {
             return Vec::new();
@@ -136,7 +136,7 @@
             Some(relay) => {
                 let number = self.note(Asked::Relay, now);
                 let electorate = electorate.version;
-                vec![HoldAction::Send(
+                vec![LeaseExtensionAction::Send(
                     relay,
                     HoldMessage::AskHold { number, electorate },
                 )]
@@ -148,7 +148,7 @@
                     let number = self.note(Asked::Elector(elector.clone()), now);
                     let address = elector.address;
                     let message = HoldMessage::AskPromise { number, address };
-                    HoldAction::Send(elector.instance.clone(), message)
+                    LeaseExtensionAction::Send(elector.instance.clone(), message)
                 })
                 .collect(),
         }
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -18,8 +18,8 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldAction, HoldMessage, Holder,
-    Incarnation, LeaseExtensionConfig, VouchAction, VouchCollector,
+    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldMessage, Holder, Incarnation,
+    LeaseExtensionAction, LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 
 const DEPTH: usize = 13;
@@ -121,7 +121,7 @@
     fn ask_promises(&mut self) {
         self.promise_asks += 1;
         for action in self.hold.ask(LEASE_OVER, &self.electorate, &[], self.now) {
-            let HoldAction::Send(to, message) = action;
+            let LeaseExtensionAction::Send(to, message) = action;
             self.ask(&to, message);
         }
     }
