--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -436,7 +436,7 @@
         self.review |= self.lost_peers.remove(from);
         match message {
             CoordMessage::Config(message) => self.on_config_message(from, message, now, actions),
-            CoordMessage::Hold(message) => self.on_hold_message(from, &message, now, actions),
+            CoordMessage::Elector(message) => self.on_hold_message(from, &message, now, actions),
             CoordMessage::Assigned { shard, generation } => {
                 self.drive_roles(RoleEvent::Told(shard, generation), now, actions);
             }
--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -151,7 +151,7 @@
         if to == self.cfg.me.instance {
             return self.on_hold_message(&to, &message, now, actions);
         }
-        let message = CoordMessage::Hold(message);
+        let message = CoordMessage::Elector(message);
         actions.push(CoordAction::Send { to, message });
     }
 
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -164,7 +164,7 @@
     Config(ConfigMessage<C>),
     /// Concerns leases while the platform is unreachable.
     #[serde(rename = "h")]
-    Hold(HoldMessage),
+    Elector(HoldMessage),
     /// An assignment that concerns the receiver was written.
     #[serde(rename = "r")]
     Assigned {
