--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -12,7 +12,7 @@
 use crate::hashing::text_hash;
 use crate::holder::Holder;
 use crate::lease::ObserverEvent;
-use crate::outage::{HoldMessage, LeaseExtensionAction, VouchAction};
+use crate::outage::{ElectorMessage, LeaseExtensionAction, VouchAction};
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
     /// Returns the electors that the lease names according to the last renewal known to have been
@@ -144,7 +144,7 @@
     fn send_hold(
         &mut self,
         to: InstanceId,
-        message: HoldMessage,
+        message: ElectorMessage,
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
@@ -158,54 +158,55 @@
     pub(super) fn on_hold_message(
         &mut self,
         from: &InstanceId,
-        message: &HoldMessage,
+        message: &ElectorMessage,
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
         match message {
-            HoldMessage::AskPromise { number, address } => {
+            ElectorMessage::AskPromise { number, address } => {
                 let is_me = *address == self.cfg.peer_address;
                 let promise = is_me.then(|| self.desk.promise(now)).flatten();
-                let answer = HoldMessage::Promise {
+                let answer = ElectorMessage::Promise {
                     number: *number,
                     for_ms: promise.map_or(0, millis),
                 };
                 self.send_hold(from.clone(), answer, now, actions);
             }
-            HoldMessage::AskVouch {
+            ElectorMessage::AskVouch {
                 number,
                 address,
                 about,
             } => {
                 let is_me = *address == self.cfg.peer_address;
                 let vouch = is_me.then(|| self.desk.vouch(now)).flatten();
-                let answer = HoldMessage::Vouch {
+                let answer = ElectorMessage::Vouch {
                     number: *number,
                     about: about.clone(),
                     for_ms: vouch.map_or(0, millis),
                 };
                 self.send_hold(from.clone(), answer, now, actions);
             }
-            HoldMessage::AskHold { number, electorate } => {
+            ElectorMessage::AskHold { number, electorate } => {
                 let electorate = self
                     .follower
                     .head()
                     .and_then(|head| head.electorate(*electorate));
                 let until = electorate.map(|electorate| self.hold.promised_by_majority(electorate));
-                let answer = HoldMessage::HoldFor {
+                let answer = ElectorMessage::HoldFor {
                     number: *number,
                     for_ms: until.map_or(0, |until| millis(now.until(until))),
                 };
                 self.send_hold(from.clone(), answer, now, actions);
             }
-            HoldMessage::Promise { number, for_ms } | HoldMessage::HoldFor { number, for_ms } => {
+            ElectorMessage::Promise { number, for_ms }
+            | ElectorMessage::HoldFor { number, for_ms } => {
                 let until = self.lease.valid_until();
                 if let Some(electorate) = self.own_electorate().cloned() {
                     self.hold
                         .answered(*number, *for_ms, until, &electorate, now);
                 }
             }
-            HoldMessage::Vouch {
+            ElectorMessage::Vouch {
                 number,
                 about,
                 for_ms,
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -8,7 +8,7 @@
 
 use crate::config::{ChangeRefusal, ChangeTicket, ConfigMessage};
 use crate::membership::{InstanceEntry, PeerView};
-use crate::outage::HoldMessage;
+use crate::outage::ElectorMessage;
 use crate::platform::{CallId, PlatformCall, PlatformResult, Stored};
 use crate::roles::{AssignmentShard, Role, WantedRole};
 
@@ -164,7 +164,7 @@
     Config(ConfigMessage<C>),
     /// Concerns leases while the platform is unreachable.
     #[serde(rename = "h")]
-    Elector(HoldMessage),
+    Elector(ElectorMessage),
     /// An assignment that concerns the receiver was written.
     #[serde(rename = "r")]
     Assigned {
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,7 +82,7 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorState, Hold, HoldMessage, LeaseExtensionAction, LeaseExtensionConfig,
+    ElectorConfig, ElectorMessage, ElectorState, Hold, LeaseExtensionAction, LeaseExtensionConfig,
     VouchAction, VouchCollector,
 };
 pub use platform::{
--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -14,5 +14,5 @@
 pub use elector::{ElectorConfig, ElectorState};
 pub(crate) use electorate::choose_electors;
 pub use hold::{Hold, LeaseExtensionAction, LeaseExtensionConfig};
-pub use message::HoldMessage;
+pub use message::ElectorMessage;
 pub use vouch::{VouchAction, VouchCollector};
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_model::{InstanceId, Moment};
 
-use super::message::HoldMessage;
+use super::message::ElectorMessage;
 use crate::bugs::{Bug, Bugs};
 use crate::config::{Elector, Electorate};
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseExtensionAction {
     /// Send a request to an instance, which may be this one.
-    Send(InstanceId, HoldMessage),
+    Send(InstanceId, ElectorMessage),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -138,7 +138,7 @@
                 let electorate = electorate.version;
                 vec![LeaseExtensionAction::Send(
                     relay,
-                    HoldMessage::AskHold { number, electorate },
+                    ElectorMessage::AskHold { number, electorate },
                 )]
             }
             None => electorate
@@ -147,7 +147,7 @@
                 .map(|elector| {
                     let number = self.note(Asked::Elector(elector.clone()), now);
                     let address = elector.address;
-                    let message = HoldMessage::AskPromise { number, address };
+                    let message = ElectorMessage::AskPromise { number, address };
                     LeaseExtensionAction::Send(elector.instance.clone(), message)
                 })
                 .collect(),
--- a/crates/chervilshunt_coord/src/outage/message.rs
+++ b/crates/chervilshunt_coord/src/outage/message.rs
@@ -11,7 +11,7 @@
 /// Durations count from when the request was sent, on the requester's clock, because the answer may
 /// have been delayed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum HoldMessage {
+pub enum ElectorMessage {
     /// Asks an elector to promise that it will not vouch.
     #[serde(rename = "p")]
     AskPromise {
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_model::{InstanceId, Moment};
 
-use super::message::HoldMessage;
+use super::message::ElectorMessage;
 use crate::config::{Elector, Electorate};
 use crate::holder::Holder;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VouchAction {
     /// Send a request to an instance, which may be this one.
-    Send(InstanceId, HoldMessage),
+    Send(InstanceId, ElectorMessage),
 }
 
 /// The vouches about one holder whose lease has expired.
@@ -90,7 +90,7 @@
                 .collect();
             for elector in electors {
                 self.number = self.number.wrapping_add(1);
-                let message = HoldMessage::AskVouch {
+                let message = ElectorMessage::AskVouch {
                     number: self.number,
                     address: elector.address,
                     about: holder.clone(),
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -18,7 +18,7 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorState, Electorate, Hold, HoldMessage, Holder, Incarnation,
+    Elector, ElectorConfig, ElectorMessage, ElectorState, Electorate, Hold, Holder, Incarnation,
     LeaseExtensionAction, LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 
@@ -45,9 +45,9 @@
 
 #[derive(Clone, Debug, Hash)]
 enum Message {
-    Elector(usize, HoldMessage),
-    Holder(HoldMessage),
-    Taker(HoldMessage),
+    Elector(usize, ElectorMessage),
+    Holder(ElectorMessage),
+    Taker(ElectorMessage),
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -111,7 +111,7 @@
         Holder::new("x", Incarnation::new(1))
     }
 
-    fn ask(&mut self, to: &InstanceId, message: HoldMessage) {
+    fn ask(&mut self, to: &InstanceId, message: ElectorMessage) {
         let elector = to.as_str()[1..].parse().expect("electors are numbered");
         if elector < ALIVE {
             self.messages.push(Message::Elector(elector, message));
@@ -139,29 +139,29 @@
     fn deliver(&mut self, number: usize) {
         let now = self.now;
         match self.messages.remove(number) {
-            Message::Elector(elector, HoldMessage::AskPromise { number, .. }) => {
+            Message::Elector(elector, ElectorMessage::AskPromise { number, .. }) => {
                 self.desks[elector].record_call_end(false, BEGIN);
                 let promise = self.desks[elector].promise(now);
                 let for_ms = promise.map_or(0, |promise| promise.as_millis() as u64);
-                let answer = HoldMessage::Promise { number, for_ms };
+                let answer = ElectorMessage::Promise { number, for_ms };
                 self.messages.push(Message::Holder(answer));
             }
-            Message::Elector(elector, HoldMessage::AskVouch { number, about, .. }) => {
+            Message::Elector(elector, ElectorMessage::AskVouch { number, about, .. }) => {
                 self.desks[elector].record_call_end(true, BEGIN);
                 let vouch = self.desks[elector].vouch(now);
                 let for_ms = vouch.map_or(0, |vouch| vouch.as_millis() as u64);
-                let answer = HoldMessage::Vouch {
+                let answer = ElectorMessage::Vouch {
                     number,
                     about,
                     for_ms,
                 };
                 self.messages.push(Message::Taker(answer));
             }
-            Message::Holder(HoldMessage::Promise { number, for_ms }) => {
+            Message::Holder(ElectorMessage::Promise { number, for_ms }) => {
                 self.hold
                     .answered(number, for_ms, LEASE_OVER, &self.electorate, now);
             }
-            Message::Taker(HoldMessage::Vouch {
+            Message::Taker(ElectorMessage::Vouch {
                 number,
                 about,
                 for_ms,
