--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -186,7 +186,7 @@
                 };
                 self.send_hold(from.clone(), answer, now, actions);
             }
-            ElectorMessage::AskHold { number, electorate } => {
+            ElectorMessage::AskMajorityPromise { number, electorate } => {
                 let electorate = self
                     .follower
                     .head()
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -138,7 +138,7 @@
                 let electorate = electorate.version;
                 vec![LeaseExtensionAction::Send(
                     relay,
-                    ElectorMessage::AskHold { number, electorate },
+                    ElectorMessage::AskMajorityPromise { number, electorate },
                 )]
             }
             None => electorate
--- a/crates/chervilshunt_coord/src/outage/message.rs
+++ b/crates/chervilshunt_coord/src/outage/message.rs
@@ -52,13 +52,13 @@
     },
     /// Asks an instance of the same zone for how long a majority of the electors has promised.
     #[serde(rename = "h")]
-    AskHold {
+    AskMajorityPromise {
         /// The number of this request, repeated in the answer.
         number: u64,
         /// The version of the electorate.
         electorate: u64,
     },
-    /// Answers [`Self::AskHold`].
+    /// Answers [`Self::AskMajorityPromise`].
     #[serde(rename = "i")]
     HoldFor {
         /// The number of the request.
