--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -192,14 +192,14 @@
                     .head()
                     .and_then(|head| head.electorate(*electorate));
                 let until = electorate.map(|electorate| self.hold.promised_by_majority(electorate));
-                let answer = ElectorMessage::HoldFor {
+                let answer = ElectorMessage::MajorityPromise {
                     number: *number,
                     for_ms: until.map_or(0, |until| millis(now.until(until))),
                 };
                 self.send_hold(from.clone(), answer, now, actions);
             }
             ElectorMessage::Promise { number, for_ms }
-            | ElectorMessage::HoldFor { number, for_ms } => {
+            | ElectorMessage::MajorityPromise { number, for_ms } => {
                 let until = self.lease.valid_until();
                 if let Some(electorate) = self.own_electorate().cloned() {
                     self.hold
--- a/crates/chervilshunt_coord/src/outage/message.rs
+++ b/crates/chervilshunt_coord/src/outage/message.rs
@@ -60,7 +60,7 @@
     },
     /// Answers [`Self::AskMajorityPromise`].
     #[serde(rename = "i")]
-    HoldFor {
+    MajorityPromise {
         /// The number of the request.
         number: u64,
         /// How long the majority's promises are valid, in milliseconds; 0 if there is no majority.
