--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -24,7 +24,9 @@
     ObserverEvent,
 };
 use crate::membership::{InstanceEntry, PeerView};
-use crate::outage::{ElectorConfig, ElectorState, Hold, LeaseExtensionConfig, VouchCollector};
+use crate::outage::{
+    ElectorConfig, ElectorState, LeaseExtension, LeaseExtensionConfig, VouchCollector,
+};
 use crate::platform::{CallId, Object, PlatformResult, Stored};
 use crate::roles::{Role, RoleConfig, RoleEntry, RoleEvent, RoleTable};
 use crate::takeover::Takeovers;
@@ -134,7 +136,7 @@
     proposer: Proposer<S, C>,
     takeovers: Takeovers,
     desk: ElectorState,
-    hold: Hold,
+    hold: LeaseExtension,
     holding: bool,
     vouching: VouchCollector,
     upkeep: Upkeep,
@@ -181,7 +183,7 @@
             proposer: Proposer::with_machine(cfg.proposer, cfg.model, me, PROPOSER),
             takeovers: Takeovers::default(),
             desk: ElectorState::new(cfg.elector, now),
-            hold: Hold::new(cfg.hold, nonce),
+            hold: LeaseExtension::new(cfg.hold, nonce),
             holding: false,
             vouching: VouchCollector::new(nonce),
             upkeep: Upkeep::new(ELECTORS),
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -8,7 +8,7 @@
 use crate::lease::{
     LeaseAction, LeaseEvent, LeaseKeeper, LeaseState, ObserverAction, ObserverEvent,
 };
-use crate::outage::Hold;
+use crate::outage::LeaseExtension;
 use crate::roles::{Role, RoleAction, RoleEvent};
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
@@ -58,7 +58,7 @@
         self.lease_state = None;
         let record = self.cfg.lease_record();
         self.lease = LeaseKeeper::with_machine(self.cfg.lease, record, LEASE, now);
-        self.hold = Hold::new(self.cfg.hold, self.cfg.me.incarnation.get());
+        self.hold = LeaseExtension::new(self.cfg.hold, self.cfg.me.incarnation.get());
         let event = RoleEvent::BeginAnew(self.cfg.me.clone());
         self.drive_roles(event, now, actions);
         self.follower.begin_anew(self.cfg.me.clone());
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -82,8 +82,8 @@
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorMessage, ElectorState, Hold, LeaseExtensionAction, LeaseExtensionConfig,
-    VouchAction, VouchCollector,
+    ElectorConfig, ElectorMessage, ElectorState, LeaseExtension, LeaseExtensionAction,
+    LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 pub use platform::{
     CallId, CarriedOut, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -13,6 +13,6 @@
 
 pub use elector::{ElectorConfig, ElectorState};
 pub(crate) use electorate::choose_electors;
-pub use hold::{Hold, LeaseExtensionAction, LeaseExtensionConfig};
+pub use hold::{LeaseExtension, LeaseExtensionAction, LeaseExtensionConfig};
 pub use message::ElectorMessage;
 pub use vouch::{VouchAction, VouchCollector};
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/hold.rs
@@ -9,7 +9,7 @@
 use crate::bugs::{Bug, Bugs};
 use crate::config::{Elector, Electorate};
 
-/// Configuration of a [`Hold`].
+/// Configuration of a [`LeaseExtension`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseExtensionConfig {
     /// How long before the lease expires the first promises are requested.
@@ -37,7 +37,7 @@
     }
 }
 
-/// An output of a [`Hold`].
+/// An output of a [`LeaseExtension`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseExtensionAction {
     /// Send a request to an instance, which may be this one.
@@ -57,7 +57,7 @@
 /// must follow the lease without a gap: in a gap the holder may have been superseded, and only the
 /// platform can tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Hold {
+pub struct LeaseExtension {
     cfg: LeaseExtensionConfig,
     /// Until when each elector's promise is valid.
     promises: BTreeMap<Elector, Moment>,
@@ -72,7 +72,7 @@
     bugs: Bugs,
 }
 
-impl Hold {
+impl LeaseExtension {
     /// Creates the state of a lease that is not extended.
     ///
     /// Requests are numbered from `first_number`, which should be drawn at random.
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_hold.rs
@@ -18,8 +18,8 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorMessage, ElectorState, Electorate, Hold, Holder, Incarnation,
-    LeaseExtensionAction, LeaseExtensionConfig, VouchAction, VouchCollector,
+    Elector, ElectorConfig, ElectorMessage, ElectorState, Electorate, Holder, Incarnation,
+    LeaseExtension, LeaseExtensionAction, LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 
 const DEPTH: usize = 13;
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Hash)]
 struct World {
     now: Moment,
-    hold: Hold,
+    hold: LeaseExtension,
     vouching: VouchCollector,
     desks: Vec<ElectorState>,
     messages: Vec<Message>,
@@ -80,7 +80,7 @@
             desk.seed(bugs);
             desk
         };
-        let mut hold = Hold::new(
+        let mut hold = LeaseExtension::new(
             LeaseExtensionConfig {
                 begin_before: SECOND * 2,
                 ask_every: SECOND,
