--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -66,7 +66,7 @@
     /// How this instance answers as an elector.
     pub elector: ElectorConfig,
     /// How the lease is extended while the platform is unreachable.
-    pub hold: LeaseExtensionConfig,
+    pub lease_extension: LeaseExtensionConfig,
     /// The number of instances that watch each lease.
     pub watchers: usize,
 }
@@ -94,7 +94,7 @@
             follower: FollowerConfig::default(),
             proposer: ProposerConfig::default(),
             elector: ElectorConfig::default(),
-            hold: LeaseExtensionConfig::default(),
+            lease_extension: LeaseExtensionConfig::default(),
             watchers: 3,
         }
     }
@@ -183,7 +183,7 @@
             proposer: Proposer::with_machine(cfg.proposer, cfg.model, me, PROPOSER),
             takeovers: Takeovers::default(),
             desk: ElectorState::new(cfg.elector, now),
-            hold: LeaseExtension::new(cfg.hold, nonce),
+            hold: LeaseExtension::new(cfg.lease_extension, nonce),
             holding: false,
             vouching: VouchCollector::new(nonce),
             upkeep: Upkeep::new(ELECTORS),
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -58,7 +58,7 @@
         self.lease_state = None;
         let record = self.cfg.lease_record();
         self.lease = LeaseKeeper::with_machine(self.cfg.lease, record, LEASE, now);
-        self.hold = LeaseExtension::new(self.cfg.hold, self.cfg.me.incarnation.get());
+        self.hold = LeaseExtension::new(self.cfg.lease_extension, self.cfg.me.incarnation.get());
         let event = RoleEvent::BeginAnew(self.cfg.me.clone());
         self.drive_roles(event, now, actions);
         self.follower.begin_anew(self.cfg.me.clone());
--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -69,7 +69,7 @@
             .electors
             .iter()
             .any(|elector| elector.instance == *me);
-        if is_elector || instances.len() <= self.cfg.hold.direct_at_most {
+        if is_elector || instances.len() <= self.cfg.lease_extension.direct_at_most {
             return Vec::new();
         }
         let in_zone = instances.iter().filter(|(_, zone)| **zone == self.cfg.zone);
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -540,10 +540,10 @@
         &mut cfg.elector.vouch_for,
         &mut cfg.elector.failing_for,
         &mut cfg.elector.answered_within,
-        &mut cfg.hold.begin_before,
-        &mut cfg.hold.ask_every,
-        &mut cfg.hold.renew_every,
-        &mut cfg.hold.margin,
+        &mut cfg.lease_extension.begin_before,
+        &mut cfg.lease_extension.ask_every,
+        &mut cfg.lease_extension.renew_every,
+        &mut cfg.lease_extension.margin,
     ] {
         *time = time.mul_f64(ratio);
     }
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -231,7 +231,7 @@
     cfg.lease = timing.lease;
     cfg.observer = timing.observer;
     cfg.elector = timing.elector;
-    cfg.hold = timing.hold;
+    cfg.lease_extension = timing.hold;
     cfg.roles.list_later_by_role = ASSIGNMENT_LIST_LATER_BY_ROLE;
     Coordinator::new(cfg, cx.now())
 }
