--- a/crates/chervilshunt_coord/src/outage.rs
+++ b/crates/chervilshunt_coord/src/outage.rs
@@ -7,12 +7,12 @@
 
 mod elector;
 mod electorate;
-mod hold;
+mod extension;
 mod message;
 mod vouch;
 
 pub use elector::{ElectorConfig, ElectorState};
 pub(crate) use electorate::choose_electors;
-pub use hold::{LeaseExtension, LeaseExtensionAction, LeaseExtensionConfig};
+pub use extension::{LeaseExtension, LeaseExtensionAction, LeaseExtensionConfig};
 pub use message::ElectorMessage;
 pub use vouch::{VouchAction, VouchCollector};
--- a/crates/chervilshunt_coord/src/tests.rs
+++ b/crates/chervilshunt_coord/src/tests.rs
@@ -4,7 +4,7 @@
 mod exclusive_lease;
 mod explore;
 mod explore_config;
-mod explore_hold;
+mod explore_extension;
 mod explore_lease;
 mod explore_roles;
 mod fleet;
