--- a/crates/chervilshunt_coord/src/outage/electorate.rs
+++ b/crates/chervilshunt_coord/src/outage/electorate.rs
@@ -10,7 +10,7 @@
 /// The maximum number of electors.
 ///
 /// With seven, a majority remains after three failures. More electors would only add messages.
-const MOST_ELECTORS: usize = 7;
+const MAX_ELECTORS: usize = 7;
 
 /// Returns the set of electors, given the present ones and all candidates.
 ///
@@ -21,14 +21,14 @@
     present: &[Elector],
     instances: &[(Elector, ZoneName)],
 ) -> Vec<Elector> {
-    let count = instances.len().min(MOST_ELECTORS);
+    let count = instances.len().min(MAX_ELECTORS);
     let count = if count.is_multiple_of(2) {
         count.saturating_sub(1)
     } else {
         count
     };
-    let is_there = |elector: &&Elector| instances.iter().any(|(there, _)| there == *elector);
-    let mut chosen: Vec<_> = present.iter().filter(is_there).cloned().collect();
+    let is_candidate = |elector: &&Elector| instances.iter().any(|(there, _)| there == *elector);
+    let mut chosen: Vec<_> = present.iter().filter(is_candidate).cloned().collect();
     chosen.truncate(count);
     let zone_of = |elector: &Elector| {
         let found = instances.iter().find(|(there, _)| there == elector);
--- a/crates/chervilshunt_coord/src/outage/extension.rs
+++ b/crates/chervilshunt_coord/src/outage/extension.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Asked {
+enum PromiseSource {
     Elector(Elector),
     Relay,
 }
@@ -62,13 +62,13 @@
     /// Until when each elector's promise is valid.
     promises: BTreeMap<Elector, Moment>,
     /// Until when a majority has promised, as reported by a relay.
-    relayed: Moment,
-    asked: BTreeMap<u64, (Asked, Moment)>,
+    relay_promise: Moment,
+    requests: BTreeMap<u64, (PromiseSource, Moment)>,
     number: u64,
     ask_at: Moment,
     valid_until: Moment,
     /// The number of requests since a relay last answered; it selects the next relay to ask.
-    silent_relays: usize,
+    relay_failures: usize,
     bugs: Bugs,
 }
 
@@ -80,12 +80,12 @@
         Self {
             cfg,
             promises: BTreeMap::new(),
-            relayed: Moment::ZERO,
-            asked: BTreeMap::new(),
+            relay_promise: Moment::ZERO,
+            requests: BTreeMap::new(),
             number: first_number,
             ask_at: Moment::ZERO,
             valid_until: Moment::ZERO,
-            silent_relays: 0,
+            relay_failures: 0,
             bugs: Bugs::NONE,
         }
     }
@@ -129,12 +129,12 @@
                 self.cfg.ask_every
             };
         let old = now - self.cfg.renew_every * 4;
-        self.asked.retain(|_, (_, at)| *at >= old);
-        let relay = relays.get(self.silent_relays).cloned();
-        self.silent_relays += 1;
+        self.requests.retain(|_, (_, at)| *at >= old);
+        let relay = relays.get(self.relay_failures).cloned();
+        self.relay_failures += 1;
         match relay {
             Some(relay) => {
-                let number = self.note(Asked::Relay, now);
+                let number = self.record_request(PromiseSource::Relay, now);
                 let electorate = electorate.version;
                 vec![LeaseExtensionAction::Send(
                     relay,
@@ -145,7 +145,7 @@
                 .electors
                 .iter()
                 .map(|elector| {
-                    let number = self.note(Asked::Elector(elector.clone()), now);
+                    let number = self.record_request(PromiseSource::Elector(elector.clone()), now);
                     let address = elector.address;
                     let message = ElectorMessage::AskPromise { number, address };
                     LeaseExtensionAction::Send(elector.instance.clone(), message)
@@ -154,9 +154,9 @@
         }
     }
 
-    fn note(&mut self, asked: Asked, now: Moment) -> u64 {
+    fn record_request(&mut self, source: PromiseSource, now: Moment) -> u64 {
         self.number = self.number.wrapping_add(1);
-        self.asked.insert(self.number, (asked, now));
+        self.requests.insert(self.number, (source, now));
         self.number
     }
 
@@ -169,7 +169,7 @@
         electorate: &Electorate,
         now: Moment,
     ) {
-        let Some((asked, asked_at)) = self.asked.remove(&number) else {
+        let Some((source, asked_at)) = self.requests.remove(&number) else {
             return;
         };
         let counted_from = if self.bugs.has(Bug::HoldFromReply) {
@@ -178,16 +178,16 @@
             asked_at
         };
         let until = counted_from + Duration::from_millis(for_ms);
-        match asked {
-            Asked::Elector(elector) if for_ms > 0 => {
+        match source {
+            PromiseSource::Elector(elector) if for_ms > 0 => {
                 let promised = self.promises.entry(elector).or_default();
                 *promised = until.max(*promised);
             }
-            Asked::Relay if for_ms > 0 => {
-                self.relayed = until.max(self.relayed);
-                self.silent_relays = 0;
+            PromiseSource::Relay if for_ms > 0 => {
+                self.relay_promise = until.max(self.relay_promise);
+                self.relay_failures = 0;
             }
-            Asked::Elector(_) | Asked::Relay => return,
+            PromiseSource::Elector(_) | PromiseSource::Relay => return,
         }
         self.extend(lease_until, electorate, now);
     }
@@ -197,7 +197,9 @@
         if now >= lease_until.max(self.valid_until) {
             return;
         }
-        let majority = self.promised_by_majority(electorate).max(self.relayed);
+        let majority = self
+            .promised_by_majority(electorate)
+            .max(self.relay_promise);
         let until = majority - self.cfg.margin;
         self.valid_until = until.max(self.valid_until);
     }
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -10,7 +10,7 @@
 use crate::holder::Holder;
 
 /// The interval between requests for vouches about the same holder.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An output of [`VouchCollector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 
 /// The vouches about one holder whose lease has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Case {
+struct PendingVouches {
     /// The electorates on which the holder may rely. A majority of each must vouch.
     electorates: Vec<Electorate>,
     asked: BTreeMap<u64, (Elector, Moment)>,
@@ -36,7 +36,7 @@
 /// majority of promises at every moment, and the two majorities would share an elector.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VouchCollector {
-    cases: BTreeMap<Holder, Case>,
+    pending: BTreeMap<Holder, PendingVouches>,
     number: u64,
 }
 
@@ -46,43 +46,47 @@
     /// Requests are numbered from `first_number`, which should be drawn at random.
     pub const fn new(first_number: u64) -> Self {
         Self {
-            cases: BTreeMap::new(),
+            pending: BTreeMap::new(),
             number: first_number,
         }
     }
 
     /// Starts to collect vouches about a holder, or updates its electorates.
     pub fn begin(&mut self, holder: Holder, electorates: Vec<Electorate>, now: Moment) {
-        let case = self.cases.entry(holder).or_insert_with(|| Case {
-            electorates: Vec::new(),
-            asked: BTreeMap::new(),
-            vouched_until: BTreeMap::new(),
-            ask_at: now,
-        });
-        case.electorates = electorates;
+        let entry = self
+            .pending
+            .entry(holder)
+            .or_insert_with(|| PendingVouches {
+                electorates: Vec::new(),
+                asked: BTreeMap::new(),
+                vouched_until: BTreeMap::new(),
+                ask_at: now,
+            });
+        entry.electorates = electorates;
     }
 
     /// Stops collecting vouches about a holder that has renewed its lease or whose lease has ended.
     pub fn end(&mut self, holder: &Holder) {
-        self.cases.remove(holder);
+        self.pending.remove(holder);
     }
 
     /// Returns when [`Self::ask`] is next due.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        self.cases.values().map(|case| case.ask_at).min()
+        self.pending.values().map(|entry| entry.ask_at).min()
     }
 
     /// Requests vouches from the electors where a request is due.
     pub fn ask(&mut self, now: Moment) -> Vec<VouchAction> {
         let mut actions = Vec::new();
-        for (holder, case) in &mut self.cases {
-            if now < case.ask_at {
+        for (holder, entry) in &mut self.pending {
+            if now < entry.ask_at {
                 continue;
             }
-            case.ask_at = now + ASK_EVERY;
-            case.asked
-                .retain(|_, (_, at)| now.since(*at) < ASK_EVERY * 4);
-            let electors: BTreeSet<_> = case
+            entry.ask_at = now + REQUEST_INTERVAL;
+            entry
+                .asked
+                .retain(|_, (_, at)| now.since(*at) < REQUEST_INTERVAL * 4);
+            let electors: BTreeSet<_> = entry
                 .electorates
                 .iter()
                 .flat_map(|electorate| &electorate.electors)
@@ -96,7 +100,7 @@
                     about: holder.clone(),
                 };
                 actions.push(VouchAction::Send(elector.instance.clone(), message));
-                case.asked.insert(self.number, (elector, now));
+                entry.asked.insert(self.number, (elector, now));
             }
         }
         actions
@@ -114,19 +118,19 @@
         dead: impl Fn(&InstanceId) -> bool,
         now: Moment,
     ) -> bool {
-        let Some(case) = self.cases.get_mut(about) else {
+        let Some(entry) = self.pending.get_mut(about) else {
             return false;
         };
-        let Some((elector, asked_at)) = case.asked.remove(&number) else {
+        let Some((elector, asked_at)) = entry.asked.remove(&number) else {
             return false;
         };
         let until = asked_at + Duration::from_millis(for_ms);
-        case.vouched_until.insert(elector, until);
+        entry.vouched_until.insert(elector, until);
         let vouches = |elector: &Elector| {
-            let until = case.vouched_until.get(elector);
+            let until = entry.vouched_until.get(elector);
             until.is_some_and(|until| now < *until) || dead(&elector.instance)
         };
-        case.electorates.iter().all(|electorate| {
+        entry.electorates.iter().all(|electorate| {
             let vouching = electorate
                 .electors
                 .iter()
--- a/crates/chervilshunt_coord/src/tests/explore_extension.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_extension.rs
@@ -55,7 +55,7 @@
     now: Moment,
     hold: LeaseExtension,
     vouching: VouchCollector,
-    desks: Vec<ElectorState>,
+    elector_states: Vec<ElectorState>,
     messages: Vec<Message>,
     electorate: Electorate,
     vouched: bool,
@@ -69,16 +69,16 @@
             instance: InstanceId::new(format!("e{number}")),
             address: ([127, 0, 0, 1], 1).into(),
         };
-        let desk = || {
+        let elector_state = || {
             let cfg = ElectorConfig {
                 promise_for: SECOND * 3,
                 vouch_for: SECOND,
                 failing_for: Duration::ZERO,
                 answered_within: SECOND * 100,
             };
-            let mut desk = ElectorState::new(cfg, Moment::ZERO);
-            desk.seed(bugs);
-            desk
+            let mut elector_state = ElectorState::new(cfg, Moment::ZERO);
+            elector_state.seed(bugs);
+            elector_state
         };
         let mut hold = LeaseExtension::new(
             LeaseExtensionConfig {
@@ -95,7 +95,7 @@
             now: BEGIN,
             hold,
             vouching: VouchCollector::new(1_000),
-            desks: (0..ELECTORS).map(|_| desk()).collect(),
+            elector_states: (0..ELECTORS).map(|_| elector_state()).collect(),
             messages: Vec::new(),
             electorate: Electorate {
                 version: 1,
@@ -140,15 +140,15 @@
         let now = self.now;
         match self.messages.remove(number) {
             Message::Elector(elector, ElectorMessage::AskPromise { number, .. }) => {
-                self.desks[elector].record_call_end(false, BEGIN);
-                let promise = self.desks[elector].promise(now);
+                self.elector_states[elector].record_call_end(false, BEGIN);
+                let promise = self.elector_states[elector].promise(now);
                 let for_ms = promise.map_or(0, |promise| promise.as_millis() as u64);
                 let answer = ElectorMessage::Promise { number, for_ms };
                 self.messages.push(Message::Holder(answer));
             }
             Message::Elector(elector, ElectorMessage::AskVouch { number, about, .. }) => {
-                self.desks[elector].record_call_end(true, BEGIN);
-                let vouch = self.desks[elector].vouch(now);
+                self.elector_states[elector].record_call_end(true, BEGIN);
+                let vouch = self.elector_states[elector].vouch(now);
                 let for_ms = vouch.map_or(0, |vouch| vouch.as_millis() as u64);
                 let answer = ElectorMessage::Vouch {
                     number,
