--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -349,7 +349,7 @@
                 self.lost_peers.insert(instance);
                 self.review = true;
             }
-            CoordEvent::PeerHeard(instance) => {
+            CoordEvent::PeerReachable(instance) => {
                 self.review |= self.lost_peers.remove(&instance);
             }
             CoordEvent::RolesWanted { revision, roles } => {
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -36,7 +36,7 @@
     /// The connection to another instance broke and cannot be re-established.
     PeerLost(InstanceId),
     /// An instance whose connection was lost is sending again.
-    PeerHeard(InstanceId),
+    PeerReachable(InstanceId),
     /// The configuration at this revision requires these roles.
     RolesWanted {
         /// The revision of the configuration.
--- a/crates/chervilshunt_coord/src/tests/outage.rs
+++ b/crates/chervilshunt_coord/src/tests/outage.rs
@@ -238,6 +238,6 @@
     };
     let lost = state_after(CoordEvent::PeerLost("i0".into()));
     assert_eq!(lost, PeerState::Suspect);
-    let heard = state_after(CoordEvent::PeerHeard("i0".into()));
+    let heard = state_after(CoordEvent::PeerReachable("i0".into()));
     assert_eq!(heard, PeerState::Live);
 }
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -33,7 +33,7 @@
             ..
         } = message;
         if self.suspects.contains(&from) {
-            self.coordinate(CoordEvent::PeerHeard(from.clone()));
+            self.coordinate(CoordEvent::PeerReachable(from.clone()));
         }
         match message {
             PeerMessage::PermitAsked(req) => {
