--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -362,7 +362,7 @@
             CoordEvent::RoleReleased(role) => {
                 self.drive_roles(RoleEvent::Released(role), now, &mut actions);
             }
-            CoordEvent::PermitsAnswered { role, instance } => {
+            CoordEvent::PermitsReported { role, instance } => {
                 let complete = self.takeovers.answered(&role, &instance);
                 actions.extend(complete.map(|role| CoordAction::TakeoverComplete { role }));
             }
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -55,7 +55,7 @@
     /// flight, and the next holder has all the state that it needs.
     RoleReleased(Role),
     /// An instance has reported the permits that it holds for a role that was taken over.
-    PermitsAnswered {
+    PermitsReported {
         /// The role.
         role: Role,
         /// The instance.
@@ -92,7 +92,7 @@
         /// Whether the previous holder handed it over, as opposed to losing it.
         handed_over: bool,
         /// The instances to ask for the permits that they hold. Each answer must be reported with
-        /// [`CoordEvent::PermitsAnswered`].
+        /// [`CoordEvent::PermitsReported`].
         ask: Vec<InstanceId>,
     },
     /// This run must hand over the role and confirm with [`CoordEvent::RoleReleased`].
--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -308,7 +308,7 @@
         };
         self.work_off([Step::Owner(target.clone(), event)]);
         let role = Role::Target(target);
-        self.coordinate(CoordEvent::PermitsAnswered { role, instance });
+        self.coordinate(CoordEvent::PermitsReported { role, instance });
     }
 }
 
