--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -463,7 +463,7 @@
         }
         if self.shutting_down && !self.gave_roles_away && self.roles.holds_nothing() {
             self.gave_roles_away = true;
-            actions.push(CoordAction::RolesGivenAway);
+            actions.push(CoordAction::RolesReleased);
         }
         let may_leave = self.gave_roles_away && self.drained;
         if may_leave && self.lease.record().state == LeaseState::Leaving {
--- a/crates/chervilshunt_coord/src/coordinator/types.rs
+++ b/crates/chervilshunt_coord/src/coordinator/types.rs
@@ -149,7 +149,7 @@
     /// Whether this instance may take new work from now on.
     TakeWork(bool),
     /// This run is shutting down and no longer holds any role.
-    RolesGivenAway,
+    RolesReleased,
     /// This run has left the fleet; the process may exit.
     Left,
     /// A decision to be logged.
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -480,7 +480,7 @@
             | CoordAction::HolderChanged { .. }
             | CoordAction::PeersChanged(_)
             | CoordAction::TakeWork(_)
-            | CoordAction::RolesGivenAway
+            | CoordAction::RolesReleased
             | CoordAction::Log(_) => {}
         }
     }
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -113,7 +113,7 @@
             CoordAction::TakeWork(takes_work) => {
                 slog::info!(self.cx.log, "new work"; "taken" => takes_work);
             }
-            CoordAction::RolesGivenAway => self.roles_given_away(),
+            CoordAction::RolesReleased => self.roles_given_away(),
             CoordAction::Left => self.left(),
             CoordAction::Log(decision) => self.log_coord(&decision),
         }
