--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -440,7 +440,11 @@
             CoordMessage::Config(message) => self.on_config_message(from, message, now, actions),
             CoordMessage::Elector(message) => self.on_hold_message(from, &message, now, actions),
             CoordMessage::Assigned { shard, generation } => {
-                self.drive_roles(RoleEvent::Told(shard, generation), now, actions);
+                self.drive_roles(
+                    RoleEvent::AssignmentReported(shard, generation),
+                    now,
+                    actions,
+                );
             }
         }
     }
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -215,7 +215,9 @@
         let mut actions = Vec::new();
         match event {
             RoleEvent::Seen(record, version) => self.adopt(record, version, now, &mut actions),
-            RoleEvent::Told(shard, generation) => self.on_told(shard, generation, &mut actions),
+            RoleEvent::AssignmentReported(shard, generation) => {
+                self.on_told(shard, generation, &mut actions)
+            }
             RoleEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             RoleEvent::Wanted(revision, roles) => self.on_wanted(revision, roles, &mut actions),
             RoleEvent::Instances(instances) => self.instances = instances,
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -57,7 +57,7 @@
     /// A watch reported an assignment, which may be stale.
     Seen(AssignmentRecord, ObjectVersion),
     /// Another instance reported that it wrote this generation of an assignment.
-    Told(AssignmentShard, u64),
+    AssignmentReported(AssignmentShard, u64),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
     /// The configuration at this revision requires these roles.
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -253,7 +253,7 @@
         for number in 0..self.told.len() {
             step(&|world| {
                 let (to, shard, generation) = world.told.remove(number);
-                world.hand(to, RoleEvent::Told(shard, generation));
+                world.hand(to, RoleEvent::AssignmentReported(shard, generation));
             });
         }
         next
