--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -119,7 +119,7 @@
         for action in self.roles.handle(event, now) {
             match action {
                 RoleAction::Call(call) => actions.push(CoordAction::Platform(call)),
-                RoleAction::Tell(to, shard, generation) => {
+                RoleAction::NotifyAssignment(to, shard, generation) => {
                     let message = CoordMessage::Assigned { shard, generation };
                     actions.push(CoordAction::Send { to, message });
                 }
--- a/crates/chervilshunt_coord/src/roles/table/replies.rs
+++ b/crates/chervilshunt_coord/src/roles/table/replies.rs
@@ -176,9 +176,9 @@
             .filter(|holder| **holder != self.me)
             .map(|holder| &holder.instance)
             .collect();
-        let tells = concerned
-            .into_iter()
-            .map(|instance| RoleAction::Tell(instance.clone(), after.shard, after.generation));
+        let tells = concerned.into_iter().map(|instance| {
+            RoleAction::NotifyAssignment(instance.clone(), after.shard, after.generation)
+        });
         actions.extend(tells);
     }
 
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -86,7 +86,7 @@
     Call(PlatformCall),
     /// Notify an instance that this generation of an assignment concerns it, because its watch may
     /// lag.
-    Tell(InstanceId, AssignmentShard, u64),
+    NotifyAssignment(InstanceId, AssignmentShard, u64),
     /// This run holds the role from now on.
     Gained {
         /// The role.
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -142,7 +142,7 @@
                     call,
                     result: None,
                 }),
-                RoleAction::Tell(to, shard, generation) => {
+                RoleAction::NotifyAssignment(to, shard, generation) => {
                     let to = NAMES.iter().position(|name| *name == to.as_str());
                     let to = to.expect("assignments name instances");
                     self.told.push((to, shard, generation));
