--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -59,7 +59,7 @@
         let record = self.cfg.lease_record();
         self.lease = LeaseKeeper::with_machine(self.cfg.lease, record, LEASE, now);
         self.hold = LeaseExtension::new(self.cfg.lease_extension, self.cfg.me.incarnation.get());
-        let event = RoleEvent::BeginAnew(self.cfg.me.clone());
+        let event = RoleEvent::Rejoin(self.cfg.me.clone());
         self.drive_roles(event, now, actions);
         self.follower.begin_anew(self.cfg.me.clone());
         self.proposer.begin_anew(self.cfg.me.clone());
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -228,7 +228,7 @@
             RoleEvent::Leave => self.leaving = true,
             RoleEvent::Released(role) => self.on_released(&role),
             RoleEvent::Ended(holder, by_me) => self.on_ended(holder, by_me, now),
-            RoleEvent::BeginAnew(me) => self.begin_anew(me, &mut actions),
+            RoleEvent::Rejoin(me) => self.begin_anew(me, &mut actions),
             RoleEvent::Tick => {}
         }
         self.advance(now, &mut actions);
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -74,7 +74,7 @@
     /// The lease of this holder has ended. The flag is true if this instance marked it lapsed.
     Ended(Holder, bool),
     /// The lease was lost, and with it all held roles. The instance rejoins as this holder.
-    BeginAnew(Holder),
+    Rejoin(Holder),
     /// Time has passed.
     Tick,
 }
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -203,7 +203,7 @@
         let holder = run_of(HOLDER, 2);
         let lease = lease(holder.clone());
         self.platform.carry_out(&PlatformOp::Create(lease));
-        self.hand(HOLDER, RoleEvent::BeginAnew(holder));
+        self.hand(HOLDER, RoleEvent::Rejoin(holder));
         self.hand(HOLDER, RoleEvent::MayHold(true));
     }
 
