--- a/crates/chervilshunt_coord/src/coordinator/watch.rs
+++ b/crates/chervilshunt_coord/src/coordinator/watch.rs
@@ -35,7 +35,7 @@
         self.upkeep.recheck();
         let gone = self
             .takeovers
-            .keep_only(&self.list.keys().cloned().collect());
+            .retain_listed(&self.list.keys().cloned().collect());
         actions.extend(
             gone.into_iter()
                 .map(|role| CoordAction::TakeoverComplete { role }),
--- a/crates/chervilshunt_coord/src/takeover.rs
+++ b/crates/chervilshunt_coord/src/takeover.rs
@@ -35,7 +35,7 @@
 
     /// Stops waiting for instances that are not in `listed`. Returns the roles for which no answer
     /// is outstanding any more.
-    pub fn keep_only(&mut self, listed: &BTreeSet<InstanceId>) -> Vec<Role> {
+    pub fn retain_listed(&mut self, listed: &BTreeSet<InstanceId>) -> Vec<Role> {
         for instances in self.waiting.values_mut() {
             instances.retain(|instance| listed.contains(instance));
         }
