--- a/crates/chervilshunt_coord/src/roles/table/held.rs
+++ b/crates/chervilshunt_coord/src/roles/table/held.rs
@@ -80,7 +80,7 @@
         let was_mine = entry.previous.as_ref() == Some(&self.me);
         let waits = !fenced && !entry.handed_over && !was_mine && entry.previous.is_some();
         let orders_from = if waits {
-            now + self.cfg.order_flight
+            now + self.cfg.max_order_latency
         } else {
             now
         };
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -33,7 +33,7 @@
     ///
     /// A run that takes a role over from a holder that did not hand it over waits this long before
     /// its first order if the receivers do not refuse old epochs.
-    pub order_flight: Duration,
+    pub max_order_latency: Duration,
 }
 
 impl Default for RoleConfig {
@@ -46,7 +46,7 @@
             list_every: Duration::from_secs(30),
             list_later_by_role: Duration::from_millis(350),
             list_counts_for: Duration::from_secs(2),
-            order_flight: Duration::from_secs(5),
+            max_order_latency: Duration::from_secs(5),
         }
     }
 }
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -87,7 +87,7 @@
         };
         platform.carry_out(&PlatformOp::Create(Object::Assignment(record)));
         let cfg = RoleConfig {
-            order_flight: Duration::ZERO,
+            max_order_latency: Duration::ZERO,
             list_every: Duration::from_secs(1_000_000),
             ask_every: Duration::from_secs(1_000_000),
             ..RoleConfig::default()
