--- a/crates/chervilshunt_coord/src/roles/table/replies.rs
+++ b/crates/chervilshunt_coord/src/roles/table/replies.rs
@@ -86,7 +86,7 @@
         };
         self.listed = true;
         let entries = u32::try_from(self.wanted.len()).unwrap_or(u32::MAX);
-        let every = self.cfg.list_every + self.cfg.list_later_by_role * entries;
+        let every = self.cfg.list_every + self.cfg.list_interval_per_role * entries;
         self.list_at = now + jittered(every, self.me.incarnation.get(), now.as_micros());
         for Stored { object, version } in objects {
             if let Object::Assignment(record) = object {
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -26,7 +26,7 @@
     pub list_every: Duration,
     /// Added to the list interval for each required role, to limit the bytes per second that lists
     /// transfer.
-    pub list_later_by_role: Duration,
+    pub list_interval_per_role: Duration,
     /// The maximum age of a list of the leases from which holders are selected.
     pub list_counts_for: Duration,
     /// The longest time for which an order can be in flight to a target.
@@ -44,7 +44,7 @@
             ask_every: Duration::from_secs(2),
             ask_at_most: 4,
             list_every: Duration::from_secs(30),
-            list_later_by_role: Duration::from_millis(350),
+            list_interval_per_role: Duration::from_millis(350),
             list_counts_for: Duration::from_secs(2),
             max_order_latency: Duration::from_secs(5),
         }
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -232,7 +232,7 @@
     cfg.observer = timing.observer;
     cfg.elector = timing.elector;
     cfg.lease_extension = timing.hold;
-    cfg.roles.list_later_by_role = ASSIGNMENT_LIST_LATER_BY_ROLE;
+    cfg.roles.list_interval_per_role = ASSIGNMENT_LIST_LATER_BY_ROLE;
     Coordinator::new(cfg, cx.now())
 }
 
