--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -350,7 +350,7 @@
 
     fn has_fresh_members(&self, now: Moment) -> bool {
         self.members_at
-            .is_some_and(|at| now.since(at) <= self.cfg.list_counts_for)
+            .is_some_and(|at| now.since(at) <= self.cfg.member_list_max_age)
     }
 
     fn live_members(&self) -> BTreeSet<&Holder> {
--- a/crates/chervilshunt_coord/src/roles/table/types.rs
+++ b/crates/chervilshunt_coord/src/roles/table/types.rs
@@ -28,7 +28,7 @@
     /// transfer.
     pub list_interval_per_role: Duration,
     /// The maximum age of a list of the leases from which holders are selected.
-    pub list_counts_for: Duration,
+    pub member_list_max_age: Duration,
     /// The longest time for which an order can be in flight to a target.
     ///
     /// A run that takes a role over from a holder that did not hand it over waits this long before
@@ -45,7 +45,7 @@
             ask_at_most: 4,
             list_every: Duration::from_secs(30),
             list_interval_per_role: Duration::from_millis(350),
-            list_counts_for: Duration::from_secs(2),
+            member_list_max_age: Duration::from_secs(2),
             max_order_latency: Duration::from_secs(5),
         }
     }
