--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -11,7 +11,7 @@
 
 use chervilshunt_model::{Epoch, InstanceId, Moment, RegionName, ZoneName};
 
-use self::electors::Upkeep;
+use self::electors::ElectorateUpdate;
 pub use self::types::{CoordAction, CoordDecision, CoordEvent, CoordMessage, DecisionKind};
 use crate::bugs::{Bug, Bugs};
 use crate::config::{
@@ -135,11 +135,11 @@
     follower: Follower<S, C>,
     proposer: Proposer<S, C>,
     takeovers: Takeovers,
-    desk: ElectorState,
-    hold: LeaseExtension,
-    holding: bool,
+    elector: ElectorState,
+    extension: LeaseExtension,
+    in_extension: bool,
     vouching: VouchCollector,
-    upkeep: Upkeep,
+    electorate_update: ElectorateUpdate,
     /// The time of the first instance list. `gone_since` holds when each instance disappeared from
     /// the list.
     list_since: Option<Moment>,
@@ -153,13 +153,13 @@
     ended: BTreeSet<Holder>,
     view: PeerView,
     /// Whether the set of leases to watch must be recomputed.
-    rewatch: bool,
+    watches_outdated: bool,
     /// Whether the view of the peers must be recomputed.
-    review: bool,
+    view_outdated: bool,
     takes_work: bool,
     shutting_down: bool,
     drained: bool,
-    gave_roles_away: bool,
+    roles_released: bool,
     bugs: Bugs,
 }
 
@@ -182,11 +182,11 @@
             ),
             proposer: Proposer::with_machine(cfg.proposer, cfg.model, me, PROPOSER),
             takeovers: Takeovers::default(),
-            desk: ElectorState::new(cfg.elector, now),
-            hold: LeaseExtension::new(cfg.lease_extension, nonce),
-            holding: false,
+            elector: ElectorState::new(cfg.elector, now),
+            extension: LeaseExtension::new(cfg.lease_extension, nonce),
+            in_extension: false,
             vouching: VouchCollector::new(nonce),
-            upkeep: Upkeep::new(ELECTORS),
+            electorate_update: ElectorateUpdate::new(ELECTORS),
             list_since: None,
             gone_since: BTreeMap::new(),
             list: BTreeMap::new(),
@@ -195,12 +195,12 @@
             extra_watches: BTreeSet::new(),
             ended: BTreeSet::new(),
             view: PeerView::default(),
-            rewatch: true,
-            review: true,
+            watches_outdated: true,
+            view_outdated: true,
             takes_work: false,
             shutting_down: false,
             drained: false,
-            gave_roles_away: false,
+            roles_released: false,
             bugs: Bugs::NONE,
             cfg,
         }
@@ -215,8 +215,8 @@
         self.roles.seed(bugs);
         self.follower.seed(bugs);
         self.proposer.seed(bugs);
-        self.desk.seed(bugs);
-        self.hold.seed(bugs);
+        self.elector.seed(bugs);
+        self.extension.seed(bugs);
     }
 
     /// Returns this run of this instance. It changes when the lease is lost and the instance
@@ -232,8 +232,8 @@
         // An extension by the electors is as safe as the lease as far as this process can know.
         // Targets that don't check fencing tokens have no other protection, so for them only the
         // lease itself counts.
-        let by_hold = self.is_held(now) && self.roles.is_fenced(role);
-        if !by_lease && !by_hold {
+        let by_extension = self.is_extended(now) && self.roles.is_fenced(role);
+        if !by_lease && !by_extension {
             return None;
         }
         self.roles.may_order(role, now)
@@ -250,11 +250,11 @@
     /// Returns whether the lease, or its extension while the platform is unreachable, is valid at
     /// `now`.
     pub fn is_valid(&self, now: Moment) -> bool {
-        self.lease.is_valid(now) || self.is_held(now)
+        self.lease.is_valid(now) || self.is_extended(now)
     }
 
-    fn is_held(&self, now: Moment) -> bool {
-        self.lease_state.is_some() && now < self.hold.valid_until()
+    fn is_extended(&self, now: Moment) -> bool {
+        self.lease_state.is_some() && now < self.extension.valid_until()
     }
 
     /// Returns whether new work may be taken at `now`.
@@ -275,7 +275,7 @@
         if !self.may_take_work(now) {
             return None;
         }
-        let valid_until = self.lease.valid_until().max(self.hold.valid_until());
+        let valid_until = self.lease.valid_until().max(self.extension.valid_until());
         Some(
             self.follower
                 .stops_at()
@@ -315,7 +315,7 @@
 
     /// Returns when the next [`CoordEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        let valid_until = self.lease.valid_until().max(self.hold.valid_until());
+        let valid_until = self.lease.valid_until().max(self.extension.valid_until());
         let takes_work_until = self.takes_work.then_some(valid_until);
         [
             self.lease.next_wakeup(),
@@ -323,9 +323,9 @@
             self.roles.next_wakeup(),
             self.follower.next_wakeup(),
             self.proposer.next_wakeup(),
-            self.hold_wakeup(),
+            self.extension_wakeup(),
             self.vouching.next_wakeup(),
-            self.upkeep.next_wakeup(),
+            self.electorate_update.next_wakeup(),
             takes_work_until,
         ]
         .into_iter()
@@ -347,10 +347,10 @@
             }
             CoordEvent::PeerLost(instance) => {
                 self.lost_peers.insert(instance);
-                self.review = true;
+                self.view_outdated = true;
             }
             CoordEvent::PeerReachable(instance) => {
-                self.review |= self.lost_peers.remove(&instance);
+                self.view_outdated |= self.lost_peers.remove(&instance);
             }
             CoordEvent::RolesWanted { revision, roles } => {
                 self.drive_roles(RoleEvent::Wanted(revision, roles), now, &mut actions);
@@ -382,7 +382,7 @@
             .iter()
             .any(|action| matches!(action, CoordAction::Platform(_)))
         {
-            self.desk.record_call_start(now);
+            self.elector.record_call_start(now);
         }
         actions
     }
@@ -402,7 +402,7 @@
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
-        self.desk.record_call_end(result.is_answer(), now);
+        self.elector.record_call_end(result.is_answer(), now);
         match call.machine() {
             LEASE => self.drive_lease(LeaseEvent::Reply(call, result), now, actions),
             OBSERVER => self.drive_observer(ObserverEvent::Reply(call, result), now, actions),
@@ -435,10 +435,10 @@
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
-        self.review |= self.lost_peers.remove(from);
+        self.view_outdated |= self.lost_peers.remove(from);
         match message {
             CoordMessage::Config(message) => self.on_config_message(from, message, now, actions),
-            CoordMessage::Elector(message) => self.on_hold_message(from, &message, now, actions),
+            CoordMessage::Elector(message) => self.on_elector_message(from, &message, now, actions),
             CoordMessage::Assigned { shard, generation } => {
                 self.drive_roles(
                     RoleEvent::AssignmentReported(shard, generation),
@@ -465,17 +465,17 @@
         {
             self.drive_lease(LeaseEvent::SetState(LeaseState::Active), now, actions);
         }
-        if self.shutting_down && !self.gave_roles_away && self.roles.holds_nothing() {
-            self.gave_roles_away = true;
+        if self.shutting_down && !self.roles_released && self.roles.holds_nothing() {
+            self.roles_released = true;
             actions.push(CoordAction::RolesReleased);
         }
-        let may_leave = self.gave_roles_away && self.drained;
+        let may_leave = self.roles_released && self.drained;
         if may_leave && self.lease.record().state == LeaseState::Leaving {
             self.drive_lease(LeaseEvent::SetState(LeaseState::Left), now, actions);
         }
         self.update_watches(now, actions);
         self.update_view(actions);
-        self.keep_up_electors(now, actions);
+        self.update_electorate(now, actions);
         self.extend_lease(now, actions);
         self.collect_vouches(now, actions);
         let takes_work = self.may_take_work(now);
--- a/crates/chervilshunt_coord/src/coordinator/drive.rs
+++ b/crates/chervilshunt_coord/src/coordinator/drive.rs
@@ -33,7 +33,7 @@
                     self.drive_follower(FollowerEvent::Start, now, actions);
                 }
                 LeaseAction::Renewed(state) => self.on_renewed(state, now, actions),
-                LeaseAction::Lost => self.begin_anew(now, actions),
+                LeaseAction::Lost => self.rejoin(now, actions),
             }
         }
     }
@@ -50,7 +50,7 @@
     }
 
     /// Joins again under a new incarnation after the lease of the current one was lost.
-    fn begin_anew(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+    fn rejoin(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let me = self.cfg.me.instance.clone();
         let reason = "the lease was found lapsed";
         log(actions, DecisionKind::LeaseLost, None, Some(me), reason);
@@ -58,7 +58,8 @@
         self.lease_state = None;
         let record = self.cfg.lease_record();
         self.lease = LeaseKeeper::with_machine(self.cfg.lease, record, LEASE, now);
-        self.hold = LeaseExtension::new(self.cfg.lease_extension, self.cfg.me.incarnation.get());
+        self.extension =
+            LeaseExtension::new(self.cfg.lease_extension, self.cfg.me.incarnation.get());
         let event = RoleEvent::Rejoin(self.cfg.me.clone());
         self.drive_roles(event, now, actions);
         self.follower.begin_anew(self.cfg.me.clone());
@@ -81,15 +82,15 @@
             match action {
                 ObserverAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 ObserverAction::Renewed(lease) => {
-                    self.review |= self.suspects.remove(&lease.holder.instance);
-                    self.rewatch |= self.extra_watches.remove(&lease.holder);
+                    self.view_outdated |= self.suspects.remove(&lease.holder.instance);
+                    self.watches_outdated |= self.extra_watches.remove(&lease.holder);
                     self.vouching.end(&lease.holder);
                 }
                 ObserverAction::Expired(holder) => {
                     let instance = Some(holder.instance.clone());
                     let reason = "the lease stayed unchanged for its full time";
                     log(actions, DecisionKind::LeaseExpired, None, instance, reason);
-                    self.review |= self.suspects.insert(holder.instance.clone());
+                    self.view_outdated |= self.suspects.insert(holder.instance.clone());
                     self.on_expired(holder, now, actions);
                 }
                 ObserverAction::Ended(holder, by_me) => {
@@ -103,7 +104,7 @@
                     self.vouching.end(&holder);
                     self.ended.insert(holder.clone());
                     self.extra_watches.remove(&holder);
-                    self.rewatch = true;
+                    self.watches_outdated = true;
                     self.drive_roles(RoleEvent::Ended(holder, by_me), now, actions);
                 }
             }
@@ -165,7 +166,7 @@
                     actions.push(CoordAction::RoleLost { role });
                 }
                 RoleAction::HolderChanged { role, holder } => {
-                    self.rewatch = true;
+                    self.watches_outdated = true;
                     actions.push(CoordAction::HolderChanged { role, holder });
                 }
             }
@@ -193,7 +194,7 @@
             match action {
                 FollowerAction::Call(call) => actions.push(CoordAction::Platform(call)),
                 FollowerAction::Send(to, message) => self.send_config(to, message, now, actions),
-                FollowerAction::AskAround(message) => self.ask_around(&message, actions),
+                FollowerAction::AskAround(message) => self.query_others(&message, actions),
                 FollowerAction::AcknowledgeByLease(generation) => {
                     self.drive_lease(LeaseEvent::Acknowledge(generation), now, actions);
                 }
@@ -231,7 +232,7 @@
                         instance,
                         reason,
                     );
-                    self.rewatch |= self.extra_watches.insert(holder);
+                    self.watches_outdated |= self.extra_watches.insert(holder);
                 }
                 ProposerAction::Accepted(ticket, revision) => {
                     let reason = "all live instances acknowledged it";
@@ -296,14 +297,14 @@
     }
 
     /// Sends a question to the next few instances in the order of their ids.
-    fn ask_around(&self, message: &ConfigMessage<C>, actions: &mut Vec<CoordAction<S, C>>) {
+    fn query_others(&self, message: &ConfigMessage<C>, actions: &mut Vec<CoordAction<S, C>>) {
         let me = &self.cfg.me.instance;
         let after_me = self.view.peers.range(me.clone()..);
         let others = after_me.chain(self.view.peers.iter());
         let others = others
             .map(|(instance, _)| instance)
             .filter(|other| *other != me);
-        for to in others.take(ASKED_AROUND) {
+        for to in others.take(DECISION_QUERIES) {
             actions.push(CoordAction::Send {
                 to: to.clone(),
                 message: CoordMessage::Config(message.clone()),
@@ -313,7 +314,7 @@
 }
 
 /// The number of instances that are asked for a decision in addition to the proposer.
-const ASKED_AROUND: usize = 3;
+const DECISION_QUERIES: usize = 3;
 
 pub(super) fn log<S, C>(
     actions: &mut Vec<CoordAction<S, C>>,
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -19,7 +19,7 @@
 /// with different lists would undo each other's choice until the lists agree. Missing electors are
 /// added without the delay: a new fleet has a single elector, and while that one alone can vouch,
 /// nobody can take over from it.
-const SETTLE: Duration = Duration::from_secs(10);
+const REPLACEMENT_DELAY: Duration = Duration::from_secs(10);
 
 /// Below this number of electors, a majority needs all of them, so the failure of any one blocks
 /// takeovers and extensions.
@@ -31,14 +31,14 @@
 const FEW_ELECTORS: usize = 3;
 
 /// How long an instance waits per instance ranked before it, before it writes the electors itself.
-const TURN: Duration = Duration::from_millis(500);
+const DELAY_PER_RANK: Duration = Duration::from_millis(500);
 
 /// The largest rank used for the delay; all instances ranked later wait equally long.
-const MOST_TURNS: usize = 20;
+const MAX_ELECTOR_RANK: usize = 20;
 
 /// State of the updates of the electors in the head.
 #[derive(Debug)]
-pub(super) struct Upkeep {
+pub(super) struct ElectorateUpdate {
     calls: Calls,
     wanted: Option<(Vec<Elector>, Moment)>,
     writing: Option<(CallId, Box<HeadRecord>)>,
@@ -46,7 +46,7 @@
     checked: Option<u64>,
 }
 
-impl Upkeep {
+impl ElectorateUpdate {
     pub(super) const fn new(machine: u32) -> Self {
         Self {
             calls: Calls::new(machine, Purpose::Membership),
@@ -70,7 +70,7 @@
 impl<S: Clone, C: Clone> Coordinator<S, C> {
     /// Writes a new set of electors into the head if some are gone or missing and no other instance
     /// has done so.
-    pub(super) fn keep_up_electors(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+    pub(super) fn update_electorate(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let Some((head, version)) = self.follower.stored_head() else {
             return;
         };
@@ -89,41 +89,45 @@
             && self.lease.is_valid(now)
             && self.list_since.is_some()
             && head.pending.is_none()
-            && self.upkeep.writing.is_none();
+            && self.electorate_update.writing.is_none();
         if !may_write {
             return;
         }
-        let due = self.upkeep.wanted.as_ref().map(|(_, due)| *due);
+        let due = self.electorate_update.wanted.as_ref().map(|(_, due)| *due);
         let is_due = due.is_some_and(|due| now >= due);
-        if self.upkeep.checked == Some(head.generation) && !is_due {
+        if self.electorate_update.checked == Some(head.generation) && !is_due {
             return;
         }
-        self.upkeep.checked = Some(head.generation);
+        self.electorate_update.checked = Some(head.generation);
         let mut electors = choose_electors(&current.electors, &self.possible_electors());
         let mut present = current.electors.clone();
         electors.sort();
         present.sort();
         if electors.is_empty() || electors == present {
-            self.upkeep.wanted = None;
+            self.electorate_update.wanted = None;
             return;
         }
-        let due = match &self.upkeep.wanted {
+        let due = match &self.electorate_update.wanted {
             Some((wanted, due)) if *wanted == electors => *due,
             _ => {
                 let only_added = present.iter().all(|elector| electors.contains(elector));
-                let settle = if only_added { Duration::ZERO } else { SETTLE };
-                now + settle + self.turn_to_elect()
+                let delay = if only_added {
+                    Duration::ZERO
+                } else {
+                    REPLACEMENT_DELAY
+                };
+                now + delay + self.rank_delay()
             }
         };
         if now < due {
-            self.upkeep.wanted = Some((electors, due));
+            self.electorate_update.wanted = Some((electors, due));
             return;
         }
         let next = head.with_electors(electors);
         let op = PlatformOp::Update(Object::Head(Box::new(next.clone())), version.clone());
-        let call = self.upkeep.calls.call(op);
-        self.upkeep.writing = Some((call.id, Box::new(next)));
-        self.upkeep.wanted = None;
+        let call = self.electorate_update.calls.call(op);
+        self.electorate_update.writing = Some((call.id, Box::new(next)));
+        self.electorate_update.wanted = None;
         actions.push(CoordAction::Platform(call));
         let reason = "an elector is gone, or there are too few";
         log(actions, DecisionKind::ElectorsChanged, None, None, reason);
@@ -136,7 +140,11 @@
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
-        let Some((_, head)) = self.upkeep.writing.take_if(|(id, _)| *id == call) else {
+        let Some((_, head)) = self
+            .electorate_update
+            .writing
+            .take_if(|(id, _)| *id == call)
+        else {
             return;
         };
         let event = match result {
@@ -161,14 +169,14 @@
         electors.collect()
     }
 
-    fn turn_to_elect(&self) -> Duration {
+    fn rank_delay(&self) -> Duration {
         const KEY: &str = "electors";
         let mine = rendezvous_weight(KEY, self.cfg.me.instance.as_str());
         let before = self
             .list
             .keys()
             .filter(|instance| rendezvous_weight(KEY, instance.as_str()) > mine);
-        let before = before.take(MOST_TURNS).count();
-        TURN * u32::try_from(before).unwrap_or(0)
+        let before = before.take(MAX_ELECTOR_RANK).count();
+        DELAY_PER_RANK * u32::try_from(before).unwrap_or(0)
     }
 }
--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -23,36 +23,36 @@
             .electorate(self.lease.confirmed_electorate())
     }
 
-    pub(super) fn hold_wakeup(&self) -> Option<Moment> {
+    pub(super) fn extension_wakeup(&self) -> Option<Moment> {
         self.lease_state?;
         let until = self.lease.valid_until();
-        let wakeup = self.hold.next_wakeup(until);
-        (wakeup < until.max(self.hold.valid_until())).then_some(wakeup)
+        let wakeup = self.extension.next_wakeup(until);
+        (wakeup < until.max(self.extension.valid_until())).then_some(wakeup)
     }
 
     pub(super) fn extend_lease(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let until = self.lease.valid_until();
-        if self.lease_state.is_none() || now < self.hold.next_wakeup(until) {
-            return self.note_hold(now, actions);
+        if self.lease_state.is_none() || now < self.extension.next_wakeup(until) {
+            return self.log_extension_change(now, actions);
         }
         let Some(electorate) = self.own_electorate().cloned() else {
             return;
         };
         let relays = self.relays(&electorate);
-        for action in self.hold.ask(until, &electorate, &relays, now) {
+        for action in self.extension.ask(until, &electorate, &relays, now) {
             let LeaseExtensionAction::Send(to, message) = action;
-            self.send_hold(to, message, now, actions);
+            self.send_elector_message(to, message, now, actions);
         }
-        self.note_hold(now, actions);
+        self.log_extension_change(now, actions);
     }
 
-    fn note_hold(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
-        let holding = !self.lease.is_valid(now) && self.is_held(now);
-        if holding == self.holding {
+    fn log_extension_change(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+        let in_extension = !self.lease.is_valid(now) && self.is_extended(now);
+        if in_extension == self.in_extension {
             return;
         }
-        self.holding = holding;
-        let reason = if holding {
+        self.in_extension = in_extension;
+        let reason = if in_extension {
             "the platform fails, and a majority of the electors has promised to supersede nobody"
         } else {
             "the lease was renewed, or the electors promise no longer"
@@ -75,7 +75,7 @@
         let in_zone = instances.iter().filter(|(_, zone)| **zone == self.cfg.zone);
         let mut in_zone: Vec<_> = in_zone.map(|(instance, _)| instance.clone()).collect();
         in_zone.sort_by_key(|instance| text_hash(instance.as_str()));
-        in_zone.truncate(RELAYS);
+        in_zone.truncate(RELAYS_PER_ZONE);
         if in_zone.contains(me) {
             return Vec::new();
         }
@@ -137,11 +137,11 @@
     pub(super) fn collect_vouches(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         for action in self.vouching.ask(now) {
             let VouchAction::Send(to, message) = action;
-            self.send_hold(to, message, now, actions);
+            self.send_elector_message(to, message, now, actions);
         }
     }
 
-    fn send_hold(
+    fn send_elector_message(
         &mut self,
         to: InstanceId,
         message: ElectorMessage,
@@ -149,13 +149,13 @@
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
         if to == self.cfg.me.instance {
-            return self.on_hold_message(&to, &message, now, actions);
+            return self.on_elector_message(&to, &message, now, actions);
         }
         let message = CoordMessage::Elector(message);
         actions.push(CoordAction::Send { to, message });
     }
 
-    pub(super) fn on_hold_message(
+    pub(super) fn on_elector_message(
         &mut self,
         from: &InstanceId,
         message: &ElectorMessage,
@@ -165,12 +165,12 @@
         match message {
             ElectorMessage::AskPromise { number, address } => {
                 let is_me = *address == self.cfg.peer_address;
-                let promise = is_me.then(|| self.desk.promise(now)).flatten();
+                let promise = is_me.then(|| self.elector.promise(now)).flatten();
                 let answer = ElectorMessage::Promise {
                     number: *number,
                     for_ms: promise.map_or(0, millis),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
             ElectorMessage::AskVouch {
                 number,
@@ -178,31 +178,32 @@
                 about,
             } => {
                 let is_me = *address == self.cfg.peer_address;
-                let vouch = is_me.then(|| self.desk.vouch(now)).flatten();
+                let vouch = is_me.then(|| self.elector.vouch(now)).flatten();
                 let answer = ElectorMessage::Vouch {
                     number: *number,
                     about: about.clone(),
                     for_ms: vouch.map_or(0, millis),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
             ElectorMessage::AskMajorityPromise { number, electorate } => {
                 let electorate = self
                     .follower
                     .head()
                     .and_then(|head| head.electorate(*electorate));
-                let until = electorate.map(|electorate| self.hold.promised_by_majority(electorate));
+                let until =
+                    electorate.map(|electorate| self.extension.promised_by_majority(electorate));
                 let answer = ElectorMessage::MajorityPromise {
                     number: *number,
                     for_ms: until.map_or(0, |until| millis(now.until(until))),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
             ElectorMessage::Promise { number, for_ms }
             | ElectorMessage::MajorityPromise { number, for_ms } => {
                 let until = self.lease.valid_until();
                 if let Some(electorate) = self.own_electorate().cloned() {
-                    self.hold
+                    self.extension
                         .answered(*number, *for_ms, until, &electorate, now);
                 }
             }
@@ -226,7 +227,7 @@
 
 /// The number of instances per zone that ask the electors on behalf of the others. The second is
 /// asked if the first does not answer; if neither does, an instance asks the electors itself.
-const RELAYS: usize = 2;
+const RELAYS_PER_ZONE: usize = 2;
 
 fn millis(duration: std::time::Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
--- a/crates/chervilshunt_coord/src/coordinator/watch.rs
+++ b/crates/chervilshunt_coord/src/coordinator/watch.rs
@@ -30,9 +30,9 @@
                 self.gone_since.entry(instance).or_insert(now);
             }
         }
-        self.rewatch = true;
-        self.review = true;
-        self.upkeep.recheck();
+        self.watches_outdated = true;
+        self.view_outdated = true;
+        self.electorate_update.recheck();
         let gone = self
             .takeovers
             .retain_listed(&self.list.keys().cloned().collect());
@@ -57,7 +57,7 @@
     /// Watches the leases of the holders that are assigned to this instance, and of earlier runs of
     /// this instance.
     pub(super) fn update_watches(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
-        if !std::mem::take(&mut self.rewatch) {
+        if !std::mem::take(&mut self.watches_outdated) {
             return;
         }
         let me = self.cfg.me.clone();
@@ -99,7 +99,7 @@
 
     /// Recomputes the view of the instances and reports it if it has changed.
     pub(super) fn update_view(&mut self, actions: &mut Vec<CoordAction<S, C>>) {
-        if !std::mem::take(&mut self.review) {
+        if !std::mem::take(&mut self.view_outdated) {
             return;
         }
         let peers = self.list.values().map(|entry| {
