--- a/crates/chervilshunt_coord/src/lease/keeper.rs
+++ b/crates/chervilshunt_coord/src/lease/keeper.rs
@@ -73,7 +73,7 @@
 
 /// A renewal that was sent and may have been carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sent {
+struct SentRenewal {
     renewals: u64,
     at: Moment,
     state: LeaseState,
@@ -83,7 +83,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum InFlight {
-    Write { call: CallId, sent: Sent },
+    Write { call: CallId, sent: SentRenewal },
     Read { call: CallId },
 }
 
@@ -101,13 +101,13 @@
     version: Option<ObjectVersion>,
     in_flight: Option<InFlight>,
     /// Renewals whose outcome is unknown. Each may still take effect.
-    unsettled: Vec<Sent>,
+    unsettled: Vec<SentRenewal>,
     must_read: bool,
     next_at: Moment,
     valid_until: Moment,
     confirmed_electorate: u64,
     /// Whether to renew without waiting until the lease names a single electorate.
-    hurries_electorate: bool,
+    electorate_urgent: bool,
     written_state: Option<LeaseState>,
     written_acknowledged: Option<u64>,
     lost: bool,
@@ -135,7 +135,7 @@
             version: None,
             in_flight: None,
             unsettled: Vec::new(),
-            hurries_electorate: false,
+            electorate_urgent: false,
             must_read: false,
             next_at: now,
             valid_until: Moment::ZERO,
@@ -187,18 +187,18 @@
             LeaseEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             LeaseEvent::SetState(state) => {
                 self.record.state = state;
-                self.hurry(now);
+                self.renew_now(now);
             }
             LeaseEvent::SetElectorate { version, at_once } => {
                 self.record.electorate = version;
                 if at_once {
-                    self.hurries_electorate = true;
-                    self.hurry(now);
+                    self.electorate_urgent = true;
+                    self.renew_now(now);
                 }
             }
             LeaseEvent::Acknowledge(generation) => {
                 self.record.acknowledged = Some(generation);
-                self.hurry(now);
+                self.renew_now(now);
             }
             LeaseEvent::Tick => {}
         }
@@ -210,7 +210,7 @@
         self.written_state == Some(LeaseState::Left)
     }
 
-    fn hurry(&mut self, now: Moment) {
+    fn renew_now(&mut self, now: Moment) {
         self.next_at = self.next_at.min(now);
     }
 
@@ -239,7 +239,7 @@
             None => PlatformOp::Create(object),
         };
         let call = self.calls.call(op);
-        let sent = Sent {
+        let sent = SentRenewal {
             renewals: self.record.renewals,
             at: now,
             state: self.record.state,
@@ -278,7 +278,7 @@
 
     fn on_written(
         &mut self,
-        sent: Sent,
+        sent: SentRenewal,
         result: PlatformResult,
         now: Moment,
         actions: &mut Vec<LeaseAction>,
@@ -286,7 +286,7 @@
         match result {
             PlatformResult::Written(version) => {
                 self.unsettled.clear();
-                self.settle(sent, version, now, actions);
+                self.confirm(sent, version, now, actions);
             }
             PlatformResult::Conflict | PlatformResult::AlreadyExists | PlatformResult::NotFound => {
                 self.must_read = true;
@@ -342,16 +342,16 @@
             .find(|sent| sent.renewals == record.renewals)
             .copied();
         match sent {
-            Some(sent) => self.settle(sent, version, now, actions),
+            Some(sent) => self.confirm(sent, version, now, actions),
             None => self.version = Some(version),
         }
         self.next_at = now;
     }
 
     /// Records that a renewal was carried out.
-    fn settle(
+    fn confirm(
         &mut self,
-        sent: Sent,
+        sent: SentRenewal,
         version: ObjectVersion,
         now: Moment,
         actions: &mut Vec<LeaseAction>,
@@ -374,11 +374,11 @@
         actions.push(LeaseAction::Renewed(sent.state));
         let names_one = sent.electorate == self.record.electorate
             && sent.electorate_before == self.record.electorate;
-        self.hurries_electorate &= !names_one;
-        let says_all = !self.hurries_electorate
+        self.electorate_urgent &= !names_one;
+        let is_up_to_date = !self.electorate_urgent
             && self.written_state == Some(self.record.state)
             && self.written_acknowledged == self.record.acknowledged;
-        self.next_at = if says_all {
+        self.next_at = if is_up_to_date {
             sent.at + self.cfg.renew_every
         } else {
             now
