--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -79,16 +79,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    Nothing,
+enum WatchCall {
+    Idle,
     Reading(CallId),
     Marking(CallId),
     Deleting(CallId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Watched {
-    doing: Doing,
+struct WatchedLease {
+    in_flight: WatchCall,
     next_at: Moment,
     last_read: Option<Moment>,
     unchanged_since: Moment,
@@ -107,7 +107,7 @@
 pub struct LeaseObserver {
     cfg: ObserverConfig,
     calls: Calls,
-    watched: BTreeMap<Holder, Watched>,
+    watched: BTreeMap<Holder, WatchedLease>,
     bugs: Bugs,
 }
 
@@ -154,7 +154,7 @@
         let idle = self
             .watched
             .values()
-            .filter(|watched| watched.doing == Doing::Nothing && !watched.ended);
+            .filter(|watched| watched.in_flight == WatchCall::Idle && !watched.ended);
         idle.map(|watched| watched.next_at).min()
     }
 
@@ -163,8 +163,8 @@
         let mut actions = Vec::new();
         match event {
             ObserverEvent::Watch(holder) => {
-                self.watched.entry(holder).or_insert(Watched {
-                    doing: Doing::Nothing,
+                self.watched.entry(holder).or_insert(WatchedLease {
+                    in_flight: WatchCall::Idle,
                     next_at: now,
                     last_read: None,
                     unchanged_since: now,
@@ -187,12 +187,12 @@
 
     fn read_due(&mut self, now: Moment, actions: &mut Vec<ObserverAction>) {
         for (holder, watched) in &mut self.watched {
-            if watched.ended || watched.doing != Doing::Nothing || now < watched.next_at {
+            if watched.ended || watched.in_flight != WatchCall::Idle || now < watched.next_at {
                 continue;
             }
             let name = ObjectName::Lease(holder.clone());
             let call = self.calls.call(PlatformOp::Read(name));
-            watched.doing = Doing::Reading(call.id);
+            watched.in_flight = WatchCall::Reading(call.id);
             watched.reads += 1;
             actions.push(ObserverAction::Call(call));
         }
@@ -204,7 +204,7 @@
             return;
         };
         let expired = now >= watched.unchanged_since + unchanged_for;
-        if watched.ended || !expired || watched.doing != Doing::Nothing {
+        if watched.ended || !expired || watched.in_flight != WatchCall::Idle {
             return;
         }
         let Some((record, version)) = &watched.seen else {
@@ -219,7 +219,7 @@
         lapsed.state = LeaseState::Lapsed;
         let op = PlatformOp::Update(Object::Lease(Box::new(lapsed)), version.clone());
         let call = self.calls.call(op);
-        watched.doing = Doing::Marking(call.id);
+        watched.in_flight = WatchCall::Marking(call.id);
         actions.push(ObserverAction::Call(call));
     }
 
@@ -233,7 +233,7 @@
         };
         let op = PlatformOp::Delete(ObjectName::Lease(holder.clone()), Some(version.clone()));
         let call = self.calls.call(op);
-        watched.doing = Doing::Deleting(call.id);
+        watched.in_flight = WatchCall::Deleting(call.id);
         actions.push(ObserverAction::Call(call));
     }
 
@@ -245,9 +245,9 @@
         actions: &mut Vec<ObserverAction>,
     ) {
         let found = self.watched.iter().find_map(|(holder, watched)| {
-            let expected = match watched.doing {
-                Doing::Nothing => return None,
-                Doing::Reading(id) | Doing::Marking(id) | Doing::Deleting(id) => id,
+            let expected = match watched.in_flight {
+                WatchCall::Idle => return None,
+                WatchCall::Reading(id) | WatchCall::Marking(id) | WatchCall::Deleting(id) => id,
             };
             (expected == call).then(|| holder.clone())
         });
@@ -257,12 +257,12 @@
         let Some(watched) = self.watched.get_mut(&holder) else {
             return;
         };
-        let doing = std::mem::replace(&mut watched.doing, Doing::Nothing);
-        match doing {
-            Doing::Nothing => {}
-            Doing::Reading(_) => self.on_read(&holder, result, now, actions),
-            Doing::Marking(_) => self.on_marked(&holder, &result, now, actions),
-            Doing::Deleting(_) => {
+        let in_flight = std::mem::replace(&mut watched.in_flight, WatchCall::Idle);
+        match in_flight {
+            WatchCall::Idle => {}
+            WatchCall::Reading(_) => self.on_read(&holder, result, now, actions),
+            WatchCall::Marking(_) => self.on_marked(&holder, &result, now, actions),
+            WatchCall::Deleting(_) => {
                 self.watched.remove(&holder);
             }
         }
