--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -12,7 +12,7 @@
 use chervilshunt_model::{Epoch, InstanceId, Moment, RegionName, Revision, ZoneName};
 
 use self::edit::Edit;
-use self::held::{Held, Stage};
+use self::held::{HandoverStage, HeldRole};
 pub use self::types::{RoleAction, RoleConfig, RoleEvent};
 use super::assignment::{AssignmentRecord, AssignmentShard, RoleEntry};
 use super::role::{Role, WantedRole};
@@ -26,40 +26,40 @@
 const MAX_RANK: usize = 15;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    Nothing,
+enum ShardCall {
+    Idle,
     /// The outcome of a write is unknown, so the record must be read.
-    Unsettled,
+    OutcomeUnknown,
     Reading(CallId),
     Writing(CallId, Box<AssignmentRecord>),
 }
 
 #[derive(Clone, Debug, Hash)]
-struct Shard {
+struct ShardState {
     record: AssignmentRecord,
     version: Option<ObjectVersion>,
-    doing: Doing,
+    in_flight: ShardCall,
     retry_at: Moment,
     /// Since when required roles of this shard have had no entry.
-    lacking_since: Option<Moment>,
+    missing_since: Option<Moment>,
 }
 
-impl Shard {
+impl ShardState {
     /// Creates the shard of an object that does not exist.
     const fn absent(name: AssignmentShard) -> Self {
         Self {
             record: AssignmentRecord::empty(name),
             version: None,
-            doing: Doing::Nothing,
+            in_flight: ShardCall::Idle,
             retry_at: Moment::ZERO,
-            lacking_since: None,
+            missing_since: None,
         }
     }
 }
 
 /// A run that can hold roles, according to the last list of the leases.
 #[derive(Clone, Debug, Hash)]
-struct Member {
+struct ActiveRun {
     zone: ZoneName,
     region: RegionName,
 }
@@ -76,18 +76,18 @@
     listed: bool,
     listing: Option<CallId>,
     list_at: Moment,
-    shards: BTreeMap<AssignmentShard, Shard>,
+    shards: BTreeMap<AssignmentShard, ShardState>,
     wanted_revision: Option<Revision>,
     wanted: BTreeMap<Role, WantedRole>,
     instances: BTreeMap<InstanceId, ZoneName>,
-    members: BTreeMap<Holder, Member>,
+    members: BTreeMap<Holder, ActiveRun>,
     zone_regions: BTreeMap<ZoneName, RegionName>,
     members_listing: Option<CallId>,
     members_at: Option<Moment>,
     members_retry_at: Moment,
     /// Holders whose lease has ended, with the time from which this run may reassign their roles.
     ended: BTreeMap<Holder, Moment>,
-    held: BTreeMap<Role, Held>,
+    held: BTreeMap<Role, HeldRole>,
     may_hold: bool,
     leaving: bool,
     ask_at: Moment,
@@ -170,8 +170,9 @@
     ///
     /// The caller must also check the lease: this considers only who holds the role.
     pub fn may_order(&self, role: &Role, now: Moment) -> Option<Epoch> {
-        let released =
-            |held: &Held| held.stage == Stage::Released && !self.bugs.has(Bug::OrdersAfterRelease);
+        let released = |held: &HeldRole| {
+            held.stage == HandoverStage::Released && !self.bugs.has(Bug::OrdersAfterRelease)
+        };
         self.held
             .get(role)
             .filter(|held| !released(held) && now >= held.orders_from)
@@ -194,19 +195,19 @@
         if !self.listed {
             return list;
         }
-        let lacking = self.shards.values().filter_map(|shard| {
-            let due = shard.lacking_since? + self.turn(&shard.record.shard.to_string());
-            (shard.doing == Doing::Nothing).then(|| due.max(shard.retry_at))
+        let missing = self.shards.values().filter_map(|shard| {
+            let due = shard.missing_since? + self.rank_delay(&shard.record.shard.to_string());
+            (shard.in_flight == ShardCall::Idle).then(|| due.max(shard.retry_at))
         });
         let retries = self
             .shards
             .values()
-            .filter(|shard| matches!(shard.doing, Doing::Nothing | Doing::Unsettled))
+            .filter(|shard| matches!(shard.in_flight, ShardCall::Idle | ShardCall::OutcomeUnknown))
             .filter(|shard| shard.retry_at > Moment::ZERO)
             .map(|shard| shard.retry_at);
         let ended = self.ended.values().copied().filter(|at| *at > Moment::ZERO);
         let asking = (self.may_hold && !self.leaving).then_some(self.ask_at);
-        let times = lacking.chain(retries).chain(ended).chain(asking);
+        let times = missing.chain(retries).chain(ended).chain(asking);
         times.chain(list).min()
     }
 
@@ -216,7 +217,7 @@
         match event {
             RoleEvent::Seen(record, version) => self.adopt(record, version, now, &mut actions),
             RoleEvent::AssignmentReported(shard, generation) => {
-                self.on_told(shard, generation, &mut actions)
+                self.on_assignment_reported(shard, generation, &mut actions)
             }
             RoleEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             RoleEvent::Wanted(revision, roles) => self.on_wanted(revision, roles, &mut actions),
@@ -228,14 +229,14 @@
             RoleEvent::Leave => self.leaving = true,
             RoleEvent::Released(role) => self.on_released(&role),
             RoleEvent::Ended(holder, by_me) => self.on_ended(holder, by_me, now),
-            RoleEvent::Rejoin(me) => self.begin_anew(me, &mut actions),
+            RoleEvent::Rejoin(me) => self.rejoin(me, &mut actions),
             RoleEvent::Tick => {}
         }
         self.advance(now, &mut actions);
         actions
     }
 
-    fn begin_anew(&mut self, me: Holder, actions: &mut Vec<RoleAction>) {
+    fn rejoin(&mut self, me: Holder, actions: &mut Vec<RoleAction>) {
         self.me = me;
         self.may_hold = false;
         self.recheck = true;
@@ -268,7 +269,7 @@
         let turn = if by_me {
             Duration::ZERO
         } else {
-            self.cfg.rank_delay + self.turn(&holder.to_string())
+            self.cfg.rank_delay + self.rank_delay(&holder.to_string())
         };
         self.ended.entry(holder).or_insert(now + turn);
     }
@@ -277,7 +278,7 @@
     ///
     /// Without the delay, all of 370 instances would write the same change at once and 369 of the
     /// writes would fail.
-    fn turn(&self, key: &str) -> Duration {
+    fn rank_delay(&self, key: &str) -> Duration {
         let mine = rendezvous_weight(key, self.me.instance.as_str());
         let before = self
             .instances
@@ -303,7 +304,7 @@
                 shard.retry_at = Moment::ZERO;
             }
         }
-        self.read_unsettled(now, actions);
+        self.read_unknown(now, actions);
         let edits = self.edits(now);
         let mut needs_members = false;
         for edit in edits {
@@ -329,14 +330,14 @@
         let shard = self
             .shards
             .entry(name)
-            .or_insert_with(|| Shard::absent(name));
+            .or_insert_with(|| ShardState::absent(name));
         let object = Object::Assignment(record.clone());
         let op = match &shard.version {
             Some(version) => PlatformOp::Update(object, version.clone()),
             None => PlatformOp::Create(object),
         };
         let call = self.calls.call(op);
-        shard.doing = Doing::Writing(call.id, Box::new(record));
+        shard.in_flight = ShardCall::Writing(call.id, Box::new(record));
         actions.push(RoleAction::Call(call));
     }
 
--- a/crates/chervilshunt_coord/src/roles/table/edit.rs
+++ b/crates/chervilshunt_coord/src/roles/table/edit.rs
@@ -4,8 +4,8 @@
 
 use chervilshunt_model::Moment;
 
-use super::held::Stage;
-use super::{Doing, RoleTable, Shard};
+use super::held::HandoverStage;
+use super::{RoleTable, ShardCall, ShardState};
 use crate::hashing::jittered;
 use crate::holder::Holder;
 use crate::roles::assignment::{AssignmentRecord, AssignmentShard, RoleEntry};
@@ -23,24 +23,24 @@
 }
 
 /// Selects holders for several edits, counting the roles that it has already assigned.
-struct Chooser<'a> {
+struct HolderChooser<'a> {
     table: &'a RoleTable,
     candidates: Vec<Candidate>,
 }
 
-impl Chooser<'_> {
-    fn choose(&mut self, role: &Role, but: Option<&Holder>) -> Option<Holder> {
+impl HolderChooser<'_> {
+    fn choose(&mut self, role: &Role, except: Option<&Holder>) -> Option<Holder> {
         let zone = self
             .table
             .wanted
             .get(role)
             .and_then(|wanted| wanted.zone.as_ref());
         let region = zone.and_then(|zone| self.table.zone_regions.get(zone));
-        let choice = if let Some(but) = but {
+        let choice = if let Some(except) = except {
             let others: Vec<_> = self
                 .candidates
                 .iter()
-                .filter(|candidate| candidate.holder != *but)
+                .filter(|candidate| candidate.holder != *except)
                 .cloned()
                 .collect();
             choose_holder(role, zone, region, &others)?.holder.clone()
@@ -63,7 +63,7 @@
 impl RoleTable {
     /// Returns the changes that are due.
     pub(super) fn edits(&mut self, now: Moment) -> Vec<Edit> {
-        self.note_lacking(now);
+        self.record_missing(now);
         self.forget_ended();
         let asked = self.roles_to_ask_for_now(now);
         if asked.is_empty() && !self.may_have_work() {
@@ -74,7 +74,7 @@
             return Vec::new();
         }
         let fresh = self.has_fresh_members(now);
-        let mut chooser = Chooser {
+        let mut chooser = HolderChooser {
             table: self,
             candidates: self.candidates(),
         };
@@ -87,24 +87,24 @@
     }
 
     /// Records since when each shard lacks required roles.
-    fn note_lacking(&mut self, now: Moment) {
+    fn record_missing(&mut self, now: Moment) {
         if !std::mem::take(&mut self.recheck) {
             return;
         }
-        let lacks = |role: &&Role| self.may_hold && self.entry(role).is_none();
-        let lacking = self.wanted.keys().filter(lacks);
-        let lacking: BTreeSet<_> = lacking.map(AssignmentShard::of).collect();
+        let is_missing = |role: &&Role| self.may_hold && self.entry(role).is_none();
+        let missing = self.wanted.keys().filter(is_missing);
+        let missing: BTreeSet<_> = missing.map(AssignmentShard::of).collect();
         for (name, shard) in &mut self.shards {
-            if !lacking.contains(name) {
-                shard.lacking_since = None;
+            if !missing.contains(name) {
+                shard.missing_since = None;
             }
         }
-        for name in lacking {
+        for name in missing {
             let shard = self
                 .shards
                 .entry(name)
-                .or_insert_with(|| Shard::absent(name));
-            shard.lacking_since.get_or_insert(now);
+                .or_insert_with(|| ShardState::absent(name));
+            shard.missing_since.get_or_insert(now);
         }
     }
 
@@ -171,16 +171,19 @@
             || self
                 .shards
                 .values()
-                .any(|shard| shard.lacking_since.is_some())
-            || self.held.values().any(|held| held.stage == Stage::Released)
+                .any(|shard| shard.missing_since.is_some())
+            || self
+                .held
+                .values()
+                .any(|held| held.stage == HandoverStage::Released)
     }
 
     fn shards_with_work(&self, now: Moment, asked: &BTreeSet<Role>) -> Vec<AssignmentShard> {
-        let due = |name: &AssignmentShard, shard: &Shard| {
-            let lacking = shard
-                .lacking_since
-                .is_some_and(|since| now >= since + self.turn(&name.to_string()));
-            lacking
+        let due = |name: &AssignmentShard, shard: &ShardState| {
+            let missing = shard
+                .missing_since
+                .is_some_and(|since| now >= since + self.rank_delay(&name.to_string()));
+            missing
                 || shard
                     .record
                     .roles
@@ -189,7 +192,7 @@
         };
         self.shards
             .iter()
-            .filter(|(_, shard)| shard.doing == Doing::Nothing && now >= shard.retry_at)
+            .filter(|(_, shard)| shard.in_flight == ShardCall::Idle && now >= shard.retry_at)
             .filter(|(name, shard)| due(name, shard))
             .map(|(name, _)| *name)
             .collect()
@@ -212,7 +215,7 @@
 
     fn is_mine_to_pass(&self, role: &Role, entry: &RoleEntry) -> bool {
         let held = self.held.get(role);
-        entry.holder == self.me && held.is_some_and(|held| held.stage == Stage::Released)
+        entry.holder == self.me && held.is_some_and(|held| held.stage == HandoverStage::Released)
     }
 
     fn is_mine_to_offer(&self, entry: &RoleEntry) -> bool {
@@ -248,7 +251,7 @@
         fresh: bool,
         asked: &BTreeSet<Role>,
         now: Moment,
-        chooser: &mut Chooser<'_>,
+        chooser: &mut HolderChooser<'_>,
     ) -> Option<Edit> {
         let shard = self.shards.get(&name)?;
         let mut record = shard.record.clone();
@@ -268,14 +271,14 @@
             }
         }
         let turn_has_come = shard
-            .lacking_since
-            .is_some_and(|since| now >= since + self.turn(&name.to_string()));
+            .missing_since
+            .is_some_and(|since| now >= since + self.rank_delay(&name.to_string()));
         let revision = self.wanted_revision.unwrap_or_default();
         if turn_has_come && revision >= record.revision {
             if !fresh {
                 return Some(Edit::NeedsMembers);
             }
-            self.add_lacking(&mut record, chooser);
+            self.add_missing(&mut record, chooser);
         }
         if record.roles == shard.record.roles {
             return None;
@@ -284,7 +287,7 @@
         Some(Edit::Write(record))
     }
 
-    fn add_lacking(&self, record: &mut AssignmentRecord, chooser: &mut Chooser<'_>) {
+    fn add_missing(&self, record: &mut AssignmentRecord, chooser: &mut HolderChooser<'_>) {
         let revision = self.wanted_revision.unwrap_or_default();
         let roles = self.wanted.keys();
         for role in roles.filter(|role| AssignmentShard::of(role) == record.shard) {
@@ -306,7 +309,7 @@
         fresh: bool,
         asked: &BTreeSet<Role>,
         now: Moment,
-        chooser: &mut Chooser<'_>,
+        chooser: &mut HolderChooser<'_>,
     ) -> EntryEdit {
         let ended = |holder: &Holder| self.ended.get(holder).is_some_and(|at| now >= *at);
         let known_revision = self.wanted_revision.is_some();
@@ -323,8 +326,8 @@
             if !fresh {
                 return EntryEdit::NeedsMembers;
             }
-            let but = (self.leaving && handed_over).then_some(&self.me);
-            return match chooser.choose(role, but) {
+            let except = (self.leaving && handed_over).then_some(&self.me);
+            return match chooser.choose(role, except) {
                 Some(choice) => EntryEdit::Set(self.pass(entry, choice, handed_over)),
                 None if self.leaving && handed_over => EntryEdit::Remove,
                 None => EntryEdit::Keep,
--- a/crates/chervilshunt_coord/src/roles/table/held.rs
+++ b/crates/chervilshunt_coord/src/roles/table/held.rs
@@ -8,7 +8,7 @@
 
 /// The stage of the handover of a held role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Stage {
+pub(super) enum HandoverStage {
     /// The role is not being handed over.
     Held,
     /// The program has been asked to hand over the role.
@@ -19,9 +19,9 @@
 
 /// A role that this run holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Held {
+pub(super) struct HeldRole {
     pub(super) epoch: Epoch,
-    pub(super) stage: Stage,
+    pub(super) stage: HandoverStage,
     /// The earliest time for orders under the role.
     pub(super) orders_from: Moment,
 }
@@ -84,9 +84,9 @@
         } else {
             now
         };
-        let held = Held {
+        let held = HeldRole {
             epoch: entry.epoch,
-            stage: Stage::Held,
+            stage: HandoverStage::Held,
             orders_from,
         };
         self.held.insert(role.clone(), held);
@@ -112,8 +112,8 @@
         let Some(held) = self.held.get_mut(role) else {
             return;
         };
-        if held.stage == Stage::Held {
-            held.stage = Stage::Ending;
+        if held.stage == HandoverStage::Held {
+            held.stage = HandoverStage::Ending;
             let role = role.clone();
             actions.push(RoleAction::Ending { role, to });
         }
@@ -142,7 +142,7 @@
 
     pub(super) fn on_released(&mut self, role: &Role) {
         if let Some(held) = self.held.get_mut(role) {
-            held.stage = Stage::Released;
+            held.stage = HandoverStage::Released;
         }
     }
 
--- a/crates/chervilshunt_coord/src/roles/table/replies.rs
+++ b/crates/chervilshunt_coord/src/roles/table/replies.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::Moment;
 
-use super::{Doing, Member, RoleAction, RoleTable, Shard};
+use super::{ActiveRun, RoleAction, RoleTable, ShardCall, ShardState};
 use crate::hashing::jittered;
 use crate::lease::{LeaseRecord, LeaseState};
 use crate::platform::{
@@ -31,9 +31,9 @@
             return;
         }
         let shard = self.shards.iter().find_map(|(name, shard)| {
-            let expected = match &shard.doing {
-                Doing::Nothing | Doing::Unsettled => return None,
-                Doing::Reading(id) | Doing::Writing(id, _) => *id,
+            let expected = match &shard.in_flight {
+                ShardCall::Idle | ShardCall::OutcomeUnknown => return None,
+                ShardCall::Reading(id) | ShardCall::Writing(id, _) => *id,
             };
             (expected == call).then_some(*name)
         });
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn on_told(
+    pub(super) fn on_assignment_reported(
         &mut self,
         name: AssignmentShard,
         generation: u64,
@@ -51,8 +51,9 @@
         let shard = self
             .shards
             .entry(name)
-            .or_insert_with(|| Shard::absent(name));
-        if self.listed && shard.record.generation < generation && shard.doing == Doing::Nothing {
+            .or_insert_with(|| ShardState::absent(name));
+        if self.listed && shard.record.generation < generation && shard.in_flight == ShardCall::Idle
+        {
             self.read(name, actions);
         }
     }
@@ -62,16 +63,15 @@
             .calls
             .call(PlatformOp::Read(ObjectName::Assignment(name)));
         if let Some(shard) = self.shards.get_mut(&name) {
-            shard.doing = Doing::Reading(call.id);
+            shard.in_flight = ShardCall::Reading(call.id);
         }
         actions.push(RoleAction::Call(call));
     }
 
-    pub(super) fn read_unsettled(&mut self, now: Moment, actions: &mut Vec<RoleAction>) {
-        let due = self
-            .shards
-            .iter()
-            .filter(|(_, shard)| shard.doing == Doing::Unsettled && now >= shard.retry_at);
+    pub(super) fn read_unknown(&mut self, now: Moment, actions: &mut Vec<RoleAction>) {
+        let due = self.shards.iter().filter(|(_, shard)| {
+            shard.in_flight == ShardCall::OutcomeUnknown && now >= shard.retry_at
+        });
         let due: Vec<_> = due.map(|(name, _)| *name).collect();
         for name in due {
             self.read(name, actions);
@@ -120,7 +120,7 @@
         self.zone_regions
             .insert(lease.zone.clone(), lease.region.clone());
         if lease.state == LeaseState::Active {
-            let member = Member {
+            let member = ActiveRun {
                 zone: lease.zone,
                 region: lease.region,
             };
@@ -139,47 +139,47 @@
         let Some(shard) = self.shards.get_mut(&name) else {
             return;
         };
-        let doing = std::mem::replace(&mut shard.doing, Doing::Nothing);
-        match (doing, result) {
-            (Doing::Writing(_, record), PlatformResult::Written(version)) => {
-                self.tell_concerned(&record, actions);
+        let in_flight = std::mem::replace(&mut shard.in_flight, ShardCall::Idle);
+        match (in_flight, result) {
+            (ShardCall::Writing(_, record), PlatformResult::Written(version)) => {
+                self.notify_affected(&record, actions);
                 self.adopt(*record, version, now, actions);
             }
-            (Doing::Reading(_), PlatformResult::Found(stored)) => {
+            (ShardCall::Reading(_), PlatformResult::Found(stored)) => {
                 if let Object::Assignment(record) = stored.object {
                     self.adopt(record, stored.version, now, actions);
                 }
             }
-            (Doing::Reading(_), PlatformResult::NotFound) => {}
-            (Doing::Writing(..), PlatformResult::Unavailable) => {
+            (ShardCall::Reading(_), PlatformResult::NotFound) => {}
+            (ShardCall::Writing(..), PlatformResult::Unavailable) => {
                 shard.retry_at = now + retry_every;
             }
             // The write may have been carried out, or another one came first. Reading the object
             // shows which.
-            (Doing::Writing(..), _) => self.read(name, actions),
-            (Doing::Reading(_), _) => {
-                shard.doing = Doing::Unsettled;
+            (ShardCall::Writing(..), _) => self.read(name, actions),
+            (ShardCall::Reading(_), _) => {
+                shard.in_flight = ShardCall::OutcomeUnknown;
                 shard.retry_at = now + retry_every;
             }
-            (Doing::Nothing | Doing::Unsettled, _) => {}
+            (ShardCall::Idle | ShardCall::OutcomeUnknown, _) => {}
         }
     }
 
     /// Notifies the instances whose roles a write has changed.
-    fn tell_concerned(&self, after: &AssignmentRecord, actions: &mut Vec<RoleAction>) {
+    fn notify_affected(&self, after: &AssignmentRecord, actions: &mut Vec<RoleAction>) {
         let before = self.shards.get(&after.shard).map(|shard| &shard.record);
         let changed = after.roles.iter().filter(|(role, entry)| {
             before.and_then(|record| record.roles.get(*role)) != Some(*entry)
         });
-        let concerned: BTreeSet<_> = changed
+        let affected: BTreeSet<_> = changed
             .flat_map(|(_, entry)| std::iter::once(&entry.holder).chain(&entry.next))
             .filter(|holder| **holder != self.me)
             .map(|holder| &holder.instance)
             .collect();
-        let tells = concerned.into_iter().map(|instance| {
+        let notifications = affected.into_iter().map(|instance| {
             RoleAction::NotifyAssignment(instance.clone(), after.shard, after.generation)
         });
-        actions.extend(tells);
+        actions.extend(notifications);
     }
 
     /// Adopts an assignment if it is newer than the known one.
@@ -191,7 +191,7 @@
         actions: &mut Vec<RoleAction>,
     ) {
         let shard = self.shards.entry(record.shard);
-        let shard = shard.or_insert_with(|| Shard::absent(record.shard));
+        let shard = shard.or_insert_with(|| ShardState::absent(record.shard));
         if record.generation <= shard.record.generation && shard.version.is_some() {
             return;
         }
