--- a/crates/chervilshunt_coord/src/roles/rebalance.rs
+++ b/crates/chervilshunt_coord/src/roles/rebalance.rs
@@ -10,7 +10,7 @@
 
 /// The fleet as a run sees it when it selects roles to request.
 #[derive(Debug)]
-pub(crate) struct Fleet<'a> {
+pub(crate) struct FleetView<'a> {
     pub(crate) me: &'a Holder,
     pub(crate) zone: &'a ZoneName,
     /// The number of live instances in the zone, including this one.
@@ -28,8 +28,8 @@
 /// than it had. It first requests roles that prefer its zone and are held outside it, then roles of
 /// holders that have at least two more than itself: with a difference of one, roles would move back
 /// and forth forever.
-pub(crate) fn roles_to_ask_for<'a>(
-    fleet: &Fleet<'_>,
+pub(crate) fn roles_to_request<'a>(
+    fleet: &FleetView<'_>,
     entries: impl Iterator<Item = (&'a Role, &'a RoleEntry)>,
     limit: usize,
 ) -> Vec<Role> {
@@ -40,18 +40,18 @@
         .copied()
         .filter(|(role, _)| fleet.prefers(role) == Some(fleet.zone))
         .collect();
-    ask_within(fleet, &near, fleet.in_zone, limit, &mut chosen);
+    request_within(fleet, &near, fleet.in_zone, limit, &mut chosen);
     let anywhere: Vec<_> = entries
         .iter()
         .copied()
         .filter(|(role, _)| fleet.prefers(role).is_none_or(|zone| !fleet.has_zone(zone)))
         .collect();
-    ask_within(fleet, &anywhere, fleet.in_all, limit, &mut chosen);
+    request_within(fleet, &anywhere, fleet.in_all, limit, &mut chosen);
     chosen
 }
 
-fn ask_within(
-    fleet: &Fleet<'_>,
+fn request_within(
+    fleet: &FleetView<'_>,
     entries: &[(&Role, &RoleEntry)],
     sharers: usize,
     limit: usize,
@@ -65,7 +65,7 @@
             .or_default() += 1;
     }
     let mut mine = loads.get(fleet.me).copied().unwrap_or(0);
-    let abroad = |entry: &RoleEntry| {
+    let outside_zone = |entry: &RoleEntry| {
         fleet
             .zones
             .get(&entry.holder)
@@ -78,14 +78,17 @@
     let near = |role: &Role| fleet.prefers(role) == Some(fleet.zone);
     free.sort_by_key(|(role, entry)| {
         let load = loads.get(&entry.holder).copied().unwrap_or(0);
-        (!(near(role) && abroad(entry)), std::cmp::Reverse(load))
+        (
+            !(near(role) && outside_zone(entry)),
+            std::cmp::Reverse(load),
+        )
     });
     for (role, entry) in free {
         if mine >= fair || chosen.len() >= limit {
             return;
         }
         let load = loads.get(&entry.holder).copied().unwrap_or(0);
-        if (near(role) && abroad(entry)) || load >= mine + 2 {
+        if (near(role) && outside_zone(entry)) || load >= mine + 2 {
             chosen.push((*role).clone());
             mine += 1;
             if let Some(load) = loads.get_mut(&entry.holder) {
@@ -95,7 +98,7 @@
     }
 }
 
-impl Fleet<'_> {
+impl FleetView<'_> {
     fn prefers(&self, role: &Role) -> Option<&ZoneName> {
         self.wanted.get(role)?.zone.as_ref()
     }
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -91,7 +91,7 @@
     may_hold: bool,
     leaving: bool,
     ask_at: Moment,
-    asks: u64,
+    request_count: u64,
     /// Whether the shards that lack required roles must be recomputed.
     recheck: bool,
     bugs: Bugs,
@@ -133,7 +133,7 @@
             may_hold: false,
             leaving: false,
             ask_at: now,
-            asks: 0,
+            request_count: 0,
             recheck: true,
             bugs: Bugs::default(),
         }
--- a/crates/chervilshunt_coord/src/roles/table/edit.rs
+++ b/crates/chervilshunt_coord/src/roles/table/edit.rs
@@ -10,7 +10,7 @@
 use crate::holder::Holder;
 use crate::roles::assignment::{AssignmentRecord, AssignmentShard, RoleEntry};
 use crate::roles::choose::{Candidate, choose_holder};
-use crate::roles::rebalance::{Fleet, roles_to_ask_for};
+use crate::roles::rebalance::{FleetView, roles_to_request};
 use crate::roles::role::Role;
 
 /// A change that is due.
@@ -65,11 +65,11 @@
     pub(super) fn edits(&mut self, now: Moment) -> Vec<Edit> {
         self.record_missing(now);
         self.forget_ended();
-        let asked = self.roles_to_ask_for_now(now);
-        if asked.is_empty() && !self.may_have_work() {
+        let requested = self.roles_to_request_now(now);
+        if requested.is_empty() && !self.may_have_work() {
             return Vec::new();
         }
-        let shards = self.shards_with_work(now, &asked);
+        let shards = self.shards_with_work(now, &requested);
         if shards.is_empty() {
             return Vec::new();
         }
@@ -80,7 +80,7 @@
         };
         let mut edits = Vec::new();
         for name in shards {
-            let edit = self.edit(name, fresh, &asked, now, &mut chooser);
+            let edit = self.edit(name, fresh, &requested, now, &mut chooser);
             edits.extend(edit);
         }
         edits
@@ -120,19 +120,19 @@
         self.ended.retain(|holder, _| with_roles.contains(holder));
     }
 
-    fn roles_to_ask_for_now(&mut self, now: Moment) -> BTreeSet<Role> {
+    fn roles_to_request_now(&mut self, now: Moment) -> BTreeSet<Role> {
         if !self.may_hold || self.leaving || now < self.ask_at {
             return BTreeSet::new();
         }
-        self.asks += 1;
+        self.request_count += 1;
         let seed = self.me.incarnation.get();
-        self.ask_at = now + jittered(self.cfg.ask_every, seed, self.asks);
-        let under_way = self
+        self.ask_at = now + jittered(self.cfg.ask_every, seed, self.request_count);
+        let pending = self
             .entries()
             .filter(|(_, entry)| entry.next.as_ref() == Some(&self.me))
             .count();
         let zones = self.holder_zones();
-        let fleet = Fleet {
+        let fleet = FleetView {
             me: &self.me,
             zone: &self.zone,
             in_zone: self
@@ -144,11 +144,11 @@
             zones: &zones,
             wanted: &self.wanted,
         };
-        let limit = self.cfg.ask_at_most.saturating_sub(under_way);
+        let limit = self.cfg.ask_at_most.saturating_sub(pending);
         let live = self
             .entries()
             .filter(|(_, entry)| !self.ended.contains_key(&entry.holder));
-        roles_to_ask_for(&fleet, live, limit).into_iter().collect()
+        roles_to_request(&fleet, live, limit).into_iter().collect()
     }
 
     fn holder_zones(&self) -> BTreeMap<Holder, chervilshunt_model::ZoneName> {
@@ -178,7 +178,7 @@
                 .any(|held| held.stage == HandoverStage::Released)
     }
 
-    fn shards_with_work(&self, now: Moment, asked: &BTreeSet<Role>) -> Vec<AssignmentShard> {
+    fn shards_with_work(&self, now: Moment, requested: &BTreeSet<Role>) -> Vec<AssignmentShard> {
         let due = |name: &AssignmentShard, shard: &ShardState| {
             let missing = shard
                 .missing_since
@@ -188,7 +188,7 @@
                     .record
                     .roles
                     .iter()
-                    .any(|(role, entry)| self.needs_edit(role, entry, now, asked))
+                    .any(|(role, entry)| self.needs_edit(role, entry, now, requested))
         };
         self.shards
             .iter()
@@ -203,12 +203,12 @@
         role: &Role,
         entry: &RoleEntry,
         now: Moment,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
     ) -> bool {
         let ended = |holder: &Holder| self.ended.get(holder).is_some_and(|at| now >= *at);
         ended(&entry.holder)
             || entry.next.as_ref().is_some_and(ended)
-            || asked.contains(role)
+            || requested.contains(role)
             || self.is_mine_to_pass(role, entry)
             || self.is_mine_to_offer(entry)
     }
@@ -249,17 +249,17 @@
         &self,
         name: AssignmentShard,
         fresh: bool,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
         now: Moment,
         chooser: &mut HolderChooser<'_>,
     ) -> Option<Edit> {
         let shard = self.shards.get(&name)?;
         let mut record = shard.record.clone();
         for (role, entry) in &shard.record.roles {
-            if !self.needs_edit(role, entry, now, asked) {
+            if !self.needs_edit(role, entry, now, requested) {
                 continue;
             }
-            match self.edit_entry(role, entry, fresh, asked, now, chooser) {
+            match self.edit_entry(role, entry, fresh, requested, now, chooser) {
                 EntryEdit::Keep => {}
                 EntryEdit::NeedsMembers => return Some(Edit::NeedsMembers),
                 EntryEdit::Set(entry) => {
@@ -307,7 +307,7 @@
         role: &Role,
         entry: &RoleEntry,
         fresh: bool,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
         now: Moment,
         chooser: &mut HolderChooser<'_>,
     ) -> EntryEdit {
@@ -351,7 +351,7 @@
                 ..entry.clone()
             });
         }
-        if asked.contains(role) && entry.next.is_none() {
+        if requested.contains(role) && entry.next.is_none() {
             return EntryEdit::Set(RoleEntry {
                 next: Some(self.me.clone()),
                 ..entry.clone()
