--- a/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
@@ -334,7 +334,7 @@
 enum Step {
     Advance(u64),
     /// The instance reads the record.
-    Look(usize),
+    Read(usize),
     /// The instance's oldest call ends: carried out or not, answered or not.
     Call(usize, bool, bool),
     /// The instance gives an order if it may.
@@ -344,29 +344,29 @@
     /// The process restarts.
     Restart(usize),
     /// An unanswered write is carried out now.
-    Late,
+    LateWrite,
     /// The platform is restored from a copy that is this many milliseconds old.
     Restore(u64),
     /// The instance observes the platform's era through another call.
     Era(usize),
     /// The answer to an earlier read arrives.
-    OldLook(usize),
+    LateRead(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let who = 0..3_usize;
     prop_oneof![
         6 => (1..2_000_u64).prop_map(Step::Advance),
-        5 => who.clone().prop_map(Step::Look),
+        5 => who.clone().prop_map(Step::Read),
         8 => (who.clone(), prop::bool::weighted(0.8), prop::bool::weighted(0.8))
             .prop_map(|(who, done, told)| Step::Call(who, done, told)),
         6 => who.clone().prop_map(Step::Order),
         1 => who.clone().prop_map(Step::Overload),
         1 => who.prop_map(Step::Restart),
-        1 => Just(Step::Late),
+        1 => Just(Step::LateWrite),
         1 => (0..10_000_u64).prop_map(Step::Restore),
         2 => (0..3_usize).prop_map(Step::Era),
-        1 => (0..3_usize).prop_map(Step::OldLook),
+        1 => (0..3_usize).prop_map(Step::LateRead),
     ]
 }
 
@@ -380,7 +380,7 @@
     /// The content of the platform from each time on, in its current history.
     history: Vec<(u64, Option<VersionedLeaseRecord>)>,
     /// An earlier read whose answer may still arrive.
-    unanswered: Option<(u64, Option<VersionedLeaseRecord>)>,
+    earlier_read: Option<(u64, Option<VersionedLeaseRecord>)>,
     last_order: Option<(usize, u64, u64)>,
     starts: u64,
 }
@@ -399,12 +399,12 @@
             late: Vec::new(),
             era: 0,
             history: vec![(0, None)],
-            unanswered: None,
+            earlier_read: None,
             last_order: None,
             starts: 1,
         };
         for who in 0..NAMES.len() {
-            world.look(who, 0, None);
+            world.deliver_read(who, 0, None);
         }
         world
     }
@@ -461,7 +461,7 @@
     }
 
     /// Delivers the platform's content to an instance, with the era of the answer.
-    fn look(&mut self, who: usize, era: u64, seen: Option<VersionedLeaseRecord>) {
+    fn deliver_read(&mut self, who: usize, era: u64, seen: Option<VersionedLeaseRecord>) {
         self.event(who, ExclusiveLeaseEvent::Era(era));
         self.event(who, ExclusiveLeaseEvent::Seen(seen));
     }
@@ -473,7 +473,7 @@
         let event = match call {
             ExclusiveLeaseAction::Read if done => {
                 let (era, stored) = (self.era, self.stored.clone());
-                return self.look(who, era, stored);
+                return self.deliver_read(who, era, stored);
             }
             ExclusiveLeaseAction::Read => ExclusiveLeaseEvent::ReadFailed,
             ExclusiveLeaseAction::Write(record, version) => {
@@ -537,16 +537,16 @@
                     self.event(who, ExclusiveLeaseEvent::Tick);
                 }
             }
-            Step::Look(who) => {
+            Step::Read(who) => {
                 let (era, stored) = (self.era, self.stored.clone());
-                self.unanswered = Some((era, stored.clone()));
-                self.look(who, era, stored);
+                self.earlier_read = Some((era, stored.clone()));
+                self.deliver_read(who, era, stored);
             }
             Step::Restore(back) => self.restore(back),
             Step::Era(who) => self.event(who, ExclusiveLeaseEvent::Era(self.era)),
-            Step::OldLook(who) => {
-                if let Some((era, Some(seen))) = self.unanswered.clone() {
-                    self.look(who, era, Some(seen));
+            Step::LateRead(who) => {
+                if let Some((era, Some(seen))) = self.earlier_read.clone() {
+                    self.deliver_read(who, era, Some(seen));
                 }
             }
             Step::Call(who, done, told) => self.call(who, done, told),
@@ -570,7 +570,7 @@
                     }
                 }
             }
-            Step::Late => {
+            Step::LateWrite => {
                 if let Some((record, version)) = self.late.pop() {
                     self.write(&record, version);
                 }
@@ -603,7 +603,7 @@
     let steps = [
         Step::Advance(1),
         Step::Call(0, true, false),
-        Step::Look(1),
+        Step::Read(1),
         Step::Advance(1),
         Step::Restore(2),
         Step::Era(0),
@@ -612,7 +612,7 @@
         Step::Advance(1_309),
         Step::Call(1, false, true),
         Step::Advance(666),
-        Step::Look(0),
+        Step::Read(0),
         Step::Advance(1_702),
         Step::Advance(776),
         Step::Call(0, true, true),
@@ -641,7 +641,7 @@
         Step::Advance(1),
         Step::Call(0, true, false),
         Step::Call(2, false, false),
-        Step::Look(2),
+        Step::Read(2),
         Step::Advance(1_281),
         Step::Restart(1),
         Step::Call(2, false, false),
@@ -649,13 +649,13 @@
         Step::Advance(1_210),
         Step::Advance(625),
         Step::Advance(1_586),
-        Step::Look(0),
+        Step::Read(0),
         Step::Advance(435),
         Step::Call(2, true, true),
         Step::Restore(5_901),
-        Step::Look(0),
+        Step::Read(0),
         Step::Advance(1_281),
-        Step::Look(1),
+        Step::Read(1),
         Step::Order(2),
         Step::Call(1, true, true),
         Step::Order(1),
--- a/crates/chervilshunt_coord/src/tests/explore_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_lease.rs
@@ -97,14 +97,14 @@
             bugs,
         };
         // The lease exists before anyone can watch it.
-        world.hand_holder(LeaseEvent::Tick);
+        world.deliver_to_holder(LeaseEvent::Tick);
         world.carry_out(0);
         world.answer(0, false);
-        world.hand_observer(ObserverEvent::Watch(record.holder));
+        world.deliver_to_observer(ObserverEvent::Watch(record.holder));
         world
     }
 
-    fn hand_holder(&mut self, event: LeaseEvent) {
+    fn deliver_to_holder(&mut self, event: LeaseEvent) {
         for action in self.holder.handle(event, self.now) {
             if let LeaseAction::Call(call) = action {
                 self.begin(Caller::Holder, call);
@@ -112,11 +112,13 @@
         }
     }
 
-    fn hand_observer(&mut self, event: ObserverEvent) {
+    fn deliver_to_observer(&mut self, event: ObserverEvent) {
         for action in self.observer.handle(event, self.now) {
             match action {
                 ObserverAction::Call(call) => self.begin(Caller::Observer, call),
-                ObserverAction::Expired(holder) => self.hand_observer(ObserverEvent::Mark(holder)),
+                ObserverAction::Expired(holder) => {
+                    self.deliver_to_observer(ObserverEvent::Mark(holder))
+                }
                 ObserverAction::Ended(..) => self.ended = true,
                 ObserverAction::Renewed(_) => {}
             }
@@ -160,8 +162,8 @@
         }
         let result = result.filter(|_| !lost).unwrap_or(PlatformResult::Unknown);
         match caller {
-            Caller::Holder => self.hand_holder(LeaseEvent::Reply(call.id, result)),
-            Caller::Observer => self.hand_observer(ObserverEvent::Reply(call.id, result)),
+            Caller::Holder => self.deliver_to_holder(LeaseEvent::Reply(call.id, result)),
+            Caller::Observer => self.deliver_to_observer(ObserverEvent::Reply(call.id, result)),
         }
     }
 
@@ -176,10 +178,10 @@
             step(&|world| world.now = world.now + Duration::from_secs(1));
         }
         if self.holder.next_wakeup().is_some_and(|at| at <= self.now) {
-            step(&|world| world.hand_holder(LeaseEvent::Tick));
+            step(&|world| world.deliver_to_holder(LeaseEvent::Tick));
         }
         if self.observer.next_wakeup().is_some_and(|at| at <= self.now) {
-            step(&|world| world.hand_observer(ObserverEvent::Tick));
+            step(&|world| world.deliver_to_observer(ObserverEvent::Tick));
         }
         let late = self
             .pending
--- a/crates/chervilshunt_coord/src/tests/explore_roles.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_roles.rs
@@ -40,14 +40,14 @@
     platform: MemoryPlatform,
     tables: Vec<RoleTable>,
     pending: Vec<Pending>,
-    told: Vec<(usize, AssignmentShard, u64)>,
+    notifications: Vec<(usize, AssignmentShard, u64)>,
     ending: [bool; 2],
     epochs: BTreeMap<Epoch, Holder>,
-    doubled: Option<Epoch>,
+    duplicate_epoch: Option<Epoch>,
     left: bool,
     lease_over: bool,
-    taker_knows: bool,
-    began_anew: bool,
+    taker_notified: bool,
+    rejoined: bool,
     lost_answers: usize,
 }
 
@@ -102,14 +102,14 @@
             platform,
             tables: tables.collect(),
             pending: Vec::new(),
-            told: Vec::new(),
+            notifications: Vec::new(),
             ending: [false; 2],
             epochs: BTreeMap::new(),
-            doubled: None,
+            duplicate_epoch: None,
             left: false,
             lease_over: false,
-            taker_knows: false,
-            began_anew: false,
+            taker_notified: false,
+            rejoined: false,
             lost_answers: 0,
         };
         let instances = NAMES
@@ -119,7 +119,7 @@
         for number in 0..NAMES.len() {
             let lease = lease(run_of(number, 1));
             world.platform.carry_out(&PlatformOp::Create(lease));
-            world.hand(number, RoleEvent::Tick);
+            world.deliver(number, RoleEvent::Tick);
             world.carry_out(0);
             world.answer(0, false);
             let wanted = WantedRole {
@@ -127,14 +127,14 @@
                 zone: None,
                 fenced: true,
             };
-            world.hand(number, RoleEvent::Wanted(Revision::new(0), vec![wanted]));
-            world.hand(number, RoleEvent::Instances(instances.clone()));
-            world.hand(number, RoleEvent::MayHold(true));
+            world.deliver(number, RoleEvent::Wanted(Revision::new(0), vec![wanted]));
+            world.deliver(number, RoleEvent::Instances(instances.clone()));
+            world.deliver(number, RoleEvent::MayHold(true));
         }
         world
     }
 
-    fn hand(&mut self, number: usize, event: RoleEvent) {
+    fn deliver(&mut self, number: usize, event: RoleEvent) {
         for action in self.tables[number].handle(event, self.now) {
             match action {
                 RoleAction::Call(call) => self.pending.push(Pending {
@@ -145,15 +145,15 @@
                 RoleAction::NotifyAssignment(to, shard, generation) => {
                     let to = NAMES.iter().position(|name| *name == to.as_str());
                     let to = to.expect("assignments name instances");
-                    self.told.push((to, shard, generation));
+                    self.notifications.push((to, shard, generation));
                 }
                 RoleAction::Gained { epoch, .. } => {
                     self.ending[number] = false;
-                    let incarnation = 1 + u64::from(number == HOLDER && self.began_anew);
+                    let incarnation = 1 + u64::from(number == HOLDER && self.rejoined);
                     let holder = run_of(number, incarnation);
                     let first = self.epochs.entry(epoch).or_insert_with(|| holder.clone());
                     if *first != holder {
-                        self.doubled = Some(epoch);
+                        self.duplicate_epoch = Some(epoch);
                     }
                 }
                 RoleAction::Ending { .. } => self.ending[number] = true,
@@ -179,15 +179,15 @@
         } = self.pending.remove(number);
         let result = result.filter(|_| !lost).unwrap_or(PlatformResult::Unknown);
         self.lost_answers += usize::from(lost);
-        self.hand(caller, RoleEvent::Reply(call.id, result));
+        self.deliver(caller, RoleEvent::Reply(call.id, result));
     }
 
-    fn see(&mut self, number: usize) {
+    fn deliver_watch(&mut self, number: usize) {
         let name = ObjectName::Assignment(AssignmentShard::of(&role()));
         if let Some(stored) = self.platform.get(&name)
             && let Object::Assignment(record) = stored.object
         {
-            self.hand(number, RoleEvent::Seen(record, stored.version));
+            self.deliver(number, RoleEvent::Seen(record, stored.version));
         }
     }
 
@@ -198,13 +198,13 @@
         self.platform.carry_out(&PlatformOp::Delete(name, None));
     }
 
-    fn begin_anew(&mut self) {
-        self.began_anew = true;
+    fn rejoin(&mut self) {
+        self.rejoined = true;
         let holder = run_of(HOLDER, 2);
         let lease = lease(holder.clone());
         self.platform.carry_out(&PlatformOp::Create(lease));
-        self.hand(HOLDER, RoleEvent::Rejoin(holder));
-        self.hand(HOLDER, RoleEvent::MayHold(true));
+        self.deliver(HOLDER, RoleEvent::Rejoin(holder));
+        self.deliver(HOLDER, RoleEvent::MayHold(true));
     }
 
     fn steps(&self) -> Vec<Self> {
@@ -217,26 +217,26 @@
         if !self.left {
             step(&|world| {
                 world.left = true;
-                world.hand(HOLDER, RoleEvent::Leave);
+                world.deliver(HOLDER, RoleEvent::Leave);
             });
         }
         if !self.lease_over {
             step(&Self::lapse);
-        } else if !self.taker_knows {
+        } else if !self.taker_notified {
             step(&|world| {
-                world.taker_knows = true;
-                world.hand(TAKER, RoleEvent::Ended(run_of(HOLDER, 1), true));
+                world.taker_notified = true;
+                world.deliver(TAKER, RoleEvent::Ended(run_of(HOLDER, 1), true));
             });
         }
-        if self.lease_over && !self.began_anew {
-            step(&Self::begin_anew);
+        if self.lease_over && !self.rejoined {
+            step(&Self::rejoin);
         }
         for number in 0..NAMES.len() {
-            step(&|world| world.see(number));
+            step(&|world| world.deliver_watch(number));
             if self.ending[number] {
                 step(&|world| {
                     world.ending[number] = false;
-                    world.hand(number, RoleEvent::Released(role()));
+                    world.deliver(number, RoleEvent::Released(role()));
                 });
             }
         }
@@ -250,21 +250,21 @@
                 }
             }
         }
-        for number in 0..self.told.len() {
+        for number in 0..self.notifications.len() {
             step(&|world| {
-                let (to, shard, generation) = world.told.remove(number);
-                world.hand(to, RoleEvent::AssignmentReported(shard, generation));
+                let (to, shard, generation) = world.notifications.remove(number);
+                world.deliver(to, RoleEvent::AssignmentReported(shard, generation));
             });
         }
         next
     }
 
     fn check(&self) -> Result<(), String> {
-        if let Some(epoch) = self.doubled {
+        if let Some(epoch) = self.duplicate_epoch {
             return Err(format!("two hold the role under epoch {epoch}"));
         }
         let orders = |number: usize| self.tables[number].may_order(&role(), self.now).is_some();
-        let holder_orders = orders(HOLDER) && (!self.lease_over || self.began_anew);
+        let holder_orders = orders(HOLDER) && (!self.lease_over || self.rejoined);
         if holder_orders && orders(TAKER) {
             return Err("both may give orders under the role".to_owned());
         }
