--- a/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_time_counts_from_before_the_write() {
+fn validity_counts_from_before_the_write() {
     // The answer to the write takes 2 s. If the lease counted from the answer, the holder would
     // continue for 2 s after others, which saw the write when it was carried out, consider it gone.
     let mut a = keeper("a", at(0));
@@ -76,7 +76,7 @@
 // 2.6 s later; another 3.3 s allow that order to arrive.
 #[case::too_soon(5_899, false)]
 #[case::lapsed(5_900, true)]
-fn a_lease_is_taken_once_nothing_of_its_holder_can_be_on_its_way(
+fn a_lease_is_taken_once_no_order_of_its_holder_can_be_in_flight(
     #[case] now: u64,
     #[case] taken: bool,
 ) {
@@ -93,7 +93,7 @@
 /// Guards against a machine that is too small for the duty taking the lease although a larger one
 /// is about to.
 #[test]
-fn a_small_instance_leaves_the_lease_to_others_for_a_while() {
+fn a_small_instance_yields_the_lease_to_others() {
     let (_, seen) = holder();
     let cfg = ExclusiveLeaseConfig {
         yield_delay: Duration::from_millis(500),
@@ -129,9 +129,9 @@
 /// expired. All instances then notice within moments that the platform is available; the small ones
 /// are the most numerous, so one that writes at once is usually first and keeps the duty.
 #[rstest]
-#[case::it_has_tried_itself(true)]
-#[case::it_has_lost_the_platform_before_it_tries(false)]
-fn a_small_instance_leaves_the_lease_to_others_when_the_platform_is_back(#[case] tried: bool) {
+#[case::after_a_failed_attempt(true)]
+#[case::platform_lost_before_an_attempt(false)]
+fn a_small_instance_yields_the_lease_to_others_after_an_outage(#[case] tried: bool) {
     let (_, seen) = holder();
     let cfg = ExclusiveLeaseConfig {
         yield_delay: Duration::from_millis(500),
@@ -183,7 +183,7 @@
 /// A holder whose machine is too small for the duty steps down. It must release the lease only
 /// after its last orders have left, and must not take it again before others had the opportunity.
 #[test]
-fn a_holder_that_steps_down_gives_the_lease_up_after_its_last_orders() {
+fn a_holder_that_steps_down_releases_the_lease_after_its_last_orders() {
     let (mut a, mut seen) = holder();
     assert_eq!(
         a.handle(ExclusiveLeaseEvent::StepDown, at(100)),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_lease_that_was_given_up_is_taken_after_the_rest_alone() {
+fn a_released_lease_is_taken_after_the_handover_gap_alone() {
     let (mut a, mut seen) = holder();
     let actions = a.handle(ExclusiveLeaseEvent::Release, at(100));
     let [
@@ -241,10 +241,10 @@
 /// and when the holder stops responding, it would count the lease from its next read, over a second
 /// too late.
 #[rstest]
-#[case::told_of_a_renewal(1, 9, 9_900)]
-#[case::told_again_of_what_is_known(1, 7, 5_900)]
-#[case::told_of_another_term(3, 9, 5_900)]
-fn a_lease_counts_from_the_last_renewal_that_its_holder_told(
+#[case::a_new_version(1, 9, 9_900)]
+#[case::a_known_version(1, 7, 5_900)]
+#[case::another_term(3, 9, 5_900)]
+fn a_lease_counts_from_the_last_renewal_that_its_holder_reported(
     #[case] term: u64,
     #[case] version: u64,
     #[case] taken_at: u64,
@@ -274,7 +274,7 @@
 /// A read returns the version that the holder has already reported, so the record has not changed
 /// since.
 #[test]
-fn a_look_that_shows_what_was_told_does_not_prolong_the_lease() {
+fn a_read_of_a_reported_version_does_not_extend_the_lease() {
     let (_, mut seen) = holder();
     let mut b = keeper("b", at(0));
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen.clone())), at(0));
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_is_settled_by_reading() {
+fn a_write_whose_answer_is_lost_is_resolved_by_reading() {
     let (mut a, mut seen) = holder();
     let actions = a.handle(ExclusiveLeaseEvent::Tick, at(900));
     let [ExclusiveLeaseAction::Write(record, _)] = &*actions else {
@@ -585,7 +585,7 @@
     /// With any losses, delays and restarts, terms only increase from one holder to the next, and
     /// the handover gap separates the orders of two holders.
     #[test]
-    fn two_holders_never_order_close_to_each_other(
+    fn the_handover_gap_separates_the_orders_of_two_holders(
         steps in prop::collection::vec(step(), 1..150)
     ) {
         let mut world = World::new();
@@ -636,7 +636,7 @@
 /// Guards against counting the wait for a missing lease from the instance's own start. A holder
 /// whose record a restore has lost may act until the instance first reads.
 #[test]
-fn a_lease_that_is_missing_at_the_first_look_is_waited_for_from_then() {
+fn the_wait_for_a_missing_lease_counts_from_the_first_read() {
     let steps = [
         Step::Advance(1),
         Step::Call(0, true, false),
--- a/crates/chervilshunt_coord/src/tests/outage.rs
+++ b/crates/chervilshunt_coord/src/tests/outage.rs
@@ -49,8 +49,8 @@
 #[rstest]
 #[case::seven(7)]
 #[case::three(3)]
-#[case::many_by_way_of_others(27)]
-fn all_go_on_in_a_total_outage(#[case] count: usize) {
+#[case::many_through_relays(27)]
+fn all_continue_in_a_total_outage(#[case] count: usize) {
     let mut fleet = fleet_of(count, 3 * count);
     fleet.run(SETTLED);
     let ids: Vec<_> = fleet.nodes.keys().cloned().collect();
@@ -85,7 +85,7 @@
 /// During a total outage three of the seven electors crash. The other instances must continue,
 /// because a majority of the electors still answers.
 #[test]
-fn the_others_go_on_if_some_crash_in_a_total_outage() {
+fn the_others_continue_if_some_crash_in_a_total_outage() {
     let mut fleet = fleet_of(7, 21);
     fleet.run(SETTLED);
     let ids: Vec<_> = fleet.nodes.keys().cloned().collect();
@@ -140,7 +140,7 @@
 /// One instance loses its peers but not the platform. It must continue, and receive changes of the
 /// configuration through the platform.
 #[test]
-fn one_that_is_cut_off_from_its_peers_goes_on() {
+fn one_that_is_cut_off_from_its_peers_continues() {
     let mut fleet = fleet_of(7, 21);
     fleet.run(SETTLED);
     let before = orders(&fleet, "i2");
@@ -180,7 +180,7 @@
 /// instance that created the head were still the only elector, nobody could vouch while that one is
 /// away.
 #[rstest]
-fn a_young_fleet_takes_over_from_any_of_three(
+fn a_new_fleet_takes_over_from_any_of_three(
     #[values("i0", "i1", "i2")] away: &str,
     #[values(true, false)] paused: bool,
 ) {
@@ -206,7 +206,7 @@
 /// expired. All must continue to serve, because a call that has been unanswered for long already
 /// counts as a failure of the platform.
 #[test]
-fn all_go_on_when_calls_time_out_later_than_the_lease() {
+fn all_continue_when_calls_time_out_later_than_the_lease() {
     let mut fleet = Fleet::new(7, super::smoke::some_roles(9));
     fleet.set_lease(Duration::from_secs(3));
     for (number, zone) in super::smoke::ZONES.into_iter().enumerate() {
@@ -227,7 +227,7 @@
 /// A connection breaks, so the peer becomes suspect; then the peer sends a message over a new
 /// connection. The view must show it as live again even if the message does not concern leases.
 #[test]
-fn a_peer_that_is_heard_again_is_no_suspect() {
+fn a_peer_that_is_reachable_again_is_not_suspect() {
     let mut fleet = fleet_of(3, 6);
     fleet.run(SETTLED);
     let now = fleet.clock_of(&fleet.nodes["i1"]);
@@ -238,6 +238,6 @@
     };
     let lost = state_after(CoordEvent::PeerLost("i0".into()));
     assert_eq!(lost, PeerState::Suspect);
-    let heard = state_after(CoordEvent::PeerReachable("i0".into()));
-    assert_eq!(heard, PeerState::Live);
+    let reachable = state_after(CoordEvent::PeerReachable("i0".into()));
+    assert_eq!(reachable, PeerState::Live);
 }
