--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -229,9 +229,9 @@
     /// `now`.
     pub fn may_order(&self, role: &Role, now: Moment) -> Option<Epoch> {
         let by_lease = self.lease.is_valid(now) || self.bugs.has(Bug::LeaseNotChecked);
-        // An extension by the electors is as safe as the lease as far as this process can know.
-        // Targets that don't check fencing tokens have no other protection, so for them only the
-        // lease itself counts.
+        // To this process's knowledge an extension by the electors is as safe as the lease. But
+        // targets that do not check fencing tokens have no other protection, so orders to them
+        // require the lease itself.
         let by_extension = self.is_extended(now) && self.roles.is_fenced(role);
         if !by_lease && !by_extension {
             return None;
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct ElectorateUpdate {
     calls: Calls,
-    wanted: Option<(Vec<Elector>, Moment)>,
+    planned: Option<(Vec<Elector>, Moment)>,
     writing: Option<(CallId, Box<HeadRecord>)>,
     /// The generation of the head at the last check of the electors.
     checked: Option<u64>,
@@ -50,7 +50,7 @@
     pub(super) const fn new(machine: u32) -> Self {
         Self {
             calls: Calls::new(machine, Purpose::Membership),
-            wanted: None,
+            planned: None,
             writing: None,
             checked: None,
         }
@@ -62,7 +62,7 @@
     }
 
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
-        let (_, due) = self.wanted.as_ref()?;
+        let (_, due) = self.planned.as_ref()?;
         self.writing.is_none().then_some(*due)
     }
 }
@@ -93,7 +93,7 @@
         if !may_write {
             return;
         }
-        let due = self.electorate_update.wanted.as_ref().map(|(_, due)| *due);
+        let due = self.electorate_update.planned.as_ref().map(|(_, due)| *due);
         let is_due = due.is_some_and(|due| now >= due);
         if self.electorate_update.checked == Some(head.generation) && !is_due {
             return;
@@ -104,11 +104,11 @@
         electors.sort();
         present.sort();
         if electors.is_empty() || electors == present {
-            self.electorate_update.wanted = None;
+            self.electorate_update.planned = None;
             return;
         }
-        let due = match &self.electorate_update.wanted {
-            Some((wanted, due)) if *wanted == electors => *due,
+        let due = match &self.electorate_update.planned {
+            Some((planned, due)) if *planned == electors => *due,
             _ => {
                 let only_added = present.iter().all(|elector| electors.contains(elector));
                 let delay = if only_added {
@@ -120,14 +120,14 @@
             }
         };
         if now < due {
-            self.electorate_update.wanted = Some((electors, due));
+            self.electorate_update.planned = Some((electors, due));
             return;
         }
         let next = head.with_electors(electors);
         let op = PlatformOp::Update(Object::Head(Box::new(next.clone())), version.clone());
         let call = self.electorate_update.calls.call(op);
         self.electorate_update.writing = Some((call.id, Box::new(next)));
-        self.electorate_update.wanted = None;
+        self.electorate_update.planned = None;
         actions.push(CoordAction::Platform(call));
         let reason = "an elector is gone, or there are too few";
         log(actions, DecisionKind::ElectorsChanged, None, None, reason);
--- a/crates/chervilshunt_coord/src/lease/exclusive.rs
+++ b/crates/chervilshunt_coord/src/lease/exclusive.rs
@@ -272,8 +272,8 @@
         self.takeable_at()
     }
 
-    /// Returns when the next [`ExclusiveLeaseEvent::Tick`] is due; `None` while the keeper waits for a call
-    /// or for its first read.
+    /// Returns when the next [`ExclusiveLeaseEvent::Tick`] is due; `None` while the keeper waits
+    /// for a call or for its first read.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let idle = self.call == PendingCall::None;
         if let Some(release_at) = self.release_at {
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -24,8 +24,8 @@
     pub unchanged_for: Duration,
     /// The longest interval between two reads that still counts as continuous observation.
     ///
-    /// After a longer one, such as an outage of the platform, the full time starts anew, so that
-    /// the holder has as much opportunity to renew as the observer has to read.
+    /// After a longer interval, such as an outage of the platform, the full time starts again, so
+    /// that the holder has as much opportunity to renew as the observer has to read.
     pub longest_gap: Duration,
 }
 
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -24,7 +24,7 @@
 struct PendingVouches {
     /// The electorates on which the holder may rely. A majority of each must vouch.
     electorates: Vec<Electorate>,
-    asked: BTreeMap<u64, (Elector, Moment)>,
+    requests: BTreeMap<u64, (Elector, Moment)>,
     vouched_until: BTreeMap<Elector, Moment>,
     ask_at: Moment,
 }
@@ -58,7 +58,7 @@
             .entry(holder)
             .or_insert_with(|| PendingVouches {
                 electorates: Vec::new(),
-                asked: BTreeMap::new(),
+                requests: BTreeMap::new(),
                 vouched_until: BTreeMap::new(),
                 ask_at: now,
             });
@@ -84,7 +84,7 @@
             }
             entry.ask_at = now + REQUEST_INTERVAL;
             entry
-                .asked
+                .requests
                 .retain(|_, (_, at)| now.since(*at) < REQUEST_INTERVAL * 4);
             let electors: BTreeSet<_> = entry
                 .electorates
@@ -100,7 +100,7 @@
                     about: holder.clone(),
                 };
                 actions.push(VouchAction::Send(elector.instance.clone(), message));
-                entry.asked.insert(self.number, (elector, now));
+                entry.requests.insert(self.number, (elector, now));
             }
         }
         actions
@@ -121,7 +121,7 @@
         let Some(entry) = self.pending.get_mut(about) else {
             return false;
         };
-        let Some((elector, asked_at)) = entry.asked.remove(&number) else {
+        let Some((elector, asked_at)) = entry.requests.remove(&number) else {
             return false;
         };
         let until = asked_at + Duration::from_millis(for_ms);
--- a/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/exclusive_lease.rs
@@ -278,11 +278,11 @@
     let (_, mut seen) = holder();
     let mut b = keeper("b", at(0));
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen.clone())), at(0));
-    let told = HeldLease {
+    let report = HeldLease {
         term: 1,
         version: rev(9),
     };
-    b.handle(ExclusiveLeaseEvent::HolderReported(told), at(900));
+    b.handle(ExclusiveLeaseEvent::HolderReported(report), at(900));
     seen.version = rev(9);
     b.handle(ExclusiveLeaseEvent::Seen(Some(seen)), at(2_200));
     assert!(b.handle(ExclusiveLeaseEvent::Tick, at(6_799)).is_empty());
@@ -359,7 +359,7 @@
         6 => (1..2_000_u64).prop_map(Step::Advance),
         5 => who.clone().prop_map(Step::Read),
         8 => (who.clone(), prop::bool::weighted(0.8), prop::bool::weighted(0.8))
-            .prop_map(|(who, done, told)| Step::Call(who, done, told)),
+            .prop_map(|(who, done, answered)| Step::Call(who, done, answered)),
         6 => who.clone().prop_map(Step::Order),
         1 => who.clone().prop_map(Step::Overload),
         1 => who.prop_map(Step::Restart),
@@ -466,7 +466,7 @@
         self.event(who, ExclusiveLeaseEvent::Seen(seen));
     }
 
-    fn call(&mut self, who: usize, done: bool, told: bool) {
+    fn call(&mut self, who: usize, done: bool, answered: bool) {
         let Some(call) = self.calls[who].pop_front() else {
             return;
         };
@@ -477,7 +477,7 @@
             }
             ExclusiveLeaseAction::Read => ExclusiveLeaseEvent::ReadFailed,
             ExclusiveLeaseAction::Write(record, version) => {
-                ExclusiveLeaseEvent::Written(self.write_with(&record, version, done, told))
+                ExclusiveLeaseEvent::Written(self.write_with(&record, version, done, answered))
             }
             ExclusiveLeaseAction::Gained(_) | ExclusiveLeaseAction::Lost => {
                 unreachable!("no calls")
@@ -491,17 +491,17 @@
         record: &ExclusiveLeaseRecord,
         version: Option<StoreRevision>,
         done: bool,
-        told: bool,
+        answered: bool,
     ) -> LeaseWriteOutcome {
         if !done {
-            if told {
+            if answered {
                 return LeaseWriteOutcome::Failed;
             }
             self.late.push((record.clone(), version));
             return LeaseWriteOutcome::Unknown;
         }
         match self.write(record, version) {
-            _ if !told => LeaseWriteOutcome::Unknown,
+            _ if !answered => LeaseWriteOutcome::Unknown,
             Some(version) => LeaseWriteOutcome::Done(version),
             None => LeaseWriteOutcome::Conflict,
         }
@@ -549,7 +549,7 @@
                     self.deliver_read(who, era, Some(seen));
                 }
             }
-            Step::Call(who, done, told) => self.call(who, done, told),
+            Step::Call(who, done, answered) => self.call(who, done, answered),
             Step::Order(who) => self.order(who),
             Step::Overload(who) => self.event(who, ExclusiveLeaseEvent::StepDown),
             Step::Restart(who) => {
