--- a/crates/chervilshunt_coord/src/coordinator/outage.rs
+++ b/crates/chervilshunt_coord/src/coordinator/outage.rs
@@ -1,5 +1,5 @@
-//! Extends the own lease while the platform fails, and makes sure that others' are not extended
-//! before they are marked lapsed.
+//! Extends this run's lease while the platform is unreachable, and ensures that the leases of
+//! others are marked lapsed only if the electors have not extended them.
 
 use std::collections::BTreeSet;
 
@@ -12,46 +12,47 @@
 use crate::hashing::text_hash;
 use crate::holder::Holder;
 use crate::lease::ObserverEvent;
-use crate::outage::{HoldAction, HoldMessage, VouchAction};
+use crate::outage::{ElectorMessage, LeaseExtensionAction, VouchAction};
 
 impl<S: Clone, C: Clone> Coordinator<S, C> {
-    /// Returns the electors that the own lease names, by the last renewal known to be carried out.
+    /// Returns the electors that the lease names according to the last renewal known to have been
+    /// carried out.
     fn own_electorate(&self) -> Option<&Electorate> {
         self.follower
             .head()?
             .electorate(self.lease.confirmed_electorate())
     }
 
-    pub(super) fn hold_wakeup(&self) -> Option<Moment> {
+    pub(super) fn extension_wakeup(&self) -> Option<Moment> {
         self.lease_state?;
         let until = self.lease.valid_until();
-        let wakeup = self.hold.next_wakeup(until);
-        (wakeup < until.max(self.hold.valid_until())).then_some(wakeup)
+        let wakeup = self.extension.next_wakeup(until);
+        (wakeup < until.max(self.extension.valid_until())).then_some(wakeup)
     }
 
     pub(super) fn extend_lease(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         let until = self.lease.valid_until();
-        if self.lease_state.is_none() || now < self.hold.next_wakeup(until) {
-            return self.note_hold(now, actions);
+        if self.lease_state.is_none() || now < self.extension.next_wakeup(until) {
+            return self.log_extension_change(now, actions);
         }
         let Some(electorate) = self.own_electorate().cloned() else {
             return;
         };
         let relays = self.relays(&electorate);
-        for action in self.hold.ask(until, &electorate, &relays, now) {
-            let HoldAction::Send(to, message) = action;
-            self.send_hold(to, message, now, actions);
+        for action in self.extension.ask(until, &electorate, &relays, now) {
+            let LeaseExtensionAction::Send(to, message) = action;
+            self.send_elector_message(to, message, now, actions);
         }
-        self.note_hold(now, actions);
+        self.log_extension_change(now, actions);
     }
 
-    fn note_hold(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
-        let holding = !self.lease.is_valid(now) && self.is_held(now);
-        if holding == self.holding {
+    fn log_extension_change(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
+        let in_extension = !self.lease.is_valid(now) && self.is_extended(now);
+        if in_extension == self.in_extension {
             return;
         }
-        self.holding = holding;
-        let reason = if holding {
+        self.in_extension = in_extension;
+        let reason = if in_extension {
             "the platform fails, and a majority of the electors has promised to supersede nobody"
         } else {
             "the lease was renewed, or the electors promise no longer"
@@ -59,7 +60,8 @@
         log(actions, DecisionKind::HoldChanged, None, None, reason);
     }
 
-    /// Returns the instances that ask the electors for this one, in their order.
+    /// Returns the instances that may ask the electors on behalf of this one, in order of
+    /// preference. The result is empty if this instance must ask the electors itself.
     fn relays(&self, electorate: &Electorate) -> Vec<InstanceId> {
         let instances = self.instances();
         let me = &self.cfg.me.instance;
@@ -67,20 +69,23 @@
             .electors
             .iter()
             .any(|elector| elector.instance == *me);
-        if is_elector || instances.len() <= self.cfg.hold.direct_at_most {
+        if is_elector || instances.len() <= self.cfg.lease_extension.direct_at_most {
             return Vec::new();
         }
         let in_zone = instances.iter().filter(|(_, zone)| **zone == self.cfg.zone);
         let mut in_zone: Vec<_> = in_zone.map(|(instance, _)| instance.clone()).collect();
         in_zone.sort_by_key(|instance| text_hash(instance.as_str()));
-        in_zone.truncate(RELAYS);
+        in_zone.truncate(RELAYS_PER_ZONE);
         if in_zone.contains(me) {
             return Vec::new();
         }
         in_zone
     }
 
-    /// Decides what becomes of a lease that has stayed unchanged for its full time.
+    /// Handles a lease that has stayed unchanged for its full duration.
+    ///
+    /// The lease is marked lapsed at once if its holder cannot have had it extended; in other
+    /// cases, once a majority of its electors has vouched.
     pub(super) fn on_expired(
         &mut self,
         holder: Holder,
@@ -96,8 +101,8 @@
         let is_predecessor =
             holder.instance == self.cfg.me.instance && lease.peer_address == self.cfg.peer_address;
         if is_predecessor {
-            // Answers of electors go to the address at which this process listens now, so they
-            // can't have reached the one before it.
+            // Answers from electors go to the address on which this process now listens, so they
+            // cannot have reached its predecessor.
             return self.drive_observer(ObserverEvent::Mark(holder), now, actions);
         }
         let versions = BTreeSet::from([lease.electorate, lease.electorate_before]);
@@ -106,7 +111,7 @@
             .filter(|version| *version > 0)
             .collect();
         if named.is_empty() {
-            // It has never known electors, so nobody can have extended its lease.
+            // The holder has never named electors, so nobody can have extended its lease.
             return self.drive_observer(ObserverEvent::Mark(holder), now, actions);
         }
         let head = self.follower.head();
@@ -119,8 +124,8 @@
         }
     }
 
-    /// Returns whether the platform's list has ceased to show an instance for so long that
-    /// whatever it promised has run out.
+    /// Returns whether an instance has been missing from the platform's list for so long that every
+    /// promise it made has expired.
     fn is_dead(&self, instance: &InstanceId, now: Moment) -> bool {
         if self.list.contains_key(instance) {
             return false;
@@ -132,75 +137,77 @@
     pub(super) fn collect_vouches(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
         for action in self.vouching.ask(now) {
             let VouchAction::Send(to, message) = action;
-            self.send_hold(to, message, now, actions);
+            self.send_elector_message(to, message, now, actions);
         }
     }
 
-    fn send_hold(
+    fn send_elector_message(
         &mut self,
         to: InstanceId,
-        message: HoldMessage,
+        message: ElectorMessage,
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
         if to == self.cfg.me.instance {
-            return self.on_hold_message(&to, &message, now, actions);
+            return self.on_elector_message(&to, &message, now, actions);
         }
-        let message = CoordMessage::Hold(message);
+        let message = CoordMessage::Elector(message);
         actions.push(CoordAction::Send { to, message });
     }
 
-    pub(super) fn on_hold_message(
+    pub(super) fn on_elector_message(
         &mut self,
         from: &InstanceId,
-        message: &HoldMessage,
+        message: &ElectorMessage,
         now: Moment,
         actions: &mut Vec<CoordAction<S, C>>,
     ) {
         match message {
-            HoldMessage::AskPromise { number, address } => {
+            ElectorMessage::AskPromise { number, address } => {
                 let is_me = *address == self.cfg.peer_address;
-                let promise = is_me.then(|| self.desk.promise(now)).flatten();
-                let answer = HoldMessage::Promise {
+                let promise = is_me.then(|| self.elector.promise(now)).flatten();
+                let answer = ElectorMessage::Promise {
                     number: *number,
                     for_ms: promise.map_or(0, millis),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
-            HoldMessage::AskVouch {
+            ElectorMessage::AskVouch {
                 number,
                 address,
                 about,
             } => {
                 let is_me = *address == self.cfg.peer_address;
-                let vouch = is_me.then(|| self.desk.vouch(now)).flatten();
-                let answer = HoldMessage::Vouch {
+                let vouch = is_me.then(|| self.elector.vouch(now)).flatten();
+                let answer = ElectorMessage::Vouch {
                     number: *number,
                     about: about.clone(),
                     for_ms: vouch.map_or(0, millis),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
-            HoldMessage::AskHold { number, electorate } => {
+            ElectorMessage::AskMajorityPromise { number, electorate } => {
                 let electorate = self
                     .follower
                     .head()
                     .and_then(|head| head.electorate(*electorate));
-                let until = electorate.map(|electorate| self.hold.promised_by_majority(electorate));
-                let answer = HoldMessage::HoldFor {
+                let until =
+                    electorate.map(|electorate| self.extension.promised_by_majority(electorate));
+                let answer = ElectorMessage::MajorityPromise {
                     number: *number,
                     for_ms: until.map_or(0, |until| millis(now.until(until))),
                 };
-                self.send_hold(from.clone(), answer, now, actions);
+                self.send_elector_message(from.clone(), answer, now, actions);
             }
-            HoldMessage::Promise { number, for_ms } | HoldMessage::HoldFor { number, for_ms } => {
+            ElectorMessage::Promise { number, for_ms }
+            | ElectorMessage::MajorityPromise { number, for_ms } => {
                 let until = self.lease.valid_until();
                 if let Some(electorate) = self.own_electorate().cloned() {
-                    self.hold
+                    self.extension
                         .answered(*number, *for_ms, until, &electorate, now);
                 }
             }
-            HoldMessage::Vouch {
+            ElectorMessage::Vouch {
                 number,
                 about,
                 for_ms,
@@ -218,8 +225,9 @@
     }
 }
 
-/// How many instances of a zone ask the electors for the others, one after the other's failure.
-const RELAYS: usize = 2;
+/// The number of instances per zone that ask the electors on behalf of the others. The second is
+/// asked if the first does not answer; if neither does, an instance asks the electors itself.
+const RELAYS_PER_ZONE: usize = 2;
 
 fn millis(duration: std::time::Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
--- a/crates/chervilshunt_coord/src/coordinator/watch.rs
+++ b/crates/chervilshunt_coord/src/coordinator/watch.rs
@@ -1,4 +1,4 @@
-//! Which leases are watched, and what is known of the instances.
+//! Selects the leases to watch and maintains the view of the instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,12 +30,12 @@
                 self.gone_since.entry(instance).or_insert(now);
             }
         }
-        self.rewatch = true;
-        self.review = true;
-        self.upkeep.recheck();
+        self.watches_outdated = true;
+        self.view_outdated = true;
+        self.electorate_update.recheck();
         let gone = self
             .takeovers
-            .keep_only(&self.list.keys().cloned().collect());
+            .retain_listed(&self.list.keys().cloned().collect());
         actions.extend(
             gone.into_iter()
                 .map(|role| CoordAction::TakeoverComplete { role }),
@@ -44,7 +44,7 @@
         self.drive_roles(RoleEvent::Instances(instances), now, actions);
     }
 
-    /// Returns the instances that are believed to be live.
+    /// Returns the instances that are believed to be live, including this one.
     pub(super) fn instances(&self) -> BTreeMap<InstanceId, ZoneName> {
         let listed = self.list.values().filter(|entry| !entry.terminating);
         let mut instances: BTreeMap<_, _> = listed
@@ -54,9 +54,10 @@
         instances
     }
 
-    /// Watches the leases of the holders whose turn falls on this instance.
+    /// Watches the leases of the holders that are assigned to this instance, and of earlier runs of
+    /// this instance.
     pub(super) fn update_watches(&mut self, now: Moment, actions: &mut Vec<CoordAction<S, C>>) {
-        if !std::mem::take(&mut self.rewatch) {
+        if !std::mem::take(&mut self.watches_outdated) {
             return;
         }
         let me = self.cfg.me.clone();
@@ -96,9 +97,9 @@
         }
     }
 
-    /// Tells of the instances that are known, if that has changed.
+    /// Recomputes the view of the instances and reports it if it has changed.
     pub(super) fn update_view(&mut self, actions: &mut Vec<CoordAction<S, C>>) {
-        if !std::mem::take(&mut self.review) {
+        if !std::mem::take(&mut self.view_outdated) {
             return;
         }
         let peers = self.list.values().map(|entry| {
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -1,4 +1,4 @@
-//! Watches the leases of others and marks those that have run out.
+//! Watches the leases of other runs and marks expired ones as lapsed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,18 +14,18 @@
     Purpose, StoredObject,
 };
 
-/// How leases are watched.
+/// Configuration of a [`LeaseObserver`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObserverConfig {
-    /// How often a watched lease is read.
+    /// The interval between reads of a watched lease.
     pub read_every: Duration,
-    /// How long a lease has to stay unchanged before it counts as expired: the duration that its
-    /// holder counts on, without the holder's margin.
+    /// How long a lease must stay unchanged before it counts as expired: the full lease duration,
+    /// without the margin that the holder subtracts.
     pub unchanged_for: Duration,
-    /// The longest time between two reads that still counts as having watched all along.
+    /// The longest interval between two reads that still counts as continuous observation.
     ///
-    /// After an outage of the platform the holder gets the same chance to renew as the observer
-    /// got to read.
+    /// After a longer interval, such as an outage of the platform, the full time starts again, so
+    /// that the holder has as much opportunity to renew as the observer has to read.
     pub longest_gap: Duration,
 }
 
@@ -39,16 +39,18 @@
     }
 }
 
-/// What an observer has to react to.
+/// An input of a [`LeaseObserver`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ObserverEvent {
-    /// Watch this lease from now on. It has been created: one that is not found has ended.
+    /// Starts to watch this lease. It must have been created before: a lease that is not found
+    /// counts as ended.
     Watch(Holder),
-    /// Watch it no longer.
+    /// Stops watching this lease.
     Unwatch(Holder),
-    /// The expired lease may be marked: its holder can't have got it extended by the electors.
+    /// Allows the expired lease to be marked lapsed: its holder cannot have had it extended by the
+    /// electors.
     Mark(Holder),
-    /// Nobody needs the ended lease any more; its object is deleted.
+    /// Deletes the object of an ended lease that is no longer needed.
     Discard(Holder),
     /// A call to the platform has ended.
     Reply(CallId, PlatformResult),
@@ -56,35 +58,37 @@
     Tick,
 }
 
-/// What an observer wants done.
+/// An output of a [`LeaseObserver`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ObserverAction {
     /// Call the platform.
     Call(PlatformCall),
-    /// The lease has changed since it was read before: its holder is alive.
+    /// The lease has changed since the previous read, so its holder is alive.
     ///
-    /// The first read says nothing of that. Taken for a sign of life, it would end the watch of a
-    /// crashed instance at once, and its lease would never be marked.
+    /// The first read does not produce this action, because a first read is no evidence that the
+    /// holder is alive. If it counted as such, the watch of a crashed instance would end at once
+    /// and its lease would never be marked.
     Renewed(Box<LeaseRecord>),
-    /// The lease was seen unchanged for its full time; the observer waits for
-    /// [`ObserverEvent::Mark`] to mark it lapsed. Told again as long as it stays so.
+    /// The lease has stayed unchanged for its full duration. The observer waits for
+    /// [`ObserverEvent::Mark`] before marking it lapsed, and repeats this action while that is the
+    /// case.
     Expired(Holder),
-    /// The lease is lapsed, left or deleted: its holder can never renew it again. Told with
-    /// whether this observer was the one to mark it.
+    /// The lease is lapsed, left or deleted: its holder can never renew it again. The flag is true
+    /// if this observer marked it.
     Ended(Holder, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    Nothing,
+enum WatchCall {
+    Idle,
     Reading(CallId),
     Marking(CallId),
     Deleting(CallId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Watched {
-    doing: Doing,
+struct WatchedLease {
+    in_flight: WatchCall,
     next_at: Moment,
     last_read: Option<Moment>,
     unchanged_since: Moment,
@@ -93,26 +97,27 @@
     reads: u64,
 }
 
-/// Watches leases and marks those that have run out.
+/// Watches leases and marks expired ones as lapsed.
 ///
-/// A lease has run out when it was seen unchanged for its full time on the observer's own clock,
-/// counted from the answer that showed it first. Marking it by a conditional update makes sure
-/// that a paused holder can't renew it later: its update then names an old version.
+/// A lease has expired when it was seen unchanged for its full duration by the observer's own
+/// clock, counted from the answer that first showed it in that version. The mark is a conditional
+/// update, so a paused holder cannot renew the lease later: its update then names an outdated
+/// version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseObserver {
     cfg: ObserverConfig,
     calls: Calls,
-    watched: BTreeMap<Holder, Watched>,
+    watched: BTreeMap<Holder, WatchedLease>,
     bugs: Bugs,
 }
 
 impl LeaseObserver {
-    /// Starts to watch nothing.
+    /// Creates an observer that watches no leases.
     pub const fn new(cfg: ObserverConfig) -> Self {
         Self::with_machine(cfg, 0)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Works like [`Self::new`], and tags the call ids with the number of the state machine.
     pub(crate) const fn with_machine(cfg: ObserverConfig, machine: u32) -> Self {
         Self {
             cfg,
@@ -128,12 +133,12 @@
         self.bugs = bugs;
     }
 
-    /// Returns the leases that are watched.
+    /// Returns the holders of the watched leases.
     pub fn watched(&self) -> impl Iterator<Item = &Holder> {
         self.watched.keys()
     }
 
-    /// Returns what the lease of `holder` said when it was last read.
+    /// Returns the content of the lease of `holder` at its last read.
     pub fn seen(&self, holder: &Holder) -> Option<&LeaseRecord> {
         let (record, _) = self.watched.get(holder)?.seen.as_ref()?;
         Some(record)
@@ -144,22 +149,22 @@
         self.watched.contains_key(holder)
     }
 
-    /// Returns when [`ObserverEvent::Tick`] is next wanted.
+    /// Returns when the next [`ObserverEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let idle = self
             .watched
             .values()
-            .filter(|watched| watched.doing == Doing::Nothing && !watched.ended);
+            .filter(|watched| watched.in_flight == WatchCall::Idle && !watched.ended);
         idle.map(|watched| watched.next_at).min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: ObserverEvent, now: Moment) -> Vec<ObserverAction> {
         let mut actions = Vec::new();
         match event {
             ObserverEvent::Watch(holder) => {
-                self.watched.entry(holder).or_insert(Watched {
-                    doing: Doing::Nothing,
+                self.watched.entry(holder).or_insert(WatchedLease {
+                    in_flight: WatchCall::Idle,
                     next_at: now,
                     last_read: None,
                     unchanged_since: now,
@@ -182,12 +187,12 @@
 
     fn read_due(&mut self, now: Moment, actions: &mut Vec<ObserverAction>) {
         for (holder, watched) in &mut self.watched {
-            if watched.ended || watched.doing != Doing::Nothing || now < watched.next_at {
+            if watched.ended || watched.in_flight != WatchCall::Idle || now < watched.next_at {
                 continue;
             }
             let name = ObjectName::Lease(holder.clone());
             let call = self.calls.call(PlatformOp::Read(name));
-            watched.doing = Doing::Reading(call.id);
+            watched.in_flight = WatchCall::Reading(call.id);
             watched.reads += 1;
             actions.push(ObserverAction::Call(call));
         }
@@ -199,7 +204,7 @@
             return;
         };
         let expired = now >= watched.unchanged_since + unchanged_for;
-        if watched.ended || !expired || watched.doing != Doing::Nothing {
+        if watched.ended || !expired || watched.in_flight != WatchCall::Idle {
             return;
         }
         let Some((record, version)) = &watched.seen else {
@@ -214,7 +219,7 @@
         lapsed.state = LeaseState::Lapsed;
         let op = PlatformOp::Update(Object::Lease(Box::new(lapsed)), version.clone());
         let call = self.calls.call(op);
-        watched.doing = Doing::Marking(call.id);
+        watched.in_flight = WatchCall::Marking(call.id);
         actions.push(ObserverAction::Call(call));
     }
 
@@ -228,7 +233,7 @@
         };
         let op = PlatformOp::Delete(ObjectName::Lease(holder.clone()), Some(version.clone()));
         let call = self.calls.call(op);
-        watched.doing = Doing::Deleting(call.id);
+        watched.in_flight = WatchCall::Deleting(call.id);
         actions.push(ObserverAction::Call(call));
     }
 
@@ -240,9 +245,9 @@
         actions: &mut Vec<ObserverAction>,
     ) {
         let found = self.watched.iter().find_map(|(holder, watched)| {
-            let expected = match watched.doing {
-                Doing::Nothing => return None,
-                Doing::Reading(id) | Doing::Marking(id) | Doing::Deleting(id) => id,
+            let expected = match watched.in_flight {
+                WatchCall::Idle => return None,
+                WatchCall::Reading(id) | WatchCall::Marking(id) | WatchCall::Deleting(id) => id,
             };
             (expected == call).then(|| holder.clone())
         });
@@ -252,12 +257,12 @@
         let Some(watched) = self.watched.get_mut(&holder) else {
             return;
         };
-        let doing = std::mem::replace(&mut watched.doing, Doing::Nothing);
-        match doing {
-            Doing::Nothing => {}
-            Doing::Reading(_) => self.on_read(&holder, result, now, actions),
-            Doing::Marking(_) => self.on_marked(&holder, &result, now, actions),
-            Doing::Deleting(_) => {
+        let in_flight = std::mem::replace(&mut watched.in_flight, WatchCall::Idle);
+        match in_flight {
+            WatchCall::Idle => {}
+            WatchCall::Reading(_) => self.on_read(&holder, result, now, actions),
+            WatchCall::Marking(_) => self.on_marked(&holder, &result, now, actions),
+            WatchCall::Deleting(_) => {
                 self.watched.remove(&holder);
             }
         }
@@ -340,7 +345,7 @@
             actions.push(ObserverAction::Ended(holder.clone(), true));
             return;
         }
-        // Whatever else happened, the next read shows whether it is marked, renewed or neither.
+        // The next read shows whether the lease was marked, renewed or neither.
         watched.next_at = now;
     }
 
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -78,13 +78,15 @@
 };
 pub use holder::{Holder, HolderError, Incarnation};
 pub use lease::{
-    HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper, LeaseObserver, LeaseRecord,
-    LeaseState, ObserverAction, ObserverConfig, ObserverEvent, SeenRecord, SoleAction, SoleConfig,
-    SoleEvent, SoleKeeper, SoleRecord, SoleWritten, era_of_term,
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    ExclusiveLeaseRecord, HeldLease, LeaseAction, LeaseConfig, LeaseEvent, LeaseKeeper,
+    LeaseObserver, LeaseRecord, LeaseState, LeaseWriteOutcome, ObserverAction, ObserverConfig,
+    ObserverEvent, VersionedLeaseRecord, era_of_term,
 };
 pub use membership::{InstanceEntry, Peer, PeerState, PeerView};
 pub use outage::{
-    ElectorConfig, ElectorDesk, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
+    ElectorConfig, ElectorMessage, ElectorState, LeaseExtension, LeaseExtensionAction,
+    LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 pub use platform::{
     CallId, CallOutcome, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
--- a/crates/chervilshunt_coord/src/outage/hold.rs
+++ b/crates/chervilshunt_coord/src/outage/extension.rs
@@ -1,31 +1,31 @@
-//! Extends the own lease, while the platform fails, by the promises of the electors.
+//! Extends the lease of this run by promises of the electors while the platform is unreachable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use chervilshunt_model::{InstanceId, Moment};
 
-use super::message::HoldMessage;
+use super::message::ElectorMessage;
 use crate::bugs::{Bug, Bugs};
 use crate::config::{Elector, Electorate};
 
-/// How a lease is extended.
+/// Configuration of a [`LeaseExtension`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct HoldConfig {
-    /// How long before the lease runs out promises are begun to be asked for.
+pub struct LeaseExtensionConfig {
+    /// How long before the lease expires the first promises are requested.
     pub begin_before: Duration,
-    /// How often promises are asked for until a majority has promised.
+    /// The interval between requests until a majority has promised.
     pub ask_every: Duration,
-    /// How often promises are renewed.
+    /// The interval between requests to renew the promises.
     pub renew_every: Duration,
-    /// What is taken off each promise, for clocks that run at different speeds.
+    /// Subtracted from each promise to allow for differences in clock rates.
     pub margin: Duration,
-    /// The most instances that ask the electors themselves; of more, one for each zone does, and
-    /// the others ask that one.
+    /// The largest fleet in which every instance asks the electors itself. In a larger one, one
+    /// instance per zone asks them and the others ask that instance.
     pub direct_at_most: usize,
 }
 
-impl Default for HoldConfig {
+impl Default for LeaseExtensionConfig {
     fn default() -> Self {
         Self {
             begin_before: Duration::from_secs(8),
@@ -37,55 +37,55 @@
     }
 }
 
-/// What a hold wants done.
+/// An output of a [`LeaseExtension`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HoldAction {
-    /// Send a question to an instance, which may be this one.
-    Send(InstanceId, HoldMessage),
+pub enum LeaseExtensionAction {
+    /// Send a request to an instance, which may be this one.
+    Send(InstanceId, ElectorMessage),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Asked {
+enum PromiseSource {
     Elector(Elector),
     Relay,
 }
 
 /// The extension of a lease.
 ///
-/// A holder whose lease runs out may go on as long as a majority of its electors has promised not
-/// to vouch, since without a majority of vouches nobody may mark its lease lapsed. The extension
-/// has to follow on the lease without a gap: in a gap the holder may have been superseded, and
-/// only the platform can tell.
+/// A holder whose lease expires may continue while a majority of its electors has promised not to
+/// vouch, because nobody may mark its lease lapsed without a majority of vouches. The extension
+/// must follow the lease without a gap: in a gap the holder may have been superseded, and only the
+/// platform can tell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Hold {
-    cfg: HoldConfig,
-    /// Until when each elector has promised.
+pub struct LeaseExtension {
+    cfg: LeaseExtensionConfig,
+    /// Until when each elector's promise is valid.
     promises: BTreeMap<Elector, Moment>,
-    /// Until when a majority has promised, as a relay said.
-    relayed: Moment,
-    asked: BTreeMap<u64, (Asked, Moment)>,
+    /// Until when a majority has promised, as reported by a relay.
+    relay_promise: Moment,
+    requests: BTreeMap<u64, (PromiseSource, Moment)>,
     number: u64,
     ask_at: Moment,
     valid_until: Moment,
-    /// The relays that did not answer since the last one that did.
-    silent_relays: usize,
+    /// The number of requests since a relay last answered; it selects the next relay to ask.
+    relay_failures: usize,
     bugs: Bugs,
 }
 
-impl Hold {
-    /// Starts without an extension.
+impl LeaseExtension {
+    /// Creates the state of a lease that is not extended.
     ///
-    /// Questions are numbered from `first_number`, which should be drawn at random.
-    pub const fn new(cfg: HoldConfig, first_number: u64) -> Self {
+    /// Requests are numbered from `first_number`, which should be drawn at random.
+    pub const fn new(cfg: LeaseExtensionConfig, first_number: u64) -> Self {
         Self {
             cfg,
             promises: BTreeMap::new(),
-            relayed: Moment::ZERO,
-            asked: BTreeMap::new(),
+            relay_promise: Moment::ZERO,
+            requests: BTreeMap::new(),
             number: first_number,
             ask_at: Moment::ZERO,
             valid_until: Moment::ZERO,
-            silent_relays: 0,
+            relay_failures: 0,
             bugs: Bugs::NONE,
         }
     }
@@ -96,27 +96,27 @@
         self.bugs = bugs;
     }
 
-    /// Returns until when the lease is extended; a moment that has passed if it isn't.
+    /// Returns until when the lease is extended; a time in the past if it is not.
     pub const fn valid_until(&self) -> Moment {
         self.valid_until
     }
 
-    /// Returns when [`Self::ask`] is next wanted, given until when the lease itself counts.
+    /// Returns when [`Self::ask`] is next due, given when the lease itself expires.
     pub fn next_wakeup(&self, lease_until: Moment) -> Moment {
         self.ask_at.max(lease_until - self.cfg.begin_before)
     }
 
-    /// Asks for promises, if the lease is about to run out and it is time.
+    /// Requests promises if the lease is about to expire and a request is due.
     ///
-    /// `relays` are the instances of this zone in the order in which they are to ask the electors
-    /// for the others, none if this instance is to ask for itself.
+    /// `relays` are the instances of this zone that ask the electors on behalf of the others, in
+    /// order of preference; it is empty if this instance asks the electors itself.
     pub fn ask(
         &mut self,
         lease_until: Moment,
         electorate: &Electorate,
         relays: &[InstanceId],
         now: Moment,
-    ) -> Vec<HoldAction> {
+    ) -> Vec<LeaseExtensionAction> {
         let ends = lease_until.max(self.valid_until);
         if now < self.next_wakeup(lease_until) || now >= ends {
             return Vec::new();
@@ -129,38 +129,38 @@
                 self.cfg.ask_every
             };
         let old = now - self.cfg.renew_every * 4;
-        self.asked.retain(|_, (_, at)| *at >= old);
-        let relay = relays.get(self.silent_relays).cloned();
-        self.silent_relays += 1;
+        self.requests.retain(|_, (_, at)| *at >= old);
+        let relay = relays.get(self.relay_failures).cloned();
+        self.relay_failures += 1;
         match relay {
             Some(relay) => {
-                let number = self.note(Asked::Relay, now);
+                let number = self.record_request(PromiseSource::Relay, now);
                 let electorate = electorate.version;
-                vec![HoldAction::Send(
+                vec![LeaseExtensionAction::Send(
                     relay,
-                    HoldMessage::AskHold { number, electorate },
+                    ElectorMessage::AskMajorityPromise { number, electorate },
                 )]
             }
             None => electorate
                 .electors
                 .iter()
                 .map(|elector| {
-                    let number = self.note(Asked::Elector(elector.clone()), now);
+                    let number = self.record_request(PromiseSource::Elector(elector.clone()), now);
                     let address = elector.address;
-                    let message = HoldMessage::AskPromise { number, address };
-                    HoldAction::Send(elector.instance.clone(), message)
+                    let message = ElectorMessage::AskPromise { number, address };
+                    LeaseExtensionAction::Send(elector.instance.clone(), message)
                 })
                 .collect(),
         }
     }
 
-    fn note(&mut self, asked: Asked, now: Moment) -> u64 {
+    fn record_request(&mut self, source: PromiseSource, now: Moment) -> u64 {
         self.number = self.number.wrapping_add(1);
-        self.asked.insert(self.number, (asked, now));
+        self.requests.insert(self.number, (source, now));
         self.number
     }
 
-    /// Takes the answer to a question.
+    /// Handles the answer to a request.
     pub fn answered(
         &mut self,
         number: u64,
@@ -169,7 +169,7 @@
         electorate: &Electorate,
         now: Moment,
     ) {
-        let Some((asked, asked_at)) = self.asked.remove(&number) else {
+        let Some((source, asked_at)) = self.requests.remove(&number) else {
             return;
         };
         let counted_from = if self.bugs.has(Bug::HoldFromReply) {
@@ -178,16 +178,16 @@
             asked_at
         };
         let until = counted_from + Duration::from_millis(for_ms);
-        match asked {
-            Asked::Elector(elector) if for_ms > 0 => {
+        match source {
+            PromiseSource::Elector(elector) if for_ms > 0 => {
                 let promised = self.promises.entry(elector).or_default();
                 *promised = until.max(*promised);
             }
-            Asked::Relay if for_ms > 0 => {
-                self.relayed = until.max(self.relayed);
-                self.silent_relays = 0;
+            PromiseSource::Relay if for_ms > 0 => {
+                self.relay_promise = until.max(self.relay_promise);
+                self.relay_failures = 0;
             }
-            Asked::Elector(_) | Asked::Relay => return,
+            PromiseSource::Elector(_) | PromiseSource::Relay => return,
         }
         self.extend(lease_until, electorate, now);
     }
@@ -197,7 +197,9 @@
         if now >= lease_until.max(self.valid_until) {
             return;
         }
-        let majority = self.promised_by_majority(electorate).max(self.relayed);
+        let majority = self
+            .promised_by_majority(electorate)
+            .max(self.relay_promise);
         let until = majority - self.cfg.margin;
         self.valid_until = until.max(self.valid_until);
     }
--- a/crates/chervilshunt_coord/src/outage/vouch.rs
+++ b/crates/chervilshunt_coord/src/outage/vouch.rs
@@ -1,88 +1,92 @@
-//! Collects the vouches without which no lease may be marked lapsed.
+//! Collects the vouches that are required before a lease may be marked lapsed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use chervilshunt_model::{InstanceId, Moment};
 
-use super::message::HoldMessage;
+use super::message::ElectorMessage;
 use crate::config::{Elector, Electorate};
 use crate::holder::Holder;
 
-/// How long an unanswered question for a vouch is waited for.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+/// The interval between requests for vouches about the same holder.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is to be done for vouches.
+/// An output of [`VouchCollector`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VouchAction {
-    /// Send a question to an instance, which may be this one.
-    Send(InstanceId, HoldMessage),
+    /// Send a request to an instance, which may be this one.
+    Send(InstanceId, ElectorMessage),
 }
 
-/// The vouches about one holder whose lease has run out.
+/// The vouches about one holder whose lease has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Case {
-    /// The electorates that the holder may count on; each needs a majority.
+struct PendingVouches {
+    /// The electorates on which the holder may rely. A majority of each must vouch.
     electorates: Vec<Electorate>,
-    asked: BTreeMap<u64, (Elector, Moment)>,
+    requests: BTreeMap<u64, (Elector, Moment)>,
     vouched_until: BTreeMap<Elector, Moment>,
     ask_at: Moment,
 }
 
-/// Collects vouches about holders whose lease has run out.
+/// Collects vouches about holders whose lease has expired.
 ///
-/// Once, at one moment, a majority of the holder's electors had no promise outstanding, the holder
-/// is not extending its lease and never can again without the platform: its extension needs a
+/// If at one moment a majority of the holder's electors has no promise outstanding, the holder is
+/// not extending its lease and cannot do so again without the platform: an extension needs a
 /// majority of promises at every moment, and the two majorities would share an elector.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Vouching {
-    cases: BTreeMap<Holder, Case>,
+pub struct VouchCollector {
+    pending: BTreeMap<Holder, PendingVouches>,
     number: u64,
 }
 
-impl Vouching {
-    /// Starts without a holder to collect vouches about.
+impl VouchCollector {
+    /// Creates a collector without any holders.
     ///
-    /// Questions are numbered from `first_number`, which should be drawn at random.
+    /// Requests are numbered from `first_number`, which should be drawn at random.
     pub const fn new(first_number: u64) -> Self {
         Self {
-            cases: BTreeMap::new(),
+            pending: BTreeMap::new(),
             number: first_number,
         }
     }
 
-    /// Begins, or goes on, to collect vouches about a holder.
+    /// Starts to collect vouches about a holder, or updates its electorates.
     pub fn begin(&mut self, holder: Holder, electorates: Vec<Electorate>, now: Moment) {
-        let case = self.cases.entry(holder).or_insert_with(|| Case {
-            electorates: Vec::new(),
-            asked: BTreeMap::new(),
-            vouched_until: BTreeMap::new(),
-            ask_at: now,
-        });
-        case.electorates = electorates;
+        let entry = self
+            .pending
+            .entry(holder)
+            .or_insert_with(|| PendingVouches {
+                electorates: Vec::new(),
+                requests: BTreeMap::new(),
+                vouched_until: BTreeMap::new(),
+                ask_at: now,
+            });
+        entry.electorates = electorates;
     }
 
-    /// Ends the collection, as the holder has renewed its lease or it has ended.
+    /// Stops collecting vouches about a holder that has renewed its lease or whose lease has ended.
     pub fn end(&mut self, holder: &Holder) {
-        self.cases.remove(holder);
+        self.pending.remove(holder);
     }
 
-    /// Returns when [`Self::ask`] is next wanted.
+    /// Returns when [`Self::ask`] is next due.
     pub fn next_wakeup(&self) -> Option<Moment> {
-        self.cases.values().map(|case| case.ask_at).min()
+        self.pending.values().map(|entry| entry.ask_at).min()
     }
 
-    /// Asks the electors, if it is time.
+    /// Requests vouches from the electors where a request is due.
     pub fn ask(&mut self, now: Moment) -> Vec<VouchAction> {
         let mut actions = Vec::new();
-        for (holder, case) in &mut self.cases {
-            if now < case.ask_at {
+        for (holder, entry) in &mut self.pending {
+            if now < entry.ask_at {
                 continue;
             }
-            case.ask_at = now + ASK_EVERY;
-            case.asked
-                .retain(|_, (_, at)| now.since(*at) < ASK_EVERY * 4);
-            let electors: BTreeSet<_> = case
+            entry.ask_at = now + REQUEST_INTERVAL;
+            entry
+                .requests
+                .retain(|_, (_, at)| now.since(*at) < REQUEST_INTERVAL * 4);
+            let electors: BTreeSet<_> = entry
                 .electorates
                 .iter()
                 .flat_map(|electorate| &electorate.electors)
@@ -90,22 +94,22 @@
                 .collect();
             for elector in electors {
                 self.number = self.number.wrapping_add(1);
-                let message = HoldMessage::AskVouch {
+                let message = ElectorMessage::AskVouch {
                     number: self.number,
                     address: elector.address,
                     about: holder.clone(),
                 };
                 actions.push(VouchAction::Send(elector.instance.clone(), message));
-                case.asked.insert(self.number, (elector, now));
+                entry.requests.insert(self.number, (elector, now));
             }
         }
         actions
     }
 
-    /// Takes the answer of an elector; returns whether a majority of each electorate now vouches.
+    /// Handles the answer of an elector. Returns whether a majority of each electorate now vouches.
     ///
-    /// `dead` are the instances that the platform's list has long ceased to show; their promises
-    /// have run out.
+    /// `dead` returns whether the platform's list has been without an instance for so long that its
+    /// promises have expired. Such electors count as vouching.
     pub fn answered(
         &mut self,
         about: &Holder,
@@ -114,19 +118,19 @@
         dead: impl Fn(&InstanceId) -> bool,
         now: Moment,
     ) -> bool {
-        let Some(case) = self.cases.get_mut(about) else {
+        let Some(entry) = self.pending.get_mut(about) else {
             return false;
         };
-        let Some((elector, asked_at)) = case.asked.remove(&number) else {
+        let Some((elector, asked_at)) = entry.requests.remove(&number) else {
             return false;
         };
         let until = asked_at + Duration::from_millis(for_ms);
-        case.vouched_until.insert(elector, until);
+        entry.vouched_until.insert(elector, until);
         let vouches = |elector: &Elector| {
-            let until = case.vouched_until.get(elector);
+            let until = entry.vouched_until.get(elector);
             until.is_some_and(|until| now < *until) || dead(&elector.instance)
         };
-        case.electorates.iter().all(|electorate| {
+        entry.electorates.iter().all(|electorate| {
             let vouching = electorate
                 .electors
                 .iter()
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -1,4 +1,5 @@
-//! Follows who holds which role, and writes it when roles join, move or lose their holder.
+//! Follows the assignment of roles to holders, and updates it when a role is added, moves or loses
+//! its holder.
 
 mod edit;
 mod held;
@@ -11,7 +12,7 @@
 use chervilshunt_model::{Epoch, InstanceId, Moment, RegionName, Revision, ZoneName};
 
 use self::edit::Edit;
-use self::held::{Held, Stage};
+use self::held::{HandoverStage, HeldRole};
 pub use self::types::{RoleAction, RoleConfig, RoleEvent};
 use super::assignment::{AssignmentRecord, AssignmentShard, RoleEntry};
 use super::role::{Role, WantedRole};
@@ -20,87 +21,89 @@
 use crate::holder::Holder;
 use crate::platform::{CallId, Calls, Object, ObjectKind, ObjectVersion, PlatformOp, Purpose};
 
-/// The most ranks that are told apart when instances take turns to write.
+/// The largest rank used for the delay when instances take turns to write; all instances ranked
+/// later wait equally long.
 const MAX_RANK: usize = 15;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing {
-    Nothing,
-    /// It has to be read, as what came of a write isn't known.
-    Unsettled,
+enum ShardCall {
+    Idle,
+    /// The outcome of a write is unknown, so the record must be read.
+    OutcomeUnknown,
     Reading(CallId),
     Writing(CallId, Box<AssignmentRecord>),
 }
 
 #[derive(Clone, Debug, Hash)]
-struct Shard {
+struct ShardState {
     record: AssignmentRecord,
     version: Option<ObjectVersion>,
-    doing: Doing,
+    in_flight: ShardCall,
     retry_at: Moment,
-    /// Since when roles of this shard have no entry.
-    lacking_since: Option<Moment>,
+    /// Since when required roles of this shard have had no entry.
+    missing_since: Option<Moment>,
 }
 
-impl Shard {
-    /// Makes the shard of an object that does not exist.
+impl ShardState {
+    /// Creates the shard of an object that does not exist.
     const fn absent(name: AssignmentShard) -> Self {
         Self {
             record: AssignmentRecord::empty(name),
             version: None,
-            doing: Doing::Nothing,
+            in_flight: ShardCall::Idle,
             retry_at: Moment::ZERO,
-            lacking_since: None,
+            missing_since: None,
         }
     }
 }
 
-/// A run that can take roles, as the last list of leases showed it.
+/// A run that can hold roles, according to the last list of the leases.
 #[derive(Clone, Debug, Hash)]
-struct Member {
+struct ActiveRun {
     zone: ZoneName,
     region: RegionName,
 }
 
-/// The roles of the whole fleet as this run sees them, and those that it holds.
+/// The roles of the whole fleet as this run sees them, and the roles that it holds.
 #[derive(Clone, Debug, Hash)]
 pub struct RoleTable {
     cfg: RoleConfig,
     me: Holder,
     zone: ZoneName,
     calls: Calls,
-    /// Assignments are followed from the first list on; before it nothing is known to be absent.
+    /// Whether the assignments have been listed once. Before that, a role without an entry is not
+    /// known to lack a holder.
     listed: bool,
     listing: Option<CallId>,
     list_at: Moment,
-    shards: BTreeMap<AssignmentShard, Shard>,
+    shards: BTreeMap<AssignmentShard, ShardState>,
     wanted_revision: Option<Revision>,
     wanted: BTreeMap<Role, WantedRole>,
     instances: BTreeMap<InstanceId, ZoneName>,
-    members: BTreeMap<Holder, Member>,
+    members: BTreeMap<Holder, ActiveRun>,
     zone_regions: BTreeMap<ZoneName, RegionName>,
     members_listing: Option<CallId>,
     members_at: Option<Moment>,
     members_retry_at: Moment,
-    /// Holders whose lease has ended, with when this run may give their roles to others.
+    /// Holders whose lease has ended, with the time from which this run may reassign their roles.
     ended: BTreeMap<Holder, Moment>,
-    held: BTreeMap<Role, Held>,
+    held: BTreeMap<Role, HeldRole>,
     may_hold: bool,
     leaving: bool,
     ask_at: Moment,
-    asks: u64,
-    /// Whether it has to be found out anew which shards lack wanted roles.
+    request_count: u64,
+    /// Whether the shards that lack required roles must be recomputed.
     recheck: bool,
     bugs: Bugs,
 }
 
 impl RoleTable {
-    /// Starts to follow the roles for a run in `zone`; the first tick lists the assignments.
+    /// Creates the role table of a run in `zone`. The first tick lists the assignments.
     pub fn new(cfg: RoleConfig, me: Holder, zone: ZoneName, now: Moment) -> Self {
         Self::with_machine(cfg, me, zone, 0, now)
     }
 
-    /// Does as [`Self::new`] and numbers the calls as those of `machine`.
+    /// Works like [`Self::new`], and tags the call ids with the number of the state machine.
     pub(crate) fn with_machine(
         cfg: RoleConfig,
         me: Holder,
@@ -130,7 +133,7 @@
             may_hold: false,
             leaving: false,
             ask_at: now,
-            asks: 0,
+            request_count: 0,
             recheck: true,
             bugs: Bugs::default(),
         }
@@ -147,7 +150,7 @@
         self.shards.values().flat_map(|shard| &shard.record.roles)
     }
 
-    /// Returns the entry of a role.
+    /// Returns the entry of a role, if it has one.
     pub fn entry(&self, role: &Role) -> Option<&RoleEntry> {
         self.shards
             .get(&AssignmentShard::of(role))?
@@ -156,62 +159,66 @@
             .get(role)
     }
 
-    /// Returns whether `holder` holds a role or is about to.
+    /// Returns whether `holder` holds a role or is about to receive one.
     pub fn has_roles(&self, holder: &Holder) -> bool {
         self.entries()
             .any(|(_, entry)| entry.holder == *holder || entry.next.as_ref() == Some(holder))
     }
 
-    /// Returns the epoch for orders under `role`, if the role is this run's to give orders under.
+    /// Returns the epoch for orders under `role`, if this run holds the role and may give orders
+    /// under it.
     ///
-    /// The caller has to look at its lease as well: this says only who holds the role.
+    /// The caller must also check the lease: this considers only who holds the role.
     pub fn may_order(&self, role: &Role, now: Moment) -> Option<Epoch> {
-        let released =
-            |held: &Held| held.stage == Stage::Released && !self.bugs.has(Bug::OrdersAfterRelease);
+        let released = |held: &HeldRole| {
+            held.stage == HandoverStage::Released && !self.bugs.has(Bug::OrdersAfterRelease)
+        };
         self.held
             .get(role)
             .filter(|held| !released(held) && now >= held.orders_from)
             .map(|held| held.epoch)
     }
 
-    /// Returns whether whoever takes the orders under `role` refuses old epochs.
+    /// Returns whether the receivers of orders under `role` refuse old epochs.
     pub fn is_fenced(&self, role: &Role) -> bool {
         self.wanted.get(role).is_some_and(|wanted| wanted.fenced)
     }
 
-    /// Returns whether this run holds no role any more, or was never going to.
+    /// Returns whether this run holds no roles.
     pub fn holds_nothing(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Returns when [`RoleEvent::Tick`] is next wanted.
+    /// Returns when the next [`RoleEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let list = self.listing.is_none().then_some(self.list_at);
         if !self.listed {
             return list;
         }
-        let lacking = self.shards.values().filter_map(|shard| {
-            let due = shard.lacking_since? + self.turn(&shard.record.shard.to_string());
-            (shard.doing == Doing::Nothing).then(|| due.max(shard.retry_at))
+        let missing = self.shards.values().filter_map(|shard| {
+            let due = shard.missing_since? + self.rank_delay(&shard.record.shard.to_string());
+            (shard.in_flight == ShardCall::Idle).then(|| due.max(shard.retry_at))
         });
         let retries = self
             .shards
             .values()
-            .filter(|shard| matches!(shard.doing, Doing::Nothing | Doing::Unsettled))
+            .filter(|shard| matches!(shard.in_flight, ShardCall::Idle | ShardCall::OutcomeUnknown))
             .filter(|shard| shard.retry_at > Moment::ZERO)
             .map(|shard| shard.retry_at);
         let ended = self.ended.values().copied().filter(|at| *at > Moment::ZERO);
         let asking = (self.may_hold && !self.leaving).then_some(self.ask_at);
-        let times = lacking.chain(retries).chain(ended).chain(asking);
+        let times = missing.chain(retries).chain(ended).chain(asking);
         times.chain(list).min()
     }
 
-    /// Takes one event and says what is to be done.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: RoleEvent, now: Moment) -> Vec<RoleAction> {
         let mut actions = Vec::new();
         match event {
             RoleEvent::Seen(record, version) => self.adopt(record, version, now, &mut actions),
-            RoleEvent::Told(shard, generation) => self.on_told(shard, generation, &mut actions),
+            RoleEvent::AssignmentReported(shard, generation) => {
+                self.on_assignment_reported(shard, generation, &mut actions)
+            }
             RoleEvent::Reply(call, result) => self.on_reply(call, result, now, &mut actions),
             RoleEvent::Wanted(revision, roles) => self.on_wanted(revision, roles, &mut actions),
             RoleEvent::Instances(instances) => self.instances = instances,
@@ -222,14 +229,14 @@
             RoleEvent::Leave => self.leaving = true,
             RoleEvent::Released(role) => self.on_released(&role),
             RoleEvent::Ended(holder, by_me) => self.on_ended(holder, by_me, now),
-            RoleEvent::BeginAnew(me) => self.begin_anew(me, &mut actions),
+            RoleEvent::Rejoin(me) => self.rejoin(me, &mut actions),
             RoleEvent::Tick => {}
         }
         self.advance(now, &mut actions);
         actions
     }
 
-    fn begin_anew(&mut self, me: Holder, actions: &mut Vec<RoleAction>) {
+    fn rejoin(&mut self, me: Holder, actions: &mut Vec<RoleAction>) {
         self.me = me;
         self.may_hold = false;
         self.recheck = true;
@@ -262,15 +269,16 @@
         let turn = if by_me {
             Duration::ZERO
         } else {
-            self.cfg.rank_delay + self.turn(&holder.to_string())
+            self.cfg.rank_delay + self.rank_delay(&holder.to_string())
         };
         self.ended.entry(holder).or_insert(now + turn);
     }
 
-    /// Returns how long this instance leaves a change to those that come before it.
+    /// Returns how long this instance waits for those ranked before it to make a change.
     ///
-    /// Without turns, 370 instances would write the same change at once and 369 would fail.
-    fn turn(&self, key: &str) -> Duration {
+    /// Without the delay, all of 370 instances would write the same change at once and 369 of the
+    /// writes would fail.
+    fn rank_delay(&self, key: &str) -> Duration {
         let mine = rendezvous_weight(key, self.me.instance.as_str());
         let before = self
             .instances
@@ -281,7 +289,7 @@
         self.cfg.rank_delay * u32::try_from(before.min(MAX_RANK)).unwrap_or(0)
     }
 
-    /// Starts whatever calls are due.
+    /// Starts the calls that are due.
     fn advance(&mut self, now: Moment, actions: &mut Vec<RoleAction>) {
         if self.listing.is_none() && now >= self.list_at {
             let call = self.calls.call(PlatformOp::List(ObjectKind::Assignment));
@@ -296,7 +304,7 @@
                 shard.retry_at = Moment::ZERO;
             }
         }
-        self.read_unsettled(now, actions);
+        self.read_unknown(now, actions);
         let edits = self.edits(now);
         let mut needs_members = false;
         for edit in edits {
@@ -322,14 +330,14 @@
         let shard = self
             .shards
             .entry(name)
-            .or_insert_with(|| Shard::absent(name));
+            .or_insert_with(|| ShardState::absent(name));
         let object = Object::Assignment(record.clone());
         let op = match &shard.version {
             Some(version) => PlatformOp::Update(object, version.clone()),
             None => PlatformOp::Create(object),
         };
         let call = self.calls.call(op);
-        shard.doing = Doing::Writing(call.id, Box::new(record));
+        shard.in_flight = ShardCall::Writing(call.id, Box::new(record));
         actions.push(RoleAction::Call(call));
     }
 
@@ -343,7 +351,7 @@
 
     fn has_fresh_members(&self, now: Moment) -> bool {
         self.members_at
-            .is_some_and(|at| now.since(at) <= self.cfg.list_counts_for)
+            .is_some_and(|at| now.since(at) <= self.cfg.member_list_max_age)
     }
 
     fn live_members(&self) -> BTreeSet<&Holder> {
--- a/crates/chervilshunt_coord/src/roles/table/edit.rs
+++ b/crates/chervilshunt_coord/src/roles/table/edit.rs
@@ -1,46 +1,46 @@
-//! What this run has to change in the assignments.
+//! Determines the changes that this run must make to the assignments.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use chervilshunt_model::Moment;
 
-use super::held::Stage;
-use super::{Doing, RoleTable, Shard};
+use super::held::HandoverStage;
+use super::{RoleTable, ShardCall, ShardState};
 use crate::hashing::jittered;
 use crate::holder::Holder;
 use crate::roles::assignment::{AssignmentRecord, AssignmentShard, RoleEntry};
 use crate::roles::choose::{Candidate, choose_holder};
-use crate::roles::rebalance::{Fleet, roles_to_ask_for};
+use crate::roles::rebalance::{FleetView, roles_to_request};
 use crate::roles::role::Role;
 
 /// A change that is due.
 #[derive(Debug)]
 pub(super) enum Edit {
-    /// A holder has to be chosen, and the list of leases is too old for it.
+    /// A holder must be selected, but the list of the leases is too old.
     NeedsMembers,
-    /// The shard is to be written like this.
+    /// The shard must be written with this content.
     Write(AssignmentRecord),
 }
 
-/// Chooses holders while edits are made, counting the roles it has given out.
-struct Chooser<'a> {
+/// Selects holders for several edits, counting the roles that it has already assigned.
+struct HolderChooser<'a> {
     table: &'a RoleTable,
     candidates: Vec<Candidate>,
 }
 
-impl Chooser<'_> {
-    fn choose(&mut self, role: &Role, but: Option<&Holder>) -> Option<Holder> {
+impl HolderChooser<'_> {
+    fn choose(&mut self, role: &Role, except: Option<&Holder>) -> Option<Holder> {
         let zone = self
             .table
             .wanted
             .get(role)
             .and_then(|wanted| wanted.zone.as_ref());
         let region = zone.and_then(|zone| self.table.zone_regions.get(zone));
-        let choice = if let Some(but) = but {
+        let choice = if let Some(except) = except {
             let others: Vec<_> = self
                 .candidates
                 .iter()
-                .filter(|candidate| candidate.holder != *but)
+                .filter(|candidate| candidate.holder != *except)
                 .cloned()
                 .collect();
             choose_holder(role, zone, region, &others)?.holder.clone()
@@ -61,50 +61,50 @@
 }
 
 impl RoleTable {
-    /// Returns the changes that are due now.
+    /// Returns the changes that are due.
     pub(super) fn edits(&mut self, now: Moment) -> Vec<Edit> {
-        self.note_lacking(now);
+        self.record_missing(now);
         self.forget_ended();
-        let asked = self.roles_to_ask_for_now(now);
-        if asked.is_empty() && !self.may_have_work() {
+        let requested = self.roles_to_request_now(now);
+        if requested.is_empty() && !self.may_have_work() {
             return Vec::new();
         }
-        let shards = self.shards_with_work(now, &asked);
+        let shards = self.shards_with_work(now, &requested);
         if shards.is_empty() {
             return Vec::new();
         }
         let fresh = self.has_fresh_members(now);
-        let mut chooser = Chooser {
+        let mut chooser = HolderChooser {
             table: self,
             candidates: self.candidates(),
         };
         let mut edits = Vec::new();
         for name in shards {
-            let edit = self.edit(name, fresh, &asked, now, &mut chooser);
+            let edit = self.edit(name, fresh, &requested, now, &mut chooser);
             edits.extend(edit);
         }
         edits
     }
 
-    /// Notes since when each shard lacks wanted roles.
-    fn note_lacking(&mut self, now: Moment) {
+    /// Records since when each shard lacks required roles.
+    fn record_missing(&mut self, now: Moment) {
         if !std::mem::take(&mut self.recheck) {
             return;
         }
-        let lacks = |role: &&Role| self.may_hold && self.entry(role).is_none();
-        let lacking = self.wanted.keys().filter(lacks);
-        let lacking: BTreeSet<_> = lacking.map(AssignmentShard::of).collect();
+        let is_missing = |role: &&Role| self.may_hold && self.entry(role).is_none();
+        let missing = self.wanted.keys().filter(is_missing);
+        let missing: BTreeSet<_> = missing.map(AssignmentShard::of).collect();
         for (name, shard) in &mut self.shards {
-            if !lacking.contains(name) {
-                shard.lacking_since = None;
+            if !missing.contains(name) {
+                shard.missing_since = None;
             }
         }
-        for name in lacking {
+        for name in missing {
             let shard = self
                 .shards
                 .entry(name)
-                .or_insert_with(|| Shard::absent(name));
-            shard.lacking_since.get_or_insert(now);
+                .or_insert_with(|| ShardState::absent(name));
+            shard.missing_since.get_or_insert(now);
         }
     }
 
@@ -120,19 +120,19 @@
         self.ended.retain(|holder, _| with_roles.contains(holder));
     }
 
-    fn roles_to_ask_for_now(&mut self, now: Moment) -> BTreeSet<Role> {
+    fn roles_to_request_now(&mut self, now: Moment) -> BTreeSet<Role> {
         if !self.may_hold || self.leaving || now < self.ask_at {
             return BTreeSet::new();
         }
-        self.asks += 1;
+        self.request_count += 1;
         let seed = self.me.incarnation.get();
-        self.ask_at = now + jittered(self.cfg.ask_every, seed, self.asks);
-        let under_way = self
+        self.ask_at = now + jittered(self.cfg.ask_every, seed, self.request_count);
+        let pending = self
             .entries()
             .filter(|(_, entry)| entry.next.as_ref() == Some(&self.me))
             .count();
         let zones = self.holder_zones();
-        let fleet = Fleet {
+        let fleet = FleetView {
             me: &self.me,
             zone: &self.zone,
             in_zone: self
@@ -144,11 +144,11 @@
             zones: &zones,
             wanted: &self.wanted,
         };
-        let limit = self.cfg.ask_at_most.saturating_sub(under_way);
+        let limit = self.cfg.ask_at_most.saturating_sub(pending);
         let live = self
             .entries()
             .filter(|(_, entry)| !self.ended.contains_key(&entry.holder));
-        roles_to_ask_for(&fleet, live, limit).into_iter().collect()
+        roles_to_request(&fleet, live, limit).into_iter().collect()
     }
 
     fn holder_zones(&self) -> BTreeMap<Holder, chervilshunt_model::ZoneName> {
@@ -163,32 +163,36 @@
         zones
     }
 
-    /// Returns whether it is worth while to look through all roles.
+    /// Returns whether any role may need a change; a cheap check that avoids iterating over all
+    /// roles.
     fn may_have_work(&self) -> bool {
         self.leaving
             || !self.ended.is_empty()
             || self
                 .shards
                 .values()
-                .any(|shard| shard.lacking_since.is_some())
-            || self.held.values().any(|held| held.stage == Stage::Released)
+                .any(|shard| shard.missing_since.is_some())
+            || self
+                .held
+                .values()
+                .any(|held| held.stage == HandoverStage::Released)
     }
 
-    fn shards_with_work(&self, now: Moment, asked: &BTreeSet<Role>) -> Vec<AssignmentShard> {
-        let due = |name: &AssignmentShard, shard: &Shard| {
-            let lacking = shard
-                .lacking_since
-                .is_some_and(|since| now >= since + self.turn(&name.to_string()));
-            lacking
+    fn shards_with_work(&self, now: Moment, requested: &BTreeSet<Role>) -> Vec<AssignmentShard> {
+        let due = |name: &AssignmentShard, shard: &ShardState| {
+            let missing = shard
+                .missing_since
+                .is_some_and(|since| now >= since + self.rank_delay(&name.to_string()));
+            missing
                 || shard
                     .record
                     .roles
                     .iter()
-                    .any(|(role, entry)| self.needs_edit(role, entry, now, asked))
+                    .any(|(role, entry)| self.needs_edit(role, entry, now, requested))
         };
         self.shards
             .iter()
-            .filter(|(_, shard)| shard.doing == Doing::Nothing && now >= shard.retry_at)
+            .filter(|(_, shard)| shard.in_flight == ShardCall::Idle && now >= shard.retry_at)
             .filter(|(name, shard)| due(name, shard))
             .map(|(name, _)| *name)
             .collect()
@@ -199,19 +203,19 @@
         role: &Role,
         entry: &RoleEntry,
         now: Moment,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
     ) -> bool {
         let ended = |holder: &Holder| self.ended.get(holder).is_some_and(|at| now >= *at);
         ended(&entry.holder)
             || entry.next.as_ref().is_some_and(ended)
-            || asked.contains(role)
+            || requested.contains(role)
             || self.is_mine_to_pass(role, entry)
             || self.is_mine_to_offer(entry)
     }
 
     fn is_mine_to_pass(&self, role: &Role, entry: &RoleEntry) -> bool {
         let held = self.held.get(role);
-        entry.holder == self.me && held.is_some_and(|held| held.stage == Stage::Released)
+        entry.holder == self.me && held.is_some_and(|held| held.stage == HandoverStage::Released)
     }
 
     fn is_mine_to_offer(&self, entry: &RoleEntry) -> bool {
@@ -240,22 +244,22 @@
             .collect()
     }
 
-    /// Returns the change of one shard.
+    /// Returns the change of one shard, if any.
     fn edit(
         &self,
         name: AssignmentShard,
         fresh: bool,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
         now: Moment,
-        chooser: &mut Chooser<'_>,
+        chooser: &mut HolderChooser<'_>,
     ) -> Option<Edit> {
         let shard = self.shards.get(&name)?;
         let mut record = shard.record.clone();
         for (role, entry) in &shard.record.roles {
-            if !self.needs_edit(role, entry, now, asked) {
+            if !self.needs_edit(role, entry, now, requested) {
                 continue;
             }
-            match self.edit_entry(role, entry, fresh, asked, now, chooser) {
+            match self.edit_entry(role, entry, fresh, requested, now, chooser) {
                 EntryEdit::Keep => {}
                 EntryEdit::NeedsMembers => return Some(Edit::NeedsMembers),
                 EntryEdit::Set(entry) => {
@@ -267,14 +271,14 @@
             }
         }
         let turn_has_come = shard
-            .lacking_since
-            .is_some_and(|since| now >= since + self.turn(&name.to_string()));
+            .missing_since
+            .is_some_and(|since| now >= since + self.rank_delay(&name.to_string()));
         let revision = self.wanted_revision.unwrap_or_default();
         if turn_has_come && revision >= record.revision {
             if !fresh {
                 return Some(Edit::NeedsMembers);
             }
-            self.add_lacking(&mut record, chooser);
+            self.add_missing(&mut record, chooser);
         }
         if record.roles == shard.record.roles {
             return None;
@@ -283,7 +287,7 @@
         Some(Edit::Write(record))
     }
 
-    fn add_lacking(&self, record: &mut AssignmentRecord, chooser: &mut Chooser<'_>) {
+    fn add_missing(&self, record: &mut AssignmentRecord, chooser: &mut HolderChooser<'_>) {
         let revision = self.wanted_revision.unwrap_or_default();
         let roles = self.wanted.keys();
         for role in roles.filter(|role| AssignmentShard::of(role) == record.shard) {
@@ -303,9 +307,9 @@
         role: &Role,
         entry: &RoleEntry,
         fresh: bool,
-        asked: &BTreeSet<Role>,
+        requested: &BTreeSet<Role>,
         now: Moment,
-        chooser: &mut Chooser<'_>,
+        chooser: &mut HolderChooser<'_>,
     ) -> EntryEdit {
         let ended = |holder: &Holder| self.ended.get(holder).is_some_and(|at| now >= *at);
         let known_revision = self.wanted_revision.is_some();
@@ -322,8 +326,8 @@
             if !fresh {
                 return EntryEdit::NeedsMembers;
             }
-            let but = (self.leaving && handed_over).then_some(&self.me);
-            return match chooser.choose(role, but) {
+            let except = (self.leaving && handed_over).then_some(&self.me);
+            return match chooser.choose(role, except) {
                 Some(choice) => EntryEdit::Set(self.pass(entry, choice, handed_over)),
                 None if self.leaving && handed_over => EntryEdit::Remove,
                 None => EntryEdit::Keep,
@@ -347,7 +351,7 @@
                 ..entry.clone()
             });
         }
-        if asked.contains(role) && entry.next.is_none() {
+        if requested.contains(role) && entry.next.is_none() {
             return EntryEdit::Set(RoleEntry {
                 next: Some(self.me.clone()),
                 ..entry.clone()
--- a/crates/chervilshunt_coord/src/roles/table/held.rs
+++ b/crates/chervilshunt_coord/src/roles/table/held.rs
@@ -6,28 +6,28 @@
 use crate::roles::assignment::{AssignmentRecord, RoleEntry};
 use crate::roles::role::Role;
 
-/// How far the end of a held role has come.
+/// The stage of the handover of a held role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Stage {
-    /// Nothing ends it.
+pub(super) enum HandoverStage {
+    /// The role is not being handed over.
     Held,
-    /// The program was told to hand it over.
+    /// The program has been asked to hand over the role.
     Ending,
-    /// The program has handed it over; the assignment doesn't say so yet.
+    /// The program has released the role, but the assignment does not show it yet.
     Released,
 }
 
 /// A role that this run holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Held {
+pub(super) struct HeldRole {
     pub(super) epoch: Epoch,
-    pub(super) stage: Stage,
-    /// When orders may begin.
+    pub(super) stage: HandoverStage,
+    /// The earliest time for orders under the role.
     pub(super) orders_from: Moment,
 }
 
 impl RoleTable {
-    /// Tells what has changed between two records of a shard.
+    /// Reports the differences between two records of a shard.
     pub(super) fn compare(
         &mut self,
         before: &AssignmentRecord,
@@ -80,13 +80,13 @@
         let was_mine = entry.previous.as_ref() == Some(&self.me);
         let waits = !fenced && !entry.handed_over && !was_mine && entry.previous.is_some();
         let orders_from = if waits {
-            now + self.cfg.order_flight
+            now + self.cfg.max_order_latency
         } else {
             now
         };
-        let held = Held {
+        let held = HeldRole {
             epoch: entry.epoch,
-            stage: Stage::Held,
+            stage: HandoverStage::Held,
             orders_from,
         };
         self.held.insert(role.clone(), held);
@@ -112,14 +112,14 @@
         let Some(held) = self.held.get_mut(role) else {
             return;
         };
-        if held.stage == Stage::Held {
-            held.stage = Stage::Ending;
+        if held.stage == HandoverStage::Held {
+            held.stage = HandoverStage::Ending;
             let role = role.clone();
             actions.push(RoleAction::Ending { role, to });
         }
     }
 
-    /// Ends the held roles that nobody needs any more.
+    /// Starts the handover of held roles that the configuration no longer requires.
     pub(super) fn end_unwanted(&mut self, actions: &mut Vec<RoleAction>) {
         let unwanted: Vec<_> = self
             .held
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Ends the held roles for which nobody is there to take them.
+    /// Ends the held roles when no other run can take them.
     pub(super) fn end_without_taker(&mut self, actions: &mut Vec<RoleAction>) {
         let roles: Vec<_> = self.held.keys().cloned().collect();
         for role in roles {
@@ -142,7 +142,7 @@
 
     pub(super) fn on_released(&mut self, role: &Role) {
         if let Some(held) = self.held.get_mut(role) {
-            held.stage = Stage::Released;
+            held.stage = HandoverStage::Released;
         }
     }
 
--- a/crates/chervilshunt_coord/src/tests.rs
+++ b/crates/chervilshunt_coord/src/tests.rs
@@ -1,9 +1,10 @@
 //! Tests of the state machines together.
 
 mod claims;
+mod exclusive_lease;
 mod explore;
 mod explore_config;
-mod explore_hold;
+mod explore_extension;
 mod explore_lease;
 mod explore_roles;
 mod fleet;
@@ -11,5 +12,4 @@
 mod promises;
 mod runs;
 mod smoke;
-mod sole;
 mod table;
--- a/crates/chervilshunt_coord/src/tests/explore_hold.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_extension.rs
@@ -1,11 +1,12 @@
-//! All interleavings of a holder that extends its lease and a taker that collects vouches.
+//! Explores all interleavings of a holder that extends its lease and an observer that collects
+//! vouches.
 //!
-//! The holder's lease is about to run out and it asks for promises; the taker has seen the lease
-//! unchanged for its full time and asks for vouches. Of three electors one has crashed. The others
-//! lose and regain the platform at any time, so that they would give either word whenever they are
-//! asked. Questions and answers arrive in any order, late or never. Once the taker has its
-//! majority the lease will be marked lapsed, and a holder that is still extended would order beside
-//! its successor.
+//! The holder's lease is about to expire and it requests promises; the observer has seen the lease
+//! unchanged for its full duration and requests vouches. One of three electors has crashed. The
+//! others lose and regain the platform at any time, so each would promise or vouch whenever it is
+//! asked. Requests and answers arrive in any order, late or never. Once the observer has a
+//! majority, the lease will be marked lapsed, and a holder that is still extended would give orders
+//! concurrently with its successor.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -17,18 +18,18 @@
 use super::explore::{Explored, depth, explore};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    Elector, ElectorConfig, ElectorDesk, Electorate, Hold, HoldAction, HoldConfig, HoldMessage,
-    Holder, Incarnation, VouchAction, Vouching,
+    Elector, ElectorConfig, ElectorMessage, ElectorState, Electorate, Holder, Incarnation,
+    LeaseExtension, LeaseExtensionAction, LeaseExtensionConfig, VouchAction, VouchCollector,
 };
 
 const DEPTH: usize = 13;
 const STATES: usize = 100_000;
 const HORIZON: u64 = 7;
 
-/// How often promises are asked for.
+/// The number of times that promises are requested.
 const PROMISE_ASKS: usize = 2;
 
-/// How often vouches are asked for.
+/// The number of times that vouches are requested.
 const VOUCH_ASKS: usize = 1;
 const ELECTORS: usize = 3;
 
@@ -36,25 +37,25 @@
 const ALIVE: usize = 2;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// When the world begins, so that the electors have long been up.
+/// The start time. The electors have been up long enough to answer.
 const BEGIN: Moment = Moment::from_millis(100_000);
 
-/// When the holder's lease is over, by its own clock and by the taker's.
+/// When the lease expires for the holder and for the observer.
 const LEASE_OVER: Moment = Moment::from_millis(102_000);
 
 #[derive(Clone, Debug, Hash)]
 enum Message {
-    Elector(usize, HoldMessage),
-    Holder(HoldMessage),
-    Taker(HoldMessage),
+    Elector(usize, ElectorMessage),
+    Holder(ElectorMessage),
+    Taker(ElectorMessage),
 }
 
 #[derive(Clone, Debug, Hash)]
 struct World {
     now: Moment,
-    hold: Hold,
-    vouching: Vouching,
-    desks: Vec<ElectorDesk>,
+    hold: LeaseExtension,
+    vouching: VouchCollector,
+    elector_states: Vec<ElectorState>,
     messages: Vec<Message>,
     electorate: Electorate,
     vouched: bool,
@@ -68,19 +69,19 @@
             instance: InstanceId::new(format!("e{number}")),
             address: ([127, 0, 0, 1], 1).into(),
         };
-        let desk = || {
+        let elector_state = || {
             let cfg = ElectorConfig {
                 promise_for: SECOND * 3,
                 vouch_for: SECOND,
                 failing_for: Duration::ZERO,
                 answered_within: SECOND * 100,
             };
-            let mut desk = ElectorDesk::new(cfg, Moment::ZERO);
-            desk.seed(bugs);
-            desk
+            let mut elector_state = ElectorState::new(cfg, Moment::ZERO);
+            elector_state.seed(bugs);
+            elector_state
         };
-        let mut hold = Hold::new(
-            HoldConfig {
+        let mut hold = LeaseExtension::new(
+            LeaseExtensionConfig {
                 begin_before: SECOND * 2,
                 ask_every: SECOND,
                 renew_every: SECOND,
@@ -93,8 +94,8 @@
         Self {
             now: BEGIN,
             hold,
-            vouching: Vouching::new(1_000),
-            desks: (0..ELECTORS).map(|_| desk()).collect(),
+            vouching: VouchCollector::new(1_000),
+            elector_states: (0..ELECTORS).map(|_| elector_state()).collect(),
             messages: Vec::new(),
             electorate: Electorate {
                 version: 1,
@@ -110,7 +111,7 @@
         Holder::new("x", Incarnation::new(1))
     }
 
-    fn ask(&mut self, to: &InstanceId, message: HoldMessage) {
+    fn ask(&mut self, to: &InstanceId, message: ElectorMessage) {
         let elector = to.as_str()[1..].parse().expect("electors are numbered");
         if elector < ALIVE {
             self.messages.push(Message::Elector(elector, message));
@@ -120,7 +121,7 @@
     fn ask_promises(&mut self) {
         self.promise_asks += 1;
         for action in self.hold.ask(LEASE_OVER, &self.electorate, &[], self.now) {
-            let HoldAction::Send(to, message) = action;
+            let LeaseExtensionAction::Send(to, message) = action;
             self.ask(&to, message);
         }
     }
@@ -138,29 +139,29 @@
     fn deliver(&mut self, number: usize) {
         let now = self.now;
         match self.messages.remove(number) {
-            Message::Elector(elector, HoldMessage::AskPromise { number, .. }) => {
-                self.desks[elector].note_call(false, BEGIN);
-                let promise = self.desks[elector].promise(now);
+            Message::Elector(elector, ElectorMessage::AskPromise { number, .. }) => {
+                self.elector_states[elector].record_call_end(false, BEGIN);
+                let promise = self.elector_states[elector].promise(now);
                 let for_ms = promise.map_or(0, |promise| promise.as_millis() as u64);
-                let answer = HoldMessage::Promise { number, for_ms };
+                let answer = ElectorMessage::Promise { number, for_ms };
                 self.messages.push(Message::Holder(answer));
             }
-            Message::Elector(elector, HoldMessage::AskVouch { number, about, .. }) => {
-                self.desks[elector].note_call(true, BEGIN);
-                let vouch = self.desks[elector].vouch(now);
+            Message::Elector(elector, ElectorMessage::AskVouch { number, about, .. }) => {
+                self.elector_states[elector].record_call_end(true, BEGIN);
+                let vouch = self.elector_states[elector].vouch(now);
                 let for_ms = vouch.map_or(0, |vouch| vouch.as_millis() as u64);
-                let answer = HoldMessage::Vouch {
+                let answer = ElectorMessage::Vouch {
                     number,
                     about,
                     for_ms,
                 };
                 self.messages.push(Message::Taker(answer));
             }
-            Message::Holder(HoldMessage::Promise { number, for_ms }) => {
+            Message::Holder(ElectorMessage::Promise { number, for_ms }) => {
                 self.hold
                     .answered(number, for_ms, LEASE_OVER, &self.electorate, now);
             }
-            Message::Taker(HoldMessage::Vouch {
+            Message::Taker(ElectorMessage::Vouch {
                 number,
                 about,
                 for_ms,
@@ -178,7 +179,8 @@
         let mut step = |change: &dyn Fn(&mut Self)| {
             let mut world = self.clone();
             change(&mut world);
-            // Messages come in any order, so that of their sending makes no difference.
+            // Messages are delivered in any order, so worlds that differ only in the order of
+            // sending are equal.
             world.messages.sort_by_key(|message| {
                 let mut hasher = Xxh3Default::new();
                 message.hash(&mut hasher);
--- a/crates/chervilshunt_coord/src/tests/explore_lease.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_lease.rs
@@ -1,9 +1,10 @@
-//! All interleavings of a holder that renews its lease and an observer that takes it for expired.
+//! Explores all interleavings of a holder that renews its lease and an observer that may find it
+//! expired.
 //!
-//! Every call may be carried out at any time, its answer may come at any time or never, and either
-//! side may be paused for any time: it is, whenever the others' steps are taken before its own. A
-//! holder that may give orders after the observer has told of the lease's end would order beside
-//! its successor.
+//! A call may be carried out at any time, and its answer may arrive at any time or never. Either
+//! side may be paused, which is covered by interleavings in which the other steps come first. If
+//! the holder could still give orders after the observer has reported the end of the lease, it
+//! would do so concurrently with its successor.
 
 use std::time::Duration;
 
@@ -18,16 +19,16 @@
     PlatformCall, PlatformResult,
 };
 
-/// The steps of the search.
+/// The depth of the search in steps.
 const DEPTH: usize = 15;
 
-/// The states that lie within, at the least.
+/// The minimum number of states that the search must visit.
 const STATES: usize = 100_000;
 
-/// The time that passes at the most, in seconds.
+/// The maximum time that passes, in seconds.
 const HORIZON: u64 = 7;
 
-/// Calls given up by their caller that the platform may yet carry out.
+/// The maximum number of calls abandoned by their caller that the platform may still carry out.
 const LATE_CALLS: usize = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -95,15 +96,15 @@
             ended: false,
             bugs,
         };
-        // The lease exists before anybody can watch it.
-        world.hand_holder(LeaseEvent::Tick);
+        // The lease exists before anyone can watch it.
+        world.deliver_to_holder(LeaseEvent::Tick);
         world.carry_out(0);
         world.answer(0, false);
-        world.hand_observer(ObserverEvent::Watch(record.holder));
+        world.deliver_to_observer(ObserverEvent::Watch(record.holder));
         world
     }
 
-    fn hand_holder(&mut self, event: LeaseEvent) {
+    fn deliver_to_holder(&mut self, event: LeaseEvent) {
         for action in self.holder.handle(event, self.now) {
             if let LeaseAction::Call(call) = action {
                 self.begin(Caller::Holder, call);
@@ -111,11 +112,13 @@
         }
     }
 
-    fn hand_observer(&mut self, event: ObserverEvent) {
+    fn deliver_to_observer(&mut self, event: ObserverEvent) {
         for action in self.observer.handle(event, self.now) {
             match action {
                 ObserverAction::Call(call) => self.begin(Caller::Observer, call),
-                ObserverAction::Expired(holder) => self.hand_observer(ObserverEvent::Mark(holder)),
+                ObserverAction::Expired(holder) => {
+                    self.deliver_to_observer(ObserverEvent::Mark(holder))
+                }
                 ObserverAction::Ended(..) => self.ended = true,
                 ObserverAction::Renewed(_) => {}
             }
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Hands the result over, or none if the answer is lost or never came.
+    /// Delivers the result, or `Unknown` if the answer is lost or the call has not been carried
+    /// out.
     fn answer(&mut self, number: usize, lost: bool) {
         let Pending {
             caller,
@@ -158,8 +162,8 @@
         }
         let result = result.filter(|_| !lost).unwrap_or(PlatformResult::Unknown);
         match caller {
-            Caller::Holder => self.hand_holder(LeaseEvent::Reply(call.id, result)),
-            Caller::Observer => self.hand_observer(ObserverEvent::Reply(call.id, result)),
+            Caller::Holder => self.deliver_to_holder(LeaseEvent::Reply(call.id, result)),
+            Caller::Observer => self.deliver_to_observer(ObserverEvent::Reply(call.id, result)),
         }
     }
 
@@ -174,10 +178,10 @@
             step(&|world| world.now = world.now + Duration::from_secs(1));
         }
         if self.holder.next_wakeup().is_some_and(|at| at <= self.now) {
-            step(&|world| world.hand_holder(LeaseEvent::Tick));
+            step(&|world| world.deliver_to_holder(LeaseEvent::Tick));
         }
         if self.observer.next_wakeup().is_some_and(|at| at <= self.now) {
-            step(&|world| world.hand_observer(ObserverEvent::Tick));
+            step(&|world| world.deliver_to_observer(ObserverEvent::Tick));
         }
         let late = self
             .pending
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -231,8 +231,8 @@
     cfg.lease = timing.lease;
     cfg.observer = timing.observer;
     cfg.elector = timing.elector;
-    cfg.hold = timing.hold;
-    cfg.roles.list_later_by_role = ASSIGNMENT_LIST_LATER_BY_ROLE;
+    cfg.lease_extension = timing.hold;
+    cfg.roles.list_interval_per_role = ASSIGNMENT_LIST_LATER_BY_ROLE;
     Coordinator::new(cfg, cx.now())
 }
 
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -4,7 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_coord::{SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleWritten};
+use chervilshunt_coord::{
+    ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
+    LeaseWriteOutcome,
+};
 use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
@@ -55,7 +58,7 @@
     pub(super) shared: Arc<Shared>,
     pub(super) exchange: Arc<Exchange>,
     pub(super) address: Option<Address<Self>>,
-    pub(super) keeper: SoleKeeper,
+    pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
     pub(super) absences: Absences,
     pub(super) paces: Paces,
@@ -86,13 +89,13 @@
     /// Starts as an observer of the lease.
     pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
         let settings = &shared.settings;
-        let cfg = SoleConfig {
-            rest: settings.bounds.lease_rest,
-            yields_for: yields_for(settings.instance.processor_share),
+        let cfg = ExclusiveLeaseConfig {
+            handover_gap: settings.bounds.lease_rest,
+            yield_delay: yields_for(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
-            ..SoleConfig::default()
+            ..ExclusiveLeaseConfig::default()
         };
-        let keeper = SoleKeeper::new(
+        let keeper = ExclusiveLeaseKeeper::new(
             cfg,
             settings.instance.id.clone(),
             rand::random(),
@@ -127,7 +130,7 @@
     }
 
     /// Carries out what the lease keeper wants.
-    pub(super) fn lease_event(&mut self, event: SoleEvent) {
+    pub(super) fn lease_event(&mut self, event: ExclusiveLeaseEvent) {
         let now = self.now();
         let actions = self.keeper.handle(event, now);
         for action in actions {
@@ -136,14 +139,14 @@
         self.note_holder();
     }
 
-    fn carry_out_lease(&mut self, action: SoleAction, now: Moment) {
+    fn carry_out_lease(&mut self, action: ExclusiveLeaseAction, now: Moment) {
         match action {
-            SoleAction::Write(record, version) => {
+            ExclusiveLeaseAction::Write(record, version) => {
                 self.call_lease(LeaseCall::Write(record, version));
             }
-            SoleAction::Read => self.call_lease(LeaseCall::Read),
-            SoleAction::Gained(term) => self.become_placer(term, now),
-            SoleAction::Lost => self.cease_placing(),
+            ExclusiveLeaseAction::Read => self.call_lease(LeaseCall::Read),
+            ExclusiveLeaseAction::Gained(term) => self.become_placer(term, now),
+            ExclusiveLeaseAction::Lost => self.cease_placing(),
         }
     }
 
@@ -151,7 +154,7 @@
     fn after_message(&mut self) {
         let now = self.now();
         if self.keeper.next_wakeup().is_some_and(|at| at <= now) {
-            self.lease_event(SoleEvent::Tick);
+            self.lease_event(ExclusiveLeaseEvent::Tick);
         }
         self.forget_absent(now);
         self.forget_crashes(now);
@@ -245,14 +248,14 @@
 
     async fn handle(&mut self, answer: LeaseAnswer, _cx: &mut xtra::Context<Self>) {
         match &answer {
-            LeaseAnswer::Written(SoleWritten::Done(version)) => self.note_era(version.era),
+            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.note_era(version.era),
             LeaseAnswer::Read(Some(seen)) => self.note_era(seen.version.era),
             LeaseAnswer::Written(_) | LeaseAnswer::Read(None) | LeaseAnswer::ReadFailed => {}
         }
         let event = match answer {
-            LeaseAnswer::Written(written) => SoleEvent::Written(written),
-            LeaseAnswer::Read(seen) => SoleEvent::Seen(seen),
-            LeaseAnswer::ReadFailed => SoleEvent::ReadFailed,
+            LeaseAnswer::Written(written) => ExclusiveLeaseEvent::Written(written),
+            LeaseAnswer::Read(seen) => ExclusiveLeaseEvent::Seen(seen),
+            LeaseAnswer::ReadFailed => ExclusiveLeaseEvent::ReadFailed,
         };
         self.lease_event(event);
         self.after_message();
@@ -322,7 +325,7 @@
     /// cold adapters refused for four. Others no longer take the lease.
     async fn handle(&mut self, _stop: Stop, _cx: &mut xtra::Context<Self>) {
         if self.placer.is_none() {
-            self.lease_event(SoleEvent::Release);
+            self.lease_event(ExclusiveLeaseEvent::Release);
         }
         self.after_message();
     }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
+use chervilshunt_coord::{
+    ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord,
+};
 use chervilshunt_core::{
     Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
     TargetSnapshot, TargetStart, Use, Want, Weights,
@@ -148,7 +150,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseCall {
     /// Writes the record if the object still has a version, or creates it.
-    Write(SoleRecord, Option<StoreRevision>),
+    Write(ExclusiveLeaseRecord, Option<StoreRevision>),
     /// Reads the record, linearizably.
     Read,
 }
@@ -157,9 +159,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseAnswer {
     /// A write has ended.
-    Written(SoleWritten),
+    Written(LeaseWriteOutcome),
     /// A read has ended; none if there is no object.
-    Read(Option<SeenRecord>),
+    Read(Option<VersionedLeaseRecord>),
     /// A read has failed.
     ReadFailed,
 }
@@ -170,7 +172,8 @@
     pub(crate) const fn is_failure(&self) -> bool {
         matches!(
             self,
-            Self::Written(SoleWritten::Failed | SoleWritten::Unknown) | Self::ReadFailed
+            Self::Written(LeaseWriteOutcome::Failed | LeaseWriteOutcome::Unknown)
+                | Self::ReadFailed
         )
     }
 }
