--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a target for one request.
+//! Selects the target for a request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,32 +10,34 @@
 use super::lanes::{Lane, long_prompt_targets};
 use super::state::{Dispatch, Target};
 
-/// How targets are weighed.
+/// Configuration of the scoring of targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchConfig {
-    /// What another zone counts, as a share of a target's slots: a request crosses zones only where
-    /// that saves it more waiting than the bytes between zones cost.
+    /// The score added to a target in another zone, as a share of its slots: a request crosses
+    /// zones only where the queueing time saved is worth the cost of cross-zone traffic.
     pub zone_penalty: f64,
-    /// What a target counts more than it has, at random, as a share of its slots. Instances that
-    /// see the same loads would otherwise all send to the same target.
+    /// The upper bound of the random score added to each target, as a share of its slots. Without
+    /// it, instances that see the same loads would all select the same target.
     pub jitter: f64,
-    /// Prompt tokens still to be read that count as much as all slots of a target. Read at once they
-    /// hold the streams there up for a quarter of a second, the pause that callers want kept.
+    /// The number of prompt tokens awaiting prefill that weighs as much as all slots of a target.
+    /// Prefilling that many at once stalls the streams on the target for 250 ms, the pause that
+    /// callers want kept.
     pub reading_tokens: f64,
-    /// What a faulty target counts more.
+    /// The score added to a target whose share of failed requests is too high.
     pub failing_penalty: f64,
-    /// Requests beyond its slots that a target is given, as a share of its slots. A target admits
-    /// by urgency, which an instance that holds requests back can't; and a slot that falls free is
-    /// taken without a round trip.
+    /// The number of requests beyond its slots that a target is sent, as a share of its slots. The
+    /// target admits them by urgency, which an instance holding them back could not do, and a freed
+    /// slot is reused without a network round trip.
     pub queue_share: f64,
-    /// How long a version that is no longer the newest still serves: the placer needs about half a
-    /// second to have the newest one loaded, and the operators' bound is several seconds.
+    /// How long a superseded version may still be sent requests. The placer needs about half a
+    /// second to have the newest version loaded, and the operators' limit is several seconds.
     pub old_version_grace: Duration,
-    /// How long after an instance learns of a newer version a request sent for an older one may still
-    /// begin to run. The grace limits only sending, and a request may queue at its target for seconds.
-    /// Leaves time for a new version to reach the instance within the operators' bound.
+    /// How long after an instance learns of a newer version a request sent for an older one may
+    /// still begin to run. The grace period limits only sending, and a request may queue at its
+    /// target for seconds. This leaves time for a new version to reach the instance within the
+    /// operators' limit.
     pub old_version_begin_limit: Duration,
-    /// How failing targets are passed over.
+    /// How failing targets are avoided.
     pub health: HealthConfig,
 }
 
@@ -54,70 +56,73 @@
     }
 }
 
-/// What a request asks of a target.
+/// The requirements of a request on its target.
 #[derive(Clone, Debug)]
 pub struct Ask<'a> {
-    /// The service.
+    /// The service that the request is for.
     pub service: &'a ServiceName,
-    /// The weights that it names, if it names any.
+    /// The requested weights, if the request names any.
     pub weights: Option<&'a Weights>,
-    /// What it mostly makes a target do.
+    /// The kind of work that dominates the request.
     pub lane: Lane,
-    /// Targets that it has been at already.
+    /// Targets already tried for this request.
     pub avoid: &'a [TargetName],
 }
 
-/// Why a request has no target yet.
+/// The reason why no target can be selected yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// No target of the service is known that can take it.
+    /// No known target of the service can take the request.
     NoTarget,
     /// No usable target holds the adapter.
     NotHeld,
-    /// All targets that could take it are full.
+    /// All suitable targets are full.
     Full,
-    /// All targets that hold the adapter want nothing from this instance until a moment.
+    /// All targets that hold the adapter have asked this instance not to send requests; the first
+    /// of these pauses ends at the given time.
     Paused(Moment),
 }
 
-/// What comes of choosing.
+/// The result of selecting a target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// The request goes to a target.
+    /// The request is sent to a target.
     Send {
-        /// The target.
+        /// The name of the target.
         target: TargetName,
-        /// Where it is called.
+        /// The address of the target.
         address: SocketAddr,
-        /// Requests at the target, as estimated.
+        /// The estimated number of requests at the target.
         load: f64,
-        /// Requests that it works on at a time.
+        /// The number of requests that the target executes concurrently.
         slots: u32,
-        /// How old the others' part of the estimate is.
+        /// The age of the part of the load estimate that covers other instances.
         load_age: Duration,
-        /// The version that the target has to hold; none if any does.
+        /// The version that the target must hold, or `None` if any version will do.
         expect_version: Option<u64>,
-        /// The version of the requested weights that the target is known to hold; none if it is
-        /// unknown or if the request names no weights.
+        /// The version of the requested weights that the target is known to hold, or `None` if that
+        /// is unknown or the request names no weights.
         held_version: Option<u64>,
-        /// How long ago the target last showed that it lives.
+        /// The time since the last sign of life from the target.
         heard_before: Duration,
     },
-    /// The request has no target now.
+    /// No target can take the request now.
     Wait(Wait),
 }
 
-/// Requests at a target kept for long prompts beyond which another one goes elsewhere: each of them
-/// takes about 120 ms to read, so that the next one would begin after most of a second.
+/// The number of requests at a target reserved for long prompts from which another long prompt is
+/// sent elsewhere. Each takes about 120 ms of prefill, so that the next one would start after most
+/// of a second.
 const BUSY_WITH_LONG_PROMPTS: f64 = 6.0;
 
-/// How long what others have at a target counts as filling it. Targets tell their load with answers, so
-/// that one which gets nothing, being full, is never heard to have room: an instance refused requests for
-/// as long as it had nothing under way there. Asked again, a target that is still full refuses truly, and
-/// its refusal tells its load.
+/// The maximum age of the reported load of other instances for it to make a target count as full.
+/// Targets report their load with responses, so a full target that is sent nothing would never be
+/// seen to have room, and an instance without requests in flight there would refuse requests
+/// indefinitely. A target that is still full refuses the probing request without running it, and
+/// the refusal carries its load.
 const FULL_FOR: Duration = Duration::from_millis(250);
 
-/// Returns the holders that a request should go to, by its lane.
+/// Returns the holders that a request of this lane should be sent to.
 fn prefer_lane<'a>(
     holding: Vec<&'a Target>,
     ask: &Ask<'_>,
@@ -138,7 +143,7 @@
 }
 
 impl Dispatch {
-    /// Chooses a target for a request; `draw` gives random numbers from 0 to 1.
+    /// Selects a target for a request; `draw` returns random numbers from 0 to 1.
     pub fn choose(&self, ask: &Ask<'_>, mut draw: impl FnMut() -> f64, now: Moment) -> Choice {
         let serving: Vec<&Target> = self.serving(ask).collect();
         if serving.is_empty() {
@@ -169,7 +174,8 @@
             .filter(|target| !target.health.is_silent(now))
             .copied()
             .collect();
-        // If all are silent, the fault may be this instance's: one of them is tried all the same.
+        // If all targets are unreachable, the fault may lie with this instance, so one is tried
+        // anyway.
         let candidates = if answering.is_empty() {
             holding
         } else {
@@ -189,7 +195,7 @@
         self.holders.of(weights).iter().map(|(name, _)| name)
     }
 
-    /// Chooses the target that the placer named, unless it leaves, wants nothing now or is gone.
+    /// Uses the target selected by the placer, unless it is leaving, paused or unknown.
     pub fn choose_named(
         &self,
         name: &TargetName,
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Returns targets of the service that may take new work.
+    /// Returns the targets of the service that may take new requests.
     fn serving<'a>(&'a self, ask: &'a Ask<'_>) -> impl Iterator<Item = &'a Target> + 'a {
         self.targets.values().filter(move |target| {
             target.facts.service == *ask.service
@@ -215,12 +221,12 @@
         })
     }
 
-    /// Says whether a target holds what a request names: the adapter, in a version that may serve, or the
-    /// base model, if that is what it names.
+    /// Returns whether a target holds the requested weights: the adapter in a version that may
+    /// still serve, or the base model if the request names that.
     ///
-    /// A request for an adapter takes the base model in whatever version is there. Asked for the newest
-    /// there too, all targets were unfit from the naming of a new one until they had loaded it, and an
-    /// instance without a placer refused every stream.
+    /// A request for an adapter accepts any version of the base model. If it required the newest
+    /// version there too, all targets would be unsuitable from the announcement of a new version
+    /// until they had loaded it, and an instance without a placer would refuse every stream.
     fn holds(&self, target: &Target, weights: Option<&Weights>, now: Moment) -> bool {
         weights.is_none_or(|weights| {
             let held = self.held_version(target, weights);
@@ -228,7 +234,7 @@
         })
     }
 
-    /// Says whether a version may still serve.
+    /// Returns whether a version may still serve requests.
     fn is_current(&self, weights: &Weights, version: u64, now: Moment) -> bool {
         let named = self.versions.get(weights);
         let oldest = named.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
@@ -266,12 +272,12 @@
         }
     }
 
-    /// Returns the version that a target has to confirm.
+    /// Returns the version that the target is required to confirm.
     ///
-    /// What is known of its versions may be a moment old, and a request that begins on an older one
-    /// is a wrong answer; a target that is asked for a version refuses if it holds another. Where a
-    /// still newer one has just been named, the target may hold either: it is asked for the one that
-    /// it is known to hold.
+    /// The known versions of a target may be slightly out of date, and a request executed on an
+    /// older version produces a wrong answer; a target that is sent an expected version refuses the
+    /// request if it holds another one. Right after a still newer version has been announced the
+    /// target may hold either, so the version that it is known to hold is required.
     fn expected_version(
         &self,
         target: &Target,
@@ -285,7 +291,7 @@
         held.filter(|held| *held >= oldest).or(named.newest())
     }
 
-    /// Returns the version of some weights that a target is known to hold.
+    /// Returns the version of the given weights that a target is known to hold.
     fn held_version(&self, target: &Target, weights: &Weights) -> Option<u64> {
         if weights.adapter.is_none() {
             return target.facts.version_of(&weights.model);
--- a/crates/chervilshunt_core/src/dispatch/lanes.rs
+++ b/crates/chervilshunt_core/src/dispatch/lanes.rs
@@ -1,11 +1,11 @@
-//! Targets of their own for long prompts, where an instance chooses by itself or the placer has seen that
-//! streams pause (`residency/lanes.rs`).
+//! Reserves targets for long prompts, when an instance selects targets itself or the placer has
+//! observed paused streams (`residency/lanes.rs`).
 //!
-//! A target reads a prompt in pieces between the tokens of all that it generates. A prompt of 7,000
-//! tokens holds each of 15 streams beside it up for a fifth of a second and more, so that every one
-//! of them misses the pause that its caller wants kept. Replayed on a calm load, 125 of 1,600
-//! streams did, nearly all beside such a prompt. On targets of their own long prompts meet each
-//! other and short answers only.
+//! A target prefills a prompt in chunks between the decoding steps of its running requests. A
+//! prompt of 7,000 tokens delays each of 15 concurrent streams by a fifth of a second or more, so
+//! that all of them exceed the pause that their callers want kept. In a replay at low load, this
+//! happened to 125 of 1,600 streams, nearly all next to such a prompt. On reserved targets, long
+//! prompts share a target only with each other and with short answers.
 
 use chervilshunt_model::TargetName;
 use serde::{Deserialize, Serialize};
@@ -13,31 +13,31 @@
 
 use super::facts::RequestSize;
 
-/// The shortest prompt, in tokens, that is kept apart. Two of them in a row take 130 ms to read,
-/// which leaves a stream within a pause of 250 ms.
+/// The shortest prompt, in tokens, that is sent to the reserved targets. Two such prompts in a row
+/// take 130 ms to prefill, which keeps the pause of a stream below 250 ms.
 const LONG_PROMPT: u32 = 2_500;
-/// The most tokens generated for one prompt token for which a request counts as reading rather than
-/// generating: one that generates for seconds would be held up itself.
+/// The highest ratio of generated to prompt tokens at which a request counts as dominated by
+/// prefill: one that generates for seconds would be delayed itself.
 const READING_SHARE: f64 = 0.05;
-/// Targets for each one that is kept for long prompts. Such prompts take about an eighth of the time
-/// of all targets where they are most frequent, and wait for each other if they take much more than
-/// half of a target's.
+/// The number of targets for each one that is reserved for long prompts. Such prompts take about an
+/// eighth of the time of all targets where they are most frequent, and queue behind each other if
+/// they take much more than half of a target's time.
 const TARGETS_A_LANE: usize = 6;
-/// The fewest targets of which one can be spared.
+/// The smallest number of targets of which one can be reserved.
 const FEWEST_TARGETS: usize = 4;
 
-/// What a request mostly makes a target do.
+/// The kind of work that dominates a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lane {
-    /// It generates, or reads little.
+    /// It mostly generates, or has a short prompt.
     #[default]
     General,
-    /// It reads a long prompt and generates little.
+    /// It has a long prompt and generates little.
     LongPrompt,
 }
 
 impl Lane {
-    /// Returns the lane of a request of a size.
+    /// Returns the lane of a request of the given size.
     pub fn of(size: RequestSize) -> Self {
         let generated = f64::from(size.output_tokens);
         let reads = generated <= f64::from(size.prompt_tokens) * READING_SHARE;
@@ -49,10 +49,11 @@
     }
 }
 
-/// Returns the targets that are kept for long prompts, of those of one service that take work.
+/// Returns the targets reserved for long prompts, out of the targets of one service that take
+/// requests.
 ///
-/// They are the first in the order of a hash, so that all instances that see the same targets agree
-/// without a message, and a target that comes or goes changes little.
+/// They are the first ones in hash order, so that all instances that see the same targets agree
+/// without communication, and adding or removing a target changes little.
 pub fn long_prompt_targets<'a>(
     targets: impl IntoIterator<Item = &'a TargetName>,
 ) -> Vec<&'a TargetName> {
--- a/crates/chervilshunt_core/src/dispatch/load.rs
+++ b/crates/chervilshunt_core/src/dispatch/load.rs
@@ -1,4 +1,4 @@
-//! How much work a target has, as one instance estimates it.
+//! The load of a target, as estimated by one instance.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use super::facts::LoadReport;
 
-/// The work at one target.
+/// The load of one target.
 ///
-/// A report is as old as the answer that brought it, and several instances send at a time. What
-/// this instance has under way is known exactly, so only the others' part is taken from reports:
-/// counted whole, a report from before a burst of own requests would send the rest of the burst to
-/// the same target.
+/// A report is as old as the response that carried it, and several instances send at the same time.
+/// The requests of this instance are known exactly, so only the load of other instances is taken
+/// from reports. If reports were used as they are, a report from before a burst of own requests
+/// would direct the rest of the burst to the same target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TargetLoad {
     own: u32,
@@ -27,17 +27,17 @@
         self.own += 1;
     }
 
-    /// Counts prompt tokens that the target has to read.
+    /// Adds prompt tokens that the target has to prefill.
     pub(crate) fn reads(&mut self, tokens: u32) {
         self.reading += tokens;
     }
 
-    /// Counts prompt tokens that the target has read, or no longer has to.
+    /// Removes prompt tokens that the target has prefilled or no longer has to.
     pub(crate) fn has_read(&mut self, tokens: u32) {
         self.reading = self.reading.saturating_sub(tokens);
     }
 
-    /// Returns the prompt tokens of this instance's requests that the target has still to read.
+    /// Returns the prompt tokens of this instance's requests that still await prefill.
     pub(crate) const fn reading(&self) -> u32 {
         self.reading
     }
@@ -47,25 +47,26 @@
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes in what the target said while `self.own` requests were under way.
+    /// Applies a load report that the target sent while `self.own` requests were in flight.
     pub(crate) fn reported(&mut self, report: LoadReport, now: Moment) {
         let total = f64::from(report.running) + f64::from(report.waiting);
         self.others = (total - f64::from(self.own)).max(0.0);
         self.reported_at = now;
     }
 
-    /// Takes in how many requests all instances together have under way.
+    /// Applies the total number of requests that all instances have in flight.
     pub(crate) fn told(&mut self, total: u32, now: Moment) {
         self.others = f64::from(total.saturating_sub(self.own));
         self.reported_at = now;
     }
 
-    /// Returns the requests at the target.
+    /// Returns the estimated number of requests at the target.
     pub(crate) fn total(&self) -> f64 {
         f64::from(self.own) + self.others
     }
 
-    /// Returns the requests at the target, without the others' part if that was learnt longer ago.
+    /// Returns the estimated number of requests at the target, ignoring other instances if their
+    /// load was reported longer ago than `age`.
     pub(crate) fn known_within(&self, age: Duration, now: Moment) -> f64 {
         if now.since(self.reported_at) < age {
             self.total()
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Returns when the others' part was learnt.
+    /// Returns the time of the last report on the load of other instances.
     pub(crate) const fn reported_at(&self) -> Moment {
         self.reported_at
     }
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -1,8 +1,9 @@
-//! Which target gets a request, decided by the instance that took it.
+//! Selects the target of a request, in the instance that received it.
 //!
-//! Nobody is asked: a target refuses what it doesn't hold and what it has no room for, and both
-//! refusals say truly that nothing has run. So an instance may always decide alone, from what the
-//! platform lists, what targets report with their answers, and what the placer tells. See
+//! No coordination is needed: a target refuses requests for weights that it does not hold or that
+//! it has no room for, and both refusals guarantee that nothing was executed. An instance can
+//! therefore always decide on its own, based on the platform's list of targets, the load that
+//! targets report with their responses, and the notifications of the placer. See
 //! `docs/design/on-the-platform.md`.
 
 mod budget;
