--- a/crates/chervilshunt_core/src/dispatch/budget.rs
+++ b/crates/chervilshunt_core/src/dispatch/budget.rs
@@ -1,4 +1,4 @@
-//! A bound on second sendings that holds over all instances and in every window of time.
+//! A retry budget that holds across all instances and in every window of time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use chervilshunt_model::{Moment, ServiceName};
 use indexmap::IndexMap;
 
-/// How many sendings beyond the first of each request a service gets.
+/// Limits on the attempts beyond the first one per request of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowBudgetConfig {
-    /// The span over which sendings are counted.
+    /// The length of the sliding window in which attempts are counted.
     pub window: Duration,
-    /// Further sendings for each request of the window.
+    /// The number of extra attempts allowed per request in the window.
     pub ratio: f64,
-    /// Further sendings in a window however few requests there are, over all instances.
+    /// The number of extra attempts allowed in a window regardless of the number of requests,
+    /// shared by all instances.
     pub allowance: f64,
 }
 
@@ -27,14 +28,15 @@
     }
 }
 
-/// The part of the ratio that this instance uses. The windows of instances don't begin together,
-/// so that the sum over them may lie above each instance's own count.
+/// The share of its budget that one instance uses. The windows of the instances are not aligned, so
+/// the sum over all instances in one window can exceed what each of them counts.
 const USED_SHARE: f64 = 0.8;
 
-/// What one instance may send again to one service.
+/// The retry budget of one instance for one service.
 ///
-/// Beside the token bucket that bounds retries in the long run, this one counts in a sliding
-/// window: a burst that was saved up over minutes would pass a bound that holds in every window.
+/// It counts in a sliding window, in addition to the token bucket that limits retries in the long
+/// run: a burst saved up over minutes in a token bucket would exceed a limit that has to hold in
+/// every window.
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
     cfg: WindowBudgetConfig,
@@ -43,7 +45,7 @@
 }
 
 impl WindowBudget {
-    /// Starts with nothing counted.
+    /// Creates an empty budget.
     pub const fn new(cfg: WindowBudgetConfig) -> Self {
         Self {
             cfg,
@@ -52,13 +54,13 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a request received from a caller.
     pub fn record_request(&mut self, now: Moment) {
         self.forget(now);
         self.requests.push_back(now);
     }
 
-    /// Says whether one more sending is allowed while `instances` share the allowance.
+    /// Returns whether another attempt is allowed while `instances` share the allowance.
     pub fn allows_repeat(&mut self, instances: usize, now: Moment) -> bool {
         self.forget(now);
         let share = self.cfg.allowance / instances.max(1) as f64;
@@ -66,7 +68,7 @@
         (self.repeats.len() + 1) as f64 <= (share + earned) * USED_SHARE
     }
 
-    /// Says whether one more sending is allowed, and counts it if so.
+    /// Counts another attempt if it is allowed, and returns whether it is.
     pub fn try_repeat(&mut self, instances: usize, now: Moment) -> bool {
         let allowed = self.allows_repeat(instances, now);
         if allowed {
@@ -85,7 +87,7 @@
     }
 }
 
-/// The budgets of all services.
+/// The retry budgets of all services.
 #[derive(Clone, Debug)]
 pub struct ServiceBudgets {
     cfg: WindowBudgetConfig,
@@ -93,7 +95,7 @@
 }
 
 impl ServiceBudgets {
-    /// Starts with nothing counted.
+    /// Creates the budgets without any counted requests.
     pub fn new(cfg: WindowBudgetConfig) -> Self {
         Self {
             cfg,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Returns the budget of a service.
+    /// Returns the budget of a service, creating it if necessary.
     pub fn of(&mut self, service: &ServiceName) -> &mut WindowBudget {
         let cfg = self.cfg;
         let entry = self.services.entry(service.clone());
--- a/crates/chervilshunt_core/src/dispatch/health.rs
+++ b/crates/chervilshunt_core/src/dispatch/health.rs
@@ -1,25 +1,27 @@
-//! Whether a target answers, judged from its answers alone.
+//! Passive health checks: judges from a target's responses whether it works.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// How targets that fail are passed over.
+/// Configuration of how failing targets are avoided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthConfig {
-    /// How long a target is passed over after its first failure; it doubles with each further one.
+    /// How long a target is excluded after its first failure; each further failure doubles the
+    /// time.
     ///
-    /// It lies well under the time in which a crashed target leaves the platform's list, so that
-    /// one that was only slow once gets work back at once.
+    /// This is well below the time in which a crashed target disappears from the platform's list,
+    /// so that a target that was slow only once is used again soon.
     pub first_pause: Duration,
-    /// The longest time for which a target is passed over.
+    /// The longest time for which a target is excluded.
     pub longest_pause: Duration,
-    /// The share of failed requests beyond which a target that answers otherwise is passed over.
+    /// The share of failed requests above which a reachable target is avoided.
     ///
-    /// Sound services fail up to a seventh of their calls by themselves; a faulty target fails two
-    /// fifths and more.
+    /// Healthy services fail up to one call in seven; a faulty target fails two out of five or
+    /// more.
     pub failing_share: f64,
-    /// The weight of one outcome in the running share of failures: about ten outcomes count.
+    /// The weight of one outcome in the moving average of the share of failures: about ten outcomes
+    /// count.
     pub outcome_weight: f64,
 }
 
@@ -34,14 +36,14 @@
     }
 }
 
-/// What an exchange with a target showed of it.
+/// The health signal that one exchange with a target gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// It answered with success, or passed on a piece of an answer.
+    /// The target responded with success, or delivered part of a response.
     Served,
-    /// It answered that it failed, or broke an answer off.
+    /// The target responded with an error, or broke off a response.
     Failed,
-    /// No connection could be had, or it went silent: nobody may be there.
+    /// The connection failed or the target stopped responding, so it may be gone.
     Silent,
 }
 
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Takes in what an exchange showed.
+    /// Records the signal of an exchange.
     pub(crate) fn note(&mut self, cfg: &HealthConfig, sign: Sign, now: Moment) {
         match sign {
             Sign::Served => {
@@ -85,22 +87,22 @@
         }
     }
 
-    /// Says whether the target is passed over for silence.
+    /// Returns whether the target is excluded because it did not respond.
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
         now < self.silent_until
     }
 
-    /// Returns the share of failed requests above which more than a fair part of it is faulty.
+    /// Returns the moving average of the share of failed requests.
     pub(crate) fn failing_share(&self) -> f64 {
         self.failing_share
     }
 
-    /// Returns when the target last showed that it lives.
+    /// Returns the time of the last sign of life from the target.
     pub(crate) const fn heard_at(&self) -> Moment {
         self.heard_at
     }
 
-    /// Takes note that bytes came from the target.
+    /// Records that bytes were received from the target.
     pub(crate) fn heard(&mut self, now: Moment) {
         self.heard_at = now;
     }
