--- a/crates/chervilshunt_core/src/dispatch/facts.rs
+++ b/crates/chervilshunt_core/src/dispatch/facts.rs
@@ -1,4 +1,4 @@
-//! What is known of a target from outside.
+//! The externally visible state of a target.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -9,19 +9,19 @@
 use chervilshunt_model::{ServiceName, TargetName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// The weights that a request names: a base model, or an adapter of it.
+/// The weights requested: a base model or one of its adapters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Weights {
-    /// The base model.
+    /// The name of the base model.
     #[serde(rename = "m")]
     pub model: Arc<str>,
-    /// The adapter; none for the base model itself.
+    /// The name of the adapter, or `None` for the base model itself.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<Arc<str>>,
 }
 
 impl Weights {
-    /// Names a base model.
+    /// Creates a reference to a base model.
     pub fn base(model: &Arc<str>) -> Self {
         Self {
             model: Arc::clone(model),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Names an adapter of a base model.
+    /// Creates a reference to an adapter of a base model.
     pub fn adapter(model: &Arc<str>, adapter: &Arc<str>) -> Self {
         Self {
             model: Arc::clone(model),
@@ -47,41 +47,42 @@
     }
 }
 
-/// An adapter that a target holds.
+/// An adapter loaded on a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedAdapter {
-    /// Its name.
+    /// The name of the adapter.
     #[serde(rename = "n")]
     pub name: Arc<str>,
-    /// The version of its weights.
+    /// The version of the adapter's weights.
     #[serde(rename = "v")]
     pub version: u64,
 }
 
-/// A base model that a target holds.
+/// A base model loaded on a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// Its name.
+    /// The name of the base model.
     #[serde(rename = "n")]
     pub name: Arc<str>,
-    /// The version of its weights.
+    /// The version of the base model's weights.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Its adapters at the target.
+    /// The adapters of this base model that are loaded on the target.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub adapters: Vec<LoadedAdapter>,
 }
 
-/// When a target started, as it says itself, in milliseconds of the Unix epoch.
+/// The start time of a target as reported by the target itself, in milliseconds since the Unix
+/// epoch.
 ///
-/// A target may start again under the name that it had; what was known of it before is void then.
-/// Of two starts under one name the later one is the target that is there.
+/// A target may restart under the same name, which invalidates everything known about its previous
+/// run. Of two starts under one name, the later one is the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TargetStart(pub u64);
 
 impl TargetStart {
-    /// Compares what was told with what is known; where one of them is missing they count as the
-    /// same start.
+    /// Compares a reported start with the known one. If either is missing, they are considered
+    /// equal.
     pub(crate) fn compare(told: Option<Self>, known: Option<Self>) -> Ordering {
         match (told, known) {
             (Some(told), Some(known)) => told.cmp(&known),
@@ -90,51 +91,51 @@
     }
 }
 
-/// How a target leaves.
+/// How a target is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaving {
-    /// The time after which it is gone whatever it is doing, if it says so.
+    /// The time after which the target stops even if requests are still running, if it reports one.
     #[serde(rename = "g")]
     pub gone_after: Option<Duration>,
 }
 
-/// What the platform lists of one target.
+/// A target as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetFacts {
-    /// Its name, which it keeps when it starts again.
+    /// The name of the target, which survives restarts.
     #[serde(rename = "n")]
     pub name: TargetName,
-    /// When it started; none if it doesn't say so.
+    /// The start time of the target, or `None` if it does not report one.
     #[serde(rename = "b")]
     pub started: Option<TargetStart>,
-    /// The service that it belongs to.
+    /// The service that the target belongs to.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// Where it is called.
+    /// The address at which the target is called.
     #[serde(rename = "a")]
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The availability zone of the target.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Requests that it works on at a time.
+    /// The number of requests that the target executes concurrently.
     #[serde(rename = "c")]
     pub slots: u32,
-    /// Whether and how it leaves.
+    /// How the target is leaving, if it is.
     #[serde(rename = "l")]
     pub leaving: Option<Leaving>,
-    /// The models that it holds; empty for a target of a plain service.
+    /// The base models loaded on the target; empty for a target of a plain service.
     #[serde(rename = "m")]
     pub models: Vec<LoadedModel>,
 }
 
 impl TargetFacts {
-    /// Returns the version of a base model that it holds; none if it doesn't hold the model.
+    /// Returns the loaded version of a base model, or `None` if the target does not hold the model.
     pub fn version_of(&self, model: &str) -> Option<u64> {
         let mut models = self.models.iter();
         models.find(|it| &*it.name == model).map(|it| it.version)
     }
 
-    /// Returns the base models that it holds, with their versions.
+    /// Returns the loaded base models with their versions.
     pub fn model_versions(&self) -> Vec<(Arc<str>, u64)> {
         let models = self.models.iter();
         models
@@ -142,14 +143,14 @@
             .collect()
     }
 
-    /// Says whether another entry of the target lists the same base models in the same versions.
+    /// Returns whether another entry of the target lists the same base models in the same versions.
     pub fn lists_same_models(&self, other: &Self) -> bool {
         let versions = |it: &LoadedModel| (Arc::clone(&it.name), it.version);
         let (here, there) = (self.models.iter(), other.models.iter());
         here.map(versions).eq(there.map(versions))
     }
 
-    /// Returns the facts without the adapters that it lists, which change all the time.
+    /// Returns a copy without the loaded adapters, which change frequently.
     #[must_use]
     pub fn without_adapters(&self) -> Self {
         let mut facts = self.clone();
@@ -159,8 +160,9 @@
         facts
     }
 
-    /// Says whether a newer entry of the target tells something that every instance has to know
-    /// at once: all but the adapters that it holds, which the placer tells.
+    /// Returns whether a newer entry of the target contains a change that every instance has to
+    /// learn at once. This covers everything but the loaded adapters, about which the placer
+    /// notifies instances.
     pub fn concerns_all(&self, newer: &Self) -> bool {
         self.started != newer.started
             || self.service != newer.service
@@ -172,54 +174,54 @@
     }
 }
 
-/// What a target says of its load with an answer.
+/// The load that a target reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests being worked on.
+    /// The number of requests being executed.
     pub running: u32,
-    /// Requests that wait at the target.
+    /// The number of requests queued at the target.
     pub waiting: u32,
-    /// Requests that it works on at a time.
+    /// The number of requests that the target executes concurrently.
     pub slots: u32,
 }
 
-/// How much a request reads and generates.
+/// The number of tokens that a request reads and generates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestSize {
-    /// The tokens of its prompt.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens that are generated for it.
+    /// The maximum number of tokens to generate.
     pub output_tokens: u32,
 }
 
-/// A base model as the configuration describes it.
+/// A base model as described in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
-    /// Its name.
+    /// The name of the model.
     pub name: Arc<str>,
-    /// The size of its weights, in megabytes.
+    /// The size of the model's weights, in megabytes.
     pub megabytes: f64,
-    /// How long a load from the weight store takes when no other is under way.
+    /// How long a load from the weight store takes when no other load is in progress.
     pub load_time: Duration,
-    /// The size of each of its adapters, in megabytes.
+    /// The size of each adapter of the model, in megabytes.
     pub adapter_megabytes: f64,
 }
 
-/// How much the targets of a service may be ordered to hold.
+/// Limits on what the targets of a service may be ordered to hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementLimits {
     /// The models of the service.
     pub models: Vec<ModelSpec>,
-    /// Room for weights in one target, in megabytes, adapters included.
+    /// The memory for weights in one target, including adapters, in megabytes.
     pub megabytes: f64,
-    /// Adapters that one target may hold, those being loaded included.
+    /// The maximum number of adapters on one target, including those being loaded.
     pub adapter_slots: usize,
-    /// Loads of base models that the weight store allows in a second, over all targets.
+    /// The number of base model loads per second that the weight store allows, over all targets.
     pub loads_per_second: f64,
 }
 
 impl PlacementLimits {
-    /// Returns how many adapters a target may hold beside the base model.
+    /// Returns how many adapters fit on a target in addition to the base model.
     pub fn adapters_beside(&self, model: &str) -> usize {
         let Some(spec) = self.models.iter().find(|spec| &*spec.name == model) else {
             return 0;
--- a/crates/chervilshunt_core/src/dispatch/routes.rs
+++ b/crates/chervilshunt_core/src/dispatch/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: which service a request belongs to and how it may be treated.
+//! Routes, which map a request to a service and define how it is handled.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,48 +11,49 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It is idempotent.
+    /// The request is idempotent.
     Idempotent,
-    /// It runs at most once.
+    /// The request must run at most once.
     Never,
-    /// It is a stream that another target can resume after the last event that was passed on.
+    /// The request is a stream that another target can resume after the last event that was passed
+    /// on.
     Resumable,
 }
 
 impl Repeat {
-    /// Says whether a second run does no harm.
+    /// Returns whether running the request a second time is safe.
     pub const fn is_allowed(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 }
 
-/// How the requests of one path are treated.
+/// How the requests of one path are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name in the configuration.
+    /// The name of the route in the configuration.
     pub name: Arc<str>,
-    /// The path that its requests begin with; it begins and ends with a slash.
+    /// The path prefix of the route's requests; it begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streams: bool,
-    /// Whether its requests may run more than once.
+    /// Whether the route's requests may run more than once.
     pub repeat: Repeat,
-    /// The services that its requests go to, each with its share.
+    /// The services that receive the requests, each with its weight.
     pub services: Vec<(ServiceName, u32)>,
-    /// The longest time that a request is kept waiting for the end of its answer.
+    /// The longest time that a request may take until the end of its response.
     pub timeout: Duration,
-    /// The time to the first byte that callers want kept.
+    /// The target for the time to the first byte.
     pub objective: Duration,
-    /// The longest pause between two events of a stream that callers want kept.
+    /// The longest acceptable pause between two events of a stream.
     pub longest_pause: Option<Duration>,
-    /// Its rank; the most urgent is 0.
+    /// The priority of the route's requests; 0 is the most urgent.
     pub priority: u8,
-    /// The most targets that one request may run at.
+    /// The maximum number of targets that one request may be run on.
     pub max_targets: u32,
 }
 
 impl Route {
-    /// Picks the service for a request; `draw` is a random number from 0 to 1.
+    /// Picks the service for a request by weight; `draw` is a random number from 0 to 1.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.services.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * f64::from(total);
@@ -65,23 +66,23 @@
     }
 }
 
-/// A service as the configuration describes it.
+/// A service as described in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// Connections that one of its targets takes from all callers together.
+    /// The number of connections that one target of the service accepts from all clients together.
     pub max_connections: u32,
-    /// What its targets may be ordered to hold; none for a plain service.
+    /// Limits on what the targets may be ordered to hold, or `None` for a plain service.
     pub placement: Option<PlacementLimits>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// The longest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
     /// How long the head of a request may take to arrive.
     pub header_time: Duration,
@@ -89,21 +90,21 @@
     pub idle_time: Duration,
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
-    /// Its version; versions only rise.
+    /// The version of the configuration, which only increases.
     pub version: u64,
-    /// The routes of each host, those with the longest prefix first.
+    /// The routes of each host, the longest prefix first.
     hosts: IndexMap<Arc<str>, Vec<Arc<Route>>>,
     /// The services by name.
     pub services: IndexMap<ServiceName, ServiceSpec>,
-    /// Bounds on what callers may send.
+    /// Limits on what callers may send.
     pub bounds: CallerBounds,
 }
 
 impl RouteTable {
-    /// Makes a table from the routes, each with its host.
+    /// Creates a table from routes, each given with its host.
     pub fn new(
         version: u64,
         routes: impl IntoIterator<Item = (Arc<str>, Route)>,
@@ -129,13 +130,14 @@
         }
     }
 
-    /// Returns the route of a request: of those of its host the one with the longest prefix.
+    /// Returns the route of a request, which is the one with the longest matching prefix for the
+    /// host.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns how many routes there are.
+    /// Returns the total number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
