--- a/crates/chervilshunt_core/src/dispatch/guide.rs
+++ b/crates/chervilshunt_core/src/dispatch/guide.rs
@@ -1,44 +1,46 @@
-//! When an instance asks the platform what has changed, and when it is told enough to wait.
+//! Decides when an instance polls the platform for changes, and when it can rely on the placer's
+//! notifications instead.
 //!
-//! Targets change their entries about once a second, nearly always in what they hold, which the
-//! placer knows anyway. An instance that follows them by itself makes a call for each batch of
-//! changes, most of them for nothing, and the calls of all instances come out of one rate. So the
-//! placer looks often, and tells everyone what has changed that concerns them
-//! and up to which revision they have to know it; an instance asks for itself if it has missed
-//! something, and whenever the placer falls silent or has lost sight of the platform.
+//! Targets update their entries about once a second, nearly always because of the adapters they
+//! hold, which the placer already knows. An instance that polls on its own makes a call for each
+//! batch of changes, most of them to no effect, and the calls of all instances share one rate
+//! limit. Therefore the placer polls frequently, and notifies all instances of the changes that
+//! concern them and of the revision up to which they must be current. An instance polls on its own
+//! if it has missed a change, and whenever the placer is unreachable or has lost its connection to
+//! the platform.
 
 use std::time::Duration;
 
 use chervilshunt_model::{Moment, StoreRevision};
 
-/// How an instance follows a kind of objects.
+/// How an instance tracks objects of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// By itself: nobody tells it anything it can rely on.
+    /// It polls continuously, since there are no notifications to rely on.
     Alone,
-    /// Not at all for now: nothing has changed that concerns it.
+    /// It does not poll, since nothing relevant has changed.
     Rest,
-    /// By one call at once: something has changed.
+    /// It polls once immediately, since something has changed.
     Look,
 }
 
-/// How changes that the placer tells follow on what an instance has seen.
+/// How changes in a notification relate to the revision that an instance has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuity {
-    /// It has seen them, or something newer.
+    /// The instance has already seen them, or something newer.
     Known,
-    /// They are the next ones.
+    /// They directly follow what the instance has seen.
     Next,
-    /// Others came before them that it has not seen.
+    /// There were earlier changes that the instance has not seen.
     Gap,
 }
 
-/// What an instance is told about a kind of objects, and what it has seen itself.
+/// The notifications and polls of one kind of objects, as far as an instance knows them.
 #[derive(Clone, Copy, Debug)]
 pub struct Guide {
-    /// How long after the placer's own look what it told counts.
+    /// How long a notification stays valid, counted from the placer's own poll.
     trust: Duration,
-    /// The longest time without an own look, in case the placer overlooks something.
+    /// The longest time between polls, in case the placer misses a change.
     longest_rest: Duration,
     told_revision: StoreRevision,
     told_as_of: Option<Moment>,
@@ -46,7 +48,7 @@
 }
 
 impl Guide {
-    /// Starts with nothing told and nothing seen.
+    /// Creates the state without any notification or poll.
     pub const fn new(trust: Duration, longest_rest: Duration) -> Self {
         Self {
             trust,
@@ -57,24 +59,26 @@
         }
     }
 
-    /// Takes in that nothing concerns this instance after `revision`, as seen at a moment.
+    /// Records that, as observed at `as_of`, nothing after `revision` concerns this instance.
     ///
-    /// A message that was held up on its way is as old as what it tells, not as its arrival.
+    /// A delayed message is as old as the observation that it reports, not as its arrival.
     pub fn told(&mut self, revision: StoreRevision, as_of: Moment) {
         self.told_revision = self.told_revision.max(revision);
         self.told_as_of = self.told_as_of.max(Some(as_of));
     }
 
-    /// Takes in that something has changed up to a revision, without a word on when that was seen.
+    /// Records that something changed up to a revision, when the time of the observation is
+    /// unknown.
     pub fn changed(&mut self, revision: StoreRevision) {
         self.told_revision = self.told_revision.max(revision);
     }
 
-    /// Says how changes follow on what this instance has seen that lie after one revision and not after
-    /// another.
+    /// Returns how the changes after revision `after` up to `up_to` relate to what this instance
+    /// has seen.
     ///
-    /// Messages get lost with a connection, and come late after an own look. Taken in all the same, a
-    /// change would be missing until the next look, or an older one would replace a newer one.
+    /// Messages are lost with a connection, and may arrive after the instance has polled on its
+    /// own. If they were applied regardless, a change would be missing until the next poll, or an
+    /// older state would replace a newer one.
     pub fn follows(&self, after: StoreRevision, up_to: StoreRevision) -> Continuity {
         match self.looked {
             Some((revision, _)) if revision >= up_to => Continuity::Known,
@@ -83,24 +87,24 @@
         }
     }
 
-    /// Takes in that this instance has been told everything up to a revision.
+    /// Records that this instance has been notified of everything up to a revision.
     pub fn caught_up(&mut self, revision: StoreRevision) {
         if let Some((seen, _)) = &mut self.looked {
             *seen = revision.max(*seen);
         }
     }
 
-    /// Takes in that the placer can't be heard any more.
+    /// Records that the placer is unreachable.
     pub fn placer_lost(&mut self) {
         self.told_as_of = None;
     }
 
-    /// Takes in that this instance has itself seen everything up to a revision.
+    /// Records that this instance has itself polled everything up to a revision.
     pub fn looked(&mut self, revision: StoreRevision, now: Moment) {
         self.looked = Some((revision, now));
     }
 
-    /// Returns how to follow the objects now.
+    /// Returns how to track the objects now.
     pub fn pace(&self, now: Moment) -> Pace {
         if self.trusted_until().is_none_or(|until| now >= until) {
             return Pace::Alone;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Returns when the pace changes by time alone, if it does.
+    /// Returns when the mode next changes without any event, if it does.
     pub fn next_wakeup(&self, now: Moment) -> Option<Moment> {
         let trusted_until = self.trusted_until().filter(|until| *until > now)?;
         let rested = self.looked.map(|(_, at)| at + self.longest_rest);
