--- a/crates/chervilshunt_core/src/dispatch/holders.rs
+++ b/crates/chervilshunt_core/src/dispatch/holders.rs
@@ -1,4 +1,4 @@
-//! Which target holds which adapter, as one instance knows it.
+//! The targets that hold each adapter, as known to one instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,29 +9,31 @@
 
 use super::facts::{TargetStart, Weights};
 
-/// A target's hold on an adapter, as the placer knows it.
+/// A change in whether a target holds an adapter, as reported by the placer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The target.
+    /// The name of the target.
     pub target: TargetName,
-    /// When the target started that holds it; none if it doesn't say so.
+    /// The start of the target that this refers to, or `None` if the target does not report one.
     pub started: Option<TargetStart>,
     /// The adapter.
     pub weights: Weights,
-    /// The version that it holds; none once it no longer does, or is about to stop.
+    /// The version that the target holds, or `None` if it no longer holds the adapter or is about
+    /// to unload it.
     pub version: Option<u64>,
 }
 
-/// All that the placer knows of what one target holds and does, in few bytes.
+/// A compact summary of what the placer knows about the adapters and the load of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetSnapshot {
-    /// The target.
+    /// The name of the target.
     #[serde(rename = "t")]
     pub target: TargetName,
-    /// When the target started that the rest is about; none if it doesn't say so.
+    /// The start of the target that the rest refers to, or `None` if the target does not report
+    /// one.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub started: Option<TargetStart>,
-    /// Requests under way there.
+    /// The number of requests in flight at the target.
     #[serde(rename = "n")]
     pub in_flight: u32,
     /// The adapters that requests can use, by base model.
@@ -39,31 +41,31 @@
     pub models: Vec<HeldAdapters>,
 }
 
-/// The adapters of one base model that requests can use at a target.
+/// The adapters of one base model that requests can use on a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldAdapters {
-    /// The base model.
+    /// The name of the base model.
     #[serde(rename = "n")]
     pub model: Arc<str>,
-    /// The adapters' names with the versions that are held.
+    /// The names of the adapters, each with the version that the target holds.
     #[serde(rename = "a")]
     pub adapters: Vec<(Arc<str>, u64)>,
 }
 
-/// The versions of some weights that have been named, and since when each is known.
+/// The announced versions of some weights, each with the time since which it is known.
 ///
-/// One may be named before the last one is everywhere. Each is counted from its own naming: counted
-/// from the last one, a version that should long have gone would serve for as long as new ones follow
-/// each other.
+/// A new version may be announced before the previous one is loaded everywhere. The grace period of
+/// each starts at its own announcement: counted from the latest one, an obsolete version would keep
+/// serving for as long as new versions follow each other.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NamedVersions {
-    /// In the order of their numbers, which is that of their naming.
+    /// In ascending order of versions, which is the order of their announcement.
     named: Vec<(u64, Moment)>,
 }
 
 impl NamedVersions {
-    /// Takes in that a version is the newest, and forgets those older than one that has been known for
-    /// `kept_for`, the longest time that is asked about.
+    /// Records a version as the newest, and forgets versions older than one that has been known for
+    /// `kept_for`, the longest period that callers ask about.
     pub(crate) fn name(&mut self, version: u64, kept_for: Duration, now: Moment) {
         if self.newest().is_some_and(|newest| newest >= version) {
             return;
@@ -79,20 +81,20 @@
         self.newest_entry().map(|(version, _)| version)
     }
 
-    /// Returns the newest version and the moment since which it has been known.
+    /// Returns the newest version and the time since which it is known.
     pub(crate) fn newest_entry(&self) -> Option<(u64, Moment)> {
         self.named.last().copied()
     }
 
-    /// Returns since when the oldest listed version newer than the given one has been known; None if
-    /// no newer version is known.
+    /// Returns the time since which the oldest recorded version newer than `version` is known, or
+    /// `None` if no newer version is known.
     pub(crate) fn superseded_at(&self, version: u64) -> Option<Moment> {
         let mut newer = self.named.iter().filter(|(named, _)| *named > version);
         newer.next().map(|(_, since)| *since)
     }
 
-    /// Returns the oldest version that may still serve: the newest of those that have been known for
-    /// longer than the grace. None if all older ones may.
+    /// Returns the oldest version that may still serve, which is the newest of those known for
+    /// longer than the grace period. Returns `None` if all older ones may serve.
     pub(crate) fn oldest_allowed(&self, grace: Duration, now: Moment) -> Option<u64> {
         let mut named = self.named.iter().rev();
         let due = named.find(|(_, since)| now.since(*since) >= grace);
@@ -100,14 +102,14 @@
     }
 }
 
-/// Holders by adapter.
+/// The targets that hold each adapter.
 #[derive(Debug, Default)]
 pub(crate) struct Holders {
     by_weights: HashMap<Weights, Vec<(TargetName, u64)>>,
 }
 
 impl Holders {
-    /// Takes in that a target holds, or no longer holds, an adapter.
+    /// Records that a target holds, or no longer holds, an adapter.
     pub(crate) fn set(&mut self, holding: Holding) {
         let held = self.by_weights.entry(holding.weights.clone()).or_default();
         held.retain(|(target, _)| *target != holding.target);
@@ -126,7 +128,7 @@
         });
     }
 
-    /// Returns the targets that hold an adapter, with the versions that they hold.
+    /// Returns the targets that hold an adapter, each with the version that it holds.
     pub(crate) fn of(&self, weights: &Weights) -> &[(TargetName, u64)] {
         self.by_weights.get(weights).map_or(&[], Vec::as_slice)
     }
--- a/crates/chervilshunt_core/src/dispatch/said.rs
+++ b/crates/chervilshunt_core/src/dispatch/said.rs
@@ -1,7 +1,7 @@
-//! What targets say of themselves with their answers.
+//! State that targets report about themselves with their responses.
 //!
-//! It holds at once and without the platform: a target's entry is as old as its last heartbeat, and
-//! nobody can write or read it while the platform is away.
+//! It takes effect immediately and does not depend on the platform: a target's entry is as old as
+//! its last heartbeat, and can neither be written nor read while the platform is unavailable.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use super::facts::{Leaving, TargetStart};
 use super::state::{Dispatch, Target};
 
-/// Targets that have said that they leave which are remembered, those that are gone included: their
-/// entries may be listed for some time.
+/// The number of targets that reported that they are leaving which are remembered. Targets that are
+/// gone count too, since their entries may stay listed for some time.
 const REMEMBERED_LEAVING: usize = 1_024;
-/// The longest pause that is granted, against a figure that nobody meant.
+/// The longest pause that a target is granted, as a guard against implausible values.
 const LONGEST_PAUSE: Duration = Duration::from_secs(10 * 60);
 
-/// The starts of targets that have said that they leave, the latest at the end.
+/// The starts of targets that reported that they are leaving, the most recent one last.
 #[derive(Debug, Default)]
 pub(crate) struct SaidLeaving(IndexMap<TargetName, Option<TargetStart>>);
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Says whether a start of a target has said that it leaves.
+    /// Returns whether this start of a target has reported that it is leaving.
     pub(crate) fn includes(&self, target: &TargetName, started: Option<TargetStart>) -> bool {
         let said = self.0.get(target);
         said.is_some_and(|said| TargetStart::compare(started, *said).is_le())
@@ -38,10 +38,10 @@
 }
 
 impl Dispatch {
-    /// Takes in that a start of a target says that it leaves, and returns whether that is new.
+    /// Records that a target reports that it is leaving, and returns whether that is new.
     ///
-    /// Its entry may say otherwise for as long as the platform is away; it stays leaving until another
-    /// start of it is seen.
+    /// The target's entry may contradict this for as long as the platform is unavailable; the
+    /// target counts as leaving until it is seen with a later start.
     pub fn says_it_leaves(&mut self, target: &TargetName, started: Option<TargetStart>) -> bool {
         let Some(known) = self.targets.get_mut(target) else {
             return false;
@@ -59,7 +59,7 @@
         is_new
     }
 
-    /// Takes in that a target wants nothing from this instance for a time.
+    /// Records that a target asks this instance to send it no requests for a time.
     pub fn wants_pause(&mut self, target: &TargetName, pause: Duration, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
             let until = now + pause.min(LONGEST_PAUSE);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the targets of a service to which this instance must not send.
+    /// Returns the targets of a service that this instance must not send requests to.
     pub fn closed(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
         let targets = self.targets.values();
         let closed = targets.filter(|it| {
@@ -78,7 +78,7 @@
 }
 
 impl Target {
-    /// Says whether the target wants nothing from this instance now.
+    /// Returns whether the target has asked this instance not to send requests now.
     pub(crate) fn is_paused(&self, now: Moment) -> bool {
         now < self.paused_until
     }
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! All that one instance knows of the targets.
+//! The state of all targets as known to one instance.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -16,43 +16,43 @@
 use super::uses::UseTable;
 use crate::residency::Use;
 
-/// The silence after which nobody counts on a placer any more.
+/// The time without a message after which the placer is considered unreachable.
 const PLACER_SILENCE: Duration = Duration::from_secs(3);
-/// How long what a placer told of all targets counts for more than what they list of themselves, which
-/// is up to a heartbeat and a half behind.
+/// How long the placer's snapshot of all targets takes precedence over what the targets list
+/// themselves, which lags behind by up to one and a half heartbeats.
 const SNAPSHOT_TRUST: Duration = Duration::from_secs(3);
 
-/// The silence after which a placer is no longer asked about each request: three of the intervals at
-/// which it tells something.
+/// The time without a message after which the placer is no longer asked to place requests: three
+/// times the interval at which it sends updates.
 const GUIDED_SILENCE: Duration = Duration::from_millis(1_300);
-/// Targets that are gone whose last start is remembered, against entries that come late: far more
-/// than fail in the time for which a write can be late.
+/// The number of removed targets whose last start is remembered, so that late entries can be
+/// recognized. Far more than fail within the time by which a write can be late.
 const REMEMBERED_GONE: usize = 1_024;
 
-/// One target as this instance knows it.
+/// The state of one target as known to this instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) facts: TargetFacts,
     pub(crate) load: TargetLoad,
     pub(crate) health: TargetHealth,
-    /// Until when it wants nothing from this instance.
+    /// The time until which the target has asked this instance not to send requests.
     pub(crate) paused_until: Moment,
 }
 
-/// What an entry of the platform's list says, beside what was known.
+/// How an entry in the platform's list relates to the known state of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryChange {
-    /// The target was not known.
+    /// The target was unknown.
     New,
     /// The target was known.
     Known,
-    /// The target has started again under its name; nothing of before holds.
+    /// The target has restarted under its name, which invalidates its earlier state.
     Restarted,
-    /// An earlier start of the target wrote the entry, which came late and is void.
+    /// The entry was written by an earlier start of the target and arrived late, so it is ignored.
     Outdated,
 }
 
-/// All that one instance knows of the targets, and the choice among them.
+/// The state of all targets as known to one instance, and the selection among them.
 #[derive(Debug)]
 pub struct Dispatch {
     pub(crate) cfg: DispatchConfig,
@@ -62,17 +62,18 @@
     pub(crate) versions: HashMap<Weights, NamedVersions>,
     pub(crate) said_leaving: SaidLeaving,
     uses: UseTable,
-    /// The last start of each target that is gone, the latest at the end.
+    /// The last start of each removed target, the most recently removed last.
     gone: IndexMap<TargetName, Option<TargetStart>>,
     placer_heard: Option<Moment>,
-    /// Whether the placer has told that it places, and nothing speaks against it since.
+    /// Whether the placer has reported that it places requests, and nothing has contradicted that
+    /// since.
     is_placing: bool,
-    /// When a placer whose lease ended told what all targets hold.
+    /// When the snapshot of a placer whose lease ended was applied.
     snapshot_at: Option<Moment>,
 }
 
 impl Dispatch {
-    /// Starts without targets, for an instance in `zone`.
+    /// Creates the state without targets, for an instance in `zone`.
     pub fn new(cfg: DispatchConfig, zone: ZoneName) -> Self {
         Self {
             cfg,
@@ -89,11 +90,11 @@
         }
     }
 
-    /// Takes in what the platform lists of a target.
+    /// Applies the platform's entry of a target.
     ///
-    /// One that has started again holds nothing and knows nothing of what it was sent. Counted on,
-    /// requests of before would keep work from it, and adapters of before would draw requests that
-    /// it refuses.
+    /// A restarted target holds no adapters and has none of the requests that were sent to it
+    /// before. If these were still counted, old requests would keep new ones away from it, and old
+    /// adapters would attract requests that it refuses.
     pub fn target_seen(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let change = self.target_told(facts.clone(), now);
         let snapshot_age = self.snapshot_at.map(|at| now.since(at));
@@ -103,7 +104,7 @@
         change
     }
 
-    /// Takes in what the placer tells of a target's entry, which leaves out the adapters that it holds.
+    /// Applies a target's entry forwarded by the placer, which omits the adapters that it holds.
     pub fn target_told(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let known = self.targets.get(&facts.name).map(|it| it.facts.started);
         let last = known.unwrap_or_else(|| self.gone.get(&facts.name).copied().flatten());
@@ -138,7 +139,7 @@
         change
     }
 
-    /// Forgets a target that is gone.
+    /// Removes a target that is gone.
     pub fn target_gone(&mut self, name: &TargetName) {
         let target = self.targets.swap_remove(name);
         if let Some(target) = target {
@@ -152,32 +153,33 @@
         self.uses.forget_target(name);
     }
 
-    /// Says whether an entry is one of a target's start that was known and is gone.
+    /// Returns whether an entry belongs to a start of a target that was known and has been removed.
     pub fn was_gone(&self, facts: &TargetFacts) -> bool {
         let last = self.gone.get(&facts.name);
         !self.targets.contains_key(&facts.name)
             && last.is_some_and(|last| TargetStart::compare(facts.started, *last).is_le())
     }
 
-    /// Returns what the platform lists of a target.
+    /// Returns the platform's entry of a target.
     pub fn target(&self, name: &TargetName) -> Option<&TargetFacts> {
         self.targets.get(name).map(|target| &target.facts)
     }
 
-    /// Returns all targets.
+    /// Returns the entries of all targets.
     pub fn targets(&self) -> impl Iterator<Item = &TargetFacts> {
         self.targets.values().map(|target| &target.facts)
     }
 
-    /// Returns how many targets of a service are known, fit or not.
+    /// Returns how many targets of a service are known, whether usable or not.
     pub fn listed(&self, service: &ServiceName) -> usize {
         let targets = self.targets.values();
         targets.filter(|it| it.facts.service == *service).count()
     }
 
-    /// Takes in everything that a placer knew of the targets when its lease ended.
+    /// Applies the placer's knowledge of all targets at the time its lease ended.
     ///
-    /// Nobody orders targets from then until there is another placer, so that this is what they hold.
+    /// No orders are sent to targets until there is another placer, so this is what the targets
+    /// hold.
     pub fn take_snapshots(&mut self, snapshots: Vec<TargetSnapshot>, now: Moment) {
         self.snapshot_at = Some(now);
         for snapshot in snapshots {
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Takes in one hold, unless it is one of an earlier start of its target.
+    /// Applies a change in the adapters of a target, unless it refers to an earlier start of the
+    /// target.
     pub fn holding_changed(&mut self, holding: Holding) {
         let known = self.started(&holding.target);
         if TargetStart::compare(holding.started, known) != Ordering::Less {
@@ -220,37 +223,39 @@
         }
     }
 
-    /// Takes note that the placer is there.
+    /// Records a sign of life from the placer.
     pub fn placer_heard(&mut self, now: Moment) {
         self.placer_heard = Some(now);
     }
 
-    /// Takes in whether the placer places: until it knows what targets hold, an instance is better off
-    /// with what it knows itself.
+    /// Records whether the placer places requests. Until the placer knows what targets hold, an
+    /// instance does better with its own knowledge.
     pub fn placer_told(&mut self, is_placing: bool, now: Moment) {
         self.placer_heard = Some(now);
         self.is_placing = is_placing;
     }
 
-    /// Takes note that the placer does not answer: until it tells that it places, requests use what is
-    /// known of who holds what.
+    /// Records that the placer does not answer. Requests use this instance's own knowledge of the
+    /// holders until the placer reports again that it places requests.
     pub fn placer_lost(&mut self) {
         self.is_placing = false;
     }
 
-    /// Says whether the placer chooses targets: it knows what all instances have under way, and which
-    /// adapters are about to go. Otherwise an instance chooses by itself.
+    /// Returns whether the placer selects targets, since it knows the requests that all instances
+    /// have in flight and which adapters are about to be unloaded. Otherwise this instance selects
+    /// targets itself.
     pub fn is_guided(&self, now: Moment) -> bool {
         self.is_placing && self.heard_within(GUIDED_SILENCE, now)
     }
 
-    /// Says whether the placer has been heard within a time.
+    /// Returns whether a message from the placer was received within the given time.
     pub fn heard_within(&self, silence: Duration, now: Moment) -> bool {
         self.placer_heard.is_some_and(|at| now.since(at) < silence)
     }
 
-    /// Returns the targets of a service to which this instance would rather not send, since they were
-    /// silent or failed of late; none if that is true of most, as the fault may be its own.
+    /// Returns the targets of a service that this instance prefers not to use, because they
+    /// recently did not respond or failed. Empty if that is true of most of them, since the fault
+    /// may then lie with this instance.
     pub fn doubtful(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
         let targets = self.targets.values();
         let serving = targets.filter(|it| it.facts.service == *service);
@@ -265,12 +270,12 @@
         names.collect()
     }
 
-    /// Says whether the placer has been heard of late.
+    /// Returns whether a message from the placer was received recently.
     pub fn is_placer_heard(&self, now: Moment) -> bool {
         self.heard_within(PLACER_SILENCE, now)
     }
 
-    /// Takes in that a version of some weights is the newest.
+    /// Records the newest version of some weights.
     pub fn version_named(&mut self, weights: Weights, version: u64, now: Moment) {
         let named = self.versions.entry(weights).or_default();
         let kept_for = self
@@ -280,21 +285,22 @@
         named.name(version, kept_for, now);
     }
 
-    /// Returns the newest version of some weights and how long it has been known; none if no version
-    /// has been named.
+    /// Returns the newest version of some weights and how long it has been known, or `None` if no
+    /// version has been announced.
     pub fn newest_version(&self, weights: &Weights, now: Moment) -> Option<(u64, Duration)> {
         let (version, since) = self.versions.get(weights)?.newest_entry()?;
         Some((version, now.since(since)))
     }
 
-    /// Returns the time by which a request sent for a version of some weights must begin to run; None
-    /// if no newer version is known.
+    /// Returns the time by which a request sent for a version of some weights must begin to run, or
+    /// `None` if no newer version is known.
     pub fn begin_deadline(&self, weights: &Weights, version: u64) -> Option<Moment> {
         let superseded_at = self.versions.get(weights)?.superseded_at(version)?;
         Some(superseded_at + self.cfg.old_version_begin_limit)
     }
 
-    /// Takes in that a target says that it does not hold an adapter, or not in that version.
+    /// Records that a target reports that it does not hold an adapter, or not in the expected
+    /// version.
     pub fn not_held(&mut self, target: &TargetName, weights: &Weights) {
         self.holders.set(Holding {
             target: target.clone(),
@@ -304,7 +310,7 @@
         });
     }
 
-    /// Returns when a target started, as far as is known.
+    /// Returns the start of a target, as far as known.
     pub fn started(&self, target: &TargetName) -> Option<TargetStart> {
         self.targets.get(target).and_then(|it| it.facts.started)
     }
@@ -317,7 +323,7 @@
         }
     }
 
-    /// Counts a request that ended, to a target as it had started when the request was sent.
+    /// Counts a request that ended; `started` is the start of the target when the request was sent.
     pub fn ended(
         &mut self,
         target: &TargetName,
@@ -333,42 +339,42 @@
         }
     }
 
-    /// Counts prompt tokens that a target has to read before it answers.
+    /// Adds prompt tokens that a target has to prefill before it answers.
     pub fn reads(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
             target.load.reads(tokens);
         }
     }
 
-    /// Counts prompt tokens that a target has read, or no longer has to.
+    /// Removes prompt tokens that a target has prefilled or no longer has to.
     pub fn has_read(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
             target.load.has_read(tokens);
         }
     }
 
-    /// Takes in what a target says of its load.
+    /// Applies the load that a target reports.
     pub fn reported(&mut self, target: &TargetName, report: LoadReport, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
             target.load.reported(report, now);
         }
     }
 
-    /// Takes in what an exchange showed of a target.
+    /// Records the health signal of an exchange with a target.
     pub fn sign(&mut self, target: &TargetName, sign: Sign, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
             target.health.note(&self.cfg.health, sign, now);
         }
     }
 
-    /// Takes note that bytes came from a target.
+    /// Records that bytes were received from a target.
     pub fn heard(&mut self, target: &TargetName, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
             target.health.heard(now);
         }
     }
 
-    /// Returns everything that was used since the last call, with what is under way of it.
+    /// Returns everything used since the last call, with the current number of requests in flight.
     pub fn tell_uses(&mut self) -> Vec<Use> {
         self.uses.tell()
     }
--- a/crates/chervilshunt_core/src/dispatch/uses.rs
+++ b/crates/chervilshunt_core/src/dispatch/uses.rs
@@ -1,4 +1,4 @@
-//! What this instance has under way, by target and adapter.
+//! The requests that this instance has in flight, by target and adapter.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use super::facts::Weights;
 use crate::residency::Use;
 
-/// Requests under way by target and weights, and what was used since it was last told.
+/// Requests in flight by target and weights, including entries used since the last report.
 #[derive(Debug, Default)]
 pub(crate) struct UseTable {
     in_flight: HashMap<(TargetName, Option<Weights>), u32>,
@@ -22,8 +22,8 @@
 
     /// Counts a request that ended.
     ///
-    /// Its line stays until it has been told, so that the placer learns of uses shorter than the
-    /// time between two tellings.
+    /// Its entry remains until it has been reported, so that the placer also learns of uses shorter
+    /// than the time between two reports.
     pub(crate) fn ended(&mut self, target: &TargetName, weights: Option<&Weights>) {
         let key = (target.clone(), weights.cloned());
         if let Some(count) = self.in_flight.get_mut(&key) {
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Forgets what is under way at a target that is gone.
+    /// Forgets the requests in flight at a target that is gone.
     pub(crate) fn forget_target(&mut self, target: &TargetName) {
         self.in_flight.retain(|(at, _), _| at != target);
     }
 
-    /// Returns everything that was used since the last call, and forgets what no longer is.
+    /// Returns everything used since the last call, and removes entries without requests in flight.
     pub(crate) fn tell(&mut self) -> Vec<Use> {
         let uses = self.in_flight.iter().map(|((target, weights), count)| Use {
             target: target.clone(),
