--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -1,4 +1,4 @@
-//! What targets answer to orders and questions.
+//! Handles the answers of targets to orders and report requests.
 
 use std::cmp::Ordering;
 
@@ -14,7 +14,7 @@
 use crate::owner::OrderKind;
 
 impl Residency {
-    /// Takes in a target's answer to an order.
+    /// Handles a target's answer to an order.
     pub(super) fn answered(
         &mut self,
         number: OrderNumber,
@@ -26,29 +26,32 @@
             Turn::Out(order) if order.number == number => Some((order.clone(), target.ordered_at)),
             Turn::Out(_) | Turn::Unknown(_) | Turn::Asked | Turn::Free(_) => None,
         });
-        // An order to a target that is gone, or that was given up on, changes nothing any more.
+        // An order to a target that is gone, or that was given up on, no longer has any effect.
         let Some((order, ordered_at)) = out_here else {
             return;
         };
         let lag = self.cfg.report_lag;
         let accepted = order.accepted_before;
         let turn = match answer {
-            // A report shows when it has ended, and what it has come to.
+            // A report shows when the order has ended, and with what result.
             _ if order.weights.adapter.is_none() => Turn::Unknown(now + lag),
-            // Nor is one that is under way already and is given again to see whether it has ended.
+            // The repeated order of a load that is still in progress is not counted.
             OrderAnswer::Accepted if self.is_confirming(&order) => Turn::Free(accepted),
-            // It waits for the last request with the adapter to end, and tells nobody when it is done.
+            // The target waits for the last request with the adapter to end, and does not report
+            // when it is done.
             OrderAnswer::Accepted if order.kind == OrderKind::Unload => Turn::Unknown(now + lag),
             OrderAnswer::Accepted => Turn::Free(accepted + 1),
-            // An order that holds already is not counted; an adapter is given up at once and is.
+            // A load order for an adapter that is already loaded is not counted; an unload that
+            // completes immediately is.
             OrderAnswer::Done if order.kind == OrderKind::Load => Turn::Free(accepted),
             OrderAnswer::Done => Turn::Free(accepted + 1),
-            // Tried again at once it would be tried without end.
+            // An immediate retry could repeat forever.
             OrderAnswer::NotSent
             | OrderAnswer::OutOfTurn
             | OrderAnswer::OtherTarget
             | OrderAnswer::Refused => Turn::Unknown(now + lag),
-            // What became of it shows so long after it left, of which most has passed.
+            // The outcome is visible this long after the order was sent, and most of that time has
+            // passed.
             OrderAnswer::Unanswered => Turn::Unknown(now.max(ordered_at + lag)),
         };
         if let Some(target) = self.targets.get_mut(&order.target) {
@@ -106,9 +109,10 @@
                 out.push(tell(&order.target, &order.weights, Some(version)));
                 self.answer_loaded(questions, &order.target, outdated, now, out);
             }
-            // Another order has been carried out meanwhile; this one tells nothing.
+            // Another order has been executed in the meantime, so the answer says nothing about
+            // this load.
             OrderAnswer::OutOfTurn if confirming => hold.state = HoldState::Loading(look_again),
-            // It is still under way.
+            // The load is still in progress.
             OrderAnswer::Accepted if confirming => {
                 let after = hold.accepted_at.map(|at| now.since(at));
                 if !hold.from_store && after.is_some_and(|it| it > self.cfg.longest_warm_load) {
@@ -123,17 +127,19 @@
                 hold.state = HoldState::Loading(now + load_time + self.cfg.load_margin);
                 hold.accepted_at = Some(now);
             }
-            // A load that should have ended by now most likely has; if not, the target refuses
-            // truly. Those who wait would be no better off at another target.
+            // A load that should have ended by now most likely has; if not, the target refuses the
+            // requests without running them. The waiting requests would be no better off at another
+            // target.
             OrderAnswer::Unanswered if confirming => {
-                // When it ended will not be known, which would seem to be a slow weight store.
+                // The time at which the load ended will not be known; a late guess would look like
+                // a slow weight store.
                 hold.accepted_at = None;
                 let questions = hold.take_questions();
                 let outdated = hold.outdated;
                 self.answer_loaded(questions, &order.target, outdated, now, out);
             }
-            // Without an answer it may still be loaded, and counts as taking a slot until the
-            // target has been asked.
+            // Without an answer the adapter may still be loaded, and counts as taking a slot until
+            // the target has reported.
             OrderAnswer::Unanswered => {
                 let questions = hold.take_questions();
                 self.place_elsewhere(&order.target, questions, now, out);
@@ -155,7 +161,8 @@
         };
         match answer {
             OrderAnswer::Done => target.gave_up(&order.weights),
-            // It waits for its last requests; the next report shows whether it is gone.
+            // The target waits for its last requests; the next report shows whether the adapter has
+            // been unloaded.
             OrderAnswer::Accepted | OrderAnswer::Unanswered => {}
             OrderAnswer::OutOfTurn
             | OrderAnswer::OtherTarget
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Takes in what a target holds, as it says itself.
+    /// Applies a target's report of what it holds.
     pub(super) fn reported(
         &mut self,
         name: &TargetName,
@@ -180,7 +187,7 @@
         let mut loaded = Vec::new();
         let mut lost = Vec::new();
         match self.compare_start(name, report.started) {
-            // From before the start that is there.
+            // The report is from before the current start of the target.
             Some(Ordering::Less) => return self.not_reported(name, now),
             Some(Ordering::Greater) => return self.restart_reported(name, report, now, out),
             Some(Ordering::Equal) | None => {}
@@ -221,7 +228,7 @@
                 ..Hold::new(HoldState::Ready, *version, now)
             };
             let hold = target.holds.entry(weights.clone()).or_insert(fresh);
-            // Its last request has not ended, or the order was lost: the target is told again.
+            // Its last request has not ended, or the order was lost: the order is sent again.
             if hold.state == HoldState::Unloading {
                 hold.state = HoldState::Ending;
                 continue;
@@ -235,8 +242,9 @@
         for weights in &report.loading {
             let coming = Hold::new(HoldState::Loading(ready_at), FIRST_KNOWN, now);
             let hold = target.holds.entry(weights.clone()).or_insert(coming);
-            // A lost order may be carried out while the same load is planned once more: left planned, it
-            // would count for no slot, and the next order could be one too many, which kills the target.
+            // A lost order may be executed while the same load is planned again. If the load stayed
+            // planned it would count for no slot, and the next order could exceed the target's
+            // slots, which kills it.
             if matches!(hold.state, HoldState::Ordered | HoldState::Planned) {
                 hold.state = HoldState::Loading(ready_at);
             }
@@ -247,7 +255,7 @@
         self.answer_later(lost, out);
     }
 
-    /// Takes in the report of a start of which the platform does not list anything yet.
+    /// Handles the report of a start that the platform does not list yet.
     fn restart_reported(
         &mut self,
         name: &TargetName,
@@ -266,7 +274,7 @@
         self.target_restarted(facts, now, out);
     }
 
-    /// Takes in that a target could not be asked.
+    /// Records that a target did not answer a report request.
     pub(super) fn not_reported(&mut self, name: &TargetName, now: Moment) {
         let again = now + self.cfg.report_lag;
         if let Some(target) = self.targets.get_mut(name)
@@ -279,5 +287,5 @@
     }
 }
 
-/// The version that a load under way is taken to bring until the target lists it.
+/// The version assumed for a load in progress until the target lists it.
 const FIRST_KNOWN: u64 = 1;
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -1,4 +1,5 @@
-//! Giving orders: at most one on its way to a target, and within the weight store's pace.
+//! Schedules orders: at most one in flight per target, and no more loads than the weight store can
+//! serve.
 
 use chervilshunt_model::{Moment, TargetName};
 use indexmap::IndexSet;
@@ -12,7 +13,7 @@
 use crate::owner::OrderKind;
 
 impl Residency {
-    /// Does whatever has become due or possible at any target.
+    /// Performs whatever has become due or possible on any target.
     pub(super) fn advance(&mut self, now: Moment, out: &mut Vec<ResidencyAction>) {
         let due = self.targets.iter().filter(|(_, target)| {
             let summary = &target.summary;
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Returns how many loads from the weight store wait to be ordered.
+    /// Returns the number of loads from the weight store that have not been ordered.
     pub(super) fn waiting_fetches(&self) -> usize {
         let targets = self.targets.values().map(|it| {
             if it.touched {
@@ -65,7 +66,7 @@
         targets.sum()
     }
 
-    /// Returns how many loads of adapters from the weight store are under way.
+    /// Returns the number of adapter loads from the weight store that are in progress.
     pub(super) fn loads_under_way(&self) -> usize {
         let targets = self.targets.values();
         let fetching = targets.map(|it| {
@@ -78,7 +79,7 @@
         fetching.sum()
     }
 
-    /// Says whether a target could begin to load an adapter now.
+    /// Returns whether a target could start loading an adapter now.
     fn can_begin(&self, name: &TargetName, weights: &Weights) -> bool {
         let Some(target) = self.targets.get(name) else {
             return false;
@@ -90,11 +91,11 @@
             && limits.is_some_and(|it| target.slots_taken() < it.adapters_beside(&weights.model))
     }
 
-    /// Lets planned loads begin: those from a target's memory, and of the others as many as the window
-    /// has room for, the oldest first.
+    /// Admits planned loads: all loads from a target's memory, and as many loads from the weight
+    /// store as fit into the window, oldest first.
     ///
-    /// Those that wait for a slot, or for what their target says to an order, are passed over: they
-    /// would hold the window's room and load nothing.
+    /// Loads that wait for a slot, or for their target's answer to an order, are skipped: they
+    /// would occupy the window without loading anything.
     fn admit(&mut self) {
         let room = self.window.size().saturating_sub(self.loads_under_way());
         let waiting = self.waiting_loads();
@@ -108,8 +109,8 @@
             .collect();
     }
 
-    /// Gives up planned loads that would end after everybody has stopped waiting, so that those who
-    /// wait are told while they can still come back.
+    /// Drops planned loads that would end after every waiting request has timed out, so that those
+    /// requests are answered while they can still retry.
     fn drop_unwanted(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let times = self.load_times();
         let Some(target) = self.targets.get_mut(name) else {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Gives a target its next order, if it can take one.
+    /// Sends a target its next order if it can accept one.
     fn next_order(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let Some(Turn::Free(accepted)) = self.targets.get(name).map(|it| it.turn.clone()) else {
             return;
@@ -179,8 +180,9 @@
 
     /// Returns a load that should have ended by now.
     ///
-    /// Nothing tells when a load has ended, and how long it takes depends on how many others the
-    /// weight store serves. The order given again tells: it holds already, or is still under way.
+    /// Targets do not report the end of a load, and its duration depends on how many others the
+    /// weight store serves. Repeating the order reveals it: the adapter is already loaded, or the
+    /// load is still in progress.
     fn next_confirmation(
         &self,
         name: &TargetName,
@@ -196,7 +198,7 @@
         self.newest.contains_key(weights).then_some(hold.version)
     }
 
-    /// Returns the planned load that is next.
+    /// Returns the next admitted load.
     fn next_load(&self, name: &TargetName) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
         let mut planned = target.holds.iter();
@@ -210,7 +212,7 @@
         Some((OrderKind::Load, weights.clone(), self.named(weights, hold)))
     }
 
-    /// Returns the next adapter that is to be given up.
+    /// Returns the next adapter that is to be unloaded.
     fn next_unload(
         &self,
         name: &TargetName,
@@ -221,9 +223,10 @@
         Some((OrderKind::Unload, due.clone(), None))
     }
 
-    /// Returns an adapter that is given up to make room for a load that is planned.
+    /// Returns an adapter to evict for a planned load.
     ///
-    /// It goes when its place is needed and not before: kept, it serves the next request without a load.
+    /// It is evicted only once its slot is needed: until then, it can serve the next request
+    /// without a load.
     fn next_victim(
         &self,
         name: &TargetName,
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -1,4 +1,4 @@
-//! What goes into the planner and what comes out of it.
+//! The inputs and outputs of the planner.
 
 use std::time::Duration;
 
@@ -10,146 +10,148 @@
 use crate::dispatch::{Holding, PlacementLimits, TargetFacts, TargetStart, Weights};
 use crate::owner::OrderKind;
 
-/// The number of an order, unlike that of any other of this placer.
+/// The number of an order, unique within one placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderNumber(pub u64);
 
 /// An order to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Its number.
+    /// The number of the order.
     pub number: OrderNumber,
-    /// The target.
+    /// The target that the order is for.
     pub target: TargetName,
-    /// What it is to do.
+    /// Whether to load or to unload.
     pub kind: OrderKind,
-    /// With which weights.
+    /// The weights to load or unload.
     pub weights: Weights,
-    /// Which version it is to load; none for the newest.
+    /// The version to load, or `None` for the newest.
     pub version: Option<u64>,
-    /// The orders that the target has accepted before; it refuses the order at another number.
+    /// The number of orders that the target must have accepted before; it rejects the order at any
+    /// other number.
     pub accepted_before: u64,
 }
 
-/// What a target says to an order.
+/// A target's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The target is executing the order.
     Accepted,
-    /// What was ordered holds already, or has been done at once.
+    /// The order had no effect because it was already fulfilled, or was completed immediately.
     Done,
-    /// Another order is under way, or the number of orders accepted before differs.
+    /// Another order is in progress, or the number of previously accepted orders differs.
     OutOfTurn,
-    /// The target at that address is another one by now.
+    /// A different target now uses this address.
     OtherTarget,
-    /// It refuses the order for good.
+    /// The target rejects the order permanently.
     Refused,
-    /// The order did not leave.
+    /// The order was not sent.
     NotSent,
-    /// The order left and got no answer: it may be carried out at any time.
+    /// The order was sent but not answered: it may be executed at any time.
     Unanswered,
 }
 
-/// What a target says of itself.
+/// The state that a target reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetReport {
-    /// When it started; none if it doesn't say so.
+    /// The start time of the target, or `None` if it does not report one.
     pub started: Option<TargetStart>,
-    /// The orders that it has accepted since it started.
+    /// The number of orders that the target has accepted since it started.
     pub accepted: u64,
-    /// Whether it carries out an order that keeps it from taking others.
+    /// Whether the target is executing an order that prevents it from accepting others.
     pub busy: bool,
-    /// The base models that it holds, with their versions.
+    /// The loaded base models, with their versions.
     pub models: Vec<(Weights, u64)>,
-    /// The adapters that it holds, with their versions.
+    /// The loaded adapters, with their versions.
     pub adapters: Vec<(Weights, u64)>,
-    /// The adapters that it is loading.
+    /// The adapters that the target is loading.
     pub loading: Vec<Weights>,
 }
 
-/// What one instance does with an adapter at a target.
+/// The requests that one instance has in flight with an adapter at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Use {
-    /// The target.
+    /// The name of the target.
     #[serde(rename = "t")]
     pub target: TargetName,
-    /// The adapter; none for requests without one.
+    /// The adapter, or `None` for requests without one.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub weights: Option<Weights>,
-    /// Its requests under way there.
+    /// The number of requests in flight.
     #[serde(rename = "n")]
     pub in_flight: u32,
 }
 
-/// What came of wanting an adapter.
+/// The result of a placement request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Placed {
-    /// A target holds it now. The request may be sent there, and counts as under way there until its
-    /// end is told; the grant for that bears the number of the question.
+    /// A target holds the adapter now. The request may be sent there, and counts as in flight until
+    /// its end is reported; the grant has the number of the placement request.
     At {
-        /// The target.
+        /// The name of the target.
         #[serde(rename = "t")]
         target: TargetName,
-        /// The version of the adapter that it holds; none where the base model is wanted.
+        /// The version of the adapter that the target holds, or `None` for a request for the base
+        /// model.
         #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
         version: Option<u64>,
     },
-    /// No target can take it now.
+    /// No target can take the request now.
     Later {
-        /// When it is worth asking again.
+        /// How long to wait before another attempt.
         retry_in: Duration,
     },
 }
 
-/// What the planner has to react to.
+/// An event that the planner reacts to.
 #[derive(Clone, Debug)]
 pub enum ResidencyEvent {
     /// The platform lists a target.
     TargetSeen(TargetFacts),
     /// A target is gone.
     TargetGone(TargetName),
-    /// What the targets of a service may hold.
+    /// The limits on what the targets of a service may hold.
     Limits(ServiceName, PlacementLimits),
-    /// An instance has a request that needs a target.
+    /// An instance needs a target for a request.
     Wanted {
-        /// Names the question in the answer.
+        /// Identifies the placement request in the answer.
         question: u64,
         /// The instance that asks.
         from: InstanceId,
-        /// What the request wants.
+        /// The requirements of the request.
         want: Want,
-        /// How long the request waits for it.
+        /// How long the request waits for placement.
         within: Duration,
     },
-    /// What one instance has under way, whole, and which of its grants are part of it.
+    /// Everything that one instance has in flight, and the grants that are included in it.
     Used(InstanceId, Vec<Use>, Vec<GrantNumber>),
-    /// How far instances have come with what they were granted.
+    /// The progress of granted requests.
     Progressed(GrantProgress),
-    /// An instance is gone, and what it had under way.
+    /// An instance is gone, together with the requests that it had in flight.
     InstanceGone(InstanceId),
-    /// A target said that it does not hold an adapter that it was told to hold.
+    /// A target reported that it does not hold an adapter that was announced for it.
     NotHeld(TargetName, Weights),
     /// A target answered an order.
     Answered(OrderNumber, OrderAnswer),
-    /// A target said what it holds.
+    /// A target reported its state.
     Reported(TargetName, TargetReport),
-    /// A target could not be asked what it holds.
+    /// A target could not be queried.
     NotReported(TargetName),
-    /// A version is the newest.
+    /// The newest version of some weights was announced.
     VersionNamed(Weights, u64),
     /// Time has passed.
     Tick,
 }
 
-/// What the planner wants done.
+/// An action that the planner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResidencyAction {
-    /// Give a target an order.
+    /// Send an order to a target.
     Order(Order),
-    /// Ask a target what it holds.
+    /// Query the state of a target.
     Ask(TargetName),
-    /// Tell all instances who holds what.
+    /// Notify all instances about an adapter on a target.
     Tell(Holding),
-    /// Answer a question.
+    /// Answer a placement request.
     Answer(u64, Placed),
 }
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -1,9 +1,9 @@
-//! Targets that start again under the name that they had.
+//! Targets that restart under the same name.
 //!
-//! A target that has started again holds nothing and has accepted no order. Whatever was planned,
-//! ordered or reported before is void. An order that was given to the start before and got no answer
-//! may still be carried out: it names the number of orders accepted before it, and the new start
-//! reaches that number again.
+//! A restarted target holds nothing and has accepted no orders. Everything planned, ordered or
+//! reported before the restart is void. An unanswered order to the previous start may still be
+//! executed: it states the number of orders accepted before it, and the new start reaches that
+//! number again.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -16,35 +16,35 @@
 use crate::dispatch::{TargetFacts, TargetStart};
 use crate::owner::OrderKind;
 
-/// How late an order may be carried out that got no answer. The platform says "seconds later"; three
-/// times the longest span for which targets are known to do so.
+/// How late an unanswered order may be executed. The platform specifies "seconds later"; this is
+/// three times the longest time known for any target.
 const LATE_ORDERS: Duration = Duration::from_secs(15);
 
-/// The orders ahead of which a lost one begins to keep a slot: more than are given while a target takes
-/// to free one.
+/// How many orders in advance an unanswered order begins to reserve a slot: more than are sent
+/// while a target takes to free one.
 const NEXT_ORDERS: u64 = 16;
 
-/// An order to load an adapter that got no answer.
+/// An unanswered order to load an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LostLoad {
-    /// The number of accepted orders at which it can be carried out.
+    /// The number of accepted orders at which it can be executed.
     accepted_before: u64,
-    /// When it was given up on.
+    /// When the planner stopped waiting for its answer.
     lost_at: Moment,
 }
 
-/// Orders to load adapters that got no answer.
+/// The unanswered orders to load adapters on one target.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LostLoads {
-    /// Those to the present start. Each takes a slot until the target has been asked, and can't be
-    /// carried out any more once it has accepted another order.
+    /// Orders to the current start. Each takes a slot until the target has been queried, and cannot
+    /// be executed any more once the target has accepted another order.
     present: Vec<LostLoad>,
-    /// Those to starts before it.
+    /// Orders to earlier starts.
     earlier: Vec<LostLoad>,
 }
 
 impl LostLoads {
-    /// Takes note that an order got no answer.
+    /// Records an unanswered order.
     pub(crate) fn note(&mut self, order: &Order, now: Moment) {
         if order.kind == OrderKind::Load && order.weights.adapter.is_some() {
             self.present.push(LostLoad {
@@ -54,28 +54,28 @@
         }
     }
 
-    /// Forgets those that are too old to be carried out.
+    /// Forgets orders that are too old to be executed.
     pub(crate) fn forget_old(&mut self, now: Moment) {
         let is_recent = |it: &LostLoad| now.since(it.lost_at) < LATE_ORDERS;
         self.present.retain(is_recent);
         self.earlier.retain(is_recent);
     }
 
-    /// Returns when the next one is too old that keeps a slot taken.
+    /// Returns when the next order to an earlier start becomes too old to be executed.
     pub(crate) fn next_old(&self) -> Option<Moment> {
         let old = self.earlier.iter().map(|it| it.lost_at + LATE_ORDERS);
         old.min()
     }
 
-    /// Returns the slots that orders to earlier starts may still take from a target that has
-    /// accepted so many; none if that is not known.
+    /// Returns the number of slots that orders to earlier starts may still take on a target that
+    /// has accepted `accepted` orders, or `None` if that number is unknown.
     ///
-    /// Without them, a target that restarts between an order and its execution is given one load more
-    /// than it has slots for, which kills it.
+    /// Without this reservation, a target that restarts between an order and its execution would be
+    /// sent one load more than it has slots for, which kills it.
     ///
-    /// One is carried out when the new start has accepted as many orders as stood before it. Those that
-    /// are many orders away keep no slot yet: a target that was busy before it restarted would stand
-    /// without places for as long as they may come.
+    /// An order is executed when the new start has accepted as many orders as preceded it. Orders
+    /// that are far from that number reserve no slot yet: otherwise, a target that was busy before
+    /// its restart would have no slots available for as long as they may be executed.
     pub(crate) fn slots(&self, accepted: Option<u64>) -> usize {
         let is_due = |it: &&LostLoad| {
             accepted.is_none_or(|accepted| {
@@ -89,7 +89,7 @@
         self.present.is_empty() && self.earlier.is_empty()
     }
 
-    /// Returns them as those of a start that is over, with the order that is on its way to it.
+    /// Returns the orders as those of an earlier start, including the one that is in flight.
     fn of_earlier_start(mut self, turn: &Turn, now: Moment) -> Self {
         match turn {
             Turn::Out(order) => self.note(order, now),
@@ -102,7 +102,7 @@
 }
 
 impl Residency {
-    /// Compares what a target told with the start that is known.
+    /// Compares a reported start of a target with the known one.
     pub(super) fn compare_start(
         &self,
         name: &TargetName,
@@ -112,7 +112,7 @@
         Some(TargetStart::compare(started, target.facts.started))
     }
 
-    /// Begins anew with a target that has started again.
+    /// Resets the state of a target that has restarted.
     pub(super) fn target_restarted(
         &mut self,
         facts: TargetFacts,
@@ -131,8 +131,8 @@
         self.insert_target(target);
     }
 
-    /// Remembers the orders that may still be carried out by a target that is gone: it may come back, or
-    /// start again, under its name.
+    /// Remembers the orders that may still be executed by a target that is gone, since it may come
+    /// back or restart under its name.
     pub(super) fn remember_lost(&mut self, target: &TargetState, now: Moment) {
         let lost = target.lost.clone().of_earlier_start(&target.turn, now);
         self.lost_of_gone.insert(target.facts.name.clone(), lost);
@@ -142,10 +142,11 @@
         });
     }
 
-    /// Takes in a target with what instances were last told to have under way there.
+    /// Adds a target, with the requests that instances last reported to have in flight there.
     ///
-    /// They may have sent to the new start before it was known to be one, and tell that only once more
-    /// half a second later; an adapter that they use must not be given up meanwhile.
+    /// Instances may have sent requests to the new start before it was recognized as one, and will
+    /// not report them again for another half second; the adapters that these use must not be
+    /// unloaded in the meantime.
     pub(super) fn insert_target(&mut self, mut target: TargetState) {
         let name = target.facts.name.clone();
         if let Some(lost) = self.lost_of_gone.remove(&name) {
