--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a target for a request: where its first token is expected soonest.
+//! Selects the target at which a request is expected to produce its first token soonest.
 
 use std::time::Duration;
 
@@ -10,28 +10,29 @@
 use super::wants::Want;
 use crate::dispatch::{Lane, Weights, long_prompt_targets};
 
-/// A target for a request.
+/// A target suitable for a request.
 #[derive(Clone, Debug)]
 pub(super) struct Found {
     pub(super) target: TargetName,
-    /// When the target holds the adapter, as is expected.
+    /// The expected time until the target holds the adapter.
     pub(super) held_in: Duration,
-    /// When its first token is expected, with what counts against the target, in milliseconds.
+    /// The expected time to first token plus penalties, in milliseconds.
     score: f64,
 }
 
 impl Residency {
-    /// Returns the target at which a request begins soonest, whether that holds the adapter, is loading
-    /// it or would have to; none if no target has a place for it.
+    /// Returns the target with the lowest score, whether it holds the adapter, is loading it or
+    /// would have to load it; `None` if no target has a slot for it.
     ///
-    /// A target with a queue of prompts to read is passed over for one that first has to load, where that
-    /// is quicker. So a busy adapter comes to be at as many targets as its requests need.
+    /// A target with a backlog of prompts is passed over for one that has to load the adapter
+    /// first, where that is faster. This spreads a busy adapter over as many targets as its
+    /// requests need.
     pub(super) fn best_target(&self, want: &Want, now: Moment) -> Option<Found> {
         let waits = self.waits(now);
         self.best_of(want, now, |target| self.held_in(target, want, waits))
     }
 
-    /// Returns the target that would load an adapter soonest, of those that don't have it.
+    /// Returns the target that would load an adapter soonest, among those that do not have it.
     pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<Found> {
         let waits = self.waits(now);
         self.best_of(want, now, |target| {
@@ -66,11 +67,12 @@
         found.min_by(|a, b| a.score.total_cmp(&b.score))
     }
 
-    /// Returns when the first token is expected at a target, with what counts against it.
+    /// Returns the expected time to first token at a target plus penalties, in milliseconds.
     fn score(&self, target: &TargetState, want: &Want, readiness: Readiness) -> f64 {
         let read_before = self.pace.millis(target.backlog());
         let held_in = millis(readiness.held_in);
-        // Prompts are read while a load goes on, but a target that has to do both is more easily late.
+        // Prefill continues during a load, but a target that has to do both is more likely to be
+        // late.
         let begins = read_before.max(held_in) + read_before.min(held_in) * BOTH_WAITS;
         let taken = f64::from(target.in_flight()) / f64::from(target.facts.slots.max(1));
         let mut score = begins + millis(readiness.penalty);
@@ -81,7 +83,7 @@
         score
     }
 
-    /// Returns when a target holds an adapter; none if it has no place for it.
+    /// Returns how soon a target holds the adapter, or `None` if it has no slot for it.
     fn held_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
         if want.weights.adapter.is_none() {
             return Some(Readiness::at_once());
@@ -105,7 +107,8 @@
         Some(Readiness::soon(held_in))
     }
 
-    /// Returns when a target would hold an adapter that it has to load; none if it has no place.
+    /// Returns how soon a target would have loaded an adapter that it does not hold, or `None` if
+    /// it has no slot for it.
     fn loaded_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
         let limits = self.limits.get(&target.facts.service)?;
         let slots = limits.adapters_beside(&want.weights.model);
@@ -115,7 +118,8 @@
         let from_store = !target.remembered.keeps(&want.weights, self.memory);
         let load_time = waits.times.of(from_store);
         let mut held_in = waits.until_loaded(from_store) + self.turn_wait(target, waits.now);
-        // A target takes one order after the other, and loads a few adapters at a time.
+        // A target executes orders one at a time, and loads a limited number of adapters
+        // concurrently.
         let coming = target.coming();
         held_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
         held_in += load_time.mul_f64((coming / self.cfg.loads_a_target) as f64);
@@ -130,7 +134,7 @@
         Some(Readiness { held_in, penalty })
     }
 
-    /// Returns how long loads take.
+    /// Returns the expected load durations.
     pub(super) fn load_times(&self) -> LoadTimes {
         LoadTimes {
             fetch: self.window.usual(self.cfg.cold_load),
@@ -138,7 +142,7 @@
         }
     }
 
-    /// Returns what loads wait for, whatever the target.
+    /// Returns the queueing delays of loads that do not depend on the target.
     fn waits(&self, now: Moment) -> Waits {
         let times = self.load_times();
         let before = self.waiting_fetches() + self.loads_under_way();
@@ -150,7 +154,8 @@
         }
     }
 
-    /// Returns how long a target takes no order, as it has to be asked first how many it has accepted.
+    /// Returns how long a target cannot be sent an order because the number of orders that it has
+    /// accepted must be queried first.
     fn turn_wait(&self, target: &TargetState, now: Moment) -> Duration {
         match target.turn {
             Turn::Unknown(at) => now.until(at) + self.cfg.order_time,
@@ -159,7 +164,8 @@
         }
     }
 
-    /// Returns the targets of a service that are kept for long prompts; none if they are not kept apart.
+    /// Returns the targets of a service that are reserved for long prompts; empty while none are
+    /// reserved.
     fn kept_for_long_prompts(&self, service: &ServiceName, now: Moment) -> Vec<&TargetName> {
         if !self.lanes.is_on(now) {
             return Vec::new();
@@ -178,11 +184,13 @@
             && !want.avoid.contains(name)
     }
 
-    /// Says whether a target holds the base model that a request names or whose adapter it names.
+    /// Returns whether a target holds the base model that a request names or whose adapter it
+    /// names.
     ///
-    /// The version counts for those that name the base model alone: instances ask for the newest soon
-    /// after its naming, and targets refuse those with another. Placed there all the same, one request
-    /// was refused by five targets, and used up what all may send again.
+    /// The version matters only for requests that name the base model itself: instances require the
+    /// newest version soon after its announcement, and targets with another one refuse the request.
+    /// Before this check, one such request was refused by five targets and used up the retry budget
+    /// of all requests.
     fn holds_model(&self, target: &TargetState, weights: &Weights, now: Moment) -> bool {
         let Some(held) = target.facts.version_of(&weights.model) else {
             return false;
@@ -196,16 +204,16 @@
     }
 }
 
-/// The part of the shorter of two waits that counts beside the longer one, where a target has to read
-/// prompts and to load the adapter. With equal waits at all targets, loads would all go to the first.
+/// The weight of the shorter of prefill backlog and load time, which overlap at a target that has
+/// both. If the weight were zero, targets with equal scores would send all loads to the first one.
 const BOTH_WAITS: f64 = 0.2;
 
-/// How long a load takes.
+/// The expected durations of loads.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadTimes {
-    /// One from the weight store.
+    /// A load from the weight store.
     pub(super) fetch: Duration,
-    /// One from the target's memory.
+    /// A load from the target's memory.
     reload: Duration,
 }
 
@@ -215,18 +223,18 @@
     }
 }
 
-/// What loads wait for at the moment of a choice. Taken once for all targets: the weight store's part looks
-/// at each of them.
+/// The queueing delays of loads at the time of a selection. They are computed once for all targets,
+/// since the delay at the weight store depends on every target.
 #[derive(Clone, Copy, Debug)]
 struct Waits {
     now: Moment,
     times: LoadTimes,
-    /// Until the weight store has room for one more load.
+    /// The time until the weight store has capacity for another load.
     store: Duration,
 }
 
 impl Waits {
-    /// Returns how long it takes until a load has ended that begins in its turn.
+    /// Returns the time until a load that is queued now has ended.
     fn until_loaded(self, from_store: bool) -> Duration {
         let store = if from_store {
             self.store
@@ -237,7 +245,7 @@
     }
 }
 
-/// How soon a target holds an adapter, and what counts against having it there.
+/// How soon a target holds an adapter, and the penalty for loading it there.
 #[derive(Clone, Copy, Debug)]
 struct Readiness {
     held_in: Duration,
--- a/crates/chervilshunt_core/src/residency/config.rs
+++ b/crates/chervilshunt_core/src/residency/config.rs
@@ -1,64 +1,65 @@
-//! Bounds of placing.
+//! Configuration of the placement of weights.
 
 use std::time::Duration;
 
-/// How weights are placed.
+/// Configuration of the placement of weights.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResidencyConfig {
-    /// How long a load of an adapter is taken to take that comes from the weight store, until the
-    /// first loads have shown it.
+    /// The assumed duration of loading an adapter from the weight store, until the first loads have
+    /// been measured.
     pub cold_load: Duration,
-    /// How long a load takes at a target that held the adapter of late and has it in memory.
+    /// The duration of loading an adapter that the target held recently and still has in memory.
     pub warm_load: Duration,
-    /// How long a load from memory may take; one that takes longer came from the weight store.
+    /// The longest duration of a load from memory; a load that takes longer came from the weight
+    /// store.
     pub longest_warm_load: Duration,
-    /// What is added to the time that a load is expected to take. A request that comes too early
-    /// is refused and has to be sent again, which a budget bounds.
+    /// The margin added to the expected duration of a load. A request sent too early is refused and
+    /// has to be retried, which a budget limits.
     pub load_margin: Duration,
-    /// How soon after it was found to be still under way a load is looked at again.
+    /// How soon a load that was still in progress is checked again.
     pub look_again: Duration,
-    /// Adapters that one target loads at a time.
+    /// The number of adapters that one target loads concurrently.
     pub loads_a_target: usize,
-    /// How much sooner its first token has to come for an adapter to be loaded from the weight store at
-    /// one more target: a load takes room in the store's pace from adapters that no target holds.
+    /// How much sooner the first token has to be expected for an adapter to be loaded from the
+    /// weight store onto one more target: such a load takes store capacity from adapters that no
+    /// target holds.
     pub fetch_penalty: Duration,
     /// The same for a load from a target's memory, which costs two orders.
     pub warm_penalty: Duration,
-    /// How much sooner a request has to begin at a target in another zone to go there.
+    /// How much sooner a request has to start on a target in another zone to be sent there.
     pub zone_penalty: Duration,
-    /// How much later a request is taken to begin at a target all of whose slots are taken than at one
-    /// that is idle.
+    /// The delay attributed to a target with all slots taken, compared with an idle one.
     pub load_penalty: Duration,
-    /// How much sooner a request has to begin at a target that is kept for long prompts, if its own is
-    /// not long, or at another one if it is, while they are kept apart.
+    /// The penalty for placing a long prompt on a general target, or another request on a target
+    /// reserved for long prompts, while targets are reserved.
     pub lane_penalty: Duration,
-    /// How long an order and its answer take, and the look at whether a load has ended.
+    /// The time that an order and its answer take, and the check whether a load has ended.
     pub order_time: Duration,
-    /// How long it takes until an adapter's place is free that has to be given up first: an order and
-    /// its answer.
+    /// The time until the slot of an adapter that must be unloaded first is free: an order and its
+    /// answer.
     pub give_up_time: Duration,
-    /// How long an adapter is no longer told of before it is given up whose version is too old:
-    /// instances hear of that up to 0.2 s later, and tell what they use every 0.4 s.
+    /// How long an adapter with an outdated version is not announced before it is unloaded:
+    /// instances are notified up to 0.2 s later, and report what they use every 0.4 s.
     pub uses_settle: Duration,
-    /// How long after a planner has found an adapter at a target all instances have told whether they
-    /// use it.
+    /// The time after finding an adapter on a target by which all instances have reported whether
+    /// they use it.
     pub uses_told: Duration,
-    /// How long an older version is told of as held while the newest one is loaded elsewhere.
+    /// How long an older version is still announced while the newest one is being loaded elsewhere.
     pub old_version_grace: Duration,
-    /// How long a target's report lags behind what it has accepted.
+    /// How long a target's report lags behind the orders that it has accepted.
     pub report_lag: Duration,
-    /// The pause before a request whose adapter could not be placed may ask again.
+    /// The delay before a request whose adapter could not be placed may try again.
     pub retry_in: Duration,
-    /// The span over which loads of base models from the weight store are counted.
+    /// The window over which loads of base models from the weight store are counted.
     pub store_window: Duration,
-    /// The share of the weight store's rate that is used, so that loads whose start the store sees
-    /// later than they were ordered stay within it.
+    /// The share of the weight store's rate that is used, so that the limit also holds for loads
+    /// that reach the store later than they were ordered.
     pub store_share: f64,
-    /// Loads of base models at a time. The store gives one or two of them its full speed; more at a
-    /// time would all end late instead of the first ones early.
+    /// The number of concurrent base model loads. The store serves one or two at full speed; with
+    /// more, all of them end late instead of the first ones early.
     pub base_loads_at_once: usize,
-    /// The share of a service's targets, rounded up, that are out of use at a time because their base
-    /// model is given up for a newer version. A larger share brings the version to all of them sooner.
+    /// The share of a service's targets, rounded up, that may be out of service at a time to update
+    /// their base model. A larger share completes an update sooner.
     pub updated_share: f64,
 }
 
--- a/crates/chervilshunt_core/src/residency/lanes.rs
+++ b/crates/chervilshunt_core/src/residency/lanes.rs
@@ -1,9 +1,10 @@
-//! Whether long prompts are kept apart, as observed.
+//! Switches the separation of long prompts on and off, based on observed pauses of streams.
 //!
-//! A long prompt holds up the streams beside it. How much depends on the engine, on the tokens that an
-//! event of a stream holds and on the pause that callers want kept, of which a placer knows little. Kept
-//! apart, an adapter that both kinds of requests want needs a place at two targets. So long prompts are
-//! kept apart only while streams have been seen to pause for too long.
+//! A long prompt delays the streams on the same target. By how much depends on the engine, on the
+//! number of tokens per stream event and on the pause that callers accept, about which the placer
+//! knows little. Separating long prompts has a cost: an adapter that both kinds of requests use
+//! needs a slot on two targets. Long prompts are therefore separated only while streams have been
+//! observed to pause for too long.
 
 use std::time::Duration;
 
@@ -11,18 +12,19 @@
 
 use crate::decay::DecayedRate;
 
-/// The half-life of the rates that are compared: long enough for a few streams to pause in.
+/// The half-life of the compared rates, long enough to cover the pauses of several streams.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// The share of requests beyond which pauses call for it: a target that restarts or is overloaded for a
-/// moment makes fewer streams pause.
+/// The share of requests with a pause above which long prompts are separated: a target that
+/// restarts or is briefly overloaded pauses fewer streams.
 const PAUSED_SHARE: f64 = 0.025;
-/// The fewest pauses a second that call for it, against a single one among few requests.
+/// The minimum rate of pauses at which long prompts are separated, in pauses per second, so that a
+/// single pause among few requests does not count.
 const LEAST_A_SECOND: f64 = 1.5;
-/// How long prompts are kept apart after the last pauses that called for it. Then it is tried without:
-/// kept apart, streams pause no longer, and nothing would show that it is not needed any more.
+/// How long the separation lasts after the last pauses that justified it. It is then switched off
+/// as a trial: with separation the pauses stop, so nothing would show that it is no longer needed.
 const KEEPS_FOR: Duration = Duration::from_secs(30);
 
-/// Whether long prompts are kept apart.
+/// Whether long prompts are sent to targets of their own.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LaneSwitch {
     paused: DecayedRate,
@@ -31,7 +33,7 @@
 }
 
 impl LaneSwitch {
-    /// Takes in how many requests have ended, and how many streams have paused for too long.
+    /// Records how many requests have ended and how many streams have paused for too long.
     pub(crate) fn note(&mut self, ended: usize, paused: u32, now: Moment) {
         self.ended.add(ended as f64, HALF_LIFE, now);
         if paused == 0 {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Says whether long prompts are kept apart.
+    /// Returns whether long prompts are separated.
     pub(crate) fn is_on(&self, now: Moment) -> bool {
         self.until.is_some_and(|until| now < until)
     }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -1,4 +1,4 @@
-//! Requests that want an adapter: what becomes of each.
+//! Handles placement requests, with which instances ask for a target for one request.
 
 use std::time::Duration;
 
@@ -12,44 +12,44 @@
 use super::target::Turn;
 use crate::dispatch::{Holding, Lane, Weights};
 
-/// What a request wants of a target.
+/// The requirements of a request on its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Want {
-    /// The service.
+    /// The service that the request is for.
     #[serde(rename = "s")]
     pub service: ServiceName,
-    /// The adapter, or the base model.
+    /// The requested adapter or base model.
     #[serde(rename = "w")]
     pub weights: Weights,
-    /// The tokens of its prompt, which the target has to read before it answers.
+    /// The length of the prompt, in tokens, which the target has to prefill before it answers.
     #[serde(rename = "t")]
     pub prompt_tokens: u32,
-    /// What it mostly makes a target do.
+    /// The kind of work that dominates the request.
     #[serde(rename = "l")]
     pub lane: Lane,
-    /// The availability zone from which it is sent.
+    /// The availability zone from which the request is sent.
     #[serde(rename = "z")]
     pub zone: ZoneName,
-    /// Targets that it can't use.
+    /// Targets that the request cannot use.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub avoid: Vec<TargetName>,
 }
 
-/// A question that has not been answered.
+/// A placement request that has not been answered.
 #[derive(Clone, Debug)]
 pub(super) struct Asked {
     pub(super) from: InstanceId,
     pub(super) want: Want,
-    /// Until when the request waits.
+    /// The time until which the request waits.
     pub(super) until: Moment,
 }
 
 impl Residency {
-    /// Finds a target for a request, or refuses it at once.
+    /// Finds a target for a request, or refuses it immediately.
     ///
-    /// A request for which no target has a place does not wait for one. Where places are short, those who
-    /// waited had theirs so late that their answers were late all the same, and took it from others that
-    /// were in time.
+    /// A request for which no target has a slot does not wait for one. When slots are scarce,
+    /// waiting requests were placed so late that their answers missed their deadlines anyway, and
+    /// took the slots from others that would have been in time.
     pub(super) fn wanted(
         &mut self,
         question: u64,
@@ -69,15 +69,15 @@
         self.place(question, asked, &found.target, now, out);
     }
 
-    /// Returns how long a request may wait for its place if its first token is to come within a time: its
-    /// prompt has still to be read then.
+    /// Returns how long a request may wait for placement if its first token is due within `within`,
+    /// which leaves time for its prefill.
     pub(super) fn places_within(&self, want: &Want, within: Duration) -> Duration {
         let reading = Duration::from_secs_f64(self.pace.millis(want.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
         left.max(within.mul_f64(LEAST_PLACING_SHARE))
     }
 
-    /// Gives a request a target, at once or when its adapter has been loaded there.
+    /// Assigns a target to a request, immediately or once its adapter has been loaded there.
     pub(super) fn place(
         &mut self,
         question: u64,
@@ -128,10 +128,10 @@
         out.push(ResidencyAction::Answer(question, placed));
     }
 
-    /// Answers those who waited for an adapter that a target holds by now.
+    /// Answers the requests that waited for an adapter which is now loaded.
     ///
-    /// An older version than the newest would answer their requests wrongly: a target that is
-    /// found to hold one can have been planned to load the newest.
+    /// An outdated version would give them wrong answers: a target may turn out to hold one when a
+    /// load of the newest was planned.
     pub(super) fn answer_loaded(
         &mut self,
         questions: Vec<u64>,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Makes a hold whose load is planned.
+    /// Creates the entry of an adapter whose load is planned.
     fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> Hold {
         let version = self.newest.get(weights).copied();
         let target = self.targets.get(name);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Plans to load an adapter for whoever uses it, at the best target that has a place for it.
+    /// Plans to load an adapter ahead of requests, on the best target that has capacity for it.
     pub(super) fn plan_load(&mut self, want: &Want, now: Moment) -> Option<TargetName> {
         let found = self.best_load(want, now)?;
         let hold = self.planned(&found.target, &want.weights, now);
@@ -171,8 +171,8 @@
         Some(found.target)
     }
 
-    /// Finds another target for those who wait for a load that has failed, as long as they would wait
-    /// for it; the others are told to come back.
+    /// Finds another target for the requests that waited for a failed load, within their remaining
+    /// waiting time; the others are asked to retry later.
     pub(super) fn place_elsewhere(
         &mut self,
         failed: &TargetName,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Tells those who ask that there is nothing for them now.
+    /// Answers requests that they cannot be placed now.
     pub(super) fn answer_later(&mut self, questions: Vec<u64>, out: &mut Vec<ResidencyAction>) {
         let retry_in = self.cfg.retry_in;
         for question in questions {
@@ -198,12 +198,13 @@
         }
     }
 
-    /// Takes in that a target does not hold what it was told to hold.
+    /// Handles a target's report that it does not hold an adapter that was announced for it.
     ///
-    /// It may hold it all the same, in a version that the request could not use. So nobody is told
-    /// of it any more, and its slot counts as taken until the target has given it up or been asked:
-    /// counted as free, it would be given to a load that the target has no slot for, which kills it.
-    /// Nor is anyone else sent there for it, to be refused in turn.
+    /// It may still hold it, in a version that the request could not use. The adapter is therefore
+    /// no longer announced, and its slot counts as taken until the target has unloaded it or has
+    /// been queried: if it counted as free, the target would be sent a load for which it has no
+    /// slot, which kills it. Other requests are not sent there either, since they would be refused
+    /// too.
     pub(super) fn not_held(
         &mut self,
         name: &TargetName,
@@ -218,7 +219,7 @@
         let Some(hold) = target.holds.get_mut(weights) else {
             return;
         };
-        // A request that was refused just as the load ended says nothing of the hold.
+        // A request that was refused just as the load ended says nothing about the adapter.
         if hold.state != HoldState::Ready || now.since(hold.since) < lag {
             return;
         }
@@ -233,12 +234,12 @@
     }
 }
 
-/// The least part of its time that a request waits for a place, however long its prompt is.
+/// The minimum share of its time that a request may wait for placement, however long its prompt is.
 const LEAST_PLACING_SHARE: f64 = 0.4;
-/// The version of weights of which no other has been named.
+/// The version of weights for which none has been announced.
 const FIRST_VERSION: u64 = 1;
 
-/// Makes what all instances are told of one hold.
+/// Creates the notification to all instances about one adapter on one target.
 pub(super) fn tell(
     target: &TargetName,
     weights: &Weights,
