--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -1,10 +1,11 @@
-//! Grants: the placer's leave to send one request with an adapter to a target.
+//! Grants: the placer's permission to send one request with an adapter to a target.
 //!
-//! Where places for adapters are few, one that nobody uses has to be free for the next adapter at once,
-//! and one that somebody is about to use must not be taken. Told by each instance several times a second,
-//! uses are known too late for both: a place stood idle for 1.7 s after its last use. So each request asks,
-//! and the placer counts it from its own answer until the instance says that it has ended. A grant whose
-//! end is lost ends with the next telling that leaves it out, or with its instance.
+//! Where adapter slots are scarce, an unused adapter must be available for eviction immediately,
+//! and one that is about to be used must not be evicted. Periodic usage reports from instances are
+//! too late for both: a slot stayed unused for 1.7 s after its last use. Therefore each request
+//! asks the placer, which counts it from its own answer until the instance reports that it has
+//! ended. A grant whose end is lost ends with the next usage report that omits it, or with its
+//! instance.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -16,25 +17,25 @@
 use super::planner::Residency;
 use crate::dispatch::Weights;
 
-/// How long an instance may leave a grant out of what it tells before it counts as ended: the answer
-/// that gives it and a telling that left before it are on their way for some milliseconds, and for a
-/// tenth of a second where a share of the processor is used up.
+/// How long usage reports may omit a grant before it counts as ended. The answer that gives the
+/// grant and a report sent before it are in transit for some milliseconds, and for 100 ms where an
+/// instance has used up its CPU quota.
 const UNTOLD: Duration = Duration::from_millis(300);
 
-/// Names a grant; no two of any placers have the same.
+/// Identifies a grant; numbers are unique across all placers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantNumber(pub u64);
 
-/// How far an instance has come with what it was granted.
+/// The progress of an instance's granted requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantProgress {
-    /// Requests that a target has begun to answer, and whose prompts it has therefore read.
+    /// Requests that a target has begun to answer, so that their prefill is complete.
     #[serde(rename = "b", default, skip_serializing_if = "Vec::is_empty")]
     pub begun: Vec<GrantNumber>,
-    /// Requests that have ended, however that was.
+    /// Requests that have ended, whatever the outcome.
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<GrantNumber>,
-    /// Streams that have paused for longer than their callers want.
+    /// The number of streams that paused for longer than their callers want.
     #[serde(rename = "p", default, skip_serializing_if = "is_zero")]
     pub paused: u32,
 }
@@ -48,19 +49,19 @@
 }
 
 impl GrantProgress {
-    /// Says whether there is nothing to tell.
+    /// Returns whether there is nothing to report.
     pub const fn is_empty(&self) -> bool {
         self.begun.is_empty() && self.ended.is_empty() && self.paused == 0
     }
 }
 
-/// The leave to send one request to a target.
+/// The permission to send one request to a target.
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
     pub(crate) holder: InstanceId,
     pub(crate) target: TargetName,
     pub(crate) weights: Weights,
-    /// The prompt tokens that the target has still to read for it.
+    /// The prompt tokens of the request that still await prefill.
     pub(crate) reading: u32,
     given_at: Moment,
 }
@@ -72,7 +73,7 @@
 }
 
 impl Grants {
-    /// Forgets the grants at a target that is gone or has started again.
+    /// Forgets the grants at a target that is gone or has restarted.
     pub(crate) fn forget_target(&mut self, target: &TargetName) {
         self.open.retain(|_, grant| grant.target != *target);
     }
@@ -84,7 +85,7 @@
 }
 
 impl Residency {
-    /// Counts a request that an instance may send to a target from now on.
+    /// Records that an instance may now send a request to a target.
     pub(super) fn grant(
         &mut self,
         number: GrantNumber,
@@ -108,7 +109,7 @@
         self.grants.open.insert(number, grant);
     }
 
-    /// Takes in how far instances have come with their grants.
+    /// Applies the progress of instances' granted requests.
     pub(super) fn progressed(&mut self, progress: &GrantProgress, now: Moment) {
         let was_on = self.lanes.is_on(now);
         self.lanes.note(progress.ended.len(), progress.paused, now);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes in that a target has read the prompt of a request.
+    /// Records that a target has completed the prefill of a request.
     fn grant_begun(&mut self, number: GrantNumber, now: Moment) {
         let Some(grant) = self.grants.open.get_mut(&number) else {
             return;
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Ends a grant; the place of its adapter is free if nobody else uses it.
+    /// Ends a grant, after which its adapter can be evicted if nothing else uses it.
     pub(super) fn grant_ended(&mut self, number: GrantNumber, now: Moment) {
         let Some(grant) = self.grants.open.remove(&number) else {
             return;
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Takes in what an instance has under way and which of its grants are part of it, and returns what
-    /// it has under way beside them.
+    /// Processes an instance's usage report: ends the grants that it omits for too long, and
+    /// returns the reported uses without those that are counted as grants.
     pub(super) fn uses_beside_grants(
         &mut self,
         holder: &InstanceId,
