--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -1,50 +1,53 @@
-//! One target's hold on one adapter.
+//! The state of one adapter on one target.
 
 use chervilshunt_model::Moment;
 
-/// How far a hold has come.
+/// The stages of loading and unloading an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HoldState {
-    /// The load is planned; nothing has been ordered.
+    /// The load is planned but not ordered.
     Planned,
-    /// The load has been ordered, and an answer is due or was lost.
+    /// The load has been ordered, and its answer is outstanding or was lost.
     Ordered,
-    /// It is being loaded; the target is asked at that moment whether it has it.
+    /// The adapter is being loaded; at the given time, the target is asked whether the load has
+    /// ended.
     Loading(Moment),
-    /// The target has been asked whether it has it.
+    /// The target has been asked whether the load has ended.
     Confirming,
-    /// Requests can use it.
+    /// Requests can use the adapter.
     Ready,
-    /// It is to be given up as soon as nothing uses it.
+    /// The adapter is to be unloaded as soon as nothing uses it.
     Ending,
-    /// Giving it up has been ordered.
+    /// The unload has been ordered.
     Unloading,
 }
 
-/// One target's hold on one adapter.
+/// One adapter on one target.
 #[derive(Clone, Debug)]
 pub(crate) struct Hold {
     pub(crate) state: HoldState,
     pub(crate) version: u64,
     pub(crate) last_used: Moment,
-    /// When the load was planned, an older version was found, or its end began.
+    /// When the load was planned or ended, the version became outdated, or the unload was decided.
     pub(crate) since: Moment,
-    /// From when on it may be given up if nobody uses it.
+    /// The time from which the adapter may be evicted if unused.
     pub(crate) free_from: Moment,
-    /// Whether a newer version has been named.
+    /// Whether a newer version has been announced.
     pub(crate) outdated: bool,
-    /// Questions that wait for the load to end.
+    /// The placement requests that wait for the load to end.
     pub(crate) questions: Vec<u64>,
-    /// The prompt tokens of their requests.
+    /// The prompt tokens of the waiting requests.
     pub(crate) waiting_tokens: u32,
-    /// Until when somebody waits for it; none if it is loaded for whoever comes.
+    /// The latest time until which a request waits for the adapter, or `None` if it is loaded ahead
+    /// of requests.
     pub(crate) wanted_until: Option<Moment>,
-    /// Whether it is taken to come from the weight store rather than from the target's memory.
+    /// Whether the load is expected to come from the weight store rather than from the target's
+    /// memory.
     pub(crate) from_store: bool,
-    /// How many adapters the target has had since it last had this one, when the load was ordered; none
-    /// if it never had it.
+    /// How many other adapters the target had since it last had this one, at the time the load was
+    /// ordered; `None` if it never had it.
     pub(crate) had_since: Option<usize>,
-    /// When the target accepted its load; none if nobody saw it begin.
+    /// When the target accepted the load, or `None` if its start was not observed.
     pub(crate) accepted_at: Option<Moment>,
 }
 
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Takes note that its load has ended, and returns the questions that waited for it.
+    /// Marks the load as ended, and returns the placement requests that waited for it.
     pub(crate) fn ready(&mut self, now: Moment) -> Vec<u64> {
         self.state = HoldState::Ready;
         self.since = now;
@@ -74,23 +77,23 @@
         self.take_questions()
     }
 
-    /// Takes the questions that wait for it.
+    /// Removes and returns the placement requests that wait for the adapter.
     pub(crate) fn take_questions(&mut self) -> Vec<u64> {
         self.waiting_tokens = 0;
         std::mem::take(&mut self.questions)
     }
 
-    /// Says whether new requests may use it.
+    /// Returns whether new requests may use the adapter.
     pub(crate) fn serves(&self) -> bool {
         self.state == HoldState::Ready && !self.outdated
     }
 
-    /// Says whether its load has not been ordered.
+    /// Returns whether the load has not been ordered yet.
     pub(crate) fn is_planned(&self) -> bool {
         self.state == HoldState::Planned
     }
 
-    /// Says whether it is coming and no one is told of it yet.
+    /// Returns whether the adapter is planned or loading, and therefore not announced yet.
     pub(crate) fn is_coming(&self) -> bool {
         matches!(
             self.state,
@@ -98,7 +101,7 @@
         )
     }
 
-    /// Says whether it is going, and its place will be free.
+    /// Returns whether the adapter is being unloaded, so that its slot will become free.
     pub(crate) fn is_going(&self) -> bool {
         matches!(self.state, HoldState::Ending | HoldState::Unloading)
     }
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -1,10 +1,11 @@
-//! Which target is ordered to hold which weights, decided by the one placer of the deployment.
+//! Decides which weights each target is ordered to hold. One placer makes this decision for the
+//! whole deployment.
 //!
-//! The machine takes what instances want and use, what targets answer to orders and what the
-//! platform lists, and gives back orders and tellings. It never has two orders on their way to one
-//! target, so that each order can name the number of orders that the target has accepted before it:
-//! one that is carried out late, after newer ones, then fails by itself. See
-//! `docs/design/on-the-platform.md`.
+//! The state machine takes the placement requests and usage reports of instances, the answers of
+//! targets to orders and the platform's list of targets, and returns orders and notifications. At
+//! most one order is in flight per target, so that each order can state the number of orders that
+//! the target has accepted before it: an order that is executed late, after newer ones, is then
+//! rejected. See `docs/design/on-the-platform.md`.
 
 mod answers;
 mod choice;
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: its state and the way of an event through it.
+//! The state of the planner and its event handling.
 
 use std::cmp::Ordering;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -24,53 +24,54 @@
     NamedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
 };
 
-/// The share of targets that have to have been asked for a placer to know what is held: the last few
-/// may be slow or gone.
+/// The share of targets that must have reported before the placer counts as knowing what is held.
+/// The last few may be slow or gone.
 const KNOWN_SHARE: f64 = 0.95;
-/// Targets that a new placer asks at once what they hold.
+/// The number of targets that a new placer queries at once.
 const ASKS_AT_ONCE: u32 = 128;
-/// The time between asking one target and the next beyond those.
+/// The interval between the queries of further targets.
 const ASK_SPACING: Duration = Duration::from_micros(650);
 
-/// Decides which target holds which weights. `handle` takes an event and gives back what to do.
+/// Decides which target holds which weights. [`Self::handle`] takes an event and returns the
+/// actions to perform.
 #[derive(Debug)]
 pub struct Residency {
     pub(super) cfg: ResidencyConfig,
     pub(super) targets: IndexMap<TargetName, TargetState>,
     pub(super) limits: HashMap<ServiceName, PlacementLimits>,
     pub(super) newest: HashMap<Weights, u64>,
-    /// The versions of base models that have been named, and when.
+    /// The announced versions of base models.
     pub(super) base_versions: HashMap<Arc<str>, NamedVersions>,
-    /// The targets that may give up a base model now of which a newer version has been named.
+    /// The targets that may unload an outdated base model now.
     pub(super) model_updates: HashSet<TargetName>,
     pub(super) model_updates_picked_at: Moment,
-    /// When loads of base models from the weight store were ordered, the last one at the end.
+    /// When loads of base models from the weight store were ordered, the most recent one last.
     pub(super) store_loads: VecDeque<Moment>,
     pub(super) window: LoadWindow,
     pub(super) memory: MemorySize,
     pub(super) pace: ReadingPace,
     pub(super) lanes: LaneSwitch,
     pub(super) grants: Grants,
-    /// The questions that wait for a load to end.
+    /// The placement requests that wait for a load to end.
     pub(super) asked: HashMap<u64, Asked>,
-    /// Orders without an answer to targets that are gone.
+    /// Unanswered orders to targets that are gone.
     pub(super) lost_of_gone: HashMap<TargetName, LostLoads>,
-    /// Loads that may be ordered now; the others wait for one of those under way to end.
+    /// Loads that may be ordered now; the others wait for a load in progress to end.
     pub(super) admitted: HashSet<(TargetName, Weights)>,
-    /// What each instance last told that it has under way.
+    /// The last usage report of each instance.
     pub(super) uses: HashMap<InstanceId, Vec<Use>>,
     next_order: u64,
     knows_targets: bool,
-    /// When the first targets are asked what they hold.
+    /// The time from which the first targets are queried.
     asks_from: Moment,
 }
 
 impl Residency {
-    /// Starts without knowing any target; each one is asked what it holds when it is first seen.
+    /// Creates a planner without targets; each target is queried when it is first seen.
     ///
-    /// What a target reports lags behind what it has accepted, and this instance itself may have
-    /// given orders just before. Asked at once, a target leaves out the last load; then one load
-    /// more than it has slots for would be ordered, which kills it.
+    /// A target's report lags behind the orders that it has accepted, and this instance itself may
+    /// have sent orders just before. If queried immediately, a target could omit the last load; the
+    /// planner would then order one load more than the target has slots for, which kills it.
     pub fn new(cfg: ResidencyConfig, now: Moment) -> Self {
         Self {
             asks_from: now + cfg.report_lag,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Returns what this planner has learnt by trying; none while it has not learnt it.
+    /// Returns this planner's estimates, or `None` while it has none.
     pub fn learnt(&self) -> Option<Learnt> {
         let (load_time, loads_at_once) = self.window.learnt()?;
         Some(Learnt {
@@ -106,19 +107,19 @@
         })
     }
 
-    /// Begins with what another planner has learnt.
+    /// Starts with the estimates of another planner.
     pub fn begin_with(&mut self, learnt: Learnt) {
         self.window
             .begin_with(learnt.load_time, learnt.loads_at_once);
         self.memory = MemorySize::begin_with(learnt.kept_in_memory as usize);
     }
 
-    /// Takes one event and says what is to be done.
+    /// Processes one event and returns the actions to perform.
     pub fn handle(&mut self, event: ResidencyEvent, now: Moment) -> Vec<ResidencyAction> {
         let mut out = Vec::new();
         match event {
-            // Targets write their entries each second. Thousands of them would have the planner look for
-            // what is due thousands of times a second, and its other events wait for that.
+            // Targets write their entries every second. With thousands of them, the planner would
+            // check for due work thousands of times per second, and delay its other events.
             ResidencyEvent::TargetSeen(facts) if self.is_known(&facts, now) => return out,
             ResidencyEvent::TargetSeen(facts) => self.target_seen(facts, now, &mut out),
             ResidencyEvent::TargetGone(name) => self.target_gone(&name, now, &mut out),
@@ -159,7 +160,7 @@
         out
     }
 
-    /// Adds to what is told of holds when their targets started.
+    /// Adds the start of the target to notifications about its adapters.
     fn name_starts(&self, out: &mut [ResidencyAction]) {
         for action in out {
             if let ResidencyAction::Tell(holding) = action {
@@ -172,13 +173,13 @@
         self.targets.get(target).and_then(|it| it.facts.started)
     }
 
-    /// Returns when [`ResidencyEvent::Tick`] is next wanted.
+    /// Returns when [`ResidencyEvent::Tick`] is needed next.
     pub fn next_wakeup(&self) -> Option<Moment> {
         let targets = self.targets.values();
         targets.filter_map(|it| it.summary.wake_at).min()
     }
 
-    /// Makes sure that a target is looked at with this event.
+    /// Marks a target to be inspected with this event.
     pub(super) fn touch(&mut self, name: &TargetName) {
         if let Some(target) = self.targets.get_mut(name) {
             target.touched = true;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Takes note of what is due at a target that has just been looked at.
+    /// Updates the summary of a target that has just been inspected.
     pub(super) fn summarize(&mut self, name: &TargetName, now: Moment) {
         let Some(target) = self.targets.get(name) else {
             return;
@@ -219,11 +220,12 @@
         }
     }
 
-    /// Says whether the targets have been asked what they hold. Until then a placer takes nothing for
-    /// held, and would have loaded what is there.
+    /// Returns whether the targets have been asked what they hold. Until then the placer considers
+    /// nothing loaded, and would reload what is there.
     ///
-    /// It stays so from then on. A target that comes or restarts later has not been asked yet; told that
-    /// the placer knows nothing, all instances would choose by themselves for half a second each time.
+    /// Once true, this stays true. A target that is added or restarts later has not been queried
+    /// yet; if this made the placer report that it knows nothing, all instances would select
+    /// targets themselves for half a second each time.
     pub const fn knows_targets(&self) -> bool {
         self.knows_targets
     }
@@ -235,7 +237,8 @@
         }
     }
 
-    /// Returns all that requests can use, for instances that have to choose by themselves.
+    /// Returns the usable adapters of all targets, for instances that have to select targets
+    /// themselves.
     pub fn snapshots(&self) -> Vec<TargetSnapshot> {
         let targets = self.targets.iter();
         let snapshots = targets.map(|(name, target)| TargetSnapshot {
@@ -269,7 +272,7 @@
         let store = self.store_loads.front();
         let model = store.filter(|_| target.facts.models.is_empty());
         let model = model.map(|at| *at + self.cfg.store_window);
-        // What is past and still not done waits for an answer or a telling, which wakes by itself.
+        // Work that is overdue waits for an answer or a usage report, which are events themselves.
         let due = due.chain(model).chain(target.lost.next_old());
         let due = due.filter(|at| *at > now);
         due.chain(ask_at).min()
@@ -304,16 +307,17 @@
         }
     }
 
-    /// Says whether an entry tells nothing that the planner goes by.
+    /// Returns whether an entry contains no news for the planner.
     fn is_known(&self, facts: &TargetFacts, now: Moment) -> bool {
         let known = self.targets.get(&facts.name);
         known.is_some_and(|it| now >= it.models_reported_until && !it.facts.concerns_all(facts))
     }
 
-    /// Returns when a target is asked that has just been seen.
+    /// Returns when a newly seen target is queried.
     ///
-    /// Asked all at once, thousands of targets answer more than the placer takes in before it gives them
-    /// up and asks again, and it comes to know none of them.
+    /// If thousands of targets were queried at once, their answers would exceed what the placer
+    /// processes before it times out and asks again, and it would never learn the state of any of
+    /// them.
     fn first_ask(&mut self, now: Moment) -> Moment {
         let asked = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
         let turn = ASK_SPACING.saturating_mul(asked.saturating_sub(ASKS_AT_ONCE));
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -1,4 +1,4 @@
-//! One target as the placer sees it.
+//! The state of one target as known to the placer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,96 +16,96 @@
 use super::restart::LostLoads;
 use crate::dispatch::{HeldAdapters, TargetFacts, Weights};
 
-/// What is known of the orders that a target has accepted.
+/// What is known about the orders that a target has accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
-    /// It has to be asked, at that moment at the earliest.
+    /// The target has to be queried, at the given time at the earliest.
     Unknown(Moment),
-    /// It has been asked.
+    /// The target is being queried.
     Asked,
-    /// It has accepted so many, and none is on its way.
+    /// The target has accepted this many orders, and none is in flight.
     Free(u64),
-    /// An order is on its way.
+    /// An order is in flight.
     Out(Order),
 }
 
-/// How long a count of room stands where no time is known at which it changes; late orders to earlier
-/// starts of a target grow old meanwhile.
+/// How long a computed capacity stays valid when no time is known at which it changes; late orders
+/// to earlier starts of a target expire in the meantime.
 const LONGEST_COUNT: Duration = Duration::from_secs(1);
 
-/// One target as the placer sees it.
+/// The state of one target as known to the placer.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetState {
     pub(crate) facts: TargetFacts,
     pub(crate) turn: Turn,
-    /// When it was last given an order.
+    /// When the last order was sent to the target.
     pub(crate) ordered_at: Moment,
-    /// Its adapters, those on their way included.
+    /// The adapters of the target, including planned and loading ones.
     pub(crate) holds: IndexMap<Weights, Hold>,
-    /// Adapters that it had of late, some of which it has in memory.
+    /// Adapters that the target had recently, some of which it still has in memory.
     pub(crate) remembered: Remembered,
-    /// The order for a base model that it was given and that has not ended, as far as is known.
+    /// The pending order for a base model.
     pub(crate) model_order: Option<ModelOrder>,
-    /// The base model that it was last ordered to give up or load, and is to hold.
+    /// The base model that the target was last ordered to unload or load, and is to hold.
     pub(crate) reloads: Option<Weights>,
-    /// The version for which a base model was last loaded here, and when.
+    /// The version for which a base model was last loaded on this target, and when.
     pub(crate) loaded_for: Option<LoadedFor>,
-    /// Until when its base models are those that it reported, whatever the platform lists.
+    /// The time until which the reported base models take precedence over the platform's list.
     pub(crate) models_reported_until: Moment,
-    /// What instances have under way here, by weights.
+    /// The requests that instances have in flight at this target, by weights.
     ///
-    /// It is kept beside the holds: an order that was carried out late brings an adapter of which
-    /// the planner learns only afterwards, and which may be in use by then.
+    /// This is separate from the adapters: a late order may load an adapter of which the planner
+    /// learns only afterwards, and which may be in use by then.
     uses: HashMap<Weights, Vec<(InstanceId, u32)>>,
-    /// What instances have under way here without weights.
+    /// The requests without weights that instances have in flight at this target.
     plain_uses: Vec<(InstanceId, u32)>,
-    /// All requests under way here that are not granted.
+    /// The total number of requests in flight at this target that are not counted as grants.
     in_flight: u32,
-    /// Granted requests under way here, by weights.
+    /// The number of granted requests in flight at this target, by weights.
     grants: HashMap<Weights, u32>,
     granted: u32,
-    /// The prompt tokens of granted requests that have still to be read.
+    /// The prompt tokens of granted requests that still await prefill.
     reading: u32,
-    /// When a prompt was last read here.
+    /// When the prefill of a prompt last completed at this target.
     last_read: Moment,
-    /// Orders to load adapters that got no answer.
+    /// Unanswered orders to load adapters.
     pub(crate) lost: LostLoads,
-    /// Whether it has been asked what it holds, and has said so or could not be asked.
+    /// Whether the target has answered a query, or one has failed.
     pub(crate) was_asked: bool,
-    /// Whether something has changed here since the planner last looked.
+    /// Whether something has changed since the planner last inspected the target.
     pub(crate) touched: bool,
     pub(crate) summary: Summary,
 }
 
-/// What the planner saw of a target when it last looked.
+/// What the planner found when it last inspected a target.
 ///
-/// It looks only at targets that an event touched or for which something is due: looking at all of them
-/// with each event would be most of its work.
+/// It inspects only targets that an event touched or for which something is due: inspecting all of
+/// them with each event would be most of its work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Summary {
-    /// When something is due here next, if nothing changes before.
+    /// When something becomes due at this target, if nothing changes before.
     pub(crate) wake_at: Option<Moment>,
-    /// The loads that wait here to be ordered.
+    /// The number of planned loads.
     pub(crate) planned: usize,
-    /// Those of them that the weight store is to serve.
+    /// The number of planned loads from the weight store.
     pub(crate) planned_fetches: usize,
-    /// The loads that the weight store serves.
+    /// The number of loads from the weight store in progress.
     pub(crate) fetching: usize,
-    /// Whether it holds an older version of a base model than the newest.
+    /// Whether the target holds an outdated version of a base model.
     pub(crate) outdated: bool,
-    /// Whether what is due here depends on other targets, so that it is looked at with each event.
+    /// Whether due work depends on other targets, so that this one is inspected with every event.
     pub(crate) depends_on_others: bool,
-    /// How many adapters more find a place.
+    /// The capacity for more adapters.
     pub(crate) room: Room,
 }
 
-/// How many adapters more find a place at a target, as counted when the planner last looked.
+/// The capacity of a target for more adapters, as computed at its last inspection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Room {
-    /// The slots of which it was counted.
+    /// The total number of slots that the computation was based on.
     slots: usize,
     adapters: usize,
-    /// From when on time alone may have changed it.
+    /// The time from which the capacity may have changed without an event.
     until: Moment,
 }
 
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Says whether new work may be prepared here.
+    /// Returns whether the target may be prepared for new requests.
     pub(crate) fn takes_work(&self) -> bool {
         self.facts.leaving.is_none()
     }
 
-    /// Says whether it holds a base model, as it lists it itself.
+    /// Returns whether the target lists a base model.
     pub(crate) fn lists_model(&self, model: &str) -> bool {
         self.facts.version_of(model).is_some()
     }
@@ -160,16 +160,16 @@
             .collect()
     }
 
-    /// Returns the adapters that are being loaded.
+    /// Returns the number of loads that have been ordered and have not ended.
     pub(crate) fn loading(&self) -> usize {
         let loading = |hold: &&Hold| hold.is_coming() && hold.state != HoldState::Planned;
         self.holds.values().filter(loading).count()
     }
 
-    /// Returns the loads that the weight store serves, as far as is known.
+    /// Returns the number of loads in progress at the weight store, as far as known.
     ///
-    /// One whose last order got no answer has not begun, or has ended, or begins seconds later;
-    /// counted, a few lost answers would keep the loads of all other targets waiting.
+    /// A load whose last order was not answered has not begun, has ended, or begins seconds later.
+    /// If it were counted, a few lost answers would block the loads of all other targets.
     pub(crate) fn fetching(&self) -> usize {
         let answers = matches!(self.turn, Turn::Out(_) | Turn::Free(_));
         let fetching = |hold: &&Hold| match hold.state {
@@ -182,26 +182,26 @@
         self.holds.values().filter(fetching).count()
     }
 
-    /// Returns the loads that are planned or under way.
+    /// Returns the number of loads that are planned or in progress.
     pub(crate) fn coming(&self) -> usize {
         self.holds.values().filter(|hold| hold.is_coming()).count()
     }
 
-    /// Says whether it waits for requests to end before it gives an adapter up, and takes no other
-    /// order until then.
+    /// Returns whether the target is waiting for requests to end before it unloads an adapter, and
+    /// accepts no other order until then.
     pub(crate) fn gives_up(&self) -> bool {
         let mut states = self.holds.values().map(|hold| hold.state);
         let ordered = matches!(self.turn, Turn::Out(_));
         !ordered && states.any(|state| state == HoldState::Unloading)
     }
 
-    /// Returns the slots that are taken, those that orders without an answer may take included.
+    /// Returns the number of slots taken, including those that unanswered orders may take.
     pub(crate) fn slots_taken(&self) -> usize {
         let taken = |hold: &&Hold| hold.state != HoldState::Planned;
         self.holds.values().filter(taken).count() + self.slots_of_late_orders()
     }
 
-    /// Returns the slots that orders to an earlier start of the target may take.
+    /// Returns the number of slots that orders to an earlier start of the target may take.
     fn slots_of_late_orders(&self) -> usize {
         let accepted = match &self.turn {
             Turn::Free(accepted) => Some(*accepted),
@@ -211,12 +211,12 @@
         self.lost.slots(accepted)
     }
 
-    /// Says whether an adapter may be given up at once.
+    /// Returns whether an adapter may be evicted immediately.
     fn is_free(&self, weights: &Weights, hold: &Hold, now: Moment) -> bool {
         hold.serves() && hold.free_from <= now && self.in_use(weights) == 0
     }
 
-    /// Returns the adapter that is missed least of those that nobody uses: the one unused for longest.
+    /// Returns the adapter to evict: the least recently used one of those not in use.
     pub(crate) fn victim(&self, now: Moment) -> Option<&Weights> {
         let free = self.holds.iter();
         let free = free.filter(|(weights, hold)| self.is_free(weights, hold, now));
@@ -224,7 +224,7 @@
         first.map(|(weights, _)| weights)
     }
 
-    /// Returns an adapter that is no longer told of and that nobody uses any more.
+    /// Returns an adapter that is no longer announced and that nothing uses any more.
     pub(crate) fn unused_ending(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
         let mut holds = self.holds.iter();
         let due = holds.find(|(weights, hold)| {
@@ -235,7 +235,7 @@
         due.map(|(weights, _)| weights)
     }
 
-    /// Counts the room, for the requests that come until something changes here.
+    /// Computes the capacity, for the requests that arrive until something changes at this target.
     pub(crate) fn count_room(&self, slots: usize, now: Moment) -> Room {
         let coming_free = self.holds.values().map(|hold| hold.free_from);
         let until = coming_free.filter(|at| *at > now).min();
@@ -246,10 +246,10 @@
         }
     }
 
-    /// Returns how many adapters more find a place, that of one that nobody uses included.
+    /// Returns how many more adapters fit, including into the slots of unused ones.
     ///
-    /// Each request asks this of all targets: counted anew for each, it would be most of what a request
-    /// costs before thousands of them.
+    /// Every request asks this of all targets. With thousands of targets, computing it each time
+    /// would dominate the cost of a request.
     pub(crate) fn room(&self, slots: usize, now: Moment) -> usize {
         let room = &self.summary.room;
         if !self.touched && room.slots == slots && now < room.until {
@@ -266,12 +266,12 @@
         slots.saturating_sub(stays.count() + self.slots_of_late_orders())
     }
 
-    /// Says whether a load finds a place without another adapter being given up.
+    /// Returns whether a load fits without evicting another adapter.
     pub(crate) fn has_free_slot(&self, slots: usize) -> bool {
         self.holds.len() + self.slots_of_late_orders() < slots
     }
 
-    /// Says whether an adapter has to be given up for a load that is planned.
+    /// Returns whether an adapter has to be evicted for a planned load.
     pub(crate) fn lacks_slot(&self, slots: usize) -> bool {
         let mut states = self.holds.values().map(|hold| hold.state);
         let planned = states.clone().any(|state| state == HoldState::Planned);
@@ -279,13 +279,13 @@
         planned && !going && self.slots_taken() >= slots
     }
 
-    /// Forgets an adapter that the target no longer holds but may have in memory.
+    /// Removes an adapter that the target no longer holds but may still have in memory.
     pub(crate) fn gave_up(&mut self, weights: &Weights) {
         self.holds.shift_remove(weights);
         self.remembered.note(weights.clone());
     }
 
-    /// Counts a request that was granted.
+    /// Counts a granted request.
     pub(crate) fn grant_given(&mut self, weights: &Weights, tokens: u32) {
         self.touched = true;
         *self.grants.entry(weights.clone()).or_default() += 1;
@@ -293,8 +293,8 @@
         self.reading += tokens;
     }
 
-    /// Takes in that a granted request's prompt has been read, and returns for how long the target has
-    /// read since it began with it.
+    /// Records that the prompt of a granted request has been prefilled, and returns how long the
+    /// target has worked on it.
     pub(crate) fn has_read(&mut self, tokens: u32, given_at: Moment, now: Moment) -> Duration {
         self.reading = self.reading.saturating_sub(tokens);
         let began = given_at.max(self.last_read);
@@ -302,7 +302,7 @@
         now.since(began)
     }
 
-    /// Counts off a granted request that has ended.
+    /// Removes a granted request that has ended.
     pub(crate) fn grant_ended(&mut self, grant: &Grant, now: Moment) {
         self.touched = true;
         self.reading = self.reading.saturating_sub(grant.reading);
@@ -318,13 +318,13 @@
         }
     }
 
-    /// Returns the prompt tokens that are read here before those of another request.
+    /// Returns the number of prompt tokens that are prefilled before those of another request.
     pub(crate) fn backlog(&self) -> u32 {
         let waiting = self.holds.values().map(|hold| hold.waiting_tokens);
         self.reading + waiting.sum::<u32>()
     }
 
-    /// Takes in how many requests an instance has under way here with some weights.
+    /// Adds the requests that an instance has in flight at this target with some weights.
     pub(crate) fn set_use(&mut self, from: &InstanceId, weights: Option<&Weights>, count: u32) {
         self.touched = true;
         if count == 0 {
@@ -338,7 +338,7 @@
         uses.push((from.clone(), count));
     }
 
-    /// Forgets what an instance had under way here.
+    /// Forgets the requests that an instance had in flight at this target.
     pub(crate) fn clear_uses(&mut self, from: &InstanceId) {
         self.touched = true;
         self.uses.retain(|_, uses| {
@@ -350,14 +350,14 @@
         self.in_flight = counts.map(|(_, count)| count).sum();
     }
 
-    /// Returns the requests under way here with an adapter.
+    /// Returns the number of requests in flight with an adapter.
     pub(crate) fn in_use(&self, weights: &Weights) -> u32 {
         let uses = self.uses.get(weights);
         let told: u32 = uses.into_iter().flatten().map(|(_, count)| count).sum();
         told + self.grants.get(weights).copied().unwrap_or(0)
     }
 
-    /// Returns the requests under way here.
+    /// Returns the number of requests in flight at this target.
     pub(crate) const fn in_flight(&self) -> u32 {
         self.in_flight + self.granted
     }
