--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -1,8 +1,9 @@
-//! Base models: loading one at a target that holds none, and updating one that has a newer version.
+//! Base models: loads one on a target that holds none, and updates one that has a newer version.
 //!
-//! A load of a base model that is there holds already, in whatever version. To update it, it is given up,
-//! which waits for the requests that use it and drops its adapters, and is loaded again. A few targets
-//! at a time do so while the others serve. See `docs/design/places.md`.
+//! An order to load a base model that is already loaded has no effect, whatever its version. To
+//! update it, it is unloaded, which waits for the requests that use it and drops its adapters, and
+//! then loaded again. A few targets at a time do so while the others serve. See
+//! `docs/design/places.md`.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,36 +19,37 @@
 use crate::dispatch::{LoadedModel, Weights};
 use crate::owner::OrderKind;
 
-/// How soon a target that was found to be still at it is asked again about an order for a base model.
-/// Loads take 0.6 s and more.
+/// How soon a target that was still executing an order for a base model is asked again. Loads take
+/// at least 0.6 s.
 const LOOK_AGAIN: Duration = Duration::from_millis(200);
-/// How often targets are chosen that are updated next. That looks at all that are outdated: done with each
-/// event, it would be most of what a request costs.
+/// How often the targets to update next are selected. The selection inspects all outdated targets;
+/// running it with every event would dominate the cost of a request.
 const PICK_EVERY: Duration = Duration::from_millis(100);
-/// How long what a target has reported of its base models counts for more than what the platform lists
-/// of them. Targets write at least every 1.2 s, and an entry may be seen most of a second late: one from
-/// before an order would have an updated model given up once more.
+/// How long a target's own report of its base models takes precedence over the platform's list.
+/// Targets write their entry at least every 1.2 s, and an entry may be seen most of a second late:
+/// an entry from before an order would cause an updated model to be unloaded again.
 const LISTED_LATE: Duration = Duration::from_millis(2_500);
-/// How soon a base model is loaded once more for a version that its last load did not bring. A version that
-/// the weight store doesn't have would otherwise cost each target its adapters every few seconds; one that
-/// it has a little late comes with the second load.
+/// How soon a base model is loaded again for a version that its last load did not bring. Without
+/// this limit, a version missing from the weight store would cost each target its adapters every
+/// few seconds; a version that arrives there slightly late is picked up by the second load.
 const LOAD_AGAIN: Duration = Duration::from_secs(60);
-/// How long an order for a base model counts as keeping its target from serving when targets are taken
-/// out of use. One that never ends, at a target that can't be asked, must not keep others old.
+/// How long an order for a base model counts its target as out of service when further targets are
+/// selected. An order that never ends, on a target that cannot be queried, must not block the
+/// update of the others.
 const COUNTS_FOR: Duration = Duration::from_secs(20);
 
-/// An order for a base model that has been given to a target.
+/// An order for a base model that has been sent to a target.
 ///
-/// It ends with a report that shows the target idle, and with nothing else. Ended by the version that the
-/// target lists, an order that had changed nothing was never over: the target stayed out of use, and the
-/// others were never updated. Whatever has become of an order, the report shows what to do next.
+/// It ends only with a report that shows the target idle. When it ended with the version that the
+/// target lists instead, an order without effect never ended: the target stayed out of service and
+/// the others were never updated. The report shows what to do next, whatever the order's outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ModelOrder {
     kind: OrderKind,
     given_at: Moment,
 }
 
-/// A load of a base model that was to bring the newest version.
+/// A base model load that was intended to bring the newest version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LoadedFor {
     weights: Weights,
@@ -55,7 +57,7 @@
     at: Moment,
 }
 
-/// What a target's base models call for.
+/// The next step for a target's base models.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ModelStep {
     Load(Weights),
@@ -63,7 +65,7 @@
 }
 
 impl Residency {
-    /// Returns the next order about a base model, if its time has come.
+    /// Returns the next order for a base model, if one is due.
     pub(super) fn next_model_order(
         &mut self,
         name: &TargetName,
@@ -117,8 +119,8 @@
         Some(ModelStep::Load(Weights::base(&rarest.name)))
     }
 
-    /// Returns a base model of which a target holds an older version than the newest, unless it has just
-    /// been loaded for that.
+    /// Returns a base model of which a target holds an outdated version, unless it has just been
+    /// loaded for the newest one.
     fn outdated_model(&self, target: &TargetState, now: Moment) -> Option<Weights> {
         target.facts.models.iter().find_map(|held| {
             let weights = Weights::base(&held.name);
@@ -131,17 +133,18 @@
         })
     }
 
-    /// Says whether a target holds an older version of a base model than the newest.
+    /// Returns whether a target holds an outdated version of a base model.
     pub(super) fn has_outdated_model(&self, target: &TargetState, now: Moment) -> bool {
         self.outdated_model(target, now).is_some()
     }
 
-    /// Says whether a target lacks a base model that it is to load.
+    /// Returns whether a target lacks a base model that it is to load.
     pub(super) fn lacks_model(&self, name: &TargetName, now: Moment) -> bool {
         matches!(self.model_step(name, now), Some(ModelStep::Load(_)))
     }
 
-    /// Takes note that a target loads a base model. One that has it already loads nothing.
+    /// Records that a target is loading a base model. It is not called if the model was already
+    /// loaded.
     fn note_load(&mut self, order: &Order, now: Moment) {
         let newest = self.newest.get(&order.weights).copied();
         if let Some(target) = self.targets.get_mut(&order.target) {
@@ -153,11 +156,12 @@
         }
     }
 
-    /// Chooses the targets that may give an outdated model up: the least used ones, and so many that the
-    /// share of its service that is out of use stays within bounds.
+    /// Selects the targets that may unload an outdated model: the ones with the fewest requests, as
+    /// many as keep the share of the service that is out of service within its limit.
     ///
-    /// Given up at all targets at once, the model would be nowhere for as long as a stream lasts; one
-    /// after the other, at 5 s each, the last of 18 targets is updated after a minute and a half.
+    /// If all targets unloaded the model at once, it would be unavailable for as long as the
+    /// longest stream; one after the other, at 5 s each, the last of 18 targets would be updated
+    /// after a minute and a half.
     pub(super) fn pick_model_updates(&mut self, now: Moment) {
         if now.since(self.model_updates_picked_at) < PICK_EVERY {
             return;
@@ -187,7 +191,7 @@
         self.model_updates = picked;
     }
 
-    /// Returns how many more targets of a service may be taken out of use.
+    /// Returns how many more targets of a service may be taken out of service.
     fn updates_left(&self, service: &ServiceName, now: Moment) -> usize {
         let targets = self.targets.values();
         let targets = targets.filter(|it| it.facts.service == *service && it.takes_work());
@@ -222,10 +226,10 @@
         })
     }
 
-    /// Takes in a target's answer to an order about a base model.
+    /// Handles a target's answer to an order for a base model.
     ///
-    /// The adapters go with the model that is given up. Those who wait for one are placed elsewhere; what
-    /// becomes of an order that was not accepted the next report shows.
+    /// Unloading a model also drops its adapters, so the requests that wait for one are placed
+    /// elsewhere. The next report shows the result of an order that was not accepted.
     pub(super) fn model_order_answered(
         &mut self,
         order: &Order,
@@ -251,8 +255,8 @@
         }
     }
 
-    /// Takes in a report of a target that has been given an order for a base model, and says whether that
-    /// has ended.
+    /// Applies a report of a target to its pending base model order, and returns whether none is
+    /// pending any more.
     pub(super) fn model_order_ended(
         &mut self,
         name: &TargetName,
@@ -277,7 +281,7 @@
         true
     }
 
-    /// Forgets everything that a target holds, and returns the questions that waited for some of it.
+    /// Forgets all adapters of a target, and returns the placement requests that waited for them.
     fn drop_holds(&mut self, name: &TargetName, out: &mut Vec<ResidencyAction>) -> Vec<u64> {
         let Some(target) = self.targets.get_mut(name) else {
             return Vec::new();
@@ -302,7 +306,7 @@
 }
 
 impl TargetState {
-    /// Says whether it serves nothing for want of its base model.
+    /// Returns whether the target cannot serve because it lacks its base model.
     fn is_without_model(&self, now: Moment) -> bool {
         match &self.model_order {
             Some(order) => order.counts(now),
@@ -311,7 +315,7 @@
     }
 }
 
-/// Returns the base models of a report. Its adapters are held beside them.
+/// Returns the base models of a report, without adapters, which are tracked separately.
 pub(super) fn report_models(report: &TargetReport) -> Vec<LoadedModel> {
     let models = report.models.iter().map(|(weights, version)| LoadedModel {
         name: Arc::clone(&weights.model),
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -1,4 +1,5 @@
-//! New versions of weights: the newest one is loaded beside the old one, which then goes.
+//! New versions of weights: the newest one is loaded on another target before the old one is
+//! unloaded.
 
 use std::time::Duration;
 
@@ -10,15 +11,15 @@
 use super::wants::{Want, tell};
 use crate::dispatch::{Lane, Weights};
 
-/// How long after its last use the newest version of an adapter is loaded for whoever comes next. One
-/// that nobody asks for is loaded when it is asked for.
+/// How recently an adapter must have been used for its newest version to be loaded ahead of
+/// requests. Otherwise it is loaded on request.
 const USED_OF_LATE: Duration = Duration::from_secs(1);
 
 impl Residency {
-    /// Takes in that a version is the newest.
+    /// Applies the announcement of a newest version.
     ///
-    /// To replace an adapter where it is waits for the requests that use it, for seconds, and turns
-    /// new ones away meanwhile. So a used adapter is loaded at other targets first.
+    /// Replacing an adapter in place waits seconds for the requests that use it, and rejects new
+    /// ones in the meantime. An adapter in use is therefore loaded on another target first.
     pub(super) fn version_named(
         &mut self,
         weights: Weights,
@@ -43,7 +44,8 @@
         }
         let used = outdated.iter().any(|(.., used)| *used);
         for (name, service, zone, _) in outdated {
-            // Where nobody uses it, or no other target has room, the old one goes at once.
+            // If nothing uses the adapter, or no other target has capacity, the old version is
+            // retired immediately.
             let want = Want {
                 service,
                 weights: weights.clone(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Makes sure that targets are looked at that hold some weights, or a model of which they are.
+    /// Marks the targets that hold the given weights, or the given base model, to be inspected.
     fn touch_holders(&mut self, weights: &Weights) {
         for target in self.targets.values_mut() {
             target.touched |= match weights.adapter {
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Marks older versions and returns where they are, each with whether it is used.
+    /// Marks older versions as outdated, and returns their locations, each with whether it is in
+    /// use.
     fn mark_outdated(
         &mut self,
         weights: &Weights,
@@ -89,7 +92,7 @@
                 hold.version = version;
                 continue;
             }
-            // One that an earlier version has made outdated keeps the time that it was given then.
+            // An adapter that is outdated already keeps its original grace period.
             if !hold.outdated {
                 hold.since = now;
             }
@@ -102,7 +105,8 @@
         found
     }
 
-    /// Gives up outdated holds once the newest version serves elsewhere, or their time is over.
+    /// Retires outdated adapters once the newest version serves elsewhere or their grace period is
+    /// over.
     pub(super) fn retire_outdated(
         &mut self,
         name: &TargetName,
@@ -132,7 +136,7 @@
         holds.any(|hold| hold.serves())
     }
 
-    /// Stops telling of an adapter; it is given up once nobody uses it any more.
+    /// Stops announcing an adapter, which is unloaded once nothing uses it any more.
     pub(super) fn end_hold(
         &mut self,
         name: &TargetName,
