--- a/crates/chervilshunt_core/src/residency/learnt.rs
+++ b/crates/chervilshunt_core/src/residency/learnt.rs
@@ -1,23 +1,24 @@
-//! What a placer has learnt by trying, which the next one need not try anew.
+//! Estimates that a placer passes on, so that its successor does not have to repeat the
+//! measurement.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a placer has learnt of the weight store and of the targets.
+/// A placer's estimates of the weight store and of the targets' memory.
 ///
-/// It takes a second or more of loads to learn, in which callers of cold adapters are refused; so it is
-/// told to all instances, any of which may be the next placer. It is a beginning and no belief: where it
-/// is wrong, the next rounds of loads show that as they showed it first.
+/// Estimating takes a second or more of loads, during which callers of cold adapters are refused.
+/// The estimates are therefore sent to all instances, any of which may become the next placer. They
+/// are only initial values: where they are wrong, the next rounds of loads correct them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Learnt {
-    /// How long a load from the weight store takes at full speed.
+    /// The duration of a load from the weight store at full speed.
     #[serde(rename = "t")]
     pub load_time: Duration,
-    /// How many loads the store serves at a time.
+    /// The number of concurrent loads that the weight store serves at full speed.
     #[serde(rename = "n")]
     pub loads_at_once: u32,
-    /// How many adapters each target keeps in memory.
+    /// The number of adapters that each target keeps in memory.
     #[serde(rename = "k")]
     pub kept_in_memory: u32,
 }
--- a/crates/chervilshunt_core/src/residency/memory.rs
+++ b/crates/chervilshunt_core/src/residency/memory.rs
@@ -1,18 +1,20 @@
-//! Which adapters a target has in memory still after it gave up their places.
+//! Estimates which adapters a target still has in memory after they were unloaded from its slots.
 
 use indexmap::IndexSet;
 
 use crate::dispatch::Weights;
 
-/// The adapters that a target is taken to keep until loads have shown how many it does.
+/// The number of adapters that a target is assumed to keep in memory until loads have shown the
+/// actual number.
 const FIRST_GUESS: usize = 120;
-/// The fewest: those that it holds are copies too.
+/// The smallest estimate; the adapters in slots have copies in memory too.
 const FEWEST: usize = 4;
 
-/// How many adapters each target keeps in memory, learnt from how long loads take.
+/// The number of adapters that each target keeps in memory, estimated from the duration of loads.
 ///
-/// Nothing tells it. A load of a remembered adapter that takes as long as one from the weight store shows
-/// that fewer are kept than were remembered since; a quick load of one taken for forgotten shows more.
+/// Targets do not report it. If a load of a remembered adapter takes as long as one from the weight
+/// store, fewer are kept than were used since; if the load of an adapter assumed to be evicted is
+/// fast, more are kept.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MemorySize(usize);
 
@@ -23,17 +25,18 @@
 }
 
 impl MemorySize {
-    /// Takes in that a load came from the weight store though so many adapters only were used since.
+    /// Records that a load came from the weight store although only `since` other adapters were
+    /// used since.
     pub(crate) fn was_forgotten(&mut self, since: usize) {
         self.0 = self.0.min(since).max(FEWEST);
     }
 
-    /// Takes in that a load came from memory though so many adapters were used since.
+    /// Records that a load came from memory although `since` other adapters were used since.
     pub(crate) fn was_kept(&mut self, since: usize) {
         self.0 = self.0.max(since + 1);
     }
 
-    /// Begins with what another placer has learnt.
+    /// Starts with the estimate of another placer.
     pub(crate) fn begin_with(kept: usize) -> Self {
         Self(kept.max(FEWEST))
     }
@@ -43,17 +46,17 @@
     }
 }
 
-/// The adapters that one target had of late, the last one at the end.
+/// The adapters that one target had recently, the most recent one last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Remembered {
     adapters: IndexSet<Weights>,
 }
 
-/// The most that are remembered of one target.
+/// The maximum number of adapters remembered per target.
 const MOST: usize = 512;
 
 impl Remembered {
-    /// Takes note that the target has an adapter now.
+    /// Records that the target has an adapter now.
     pub(crate) fn note(&mut self, weights: Weights) {
         self.adapters.shift_remove(&weights);
         self.adapters.insert(weights);
@@ -62,13 +65,14 @@
         }
     }
 
-    /// Returns how many adapters the target has had since it last had this one; none if it never had it.
+    /// Returns how many other adapters the target had since it last had this one, or `None` if it
+    /// never had it.
     pub(crate) fn since(&self, weights: &Weights) -> Option<usize> {
         let index = self.adapters.get_index_of(weights)?;
         Some(self.adapters.len() - 1 - index)
     }
 
-    /// Says whether a load of an adapter is taken to come from memory.
+    /// Returns whether a load of an adapter is expected to come from memory.
     pub(crate) fn keeps(&self, weights: &Weights, size: MemorySize) -> bool {
         self.since(weights).is_some_and(|since| since < size.get())
     }
--- a/crates/chervilshunt_core/src/residency/pace.rs
+++ b/crates/chervilshunt_core/src/residency/pace.rs
@@ -1,20 +1,20 @@
-//! How fast targets read prompts.
+//! Estimates how fast targets prefill prompts.
 
 use std::time::Duration;
 
-/// The pace that is taken until prompts have been read, in tokens a millisecond: that of a slow engine,
-/// so that the first prompts are spread rather than queued.
+/// The initial estimate, in tokens per millisecond. It is that of a slow engine, so that the first
+/// prompts are spread over targets rather than queued.
 const FIRST_GUESS: f64 = 15.0;
-/// The tokens that a first guess counts for.
+/// The number of tokens that the initial estimate counts for.
 const GUESS_TOKENS: f64 = 20_000.0;
-/// The tokens over which the pace is taken: about a hundred prompts.
+/// The number of tokens over which the rate is averaged: about a hundred prompts.
 const MEMORY_TOKENS: f64 = 200_000.0;
 
-/// The pace at which the targets of all services read prompts, learnt from how long they take to begin
+/// The prefill rate of the targets of all services, estimated from the time that they take to begin
 /// their answers.
 ///
-/// Nothing tells it: it differs with the engine, with what else a target generates and with the parts of
-/// prompts that it has kept.
+/// Targets do not report it: it depends on the engine, on concurrent generation and on how much of
+/// the prompts is cached.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadingPace {
     tokens: f64,
@@ -31,7 +31,8 @@
 }
 
 impl ReadingPace {
-    /// Takes in that a target has read so many tokens in a time in which it had prompts to read.
+    /// Records that a target prefilled `tokens` tokens in a time in which it had prompts to
+    /// process.
     pub(crate) fn read(&mut self, tokens: u32, took: Duration) {
         if tokens == 0 {
             return;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Returns how long a target takes to read so many tokens, in milliseconds.
+    /// Returns how long a target takes to prefill `tokens` tokens, in milliseconds.
     pub(crate) fn millis(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.millis / self.tokens
     }
--- a/crates/chervilshunt_core/src/residency/window.rs
+++ b/crates/chervilshunt_core/src/residency/window.rs
@@ -1,50 +1,54 @@
-//! How many adapters are loaded at a time, over all targets.
+//! Limits the number of concurrent adapter loads over all targets.
 //!
-//! The weight store serves a number of loads at full speed; beyond it each takes longer in
-//! proportion, so that starting more makes all of them late and none sooner. Neither that number
-//! nor the time of a load at full speed is told anywhere. The time is learnt from the first loads,
-//! of which there are so few at a time that any store keeps up. The number is found as a sender
-//! finds the room of a link: the window doubles with each round until most loads of a round end late.
-//! How late they end then tells the number, and from there the window grows by one a round.
+//! The weight store serves a certain number of loads at full speed. Beyond it, each load takes
+//! longer in proportion, so that starting more makes all of them late and none earlier. Neither
+//! that number nor the duration of a load at full speed is reported anywhere. The duration is
+//! estimated from the first loads, which are so few at a time that any store keeps up. The number
+//! is found the way TCP congestion control finds the capacity of a link: the window doubles with
+//! each round until most loads of a round are late. Their lateness gives an estimate of the number,
+//! and from then on the window grows by one per round.
 //!
-//! Some loads end late whatever the store does: targets carry orders out late, or say late that they
-//! have. So a round counts by its middle load, and a few of them cut nothing.
+//! Some loads are late for reasons other than the store: targets execute orders late, or report
+//! late that they did. A round is therefore judged by its median load, so that a few late loads do
+//! not shrink the window.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// The fewest loads at a time: what the smallest store serves at full speed. Begun with, so that the
-/// loads from which the usual time is learnt are not slowed down by each other.
+/// The smallest window, which the smallest store serves at full speed. It is also the initial
+/// window, so that the loads from which the usual duration is estimated do not slow each other
+/// down.
 const FEWEST: f64 = 8.0;
-/// The most; far above any store's number, against growth without end.
+/// The largest window, far above the capacity of any store, as a guard against unbounded growth.
 const MOST: f64 = 256.0;
-/// How much the window grows with each load of a round while the number is looked for.
+/// How much the window grows with each load in the initial doubling phase, in loads.
 const SEARCH_STEP: f64 = 2.0;
-/// The least that is left of the window by one cut.
+/// The smallest factor by which one round can shrink the window.
 const DEEPEST_CUT: f64 = 0.5;
-/// Loads from which the usual time is learnt. Their median counts: up to three may come from a
-/// target's memory, in a tenth of the time, without the planner knowing. They fit into the first round.
+/// The number of loads from which the usual duration is estimated, by their median: up to three may
+/// have come from a target's memory, in a tenth of the time, without the planner knowing. They fit
+/// into the first round.
 const SAMPLES: usize = 7;
-/// The fewest loads by which a round is judged.
+/// The minimum number of loads by which a round is judged.
 const FEWEST_IN_ROUND: usize = 5;
-/// How much longer than usual a load may take: a load is looked at every 30 ms, and the order and its
-/// answer are on their way for some milliseconds each.
+/// How much longer than usual a load may take before it counts as late: loads are checked every 30
+/// ms, and the order and its answer take some milliseconds each.
 const TOLERANCE: Duration = Duration::from_millis(45);
 
-/// The bound on loads at a time.
+/// The limit on concurrent loads.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadWindow {
     size: f64,
-    /// Whether it doubles with each round.
+    /// Whether the window is in the initial phase, in which it doubles with each round.
     doubles: bool,
     samples: Vec<Duration>,
-    /// How long a load takes at full speed, once that is known.
+    /// The duration of a load at full speed, once known.
     usual: Option<Duration>,
-    /// The loads that have ended in this round: how many the store would have served at full speed, as
-    /// far as each of them shows.
+    /// The loads that ended in this round, each as the number of concurrent loads that the store
+    /// would have served at full speed; infinite for loads that were not late.
     round: Vec<f64>,
-    /// When the loads began that this round counts.
+    /// When the loads that count for this round began at the earliest.
     round_began: Moment,
 }
 
@@ -60,36 +64,38 @@
         }
     }
 
-    /// Returns how long a load takes at full speed and how many loads the store serves, once that is
-    /// known.
+    /// Returns the duration of a load at full speed and the number of loads that the store serves
+    /// at that speed, once known.
     pub(crate) fn learnt(&self) -> Option<(Duration, u32)> {
         let load_time = self.usual?;
         (!self.doubles).then_some((load_time, self.size as u32))
     }
 
-    /// Begins with what another placer has learnt.
+    /// Starts with the estimates of another placer.
     pub(crate) fn begin_with(&mut self, load_time: Duration, loads_at_once: u32) {
         self.usual = Some(load_time);
         self.size = f64::from(loads_at_once).clamp(FEWEST, MOST);
         self.doubles = false;
     }
 
-    /// Returns how many loads may be under way.
+    /// Returns how many loads may be in progress.
     pub(crate) const fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// Returns how long a load takes at full speed; `guess` is what is taken until that is known.
+    /// Returns the duration of a load at full speed, or `guess` until it is known.
     pub(crate) fn usual(&self, guess: Duration) -> Duration {
         self.usual.unwrap_or(guess)
     }
 
-    /// Takes in that a load from the weight store has ended, with so many under way.
+    /// Records that a load from the weight store has ended while `under_way` loads were in
+    /// progress.
     pub(crate) fn ended(&mut self, took: Duration, under_way: usize, now: Moment) {
         let Some(usual) = self.usual else {
             return self.learn(took);
         };
-        // One that began before the last cut was slowed down by loads of which there are fewer now.
+        // A load that began before the window was last cut was slowed down by loads that no longer
+        // run.
         if now - took < self.round_began {
             return;
         }
@@ -113,7 +119,7 @@
         }
     }
 
-    /// Cuts the window if most loads of a round were late.
+    /// Shrinks the window if most loads of a round were late.
     fn judge_round(&mut self, now: Moment) {
         let mut round = std::mem::take(&mut self.round);
         round.sort_unstable_by(f64::total_cmp);
