--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, by cases.
+//! Tests for target selection.
 
 #[path = "support/choosing.rs"]
 mod choosing;
@@ -31,7 +31,8 @@
 }
 
 #[rstest]
-// At equal load the zone decides, since bytes between zones cost; a busier target here loses.
+// At equal load the zone decides, since cross-zone traffic has a cost; one more request in the
+// local zone outweighs that.
 #[case::equal(0, "here")]
 #[case::busier(1, "there")]
 fn another_zone_counts_less_than_a_request(#[case] under_way: usize, #[case] expected: &str) {
@@ -44,7 +45,8 @@
 
 #[test]
 fn a_leaving_target_gets_nothing() {
-    // A target that drains serves on for seconds, and what it gets meanwhile is cut off at its end.
+    // A draining target keeps serving for seconds, but requests sent to it in that time are cut off
+    // when it stops.
     let mut leaving = facts("t1", "here", &[]);
     leaving.leaving = Some(Leaving { gone_after: None });
     let dispatch = dispatch([leaving, facts("t2", "there", &[])]);
@@ -53,8 +55,8 @@
 
 #[test]
 fn a_silent_target_is_passed_over_for_a_while() {
-    // A target that has lost power stays listed for three heartbeats. Each request sent to it
-    // meanwhile would wait for a connection in vain.
+    // A target that has lost power stays listed for three heartbeats. Each request sent to it in
+    // that time would wait in vain for a connection.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
     dispatch.sign(&TargetName::from("t1"), Sign::Silent, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 249)), to("t2"));
@@ -65,8 +67,8 @@
 
 #[test]
 fn one_is_tried_all_the_same_if_all_are_silent() {
-    // All targets silent at once is more likely a fault of this instance's own link, which may be
-    // over; refusing everything would make it one for good.
+    // If no target responds, the likely cause is this instance's own network link, which may have
+    // recovered. Refusing all requests would prevent it from ever noticing.
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
     dispatch.sign(&TargetName::from("t1"), Sign::Silent, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
@@ -74,8 +76,8 @@
 
 #[test]
 fn a_target_that_fails_many_requests_is_passed_over() {
-    // A faulty target fails two fifths of its requests while its health check is good, and looks
-    // idle, since failures are quick.
+    // A faulty target fails two out of five requests while its health check passes, and looks idle
+    // because failures are fast.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
     for _ in 0..6 {
         dispatch.sign(&TargetName::from("t1"), Sign::Failed, at(0));
@@ -87,7 +89,7 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 10)), to("t1"));
 }
 
-/// One target, which says that it has as many requests as it is given.
+/// One target, which has reported as many requests as it may be sent.
 fn before_a_full_target() -> Dispatch {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
     let report = LoadReport {
@@ -105,16 +107,18 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), Err(Wait::Full));
 }
 
-/// Callers of a plain service are refused by one instance after another second of burst, while its targets
-/// are idle. A target tells its load with its answers alone: one that was full with the last of them is
-/// sent nothing, and so is never heard to have room. One instance refused 16 requests in the second in
-/// which it sent 6, to three targets that work on 18 at a time for 60 ms each.
+/// Guards against an instance that keeps refusing requests of a plain service while its targets are
+/// idle. Targets report their load only with responses, so a target that was full at its last
+/// response is sent nothing and never seen to have room. One instance refused 16 requests in a
+/// second in which it sent 6, with three targets that execute 18 requests concurrently in 60 ms
+/// each.
 #[test]
 fn a_target_that_was_full_is_asked_again_though_nothing_is_heard_of_it() {
     let mut dispatch = before_a_full_target();
     assert_eq!(chosen(choose(&dispatch, None, &[], 100)), Err(Wait::Full));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_000)), to("t1"));
-    // What this instance itself has under way there counts however long ago it was told.
+    // Requests that this instance itself has in flight there count regardless of the age of the
+    // report.
     for _ in 0..6 {
         dispatch.sent(&TargetName::from("t1"), None);
     }
@@ -152,8 +156,9 @@
     assert_eq!(after, Ok(("t2".to_owned(), Some(2))));
 }
 
-/// Callers of a base model are refused by each target in turn while its versions follow each other: the
-/// version asked for is the one just named, which none can have loaded yet. The one before it may serve.
+/// Guards against refusals of base model requests by one target after the other while new versions
+/// follow each other: the required version must not be the one just announced, which no target can
+/// have loaded yet, since the previous version may still serve.
 #[test]
 fn a_base_model_is_asked_for_in_the_version_that_its_target_lists_while_a_newer_one_is_new() {
     let weights = Weights::base(&"base".into());
@@ -186,7 +191,7 @@
         chosen(choose(&dispatch, Some(&weights), &[], 200)),
         to("t2")
     );
-    // The placer has been silent for three seconds: targets' own lists are all there is.
+    // Three seconds have passed since the placer's snapshot, so the targets' own lists apply again.
     dispatch.target_seen(facts("t1", "here", &[("a", 1)]), at(3_100));
     let avoid = [TargetName::from("t2")];
     assert_eq!(
@@ -198,7 +203,7 @@
 #[rstest]
 #[case::reads(4_000, 20, Lane::LongPrompt)]
 #[case::short(2_499, 20, Lane::General)]
-// A long prompt with a long answer would be held up itself among other long prompts.
+// A long prompt with a long answer would itself be delayed by other long prompts.
 #[case::generates(4_000, 290, Lane::General)]
 fn a_lane_follows_from_the_size(#[case] prompt: u32, #[case] output: u32, #[case] lane: Lane) {
     let size = RequestSize {
@@ -224,10 +229,10 @@
 }
 
 #[rstest]
-// 100 requests in the window earn 20, the share of one instance of four in 40 is 10, and four
+// 100 requests in the window earn 20, one instance of four gets 10 of the allowance of 40, and four
 // fifths of the sum are used.
 #[case(100, 4, 24)]
-// Without requests there is the share of the allowance alone.
+// Without requests, only the share of the allowance remains.
 #[case(0, 4, 8)]
 #[case(0, 400, 0)]
 fn repeats_are_bounded_in_every_window(
@@ -256,8 +261,8 @@
     assert_eq!(count(budget, at(10_002)), share, "nothing was earned since");
 }
 
-/// The caller gets an answer of an older version. The placer names a target from what it believes,
-/// and that may be behind the newest version; the target refuses if it is asked for that one.
+/// Guards against an answer from an outdated version. The placer's knowledge of a target may
+/// predate the newest version; the target refuses the request if that version is required.
 #[test]
 fn a_target_that_the_placer_names_is_asked_for_the_newest_version() {
     let mut dispatch = dispatch([facts("t1", "here", &[("a1", 1)])]);
@@ -282,8 +287,9 @@
     assert_eq!(chosen(choice), Err(Wait::NoTarget));
 }
 
-/// Versions 2, 3 and 4 are named 2 s after each other. A request that begins on version 1 when version 2
-/// has been known for longer than its grace is answered wrongly, also while newer ones go on to come.
+/// Guards against an answer from an outdated version while new versions follow each other. Versions
+/// 2, 3 and 4 are announced 2 s apart; a request must not begin on version 1 once version 2 has
+/// been known for longer than the grace period.
 #[test]
 fn each_version_is_counted_from_its_own_naming() {
     let held = [("t1", 1), ("t2", 2), ("t3", 3)];
@@ -307,7 +313,8 @@
     assert_eq!(holders(2_600), ["t2", "t3"]);
     assert_eq!(holders(4_600), ["t3"]);
     assert_eq!(holders(6_600), [""; 0]);
-    // A target that holds a newer version than has to be there is asked for that one.
+    // A target that holds a newer version than the oldest allowed one is required to have that
+    // newer one.
     let at_t3 = dispatch.choose_named(&TargetName::from("t3"), Some(&weights), at(4_600));
     assert_eq!(chosen(at_t3), Ok(("t3".to_owned(), Some(3))));
 }
@@ -327,7 +334,7 @@
     assert_eq!(dispatch.begin_deadline(&adapter("b"), 1), None);
 }
 
-/// Guards against a begin deadline that moves on with each of many versions in a row.
+/// Guards against a begin deadline that is postponed by each new version.
 #[test]
 fn the_begin_deadline_of_a_version_stays_while_newer_versions_follow_each_other() {
     let weights = adapter("a");
--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -1,9 +1,9 @@
-//! Load at its worst, replayed: long prompts and clumps of prompts among streams.
+//! Replays of peak load: long prompts and bursts of prompts among streams.
 //!
-//! Engines work in steps: each reads up to 2,048 prompt tokens and generates a token for every
-//! stream, and takes as long as that reading takes. A stream of which an event comes a quarter of a
-//! second late is late for its caller. The same arrivals are placed with and without a decision,
-//! and the late streams are counted.
+//! The simulated engines work in steps. Each step prefills up to 2,048 prompt tokens and generates
+//! a token for every stream, and is delayed by the prefill. A stream counts as late if one of its
+//! events comes 250 ms or more after the previous one. The same arrivals are placed with and
+//! without the mechanism under test, and the late streams are counted.
 
 use std::time::Duration;
 
@@ -35,15 +35,15 @@
     longest_pause: f64,
 }
 
-/// One arrival: when, and how large.
+/// The arrival time and size of one request.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at_ms: f64,
     size: RequestSize,
 }
 
-/// Drafts that read little and generate for seconds, in clumps of three, and reconciliations that
-/// read 600 to 7,500 tokens and generate little.
+/// Returns drafts, which have short prompts and generate for seconds, in groups of three, mixed
+/// with reconciliations, which have prompts of 600 to 7,500 tokens and generate little.
 fn arrivals(seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -67,7 +67,8 @@
     all
 }
 
-/// Steady drafts, and each half second a clump of prompts of 1,000 to 3,000 tokens at one moment.
+/// Returns a steady flow of drafts, and every half second a simultaneous burst of prompts of 1,000
+/// to 3,000 tokens.
 fn clumps(seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -166,7 +167,7 @@
         });
     }
 
-    /// Lets each engine work until a moment.
+    /// Runs each engine until the given time.
     fn work_until(&mut self, end_ms: f64) {
         for target in 0..TARGETS {
             while self.busy_until[target] < end_ms {
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves with their answers, by cases.
+//! Tests for the state that targets report about themselves with their responses.
 
 #[path = "support/choosing.rs"]
 mod choosing;
@@ -34,7 +34,7 @@
     assert_eq!(dispatch.closed(&service(), at(0)), [name("t1")]);
 }
 
-/// Guards against an entry of before that makes a target usable again that leaves.
+/// Guards against an earlier entry that makes a leaving target usable again.
 #[test]
 fn its_entry_does_not_take_it_back() {
     let mut dispatch = dispatch([started("t1", 7)]);
@@ -44,7 +44,7 @@
         EntryChange::Known
     );
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), Err(Wait::NoTarget));
-    // Not even after it was gone from the list for a time.
+    // This also holds after the target was missing from the list for a time.
     dispatch.target_gone(&name("t1"));
     assert_eq!(
         dispatch.target_told(started("t1", 7), at(2)),
@@ -59,7 +59,7 @@
     dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
     dispatch.target_seen(started("t1", 8), at(1));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
-    // An answer of the start before comes late.
+    // A response of the previous start arrives late.
     assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
 }
@@ -76,20 +76,20 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 2_000)), to("t1"));
 }
 
-/// Guards against callers who wait for targets that are known to take nothing.
+/// Guards against callers that wait for targets which are known to accept no requests.
 #[test]
 fn where_all_want_a_pause_the_first_end_is_told() {
     let holding = [("a", 1)];
     let mut dispatch = dispatch([facts("t1", "here", &holding), facts("t2", "here", &holding)]);
     dispatch.wants_pause(&name("t1"), Duration::from_secs(3), at(0));
     dispatch.wants_pause(&name("t2"), Duration::from_secs(2), at(500));
-    // A shorter one that comes later takes nothing back.
+    // A later, shorter pause does not shorten the first one.
     dispatch.wants_pause(&name("t1"), Duration::from_secs(1), at(600));
     let choice = choose(&dispatch, Some(&adapter("a")), &[], 1_000);
     assert_eq!(chosen(choice), Err(Wait::Paused(at(2_500))));
 }
 
-/// Guards against a figure that nobody meant, which would take a target out of use for good.
+/// Guards against an implausible value, which would take a target out of use permanently.
 #[test]
 fn a_pause_is_bounded() {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
@@ -97,7 +97,7 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 600_000)), to("t1"));
 }
 
-/// Guards against an older copy of the platform's list, in which a target that leaves is ready.
+/// Guards against an outdated copy of the platform's list, in which a leaving target is ready.
 #[test]
 fn a_target_whose_entry_said_that_it_leaves_stays_leaving() {
     let mut dispatch = dispatch([started("t1", 7)]);
@@ -110,7 +110,8 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 3)), to("t1"));
 }
 
-/// Guards against an older copy that lists a target which is gone: it is told from one that is new.
+/// Guards against an outdated copy of the list that contains a removed target, which must be
+/// distinguished from a new one.
 #[test]
 fn an_entry_of_a_start_that_is_gone_is_known_as_such() {
     let mut dispatch = dispatch([started("t1", 7), facts("t2", "here", &[])]);
--- a/crates/chervilshunt_core/tests/support/choosing.rs
+++ b/crates/chervilshunt_core/tests/support/choosing.rs
@@ -1,4 +1,4 @@
-//! Targets as one instance knows them, and its choice among them.
+//! Test support: targets as known to one instance, and its selection among them.
 
 #![allow(dead_code, reason = "each test binary uses a part of these")]
 
