--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -1,4 +1,4 @@
-//! When an instance asks the platform itself, by cases.
+//! Tests for the choice between polling the platform and relying on the placer's notifications.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     StoreRevision::new(0, number)
 }
 
-/// Told at 0 that nothing concerns it after revision 7.
+/// Returns a guide that was notified at 0 that nothing after revision 7 concerns the instance.
 fn told() -> Guide {
     let mut guide = Guide::new(TRUST, LONGEST_REST);
     guide.told(rev(7), at(0));
@@ -46,8 +46,9 @@
     assert_eq!(guide.pace(at(10)), pace);
 }
 
-/// The placer loses sight of the platform, or its machine is cut off. A target leaves, and the
-/// instances would go on sending to it if they took what was told last for good.
+/// Guards against requests sent to a target that has left. The placer loses its connection to the
+/// platform, or its machine is partitioned; the instances must not rely on the last notification
+/// indefinitely.
 #[test]
 fn what_is_told_counts_for_a_second_after_what_it_tells_was_seen() {
     let mut guide = told();
@@ -55,7 +56,7 @@
     assert_eq!(guide.pace(at(999)), Pace::Rest);
     assert_eq!(guide.next_wakeup(at(999)), Some(at(1_000)));
     assert_eq!(guide.pace(at(1_000)), Pace::Alone);
-    // What comes late, or again, tells of the same moment.
+    // A late or repeated notification refers to the same observation time.
     guide.told(rev(7), at(0));
     guide.told(rev(5), at(0));
     assert_eq!(guide.pace(at(1_000)), Pace::Alone);
@@ -98,8 +99,8 @@
     assert_eq!(guide.follows(rev(7), rev(9)), follows);
 }
 
-/// A change is told before the next regular telling. It says nothing of when the placer last saw the
-/// platform, so that what was told before counts no longer for it.
+/// A change may be sent before the next regular notification. It does not say when the placer last
+/// saw the platform, so it must not extend the validity of earlier notifications.
 #[test]
 fn a_told_change_makes_an_instance_look_that_has_missed_one() {
     let mut guide = told();
@@ -117,8 +118,9 @@
     );
 }
 
-/// The platform has been restored, and gives revisions out again. Compared by their numbers, changes
-/// after the restore would count as known, or as the next ones of a history that has ended.
+/// Guards against revisions that the platform issues again after it has been restored. If only
+/// their numbers were compared, changes after the restore would count as known, or as a
+/// continuation of the previous history.
 #[test]
 fn changes_of_a_new_era_make_an_instance_look() {
     let mut guide = told();
--- a/crates/chervilshunt_core/tests/guide_machine.rs
+++ b/crates/chervilshunt_core/tests/guide_machine.rs
@@ -1,12 +1,14 @@
-//! Followers that are told what changes, under random losses, delays, cuts and looks.
+//! Simulates instances that follow the platform through the placer's notifications, with random
+//! losses, delays, partitions and polls.
 //!
-//! A platform with objects that change, a placer that sees it and tells followers what has changed and
-//! up to where they have to know it, and followers that look for themselves when their guide says so.
-//! Messages are lost, doubled, late and out of order; the placer is cut off from the platform, or
-//! replaced by another instance, and followers join. Checked after each step: what a follower believes
-//! is never older than what it believed before, and is what the platform held at the revision that it
-//! takes for seen; and it is behind by no more than the trust that it gives the placer, once it has had
-//! a moment to look.
+//! The platform holds objects that change. A placer polls it and notifies followers of changes and
+//! of the revision up to which they must be current. Followers poll on their own when their guide
+//! says so. Messages are lost, duplicated, delayed and reordered; the placer is disconnected from
+//! the platform or replaced by another instance, and followers join.
+//!
+//! After each step, the state known to a follower must never be older than before, must equal the
+//! platform's state at the revision that it considers seen, and may lag behind by no more than the
+//! validity of the placer's notifications plus the time for a poll.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,28 +22,28 @@
 const LONGEST_REST: Duration = Duration::from_secs(60);
 const FOLLOWERS: usize = 4;
 const OBJECTS: u64 = 5;
-/// The longest step of time. A follower looks in the step after its guide says so.
+/// The longest step of time. A follower polls in the step after its guide asks for it.
 const LONGEST_STEP_MS: u64 = 200;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Pass(u64),
     /// An object changes.
     Change(u64),
-    /// The placer looks at the platform and tells what has changed.
+    /// The placer polls the platform and notifies followers of the changes.
     PlacerLooks,
-    /// The placer tells a follower regularly.
+    /// The placer sends a follower its regular notification.
     Tell(usize),
-    /// A message under way arrives, or is lost, or arrives and stays under way.
+    /// A message in transit arrives, is lost, or is duplicated.
     Deliver(usize),
     Lose(usize),
     Double(usize),
-    /// The placer reaches the platform, or does not.
+    /// The placer becomes connected to the platform, or disconnected.
     Reach(bool),
-    /// Another instance places from now on, with what it knows itself.
+    /// Another instance becomes the placer, with its own knowledge.
     Replace,
-    /// A follower starts again and knows nothing.
+    /// A follower restarts without any knowledge.
     Restart(usize),
 }
 
@@ -60,7 +62,7 @@
     ]
 }
 
-/// What each object was last changed at.
+/// The revision at which each object last changed.
 type Picture = BTreeMap<u64, u64>;
 
 fn rev(number: u64) -> StoreRevision {
@@ -69,9 +71,9 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    /// Everything up to a revision has been seen at a moment.
+    /// Everything up to a revision was seen at the given time.
     View { changed_at: u64, as_of: Moment },
-    /// Changes between two revisions.
+    /// The changes between two revisions.
     ChangeBatch {
         after: u64,
         up_to: u64,
@@ -83,7 +85,7 @@
 struct Follower {
     guide: Guide,
     believes: Picture,
-    /// Since when the guide has wanted a look.
+    /// The time since which the guide has asked for a poll.
     wants_look_since: Option<Moment>,
 }
 
@@ -121,7 +123,7 @@
     now: Moment,
     revision: u64,
     platform: Picture,
-    /// When each revision was made.
+    /// The time at which each revision was created.
     made_at: Vec<Moment>,
     placer_reaches: bool,
     placer: Picture,
@@ -186,7 +188,7 @@
             }
             Step::Reach(reaches) => self.placer_reaches = reaches,
             Step::Replace => {
-                // The next placer has looked at everything before it tells anything.
+                // The next placer has polled everything before it sends anything.
                 self.placer_reaches = true;
                 self.placer_looks();
                 self.told = self.placer.values().copied().max().unwrap_or(0);
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Lets time pass; followers look that have wanted to since before.
+    /// Lets time pass; followers poll if their guide already asked for it in an earlier step.
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
         for follower in &mut self.followers {
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Returns what is wrong with a follower, if anything is.
+    /// Returns a description of what is wrong with a follower, if anything is.
     fn fault(&self, before: &Follower, follower: &Follower) -> Option<String> {
         let older = before.believes.iter().find(|(object, at)| {
             let known = follower.believes.get(*object);
@@ -248,8 +250,8 @@
         if let Some((object, at)) = older {
             return Some(format!("object {object} was known at {at}"));
         }
-        // A look comes in the second step after the guide wants it, and the guide wants it once what it
-        // was told is older than the trust that it gives.
+        // A poll comes in the second step after the guide asks for it, which it does once the last
+        // notification is no longer valid.
         let bound = TRUST + Duration::from_millis(2 * LONGEST_STEP_MS);
         let missed: BTreeSet<u64> = self
             .platform
@@ -279,7 +281,7 @@
             };
             world.take(step.clone());
             for (index, (before, follower)) in before.iter().zip(&world.followers).enumerate() {
-                // One that has just started is not ready for callers before its first look.
+                // A follower that has just started does not serve callers before its first poll.
                 if restarted == Some(index) || follower.believes.is_empty() {
                     continue;
                 }
