--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Places for adapters are short: who may use one, and when it is free again.
+//! Tests for grants: which requests may use a scarce adapter slot, and when it becomes free again.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -11,7 +11,7 @@
 use placing::{adapter, at, before_asking, reported, target, wanted};
 use rstest::rstest;
 
-/// A planner before one target with a place for a single adapter, which takes orders at once.
+/// A planner with one target, which has a single adapter slot and executes orders immediately.
 struct OnePlace {
     residency: Residency,
     now: u64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A load is accepted when it is first ordered, and holds when it is ordered again.
+    /// Accepts a load when it is first ordered, and reports it as done when it is ordered again.
     fn carry_out(&self, order: &Order) -> OrderAnswer {
         let last = self
             .orders
@@ -107,7 +107,7 @@
         self.orders.iter().any(|it| it.kind == OrderKind::Unload)
     }
 
-    /// Has a first request served, which holds the place.
+    /// Creates the setup with a first granted request that occupies the slot.
     fn taken() -> Self {
         let mut it = Self::new();
         it.want(1, "a1", 1_000);
@@ -117,9 +117,10 @@
     }
 }
 
-/// The only place is in use, and a request for another adapter is refused at once. When the place's last
-/// request has ended, the next one has it: its adapter is there after a load. With a place that stood idle
-/// until uses had settled it waited for 1.7 s more.
+/// Guards against slots that stay unused after their last request. While the only slot is in use, a
+/// request for another adapter is refused immediately. Once its last request has ended, the next
+/// adapter is loaded without waiting. When a slot had to be unused until usage reports had settled,
+/// this took 1.7 s longer.
 #[test]
 fn a_place_turns_over_as_soon_as_its_last_request_has_ended() {
     let mut places = OnePlace::taken();
@@ -132,7 +133,7 @@
     assert!(places.is_placed(3));
 }
 
-/// An adapter is asked for again while it is still there: no load, and no wait.
+/// A repeated request for an adapter that is still loaded needs no load and does not wait.
 #[test]
 fn an_unused_adapter_stays_until_its_place_is_needed() {
     let mut places = OnePlace::taken();
@@ -144,9 +145,9 @@
     assert_eq!(places.orders.len(), before);
 }
 
-/// An instance tells the end of a request, and the message is lost; or the instance has never had the
-/// answer that was its grant. What it tells next leaves the grant out, and that ends it. A telling that
-/// left before the answer came leaves it out too, and must not.
+/// Guards against grants that never end because a message was lost: either the report of the
+/// request's end, or the answer that gave the grant. The next usage report omits the grant, which
+/// ends it. A report sent before the answer arrived omits it too, and must not end it.
 #[test]
 fn a_grant_that_its_instance_does_not_tell_of_ends() {
     let mut places = OnePlace::taken();
@@ -174,8 +175,8 @@
     assert!(places.gives_up());
 }
 
-/// A request under way that was sent without this placer's leave, to a placer before it or to none, keeps
-/// its adapter too.
+/// Requests in flight that this placer did not grant, but a previous placer or none, protect their
+/// adapter from eviction too.
 #[test]
 fn what_is_told_beside_grants_keeps_its_adapter() {
     let mut places = OnePlace::taken();
@@ -188,7 +189,8 @@
     assert!(places.gives_up());
 }
 
-/// A target restarts: grants of before end with it, and the ends that come late count for nothing.
+/// Guards against ends of grants that are counted more than once, because they are reported
+/// repeatedly or for an unknown grant.
 #[test]
 fn an_end_that_is_told_twice_or_late_counts_once() {
     let mut places = OnePlace::taken();
@@ -204,8 +206,9 @@
     assert!(places.gives_up());
 }
 
-/// The same, where the request has not ended by then, and the target loads a base model besides. It is told
-/// again, and again, until it has given the adapter up.
+/// Guards against a target that is never sent orders again. The request has not ended when the
+/// target is queried, and the target is busy with a base model. The unload order is repeated until
+/// the adapter has been unloaded.
 #[test]
 fn a_target_that_still_waits_is_told_again() {
     let mut residency = before_asking(1, 16, 1);
@@ -242,9 +245,10 @@
     orders.collect()
 }
 
-/// A target is told to give up an adapter that still serves a request which its instance takes for ended,
-/// and waits for that. It says nothing when it is done. Asked again it is used as before; not asked, it
-/// loaded nothing more for the rest of a day, and a few such orders took most places out of use.
+/// Guards against a target that is never sent orders again. It is ordered to unload an adapter that
+/// still serves a request which the instance considers ended, waits for that request, and does not
+/// report when it is done. It has to be queried: without that, it loaded nothing more for the rest
+/// of a day, and a few such orders took most slots out of use.
 #[test]
 fn a_target_that_waits_before_it_gives_an_adapter_up_is_not_lost() {
     let mut residency = before_asking(1, 16, 1);
@@ -271,8 +275,9 @@
     assert_eq!(load, Some((OrderKind::Load, &adapter("a2"))), "{actions:?}");
 }
 
-/// A load ends 250 ms after it is wanted. A request with a long prompt that waits for as long would have its
-/// first token too late, and is refused at once, while it can come back; one with a short prompt waits.
+/// A load ends 250 ms after it is requested. If a request with a long prompt waited for it, its
+/// first token would be late, so it is refused immediately, while it can still retry; a request
+/// with a short prompt waits.
 #[rstest]
 #[case::short(100, false)]
 #[case::long(6_000, true)]
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -1,9 +1,9 @@
-//! Load at its worst, replayed: adapters that nobody holds are wanted faster and faster.
+//! Replays of peak load: adapters that no target holds are requested at increasing rates.
 //!
-//! The weight store serves so many loads at full speed; beyond it each takes longer in proportion.
-//! Neither that number nor how long a load takes is told anywhere. Wants arrive at a steady pace,
-//! each for an adapter of its own, and what counts is how many are placed before their requests
-//! stop to wait, and how long loads take.
+//! The weight store serves a certain number of loads at full speed; beyond it, each takes longer in
+//! proportion. Neither that number nor the duration of a load is known to the planner. Placement
+//! requests arrive at a steady rate, each for a different adapter. The tests check how many are
+//! placed before their requests time out, and how long loads take.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -22,12 +22,12 @@
 
 const SECONDS: u64 = 20;
 const PATIENCE_MS: u64 = 1_500;
-/// How long an order and its answer are on their way.
+/// The time that an order and its answer take.
 const ROUND_TRIP_MS: u64 = 3;
 /// How long a request uses its adapter.
 const IN_USE_MS: u64 = 400;
 
-/// What is replayed.
+/// The parameters of a replay.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     targets: usize,
@@ -35,11 +35,11 @@
     load_ms: f64,
     at_full_speed: usize,
     wants_a_second: u64,
-    /// Of how many orders one gets no answer, and is carried out seconds later; none if zero.
+    /// One in this many orders is not answered and executed seconds later; zero for none.
     one_lost_of: u64,
 }
 
-/// How late an order is carried out that gets no answer, and after what time it is given up on.
+/// How late an unanswered order is executed, and after what time its answer is given up on.
 const CARRIED_OUT_AFTER_MS: u64 = 4_000;
 const GIVEN_UP_AFTER_MS: u64 = 250;
 
@@ -56,7 +56,7 @@
     accepted: HashMap<TargetName, u64>,
     load_times_ms: Vec<u64>,
     orders: u64,
-    /// Orders that are carried out at a later millisecond.
+    /// Orders to execute at a later time, in milliseconds.
     late: BTreeMap<u64, Vec<Order>>,
 }
 
@@ -127,7 +127,7 @@
     load: Load,
     residency: Residency,
     store: Store,
-    /// What reaches the planner at a later millisecond.
+    /// Events that reach the planner at a later time, in milliseconds.
     coming: BTreeMap<u64, Vec<ResidencyEvent>>,
     placed: usize,
 }
@@ -235,8 +235,8 @@
         self.handle(wanted, now_ms);
     }
 
-    /// Returns the share of wants that were placed in time, and how long loads took in the second
-    /// half, as a multiple of a load at full speed.
+    /// Returns the share of requests that were placed in time, and the mean duration of the loads
+    /// in the second half, as a multiple of a load at full speed.
     fn run(mut self) -> (f64, f64) {
         let wants = self.pass(SECONDS);
         let settled = self
@@ -247,7 +247,8 @@
         (self.placed as f64 / wants as f64, mean / self.load.load_ms)
     }
 
-    /// Lets seconds pass from the start, and returns how many wants came.
+    /// Runs the replay for some seconds from its start, and returns the number of placement
+    /// requests.
     fn pass(&mut self, seconds: u64) -> u64 {
         let mut wants = 0;
         for now_ms in 1..seconds * 1_000 {
@@ -272,13 +273,13 @@
     }
 }
 
-/// The part of the wants that may go unserved while the store's pace is being found: the first
-/// second and a quarter of 20, at the slowest loads.
+/// The share of requests that may fail while the store's capacity is being estimated: the first
+/// 1.25 s of 20 s, with the slowest loads.
 const FINDING_THE_PACE: f64 = 0.07;
 
-/// A load that takes longer than expected at any pace is no sign of a store that is overloaded.
-/// Taken for one, the window stays at its smallest: of 150 wants a second before 112 targets, 19 in
-/// 100 were placed in time where the store could have served all of them.
+/// Guards against mistaking loads that take longer than expected at any rate for an overloaded
+/// store. When they were, the window stayed at its minimum: of 150 requests per second with 112
+/// targets, 19% were placed in time where the store could have served all of them.
 #[rstest]
 #[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 25, one_lost_of: 0 })]
 #[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, wants_a_second: 50, one_lost_of: 0 })]
@@ -293,8 +294,8 @@
     );
 }
 
-/// Wanted a third faster than the store can serve, adapters come at nearly its full pace all the
-/// same, and not all of them late: what can't be served is told so at once.
+/// With requests a third above the store's capacity, adapters are still loaded at nearly its full
+/// rate, and not all of them late: requests that cannot be served are refused immediately.
 #[rstest]
 #[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 43, one_lost_of: 0 })]
 #[case::large_store(Load { targets: 112, adapter_slots: 8, load_ms: 288.0, at_full_speed: 64, wants_a_second: 300, one_lost_of: 0 })]
@@ -307,10 +308,11 @@
     );
 }
 
-/// Targets leave a third of the orders unanswered and carry them out seconds later, so that each is
-/// out of use for 0.7 s after one in three. A request that waits for such a load is not given up: the
-/// adapter is loaded at another target. Given up, and with lost orders counted against the window of
-/// loads, 32 in 100 wants were placed in time.
+/// Guards against requests that are refused because an order was lost. Targets leave a third of the
+/// orders unanswered and execute them seconds later, which takes each target out of use for 0.7 s
+/// after every third order. A request that waits for such a load must be placed on another target.
+/// When it was refused instead, and lost orders counted against the load window, 32% of the
+/// requests were placed in time.
 #[test]
 fn a_load_whose_order_is_lost_goes_to_another_target() {
     let load = Load {
@@ -325,10 +327,11 @@
     assert!(placed > 0.65, "placed {placed:.3}");
 }
 
-/// Targets leave a third of the orders unanswered and carry them out seconds later. A load that seems
-/// slow because of that says nothing of the store: taken for a store that is overloaded, the window was
-/// cut again and again. And a target is asked as soon as what became of the order can show. Two thirds
-/// of first orders are answered, and of the others' wants some have time for another target.
+/// Guards against mistaking late orders for a slow store. Targets leave a third of the orders
+/// unanswered and execute them seconds later; when the resulting long loads counted as a sign of an
+/// overloaded store, the window shrank again and again. A target must also be queried as soon as
+/// the outcome of the order can be visible. Two thirds of the first orders are answered, and some
+/// of the other requests have time for another target.
 #[rstest]
 #[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 25, one_lost_of: 3 })]
 #[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, wants_a_second: 50, one_lost_of: 3 })]
@@ -341,9 +344,10 @@
     );
 }
 
-/// A placer is lost in the middle of a rush for cold adapters. The next one has been told what the last
-/// one learnt, and loads at the store's pace from its first second; without that it begins with eight
-/// loads at a time, and callers are refused until it has found the store's number anew.
+/// Guards against refusals after a placer is lost during a peak of requests for cold adapters. The
+/// next placer has received the estimates of the previous one and loads at the store's capacity
+/// from its first second. Without them it starts with eight concurrent loads, and callers are
+/// refused until it has estimated the store's capacity again.
 #[test]
 fn a_new_placer_loads_at_the_pace_that_the_last_one_learnt() {
     let load = Load {
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -1,7 +1,9 @@
-//! The planner before targets that lose answers, carry orders out late, restart and vanish.
+//! Simulates the planner with targets that lose answers, execute orders late, restart and
+//! disappear.
 //!
-//! Each random run plays targets by their published behaviour (`support/real_target.rs`), before a
-//! platform that lists them, and instances that tell what they have under way.
+//! Each random run simulates targets according to their documented behavior
+//! (`support/real_target.rs`), a platform that lists them, and instances that report their requests
+//! in flight.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -23,7 +25,7 @@
 
 const TARGETS: u8 = 3;
 const ADAPTERS: u8 = 9;
-/// How often an instance tells what it has under way.
+/// How often an instance reports its requests in flight.
 const TELL_EVERY: Duration = Duration::from_millis(400);
 
 /// How often a target writes its entry.
@@ -33,15 +35,18 @@
 enum Step {
     Want(u8, bool),
     Use(u8, u8, u32),
-    /// A granted request ends, and its instance tells so at once or leaves it out of what it tells next.
+    /// A granted request ends, and its instance either reports that immediately or only omits it
+    /// from the next usage report.
     End(u8, bool),
     Version(u8),
-    /// A newer version of the base model is named.
+    /// A newer version of the base model is announced.
     BaseVersion,
     Advance(u64),
-    /// What happens to the next orders: answered, lost before, lost after, or carried out late.
+    /// The outcome of the following orders: answered, lost before execution, answer lost, or
+    /// executed late.
     Fate(u8),
-    /// It starts again under its name, and its entry says so at once or is not seen.
+    /// A target restarts under the same name, and its entry either shows that immediately or is not
+    /// seen.
     Restart(u8, bool),
     Vanish(u8),
     Appear(u8),
@@ -65,7 +70,7 @@
     weights_of(&format!("base/a{n}"))
 }
 
-/// The steps of [`step`], and now and then a newer version of the base model.
+/// The steps of [`step`], occasionally with a newer version of the base model.
 fn step_with_base_versions() -> impl Strategy<Value = Step> {
     prop_oneof![40 => step(), 1 => Just(Step::BaseVersion)]
 }
@@ -82,14 +87,14 @@
     next_question: u64,
     used: BTreeMap<(TargetName, String), u32>,
     told_used_at: BTreeMap<(TargetName, String), Moment>,
-    /// When everything under way was last told.
+    /// The time of the last usage report.
     told_at: Moment,
-    /// Whether targets write their entries now and then though nothing has changed.
+    /// Whether targets periodically write their entries even if nothing has changed.
     heartbeats: bool,
     heartbeat_at: Moment,
-    /// What each question wants.
+    /// The adapter of each placement request.
     wants: BTreeMap<u64, String>,
-    /// The granted requests under way, each with its target and adapter.
+    /// The granted requests in flight, each with its target and adapter.
     granted: BTreeMap<u64, (TargetName, String)>,
 }
 
@@ -137,14 +142,14 @@
         self.list(target);
     }
 
-    /// Starts a target, which holds nothing.
+    /// Starts a target, which holds no adapters.
     fn start(&mut self, target: u8) {
         let start = self.now.as_millis();
         let real = RealTarget::new(Some(start), self.newest_base());
         self.real.insert(target, real);
     }
 
-    /// Shows the planner a target's entry.
+    /// Passes a target's entry to the planner.
     fn list(&mut self, target: u8) {
         let Some(real) = self.real.get(&target) else {
             return;
@@ -176,7 +181,7 @@
         self.event(ResidencyEvent::TargetGone(name));
     }
 
-    /// Ends a target, and what it was doing.
+    /// Stops a target, together with its requests.
     fn end(&mut self, target: u8) {
         let name = Self::name(target);
         self.real.remove(&target);
@@ -184,7 +189,7 @@
         self.granted.retain(|_, (holder, _)| *holder != name);
     }
 
-    /// Has a target start again, and shows its new entry or leaves that to its reports.
+    /// Restarts a target, and either lists its new entry or leaves that to its reports.
     fn restart(&mut self, target: u8, seen: bool) {
         if !self.real.contains_key(&target) {
             return;
@@ -239,7 +244,7 @@
             "two orders on their way to {}",
             order.target
         );
-        // A target that gives its base model up waits for all its requests.
+        // Unloading a base model waits for all requests of the target.
         if order.kind == OrderKind::Unload && order.weights.adapter.is_some() {
             let key = (order.target.clone(), order.weights.to_string());
             let used = self.used.get(&key).copied().unwrap_or_default();
@@ -301,7 +306,7 @@
         }
     }
 
-    /// Lets targets go on, and lists those whose base model has come or gone.
+    /// Advances the targets, and lists those whose base model was loaded or unloaded.
     fn targets_go_on(&mut self) {
         let mut changed = Vec::new();
         for (index, real) in &mut self.real {
@@ -326,7 +331,7 @@
         self.versions.get("base").copied().unwrap_or(1)
     }
 
-    /// Lets everything that is under way end, and no order be lost any more.
+    /// Ends all requests in flight, and lets all further orders succeed.
     fn settle(&mut self, millis: u64) {
         self.fate = 0;
         self.used.clear();
@@ -384,8 +389,8 @@
         }
     }
 
-    /// Begins a granted request. A target that does not hold its adapter, as it has started again or has
-    /// not ended the load, refuses it truly, and nothing is under way.
+    /// Begins a granted request. A target that does not hold the adapter, because it has restarted
+    /// or the load has not ended, refuses it, and nothing is in flight.
     fn begin(&mut self, question: u64, target: TargetName) {
         let adapter = self.wants[&question].clone();
         let index = self.index(&target).expect("a target that is there");
@@ -415,7 +420,7 @@
         }
     }
 
-    /// Tells everything that is under way.
+    /// Reports all requests in flight.
     fn tell(&mut self) {
         self.told_at = self.now;
         let mut counts = self.used.clone();
@@ -450,8 +455,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// No target is ever ordered to hold more than it can, has two orders on their way, or gives
-    /// up what is in use; and each question is answered once targets answer again.
+    /// Checks that no target is ever ordered to hold more than it can, is sent two orders at a
+    /// time, or is ordered to unload what is in use; and that every placement request is answered
+    /// once targets answer again.
     #[test]
     fn orders_stay_within_what_targets_bear(steps in prop::collection::vec(step(), 1..120)) {
         let mut world = World::new();
@@ -463,8 +469,9 @@
         prop_assert!(world.open.is_empty(), "never answered: {:?}", world.open);
     }
 
-    /// The same while base models get newer versions, which all targets come to hold: one after the
-    /// other in 3 s each at the most, and a lost order may be carried out 3 s late.
+    /// Checks the same while newer versions of the base model are announced, which all targets have
+    /// to load eventually: one at a time, each in at most 3 s, where a lost order may be executed 3
+    /// s late.
     #[test]
     fn targets_come_to_hold_the_newest_base_model(
         steps in prop::collection::vec(step_with_base_versions(), 1..120)
@@ -474,9 +481,11 @@
         for step in steps {
             world.apply(step);
         }
-        // A target whose base model is given up by a late order lists that with its next heartbeat.
+        // A target whose base model was unloaded by a late order lists that with its next
+        // heartbeat.
         world.heartbeats = true;
-        // What was placed meanwhile ends too: a request that never ends is waited for without end.
+        // Requests placed in the meantime have to end too, since the planner would wait
+        // indefinitely for one that never ends.
         for _ in 0..15 {
             world.settle(1_000);
         }
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -1,7 +1,9 @@
-//! A busy adapter gets as many targets as its requests need, and loads from memory don't wait for others.
+//! Tests that a busy adapter is spread over as many targets as its requests need, and that loads
+//! from memory do not wait for others.
 //!
-//! At the start of a calm day the two busiest adapters came to be on one target. Its requests waited for
-//! each other's prompts to be read, while other targets were idle.
+//! They guard against a case in which, at the start of a quiet day, the two busiest adapters were
+//! loaded on the same target. Their requests queued for prefill there while other targets were
+//! idle.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -16,8 +18,8 @@
 
 const TARGETS: usize = 12;
 
-/// A planner before targets with 10 slots for requests and 20 for adapters, of which the first holds
-/// the busy adapter and the others nothing.
+/// Creates a planner with targets that have 10 request slots and 20 adapter slots, of which the
+/// first holds the busy adapter and the others none.
 fn planner() -> Residency {
     let mut residency = before_asking(TARGETS, 10, 20);
     residency.handle(ResidencyEvent::Tick, at(450));
@@ -43,8 +45,8 @@
     })
 }
 
-/// Requests for one adapter come faster than its target reads their prompts. Those that would wait for
-/// longer than a load takes have it loaded at other targets.
+/// Requests for one adapter arrive faster than its target can prefill their prompts. If requests
+/// would wait for longer than a load takes, the adapter is loaded on further targets.
 #[rstest]
 #[case::few(3, 0)]
 #[case::many(12, 1)]
@@ -63,7 +65,8 @@
     assert!(!targets.contains(&target(0)));
 }
 
-/// Once the prompts have been read, the target that holds the adapter is as good as any.
+/// Guards against prompts that keep counting after their prefill has completed, which would keep
+/// requests away from the target that holds the adapter.
 #[test]
 fn prompts_that_have_been_read_keep_no_request_away() {
     let mut residency = planner();
@@ -79,8 +82,8 @@
     assert_eq!(placed_at(&actions), Some(&target(0)));
 }
 
-/// The weight store serves as many loads as it can. An adapter that a target still has in memory takes
-/// nothing of the store, and is loaded at once.
+/// Guards against a load from a target's memory that waits for the weight store. The store is used
+/// to capacity, which does not affect an adapter that the target still has in memory.
 #[test]
 fn a_load_from_memory_does_not_wait_for_the_weight_store() {
     let mut residency = before_asking(1, 10, 2);
@@ -110,8 +113,9 @@
     assert_eq!(residency.next_wakeup(), Some(at(1_513 + 28)));
 }
 
-/// A new placer before thousands of targets asks them one after the other: asked all at once, they
-/// answer more than it takes in before it gives them up and asks again.
+/// Guards against a new placer that never learns the state of its targets. If it queried thousands
+/// of targets at once, their answers would exceed what it processes before it times out and asks
+/// again.
 #[rstest]
 #[case::hundreds(120, 1)]
 #[case::thousands(3_000, 1_500)]
@@ -137,8 +141,8 @@
     assert!(longest <= 2, "{longest} in a millisecond");
 }
 
-/// A target comes while everybody relies on the placer. It has not been asked yet, and no instance is
-/// told for that to choose by itself.
+/// Guards against instances that select targets themselves because one target was added. The new
+/// target has not been queried yet, but the placer must still count as knowing its targets.
 #[test]
 fn a_placer_that_knows_the_targets_goes_on_knowing_them() {
     let mut residency = before_asking(2, 10, 2);
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -1,5 +1,5 @@
-//! What targets say that differs from what the planner believes: older versions than the newest one
-//! named, and adapters that they do not hold.
+//! Tests for reports of targets that contradict the planner's state: outdated versions, and
+//! adapters that the target does not hold.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -15,15 +15,15 @@
 use rstest::rstest;
 
 const QUESTION: u64 = 7;
-/// Requests that a target works on at a time.
+/// The number of requests that a target executes concurrently.
 const SLOTS: u32 = 16;
 
-/// A planner that has just begun, before one target that it has asked what it holds.
+/// Creates a new planner with one target, which it has queried.
 fn begun() -> Residency {
     with_slots(4)
 }
 
-/// The same with that many slots for adapters at the target.
+/// Creates the same with the given number of adapter slots on the target.
 fn with_slots(adapter_slots: usize) -> Residency {
     let mut residency = before_asking(1, SLOTS, adapter_slots);
     residency.handle(ResidencyEvent::Tick, at(450));
@@ -69,9 +69,9 @@
     order.expect("an order")
 }
 
-/// The caller gets an answer of an adapter's older version, long after a newer one was named. A new
-/// placer knows of the newer one, and plans its load at a target that it has asked what it holds;
-/// then the target lists the older version, and the load is taken to have ended.
+/// Guards against an answer from an outdated version of an adapter. A new placer knows of the newer
+/// version, and plans its load on a target that it has queried. Then the target lists the older
+/// version, which must not count as the end of the planned load.
 #[test]
 fn an_older_version_that_a_target_lists_does_not_end_a_planned_load() {
     let mut residency = begun();
@@ -85,7 +85,7 @@
     );
 }
 
-/// The same, where the newer version is named while the older one is being loaded.
+/// Guards against the same when the newer version is announced while the older one is being loaded.
 #[test]
 fn a_load_that_was_ordered_before_a_newer_version_was_named_serves_nobody_who_waits() {
     let mut residency = begun();
@@ -104,9 +104,10 @@
     );
 }
 
-/// The target dies, ordered to hold more than it has slots for. It has refused a request for an older
-/// version than the one named, of which the planner did not know; taken for a target that holds
-/// nothing of the adapter, it seemed to have a free slot while another order was on its way.
+/// Guards against a load for which the target has no slot, which kills it. The target refused a
+/// request for an older version than the announced one, of which the planner did not know. If the
+/// planner concluded that the target does not hold the adapter, it would count a free slot while
+/// another order is in flight.
 #[test]
 fn a_refused_request_frees_no_slot() {
     let mut residency = with_slots(2);
@@ -125,9 +126,10 @@
     assert_eq!(loads.count(), 0, "{actions:?}");
 }
 
-/// The target dies in the same way. A lost order to load an adapter is carried out seconds later, while
-/// the same load is planned once more; the report that shows it under way left it planned, without a
-/// slot. Of one random run: three held of four slots, `loading: [a8]`, and the next order loaded a6.
+/// Guards against a load for which the target has no slot, which kills it. A lost order to load an
+/// adapter is executed seconds later, while the same load is planned again; the report that shows
+/// it in progress must not leave it planned, without a slot. Found in a random run: three of four
+/// slots were taken, with `loading: [a8]`, and the next order loaded a6.
 #[test]
 fn a_load_that_is_found_under_way_while_it_is_planned_takes_a_slot() {
     let mut residency = with_slots(3);
@@ -155,8 +157,9 @@
     assert_eq!(loads.count(), 0, "{actions:?}");
 }
 
-/// The same, where an instance loses the lease and has it back at once. What a target reports lags
-/// behind what it has accepted; asked at once, it leaves out the last load that was ordered.
+/// Guards against the same when an instance loses the lease and regains it immediately. A target's
+/// report lags behind the orders that it has accepted; if queried immediately, the target would
+/// omit the last load ordered.
 #[test]
 fn a_new_planner_waits_before_it_asks_for_as_long_as_reports_lag() {
     let mut residency = before_asking(1, SLOTS, 4);
@@ -168,8 +171,9 @@
     );
 }
 
-/// A new placer finds all slots taken, and does not know yet whether they are used. It gives none up until
-/// instances have told, for half a second, and then does as soon as a request needs one.
+/// A new placer finds all slots taken, and does not know yet whether they are in use. It must not
+/// evict any adapter until instances have reported their uses for half a second, and then does so
+/// as soon as a request needs a slot.
 #[rstest]
 #[case::not_told_yet(959, false)]
 #[case::told(960, true)]
@@ -191,8 +195,8 @@
     assert_eq!(orders.collect::<Vec<_>>(), expected, "{actions:?}");
 }
 
-/// The caller is told that its adapter can't be had when it has stopped waiting. An order that the
-/// target does not answer holds its load up until it would end too late.
+/// Guards against a caller that is refused only after it has stopped waiting. An order that the
+/// target does not answer delays a load until it would end too late.
 #[test]
 fn those_who_wait_are_told_while_they_can_still_come_back() {
     let mut residency = begun();
@@ -221,9 +225,9 @@
     );
 }
 
-/// Versions follow each other before the one before is everywhere. An old hold keeps the time that it
-/// was given when the first newer version was named; given anew with each, it would serve for as long as
-/// versions follow each other.
+/// Guards against an outdated version that keeps serving while new versions follow each other. Its
+/// grace period starts when the first newer version is announced, and must not restart with each
+/// further one.
 #[test]
 fn an_outdated_hold_gets_no_more_time_with_the_next_version() {
     let mut residency = before_asking(2, SLOTS, 4);
@@ -244,7 +248,7 @@
         }
         let used = ResidencyEvent::Used(InstanceId::from("i"), uses.clone(), Vec::new());
         actions.extend(residency.handle(used, at(now)));
-        // Loads are never answered, so that no newer version ever serves.
+        // Loads are never answered, so that no newer version is ever available.
         for action in actions {
             match action {
                 ResidencyAction::Tell(it) if it.target == target(0) && it.version.is_none() => {
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the name that they had, and entries that come late.
+//! Tests for targets that restart under the same name, and for entries that arrive late.
 
 #[path = "support/placing.rs"]
 mod placing;
@@ -20,7 +20,7 @@
     Some(TargetStart(at))
 }
 
-/// The entry of target 0, as written by the start of that time.
+/// The entry of target 0 as written by the given start.
 fn entry(start: u64, adapters: &[&str]) -> TargetFacts {
     let adapters = adapters.iter().map(|name| LoadedAdapter {
         name: (*name).into(),
@@ -63,9 +63,10 @@
     matches!(choice, Choice::Send { .. })
 }
 
-/// A target is full and silent, and holds an adapter. It starts again under its name. Taken for the
-/// same target it would get no work, as its requests of before never end, and be sent requests for
-/// an adapter that it has lost.
+/// Guards against state that survives a restart. A target is full, unreachable and holds an
+/// adapter, and then restarts under its name. If it were considered unchanged, it would get no
+/// requests, since its previous ones never end, and would be sent requests for an adapter that it
+/// no longer holds.
 #[test]
 fn nothing_of_before_holds_once_a_target_has_started_again() {
     let mut dispatch = dispatch(100, &["a1"]);
@@ -81,8 +82,9 @@
     assert_eq!(dispatch.tell_uses(), []);
 }
 
-/// Requests to the start before end, one after the other, as their connections break. Counted off
-/// from the new start, its own requests would seem to be none, and it would be overloaded.
+/// Guards against an overloaded target after a restart. Requests to the previous start end one by
+/// one as their connections break; if they were subtracted from the load of the new start, its own
+/// requests would not be counted.
 #[test]
 fn the_end_of_a_request_of_before_does_not_count_for_the_new_start() {
     let mut dispatch = dispatch(100, &[]);
@@ -97,8 +99,8 @@
     assert!(is_sent(&choice(&dispatch, None, 50)));
 }
 
-/// A heartbeat of the start before is carried out late, after the entry of the new one, or after the
-/// target was gone altogether.
+/// A heartbeat of the previous start is written late, after the entry of the new one, or after the
+/// target was removed.
 #[rstest]
 #[case::after_the_new_one(false)]
 #[case::after_its_end(true)]
@@ -128,7 +130,7 @@
     assert!(is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
 }
 
-/// A planner and one target, which answers what the test says.
+/// A planner and one target, whose answers are given by the test.
 struct Planning {
     residency: Residency,
     now: u64,
@@ -205,7 +207,7 @@
         self.handle(ResidencyEvent::Answered(number, answer));
     }
 
-    /// Wants an adapter and has the target load it; says whether it was ordered.
+    /// Requests an adapter and lets the target load it; returns whether the load was ordered.
     fn load(&mut self, name: &str) -> bool {
         let before = self.orders.len();
         self.want(name);
@@ -219,8 +221,9 @@
     }
 }
 
-/// A caller waits for a load. The target starts again between the order and its answer, which then
-/// counts for nothing: the new start has accepted no order.
+/// Guards against an order to the previous start that counts for the new one. The target restarts
+/// between the order and its answer, while a caller waits for the load; the new start has accepted
+/// no orders.
 #[rstest]
 #[case::seen_in_its_entry(false)]
 #[case::seen_in_its_report(true)]
@@ -247,8 +250,9 @@
     assert_eq!((order.accepted_before, &order.weights), (0, &adapter("a2")));
 }
 
-/// A report that left before the restart comes after it. Believed, the target would be told of as
-/// holding what it has lost, and orders would name the count of the start before.
+/// Guards against a report that was sent before a restart and arrives after it. If it were applied,
+/// the target would be announced as holding adapters that it lost, and orders would state the order
+/// count of the previous start.
 #[test]
 fn a_report_of_the_start_before_is_not_believed() {
     let mut planning = Planning::begin();
@@ -265,9 +269,9 @@
     assert_eq!(planning.orders[0].accepted_before, 0);
 }
 
-/// A load is ordered after three others and gets no answer. The target starts again and accepts three
-/// loads; now the lost order may be carried out. A fourth load ordered beside it would be one more than
-/// the target has slots for, which kills it.
+/// Guards against a load for which the target has no slot, which kills it. A load is ordered after
+/// three others and not answered. The target restarts and accepts three loads, so the lost order
+/// may now be executed; a fourth load must not be ordered in addition.
 #[test]
 fn an_order_that_may_come_late_keeps_a_slot_of_the_new_start() {
     let mut planning = Planning::begin();
@@ -283,7 +287,7 @@
     for name in ["b1", "b2", "b3"] {
         assert!(planning.load(name), "{name}");
     }
-    // In use, none of them makes room.
+    // While in use, none of them can be evicted.
     let uses = ["b1", "b2", "b3"].map(|name| Use {
         target: target(0),
         weights: Some(adapter(name)),
