--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -1,6 +1,8 @@
-//! A planner before targets that hold a base model of which a newer version is named.
+//! Test support: a planner with targets that hold a base model of which a newer version is
+//! announced.
 //!
-//! The targets do what the platform's do (`real_target.rs`), and what they list comes a moment late.
+//! The targets behave like those of the platform (`real_target.rs`), and their entries are seen
+//! with a delay.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -25,17 +27,17 @@
 pub(crate) const TARGETS: usize = 9;
 pub(crate) const FIRST: u64 = 1;
 pub(crate) const SECOND: u64 = 2;
-/// When the second version is named, in milliseconds.
+/// When the second version is announced, in milliseconds.
 pub(crate) const NAMED_AT: u64 = 2_000;
 
-/// How long a request is under way.
+/// How long a request is in flight.
 const RUNS_FOR: Duration = Duration::from_secs(3);
-/// How late the planner sees what a target lists.
+/// How late the planner sees a target's entry.
 const LISTED_AFTER: Duration = Duration::from_millis(400);
-/// How late an order's answer comes that was lost: when it is given up on.
+/// After what time a lost answer is given up on.
 const GIVEN_UP_AFTER: Duration = Duration::from_millis(250);
 const CARRIED_OUT_LATE: Duration = Duration::from_secs(3);
-/// How long an order and its answer take.
+/// The time that an order and its answer take.
 const ANSWERED_AFTER: Duration = Duration::from_millis(2);
 const STEP_MS: u64 = 5;
 
@@ -65,24 +67,24 @@
     }
 }
 
-/// What becomes of an order's answer.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fate {
     Answered,
-    /// The order is carried out and its answer lost.
+    /// The order is executed and its answer is lost.
     AnswerLost,
-    /// It never arrives, and nobody says so.
+    /// The order never arrives, and its sender is not notified of that.
     Lost,
-    /// It has no answer and is carried out seconds later, if its condition still holds.
+    /// The order is not answered and is executed seconds later, if its condition still holds.
     Late,
 }
 
 #[derive(Clone, Debug)]
 struct Site {
     real: RealTarget,
-    /// The ends of its requests.
+    /// The end times of its requests.
     runs: Vec<Moment>,
-    /// What it is to be listed with, and from when.
+    /// The base model versions to list, each with the time from which it is listed.
     listings: Vec<(Moment, Option<u64>)>,
 }
 
@@ -90,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PlacedAt {
     pub(crate) at: Moment,
-    /// The version of the base model at its target.
+    /// The version of the base model on its target.
     pub(crate) version: Option<u64>,
 }
 
@@ -103,16 +105,15 @@
     open: Vec<(GrantNumber, Moment)>,
     answers: Vec<(Moment, ResidencyEvent)>,
     late: Vec<(Moment, Order)>,
-    /// What becomes of the answers to orders about the base model, one after the other; the later ones
-    /// all arrive.
+    /// The outcomes of successive orders for the base model; all orders after those are answered.
     pub(crate) fates: Vec<Fate>,
-    /// Whether loads bring the version that is named.
+    /// Whether loads bring the announced version.
     pub(crate) brings_named: bool,
-    /// How often a target was ordered to give its base model up.
+    /// The number of orders to unload a base model.
     pub(crate) given_up: usize,
     pub(crate) placed: Vec<PlacedAt>,
     pub(crate) refused: Vec<(u64, Placed)>,
-    /// The most targets that took no requests at one time.
+    /// The highest number of targets that accepted no requests at the same time.
     pub(crate) most_away: usize,
 }
 
@@ -148,7 +149,8 @@
         self.sites.iter().map(|site| site.real.version).collect()
     }
 
-    /// Lets time pass, with a request for some weights now and then once the planner knows its targets.
+    /// Lets time pass, with a request for some weights every `asks_every_ms` once the planner knows
+    /// its targets.
     pub(crate) fn run_until(&mut self, end_ms: u64, asks_every_ms: u64, weights: &Weights) {
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Tells the planner which requests have ended.
+    /// Reports ended requests and, periodically, those in flight to the planner.
     fn tell_uses(&mut self) {
         let now = self.now();
         let ended: Vec<GrantNumber> = self
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -1,4 +1,4 @@
-//! A planner before targets of one service, for its tests by cases.
+//! Test support: a planner with the targets of one service.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -29,7 +29,7 @@
     TargetName::new(format!("t{index}"))
 }
 
-/// What a target of the service may hold: one base model, and so many adapters of it.
+/// The limits for targets that may hold one base model and the given number of its adapters.
 pub(crate) fn limits(adapter_slots: usize) -> PlacementLimits {
     PlacementLimits {
         models: vec![ModelSpec {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A target as the platform lists it, with the base model and no adapters.
+/// A target as listed by the platform, with the base model and no adapters.
 pub(crate) fn facts(index: usize, slots: u32) -> TargetFacts {
     TargetFacts {
         started: None,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A planner that has just begun, before targets that it has not asked yet.
+/// Creates a planner with targets that it has not queried yet.
 pub(crate) fn before_asking(targets: usize, slots: u32, adapter_slots: usize) -> Residency {
     let mut residency = Residency::new(ResidencyConfig::default(), at(0));
     let limits = ResidencyEvent::Limits(service(), limits(adapter_slots));
@@ -73,7 +73,7 @@
     residency
 }
 
-/// A request of instance `i` that wants an adapter and waits for it so many milliseconds.
+/// A placement request of instance `i` for an adapter, which waits for `within_ms` milliseconds.
 pub(crate) fn wanted(question: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
     ResidencyEvent::Wanted {
         question,
@@ -90,12 +90,12 @@
     }
 }
 
-/// What a target says that has accepted no order.
+/// The report of a target that has accepted no orders.
 pub(crate) fn reported(index: usize, adapters: Vec<(Weights, u64)>) -> ResidencyEvent {
     ResidencyEvent::Reported(target(index), idle(0, adapters, Vec::new()))
 }
 
-/// What the first target says that has accepted some orders.
+/// The report of the first target after it has accepted some orders.
 pub(crate) fn report(
     accepted: u64,
     adapters: Vec<(Weights, u64)>,
--- a/crates/chervilshunt_core/tests/support/real_target.rs
+++ b/crates/chervilshunt_core/tests/support/real_target.rs
@@ -1,9 +1,9 @@
-//! A target as it really is, by its published behaviour.
+//! Simulates a target according to its documented behavior.
 //!
-//! It refuses an order that names another number of orders accepted before, holds a bounded number of
-//! adapters and dies if it is ordered to hold more. A load of a base model that is there holds already,
-//! in whatever version. Giving one up waits for its requests, drops its adapters, and keeps the target
-//! from other orders meanwhile.
+//! It rejects an order that states a different number of previously accepted orders, holds a
+//! limited number of adapters, and dies if it is ordered to hold more. An order to load a base
+//! model that is already loaded has no effect, whatever its version. Unloading one waits for its
+//! requests, drops its adapters, and blocks other orders in the meantime.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -13,13 +13,13 @@
 use chervilshunt_core::{Order, OrderAnswer, OrderKind, TargetReport, TargetStart, Weights};
 use chervilshunt_model::Moment;
 
-/// How many adapters it has place for.
+/// The number of adapter slots.
 pub(crate) const SLOTS: usize = 4;
-/// How long it takes to load an adapter, and a base model.
+/// The durations of loading an adapter and a base model.
 const ADAPTER_LOAD: Duration = Duration::from_millis(240);
 const LOAD_OF_MODEL: Duration = Duration::from_millis(600);
 
-/// What it is doing with its base model.
+/// The order for its base model that the target is executing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ModelWork {
     GivingUp,
@@ -30,7 +30,7 @@
 pub(crate) struct RealTarget {
     pub(crate) start: Option<u64>,
     pub(crate) accepted: u64,
-    /// The version of its base model; none while it holds none.
+    /// The version of its base model, or `None` while it holds none.
     pub(crate) version: Option<u64>,
     work: Option<ModelWork>,
     pub(crate) held: BTreeMap<String, u64>,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Says whether it takes no requests for want of its base model, or soon will.
+    /// Returns whether the target accepts no requests because its base model is missing or about to
+    /// be unloaded or loaded.
     pub(crate) fn is_away(&self) -> bool {
         self.version.is_none() || self.work.is_some()
     }
@@ -102,9 +103,9 @@
         self.work.is_some() || order.accepted_before != self.accepted
     }
 
-    /// Goes on with what it was ordered to do, and says whether its base model has come or gone.
+    /// Continues the orders in progress, and returns whether the base model was loaded or unloaded.
     ///
-    /// Loads bring the versions of `versions`, and the first one of what is not there.
+    /// Loads bring the versions in `versions`, or version 1 if there is no entry.
     pub(crate) fn pass(
         &mut self,
         versions: &BTreeMap<String, u64>,
@@ -130,7 +131,7 @@
         true
     }
 
-    /// Says whether a request may begin with an adapter.
+    /// Returns whether a request for an adapter may begin.
     pub(crate) fn serves(&self, adapter: &str) -> bool {
         self.held.contains_key(adapter) && !self.is_away()
     }
@@ -149,7 +150,7 @@
     }
 }
 
-/// Reads `MODEL/ADAPTER`.
+/// Parses `MODEL/ADAPTER`.
 pub(crate) fn weights_of(text: &str) -> Weights {
     let (model, adapter) = text.split_once('/').expect("an adapter");
     Weights {
