--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -2,7 +2,7 @@
 //!
 //! The simulated engines work in steps. Each step prefills up to 2,048 prompt tokens and generates
 //! a token for every stream, and is delayed by the prefill. A stream counts as late if one of its
-//! events comes 250 ms or more after the previous one. The same arrivals are placed with and
+//! events comes more than 250 ms after the previous one. The same arrivals are placed with and
 //! without the mechanism under test, and the late streams are counted.
 
 use std::time::Duration;
