--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -58,7 +58,7 @@
 
 /// The requirements of a request on its target.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct TargetRequirements<'a> {
     /// The service that the request is for.
     pub service: &'a ServiceName,
     /// The requested weights, if the request names any.
@@ -125,11 +125,11 @@
 /// Returns the holders that a request of this lane should be sent to.
 fn prefer_lane<'a>(
     holding: Vec<&'a Target>,
-    ask: &Ask<'_>,
+    requirements: &TargetRequirements<'_>,
     in_lane: impl Fn(&Target) -> bool,
 ) -> Vec<&'a Target> {
     let (kept, general): (Vec<_>, Vec<_>) = holding.into_iter().partition(|it| in_lane(it));
-    match ask.lane {
+    match requirements.lane {
         Lane::LongPrompt
             if kept
                 .iter()
@@ -144,8 +144,13 @@
 
 impl Dispatch {
     /// Selects a target for a request; `draw` returns random numbers from 0 to 1.
-    pub fn choose(&self, ask: &Ask<'_>, mut draw: impl FnMut() -> f64, now: Moment) -> Choice {
-        let serving: Vec<&Target> = self.serving(ask).collect();
+    pub fn choose(
+        &self,
+        requirements: &TargetRequirements<'_>,
+        mut draw: impl FnMut() -> f64,
+        now: Moment,
+    ) -> Choice {
+        let serving: Vec<&Target> = self.serving(requirements).collect();
         if serving.is_empty() {
             return Choice::Wait(Wait::NoTarget);
         }
@@ -154,9 +159,9 @@
         let in_lane = |target: &Target| kept.contains(&target.facts.name);
         let holding: Vec<&Target> = serving
             .into_iter()
-            .filter(|target| self.holds(target, ask.weights, now))
+            .filter(|target| self.holds(target, requirements.weights, now))
             .collect();
-        let holding = prefer_lane(holding, ask, in_lane);
+        let holding = prefer_lane(holding, requirements, in_lane);
         if holding.is_empty() {
             return Choice::Wait(Wait::NotHeld);
         }
@@ -185,7 +190,7 @@
         let scored = open.map(|target| (self.score(target) + draw() * self.cfg.jitter, target));
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
         match best {
-            Some((_, target)) => self.send(target, ask.weights, now),
+            Some((_, target)) => self.send(target, requirements.weights, now),
             None => Choice::Wait(Wait::Full),
         }
     }
@@ -210,12 +215,15 @@
     }
 
     /// Returns the targets of the service that may take new requests.
-    fn serving<'a>(&'a self, ask: &'a Ask<'_>) -> impl Iterator<Item = &'a Target> + 'a {
+    fn serving<'a>(
+        &'a self,
+        requirements: &'a TargetRequirements<'_>,
+    ) -> impl Iterator<Item = &'a Target> + 'a {
         self.targets.values().filter(move |target| {
-            target.facts.service == *ask.service
+            target.facts.service == *requirements.service
                 && target.facts.leaving.is_none()
-                && !ask.avoid.contains(&target.facts.name)
-                && ask
+                && !requirements.avoid.contains(&target.facts.name)
+                && requirements
                     .weights
                     .is_none_or(|it| target.facts.version_of(&it.model).is_some())
         })
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -24,10 +24,10 @@
 pub use bugs::Bug;
 pub use decision::{Decision, DecisionKind, Waited};
 pub use dispatch::{
-    Ask, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide,
-    HealthConfig, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
-    ModelSpec, Pace, PlacementLimits, Repeat, RequestSize, Route, RouteTable, ServiceBudgets,
-    ServiceSpec, Sign, TargetFacts, TargetSnapshot, TargetStart, Wait, Weights, WindowBudget,
+    CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide, HealthConfig,
+    HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec, Pace,
+    PlacementLimits, Repeat, RequestSize, Route, RouteTable, ServiceBudgets, ServiceSpec, Sign,
+    TargetFacts, TargetRequirements, TargetSnapshot, TargetStart, Wait, Weights, WindowBudget,
     WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use chervilshunt_core::{Ask, Choice, Dispatch, DispatchConfig, Lane, Placed, Wait, Weights};
+use chervilshunt_core::{
+    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, Wait, Weights,
+};
 use chervilshunt_model::ZoneName;
 use model_updates::{
     FIRST, Fate, NAMED_AT, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
@@ -47,7 +49,7 @@
     dispatch.version_named(base(), SECOND, at(0));
     let choose = |weights: &Weights, now_ms| {
         let service = service();
-        let ask = Ask {
+        let ask = TargetRequirements {
             service: &service,
             weights: Some(weights),
             lane: Lane::General,
--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Ask, Choice, Dispatch, DispatchConfig, Lane, LoadedModel, RequestSize, TargetFacts, Weights,
+    Choice, Dispatch, DispatchConfig, Lane, LoadedModel, RequestSize, TargetFacts,
+    TargetRequirements, Weights,
 };
 use chervilshunt_model::{Moment, ServiceName, TargetName, ZoneName};
 use rand::{Rng, SeedableRng};
@@ -140,7 +141,7 @@
             model: "base".into(),
             adapter: None,
         };
-        let ask = Ask {
+        let requirements = TargetRequirements {
             service: &service,
             weights: Some(&weights),
             lane,
@@ -148,7 +149,8 @@
         };
         let now = Moment::ZERO + Duration::from_secs_f64(arrival.at_ms / 1e3);
         let rng = &mut self.rng;
-        let Choice::Send { target, .. } = self.dispatch.choose(&ask, || rng.random(), now) else {
+        let Choice::Send { target, .. } = self.dispatch.choose(&requirements, || rng.random(), now)
+        else {
             panic!("there is room");
         };
         let index = (0..TARGETS)
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Ask, Choice, Dispatch, DispatchConfig, EntryChange, Holding, Lane, LoadedAdapter, LoadedModel,
+    Choice, Dispatch, DispatchConfig, EntryChange, Holding, Lane, LoadedAdapter, LoadedModel,
     Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction, ResidencyEvent, Sign,
-    TargetFacts, TargetReport, TargetStart, Use, Want, Weights,
+    TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -50,13 +50,13 @@
 
 fn choice(dispatch: &Dispatch, weights: Option<&Weights>, now: u64) -> Choice {
     let service = service();
-    let ask = Ask {
+    let requirements = TargetRequirements {
         service: &service,
         weights,
         lane: Lane::General,
         avoid: &[],
     };
-    dispatch.choose(&ask, || 0.5, at(now))
+    dispatch.choose(&requirements, || 0.5, at(now))
 }
 
 fn is_sent(choice: &Choice) -> bool {
--- a/crates/chervilshunt_core/tests/support/choosing.rs
+++ b/crates/chervilshunt_core/tests/support/choosing.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test binary uses a part of these")]
 
 use chervilshunt_core::{
-    Ask, Choice, Dispatch, DispatchConfig, Lane, LoadedAdapter, LoadedModel, TargetFacts, Wait,
-    Weights,
+    Choice, Dispatch, DispatchConfig, Lane, LoadedAdapter, LoadedModel, TargetFacts,
+    TargetRequirements, Wait, Weights,
 };
 use chervilshunt_model::{Moment, ServiceName, TargetName, ZoneName};
 
@@ -59,13 +59,13 @@
     now: u64,
 ) -> Choice {
     let service = service();
-    let ask = Ask {
+    let requirements = TargetRequirements {
         service: &service,
         weights,
         lane: Lane::General,
         avoid,
     };
-    dispatch.choose(&ask, || 0.5, at(now))
+    dispatch.choose(&requirements, || 0.5, at(now))
 }
 
 pub(crate) fn chosen(choice: Choice) -> Result<(String, Option<u64>), Wait> {
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_core::{Ask, Choice, Holding, Lane, Placed, Wait, Want, Weights};
+use chervilshunt_core::{Choice, Holding, Lane, Placed, TargetRequirements, Wait, Want, Weights};
 use chervilshunt_model::TargetName;
 
 use super::attempt::Run;
@@ -121,7 +121,7 @@
 
     fn choose(&self) -> Result<Chosen, Wait> {
         let now = self.shared.clock.now();
-        let ask = Ask {
+        let ask = TargetRequirements {
             service: &self.req.service,
             weights: self.req.weights.as_ref(),
             lane: Lane::of(self.req.size),
