--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -71,7 +71,7 @@
 
 /// The reason why no target can be selected yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// No known target of the service can take the request.
     NoTarget,
     /// No usable target holds the adapter.
@@ -107,7 +107,7 @@
         heard_before: Duration,
     },
     /// No target can take the request now.
-    Wait(Wait),
+    Wait(WaitReason),
 }
 
 /// The number of requests at a target reserved for long prompts from which another long prompt is
@@ -152,7 +152,7 @@
     ) -> Choice {
         let serving: Vec<&Target> = self.serving(requirements).collect();
         if serving.is_empty() {
-            return Choice::Wait(Wait::NoTarget);
+            return Choice::Wait(WaitReason::NoTarget);
         }
         let kept = long_prompt_targets(serving.iter().map(|it| &it.facts.name));
         let kept: Vec<TargetName> = kept.into_iter().cloned().collect();
@@ -163,12 +163,12 @@
             .collect();
         let holding = prefer_lane(holding, requirements, in_lane);
         if holding.is_empty() {
-            return Choice::Wait(Wait::NotHeld);
+            return Choice::Wait(WaitReason::NotHeld);
         }
         let pauses = holding.iter().map(|it| it.paused_until);
         let first_end = pauses.min().filter(|until| now < *until);
         if let Some(until) = first_end {
-            return Choice::Wait(Wait::Paused(until));
+            return Choice::Wait(WaitReason::Paused(until));
         }
         let holding: Vec<&Target> = holding
             .into_iter()
@@ -191,7 +191,7 @@
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
         match best {
             Some((_, target)) => self.send(target, requirements.weights, now),
-            None => Choice::Wait(Wait::Full),
+            None => Choice::Wait(WaitReason::Full),
         }
     }
 
@@ -210,7 +210,7 @@
         let target = self.targets.get(name);
         match target.filter(|it| it.facts.leaving.is_none() && !it.is_paused(now)) {
             Some(target) => self.send(target, weights, now),
-            None => Choice::Wait(Wait::NoTarget),
+            None => Choice::Wait(WaitReason::NoTarget),
         }
     }
 
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -20,7 +20,7 @@
 mod uses;
 
 pub use budget::{ServiceBudgets, WindowBudget, WindowBudgetConfig};
-pub use choose::{Choice, DispatchConfig, TargetRequirements, Wait};
+pub use choose::{Choice, DispatchConfig, TargetRequirements, WaitReason};
 pub use facts::{
     Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec, PlacementLimits, RequestSize,
     TargetFacts, TargetStart, Weights,
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -27,8 +27,8 @@
     CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide, HealthConfig,
     HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec, Pace,
     PlacementLimits, Repeat, RequestSize, Route, RouteTable, ServiceBudgets, ServiceSpec, Sign,
-    TargetFacts, TargetRequirements, TargetSnapshot, TargetStart, Wait, Weights, WindowBudget,
-    WindowBudgetConfig, long_prompt_targets,
+    TargetFacts, TargetRequirements, TargetSnapshot, TargetStart, WaitReason, Weights,
+    WindowBudget, WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
 pub use owner::{
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, Wait, Weights,
+    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, WaitReason, Weights,
 };
 use chervilshunt_model::ZoneName;
 use model_updates::{
@@ -63,7 +63,7 @@
         "{chosen:?}"
     );
     // The base model itself was named: its older version would be a wrong answer.
-    assert_eq!(choose(&base(), 10_000), Choice::Wait(Wait::NotHeld));
+    assert_eq!(choose(&base(), 10_000), Choice::Wait(WaitReason::NotHeld));
 }
 
 /// Two of nine targets get no request any more, and the others keep the old version for good. A load of
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -8,7 +8,7 @@
 
 use chervilshunt_core::{
     Dispatch, HeldAdapters, Lane, Leaving, LoadReport, RequestSize, ServiceBudgets, Sign,
-    TargetFacts, TargetSnapshot, Wait, Weights, WindowBudgetConfig, long_prompt_targets,
+    TargetFacts, TargetSnapshot, WaitReason, Weights, WindowBudgetConfig, long_prompt_targets,
 };
 use chervilshunt_model::{ServiceName, TargetName};
 use choosing::{adapter, at, choose, chosen, dispatch, facts, to};
@@ -26,7 +26,7 @@
     );
     assert_eq!(
         chosen(choose(&dispatch, Some(&adapter("c")), &[], 0)),
-        Err(Wait::NotHeld)
+        Err(WaitReason::NotHeld)
     );
 }
 
@@ -104,7 +104,10 @@
 #[test]
 fn a_full_target_is_not_chosen() {
     let dispatch = before_a_full_target();
-    assert_eq!(chosen(choose(&dispatch, None, &[], 0)), Err(Wait::Full));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 0)),
+        Err(WaitReason::Full)
+    );
 }
 
 /// Guards against an instance that keeps refusing requests of a plain service while its targets are
@@ -115,14 +118,20 @@
 #[test]
 fn a_target_that_was_full_is_asked_again_though_nothing_is_heard_of_it() {
     let mut dispatch = before_a_full_target();
-    assert_eq!(chosen(choose(&dispatch, None, &[], 100)), Err(Wait::Full));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 100)),
+        Err(WaitReason::Full)
+    );
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_000)), to("t1"));
     // Requests that this instance itself has in flight there count regardless of the age of the
     // report.
     for _ in 0..6 {
         dispatch.sent(&TargetName::from("t1"), None);
     }
-    assert_eq!(chosen(choose(&dispatch, None, &[], 1_000)), Err(Wait::Full));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 1_000)),
+        Err(WaitReason::Full)
+    );
 }
 
 #[test]
@@ -284,7 +293,7 @@
     });
     let dispatch = dispatch(known);
     let choice = dispatch.choose_named(&TargetName::from("t1"), Some(&adapter("a1")), at(0));
-    assert_eq!(chosen(choice), Err(Wait::NoTarget));
+    assert_eq!(chosen(choice), Err(WaitReason::NoTarget));
 }
 
 /// Guards against an answer from an outdated version while new versions follow each other. Versions
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use chervilshunt_core::{EntryChange, Leaving, TargetFacts, TargetStart, Wait};
+use chervilshunt_core::{EntryChange, Leaving, TargetFacts, TargetStart, WaitReason};
 use chervilshunt_model::TargetName;
 use choosing::{adapter, at, choose, chosen, dispatch, facts, service, to};
 
@@ -30,7 +30,7 @@
         dispatch.sent(&name("t2"), None);
     }
     let named = dispatch.choose_named(&name("t1"), None, at(0));
-    assert_eq!(chosen(named), Err(Wait::NoTarget));
+    assert_eq!(chosen(named), Err(WaitReason::NoTarget));
     assert_eq!(dispatch.closed(&service(), at(0)), [name("t1")]);
 }
 
@@ -43,14 +43,20 @@
         dispatch.target_seen(started("t1", 7), at(1)),
         EntryChange::Known
     );
-    assert_eq!(chosen(choose(&dispatch, None, &[], 1)), Err(Wait::NoTarget));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 1)),
+        Err(WaitReason::NoTarget)
+    );
     // This also holds after the target was missing from the list for a time.
     dispatch.target_gone(&name("t1"));
     assert_eq!(
         dispatch.target_told(started("t1", 7), at(2)),
         EntryChange::New
     );
-    assert_eq!(chosen(choose(&dispatch, None, &[], 2)), Err(Wait::NoTarget));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 2)),
+        Err(WaitReason::NoTarget)
+    );
 }
 
 #[test]
@@ -70,7 +76,7 @@
     dispatch.wants_pause(&name("t1"), Duration::from_secs(2), at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
     let named = dispatch.choose_named(&name("t1"), None, at(1_999));
-    assert_eq!(chosen(named), Err(Wait::NoTarget));
+    assert_eq!(chosen(named), Err(WaitReason::NoTarget));
     assert_eq!(dispatch.closed(&service(), at(1_999)), [name("t1")]);
     dispatch.sent(&name("t2"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 2_000)), to("t1"));
@@ -86,7 +92,7 @@
     // A later, shorter pause does not shorten the first one.
     dispatch.wants_pause(&name("t1"), Duration::from_secs(1), at(600));
     let choice = choose(&dispatch, Some(&adapter("a")), &[], 1_000);
-    assert_eq!(chosen(choice), Err(Wait::Paused(at(2_500))));
+    assert_eq!(chosen(choice), Err(WaitReason::Paused(at(2_500))));
 }
 
 /// Guards against an implausible value, which would take a target out of use permanently.
@@ -105,7 +111,10 @@
     draining.leaving = Some(Leaving { gone_after: None });
     dispatch.target_seen(draining, at(1));
     dispatch.target_seen(started("t1", 7), at(2));
-    assert_eq!(chosen(choose(&dispatch, None, &[], 2)), Err(Wait::NoTarget));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 2)),
+        Err(WaitReason::NoTarget)
+    );
     dispatch.target_seen(started("t1", 8), at(3));
     assert_eq!(chosen(choose(&dispatch, None, &[], 3)), to("t1"));
 }
--- a/crates/chervilshunt_core/tests/support/choosing.rs
+++ b/crates/chervilshunt_core/tests/support/choosing.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_core::{
     Choice, Dispatch, DispatchConfig, Lane, LoadedAdapter, LoadedModel, TargetFacts,
-    TargetRequirements, Wait, Weights,
+    TargetRequirements, WaitReason, Weights,
 };
 use chervilshunt_model::{Moment, ServiceName, TargetName, ZoneName};
 
@@ -68,7 +68,7 @@
     dispatch.choose(&requirements, || 0.5, at(now))
 }
 
-pub(crate) fn chosen(choice: Choice) -> Result<(String, Option<u64>), Wait> {
+pub(crate) fn chosen(choice: Choice) -> Result<(String, Option<u64>), WaitReason> {
     match choice {
         Choice::Send {
             target,
@@ -79,6 +79,6 @@
     }
 }
 
-pub(crate) fn to(target: &str) -> Result<(String, Option<u64>), Wait> {
+pub(crate) fn to(target: &str) -> Result<(String, Option<u64>), WaitReason> {
     Ok((target.to_owned(), None))
 }
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_core::{Choice, Holding, Lane, Placed, TargetRequirements, Wait, Want, Weights};
+use chervilshunt_core::{
+    Choice, Holding, Lane, Placed, TargetRequirements, WaitReason, Want, Weights,
+};
 use chervilshunt_model::TargetName;
 
 use super::attempt::Run;
@@ -97,16 +99,16 @@
             };
             self.report_wait(wait);
             match wait {
-                Wait::NoTarget => {
+                WaitReason::NoTarget => {
                     return Err(Refusal::retry_after(Reason::NoTarget, NO_TARGET_RETRY));
                 }
-                Wait::NotHeld if placer_answers => return self.ask_for_load().await,
-                Wait::NotHeld => return Err(self.not_placed()),
-                Wait::Full if self.shared.clock.now().since(began) >= patience => {
+                WaitReason::NotHeld if placer_answers => return self.ask_for_load().await,
+                WaitReason::NotHeld => return Err(self.not_placed()),
+                WaitReason::Full if self.shared.clock.now().since(began) >= patience => {
                     return Err(Refusal::retry_after(Reason::Full, FULL_RETRY));
                 }
-                Wait::Full => tokio::time::sleep(ROOM_PAUSE).await,
-                Wait::Paused(until) => {
+                WaitReason::Full => tokio::time::sleep(ROOM_PAUSE).await,
+                WaitReason::Paused(until) => {
                     let pause = self.shared.clock.now().until(until);
                     return Err(Refusal::retry_between(Reason::Full, pause, pause + SPREAD));
                 }
@@ -119,7 +121,7 @@
         self.shared.placer.load().is_some() && self.shared.dispatch().is_guided(now)
     }
 
-    fn choose(&self) -> Result<Chosen, Wait> {
+    fn choose(&self) -> Result<Chosen, WaitReason> {
         let now = self.shared.clock.now();
         let ask = TargetRequirements {
             service: &self.req.service,
@@ -132,7 +134,7 @@
     }
 
     /// Takes a choice, which gets a line in the log.
-    fn take(&self, choice: Choice) -> Result<Chosen, Wait> {
+    fn take(&self, choice: Choice) -> Result<Chosen, WaitReason> {
         match choice {
             Choice::Wait(wait) => Err(wait),
             Choice::Send {
@@ -302,16 +304,16 @@
 
     /// Logs why this instance itself finds no target, and how many the service has: whether its targets
     /// are not listed, or none of them is fit.
-    fn report_wait(&self, wait: Wait) {
+    fn report_wait(&self, wait: WaitReason) {
         match wait {
-            Wait::NoTarget | Wait::NotHeld => {
+            WaitReason::NoTarget | WaitReason::NotHeld => {
                 let listed = self.shared.dispatch().listed(&self.req.service);
                 slog::info!(self.shared.log, "no choice";
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
             }
             // Tried again every few milliseconds; a refusal for want of room says so itself.
-            Wait::Full | Wait::Paused(_) => {}
+            WaitReason::Full | WaitReason::Paused(_) => {}
         }
     }
 
