--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -104,7 +104,7 @@
         /// is unknown or the request names no weights.
         held_version: Option<u64>,
         /// The time since the last sign of life from the target.
-        heard_before: Duration,
+        since_last_response: Duration,
     },
     /// No target can take the request now.
     Wait(WaitReason),
@@ -276,7 +276,7 @@
             load_age: now.since(target.load.reported_at()),
             expect_version: self.expected_version(target, weights, now),
             held_version: weights.and_then(|weights| self.held_version(target, weights)),
-            heard_before: now.since(target.health.heard_at()),
+            since_last_response: now.since(target.health.heard_at()),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -145,7 +145,7 @@
                 load_age,
                 expect_version,
                 held_version,
-                heard_before,
+                since_last_response,
             } => {
                 let newest = self.newest_version();
                 slog::info!(self.shared.log, "placed";
@@ -154,12 +154,13 @@
                     "weights" => self.req.weights.as_ref().map(ToString::to_string),
                     "load" => load, "slots" => slots,
                     "load_age_ms" => load_age.as_millis() as u64,
-                    "heard_ms" => heard_before.as_millis() as u64,
+                    "heard_ms" => since_last_response.as_millis() as u64,
                     "version" => expect_version, "held_version" => held_version,
                     "newest_version" => newest.map(|(version, _)| version),
                     "newest_known_for_ms" =>
                         newest.map(|(_, known_for)| known_for.as_millis() as u64));
-                let reuse = self.req.route.repeat.is_allowed() || heard_before < SURELY_THERE;
+                let reuse =
+                    self.req.route.repeat.is_allowed() || since_last_response < SURELY_THERE;
                 Ok(Chosen {
                     target,
                     address,
