--- a/crates/chervilshunt_core/src/dispatch/guide.rs
+++ b/crates/chervilshunt_core/src/dispatch/guide.rs
@@ -15,13 +15,13 @@
 
 /// How an instance tracks objects of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pace {
+pub enum PollMode {
     /// It polls continuously, since there are no notifications to rely on.
-    Alone,
+    Continuous,
     /// It does not poll, since nothing relevant has changed.
-    Rest,
+    Paused,
     /// It polls once immediately, since something has changed.
-    Look,
+    Once,
 }
 
 /// How changes in a notification relate to the revision that an instance has seen.
@@ -105,17 +105,17 @@
     }
 
     /// Returns how to track the objects now.
-    pub fn pace(&self, now: Moment) -> Pace {
+    pub fn mode(&self, now: Moment) -> PollMode {
         if self.trusted_until().is_none_or(|until| now >= until) {
-            return Pace::Alone;
+            return PollMode::Continuous;
         }
         match self.looked {
             Some((revision, at))
                 if revision >= self.told_revision && now.since(at) < self.longest_rest =>
             {
-                Pace::Rest
+                PollMode::Paused
             }
-            Some(_) | None => Pace::Look,
+            Some(_) | None => PollMode::Once,
         }
     }
 
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -25,9 +25,9 @@
 pub use decision::{Decision, DecisionKind, Waited};
 pub use dispatch::{
     CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide, HealthConfig,
-    HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec, Pace,
-    PlacementLimits, Repeat, RequestSize, Route, RouteTable, ServiceBudgets, ServiceSpec, Sign,
-    TargetFacts, TargetRequirements, TargetSnapshot, TargetStart, WaitReason, Weights,
+    HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec,
+    PlacementLimits, PollMode, Repeat, RequestSize, Route, RouteTable, ServiceBudgets, ServiceSpec,
+    Sign, TargetFacts, TargetRequirements, TargetSnapshot, TargetStart, WaitReason, Weights,
     WindowBudget, WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chervilshunt_core::{Continuity, Guide, Pace};
+use chervilshunt_core::{Continuity, Guide, PollMode};
 use chervilshunt_model::{Moment, StoreRevision};
 use rstest::rstest;
 
@@ -27,23 +27,26 @@
 #[test]
 fn an_instance_that_is_told_nothing_follows_by_itself() {
     let mut guide = Guide::new(TRUST, LONGEST_REST);
-    assert_eq!(guide.pace(at(0)), Pace::Alone);
+    assert_eq!(guide.mode(at(0)), PollMode::Continuous);
     guide.looked(rev(7), at(0));
-    assert_eq!(guide.pace(at(1)), Pace::Alone);
+    assert_eq!(guide.mode(at(1)), PollMode::Continuous);
     assert_eq!(guide.next_wakeup(at(1)), None);
 }
 
 #[rstest]
-#[case::it_has_seen_less(Some(6), Pace::Look)]
-#[case::it_has_seen_as_much(Some(7), Pace::Rest)]
-#[case::it_has_seen_more(Some(9), Pace::Rest)]
-#[case::it_has_seen_nothing(None, Pace::Look)]
-fn an_instance_that_is_told_of_a_change_looks_once(#[case] seen: Option<u64>, #[case] pace: Pace) {
+#[case::it_has_seen_less(Some(6), PollMode::Once)]
+#[case::it_has_seen_as_much(Some(7), PollMode::Paused)]
+#[case::it_has_seen_more(Some(9), PollMode::Paused)]
+#[case::it_has_seen_nothing(None, PollMode::Once)]
+fn an_instance_that_is_told_of_a_change_looks_once(
+    #[case] seen: Option<u64>,
+    #[case] pace: PollMode,
+) {
     let mut guide = told();
     if let Some(revision) = seen {
         guide.looked(rev(revision), at(0));
     }
-    assert_eq!(guide.pace(at(10)), pace);
+    assert_eq!(guide.mode(at(10)), pace);
 }
 
 /// Guards against requests sent to a target that has left. The placer loses its connection to the
@@ -53,15 +56,15 @@
 fn what_is_told_counts_for_a_second_after_what_it_tells_was_seen() {
     let mut guide = told();
     guide.looked(rev(7), at(0));
-    assert_eq!(guide.pace(at(999)), Pace::Rest);
+    assert_eq!(guide.mode(at(999)), PollMode::Paused);
     assert_eq!(guide.next_wakeup(at(999)), Some(at(1_000)));
-    assert_eq!(guide.pace(at(1_000)), Pace::Alone);
+    assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
     // A late or repeated notification refers to the same observation time.
     guide.told(rev(7), at(0));
     guide.told(rev(5), at(0));
-    assert_eq!(guide.pace(at(1_000)), Pace::Alone);
+    assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
     guide.told(rev(7), at(900));
-    assert_eq!(guide.pace(at(1_000)), Pace::Rest);
+    assert_eq!(guide.mode(at(1_000)), PollMode::Paused);
 }
 
 #[test]
@@ -69,7 +72,7 @@
     let mut guide = told();
     guide.looked(rev(7), at(0));
     guide.placer_lost();
-    assert_eq!(guide.pace(at(1)), Pace::Alone);
+    assert_eq!(guide.mode(at(1)), PollMode::Continuous);
 }
 
 #[test]
@@ -77,9 +80,9 @@
     let mut guide = told();
     guide.looked(rev(7), at(0));
     guide.told(rev(7), at(9_900));
-    assert_eq!(guide.pace(at(9_999)), Pace::Rest);
+    assert_eq!(guide.mode(at(9_999)), PollMode::Paused);
     assert_eq!(guide.next_wakeup(at(9_950)), Some(at(10_000)));
-    assert_eq!(guide.pace(at(10_000)), Pace::Look);
+    assert_eq!(guide.mode(at(10_000)), PollMode::Once);
 }
 
 #[rstest]
@@ -106,10 +109,10 @@
     let mut guide = told();
     guide.looked(rev(7), at(0));
     guide.changed(rev(9));
-    assert_eq!(guide.pace(at(10)), Pace::Look);
+    assert_eq!(guide.mode(at(10)), PollMode::Once);
     guide.caught_up(rev(9));
-    assert_eq!(guide.pace(at(10)), Pace::Rest);
-    assert_eq!(guide.pace(at(1_000)), Pace::Alone);
+    assert_eq!(guide.mode(at(10)), PollMode::Paused);
+    assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
     guide.caught_up(rev(8));
     assert_eq!(
         guide.follows(rev(8), rev(9)),
@@ -128,8 +131,8 @@
     let restored = StoreRevision::new(1, 3);
     assert_eq!(guide.follows(rev(9), restored), Continuity::Gap);
     guide.told(restored, at(10));
-    assert_eq!(guide.pace(at(20)), Pace::Look);
+    assert_eq!(guide.mode(at(20)), PollMode::Once);
     guide.looked(restored, at(30));
-    assert_eq!(guide.pace(at(40)), Pace::Rest);
+    assert_eq!(guide.mode(at(40)), PollMode::Paused);
     assert_eq!(guide.follows(rev(9), rev(11)), Continuity::Known);
 }
--- a/crates/chervilshunt_core/tests/guide_machine.rs
+++ b/crates/chervilshunt_core/tests/guide_machine.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use chervilshunt_core::{Continuity, Guide, Pace};
+use chervilshunt_core::{Continuity, Guide, PollMode};
 use chervilshunt_model::{Moment, StoreRevision};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -226,12 +226,14 @@
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
         for follower in &mut self.followers {
-            let looks = match follower.guide.pace(self.now) {
-                Pace::Rest => {
+            let looks = match follower.guide.mode(self.now) {
+                PollMode::Paused => {
                     follower.wants_look_since = None;
                     false
                 }
-                Pace::Alone | Pace::Look => follower.wants_look_since.replace(self.now).is_some(),
+                PollMode::Continuous | PollMode::Once => {
+                    follower.wants_look_since.replace(self.now).is_some()
+                }
             };
             if looks {
                 follower.believes = self.platform.clone();
--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chervilshunt_core::Pace;
+use chervilshunt_core::PollMode;
 use chervilshunt_model::StoreRevision;
 use chervilshunt_platform::PlatformError;
 use slog::Logger;
@@ -166,11 +166,12 @@
 /// Returns how long a call waits for changes.
 const fn wait_for(kind: Kind, pace: FollowPace) -> Duration {
     match (pace, kind) {
-        (FollowPace::Guided(Pace::Alone), Kind::Configuration | Kind::Versions | Kind::Crashes) => {
-            RARE_WATCH_WAIT
-        }
-        (FollowPace::Guided(Pace::Alone), Kind::Targets | Kind::Lease) => WATCH_WAIT,
-        (FollowPace::Guided(Pace::Look | Pace::Rest), _) => AT_ONCE,
+        (
+            FollowPace::Guided(PollMode::Continuous),
+            Kind::Configuration | Kind::Versions | Kind::Crashes,
+        ) => RARE_WATCH_WAIT,
+        (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
+        (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => AT_ONCE,
         (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => GUIDING_RARE_WATCH_WAIT,
         (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => GUIDING_EVERY,
     }
@@ -230,12 +231,12 @@
     /// Waits until it is this follower's turn to call, and returns how fast it goes and whether it had
     /// to wait for that.
     async fn next_turn(&mut self) -> (FollowPace, bool) {
-        let rests = |pace: &FollowPace| *pace == FollowPace::Guided(Pace::Rest);
+        let rests = |pace: &FollowPace| *pace == FollowPace::Guided(PollMode::Paused);
         let rested = rests(&self.pace.borrow());
         match self.pace.wait_for(|pace| !rests(pace)).await {
             Ok(pace) => (*pace, rested),
             // The control state has ended, and this runtime with it.
-            Err(_) => (FollowPace::Guided(Pace::Alone), rested),
+            Err(_) => (FollowPace::Guided(PollMode::Continuous), rested),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use chervilshunt_core::{Guide, Pace};
+use chervilshunt_core::{Guide, PollMode};
 use chervilshunt_model::Moment;
 use tokio::sync::watch;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FollowPace {
     /// As the guide says.
-    Guided(Pace),
+    Guided(PollMode),
     /// Often, so that the other instances can rely on it.
     Guiding,
 }
@@ -51,7 +51,7 @@
         let mut receivers = HashMap::new();
         let mut steered = HashMap::new();
         for kind in Kind::ALL {
-            let (tx, rx) = watch::channel(FollowPace::Guided(Pace::Alone));
+            let (tx, rx) = watch::channel(FollowPace::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
             let guide = Guide::new(trust(kind), LONGEST_REST);
             steered.insert(kind, Steered { guide, tx });
@@ -63,7 +63,7 @@
     pub(super) fn guide(&mut self, kind: Kind) -> &mut Guide {
         let new = || Steered {
             guide: Guide::new(trust(kind), LONGEST_REST),
-            tx: watch::Sender::new(FollowPace::Guided(Pace::Alone)),
+            tx: watch::Sender::new(FollowPace::Guided(PollMode::Continuous)),
         };
         &mut self.0.entry(kind).or_insert_with(new).guide
     }
@@ -81,7 +81,7 @@
             let pace = if is_placer {
                 guiding_pace(*kind)
             } else {
-                FollowPace::Guided(steered.guide.pace(now))
+                FollowPace::Guided(steered.guide.mode(now))
             };
             let tx = &steered.tx;
             tx.send_if_modified(|known| std::mem::replace(known, pace) != pace);
@@ -111,7 +111,7 @@
 const fn guiding_pace(kind: Kind) -> FollowPace {
     match kind {
         Kind::Targets | Kind::Configuration | Kind::Versions => FollowPace::Guiding,
-        Kind::Crashes => FollowPace::Guided(Pace::Alone),
-        Kind::Lease => FollowPace::Guided(Pace::Rest),
+        Kind::Crashes => FollowPace::Guided(PollMode::Continuous),
+        Kind::Lease => FollowPace::Guided(PollMode::Paused),
     }
 }
