--- a/crates/chervilshunt_core/src/dispatch/guide.rs
+++ b/crates/chervilshunt_core/src/dispatch/guide.rs
@@ -37,40 +37,40 @@
 
 /// The notifications and polls of one kind of objects, as far as an instance knows them.
 #[derive(Clone, Copy, Debug)]
-pub struct Guide {
+pub struct PollGuide {
     /// How long a notification stays valid, counted from the placer's own poll.
-    trust: Duration,
+    validity: Duration,
     /// The longest time between polls, in case the placer misses a change.
-    longest_rest: Duration,
-    told_revision: StoreRevision,
-    told_as_of: Option<Moment>,
-    looked: Option<(StoreRevision, Moment)>,
+    max_poll_interval: Duration,
+    notified_revision: StoreRevision,
+    notified_as_of: Option<Moment>,
+    polled: Option<(StoreRevision, Moment)>,
 }
 
-impl Guide {
+impl PollGuide {
     /// Creates the state without any notification or poll.
-    pub const fn new(trust: Duration, longest_rest: Duration) -> Self {
+    pub const fn new(validity: Duration, max_poll_interval: Duration) -> Self {
         Self {
-            trust,
-            longest_rest,
-            told_revision: StoreRevision::new(0, 0),
-            told_as_of: None,
-            looked: None,
+            validity,
+            max_poll_interval,
+            notified_revision: StoreRevision::new(0, 0),
+            notified_as_of: None,
+            polled: None,
         }
     }
 
     /// Records that, as observed at `as_of`, nothing after `revision` concerns this instance.
     ///
     /// A delayed message is as old as the observation that it reports, not as its arrival.
-    pub fn told(&mut self, revision: StoreRevision, as_of: Moment) {
-        self.told_revision = self.told_revision.max(revision);
-        self.told_as_of = self.told_as_of.max(Some(as_of));
+    pub fn notified(&mut self, revision: StoreRevision, as_of: Moment) {
+        self.notified_revision = self.notified_revision.max(revision);
+        self.notified_as_of = self.notified_as_of.max(Some(as_of));
     }
 
     /// Records that something changed up to a revision, when the time of the observation is
     /// unknown.
     pub fn changed(&mut self, revision: StoreRevision) {
-        self.told_revision = self.told_revision.max(revision);
+        self.notified_revision = self.notified_revision.max(revision);
     }
 
     /// Returns how the changes after revision `after` up to `up_to` relate to what this instance
@@ -79,8 +79,8 @@
     /// Messages are lost with a connection, and may arrive after the instance has polled on its
     /// own. If they were applied regardless, a change would be missing until the next poll, or an
     /// older state would replace a newer one.
-    pub fn follows(&self, after: StoreRevision, up_to: StoreRevision) -> Continuity {
-        match self.looked {
+    pub fn continuity(&self, after: StoreRevision, up_to: StoreRevision) -> Continuity {
+        match self.polled {
             Some((revision, _)) if revision >= up_to => Continuity::Known,
             Some((revision, _)) if revision >= after && after.era == up_to.era => Continuity::Next,
             Some(_) | None => Continuity::Gap,
@@ -89,29 +89,29 @@
 
     /// Records that this instance has been notified of everything up to a revision.
     pub fn caught_up(&mut self, revision: StoreRevision) {
-        if let Some((seen, _)) = &mut self.looked {
+        if let Some((seen, _)) = &mut self.polled {
             *seen = revision.max(*seen);
         }
     }
 
     /// Records that the placer is unreachable.
     pub fn placer_lost(&mut self) {
-        self.told_as_of = None;
+        self.notified_as_of = None;
     }
 
     /// Records that this instance has itself polled everything up to a revision.
-    pub fn looked(&mut self, revision: StoreRevision, now: Moment) {
-        self.looked = Some((revision, now));
+    pub fn polled(&mut self, revision: StoreRevision, now: Moment) {
+        self.polled = Some((revision, now));
     }
 
     /// Returns how to track the objects now.
     pub fn mode(&self, now: Moment) -> PollMode {
-        if self.trusted_until().is_none_or(|until| now >= until) {
+        if self.valid_until().is_none_or(|until| now >= until) {
             return PollMode::Continuous;
         }
-        match self.looked {
+        match self.polled {
             Some((revision, at))
-                if revision >= self.told_revision && now.since(at) < self.longest_rest =>
+                if revision >= self.notified_revision && now.since(at) < self.max_poll_interval =>
             {
                 PollMode::Paused
             }
@@ -121,12 +121,12 @@
 
     /// Returns when the mode next changes without any event, if it does.
     pub fn next_wakeup(&self, now: Moment) -> Option<Moment> {
-        let trusted_until = self.trusted_until().filter(|until| *until > now)?;
-        let rested = self.looked.map(|(_, at)| at + self.longest_rest);
-        Some(rested.map_or(trusted_until, |rested| rested.min(trusted_until)))
+        let valid_until = self.valid_until().filter(|until| *until > now)?;
+        let rested = self.polled.map(|(_, at)| at + self.max_poll_interval);
+        Some(rested.map_or(valid_until, |rested| rested.min(valid_until)))
     }
 
-    fn trusted_until(&self) -> Option<Moment> {
-        self.told_as_of.map(|as_of| as_of + self.trust)
+    fn valid_until(&self) -> Option<Moment> {
+        self.notified_as_of.map(|as_of| as_of + self.validity)
     }
 }
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -25,7 +25,7 @@
     Leaving, LoadReport, LoadedAdapter, LoadedModel, ModelSpec, PlacementLimits, RequestSize,
     TargetFacts, TargetStart, Weights,
 };
-pub use guide::{Continuity, Guide, PollMode};
+pub use guide::{Continuity, PollGuide, PollMode};
 pub use health::{HealthConfig, Sign};
 pub(crate) use holders::NamedVersions;
 pub use holders::{HeldAdapters, Holding, TargetSnapshot};
--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use chervilshunt_core::{Continuity, Guide, PollMode};
+use chervilshunt_core::{Continuity, PollGuide, PollMode};
 use chervilshunt_model::{Moment, StoreRevision};
 use rstest::rstest;
 
-const TRUST: Duration = Duration::from_millis(1_000);
-const LONGEST_REST: Duration = Duration::from_secs(10);
+const VALIDITY: Duration = Duration::from_millis(1_000);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(50_000 + millis)
@@ -18,17 +18,17 @@
 }
 
 /// Returns a guide that was notified at 0 that nothing after revision 7 concerns the instance.
-fn told() -> Guide {
-    let mut guide = Guide::new(TRUST, LONGEST_REST);
-    guide.told(rev(7), at(0));
+fn notified() -> PollGuide {
+    let mut guide = PollGuide::new(VALIDITY, MAX_POLL_INTERVAL);
+    guide.notified(rev(7), at(0));
     guide
 }
 
 #[test]
 fn an_instance_that_is_told_nothing_follows_by_itself() {
-    let mut guide = Guide::new(TRUST, LONGEST_REST);
+    let mut guide = PollGuide::new(VALIDITY, MAX_POLL_INTERVAL);
     assert_eq!(guide.mode(at(0)), PollMode::Continuous);
-    guide.looked(rev(7), at(0));
+    guide.polled(rev(7), at(0));
     assert_eq!(guide.mode(at(1)), PollMode::Continuous);
     assert_eq!(guide.next_wakeup(at(1)), None);
 }
@@ -42,9 +42,9 @@
     #[case] seen: Option<u64>,
     #[case] pace: PollMode,
 ) {
-    let mut guide = told();
+    let mut guide = notified();
     if let Some(revision) = seen {
-        guide.looked(rev(revision), at(0));
+        guide.polled(rev(revision), at(0));
     }
     assert_eq!(guide.mode(at(10)), pace);
 }
@@ -54,32 +54,32 @@
 /// indefinitely.
 #[test]
 fn what_is_told_counts_for_a_second_after_what_it_tells_was_seen() {
-    let mut guide = told();
-    guide.looked(rev(7), at(0));
+    let mut guide = notified();
+    guide.polled(rev(7), at(0));
     assert_eq!(guide.mode(at(999)), PollMode::Paused);
     assert_eq!(guide.next_wakeup(at(999)), Some(at(1_000)));
     assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
     // A late or repeated notification refers to the same observation time.
-    guide.told(rev(7), at(0));
-    guide.told(rev(5), at(0));
+    guide.notified(rev(7), at(0));
+    guide.notified(rev(5), at(0));
     assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
-    guide.told(rev(7), at(900));
+    guide.notified(rev(7), at(900));
     assert_eq!(guide.mode(at(1_000)), PollMode::Paused);
 }
 
 #[test]
 fn an_instance_whose_placer_is_lost_follows_by_itself_at_once() {
-    let mut guide = told();
-    guide.looked(rev(7), at(0));
+    let mut guide = notified();
+    guide.polled(rev(7), at(0));
     guide.placer_lost();
     assert_eq!(guide.mode(at(1)), PollMode::Continuous);
 }
 
 #[test]
 fn an_instance_looks_now_and_then_in_any_case() {
-    let mut guide = told();
-    guide.looked(rev(7), at(0));
-    guide.told(rev(7), at(9_900));
+    let mut guide = notified();
+    guide.polled(rev(7), at(0));
+    guide.notified(rev(7), at(9_900));
     assert_eq!(guide.mode(at(9_999)), PollMode::Paused);
     assert_eq!(guide.next_wakeup(at(9_950)), Some(at(10_000)));
     assert_eq!(guide.mode(at(10_000)), PollMode::Once);
@@ -95,19 +95,19 @@
     #[case] seen: Option<u64>,
     #[case] follows: Continuity,
 ) {
-    let mut guide = told();
+    let mut guide = notified();
     if let Some(revision) = seen {
-        guide.looked(rev(revision), at(0));
+        guide.polled(rev(revision), at(0));
     }
-    assert_eq!(guide.follows(rev(7), rev(9)), follows);
+    assert_eq!(guide.continuity(rev(7), rev(9)), follows);
 }
 
 /// A change may be sent before the next regular notification. It does not say when the placer last
 /// saw the platform, so it must not extend the validity of earlier notifications.
 #[test]
 fn a_told_change_makes_an_instance_look_that_has_missed_one() {
-    let mut guide = told();
-    guide.looked(rev(7), at(0));
+    let mut guide = notified();
+    guide.polled(rev(7), at(0));
     guide.changed(rev(9));
     assert_eq!(guide.mode(at(10)), PollMode::Once);
     guide.caught_up(rev(9));
@@ -115,7 +115,7 @@
     assert_eq!(guide.mode(at(1_000)), PollMode::Continuous);
     guide.caught_up(rev(8));
     assert_eq!(
-        guide.follows(rev(8), rev(9)),
+        guide.continuity(rev(8), rev(9)),
         Continuity::Known,
         "it goes back to nothing older"
     );
@@ -126,13 +126,13 @@
 /// continuation of the previous history.
 #[test]
 fn changes_of_a_new_era_make_an_instance_look() {
-    let mut guide = told();
-    guide.looked(rev(9), at(0));
+    let mut guide = notified();
+    guide.polled(rev(9), at(0));
     let restored = StoreRevision::new(1, 3);
-    assert_eq!(guide.follows(rev(9), restored), Continuity::Gap);
-    guide.told(restored, at(10));
+    assert_eq!(guide.continuity(rev(9), restored), Continuity::Gap);
+    guide.notified(restored, at(10));
     assert_eq!(guide.mode(at(20)), PollMode::Once);
-    guide.looked(restored, at(30));
+    guide.polled(restored, at(30));
     assert_eq!(guide.mode(at(40)), PollMode::Paused);
-    assert_eq!(guide.follows(rev(9), rev(11)), Continuity::Known);
+    assert_eq!(guide.continuity(rev(9), rev(11)), Continuity::Known);
 }
--- a/crates/chervilshunt_core/tests/guide_machine.rs
+++ b/crates/chervilshunt_core/tests/guide_machine.rs
@@ -13,13 +13,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use chervilshunt_core::{Continuity, Guide, PollMode};
+use chervilshunt_core::{Continuity, PollGuide, PollMode};
 use chervilshunt_model::{Moment, StoreRevision};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const TRUST: Duration = Duration::from_millis(1_000);
-const LONGEST_REST: Duration = Duration::from_secs(60);
+const VALIDITY: Duration = Duration::from_millis(1_000);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(60);
 const FOLLOWERS: usize = 4;
 const OBJECTS: u64 = 5;
 /// The longest step of time. A follower polls in the step after its guide asks for it.
@@ -83,7 +83,7 @@
 
 #[derive(Clone, Debug)]
 struct Follower {
-    guide: Guide,
+    guide: PollGuide,
     believes: Picture,
     /// The time since which the guide has asked for a poll.
     wants_look_since: Option<Moment>,
@@ -92,7 +92,7 @@
 impl Follower {
     fn new() -> Self {
         Self {
-            guide: Guide::new(TRUST, LONGEST_REST),
+            guide: PollGuide::new(VALIDITY, MAX_POLL_INTERVAL),
             believes: Picture::new(),
             wants_look_since: None,
         }
@@ -100,14 +100,14 @@
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::View { changed_at, as_of } => self.guide.told(rev(changed_at), as_of),
+            Message::View { changed_at, as_of } => self.guide.notified(rev(changed_at), as_of),
             Message::ChangeBatch {
                 after,
                 up_to,
                 changed,
             } => {
                 self.guide.changed(rev(up_to));
-                if self.guide.follows(rev(after), rev(up_to)) == Continuity::Next {
+                if self.guide.continuity(rev(after), rev(up_to)) == Continuity::Next {
                     for (object, revision) in changed {
                         let known = self.believes.entry(object).or_default();
                         *known = revision.max(*known);
@@ -237,7 +237,7 @@
             };
             if looks {
                 follower.believes = self.platform.clone();
-                follower.guide.looked(rev(self.revision), self.now);
+                follower.guide.polled(rev(self.revision), self.now);
                 follower.wants_look_since = None;
             }
         }
@@ -254,7 +254,7 @@
         }
         // A poll comes in the second step after the guide asks for it, which it does once the last
         // notification is no longer valid.
-        let bound = TRUST + Duration::from_millis(2 * LONGEST_STEP_MS);
+        let bound = VALIDITY + Duration::from_millis(2 * LONGEST_STEP_MS);
         let missed: BTreeSet<u64> = self
             .platform
             .iter()
--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -195,7 +195,7 @@
         ];
         for (kind, revision) in told {
             if let Some(revision) = revision {
-                self.paces.guide(kind).told(revision, as_of);
+                self.paces.guide(kind).notified(revision, as_of);
             }
         }
     }
@@ -211,7 +211,7 @@
         self.note_era(batch.up_to.era);
         let guide = self.paces.guide(kind);
         guide.changed(batch.up_to);
-        if guide.follows(batch.after, batch.up_to) != Continuity::Next {
+        if guide.continuity(batch.after, batch.up_to) != Continuity::Next {
             return;
         }
         match batch.what {
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use chervilshunt_core::{Guide, PollMode};
+use chervilshunt_core::{PollGuide, PollMode};
 use chervilshunt_model::Moment;
 use tokio::sync::watch;
 
@@ -38,7 +38,7 @@
 /// One follower that is steered.
 #[derive(Debug)]
 struct Steered {
-    guide: Guide,
+    guide: PollGuide,
     tx: watch::Sender<FollowPace>,
 }
 
@@ -53,16 +53,16 @@
         for kind in Kind::ALL {
             let (tx, rx) = watch::channel(FollowPace::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
-            let guide = Guide::new(trust(kind), LONGEST_REST);
+            let guide = PollGuide::new(trust(kind), LONGEST_REST);
             steered.insert(kind, Steered { guide, tx });
         }
         (Self(steered), receivers)
     }
 
     /// Returns what is known of one kind.
-    pub(super) fn guide(&mut self, kind: Kind) -> &mut Guide {
+    pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
         let new = || Steered {
-            guide: Guide::new(trust(kind), LONGEST_REST),
+            guide: PollGuide::new(trust(kind), LONGEST_REST),
             tx: watch::Sender::new(FollowPace::Guided(PollMode::Continuous)),
         };
         &mut self.0.entry(kind).or_insert_with(new).guide
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -131,7 +131,7 @@
         self.reaches_platform = true;
         let now = self.now();
         let is_overdue = self.feed.seen(kind, now);
-        self.paces.guide(kind).looked(revision, now);
+        self.paces.guide(kind).polled(revision, now);
         if is_overdue {
             self.tell_placing(now);
         }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -136,7 +136,7 @@
             self.lease_event(SoleEvent::HolderTold(lease));
             self.paces
                 .guide(Kind::Lease)
-                .told(StoreRevision::default(), now);
+                .notified(StoreRevision::default(), now);
         }
         if let Some(view) = platform {
             self.take_view(view, now);
