--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -176,7 +176,7 @@
             .collect();
         let answering: Vec<&Target> = holding
             .iter()
-            .filter(|target| !target.health.is_silent(now))
+            .filter(|target| !target.health.is_unreachable(now))
             .copied()
             .collect();
         // If all targets are unreachable, the fault may lie with this instance, so one is tried
--- a/crates/chervilshunt_core/src/dispatch/health.rs
+++ b/crates/chervilshunt_core/src/dispatch/health.rs
@@ -38,20 +38,20 @@
 
 /// The health signal that one exchange with a target gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum HealthSignal {
     /// The target responded with success, or delivered part of a response.
     Served,
     /// The target responded with an error, or broke off a response.
     Failed,
     /// The connection failed or the target stopped responding, so it may be gone.
-    Silent,
+    Unreachable,
 }
 
 /// The health of one target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TargetHealth {
     failures_in_row: u32,
-    silent_until: Moment,
+    unreachable_until: Moment,
     failing_share: f64,
     heard_at: Moment,
 }
@@ -60,36 +60,36 @@
     pub(crate) const fn new(now: Moment) -> Self {
         Self {
             failures_in_row: 0,
-            silent_until: Moment::ZERO,
+            unreachable_until: Moment::ZERO,
             failing_share: 0.0,
             heard_at: now,
         }
     }
 
     /// Records the signal of an exchange.
-    pub(crate) fn note(&mut self, cfg: &HealthConfig, sign: Sign, now: Moment) {
-        match sign {
-            Sign::Served => {
+    pub(crate) fn record(&mut self, cfg: &HealthConfig, signal: HealthSignal, now: Moment) {
+        match signal {
+            HealthSignal::Served => {
                 self.heard_at = now;
                 self.failures_in_row = 0;
-                self.silent_until = Moment::ZERO;
+                self.unreachable_until = Moment::ZERO;
                 self.failing_share *= 1.0 - cfg.outcome_weight;
             }
-            Sign::Failed => {
+            HealthSignal::Failed => {
                 self.heard_at = now;
                 self.failing_share += cfg.outcome_weight * (1.0 - self.failing_share);
             }
-            Sign::Silent => {
+            HealthSignal::Unreachable => {
                 let pause = cfg.first_pause * 2_u32.saturating_pow(self.failures_in_row.min(8));
                 self.failures_in_row = self.failures_in_row.saturating_add(1);
-                self.silent_until = now + pause.min(cfg.longest_pause);
+                self.unreachable_until = now + pause.min(cfg.longest_pause);
             }
         }
     }
 
     /// Returns whether the target is excluded because it did not respond.
-    pub(crate) fn is_silent(&self, now: Moment) -> bool {
-        now < self.silent_until
+    pub(crate) fn is_unreachable(&self, now: Moment) -> bool {
+        now < self.unreachable_until
     }
 
     /// Returns the moving average of the share of failed requests.
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -26,7 +26,7 @@
     TargetFacts, TargetStart, Weights,
 };
 pub use guide::{Continuity, PollGuide, PollMode};
-pub use health::{HealthConfig, Sign};
+pub use health::{HealthConfig, HealthSignal};
 pub(crate) use holders::NamedVersions;
 pub use holders::{HeldAdapters, Holding, TargetSnapshot};
 pub use lanes::{Lane, long_prompt_targets};
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -9,7 +9,7 @@
 
 use super::choose::DispatchConfig;
 use super::facts::{Leaving, LoadReport, TargetFacts, TargetStart, Weights};
-use super::health::{Sign, TargetHealth};
+use super::health::{HealthSignal, TargetHealth};
 use super::holders::{HeldAdapters, Holders, Holding, NamedVersions, TargetSnapshot};
 use super::load::TargetLoad;
 use super::said::SaidLeaving;
@@ -261,7 +261,7 @@
         let serving = targets.filter(|it| it.facts.service == *service);
         let (doubtful, sound): (Vec<&Target>, Vec<&Target>) = serving.partition(|target| {
             let failing = target.health.failing_share() > self.cfg.health.failing_share;
-            failing || target.health.is_silent(now)
+            failing || target.health.is_unreachable(now)
         });
         if doubtful.len() > sound.len() {
             return Vec::new();
@@ -361,9 +361,9 @@
     }
 
     /// Records the health signal of an exchange with a target.
-    pub fn sign(&mut self, target: &TargetName, sign: Sign, now: Moment) {
+    pub fn record_signal(&mut self, target: &TargetName, signal: HealthSignal, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.health.note(&self.cfg.health, sign, now);
+            target.health.record(&self.cfg.health, signal, now);
         }
     }
 
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Dispatch, HeldAdapters, Lane, Leaving, LoadReport, RequestSize, ServiceBudgets, Sign,
+    Dispatch, HealthSignal, HeldAdapters, Lane, Leaving, LoadReport, RequestSize, ServiceBudgets,
     TargetFacts, TargetSnapshot, WaitReason, Weights, WindowBudgetConfig, long_prompt_targets,
 };
 use chervilshunt_model::{ServiceName, TargetName};
@@ -58,10 +58,10 @@
     // A target that has lost power stays listed for three heartbeats. Each request sent to it in
     // that time would wait in vain for a connection.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
-    dispatch.sign(&TargetName::from("t1"), Sign::Silent, at(0));
+    dispatch.record_signal(&TargetName::from("t1"), HealthSignal::Unreachable, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 249)), to("t2"));
     assert_eq!(chosen(choose(&dispatch, None, &[], 250)), to("t1"));
-    dispatch.sign(&TargetName::from("t1"), Sign::Silent, at(250));
+    dispatch.record_signal(&TargetName::from("t1"), HealthSignal::Unreachable, at(250));
     assert_eq!(chosen(choose(&dispatch, None, &[], 749)), to("t2"));
 }
 
@@ -70,7 +70,7 @@
     // If no target responds, the likely cause is this instance's own network link, which may have
     // recovered. Refusing all requests would prevent it from ever noticing.
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
-    dispatch.sign(&TargetName::from("t1"), Sign::Silent, at(0));
+    dispatch.record_signal(&TargetName::from("t1"), HealthSignal::Unreachable, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
 }
 
@@ -80,11 +80,11 @@
     // because failures are fast.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
     for _ in 0..6 {
-        dispatch.sign(&TargetName::from("t1"), Sign::Failed, at(0));
+        dispatch.record_signal(&TargetName::from("t1"), HealthSignal::Failed, at(0));
     }
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to("t2"));
     for _ in 0..6 {
-        dispatch.sign(&TargetName::from("t1"), Sign::Served, at(10));
+        dispatch.record_signal(&TargetName::from("t1"), HealthSignal::Served, at(10));
     }
     assert_eq!(chosen(choose(&dispatch, None, &[], 10)), to("t1"));
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, EntryChange, Holding, Lane, LoadedAdapter, LoadedModel,
-    Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction, ResidencyEvent, Sign,
+    Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Holding, Lane, LoadedAdapter,
+    LoadedModel, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction, ResidencyEvent,
     TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
@@ -73,7 +73,7 @@
     for _ in 0..3 {
         dispatch.sent(&target(0), Some(&adapter("a1")));
     }
-    dispatch.sign(&target(0), Sign::Silent, at(10));
+    dispatch.record_signal(&target(0), HealthSignal::Unreachable, at(10));
     assert!(!is_sent(&choice(&dispatch, None, 20)), "it is full");
     let change = dispatch.target_seen(entry(200, &[]), at(30));
     assert_eq!(change, EntryChange::Restarted);
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_core::{Crash, Sign, TargetStart, Weights};
+use chervilshunt_core::{Crash, HealthSignal, TargetStart, Weights};
 use chervilshunt_engine::{BodyReader, EngineError, Limits, Outcome};
 use chervilshunt_model::{Moment, TargetName};
 use chervilshunt_platform::retry_after;
@@ -367,12 +367,14 @@
             self.note_what_it_says(chosen, &in_flight, &head);
         }
         let sign = match verdict {
-            Verdict::PassOn if head.status.is_server_error() => Sign::Failed,
-            Verdict::PassOn | Verdict::Full | Verdict::NotHeld => Sign::Served,
-            Verdict::OtherTarget => Sign::Silent,
-            Verdict::Failed | Verdict::Crossed => Sign::Failed,
+            Verdict::PassOn if head.status.is_server_error() => HealthSignal::Failed,
+            Verdict::PassOn | Verdict::Full | Verdict::NotHeld => HealthSignal::Served,
+            Verdict::OtherTarget => HealthSignal::Unreachable,
+            Verdict::Failed | Verdict::Crossed => HealthSignal::Failed,
         };
-        self.shared.dispatch().sign(&chosen.target, sign, now);
+        self.shared
+            .dispatch()
+            .record_signal(&chosen.target, sign, now);
         match verdict {
             Verdict::PassOn => Sent::Answered(Box::new(Answered {
                 head,
@@ -429,10 +431,12 @@
             "reason" => error.to_string());
         // One that closes a connection is there, whatever became of the answer.
         let sign = match error {
-            EngineError::NotSent { .. } | EngineError::Timeout { .. } => Sign::Silent,
-            _ => Sign::Failed,
+            EngineError::NotSent { .. } | EngineError::Timeout { .. } => HealthSignal::Unreachable,
+            _ => HealthSignal::Failed,
         };
-        self.shared.dispatch().sign(&chosen.target, sign, now);
+        self.shared
+            .dispatch()
+            .record_signal(&chosen.target, sign, now);
         if error.is_connection_refused() {
             // Nothing was sent. Targets that have crashed but are still listed must not exhaust
             // `MAX_SENDINGS`.
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_core::{Repeat, Sign};
+use chervilshunt_core::{HealthSignal, Repeat};
 use chervilshunt_engine::BodyReader;
 use chervilshunt_model::Moment;
 use http_body::{Frame, SizeHint};
@@ -132,7 +132,9 @@
                         "bytes" => self.bytes, "reason" => error.to_string());
                     self.in_flight.broke(&self.req, true);
                     let target = self.in_flight.target.clone();
-                    self.shared.dispatch().sign(&target, Sign::Failed, now);
+                    self.shared
+                        .dispatch()
+                        .record_signal(&target, HealthSignal::Failed, now);
                     if !self.begin_resuming() {
                         return Poll::Ready(Some(self.cut("broke_off")));
                     }
