--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -276,7 +276,7 @@
             load_age: now.since(target.load.reported_at()),
             expect_version: self.expected_version(target, weights, now),
             held_version: weights.and_then(|weights| self.held_version(target, weights)),
-            since_last_response: now.since(target.health.heard_at()),
+            since_last_response: now.since(target.health.last_response_at()),
         }
     }
 
--- a/crates/chervilshunt_core/src/dispatch/health.rs
+++ b/crates/chervilshunt_core/src/dispatch/health.rs
@@ -53,7 +53,7 @@
     failures_in_row: u32,
     unreachable_until: Moment,
     failing_share: f64,
-    heard_at: Moment,
+    last_response_at: Moment,
 }
 
 impl TargetHealth {
@@ -62,7 +62,7 @@
             failures_in_row: 0,
             unreachable_until: Moment::ZERO,
             failing_share: 0.0,
-            heard_at: now,
+            last_response_at: now,
         }
     }
 
@@ -70,13 +70,13 @@
     pub(crate) fn record(&mut self, cfg: &HealthConfig, signal: HealthSignal, now: Moment) {
         match signal {
             HealthSignal::Served => {
-                self.heard_at = now;
+                self.last_response_at = now;
                 self.failures_in_row = 0;
                 self.unreachable_until = Moment::ZERO;
                 self.failing_share *= 1.0 - cfg.outcome_weight;
             }
             HealthSignal::Failed => {
-                self.heard_at = now;
+                self.last_response_at = now;
                 self.failing_share += cfg.outcome_weight * (1.0 - self.failing_share);
             }
             HealthSignal::Unreachable => {
@@ -98,12 +98,12 @@
     }
 
     /// Returns the time of the last sign of life from the target.
-    pub(crate) const fn heard_at(&self) -> Moment {
-        self.heard_at
+    pub(crate) const fn last_response_at(&self) -> Moment {
+        self.last_response_at
     }
 
     /// Records that bytes were received from the target.
-    pub(crate) fn heard(&mut self, now: Moment) {
-        self.heard_at = now;
+    pub(crate) fn response_received(&mut self, now: Moment) {
+        self.last_response_at = now;
     }
 }
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -368,9 +368,9 @@
     }
 
     /// Records that bytes were received from a target.
-    pub fn heard(&mut self, target: &TargetName, now: Moment) {
+    pub fn response_received(&mut self, target: &TargetName, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.health.heard(now);
+            target.health.response_received(now);
         }
     }
 
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -157,7 +157,9 @@
         self.last_piece = now;
         if now.since(self.heard_told) >= HEARD_EVERY {
             self.heard_told = now;
-            self.shared.dispatch().heard(&self.in_flight.target, now);
+            self.shared
+                .dispatch()
+                .response_received(&self.in_flight.target, now);
         }
         self.bytes += data.len() as u64;
         match &mut self.events {
@@ -199,7 +201,9 @@
 
     fn end(&mut self) -> Option<Frame<Bytes>> {
         let now = self.shared.clock.now();
-        self.shared.dispatch().heard(&self.in_flight.target, now);
+        self.shared
+            .dispatch()
+            .response_received(&self.in_flight.target, now);
         self.in_flight.begins(&self.req);
         self.outcome = Some("served");
         let rest = self.events.as_mut().map(WholeEvents::rest)?;
