--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -24,11 +24,11 @@
 pub use bugs::Bug;
 pub use decision::{Decision, DecisionKind, WaitTimes};
 pub use dispatch::{
-    Ask, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, Guide,
-    HealthConfig, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
-    ModelSpec, Pace, PlacementLimits, Repeat, RequestSize, Route, RouteTable, ServiceBudgets,
-    ServiceSpec, Sign, TargetFacts, TargetSnapshot, TargetStart, Wait, Weights, WindowBudget,
-    WindowBudgetConfig, long_prompt_targets,
+    CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, HealthConfig,
+    HealthSignal, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
+    ModelSpec, PlacementLimits, PollGuide, PollMode, Repeat, RequestSize, Route, RouteTable,
+    ServiceBudgets, ServiceSpec, TargetFacts, TargetRequirements, TargetSnapshot, TargetStart,
+    WaitReason, Weights, WindowBudget, WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
 pub use owner::{
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use chervilshunt_core::{Ask, Choice, Dispatch, DispatchConfig, Lane, Placed, Wait, Weights};
+use chervilshunt_core::{
+    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, WaitReason, Weights,
+};
 use chervilshunt_model::ZoneName;
 use model_updates::{
     FIRST, Fate, NAMED_AT, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
@@ -50,7 +52,7 @@
     dispatch.version_named(base(), SECOND, at(0));
     let choose = |weights: &Weights, now_ms| {
         let service = service();
-        let ask = Ask {
+        let ask = TargetRequirements {
             service: &service,
             weights: Some(weights),
             lane: Lane::General,
@@ -64,7 +66,7 @@
         "{chosen:?}"
     );
     // The request names the base model itself, so an older version would give a wrong answer.
-    assert_eq!(choose(&base(), 10_000), Choice::Wait(Wait::NotHeld));
+    assert_eq!(choose(&base(), 10_000), Choice::Wait(WaitReason::NotHeld));
 }
 
 /// Guards against targets that keep the old version and get no more requests. A target answers a
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -1,11 +1,11 @@
-//! What targets say of themselves with their answers, by cases.
+//! Tests for the state that targets report about themselves with their responses.
 
 #[path = "support/choosing.rs"]
 mod choosing;
 
 use std::time::Duration;
 
-use chervilshunt_core::{EntryChange, Leaving, TargetFacts, TargetStart, Wait};
+use chervilshunt_core::{EntryChange, Leaving, TargetFacts, TargetStart, WaitReason};
 use chervilshunt_model::TargetName;
 use choosing::{adapter, at, choose, chosen, dispatch, facts, service, to};
 
@@ -30,11 +30,11 @@
         dispatch.sent(&name("t2"), None);
     }
     let named = dispatch.choose_named(&name("t1"), None, at(0));
-    assert_eq!(chosen(named), Err(Wait::NoTarget));
+    assert_eq!(chosen(named), Err(WaitReason::NoTarget));
     assert_eq!(dispatch.closed(&service(), at(0)), [name("t1")]);
 }
 
-/// Guards against an entry of before that makes a target usable again that leaves.
+/// Guards against an earlier entry that makes a leaving target usable again.
 #[test]
 fn its_entry_does_not_take_it_back() {
     let mut dispatch = dispatch([started("t1", 7)]);
@@ -43,14 +43,20 @@
         dispatch.target_seen(started("t1", 7), at(1)),
         EntryChange::Known
     );
-    assert_eq!(chosen(choose(&dispatch, None, &[], 1)), Err(Wait::NoTarget));
-    // Not even after it was gone from the list for a time.
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 1)),
+        Err(WaitReason::NoTarget)
+    );
+    // This also holds after the target was missing from the list for a time.
     dispatch.target_gone(&name("t1"));
     assert_eq!(
         dispatch.target_told(started("t1", 7), at(2)),
         EntryChange::New
     );
-    assert_eq!(chosen(choose(&dispatch, None, &[], 2)), Err(Wait::NoTarget));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 2)),
+        Err(WaitReason::NoTarget)
+    );
 }
 
 #[test]
@@ -59,7 +65,7 @@
     dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
     dispatch.target_seen(started("t1", 8), at(1));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
-    // An answer of the start before comes late.
+    // A response of the previous start arrives late.
     assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
 }
@@ -70,26 +76,26 @@
     dispatch.wants_pause(&name("t1"), Duration::from_secs(2), at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
     let named = dispatch.choose_named(&name("t1"), None, at(1_999));
-    assert_eq!(chosen(named), Err(Wait::NoTarget));
+    assert_eq!(chosen(named), Err(WaitReason::NoTarget));
     assert_eq!(dispatch.closed(&service(), at(1_999)), [name("t1")]);
     dispatch.sent(&name("t2"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 2_000)), to("t1"));
 }
 
-/// Guards against callers who wait for targets that are known to take nothing.
+/// Guards against callers that wait for targets which are known to accept no requests.
 #[test]
 fn where_all_want_a_pause_the_first_end_is_told() {
     let holding = [("a", 1)];
     let mut dispatch = dispatch([facts("t1", "here", &holding), facts("t2", "here", &holding)]);
     dispatch.wants_pause(&name("t1"), Duration::from_secs(3), at(0));
     dispatch.wants_pause(&name("t2"), Duration::from_secs(2), at(500));
-    // A shorter one that comes later takes nothing back.
+    // A later, shorter pause does not shorten the first one.
     dispatch.wants_pause(&name("t1"), Duration::from_secs(1), at(600));
     let choice = choose(&dispatch, Some(&adapter("a")), &[], 1_000);
-    assert_eq!(chosen(choice), Err(Wait::Paused(at(2_500))));
+    assert_eq!(chosen(choice), Err(WaitReason::Paused(at(2_500))));
 }
 
-/// Guards against a figure that nobody meant, which would take a target out of use for good.
+/// Guards against an implausible value, which would take a target out of use permanently.
 #[test]
 fn a_pause_is_bounded() {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
@@ -97,7 +103,7 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 600_000)), to("t1"));
 }
 
-/// Guards against an older copy of the platform's list, in which a target that leaves is ready.
+/// Guards against an outdated copy of the platform's list, in which a leaving target is ready.
 #[test]
 fn a_target_whose_entry_said_that_it_leaves_stays_leaving() {
     let mut dispatch = dispatch([started("t1", 7)]);
@@ -105,12 +111,16 @@
     draining.leaving = Some(Leaving { gone_after: None });
     dispatch.target_seen(draining, at(1));
     dispatch.target_seen(started("t1", 7), at(2));
-    assert_eq!(chosen(choose(&dispatch, None, &[], 2)), Err(Wait::NoTarget));
+    assert_eq!(
+        chosen(choose(&dispatch, None, &[], 2)),
+        Err(WaitReason::NoTarget)
+    );
     dispatch.target_seen(started("t1", 8), at(3));
     assert_eq!(chosen(choose(&dispatch, None, &[], 3)), to("t1"));
 }
 
-/// Guards against an older copy that lists a target which is gone: it is told from one that is new.
+/// Guards against an outdated copy of the list that contains a removed target, which must be
+/// distinguished from a new one.
 #[test]
 fn an_entry_of_a_start_that_is_gone_is_known_as_such() {
     let mut dispatch = dispatch([started("t1", 7), facts("t2", "here", &[])]);
--- a/crates/chervilshunt_core/tests/support/choosing.rs
+++ b/crates/chervilshunt_core/tests/support/choosing.rs
@@ -1,10 +1,10 @@
-//! Targets as one instance knows them, and its choice among them.
+//! Test support: targets as known to one instance, and its selection among them.
 
 #![allow(dead_code, reason = "each test binary uses a part of these")]
 
 use chervilshunt_core::{
-    Ask, Choice, Dispatch, DispatchConfig, Lane, LoadedAdapter, LoadedModel, TargetFacts, Wait,
-    Weights,
+    Choice, Dispatch, DispatchConfig, Lane, LoadedAdapter, LoadedModel, TargetFacts,
+    TargetRequirements, WaitReason, Weights,
 };
 use chervilshunt_model::{Moment, ServiceName, TargetName, ZoneName};
 
@@ -59,16 +59,16 @@
     now: u64,
 ) -> Choice {
     let service = service();
-    let ask = Ask {
+    let requirements = TargetRequirements {
         service: &service,
         weights,
         lane: Lane::General,
         avoid,
     };
-    dispatch.choose(&ask, || 0.5, at(now))
+    dispatch.choose(&requirements, || 0.5, at(now))
 }
 
-pub(crate) fn chosen(choice: Choice) -> Result<(String, Option<u64>), Wait> {
+pub(crate) fn chosen(choice: Choice) -> Result<(String, Option<u64>), WaitReason> {
     match choice {
         Choice::Send {
             target,
@@ -79,6 +79,6 @@
     }
 }
 
-pub(crate) fn to(target: &str) -> Result<(String, Option<u64>), Wait> {
+pub(crate) fn to(target: &str) -> Result<(String, Option<u64>), WaitReason> {
     Ok((target.to_owned(), None))
 }
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_core::{Repeat, Sign};
+use chervilshunt_core::{HealthSignal, Repeat};
 use chervilshunt_engine::BodyReader;
 use chervilshunt_model::Moment;
 use http_body::{Frame, SizeHint};
@@ -132,7 +132,9 @@
                         "bytes" => self.bytes, "reason" => error.to_string());
                     self.in_flight.broke(&self.req, true);
                     let target = self.in_flight.target.clone();
-                    self.shared.dispatch().sign(&target, Sign::Failed, now);
+                    self.shared
+                        .dispatch()
+                        .record_signal(&target, HealthSignal::Failed, now);
                     if !self.begin_resuming() {
                         return Poll::Ready(Some(self.cut("broke_off")));
                     }
@@ -155,7 +157,9 @@
         self.last_piece = now;
         if now.since(self.heard_told) >= HEARD_EVERY {
             self.heard_told = now;
-            self.shared.dispatch().heard(&self.in_flight.target, now);
+            self.shared
+                .dispatch()
+                .response_received(&self.in_flight.target, now);
         }
         self.bytes += data.len() as u64;
         match &mut self.events {
@@ -197,7 +201,9 @@
 
     fn end(&mut self) -> Option<Frame<Bytes>> {
         let now = self.shared.clock.now();
-        self.shared.dispatch().heard(&self.in_flight.target, now);
+        self.shared
+            .dispatch()
+            .response_received(&self.in_flight.target, now);
         self.in_flight.begins(&self.req);
         self.outcome = Some("served");
         let rest = self.events.as_mut().map(WholeEvents::rest)?;
