--- a/crates/chervilshunt_coord/examples/support/mod.rs
+++ b/crates/chervilshunt_coord/examples/support/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{
-    CallOutcome, ConfigModel, CoordAction, CoordEvent, Coordinator, CoordinatorConfig, Holder,
+    CallEffect, ConfigModel, CoordAction, CoordEvent, Coordinator, CoordinatorConfig, Holder,
     Incarnation, InstanceEntry, InstanceId, MemoryPlatform, Moment, PlatformCall, PlatformOp,
     PlatformResult,
 };
@@ -176,7 +176,7 @@
     }
 
     fn carry_out(&mut self, id: &InstanceId, call: &PlatformCall) {
-        let CallOutcome { result, written } = self.platform.carry_out(&call.op);
+        let CallEffect { result, written } = self.platform.carry_out(&call.op);
         let call_id = call.id;
         if self.lose_answer.is_some_and(|picks| picks(&call.op)) {
             self.lose_answer = None;
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -87,7 +87,7 @@
     ElectorConfig, ElectorDesk, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
 };
 pub use platform::{
-    CallId, CallOutcome, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
+    CallEffect, CallId, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
     PlatformCall, PlatformOp, PlatformResult, Purpose, StoredObject,
 };
 pub use roles::{
--- a/crates/chervilshunt_coord/src/platform.rs
+++ b/crates/chervilshunt_coord/src/platform.rs
@@ -11,5 +11,5 @@
 
 pub(crate) use call::Calls;
 pub use call::{CallId, PlatformCall, PlatformOp, PlatformResult, Purpose};
-pub use memory::{CallOutcome, MemoryPlatform};
+pub use memory::{CallEffect, MemoryPlatform};
 pub use object::{Object, ObjectKind, ObjectName, ObjectVersion, PageName, StoredObject};
--- a/crates/chervilshunt_coord/src/platform/memory.rs
+++ b/crates/chervilshunt_coord/src/platform/memory.rs
@@ -20,14 +20,14 @@
 
 /// The effect of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct CallOutcome {
+pub struct CallEffect {
     /// The result to report to the caller.
     pub result: PlatformResult,
     /// The object that the call wrote, as a watch reports it to other instances.
     pub written: Option<StoredObject>,
 }
 
-impl CallOutcome {
+impl CallEffect {
     const fn answer(result: PlatformResult) -> Self {
         Self {
             result,
@@ -38,35 +38,35 @@
 
 impl MemoryPlatform {
     /// Carries out an operation.
-    pub fn carry_out(&mut self, op: &PlatformOp) -> CallOutcome {
+    pub fn carry_out(&mut self, op: &PlatformOp) -> CallEffect {
         match op {
             PlatformOp::Read(name) => {
                 let found = self.get(name);
-                CallOutcome::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
+                CallEffect::answer(found.map_or(PlatformResult::NotFound, PlatformResult::Found))
             }
-            PlatformOp::List(kind) => CallOutcome::answer(PlatformResult::Listed(self.list(*kind))),
+            PlatformOp::List(kind) => CallEffect::answer(PlatformResult::Listed(self.list(*kind))),
             PlatformOp::ListClaims(shard) => {
                 let mut pages = self.list(ObjectKind::Claims);
                 pages.retain(|stored| {
                     matches!(&stored.object, Object::Claims(page) if page.name.shard == *shard)
                 });
-                CallOutcome::answer(PlatformResult::Listed(pages))
+                CallEffect::answer(PlatformResult::Listed(pages))
             }
             PlatformOp::Create(object) => {
                 if self.objects.contains_key(&object.name()) {
-                    return CallOutcome::answer(PlatformResult::AlreadyExists);
+                    return CallEffect::answer(PlatformResult::AlreadyExists);
                 }
                 self.put(object)
             }
             PlatformOp::Update(object, version) => match self.objects.get(&object.name()) {
-                None => CallOutcome::answer(PlatformResult::NotFound),
+                None => CallEffect::answer(PlatformResult::NotFound),
                 Some((_, held)) if held.to_string() != version.as_str() => {
-                    CallOutcome::answer(PlatformResult::Conflict)
+                    CallEffect::answer(PlatformResult::Conflict)
                 }
                 Some(_) => self.put(object),
             },
             PlatformOp::Delete(name, version) => {
-                CallOutcome::answer(self.delete(name, version.as_ref()))
+                CallEffect::answer(self.delete(name, version.as_ref()))
             }
         }
     }
@@ -86,13 +86,13 @@
         names.filter_map(|name| self.get(name)).collect()
     }
 
-    fn put(&mut self, object: &Object) -> CallOutcome {
+    fn put(&mut self, object: &Object) -> CallEffect {
         self.version += 1;
         let name = object.name();
         self.objects
             .insert(name.clone(), (object.clone(), self.version));
         let version = ObjectVersion::new(self.version.to_string());
-        CallOutcome {
+        CallEffect {
             result: PlatformResult::Written(version),
             written: self.get(&name),
         }
--- a/crates/chervilshunt_coord/src/tests/fleet.rs
+++ b/crates/chervilshunt_coord/src/tests/fleet.rs
@@ -10,7 +10,7 @@
 use crate::bugs::Bugs;
 use crate::hashing::jittered;
 use crate::{
-    CallId, CallOutcome, ChangeRefusal, ChangeTicket, CoordAction, CoordEvent, CoordMessage,
+    CallEffect, CallId, ChangeRefusal, ChangeTicket, CoordAction, CoordEvent, CoordMessage,
     Coordinator, CoordinatorConfig, Holder, Incarnation, InstanceEntry, LeaseConfig,
     MemoryPlatform, PlatformCall, PlatformResult, Role, StoredObject, WantedRole,
 };
@@ -377,7 +377,7 @@
 
     /// Carries out a call at the platform, even if the caller has crashed since.
     fn carry_out(&mut self, id: &InstanceId, process: u64, call: &PlatformCall) {
-        let CallOutcome { result, written } = self.platform.carry_out(&call.op);
+        let CallEffect { result, written } = self.platform.carry_out(&call.op);
         if let Some(stored) = written {
             self.notify_watchers(&stored);
         }
