--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -110,7 +110,7 @@
 /// already be using the new configuration. It resumes only once it learns of a decision that is
 /// written into the head.
 #[derive(Clone, Debug, Hash)]
-pub struct Follower<S, C> {
+pub struct ConfigFollower<S, C> {
     cfg: FollowerConfig,
     model: ConfigModel<S, C>,
     me: Holder,
@@ -136,7 +136,7 @@
     bugs: Bugs,
 }
 
-impl<S: Clone, C: Clone> Follower<S, C> {
+impl<S: Clone, C: Clone> ConfigFollower<S, C> {
     /// Creates a follower; it reads nothing before [`FollowerEvent::Start`].
     pub fn new(
         cfg: FollowerConfig,
--- a/crates/chervilshunt_coord/src/config/follower/load.rs
+++ b/crates/chervilshunt_coord/src/config/follower/load.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_model::{Moment, Revision};
 
-use super::{ConfigInForce, Follower, FollowerAction};
+use super::{ConfigFollower, ConfigInForce, FollowerAction};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
 use crate::platform::{CallId, Object, ObjectName, PlatformOp, PlatformResult, StoredObject};
@@ -28,7 +28,7 @@
     }
 }
 
-impl<S: Clone, C: Clone> Follower<S, C> {
+impl<S: Clone, C: Clone> ConfigFollower<S, C> {
     pub(super) fn is_behind(&self, revision: Revision) -> bool {
         self.in_force
             .as_ref()
--- a/crates/chervilshunt_coord/src/config/follower/prepared.rs
+++ b/crates/chervilshunt_coord/src/config/follower/prepared.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::{ChangeId, InstanceId, Moment, Revision};
 
-use super::{ConfigInForce, Follower, FollowerAction};
+use super::{ConfigFollower, ConfigInForce, FollowerAction};
 use crate::config::message::{ConfigMessage, Prepare};
 use crate::config::model::PageKey;
 use crate::config::stamp::PageStamp;
@@ -31,7 +31,7 @@
     stamps: Vec<(PageKey, PageStamp)>,
 }
 
-impl<S: Clone, C: Clone> Follower<S, C> {
+impl<S: Clone, C: Clone> ConfigFollower<S, C> {
     pub(super) fn on_message(
         &mut self,
         from: &InstanceId,
--- a/crates/chervilshunt_coord/src/coordinator.rs
+++ b/crates/chervilshunt_coord/src/coordinator.rs
@@ -15,7 +15,7 @@
 pub use self::types::{CoordAction, CoordDecision, CoordEvent, CoordMessage, DecisionKind};
 use crate::bugs::{Bug, Bugs};
 use crate::config::{
-    ConfigInForce, ConfigModel, Elector, Follower, FollowerConfig, FollowerEvent, HeadRecord,
+    ConfigFollower, ConfigInForce, ConfigModel, Elector, FollowerConfig, FollowerEvent, HeadRecord,
     Proposer, ProposerConfig, ProposerEvent,
 };
 use crate::holder::Holder;
@@ -130,7 +130,7 @@
     lease_state: Option<LeaseState>,
     observer: LeaseObserver,
     roles: RoleTable,
-    follower: Follower<S, C>,
+    follower: ConfigFollower<S, C>,
     proposer: Proposer<S, C>,
     takeovers: Takeovers,
     desk: ElectorDesk,
@@ -169,7 +169,7 @@
             lease_state: None,
             observer: LeaseObserver::with_machine(cfg.observer, OBSERVER),
             roles: RoleTable::with_machine(cfg.roles, me.clone(), cfg.zone.clone(), ROLES, now),
-            follower: Follower::with_machine(
+            follower: ConfigFollower::with_machine(
                 cfg.follower,
                 cfg.model,
                 me.clone(),
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -67,10 +67,10 @@
     ClaimOutcome, ClaimPage, ClaimPageName, ClaimRequest, ClaimsInOutage,
 };
 pub use config::{
-    AppliedChange, ChangeRefusal, ChangeTicket, ConfigInForce, ConfigMessage, ConfigModel, Elector,
-    Electorate, Follower, FollowerAction, FollowerConfig, FollowerEvent, HeadRecord, PageKey,
-    PageStamp, PageStampError, PendingChange, Prepare, Proposer, ProposerAction, ProposerConfig,
-    ProposerEvent, deployment_model, no_configuration,
+    AppliedChange, ChangeRefusal, ChangeTicket, ConfigFollower, ConfigInForce, ConfigMessage,
+    ConfigModel, Elector, Electorate, FollowerAction, FollowerConfig, FollowerEvent, HeadRecord,
+    PageKey, PageStamp, PageStampError, PendingChange, Prepare, Proposer, ProposerAction,
+    ProposerConfig, ProposerEvent, deployment_model, no_configuration,
 };
 pub use coordinator::{
     CoordAction, CoordDecision, CoordEvent, CoordMessage, Coordinator, CoordinatorConfig,
--- a/crates/chervilshunt_coord/src/tests/explore_config.rs
+++ b/crates/chervilshunt_coord/src/tests/explore_config.rs
@@ -16,7 +16,7 @@
 use super::table::{SetCell, Table, table_model};
 use crate::bugs::{Bug, Bugs};
 use crate::{
-    CallId, ChangeRefusal, ChangeTicket, ConfigMessage, Elector, Follower, FollowerAction,
+    CallId, ChangeRefusal, ChangeTicket, ConfigFollower, ConfigMessage, Elector, FollowerAction,
     FollowerConfig, FollowerEvent, HeadRecord, Holder, Incarnation, LeaseRecord, LeaseState,
     MemoryPlatform, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Proposer,
     ProposerAction, ProposerConfig, ProposerEvent,
@@ -54,7 +54,7 @@
 struct World {
     now: Moment,
     platform: MemoryPlatform,
-    followers: Vec<Follower<Table, SetCell>>,
+    followers: Vec<ConfigFollower<Table, SetCell>>,
     /// Whether each instance has started to take work; the joining one does once it is settled.
     works: Vec<bool>,
     proposer: Proposer<Table, SetCell>,
@@ -105,7 +105,7 @@
                 stop_after: Duration::from_secs(2),
                 ..FollowerConfig::default()
             };
-            let mut follower = Follower::new(cfg, table_model(), holder(number), elector);
+            let mut follower = ConfigFollower::new(cfg, table_model(), holder(number), elector);
             follower.seed(bugs);
             follower
         });
