--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -15,7 +15,7 @@
 use super::record::{ClaimEntry, ClaimKey, ClaimOutcome, ClaimPage};
 use crate::bugs::{Bug, Bugs};
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformOp, PlatformResult, Purpose, StoredObject,
+    CallId, CallPurpose, Calls, Object, ObjectName, PlatformOp, PlatformResult, StoredObject,
 };
 
 /// Machine number of the claim log of shard 0 in call ids; shard `n` adds `n`.
@@ -69,7 +69,7 @@
             now,
         );
         Self {
-            leases: Calls::new(FIRST_LEASE_MACHINE + cfg.shard, Purpose::Claims),
+            leases: Calls::new(FIRST_LEASE_MACHINE + cfg.shard, CallPurpose::Claims),
             cfg,
             log,
             ready: false,
--- a/crates/chervilshunt_coord/src/claims/log.rs
+++ b/crates/chervilshunt_coord/src/claims/log.rs
@@ -8,7 +8,7 @@
 use super::record::{ClaimEntry, ClaimPage, ClaimPageName};
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult, Purpose,
+    CallId, CallPurpose, Calls, Object, ObjectName, PlatformCall, PlatformOp, PlatformResult,
     StoredObject,
 };
 
@@ -74,7 +74,7 @@
             shard,
             me,
             epoch,
-            calls: Calls::new(machine, Purpose::Claims),
+            calls: Calls::new(machine, CallPurpose::Claims),
             retry_every,
             next: 0,
             state: LogState::ListDue,
--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -19,8 +19,8 @@
 use crate::hashing::jittered;
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, StoredObject,
+    CallId, CallPurpose, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, StoredObject,
 };
 
 /// Configuration of a follower.
@@ -160,7 +160,7 @@
             model,
             me,
             elector,
-            calls: Calls::new(machine, Purpose::Configuration),
+            calls: Calls::new(machine, CallPurpose::Configuration),
             started: false,
             has_read: false,
             reading: None,
--- a/crates/chervilshunt_coord/src/config/proposer.rs
+++ b/crates/chervilshunt_coord/src/config/proposer.rs
@@ -20,7 +20,7 @@
 use crate::bugs::Bugs;
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, ObjectVersion, PageName, PlatformCall, PlatformResult, Purpose,
+    CallId, CallPurpose, Calls, ObjectVersion, PageName, PlatformCall, PlatformResult,
 };
 
 /// Configuration of a proposer.
@@ -199,7 +199,7 @@
             cfg,
             model,
             me,
-            calls: Calls::new(machine, Purpose::Configuration),
+            calls: Calls::new(machine, CallPurpose::Configuration),
             queue: VecDeque::new(),
             proposal: None,
             bugs: Bugs::NONE,
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -11,7 +11,7 @@
 use crate::hashing::rendezvous_weight;
 use crate::lease::{LeaseEvent, LeaseState};
 use crate::outage::choose_electors;
-use crate::platform::{CallId, Calls, Object, PlatformOp, PlatformResult, Purpose};
+use crate::platform::{CallId, CallPurpose, Calls, Object, PlatformOp, PlatformResult};
 
 /// How long an elector must have been gone before it is replaced.
 ///
@@ -46,7 +46,7 @@
 impl Upkeep {
     pub(super) const fn new(machine: u32) -> Self {
         Self {
-            calls: Calls::new(machine, Purpose::Membership),
+            calls: Calls::new(machine, CallPurpose::Membership),
             wanted: None,
             writing: None,
             checked: None,
--- a/crates/chervilshunt_coord/src/lease/keeper.rs
+++ b/crates/chervilshunt_coord/src/lease/keeper.rs
@@ -8,8 +8,8 @@
 use crate::bugs::{Bug, Bugs};
 use crate::hashing::jittered;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, StoredObject,
+    CallId, CallPurpose, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, StoredObject,
 };
 
 /// How a lease is kept.
@@ -131,7 +131,7 @@
             cfg,
             confirmed_electorate: record.electorate,
             record,
-            calls: Calls::new(machine, Purpose::Lease),
+            calls: Calls::new(machine, CallPurpose::Lease),
             version: None,
             in_flight: None,
             unsettled: Vec::new(),
--- a/crates/chervilshunt_coord/src/lease/observer.rs
+++ b/crates/chervilshunt_coord/src/lease/observer.rs
@@ -10,8 +10,8 @@
 use crate::hashing::{jittered, text_hash};
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, StoredObject,
+    CallId, CallPurpose, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, StoredObject,
 };
 
 /// How leases are watched.
@@ -116,7 +116,7 @@
     pub(crate) const fn with_machine(cfg: ObserverConfig, machine: u32) -> Self {
         Self {
             cfg,
-            calls: Calls::new(machine, Purpose::Membership),
+            calls: Calls::new(machine, CallPurpose::Membership),
             watched: BTreeMap::new(),
             bugs: Bugs::NONE,
         }
--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -87,8 +87,8 @@
     ElectorConfig, ElectorDesk, Hold, HoldAction, HoldConfig, HoldMessage, VouchAction, Vouching,
 };
 pub use platform::{
-    CallEffect, CallId, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion, PageName,
-    PlatformCall, PlatformOp, PlatformResult, Purpose, StoredObject,
+    CallEffect, CallId, CallPurpose, MemoryPlatform, Object, ObjectKind, ObjectName, ObjectVersion,
+    PageName, PlatformCall, PlatformOp, PlatformResult, StoredObject,
 };
 pub use roles::{
     AssignmentRecord, AssignmentShard, Candidate, Role, RoleAction, RoleConfig, RoleEntry,
--- a/crates/chervilshunt_coord/src/platform.rs
+++ b/crates/chervilshunt_coord/src/platform.rs
@@ -10,6 +10,6 @@
 mod object;
 
 pub(crate) use call::Calls;
-pub use call::{CallId, PlatformCall, PlatformOp, PlatformResult, Purpose};
+pub use call::{CallId, CallPurpose, PlatformCall, PlatformOp, PlatformResult};
 pub use memory::{CallEffect, MemoryPlatform};
 pub use object::{Object, ObjectKind, ObjectName, ObjectVersion, PageName, StoredObject};
--- a/crates/chervilshunt_coord/src/platform/call.rs
+++ b/crates/chervilshunt_coord/src/platform/call.rs
@@ -21,7 +21,7 @@
 /// The purpose of a call, used as a label of the call metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Purpose {
+pub enum CallPurpose {
     /// Keeping this instance's own lease.
     Lease,
     /// Watching the leases of other instances.
@@ -34,7 +34,7 @@
     Claims,
 }
 
-impl Purpose {
+impl CallPurpose {
     /// Returns the name used in metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -53,7 +53,7 @@
     /// The id under which the result is reported.
     pub id: CallId,
     /// The purpose of the call.
-    pub purpose: Purpose,
+    pub purpose: CallPurpose,
     /// The operation to carry out.
     pub op: PlatformOp,
 }
@@ -118,13 +118,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Calls {
     machine: u32,
-    purpose: Purpose,
+    purpose: CallPurpose,
     next: u64,
 }
 
 impl Calls {
     /// Creates the calls of state machine `machine`, numbered from 0.
-    pub(crate) const fn new(machine: u32, purpose: Purpose) -> Self {
+    pub(crate) const fn new(machine: u32, purpose: CallPurpose) -> Self {
         Self {
             machine,
             purpose,
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -18,7 +18,7 @@
 use crate::bugs::{Bug, Bugs};
 use crate::hashing::rendezvous_weight;
 use crate::holder::Holder;
-use crate::platform::{CallId, Calls, Object, ObjectKind, ObjectVersion, PlatformOp, Purpose};
+use crate::platform::{CallId, CallPurpose, Calls, Object, ObjectKind, ObjectVersion, PlatformOp};
 
 /// The most ranks that are told apart when instances take turns to write.
 const MAX_RANK: usize = 15;
@@ -112,7 +112,7 @@
             cfg,
             me,
             zone,
-            calls: Calls::new(machine, Purpose::Roles),
+            calls: Calls::new(machine, CallPurpose::Roles),
             listed: false,
             listing: None,
             list_at: now,
