--- a/crates/chervilshunt_coord/src/claims/keeper.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper.rs
@@ -7,7 +7,7 @@
 
 use chervilshunt_model::{AttemptId, Moment};
 
-use self::claim::{Claim, ClaimState};
+use self::claim::{ClaimState, TrackedClaim};
 pub use self::types::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimRequest, ClaimsInOutage,
 };
@@ -37,7 +37,7 @@
     leases: Calls,
     ready: bool,
     superseded: bool,
-    claims: BTreeMap<ClaimKey, Claim>,
+    claims: BTreeMap<ClaimKey, TrackedClaim>,
     /// Requests that arrived before the log was read, each with the time at which it is refused.
     queued: VecDeque<(ClaimRequest, Moment)>,
     /// Keys of claims whose recording was pending, ordered by the time at which they are refused.
@@ -167,7 +167,7 @@
 
     /// Returns the answer to a request whose key is already claimed; `None` while that claim is
     /// being recorded for the same attempt.
-    fn answer_known(&self, claim: &Claim, req: &ClaimRequest) -> Option<ClaimAnswer> {
+    fn answer_known(&self, claim: &TrackedClaim, req: &ClaimRequest) -> Option<ClaimAnswer> {
         if claim.fingerprint != req.fingerprint {
             return Some(ClaimAnswer::OtherRequest);
         }
@@ -203,7 +203,7 @@
             attempt: req.attempt,
             entry: req.entry.clone(),
         });
-        let claim = Claim {
+        let claim = TrackedClaim {
             fingerprint: req.fingerprint,
             attempt: req.attempt,
             entry: req.entry,
@@ -333,7 +333,7 @@
                     attempt,
                     entry,
                 } => {
-                    let claim = Claim {
+                    let claim = TrackedClaim {
                         fingerprint,
                         attempt,
                         entry,
--- a/crates/chervilshunt_coord/src/claims/keeper/claim.rs
+++ b/crates/chervilshunt_coord/src/claims/keeper/claim.rs
@@ -8,7 +8,7 @@
 
 /// A claimed key and the state of its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Claim {
+pub(super) struct TrackedClaim {
     pub(super) fingerprint: u64,
     pub(super) attempt: AttemptId,
     pub(super) entry: Holder,
@@ -30,7 +30,7 @@
     Ended(ClaimOutcome),
 }
 
-impl Claim {
+impl TrackedClaim {
     /// Returns the request that this claim was made for.
     pub(super) fn request(&self, key: ClaimKey) -> ClaimRequest {
         ClaimRequest {
