--- a/crates/chervilshunt_coord/src/config/page_map.rs
+++ b/crates/chervilshunt_coord/src/config/page_map.rs
@@ -16,7 +16,7 @@
 /// The value of one member of the serialized map.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Member {
+enum PageMapEntry {
     /// The page with this key, in heads written before pages were grouped.
     Page(PageStamp),
     /// The pages of a group by the rest of their keys.
@@ -38,14 +38,14 @@
 pub(super) fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<PageKey, PageStamp>, D::Error> {
-    let members: BTreeMap<String, Member> = BTreeMap::deserialize(deserializer)?;
+    let members: BTreeMap<String, PageMapEntry> = BTreeMap::deserialize(deserializer)?;
     let mut pages = BTreeMap::new();
     for (name, member) in members {
         match member {
-            Member::Page(stamp) => {
+            PageMapEntry::Page(stamp) => {
                 pages.insert(PageKey::new(name), stamp);
             }
-            Member::Group(group) => pages.extend(group.into_iter().map(|(rest, stamp)| {
+            PageMapEntry::Group(group) => pages.extend(group.into_iter().map(|(rest, stamp)| {
                 let key = format!("{name}{rest}");
                 (PageKey::new(key), stamp)
             })),
