--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -132,7 +132,7 @@
     behind_since: Option<Moment>,
     pending_since: Option<(u64, Moment)>,
     clearing: Option<CallId>,
-    asks: u64,
+    head_reads: u64,
     bugs: Bugs,
 }
 
@@ -175,7 +175,7 @@
             behind_since: None,
             pending_since: None,
             clearing: None,
-            asks: 0,
+            head_reads: 0,
             bugs: Bugs::default(),
         }
     }
@@ -302,9 +302,9 @@
                 object: Object::Head(head),
                 version,
             }) => {
-                self.asks += 1;
+                self.head_reads += 1;
                 let seed = self.me.incarnation.get();
-                self.read_at = Some(now + jittered(self.cfg.read_every, seed, self.asks));
+                self.read_at = Some(now + jittered(self.cfg.read_every, seed, self.head_reads));
                 self.has_read = true;
                 self.on_head(*head, version, now, actions);
             }
@@ -325,9 +325,9 @@
             | PlatformResult::AlreadyExists
             | PlatformResult::Unavailable
             | PlatformResult::Unknown => {
-                self.asks += 1;
+                self.head_reads += 1;
                 let seed = self.me.incarnation.get();
-                self.read_at = Some(now + jittered(self.cfg.retry_every, seed, self.asks));
+                self.read_at = Some(now + jittered(self.cfg.retry_every, seed, self.head_reads));
             }
         }
     }
