--- a/crates/chervilshunt_coord/examples/configuration.rs
+++ b/crates/chervilshunt_coord/examples/configuration.rs
@@ -41,7 +41,7 @@
 
 /// The configurations observed on the instances so far.
 #[derive(Default)]
-struct Observations {
+struct ObservedLimits {
     /// The limits at each revision, as first observed on any instance.
     limits: BTreeMap<Revision, Limits>,
     latest: BTreeMap<InstanceId, Revision>,
@@ -54,7 +54,7 @@
 /// Runs the scenario, checks it, and returns a transcript.
 pub(crate) fn run() -> String {
     let mut fleet = Fleet::new(model(), program);
-    let mut observed = Observations::default();
+    let mut observed = ObservedLimits::default();
     for id in ["a", "b", "c"] {
         fleet.start(id);
     }
@@ -174,7 +174,7 @@
 }
 
 /// Lets time pass and checks the invariants after each step.
-fn pass(fleet: &mut LimitsFleet, seconds: u64, observed: &mut Observations) {
+fn pass(fleet: &mut LimitsFleet, seconds: u64, observed: &mut ObservedLimits) {
     fleet.run(Duration::from_secs(seconds), |fleet| {
         for (id, node) in &fleet.nodes {
             let Some(in_force) = node.in_force() else {
--- a/crates/chervilshunt_coord/examples/lease.rs
+++ b/crates/chervilshunt_coord/examples/lease.rs
@@ -50,7 +50,7 @@
 
 /// Runs the scenario, checks that no process ordered without the lease, and returns a transcript.
 pub(crate) fn run() -> String {
-    let mut scenario = Scenario::begin();
+    let mut scenario = LeaseScenario::begin();
     for second in 0..END {
         scenario.second = second;
         if !PAUSE.contains(&second) {
@@ -68,7 +68,7 @@
 }
 
 /// Both processes, the platform and the valve between them, and the transcript.
-struct Scenario {
+struct LeaseScenario {
     second: u64,
     transcript: String,
     platform: MemoryPlatform,
@@ -79,7 +79,7 @@
     taken_over: Option<u64>,
 }
 
-impl Scenario {
+impl LeaseScenario {
     fn begin() -> Self {
         let address = ([127, 0, 0, 1], 1).into();
         let cfg = LeaseConfig::default();
