--- a/crates/chervilshunt_coord/src/config/follower.rs
+++ b/crates/chervilshunt_coord/src/config/follower.rs
@@ -19,8 +19,8 @@
 use crate::hashing::jittered;
 use crate::holder::Holder;
 use crate::platform::{
-    CallId, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp, PlatformResult,
-    Purpose, StoredObject,
+    CallId, CallPurpose, Calls, Object, ObjectName, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, StoredObject,
 };
 
 /// Configuration of a follower.
@@ -110,7 +110,7 @@
 /// already be using the new configuration. It resumes only once it learns of a decision that is
 /// written into the head.
 #[derive(Clone, Debug, Hash)]
-pub struct Follower<S, C> {
+pub struct ConfigFollower<S, C> {
     cfg: FollowerConfig,
     model: ConfigModel<S, C>,
     me: Holder,
@@ -132,11 +132,11 @@
     behind_since: Option<Moment>,
     pending_since: Option<(u64, Moment)>,
     clearing: Option<CallId>,
-    asks: u64,
+    head_reads: u64,
     bugs: Bugs,
 }
 
-impl<S: Clone, C: Clone> Follower<S, C> {
+impl<S: Clone, C: Clone> ConfigFollower<S, C> {
     /// Creates a follower; it reads nothing before [`FollowerEvent::Start`].
     pub fn new(
         cfg: FollowerConfig,
@@ -160,7 +160,7 @@
             model,
             me,
             elector,
-            calls: Calls::new(machine, Purpose::Configuration),
+            calls: Calls::new(machine, CallPurpose::Configuration),
             started: false,
             has_read: false,
             reading: None,
@@ -175,7 +175,7 @@
             behind_since: None,
             pending_since: None,
             clearing: None,
-            asks: 0,
+            head_reads: 0,
             bugs: Bugs::default(),
         }
     }
@@ -302,9 +302,9 @@
                 object: Object::Head(head),
                 version,
             }) => {
-                self.asks += 1;
+                self.head_reads += 1;
                 let seed = self.me.incarnation.get();
-                self.read_at = Some(now + jittered(self.cfg.read_every, seed, self.asks));
+                self.read_at = Some(now + jittered(self.cfg.read_every, seed, self.head_reads));
                 self.has_read = true;
                 self.on_head(*head, version, now, actions);
             }
@@ -325,9 +325,9 @@
             | PlatformResult::AlreadyExists
             | PlatformResult::Unavailable
             | PlatformResult::Unknown => {
-                self.asks += 1;
+                self.head_reads += 1;
                 let seed = self.me.incarnation.get();
-                self.read_at = Some(now + jittered(self.cfg.retry_every, seed, self.asks));
+                self.read_at = Some(now + jittered(self.cfg.retry_every, seed, self.head_reads));
             }
         }
     }
--- a/crates/chervilshunt_coord/src/coordinator/electors.rs
+++ b/crates/chervilshunt_coord/src/coordinator/electors.rs
@@ -11,7 +11,7 @@
 use crate::hashing::rendezvous_weight;
 use crate::lease::{LeaseEvent, LeaseState};
 use crate::outage::choose_electors;
-use crate::platform::{CallId, Calls, Object, PlatformOp, PlatformResult, Purpose};
+use crate::platform::{CallId, CallPurpose, Calls, Object, PlatformOp, PlatformResult};
 
 /// How long an elector must be absent before it is replaced.
 ///
@@ -49,7 +49,7 @@
 impl ElectorateUpdate {
     pub(super) const fn new(machine: u32) -> Self {
         Self {
-            calls: Calls::new(machine, Purpose::Membership),
+            calls: Calls::new(machine, CallPurpose::Membership),
             planned: None,
             writing: None,
             checked: None,
--- a/crates/chervilshunt_coord/src/roles/table.rs
+++ b/crates/chervilshunt_coord/src/roles/table.rs
@@ -19,7 +19,7 @@
 use crate::bugs::{Bug, Bugs};
 use crate::hashing::rendezvous_weight;
 use crate::holder::Holder;
-use crate::platform::{CallId, Calls, Object, ObjectKind, ObjectVersion, PlatformOp, Purpose};
+use crate::platform::{CallId, CallPurpose, Calls, Object, ObjectKind, ObjectVersion, PlatformOp};
 
 /// The largest rank used for the delay when instances take turns to write; all instances ranked
 /// later wait equally long.
@@ -115,7 +115,7 @@
             cfg,
             me,
             zone,
-            calls: Calls::new(machine, Purpose::Roles),
+            calls: Calls::new(machine, CallPurpose::Roles),
             listed: false,
             listing: None,
             list_at: now,
