--- a/crates/chervilshunt_core/src/dispatch/holders.rs
+++ b/crates/chervilshunt_core/src/dispatch/holders.rs
@@ -11,7 +11,7 @@
 
 /// A change in whether a target holds an adapter, as reported by the placer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct AdapterHolding {
     /// The name of the target.
     pub target: TargetName,
     /// The start of the target that this refers to, or `None` if the target does not report one.
@@ -110,7 +110,7 @@
 
 impl Holders {
     /// Records that a target holds, or no longer holds, an adapter.
-    pub(crate) fn set(&mut self, holding: Holding) {
+    pub(crate) fn set(&mut self, holding: AdapterHolding) {
         let held = self.by_weights.entry(holding.weights.clone()).or_default();
         held.retain(|(target, _)| *target != holding.target);
         match holding.version {
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -28,7 +28,7 @@
 pub use guide::{Continuity, PollGuide, PollMode};
 pub use health::{HealthConfig, HealthSignal};
 pub(crate) use holders::NamedVersions;
-pub use holders::{HeldAdapters, Holding, TargetSnapshot};
+pub use holders::{AdapterHolding, HeldAdapters, TargetSnapshot};
 pub use lanes::{Lane, long_prompt_targets};
 pub use routes::{CallerBounds, Repeat, Route, RouteTable, ServiceSpec};
 pub use state::{Dispatch, EntryChange};
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -10,7 +10,7 @@
 use super::choose::DispatchConfig;
 use super::facts::{Leaving, LoadReport, TargetFacts, TargetStart, Weights};
 use super::health::{HealthSignal, TargetHealth};
-use super::holders::{HeldAdapters, Holders, Holding, NamedVersions, TargetSnapshot};
+use super::holders::{AdapterHolding, HeldAdapters, Holders, NamedVersions, TargetSnapshot};
 use super::load::TargetLoad;
 use super::said::SaidLeaving;
 use super::uses::UseTable;
@@ -204,7 +204,7 @@
         self.holders.forget_target(&target);
         for HeldAdapters { model, adapters } in models {
             for (adapter, version) in adapters {
-                self.holders.set(Holding {
+                self.holders.set(AdapterHolding {
                     target: target.clone(),
                     started,
                     weights: Weights::adapter(&model, &adapter),
@@ -216,7 +216,7 @@
 
     /// Applies a change in the adapters of a target, unless it refers to an earlier start of the
     /// target.
-    pub fn holding_changed(&mut self, holding: Holding) {
+    pub fn holding_changed(&mut self, holding: AdapterHolding) {
         let known = self.started(&holding.target);
         if TargetStart::compare(holding.started, known) != Ordering::Less {
             self.holders.set(holding);
@@ -302,7 +302,7 @@
     /// Records that a target reports that it does not hold an adapter, or not in the expected
     /// version.
     pub fn not_held(&mut self, target: &TargetName, weights: &Weights) {
-        self.holders.set(Holding {
+        self.holders.set(AdapterHolding {
             target: target.clone(),
             started: None,
             weights: weights.clone(),
@@ -383,7 +383,7 @@
         self.holders.forget_target(&facts.name);
         for model in &facts.models {
             for adapter in &model.adapters {
-                self.holders.set(Holding {
+                self.holders.set(AdapterHolding {
                     target: facts.name.clone(),
                     started: facts.started,
                     weights: Weights::adapter(&model.name, &adapter.name),
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -24,11 +24,11 @@
 pub use bugs::Bug;
 pub use decision::{Decision, DecisionKind, Waited};
 pub use dispatch::{
-    CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, HealthConfig,
-    HealthSignal, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
-    ModelSpec, PlacementLimits, PollGuide, PollMode, Repeat, RequestSize, Route, RouteTable,
-    ServiceBudgets, ServiceSpec, TargetFacts, TargetRequirements, TargetSnapshot, TargetStart,
-    WaitReason, Weights, WindowBudget, WindowBudgetConfig, long_prompt_targets,
+    AdapterHolding, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange,
+    HealthConfig, HealthSignal, HeldAdapters, Lane, Leaving, LoadReport, LoadedAdapter,
+    LoadedModel, ModelSpec, PlacementLimits, PollGuide, PollMode, Repeat, RequestSize, Route,
+    RouteTable, ServiceBudgets, ServiceSpec, TargetFacts, TargetRequirements, TargetSnapshot,
+    TargetStart, WaitReason, Weights, WindowBudget, WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
 pub use owner::{
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -7,7 +7,7 @@
 
 use super::grants::{GrantNumber, GrantProgress};
 use super::wants::Want;
-use crate::dispatch::{Holding, PlacementLimits, TargetFacts, TargetStart, Weights};
+use crate::dispatch::{AdapterHolding, PlacementLimits, TargetFacts, TargetStart, Weights};
 use crate::owner::OrderKind;
 
 /// The number of an order, unique within one placer.
@@ -151,7 +151,7 @@
     /// Query the state of a target.
     Ask(TargetName),
     /// Notify all instances about an adapter on a target.
-    Tell(Holding),
+    Tell(AdapterHolding),
     /// Answer a placement request.
     Answer(u64, Placed),
 }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -10,7 +10,7 @@
 use super::order::{Placed, ResidencyAction};
 use super::planner::Residency;
 use super::target::Turn;
-use crate::dispatch::{Holding, Lane, Weights};
+use crate::dispatch::{AdapterHolding, Lane, Weights};
 
 /// The requirements of a request on its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -245,7 +245,7 @@
     weights: &Weights,
     version: Option<u64>,
 ) -> ResidencyAction {
-    ResidencyAction::Tell(Holding {
+    ResidencyAction::Tell(AdapterHolding {
         target: target.clone(),
         started: None,
         weights: weights.clone(),
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Holding, Lane, LoadedAdapter,
-    LoadedModel, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction, ResidencyEvent,
-    TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
+    AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
+    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction,
+    ResidencyEvent, TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -118,7 +118,7 @@
 #[test]
 fn a_hold_of_an_earlier_start_is_not_believed() {
     let mut dispatch = dispatch(200, &[]);
-    let holding = |start| Holding {
+    let holding = |start| AdapterHolding {
         target: target(0),
         started: started(start),
         weights: adapter("a1"),
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Holding, Lane, Placed, TargetRequirements, WaitReason, Want, Weights,
+    AdapterHolding, Choice, Lane, Placed, TargetRequirements, WaitReason, Want, Weights,
 };
 use chervilshunt_model::TargetName;
 
@@ -254,7 +254,7 @@
         };
         let mut dispatch = self.shared.dispatch();
         let started = dispatch.started(target);
-        dispatch.holding_changed(Holding {
+        dispatch.holding_changed(AdapterHolding {
             target: target.clone(),
             started,
             weights: weights.clone(),
