--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -244,8 +244,8 @@
 
     /// Returns whether a version may still serve requests.
     fn is_current(&self, weights: &Weights, version: u64, now: Moment) -> bool {
-        let named = self.versions.get(weights);
-        let oldest = named.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
+        let announced = self.versions.get(weights);
+        let oldest = announced.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
         oldest.is_none_or(|oldest| version >= oldest)
     }
 
@@ -293,10 +293,10 @@
         now: Moment,
     ) -> Option<u64> {
         let weights = weights?;
-        let named = self.versions.get(weights)?;
-        let oldest = named.oldest_allowed(self.cfg.old_version_grace, now)?;
+        let announced = self.versions.get(weights)?;
+        let oldest = announced.oldest_allowed(self.cfg.old_version_grace, now)?;
         let held = self.held_version(target, weights);
-        held.filter(|held| *held >= oldest).or(named.newest())
+        held.filter(|held| *held >= oldest).or(announced.newest())
     }
 
     /// Returns the version of the given weights that a target is known to hold.
--- a/crates/chervilshunt_core/src/dispatch/holders.rs
+++ b/crates/chervilshunt_core/src/dispatch/holders.rs
@@ -58,22 +58,22 @@
 /// each starts at its own announcement: counted from the latest one, an obsolete version would keep
 /// serving for as long as new versions follow each other.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct NamedVersions {
+pub(crate) struct AnnouncedVersions {
     /// In ascending order of versions, which is the order of their announcement.
-    named: Vec<(u64, Moment)>,
+    announced: Vec<(u64, Moment)>,
 }
 
-impl NamedVersions {
+impl AnnouncedVersions {
     /// Records a version as the newest, and forgets versions older than one that has been known for
     /// `kept_for`, the longest period that callers ask about.
-    pub(crate) fn name(&mut self, version: u64, kept_for: Duration, now: Moment) {
+    pub(crate) fn announce(&mut self, version: u64, kept_for: Duration, now: Moment) {
         if self.newest().is_some_and(|newest| newest >= version) {
             return;
         }
         if let Some(floor) = self.oldest_allowed(kept_for, now) {
-            self.named.retain(|(known, _)| *known >= floor);
+            self.announced.retain(|(known, _)| *known >= floor);
         }
-        self.named.push((version, now));
+        self.announced.push((version, now));
     }
 
     /// Returns the newest version.
@@ -83,21 +83,24 @@
 
     /// Returns the newest version and the time since which it is known.
     pub(crate) fn newest_entry(&self) -> Option<(u64, Moment)> {
-        self.named.last().copied()
+        self.announced.last().copied()
     }
 
     /// Returns the time since which the oldest recorded version newer than `version` is known, or
     /// `None` if no newer version is known.
     pub(crate) fn superseded_at(&self, version: u64) -> Option<Moment> {
-        let mut newer = self.named.iter().filter(|(named, _)| *named > version);
+        let mut newer = self
+            .announced
+            .iter()
+            .filter(|(announced, _)| *announced > version);
         newer.next().map(|(_, since)| *since)
     }
 
     /// Returns the oldest version that may still serve, which is the newest of those known for
     /// longer than the grace period. Returns `None` if all older ones may serve.
     pub(crate) fn oldest_allowed(&self, grace: Duration, now: Moment) -> Option<u64> {
-        let mut named = self.named.iter().rev();
-        let due = named.find(|(_, since)| now.since(*since) >= grace);
+        let mut announced = self.announced.iter().rev();
+        let due = announced.find(|(_, since)| now.since(*since) >= grace);
         due.map(|(version, _)| *version)
     }
 }
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -27,7 +27,7 @@
 };
 pub use guide::{Continuity, PollGuide, PollMode};
 pub use health::{HealthConfig, HealthSignal};
-pub(crate) use holders::NamedVersions;
+pub(crate) use holders::AnnouncedVersions;
 pub use holders::{AdapterHolding, HeldAdapters, TargetSnapshot};
 pub use lanes::{Lane, long_prompt_targets};
 pub use routes::{CallerBounds, Repeat, Route, RouteTable, ServiceSpec};
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -10,7 +10,7 @@
 use super::choose::DispatchConfig;
 use super::facts::{Leaving, LoadReport, TargetFacts, TargetStart, Weights};
 use super::health::{HealthSignal, TargetHealth};
-use super::holders::{AdapterHolding, HeldAdapters, Holders, NamedVersions, TargetSnapshot};
+use super::holders::{AdapterHolding, AnnouncedVersions, HeldAdapters, Holders, TargetSnapshot};
 use super::load::TargetLoad;
 use super::said::SaidLeaving;
 use super::uses::UseTable;
@@ -59,7 +59,7 @@
     pub(crate) zone: ZoneName,
     pub(crate) targets: IndexMap<TargetName, Target>,
     pub(crate) holders: Holders,
-    pub(crate) versions: HashMap<Weights, NamedVersions>,
+    pub(crate) versions: HashMap<Weights, AnnouncedVersions>,
     pub(crate) said_leaving: SaidLeaving,
     uses: UseTable,
     /// The last start of each removed target, the most recently removed last.
@@ -277,12 +277,12 @@
 
     /// Records the newest version of some weights.
     pub fn version_named(&mut self, weights: Weights, version: u64, now: Moment) {
-        let named = self.versions.entry(weights).or_default();
+        let announced = self.versions.entry(weights).or_default();
         let kept_for = self
             .cfg
             .old_version_grace
             .max(self.cfg.old_version_begin_limit);
-        named.name(version, kept_for, now);
+        announced.announce(version, kept_for, now);
     }
 
     /// Returns the newest version of some weights and how long it has been known, or `None` if no
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -21,7 +21,7 @@
 use super::wants::Asked;
 use super::window::LoadWindow;
 use crate::dispatch::{
-    NamedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
+    AnnouncedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
 };
 
 /// The share of targets that must have reported before the placer counts as knowing what is held.
@@ -41,7 +41,7 @@
     pub(super) limits: HashMap<ServiceName, PlacementLimits>,
     pub(super) newest: HashMap<Weights, u64>,
     /// The announced versions of base models.
-    pub(super) base_versions: HashMap<Arc<str>, NamedVersions>,
+    pub(super) base_versions: HashMap<Arc<str>, AnnouncedVersions>,
     /// The targets that may unload an outdated base model now.
     pub(super) model_updates: HashSet<TargetName>,
     pub(super) model_updates_picked_at: Moment,
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -36,7 +36,7 @@
         if weights.adapter.is_none() {
             let grace = self.cfg.old_version_grace;
             let named = self.base_versions.entry(weights.model).or_default();
-            return named.name(version, grace, now);
+            return named.announce(version, grace, now);
         }
         let outdated = self.mark_outdated(&weights, version, now);
         if outdated.is_empty() {
