--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -36,7 +36,7 @@
     let mut now = at(2_000);
     let base = Weights::base(&"base".into());
     if outdated {
-        residency.handle(ResidencyEvent::VersionNamed(base.clone(), 2), now);
+        residency.handle(ResidencyEvent::VersionAnnounced(base.clone(), 2), now);
     }
     let began = Instant::now();
     for question in 0..WANTS {
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -276,7 +276,7 @@
     }
 
     /// Records the newest version of some weights.
-    pub fn version_named(&mut self, weights: Weights, version: u64, now: Moment) {
+    pub fn version_announced(&mut self, weights: Weights, version: u64, now: Moment) {
         let announced = self.versions.entry(weights).or_default();
         let kept_for = self
             .cfg
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -138,7 +138,7 @@
     /// A target could not be queried.
     NotReported(TargetName),
     /// The newest version of some weights was announced.
-    VersionNamed(Weights, u64),
+    VersionAnnounced(Weights, u64),
     /// Time has passed.
     Tick,
 }
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -149,8 +149,8 @@
                 self.reported(&target, &report, now, &mut out);
             }
             ResidencyEvent::NotReported(target) => self.not_reported(&target, now),
-            ResidencyEvent::VersionNamed(weights, version) => {
-                self.version_named(weights, version, now, &mut out);
+            ResidencyEvent::VersionAnnounced(weights, version) => {
+                self.version_announced(weights, version, now, &mut out);
             }
             ResidencyEvent::Tick => {}
         }
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -20,7 +20,7 @@
     ///
     /// Replacing an adapter in place waits seconds for the requests that use it, and rejects new
     /// ones in the meantime. An adapter in use is therefore loaded on another target first.
-    pub(super) fn version_named(
+    pub(super) fn version_announced(
         &mut self,
         weights: Weights,
         version: u64,
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -46,7 +46,7 @@
 fn an_adapter_is_served_where_the_base_model_is_older_than_the_newest() {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
     dispatch.target_seen(facts(0, Some(FIRST), &["a1"]), at(0));
-    dispatch.version_named(base(), SECOND, at(0));
+    dispatch.version_announced(base(), SECOND, at(0));
     let choose = |weights: &Weights, now_ms| {
         let service = service();
         let ask = TargetRequirements {
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -156,7 +156,7 @@
         facts("t1", "here", &[("a", 1)]),
         facts("t2", "there", &[("a", 2)]),
     ]);
-    dispatch.version_named(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 2, at(0));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 2_499)),
         to("t1")
@@ -174,8 +174,8 @@
     let mut updated = facts("t1", "here", &[]);
     updated.models[0].version = 2;
     let mut dispatch = dispatch([updated, facts("t2", "here", &[])]);
-    dispatch.version_named(weights.clone(), 2, at(0));
-    dispatch.version_named(weights.clone(), 3, at(3_000));
+    dispatch.version_announced(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 3, at(3_000));
     let chosen = chosen(choose(&dispatch, Some(&weights), &[], 3_100));
     assert_eq!(chosen, Ok(("t1".to_owned(), Some(2))));
 }
@@ -277,7 +277,7 @@
     let mut dispatch = dispatch([facts("t1", "here", &[("a1", 1)])]);
     let named = TargetName::from("t1");
     let weights = adapter("a1");
-    dispatch.version_named(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 2, at(0));
     let at_named = |now| chosen(dispatch.choose_named(&named, Some(&weights), at(now)));
     assert_eq!(at_named(100), Ok(("t1".to_owned(), None)));
     assert_eq!(at_named(3_000), Ok(("t1".to_owned(), Some(2))));
@@ -306,7 +306,7 @@
         dispatch(held.map(|(name, version)| facts(name, "here", &[("a1", version)])));
     let weights = adapter("a1");
     for (version, named_at) in [(2, 0), (3, 2_000), (4, 4_000)] {
-        dispatch.version_named(weights.clone(), version, at(named_at));
+        dispatch.version_announced(weights.clone(), version, at(named_at));
     }
     let holders = |now: u64| -> Vec<String> {
         let avoid = |name: &str| -> Vec<TargetName> {
@@ -334,8 +334,8 @@
     let weights = adapter("a");
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)])]);
     assert_eq!(dispatch.begin_deadline(&weights, 1), None);
-    dispatch.version_named(weights.clone(), 2, at(0));
-    dispatch.version_named(weights.clone(), 3, at(2_000));
+    dispatch.version_announced(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 3, at(2_000));
     let deadline = |version| dispatch.begin_deadline(&weights, version);
     assert_eq!(deadline(1), Some(at(3_500)));
     assert_eq!(deadline(2), Some(at(5_500)));
@@ -350,7 +350,7 @@
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)])]);
     for number in 0..20 {
         let now = number * 500;
-        dispatch.version_named(weights.clone(), number + 2, at(now));
+        dispatch.version_announced(weights.clone(), number + 2, at(now));
         let deadline = dispatch.begin_deadline(&weights, 1);
         assert!(
             deadline <= Some(at(now.max(3_500))),
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -373,13 +373,13 @@
                 let name = adapter(n).to_string();
                 let version = self.versions.get(&name).copied().unwrap_or(1) + 1;
                 self.versions.insert(name, version);
-                self.event(ResidencyEvent::VersionNamed(adapter(n), version));
+                self.event(ResidencyEvent::VersionAnnounced(adapter(n), version));
             }
             Step::BaseVersion => {
                 let version = self.newest_base() + 1;
                 self.versions.insert("base".to_owned(), version);
                 let base = Weights::base(&"base".into());
-                self.event(ResidencyEvent::VersionNamed(base, version));
+                self.event(ResidencyEvent::VersionAnnounced(base, version));
             }
             Step::Advance(millis) => self.advance(millis),
             Step::Fate(fate) => self.fate = fate,
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -75,7 +75,7 @@
 #[test]
 fn an_older_version_that_a_target_lists_does_not_end_a_planned_load() {
     let mut residency = begun();
-    residency.handle(ResidencyEvent::VersionNamed(adapter("a1"), 2), at(451));
+    residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(451));
     let actions = residency.handle(wanted(), at(460));
     assert_eq!(answer(&actions), None);
     let actions = residency.handle(reported(vec![(adapter("a1"), 1)]), at(470));
@@ -93,7 +93,7 @@
     let actions = residency.handle(wanted(), at(460));
     let accepted = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Accepted);
     residency.handle(accepted, at(463));
-    residency.handle(ResidencyEvent::VersionNamed(adapter("a1"), 2), at(500));
+    residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(500));
     let look = residency.next_wakeup().expect("a look at the load");
     let actions = residency.handle(ResidencyEvent::Tick, look);
     let done = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Done);
@@ -243,7 +243,7 @@
     for now in (500..6_000).step_by(50) {
         let mut actions = Vec::new();
         if (now - 500) % 1_500 == 0 {
-            let named = ResidencyEvent::VersionNamed(adapter("a1"), 2 + (now - 500) / 1_500);
+            let named = ResidencyEvent::VersionAnnounced(adapter("a1"), 2 + (now - 500) / 1_500);
             actions.extend(residency.handle(named, at(now)));
         }
         let used = ResidencyEvent::Used(InstanceId::from("i"), uses.clone(), Vec::new());
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -160,7 +160,7 @@
                 if self.brings_named {
                     self.versions.insert("base".to_owned(), SECOND);
                 }
-                self.handle(ResidencyEvent::VersionNamed(base(), SECOND));
+                self.handle(ResidencyEvent::VersionAnnounced(base(), SECOND));
             }
             let due: Vec<ResidencyEvent> = self.take_due_answers();
             for answer in due {
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -68,7 +68,7 @@
             self.plan(ResidencyEvent::TargetSeen(facts));
         }
         for (weights, version) in self.versions.clone() {
-            self.plan(ResidencyEvent::VersionNamed(weights, version));
+            self.plan(ResidencyEvent::VersionAnnounced(weights, version));
         }
         self.shared.dispatch().placer_heard(now);
     }
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -331,11 +331,11 @@
         }
         self.shared
             .dispatch()
-            .version_named(weights.clone(), version, now);
+            .version_announced(weights.clone(), version, now);
         if known != Some(version) {
             self.shared.version_named.send_replace(());
         }
-        self.plan(ResidencyEvent::VersionNamed(weights, version));
+        self.plan(ResidencyEvent::VersionAnnounced(weights, version));
     }
 
     /// Takes in that entries of targets have gone.
