--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -95,7 +95,7 @@
     /// A restarted target holds no adapters and has none of the requests that were sent to it
     /// before. If these were still counted, old requests would keep new ones away from it, and old
     /// adapters would attract requests that it refuses.
-    pub fn target_seen(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
+    pub fn target_listed(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let change = self.target_told(facts.clone(), now);
         let snapshot_age = self.snapshot_at.map(|at| now.since(at));
         if change != EntryChange::Outdated && snapshot_age.is_none_or(|age| age >= SNAPSHOT_TRUST) {
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub enum ResidencyEvent {
     /// The platform lists a target.
-    TargetSeen(TargetFacts),
+    TargetListed(TargetFacts),
     /// A target is gone.
     TargetGone(TargetName),
     /// The limits on what the targets of a service may hold.
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -120,8 +120,8 @@
         match event {
             // Targets write their entries every second. With thousands of them, the planner would
             // check for due work thousands of times per second, and delay its other events.
-            ResidencyEvent::TargetSeen(facts) if self.is_known(&facts, now) => return out,
-            ResidencyEvent::TargetSeen(facts) => self.target_seen(facts, now, &mut out),
+            ResidencyEvent::TargetListed(facts) if self.is_known(&facts, now) => return out,
+            ResidencyEvent::TargetListed(facts) => self.target_listed(facts, now, &mut out),
             ResidencyEvent::TargetGone(name) => self.target_gone(&name, now, &mut out),
             ResidencyEvent::Limits(service, limits) => {
                 self.limits.insert(service, limits);
@@ -283,7 +283,7 @@
         OrderNumber(self.next_order)
     }
 
-    fn target_seen(&mut self, facts: TargetFacts, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn target_listed(&mut self, facts: TargetFacts, now: Moment, out: &mut Vec<ResidencyAction>) {
         if !self.limits.contains_key(&facts.service) {
             return;
         }
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -45,7 +45,7 @@
 #[test]
 fn an_adapter_is_served_where_the_base_model_is_older_than_the_newest() {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
-    dispatch.target_seen(facts(0, Some(FIRST), &["a1"]), at(0));
+    dispatch.target_listed(facts(0, Some(FIRST), &["a1"]), at(0));
     dispatch.version_announced(base(), SECOND, at(0));
     let choose = |weights: &Weights, now_ms| {
         let service = service();
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -195,13 +195,13 @@
     };
     let told = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
     dispatch.take_snapshots(told, at(100));
-    dispatch.target_seen(facts("t1", "here", &[("a", 1)]), at(200));
+    dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(200));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 200)),
         to("t2")
     );
     // Three seconds have passed since the placer's snapshot, so the targets' own lists apply again.
-    dispatch.target_seen(facts("t1", "here", &[("a", 1)]), at(3_100));
+    dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(3_100));
     let avoid = [TargetName::from("t2")];
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &avoid, 3_100)),
--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -123,7 +123,7 @@
                     adapters: Vec::new(),
                 }],
             };
-            dispatch.target_seen(facts, Moment::ZERO);
+            dispatch.target_listed(facts, Moment::ZERO);
         }
         Self {
             dispatch,
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -175,7 +175,7 @@
                     adapters: Vec::new(),
                 }],
             };
-            it.handle(ResidencyEvent::TargetSeen(facts), 0);
+            it.handle(ResidencyEvent::TargetListed(facts), 0);
         }
         it
     }
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -169,7 +169,7 @@
             leaving: None,
             models: model.into_iter().collect(),
         };
-        self.event(ResidencyEvent::TargetSeen(facts));
+        self.event(ResidencyEvent::TargetListed(facts));
     }
 
     fn vanish(&mut self, target: u8) {
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -152,6 +152,6 @@
     assert!(!residency.knows_targets());
     residency.handle(reported(1, vec![]), at(452));
     assert!(residency.knows_targets());
-    residency.handle(ResidencyEvent::TargetSeen(facts(2, 10)), at(600));
+    residency.handle(ResidencyEvent::TargetListed(facts(2, 10)), at(600));
     assert!(residency.knows_targets());
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -44,7 +44,7 @@
 
 fn dispatch(start: u64, adapters: &[&str]) -> Dispatch {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
-    dispatch.target_seen(entry(start, adapters), at(0));
+    dispatch.target_listed(entry(start, adapters), at(0));
     dispatch
 }
 
@@ -75,7 +75,7 @@
     }
     dispatch.record_signal(&target(0), HealthSignal::Unreachable, at(10));
     assert!(!is_sent(&choice(&dispatch, None, 20)), "it is full");
-    let change = dispatch.target_seen(entry(200, &[]), at(30));
+    let change = dispatch.target_listed(entry(200, &[]), at(30));
     assert_eq!(change, EntryChange::Restarted);
     assert!(is_sent(&choice(&dispatch, None, 40)));
     assert!(!is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
@@ -89,7 +89,7 @@
 fn the_end_of_a_request_of_before_does_not_count_for_the_new_start() {
     let mut dispatch = dispatch(100, &[]);
     dispatch.sent(&target(0), None);
-    dispatch.target_seen(entry(200, &[]), at(30));
+    dispatch.target_listed(entry(200, &[]), at(30));
     for _ in 0..3 {
         dispatch.sent(&target(0), None);
     }
@@ -109,7 +109,7 @@
     if gone {
         dispatch.target_gone(&target(0));
     }
-    let change = dispatch.target_seen(entry(100, &["a1"]), at(30));
+    let change = dispatch.target_listed(entry(100, &["a1"]), at(30));
     assert_eq!(change, EntryChange::Outdated);
     assert!(!is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
     assert_eq!(dispatch.target(&target(0)).is_none(), gone);
@@ -142,7 +142,7 @@
 impl Planning {
     fn begin() -> Self {
         let mut residency = placing::before_asking(0, 16, SLOTS);
-        residency.handle(ResidencyEvent::TargetSeen(entry(100, &[])), at(0));
+        residency.handle(ResidencyEvent::TargetListed(entry(100, &[])), at(0));
         let mut it = Self {
             residency,
             now: 0,
@@ -237,7 +237,7 @@
         assert!(planning.asked);
         planning.reports(200, 0, &[]);
     } else {
-        planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+        planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
         planning.answer(OrderAnswer::Accepted);
     }
     assert_eq!(planning.answers.len(), 1, "the caller is told at once");
@@ -256,7 +256,7 @@
 #[test]
 fn a_report_of_the_start_before_is_not_believed() {
     let mut planning = Planning::begin();
-    planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+    planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
     assert!(planning.asked);
     planning.reports(100, 7, &["a1"]);
@@ -281,7 +281,7 @@
     planning.want("a4");
     assert_eq!(planning.orders.last().expect("an order").accepted_before, 3);
     planning.answer(OrderAnswer::Unanswered);
-    planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+    planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
     planning.reports(200, 0, &[]);
     for name in ["b1", "b2", "b3"] {
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -40,7 +40,7 @@
     let mut dispatch = dispatch([started("t1", 7)]);
     dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
     assert_eq!(
-        dispatch.target_seen(started("t1", 7), at(1)),
+        dispatch.target_listed(started("t1", 7), at(1)),
         EntryChange::Known
     );
     assert_eq!(
@@ -63,7 +63,7 @@
 fn its_next_start_is_used() {
     let mut dispatch = dispatch([started("t1", 7)]);
     dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
-    dispatch.target_seen(started("t1", 8), at(1));
+    dispatch.target_listed(started("t1", 8), at(1));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
     // A response of the previous start arrives late.
     assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
@@ -109,13 +109,13 @@
     let mut dispatch = dispatch([started("t1", 7)]);
     let mut draining = started("t1", 7);
     draining.leaving = Some(Leaving { gone_after: None });
-    dispatch.target_seen(draining, at(1));
-    dispatch.target_seen(started("t1", 7), at(2));
+    dispatch.target_listed(draining, at(1));
+    dispatch.target_listed(started("t1", 7), at(2));
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 2)),
         Err(WaitReason::NoTarget)
     );
-    dispatch.target_seen(started("t1", 8), at(3));
+    dispatch.target_listed(started("t1", 8), at(3));
     assert_eq!(chosen(choose(&dispatch, None, &[], 3)), to("t1"));
 }
 
--- a/crates/chervilshunt_core/tests/support/choosing.rs
+++ b/crates/chervilshunt_core/tests/support/choosing.rs
@@ -47,7 +47,7 @@
 pub(crate) fn dispatch(targets: impl IntoIterator<Item = TargetFacts>) -> Dispatch {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("here"));
     for facts in targets {
-        dispatch.target_seen(facts, at(0));
+        dispatch.target_listed(facts, at(0));
     }
     dispatch
 }
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -287,7 +287,7 @@
                 .extract_if(.., |it| it.0 <= now)
                 .collect();
             for (_, version) in due {
-                self.handle(ResidencyEvent::TargetSeen(facts(index, version, &[])));
+                self.handle(ResidencyEvent::TargetListed(facts(index, version, &[])));
             }
         }
     }
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -68,7 +68,7 @@
     let limits = ResidencyEvent::Limits(service(), limits(adapter_slots));
     residency.handle(limits, at(0));
     for index in 0..targets {
-        residency.handle(ResidencyEvent::TargetSeen(facts(index, slots)), at(0));
+        residency.handle(ResidencyEvent::TargetListed(facts(index, slots)), at(0));
     }
     residency
 }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -65,7 +65,7 @@
         }
         let targets: Vec<_> = self.shared.dispatch().targets().cloned().collect();
         for facts in targets {
-            self.plan(ResidencyEvent::TargetSeen(facts));
+            self.plan(ResidencyEvent::TargetListed(facts));
         }
         for (weights, version) in self.versions.clone() {
             self.plan(ResidencyEvent::VersionAnnounced(weights, version));
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -206,7 +206,7 @@
         if self.placer.is_some() {
             let targets: Vec<_> = self.shared.dispatch().targets().cloned().collect();
             for facts in targets {
-                self.plan(ResidencyEvent::TargetSeen(facts));
+                self.plan(ResidencyEvent::TargetListed(facts));
             }
         }
     }
@@ -215,7 +215,7 @@
     fn target_listed(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
-            dispatch.target_seen(facts, now)
+            dispatch.target_listed(facts, now)
         });
     }
 
@@ -282,7 +282,7 @@
             // A connection to the start before is of no use, and may never say so.
             self.shared.engines.retain(|it| *it != facts.address);
         }
-        self.plan(ResidencyEvent::TargetSeen(facts));
+        self.plan(ResidencyEvent::TargetListed(facts));
     }
 
     /// Takes in that another instance, or a request of this one, was told by a target that it leaves.
@@ -311,7 +311,7 @@
             }
         }
         if let Some(facts) = facts {
-            self.plan(ResidencyEvent::TargetSeen(facts));
+            self.plan(ResidencyEvent::TargetListed(facts));
         }
     }
 
