--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -96,7 +96,7 @@
     /// before. If these were still counted, old requests would keep new ones away from it, and old
     /// adapters would attract requests that it refuses.
     pub fn target_listed(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
-        let change = self.target_told(facts.clone(), now);
+        let change = self.target_forwarded(facts.clone(), now);
         let snapshot_age = self.snapshot_at.map(|at| now.since(at));
         if change != EntryChange::Outdated && snapshot_age.is_none_or(|age| age >= SNAPSHOT_TRUST) {
             self.take_listed_adapters(&facts);
@@ -105,7 +105,7 @@
     }
 
     /// Applies a target's entry forwarded by the placer, which omits the adapters that it holds.
-    pub fn target_told(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
+    pub fn target_forwarded(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let known = self.targets.get(&facts.name).map(|it| it.facts.started);
         let last = known.unwrap_or_else(|| self.gone.get(&facts.name).copied().flatten());
         let change = match (TargetStart::compare(facts.started, last), known) {
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -50,7 +50,7 @@
     // This also holds after the target was missing from the list for a time.
     dispatch.target_gone(&name("t1"));
     assert_eq!(
-        dispatch.target_told(started("t1", 7), at(2)),
+        dispatch.target_forwarded(started("t1", 7), at(2)),
         EntryChange::New
     );
     assert_eq!(
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -223,7 +223,7 @@
     pub(super) fn target_told(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
-            dispatch.target_told(facts, now)
+            dispatch.target_forwarded(facts, now)
         });
     }
 
