--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -375,8 +375,8 @@
     }
 
     /// Returns everything used since the last call, with the current number of requests in flight.
-    pub fn tell_uses(&mut self) -> Vec<Use> {
-        self.uses.tell()
+    pub fn report_uses(&mut self) -> Vec<Use> {
+        self.uses.report()
     }
 
     fn take_listed_adapters(&mut self, facts: &TargetFacts) {
--- a/crates/chervilshunt_core/src/dispatch/uses.rs
+++ b/crates/chervilshunt_core/src/dispatch/uses.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns everything used since the last call, and removes entries without requests in flight.
-    pub(crate) fn tell(&mut self) -> Vec<Use> {
+    pub(crate) fn report(&mut self) -> Vec<Use> {
         let uses = self.in_flight.iter().map(|((target, weights), count)| Use {
             target: target.clone(),
             weights: weights.clone(),
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -79,7 +79,7 @@
     assert_eq!(change, EntryChange::Restarted);
     assert!(is_sent(&choice(&dispatch, None, 40)));
     assert!(!is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
-    assert_eq!(dispatch.tell_uses(), []);
+    assert_eq!(dispatch.report_uses(), []);
 }
 
 /// Guards against an overloaded target after a restart. Requests to the previous start end one by
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -13,7 +13,7 @@
 impl Control {
     /// Tells the placer what this instance has under way.
     pub(super) fn tell_use(&mut self) {
-        let uses = self.shared.dispatch().tell_uses();
+        let uses = self.shared.dispatch().report_uses();
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
             let me = self.me().clone();
