--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -22,7 +22,7 @@
     /// The number of prompt tokens awaiting prefill that weighs as much as all slots of a target.
     /// Prefilling that many at once stalls the streams on the target for 250 ms, the pause that
     /// callers want kept.
-    pub reading_tokens: f64,
+    pub prefill_token_capacity: f64,
     /// The score added to a target whose share of failed requests is too high.
     pub failing_penalty: f64,
     /// The number of requests beyond its slots that a target is sent, as a share of its slots. The
@@ -46,7 +46,7 @@
         Self {
             zone_penalty: 0.04,
             jitter: 0.02,
-            reading_tokens: 10_000.0,
+            prefill_token_capacity: 10_000.0,
             failing_penalty: 2.0,
             queue_share: 0.5,
             old_version_grace: Duration::from_millis(2_500),
@@ -257,7 +257,7 @@
     fn score(&self, target: &Target) -> f64 {
         let slots = f64::from(target.facts.slots.max(1));
         let mut score = target.load.total() / slots;
-        score += f64::from(target.load.reading()) / self.cfg.reading_tokens;
+        score += f64::from(target.load.prefill_tokens()) / self.cfg.prefill_token_capacity;
         if target.facts.zone != self.zone {
             score += self.cfg.zone_penalty;
         }
--- a/crates/chervilshunt_core/src/dispatch/load.rs
+++ b/crates/chervilshunt_core/src/dispatch/load.rs
@@ -16,7 +16,7 @@
 pub(crate) struct TargetLoad {
     own: u32,
     /// Prompt tokens of this instance's requests that the target has not begun to answer.
-    reading: u32,
+    prefill_tokens: u32,
     others: f64,
     reported_at: Moment,
 }
@@ -28,18 +28,18 @@
     }
 
     /// Adds prompt tokens that the target has to prefill.
-    pub(crate) fn reads(&mut self, tokens: u32) {
-        self.reading += tokens;
+    pub(crate) fn add_prefill(&mut self, tokens: u32) {
+        self.prefill_tokens += tokens;
     }
 
     /// Removes prompt tokens that the target has prefilled or no longer has to.
-    pub(crate) fn has_read(&mut self, tokens: u32) {
-        self.reading = self.reading.saturating_sub(tokens);
+    pub(crate) fn remove_prefill(&mut self, tokens: u32) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(tokens);
     }
 
     /// Returns the prompt tokens of this instance's requests that still await prefill.
-    pub(crate) const fn reading(&self) -> u32 {
-        self.reading
+    pub(crate) const fn prefill_tokens(&self) -> u32 {
+        self.prefill_tokens
     }
 
     /// Counts a request that ended.
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -340,16 +340,16 @@
     }
 
     /// Adds prompt tokens that a target has to prefill before it answers.
-    pub fn reads(&mut self, target: &TargetName, tokens: u32) {
+    pub fn add_prefill(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.reads(tokens);
+            target.load.add_prefill(tokens);
         }
     }
 
     /// Removes prompt tokens that a target has prefilled or no longer has to.
-    pub fn has_read(&mut self, target: &TargetName, tokens: u32) {
+    pub fn remove_prefill(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.has_read(tokens);
+            target.load.remove_prefill(tokens);
         }
     }
 
--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -157,7 +157,8 @@
             .find(|it| name(*it) == target)
             .expect("a known target");
         self.dispatch.sent(&target, Some(&weights));
-        self.dispatch.reads(&target, arrival.size.prompt_tokens);
+        self.dispatch
+            .add_prefill(&target, arrival.size.prompt_tokens);
         self.running[index].push(Stream {
             target: index,
             to_read: f64::from(arrival.size.prompt_tokens),
@@ -197,7 +198,7 @@
         let dispatch = &mut self.dispatch;
         for stream in running.iter_mut().filter(|it| it.to_read <= 0.0) {
             if stream.last_event.is_none() {
-                dispatch.has_read(&name(target), stream.prompt);
+                dispatch.remove_prefill(&name(target), stream.prompt);
             }
             stream.token(now);
         }
@@ -261,7 +262,7 @@
 #[test]
 fn prompt_tokens_still_to_be_read_spread_a_clump() {
     let unseen = DispatchConfig {
-        reading_tokens: f64::MAX,
+        prefill_token_capacity: f64::MAX,
         ..DispatchConfig::default()
     };
     let by_requests = late_share(unseen, clumps(7), Lane::of);
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -74,7 +74,7 @@
         let reading = req.size.prompt_tokens;
         let mut dispatch = shared.dispatch();
         dispatch.sent(target, weights);
-        dispatch.reads(target, reading);
+        dispatch.add_prefill(target, reading);
         let started = dispatch.started(target);
         drop(dispatch);
         Self {
@@ -98,7 +98,7 @@
         }
         self.clear(req);
         let tokens = std::mem::take(&mut self.reading);
-        self.shared.dispatch().has_read(&self.target, tokens);
+        self.shared.dispatch().remove_prefill(&self.target, tokens);
         if let Some(grant) = &self.grant {
             grant.begun();
         }
@@ -158,7 +158,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatch = self.shared.dispatch();
-        dispatch.has_read(&self.target, self.reading);
+        dispatch.remove_prefill(&self.target, self.reading);
         dispatch.ended(&self.target, self.weights.as_ref(), self.started);
     }
 }
