--- a/crates/chervilshunt_core/src/dispatch/load.rs
+++ b/crates/chervilshunt_core/src/dispatch/load.rs
@@ -48,14 +48,14 @@
     }
 
     /// Applies a load report that the target sent while `self.own` requests were in flight.
-    pub(crate) fn reported(&mut self, report: LoadReport, now: Moment) {
+    pub(crate) fn load_reported(&mut self, report: LoadReport, now: Moment) {
         let total = f64::from(report.running) + f64::from(report.waiting);
         self.others = (total - f64::from(self.own)).max(0.0);
         self.reported_at = now;
     }
 
     /// Applies the total number of requests that all instances have in flight.
-    pub(crate) fn told(&mut self, total: u32, now: Moment) {
+    pub(crate) fn total_reported(&mut self, total: u32, now: Moment) {
         self.others = f64::from(total.saturating_sub(self.own));
         self.reported_at = now;
     }
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -200,7 +200,7 @@
         if TargetStart::compare(started, known.facts.started) == Ordering::Less {
             return;
         }
-        known.load.told(in_flight, now);
+        known.load.total_reported(in_flight, now);
         self.holders.forget_target(&target);
         for HeldAdapters { model, adapters } in models {
             for (adapter, version) in adapters {
@@ -354,9 +354,9 @@
     }
 
     /// Applies the load that a target reports.
-    pub fn reported(&mut self, target: &TargetName, report: LoadReport, now: Moment) {
+    pub fn load_reported(&mut self, target: &TargetName, report: LoadReport, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.reported(report, now);
+            target.load.load_reported(report, now);
         }
     }
 
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -97,7 +97,7 @@
         waiting: 2,
         slots: 4,
     };
-    dispatch.reported(&TargetName::from("t1"), report, at(0));
+    dispatch.load_reported(&TargetName::from("t1"), report, at(0));
     dispatch
 }
 
@@ -143,7 +143,7 @@
         slots: 4,
     };
     for target in ["t1", "t2"] {
-        dispatch.reported(&TargetName::from(target), idle, at(0));
+        dispatch.load_reported(&TargetName::from(target), idle, at(0));
     }
     dispatch.sent(&TargetName::from("t1"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to("t2"));
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -353,7 +353,9 @@
         let load = load.and_then(|it| it.to_str().ok());
         let load = load.and_then(self.shared.dialect.targets.load);
         if let Some(load) = load {
-            self.shared.dispatch().reported(&chosen.target, load, now);
+            self.shared
+                .dispatch()
+                .load_reported(&chosen.target, load, now);
         }
         let again = self.may_run_again();
         let verdict = judge(names, &self.req.id, &chosen.target, &head, again);
