--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -17,14 +17,14 @@
 use crate::residency::Use;
 
 /// The time without a message after which the placer is considered unreachable.
-const PLACER_SILENCE: Duration = Duration::from_secs(3);
+const PLACER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 /// How long the placer's snapshot of all targets takes precedence over what the targets list
 /// themselves, which lags behind by up to one and a half heartbeats.
-const SNAPSHOT_TRUST: Duration = Duration::from_secs(3);
+const SNAPSHOT_VALIDITY: Duration = Duration::from_secs(3);
 
 /// The time without a message after which the placer is no longer asked to place requests: three
 /// times the interval at which it sends updates.
-const GUIDED_SILENCE: Duration = Duration::from_millis(1_300);
+const PLACER_SELECTING_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// The number of removed targets whose last start is remembered, so that late entries can be
 /// recognized. Far more than fail within the time by which a write can be late.
 const REMEMBERED_GONE: usize = 1_024;
@@ -64,7 +64,7 @@
     uses: UseTable,
     /// The last start of each removed target, the most recently removed last.
     gone: IndexMap<TargetName, Option<TargetStart>>,
-    placer_heard: Option<Moment>,
+    placer_responded_at: Option<Moment>,
     /// Whether the placer has reported that it places requests, and nothing has contradicted that
     /// since.
     is_placing: bool,
@@ -84,7 +84,7 @@
             said_leaving: SaidLeaving::default(),
             uses: UseTable::default(),
             gone: IndexMap::new(),
-            placer_heard: None,
+            placer_responded_at: None,
             is_placing: false,
             snapshot_at: None,
         }
@@ -98,7 +98,9 @@
     pub fn target_listed(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let change = self.target_forwarded(facts.clone(), now);
         let snapshot_age = self.snapshot_at.map(|at| now.since(at));
-        if change != EntryChange::Outdated && snapshot_age.is_none_or(|age| age >= SNAPSHOT_TRUST) {
+        if change != EntryChange::Outdated
+            && snapshot_age.is_none_or(|age| age >= SNAPSHOT_VALIDITY)
+        {
             self.take_listed_adapters(&facts);
         }
         change
@@ -224,14 +226,14 @@
     }
 
     /// Records a sign of life from the placer.
-    pub fn placer_heard(&mut self, now: Moment) {
-        self.placer_heard = Some(now);
+    pub fn placer_responded(&mut self, now: Moment) {
+        self.placer_responded_at = Some(now);
     }
 
     /// Records whether the placer places requests. Until the placer knows what targets hold, an
     /// instance does better with its own knowledge.
-    pub fn placer_told(&mut self, is_placing: bool, now: Moment) {
-        self.placer_heard = Some(now);
+    pub fn placer_status_reported(&mut self, is_placing: bool, now: Moment) {
+        self.placer_responded_at = Some(now);
         self.is_placing = is_placing;
     }
 
@@ -244,13 +246,14 @@
     /// Returns whether the placer selects targets, since it knows the requests that all instances
     /// have in flight and which adapters are about to be unloaded. Otherwise this instance selects
     /// targets itself.
-    pub fn is_guided(&self, now: Moment) -> bool {
-        self.is_placing && self.heard_within(GUIDED_SILENCE, now)
+    pub fn is_placer_selecting(&self, now: Moment) -> bool {
+        self.is_placing && self.placer_responded_within(PLACER_SELECTING_TIMEOUT, now)
     }
 
     /// Returns whether a message from the placer was received within the given time.
-    pub fn heard_within(&self, silence: Duration, now: Moment) -> bool {
-        self.placer_heard.is_some_and(|at| now.since(at) < silence)
+    pub fn placer_responded_within(&self, time: Duration, now: Moment) -> bool {
+        self.placer_responded_at
+            .is_some_and(|at| now.since(at) < time)
     }
 
     /// Returns the targets of a service that this instance prefers not to use, because they
@@ -271,8 +274,8 @@
     }
 
     /// Returns whether a message from the placer was received recently.
-    pub fn is_placer_heard(&self, now: Moment) -> bool {
-        self.heard_within(PLACER_SILENCE, now)
+    pub fn is_placer_reachable(&self, now: Moment) -> bool {
+        self.placer_responded_within(PLACER_UNREACHABLE_AFTER, now)
     }
 
     /// Records the newest version of some weights.
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -96,7 +96,7 @@
 
     /// Lets traffic know when there will be a placer again, if there is none.
     pub(super) fn note_placer(&self, now: Moment) {
-        let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
+        let there = self.placer.is_some() || self.shared.dispatch().is_placer_reachable(now);
         let back = (!there).then(|| self.keeper.taken_at() + TAKING);
         self.shared.set_placer_back(back);
     }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -70,7 +70,7 @@
         for (weights, version) in self.versions.clone() {
             self.plan(ResidencyEvent::VersionAnnounced(weights, version));
         }
-        self.shared.dispatch().placer_heard(now);
+        self.shared.dispatch().placer_responded(now);
     }
 
     /// Stops placing. Questions that wait end unanswered, and the other instances, which choose by
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -122,7 +122,9 @@
     /// Takes in whether the placer places, and how many instances there are.
     pub(super) fn take_placing(&self, knows_targets: bool, instances: u32) {
         let now = self.now();
-        self.shared.dispatch().placer_told(knows_targets, now);
+        self.shared
+            .dispatch()
+            .placer_status_reported(knows_targets, now);
         if knows_targets {
             self.shared.set_placer_decided();
         }
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -118,7 +118,7 @@
 
     fn is_guided(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.placer.load().is_some() && self.shared.dispatch().is_guided(now)
+        self.shared.placer.load().is_some() && self.shared.dispatch().is_placer_selecting(now)
     }
 
     fn choose(&self) -> Result<Chosen, WaitReason> {
@@ -264,7 +264,7 @@
 
     fn heard(&self) {
         let now = self.shared.clock.now();
-        self.shared.dispatch().placer_heard(now);
+        self.shared.dispatch().placer_responded(now);
     }
 
     /// Waits for the placer's answer; none if the placer falls silent and another way is known.
@@ -280,7 +280,7 @@
                 weights.adapter.is_none() || dispatch.holders_of(weights).next().is_some()
             });
             let silence = if is_known { SUSPECT_AFTER } else { GONE_AFTER };
-            if !dispatch.heard_within(silence, now) {
+            if !dispatch.placer_responded_within(silence, now) {
                 return None;
             }
         }
