--- a/crates/chervilshunt_core/src/dispatch/said.rs
+++ b/crates/chervilshunt_core/src/dispatch/said.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns the targets of a service that this instance must not send requests to.
-    pub fn closed(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
+    pub fn closed_targets(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
         let targets = self.targets.values();
         let closed = targets.filter(|it| {
             it.facts.service == *service && (it.facts.leaving.is_some() || it.is_paused(now))
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -259,17 +259,17 @@
     /// Returns the targets of a service that this instance prefers not to use, because they
     /// recently did not respond or failed. Empty if that is true of most of them, since the fault
     /// may then lie with this instance.
-    pub fn doubtful(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
+    pub fn suspect_targets(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
         let targets = self.targets.values();
         let serving = targets.filter(|it| it.facts.service == *service);
-        let (doubtful, sound): (Vec<&Target>, Vec<&Target>) = serving.partition(|target| {
+        let (suspect, sound): (Vec<&Target>, Vec<&Target>) = serving.partition(|target| {
             let failing = target.health.failing_share() > self.cfg.health.failing_share;
             failing || target.health.is_unreachable(now)
         });
-        if doubtful.len() > sound.len() {
+        if suspect.len() > sound.len() {
             return Vec::new();
         }
-        let names = doubtful.into_iter().map(|it| it.facts.name.clone());
+        let names = suspect.into_iter().map(|it| it.facts.name.clone());
         names.collect()
     }
 
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/said.rs
@@ -31,7 +31,7 @@
     }
     let named = dispatch.choose_named(&name("t1"), None, at(0));
     assert_eq!(chosen(named), Err(WaitReason::NoTarget));
-    assert_eq!(dispatch.closed(&service(), at(0)), [name("t1")]);
+    assert_eq!(dispatch.closed_targets(&service(), at(0)), [name("t1")]);
 }
 
 /// Guards against an earlier entry that makes a leaving target usable again.
@@ -77,7 +77,7 @@
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
     let named = dispatch.choose_named(&name("t1"), None, at(1_999));
     assert_eq!(chosen(named), Err(WaitReason::NoTarget));
-    assert_eq!(dispatch.closed(&service(), at(1_999)), [name("t1")]);
+    assert_eq!(dispatch.closed_targets(&service(), at(1_999)), [name("t1")]);
     dispatch.sent(&name("t2"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 2_000)), to("t1"));
 }
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -202,8 +202,8 @@
         let patience = patience.min(self.req.left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
-            let mut avoid = dispatch.doubtful(&self.req.service, now);
-            avoid.extend(dispatch.closed(&self.req.service, now));
+            let mut avoid = dispatch.suspect_targets(&self.req.service, now);
+            avoid.extend(dispatch.closed_targets(&self.req.service, now));
             avoid
         };
         avoid.extend(self.avoid.iter().cloned());
