--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -15,7 +15,7 @@
 mod lanes;
 mod load;
 mod routes;
-mod said;
+mod self_reports;
 mod state;
 mod uses;
 
--- a/crates/chervilshunt_core/src/dispatch/said.rs
+++ b/crates/chervilshunt_core/src/dispatch/self_reports.rs
@@ -19,9 +19,9 @@
 
 /// The starts of targets that reported that they are leaving, the most recent one last.
 #[derive(Debug, Default)]
-pub(crate) struct SaidLeaving(IndexMap<TargetName, Option<TargetStart>>);
+pub(crate) struct ReportedLeaving(IndexMap<TargetName, Option<TargetStart>>);
 
-impl SaidLeaving {
+impl ReportedLeaving {
     pub(crate) fn note(&mut self, target: &TargetName, started: Option<TargetStart>) {
         self.0.shift_remove(target);
         self.0.insert(target.clone(), started);
@@ -32,8 +32,8 @@
 
     /// Returns whether this start of a target has reported that it is leaving.
     pub(crate) fn includes(&self, target: &TargetName, started: Option<TargetStart>) -> bool {
-        let said = self.0.get(target);
-        said.is_some_and(|said| TargetStart::compare(started, *said).is_le())
+        let reported = self.0.get(target);
+        reported.is_some_and(|reported| TargetStart::compare(started, *reported).is_le())
     }
 }
 
@@ -42,15 +42,15 @@
     ///
     /// The target's entry may contradict this for as long as the platform is unavailable; the
     /// target counts as leaving until it is seen with a later start.
-    pub fn says_it_leaves(&mut self, target: &TargetName, started: Option<TargetStart>) -> bool {
+    pub fn leaving_reported(&mut self, target: &TargetName, started: Option<TargetStart>) -> bool {
         let Some(known) = self.targets.get_mut(target) else {
             return false;
         };
         if TargetStart::compare(started, known.facts.started).is_lt() {
             return false;
         }
-        let is_new = !self.said_leaving.includes(target, started);
-        self.said_leaving
+        let is_new = !self.reported_leaving.includes(target, started);
+        self.reported_leaving
             .note(target, started.or(known.facts.started));
         known
             .facts
@@ -60,7 +60,7 @@
     }
 
     /// Records that a target asks this instance to send it no requests for a time.
-    pub fn wants_pause(&mut self, target: &TargetName, pause: Duration, now: Moment) {
+    pub fn pause_requested(&mut self, target: &TargetName, pause: Duration, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
             let until = now + pause.min(LONGEST_PAUSE);
             target.paused_until = target.paused_until.max(until);
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -12,7 +12,7 @@
 use super::health::{HealthSignal, TargetHealth};
 use super::holders::{AdapterHolding, AnnouncedVersions, HeldAdapters, Holders, TargetSnapshot};
 use super::load::TargetLoad;
-use super::said::SaidLeaving;
+use super::self_reports::ReportedLeaving;
 use super::uses::UseTable;
 use crate::residency::Use;
 
@@ -60,7 +60,7 @@
     pub(crate) targets: IndexMap<TargetName, Target>,
     pub(crate) holders: Holders,
     pub(crate) versions: HashMap<Weights, AnnouncedVersions>,
-    pub(crate) said_leaving: SaidLeaving,
+    pub(crate) reported_leaving: ReportedLeaving,
     uses: UseTable,
     /// The last start of each removed target, the most recently removed last.
     gone: IndexMap<TargetName, Option<TargetStart>>,
@@ -81,7 +81,7 @@
             targets: IndexMap::new(),
             holders: Holders::default(),
             versions: HashMap::new(),
-            said_leaving: SaidLeaving::default(),
+            reported_leaving: ReportedLeaving::default(),
             uses: UseTable::default(),
             gone: IndexMap::new(),
             placer_responded_at: None,
@@ -121,9 +121,9 @@
         };
         let mut facts = facts;
         if facts.leaving.is_some() {
-            self.said_leaving.note(&facts.name, facts.started);
+            self.reported_leaving.note(&facts.name, facts.started);
         }
-        if self.said_leaving.includes(&facts.name, facts.started) {
+        if self.reported_leaving.includes(&facts.name, facts.started) {
             facts.leaving.get_or_insert(Leaving { gone_after: None });
         }
         match self.targets.get_mut(&facts.name) {
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/self_reports.rs
@@ -23,8 +23,8 @@
 #[test]
 fn a_target_that_says_it_leaves_is_no_longer_chosen() {
     let mut dispatch = dispatch([started("t1", 7), started("t2", 7)]);
-    assert!(dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
-    assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
+    assert!(dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
+    assert!(!dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
     for _ in 0..3 {
         assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to("t2"));
         dispatch.sent(&name("t2"), None);
@@ -38,7 +38,7 @@
 #[test]
 fn its_entry_does_not_take_it_back() {
     let mut dispatch = dispatch([started("t1", 7)]);
-    dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
+    dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
     assert_eq!(
         dispatch.target_listed(started("t1", 7), at(1)),
         EntryChange::Known
@@ -62,18 +62,18 @@
 #[test]
 fn its_next_start_is_used() {
     let mut dispatch = dispatch([started("t1", 7)]);
-    dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
+    dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
     dispatch.target_listed(started("t1", 8), at(1));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
     // A response of the previous start arrives late.
-    assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
+    assert!(!dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
 }
 
 #[test]
 fn a_target_that_wants_a_pause_is_not_chosen_until_its_end() {
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "here", &[])]);
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(2), at(0));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(2), at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
     let named = dispatch.choose_named(&name("t1"), None, at(1_999));
     assert_eq!(chosen(named), Err(WaitReason::NoTarget));
@@ -87,10 +87,10 @@
 fn where_all_want_a_pause_the_first_end_is_told() {
     let holding = [("a", 1)];
     let mut dispatch = dispatch([facts("t1", "here", &holding), facts("t2", "here", &holding)]);
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(3), at(0));
-    dispatch.wants_pause(&name("t2"), Duration::from_secs(2), at(500));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(3), at(0));
+    dispatch.pause_requested(&name("t2"), Duration::from_secs(2), at(500));
     // A later, shorter pause does not shorten the first one.
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(1), at(600));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(1), at(600));
     let choice = choose(&dispatch, Some(&adapter("a")), &[], 1_000);
     assert_eq!(chosen(choice), Err(WaitReason::Paused(at(2_500))));
 }
@@ -99,7 +99,7 @@
 #[test]
 fn a_pause_is_bounded() {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
-    dispatch.wants_pause(&name("t1"), Duration::MAX, at(0));
+    dispatch.pause_requested(&name("t1"), Duration::MAX, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 600_000)), to("t1"));
 }
 
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -293,7 +293,7 @@
         from: &InstanceId,
     ) {
         let mut dispatch = self.shared.dispatch();
-        let is_new = dispatch.says_it_leaves(target, started);
+        let is_new = dispatch.leaving_reported(target, started);
         let facts = dispatch.target(target).cloned();
         drop(dispatch);
         if is_new {
--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -16,7 +16,7 @@
         headers: &HeaderMap,
     ) {
         if !headers.contains_key(&self.dialect.headers.leaving)
-            || !self.dispatch().says_it_leaves(target, started)
+            || !self.dispatch().leaving_reported(target, started)
         {
             return;
         }
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -400,7 +400,7 @@
             slog::info!(shared.log, "target wants a pause";
                 "request" => &*self.req.id, "target" => target.as_str(),
                 "pause_ms" => pause.as_millis() as u64);
-            shared.dispatch().wants_pause(target, pause, now);
+            shared.dispatch().pause_requested(target, pause, now);
         }
     }
 
