--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether an entry belongs to a start of a target that was known and has been removed.
-    pub fn was_gone(&self, facts: &TargetFacts) -> bool {
+    pub fn is_removed_start(&self, facts: &TargetFacts) -> bool {
         let last = self.gone.get(&facts.name);
         !self.targets.contains_key(&facts.name)
             && last.is_some_and(|last| TargetStart::compare(facts.started, *last).is_le())
@@ -173,7 +173,7 @@
     }
 
     /// Returns how many targets of a service are known, whether usable or not.
-    pub fn listed(&self, service: &ServiceName) -> usize {
+    pub fn target_count(&self, service: &ServiceName) -> usize {
         let targets = self.targets.values();
         targets.filter(|it| it.facts.service == *service).count()
     }
--- a/crates/chervilshunt_core/tests/self_reports.rs
+++ b/crates/chervilshunt_core/tests/self_reports.rs
@@ -124,15 +124,15 @@
 #[test]
 fn an_entry_of_a_start_that_is_gone_is_known_as_such() {
     let mut dispatch = dispatch([started("t1", 7), facts("t2", "here", &[])]);
-    assert!(!dispatch.was_gone(&started("t1", 7)), "it is there");
+    assert!(!dispatch.is_removed_start(&started("t1", 7)), "it is there");
     dispatch.target_gone(&name("t1"));
     dispatch.target_gone(&name("t2"));
-    assert!(dispatch.was_gone(&started("t1", 7)));
-    assert!(dispatch.was_gone(&started("t1", 6)));
+    assert!(dispatch.is_removed_start(&started("t1", 7)));
+    assert!(dispatch.is_removed_start(&started("t1", 6)));
     assert!(
-        !dispatch.was_gone(&started("t1", 8)),
+        !dispatch.is_removed_start(&started("t1", 8)),
         "it has started again"
     );
-    assert!(dispatch.was_gone(&facts("t2", "here", &[])));
-    assert!(!dispatch.was_gone(&started("t3", 1)));
+    assert!(dispatch.is_removed_start(&facts("t2", "here", &[])));
+    assert!(!dispatch.is_removed_start(&started("t3", 1)));
 }
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -51,7 +51,7 @@
         if self.listed_era.is_some_and(|era| era < listed.era) {
             let dispatch = self.shared.dispatch();
             let gone = entries.iter().filter_map(|entry| match &entry.content {
-                Content::Target(facts) if dispatch.was_gone(facts) => {
+                Content::Target(facts) if dispatch.is_removed_start(facts) => {
                     Some((facts.name.clone(), entry.revision))
                 }
                 _ => None,
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -308,7 +308,7 @@
     fn report_wait(&self, wait: WaitReason) {
         match wait {
             WaitReason::NoTarget | WaitReason::NotHeld => {
-                let listed = self.shared.dispatch().listed(&self.req.service);
+                let listed = self.shared.dispatch().target_count(&self.req.service);
                 slog::info!(self.shared.log, "no choice";
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
