--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -101,7 +101,7 @@
         if change != EntryChange::Outdated
             && snapshot_age.is_none_or(|age| age >= SNAPSHOT_VALIDITY)
         {
-            self.take_listed_adapters(&facts);
+            self.apply_listed_adapters(&facts);
         }
         change
     }
@@ -182,14 +182,14 @@
     ///
     /// No orders are sent to targets until there is another placer, so this is what the targets
     /// hold.
-    pub fn take_snapshots(&mut self, snapshots: Vec<TargetSnapshot>, now: Moment) {
+    pub fn apply_snapshots(&mut self, snapshots: Vec<TargetSnapshot>, now: Moment) {
         self.snapshot_at = Some(now);
         for snapshot in snapshots {
-            self.take_snapshot(snapshot, now);
+            self.apply_snapshot(snapshot, now);
         }
     }
 
-    fn take_snapshot(&mut self, snapshot: TargetSnapshot, now: Moment) {
+    fn apply_snapshot(&mut self, snapshot: TargetSnapshot, now: Moment) {
         let TargetSnapshot {
             target,
             started,
@@ -382,7 +382,7 @@
         self.uses.report()
     }
 
-    fn take_listed_adapters(&mut self, facts: &TargetFacts) {
+    fn apply_listed_adapters(&mut self, facts: &TargetFacts) {
         self.holders.forget_target(&facts.name);
         for model in &facts.models {
             for adapter in &model.adapters {
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -194,7 +194,7 @@
         }],
     };
     let told = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
-    dispatch.take_snapshots(told, at(100));
+    dispatch.apply_snapshots(told, at(100));
     dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(200));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 200)),
--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -51,7 +51,7 @@
         let now = self.now();
         let mut dispatch = self.shared.dispatch();
         dispatch.placer_lost();
-        dispatch.take_snapshots(snapshots.targets, now);
+        dispatch.apply_snapshots(snapshots.targets, now);
     }
 
     fn pass_on(&self, snapshots: &Snapshots) {
