--- a/crates/chervilshunt_core/src/dispatch/facts.rs
+++ b/crates/chervilshunt_core/src/dispatch/facts.rs
@@ -163,7 +163,7 @@
     /// Returns whether a newer entry of the target contains a change that every instance has to
     /// learn at once. This covers everything but the loaded adapters, about which the placer
     /// notifies instances.
-    pub fn concerns_all(&self, newer: &Self) -> bool {
+    pub fn needs_broadcast(&self, newer: &Self) -> bool {
         self.started != newer.started
             || self.service != newer.service
             || self.address != newer.address
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -310,7 +310,7 @@
     /// Returns whether an entry contains no news for the planner.
     fn is_known(&self, facts: &TargetFacts, now: Moment) -> bool {
         let known = self.targets.get(&facts.name);
-        known.is_some_and(|it| now >= it.models_reported_until && !it.facts.concerns_all(facts))
+        known.is_some_and(|it| now >= it.models_reported_until && !it.facts.needs_broadcast(facts))
     }
 
     /// Returns when a newly seen target is queried.
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -254,7 +254,7 @@
     ) {
         let was_absent = self.absences.due.remove(&facts.name).is_some();
         let before = before.as_ref();
-        if was_absent || before.is_none_or(|before| before.concerns_all(&facts)) {
+        if was_absent || before.is_none_or(|before| before.needs_broadcast(&facts)) {
             self.feed.target_changed(&facts, revision);
         }
         // Of the first list only its length is logged: line by line, thousands of targets are most of the
