--- a/crates/chervilshunt_core/src/dispatch/budget.rs
+++ b/crates/chervilshunt_core/src/dispatch/budget.rs
@@ -41,7 +41,7 @@
 pub struct WindowBudget {
     cfg: WindowBudgetConfig,
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl WindowBudget {
@@ -50,36 +50,36 @@
         Self {
             cfg,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Counts a request received from a caller.
     pub fn record_request(&mut self, now: Moment) {
-        self.forget(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
     /// Returns whether another attempt is allowed while `instances` share the allowance.
-    pub fn allows_repeat(&mut self, instances: usize, now: Moment) -> bool {
-        self.forget(now);
+    pub fn allows_retry(&mut self, instances: usize, now: Moment) -> bool {
+        self.remove_expired(now);
         let share = self.cfg.allowance / instances.max(1) as f64;
         let earned = self.requests.len() as f64 * self.cfg.ratio;
-        (self.repeats.len() + 1) as f64 <= (share + earned) * USED_SHARE
+        (self.retries.len() + 1) as f64 <= (share + earned) * USED_SHARE
     }
 
     /// Counts another attempt if it is allowed, and returns whether it is.
-    pub fn try_repeat(&mut self, instances: usize, now: Moment) -> bool {
-        let allowed = self.allows_repeat(instances, now);
+    pub fn try_retry(&mut self, instances: usize, now: Moment) -> bool {
+        let allowed = self.allows_retry(instances, now);
         if allowed {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         allowed
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn remove_expired(&mut self, now: Moment) {
         let window = self.cfg.window;
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now.since(*at) > window) {
                 times.pop_front();
             }
--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -113,14 +113,14 @@
 /// The number of requests at a target reserved for long prompts from which another long prompt is
 /// sent elsewhere. Each takes about 120 ms of prefill, so that the next one would start after most
 /// of a second.
-const BUSY_WITH_LONG_PROMPTS: f64 = 6.0;
+const LONG_PROMPTS_PER_TARGET: f64 = 6.0;
 
 /// The maximum age of the reported load of other instances for it to make a target count as full.
 /// Targets report their load with responses, so a full target that is sent nothing would never be
 /// seen to have room, and an instance without requests in flight there would refuse requests
 /// indefinitely. A target that is still full refuses the probing request without running it, and
 /// the refusal carries its load.
-const FULL_FOR: Duration = Duration::from_millis(250);
+const MAX_FULL_REPORT_AGE: Duration = Duration::from_millis(250);
 
 /// Returns the holders that a request of this lane should be sent to.
 fn prefer_lane<'a>(
@@ -133,7 +133,7 @@
         Lane::LongPrompt
             if kept
                 .iter()
-                .any(|it| it.load.total() < BUSY_WITH_LONG_PROMPTS) =>
+                .any(|it| it.load.total() < LONG_PROMPTS_PER_TARGET) =>
         {
             kept
         }
@@ -251,7 +251,7 @@
 
     fn has_room(&self, target: &Target, now: Moment) -> bool {
         let slots = f64::from(target.facts.slots);
-        target.load.known_within(FULL_FOR, now) < slots * (1.0 + self.cfg.queue_share)
+        target.load.known_within(MAX_FULL_REPORT_AGE, now) < slots * (1.0 + self.cfg.queue_share)
     }
 
     fn score(&self, target: &Target) -> f64 {
--- a/crates/chervilshunt_core/src/dispatch/facts.rs
+++ b/crates/chervilshunt_core/src/dispatch/facts.rs
@@ -83,9 +83,9 @@
 impl TargetStart {
     /// Compares a reported start with the known one. If either is missing, they are considered
     /// equal.
-    pub(crate) fn compare(told: Option<Self>, known: Option<Self>) -> Ordering {
-        match (told, known) {
-            (Some(told), Some(known)) => told.cmp(&known),
+    pub(crate) fn compare(reported: Option<Self>, known: Option<Self>) -> Ordering {
+        match (reported, known) {
+            (Some(reported), Some(known)) => reported.cmp(&known),
             (Some(_) | None, None) | (None, Some(_)) => Ordering::Equal,
         }
     }
--- a/crates/chervilshunt_core/src/dispatch/health.rs
+++ b/crates/chervilshunt_core/src/dispatch/health.rs
@@ -12,9 +12,9 @@
     ///
     /// This is well below the time in which a crashed target disappears from the platform's list,
     /// so that a target that was slow only once is used again soon.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest time for which a target is excluded.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// The share of failed requests above which a reachable target is avoided.
     ///
     /// Healthy services fail up to one call in seven; a faulty target fails two out of five or
@@ -28,8 +28,8 @@
 impl Default for HealthConfig {
     fn default() -> Self {
         Self {
-            first_pause: Duration::from_millis(250),
-            longest_pause: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(250),
+            max_backoff: Duration::from_secs(2),
             failing_share: 0.35,
             outcome_weight: 0.1,
         }
@@ -80,9 +80,9 @@
                 self.failing_share += cfg.outcome_weight * (1.0 - self.failing_share);
             }
             HealthSignal::Unreachable => {
-                let pause = cfg.first_pause * 2_u32.saturating_pow(self.failures_in_row.min(8));
+                let pause = cfg.initial_backoff * 2_u32.saturating_pow(self.failures_in_row.min(8));
                 self.failures_in_row = self.failures_in_row.saturating_add(1);
-                self.unreachable_until = now + pause.min(cfg.longest_pause);
+                self.unreachable_until = now + pause.min(cfg.max_backoff);
             }
         }
     }
--- a/crates/chervilshunt_core/src/dispatch/lanes.rs
+++ b/crates/chervilshunt_core/src/dispatch/lanes.rs
@@ -15,16 +15,16 @@
 
 /// The shortest prompt, in tokens, that is sent to the reserved targets. Two such prompts in a row
 /// take 130 ms to prefill, which keeps the pause of a stream below 250 ms.
-const LONG_PROMPT: u32 = 2_500;
+const LONG_PROMPT_TOKENS: u32 = 2_500;
 /// The highest ratio of generated to prompt tokens at which a request counts as dominated by
 /// prefill: one that generates for seconds would be delayed itself.
-const READING_SHARE: f64 = 0.05;
+const MAX_OUTPUT_RATIO: f64 = 0.05;
 /// The number of targets for each one that is reserved for long prompts. Such prompts take about an
 /// eighth of the time of all targets where they are most frequent, and queue behind each other if
 /// they take much more than half of a target's time.
-const TARGETS_A_LANE: usize = 6;
+const TARGETS_PER_RESERVED: usize = 6;
 /// The smallest number of targets of which one can be reserved.
-const FEWEST_TARGETS: usize = 4;
+const MIN_TARGETS: usize = 4;
 
 /// The kind of work that dominates a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,8 +40,8 @@
     /// Returns the lane of a request of the given size.
     pub fn of(size: RequestSize) -> Self {
         let generated = f64::from(size.output_tokens);
-        let reads = generated <= f64::from(size.prompt_tokens) * READING_SHARE;
-        if size.prompt_tokens >= LONG_PROMPT && reads {
+        let reads = generated <= f64::from(size.prompt_tokens) * MAX_OUTPUT_RATIO;
+        if size.prompt_tokens >= LONG_PROMPT_TOKENS && reads {
             Self::LongPrompt
         } else {
             Self::General
@@ -58,10 +58,10 @@
     targets: impl IntoIterator<Item = &'a TargetName>,
 ) -> Vec<&'a TargetName> {
     let mut targets: Vec<&TargetName> = targets.into_iter().collect();
-    if targets.len() < FEWEST_TARGETS {
+    if targets.len() < MIN_TARGETS {
         return Vec::new();
     }
-    let kept = targets.len().div_ceil(TARGETS_A_LANE);
+    let kept = targets.len().div_ceil(TARGETS_PER_RESERVED);
     targets.sort_by_key(|name| xxh3_64(name.as_str().as_bytes()));
     targets.truncate(kept);
     targets
--- a/crates/chervilshunt_core/src/dispatch/self_reports.rs
+++ b/crates/chervilshunt_core/src/dispatch/self_reports.rs
@@ -15,7 +15,7 @@
 /// gone count too, since their entries may stay listed for some time.
 const REMEMBERED_LEAVING: usize = 1_024;
 /// The longest pause that a target is granted, as a guard against implausible values.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10 * 60);
+const MAX_PAUSE: Duration = Duration::from_secs(10 * 60);
 
 /// The starts of targets that reported that they are leaving, the most recent one last.
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
     /// Records that a target asks this instance to send it no requests for a time.
     pub fn pause_requested(&mut self, target: &TargetName, pause: Duration, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
-            let until = now + pause.min(LONGEST_PAUSE);
+            let until = now + pause.min(MAX_PAUSE);
             target.paused_until = target.paused_until.max(until);
         }
     }
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -261,7 +261,7 @@
     }
     let count = |budget: &mut chervilshunt_core::WindowBudget, now| {
         (0..1_000)
-            .filter(|_| budget.try_repeat(instances, now))
+            .filter(|_| budget.try_retry(instances, now))
             .count()
     };
     assert_eq!(count(budget, at(1)), allowed);
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -286,7 +286,7 @@
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         let mut budgets = self.shared.budgets();
-        let allowed = budgets.of(&self.req.service).try_repeat(instances, now);
+        let allowed = budgets.of(&self.req.service).try_retry(instances, now);
         self.sendings += u32::from(allowed);
         metrics::counter!("chervilshunt_repeats_total", "allowed" => if allowed { "yes" } else { "no" })
             .increment(1);
@@ -337,7 +337,7 @@
                 .shared
                 .budgets()
                 .of(&self.req.service)
-                .allows_repeat(instances, now)
+                .allows_retry(instances, now)
     }
 
     fn judge(
