--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, Residency, ResidencyAction, ResidencyEvent, Weights,
+    GrantNumber, GrantProgress, ResidencyAction, ResidencyEvent, ResidencyPlanner, Weights,
 };
 use placing::{at, before_asking, reported, wanted};
 
@@ -22,7 +22,7 @@
 const WANT_EVERY: Duration = Duration::from_micros(714);
 
 /// A planner that knows what all its targets hold.
-fn planner(targets: usize) -> Residency {
+fn planner(targets: usize) -> ResidencyPlanner {
     let mut residency = before_asking(targets, SLOTS, ADAPTER_SLOTS);
     residency.handle(ResidencyEvent::Tick, at(1_000));
     for index in 0..targets {
--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -7,13 +7,13 @@
 use super::hold::{Hold, HoldState};
 use super::models::report_models;
 use super::order::{Order, OrderAnswer, OrderNumber, ResidencyAction, TargetReport};
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::Turn;
 use super::wants::tell;
 use crate::dispatch::TargetFacts;
 use crate::owner::OrderKind;
 
-impl Residency {
+impl ResidencyPlanner {
     /// Handles a target's answer to an order.
     pub(super) fn answered(
         &mut self,
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::{Moment, ServiceName, TargetName};
 
 use super::hold::HoldState;
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::{TargetState, Turn};
 use super::wants::Want;
 use crate::dispatch::{Lane, Weights, long_prompt_targets};
@@ -20,7 +20,7 @@
     score: f64,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Returns the target with the lowest score, whether it holds the adapter, is loading it or
     /// would have to load it; `None` if no target has a slot for it.
     ///
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::order::Use;
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use crate::dispatch::Weights;
 
 /// How long usage reports may omit a grant before it counts as ended. The answer that gives the
@@ -84,7 +84,7 @@
     }
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Records that an instance may now send a request to a target.
     pub(super) fn grant(
         &mut self,
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -6,13 +6,13 @@
 
 use super::hold::{Hold, HoldState};
 use super::order::{Order, ResidencyAction};
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::Turn;
 use super::wants::tell;
 use crate::dispatch::Weights;
 use crate::owner::OrderKind;
 
-impl Residency {
+impl ResidencyPlanner {
     /// Performs whatever has become due or possible on any target.
     pub(super) fn advance(&mut self, now: Moment, out: &mut Vec<ResidencyAction>) {
         let due = self.targets.iter().filter(|(_, target)| {
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -32,5 +32,5 @@
 pub use order::{
     Order, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent, TargetReport, Use,
 };
-pub use planner::Residency;
+pub use planner::ResidencyPlanner;
 pub use wants::Want;
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 
 use super::order::{Order, OrderAnswer, ResidencyAction, TargetReport};
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::{TargetState, Turn};
 use super::wants::tell;
 use crate::dispatch::{LoadedModel, Weights};
@@ -64,7 +64,7 @@
     GiveUp(Weights),
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Returns the next order for a base model, if one is due.
     pub(super) fn next_model_order(
         &mut self,
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -35,7 +35,7 @@
 /// Decides which target holds which weights. [`Self::handle`] takes an event and returns the
 /// actions to perform.
 #[derive(Debug)]
-pub struct Residency {
+pub struct ResidencyPlanner {
     pub(super) cfg: ResidencyConfig,
     pub(super) targets: IndexMap<TargetName, TargetState>,
     pub(super) limits: HashMap<ServiceName, PlacementLimits>,
@@ -66,7 +66,7 @@
     asks_from: Moment,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Creates a planner without targets; each target is queried when it is first seen.
     ///
     /// A target's report lags behind the orders that it has accepted, and this instance itself may
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -11,7 +11,7 @@
 use chervilshunt_model::{Moment, TargetName};
 
 use super::order::{Order, ResidencyAction};
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::{TargetState, Turn};
 use crate::dispatch::{TargetFacts, TargetStart};
 use crate::owner::OrderKind;
@@ -101,7 +101,7 @@
     }
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Compares a reported start of a target with the known one.
     pub(super) fn compare_start(
         &self,
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -7,7 +7,7 @@
 
 use super::hold::HoldState;
 use super::order::ResidencyAction;
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::wants::{Want, tell};
 use crate::dispatch::{Lane, Weights};
 
@@ -15,7 +15,7 @@
 /// requests. Otherwise it is loaded on request.
 const USED_OF_LATE: Duration = Duration::from_secs(1);
 
-impl Residency {
+impl ResidencyPlanner {
     /// Applies the announcement of a newest version.
     ///
     /// Replacing an adapter in place waits seconds for the requests that use it, and rejects new
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -8,7 +8,7 @@
 use super::grants::GrantNumber;
 use super::hold::{Hold, HoldState};
 use super::order::{Placed, ResidencyAction};
-use super::planner::Residency;
+use super::planner::ResidencyPlanner;
 use super::target::Turn;
 use crate::dispatch::{AdapterHolding, Lane, Weights};
 
@@ -44,7 +44,7 @@
     pub(super) until: Moment,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Finds a target for a request, or refuses it immediately.
     ///
     /// A request for which no target has a slot does not wait for one. When slots are scarce,
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -4,8 +4,8 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction,
-    ResidencyEvent, TargetReport, Use, Want, Weights,
+    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, Placed, ResidencyAction,
+    ResidencyEvent, ResidencyPlanner, TargetReport, Use, Want, Weights,
 };
 use chervilshunt_model::InstanceId;
 use placing::{adapter, at, before_asking, reported, target, wanted};
@@ -13,7 +13,7 @@
 
 /// A planner with one target, which has a single adapter slot and executes orders immediately.
 struct OnePlace {
-    residency: Residency,
+    residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
     answers: Vec<(u64, Placed)>,
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -13,8 +13,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, LoadedModel, ModelSpec, Order, OrderAnswer, OrderKind, Placed,
-    PlacementLimits, Residency, ResidencyAction, ResidencyConfig, ResidencyEvent, TargetFacts,
-    TargetReport, Weights,
+    PlacementLimits, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
+    TargetFacts, TargetReport, Weights,
 };
 use chervilshunt_model::{Moment, TargetName, ZoneName};
 use placing::{service, wanted};
@@ -125,7 +125,7 @@
 
 struct Replay {
     load: Load,
-    residency: Residency,
+    residency: ResidencyPlanner,
     store: Store,
     /// Events that reach the planner at a later time, in milliseconds.
     coming: BTreeMap<u64, Vec<ResidencyEvent>>,
@@ -140,7 +140,7 @@
     fn new(load: Load) -> Self {
         let mut it = Self {
             load,
-            residency: Residency::new(
+            residency: ResidencyPlanner::new(
                 ResidencyConfig::default(),
                 moment(0) - Duration::from_secs(1),
             ),
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -15,8 +15,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedModel, Order, OrderAnswer, OrderKind, OrderNumber,
-    Placed, Residency, ResidencyAction, ResidencyConfig, ResidencyEvent, TargetFacts, TargetStart,
-    Use, Want, Weights,
+    Placed, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetFacts,
+    TargetStart, Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
@@ -76,7 +76,7 @@
 }
 
 struct World {
-    planner: Residency,
+    planner: ResidencyPlanner,
     now: Moment,
     real: BTreeMap<u8, RealTarget>,
     versions: BTreeMap<String, u64>,
@@ -101,7 +101,7 @@
 impl World {
     fn new() -> Self {
         let mut world = Self {
-            planner: Residency::new(ResidencyConfig::default(), Moment::from_millis(9_000)),
+            planner: ResidencyPlanner::new(ResidencyConfig::default(), Moment::from_millis(9_000)),
             now: Moment::from_millis(10_000),
             real: BTreeMap::new(),
             versions: BTreeMap::new(),
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -9,8 +9,8 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, Placed, Residency, ResidencyAction,
-    ResidencyEvent, Weights,
+    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent,
+    ResidencyPlanner, Weights,
 };
 use chervilshunt_model::TargetName;
 use placing::{adapter, at, before_asking, facts, reported, target, wanted};
@@ -20,7 +20,7 @@
 
 /// Creates a planner with targets that have 10 request slots and 20 adapter slots, of which the
 /// first holds the busy adapter and the others none.
-fn planner() -> Residency {
+fn planner() -> ResidencyPlanner {
     let mut residency = before_asking(TARGETS, 10, 20);
     residency.handle(ResidencyEvent::Tick, at(450));
     for index in 0..TARGETS {
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, OrderAnswer, OrderKind, OrderNumber, Placed, Residency, ResidencyAction, ResidencyEvent,
-    Use, Want, Weights,
+    Lane, OrderAnswer, OrderKind, OrderNumber, Placed, ResidencyAction, ResidencyEvent,
+    ResidencyPlanner, Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, ZoneName};
 use placing::{adapter, at, before_asking, service, target};
@@ -19,12 +19,12 @@
 const SLOTS: u32 = 16;
 
 /// Creates a new planner with one target, which it has queried.
-fn begun() -> Residency {
+fn begun() -> ResidencyPlanner {
     with_slots(4)
 }
 
 /// Creates the same with the given number of adapter slots on the target.
-fn with_slots(adapter_slots: usize) -> Residency {
+fn with_slots(adapter_slots: usize) -> ResidencyPlanner {
     let mut residency = before_asking(1, SLOTS, adapter_slots);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -7,8 +7,9 @@
 
 use chervilshunt_core::{
     AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
-    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction,
-    ResidencyEvent, TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
+    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, ResidencyAction,
+    ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport, TargetRequirements, TargetStart,
+    Use, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -132,7 +133,7 @@
 
 /// A planner and one target, whose answers are given by the test.
 struct Planning {
-    residency: Residency,
+    residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
     answers: Vec<Placed>,
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -16,7 +16,7 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind,
-    Placed, Residency, ResidencyAction, ResidencyConfig, ResidencyEvent, TargetFacts, Want,
+    Placed, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetFacts, Want,
     Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
@@ -97,7 +97,7 @@
 }
 
 pub(crate) struct Replay {
-    residency: Residency,
+    residency: ResidencyPlanner,
     sites: Vec<Site>,
     now_ms: u64,
     versions: BTreeMap<String, u64>,
@@ -119,7 +119,7 @@
 
 impl Replay {
     pub(crate) fn new() -> Self {
-        let mut residency = Residency::new(ResidencyConfig::default(), at(0));
+        let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), at(0));
         let limits = limits(SLOTS);
         residency.handle(ResidencyEvent::Limits(service(), limits), at(0));
         let site = Site {
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, LoadedModel, ModelSpec, PlacementLimits, Residency, ResidencyConfig, ResidencyEvent,
-    TargetFacts, TargetReport, Want, Weights,
+    Lane, LoadedModel, ModelSpec, PlacementLimits, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, TargetReport, Want, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, ServiceName, TargetName, ZoneName};
 
@@ -63,8 +63,8 @@
 }
 
 /// Creates a planner with targets that it has not queried yet.
-pub(crate) fn before_asking(targets: usize, slots: u32, adapter_slots: usize) -> Residency {
-    let mut residency = Residency::new(ResidencyConfig::default(), at(0));
+pub(crate) fn before_asking(targets: usize, slots: u32, adapter_slots: usize) -> ResidencyPlanner {
+    let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), at(0));
     let limits = ResidencyEvent::Limits(service(), limits(adapter_slots));
     residency.handle(limits, at(0));
     for index in 0..targets {
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleWritten};
-use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
+use chervilshunt_core::{Learnt, ResidencyEvent, ResidencyPlanner, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
 use chervilshunt_platform::Exchange;
@@ -43,7 +43,7 @@
 /// The planner with what belongs to it, while this instance is the placer.
 #[derive(Debug)]
 pub(super) struct Placer {
-    pub(super) residency: Residency,
+    pub(super) residency: ResidencyPlanner,
     pub(super) questions: HashMap<u64, Reply<PeerMessage>>,
     pub(super) next_question: u64,
     pub(super) presence: Presence,
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -7,8 +7,8 @@
 
 use chervilshunt_coord::era_of_term;
 use chervilshunt_core::{
-    GrantNumber, Order, OrderAnswer, Placed, Residency, ResidencyAction, ResidencyConfig,
-    ResidencyEvent, TargetReport, Use,
+    GrantNumber, Order, OrderAnswer, Placed, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetReport, Use,
 };
 use chervilshunt_engine::{EngineError, Limits, Outcome};
 use chervilshunt_mesh::{Peer, Reply};
@@ -50,7 +50,7 @@
         slog::info!(self.shared.log, "placing begins"; "term" => term,
             "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
-        let mut residency = Residency::new(ResidencyConfig::default(), now);
+        let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), now);
         if let Some(learnt) = self.learnt {
             residency.begin_with(learnt);
         }
