--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::{Moment, TargetName};
 
-use super::hold::{Hold, HoldState};
+use super::hold::{AdapterEntry, AdapterStage};
 use super::models::report_models;
 use super::order::{Order, OrderAnswer, OrderNumber, ResidencyAction, TargetReport};
 use super::planner::ResidencyPlanner;
@@ -72,8 +72,8 @@
 
     fn is_confirming(&self, order: &Order) -> bool {
         let target = self.targets.get(&order.target);
-        let hold = target.and_then(|it| it.holds.get(&order.weights));
-        hold.is_some_and(|hold| hold.state == HoldState::Confirming)
+        let entry = target.and_then(|it| it.adapters.get(&order.weights));
+        entry.is_some_and(|entry| entry.state == AdapterStage::Confirming)
     }
 
     fn load_answered(
@@ -89,43 +89,43 @@
         let Some(target) = self.targets.get_mut(&order.target) else {
             return;
         };
-        let Some(hold) = target.holds.get_mut(&order.weights) else {
+        let Some(entry) = target.adapters.get_mut(&order.weights) else {
             return;
         };
-        let confirming = hold.state == HoldState::Confirming;
+        let confirming = entry.state == AdapterStage::Confirming;
         match answer {
             OrderAnswer::Done => {
-                if let Some(took) = hold.accepted_at.take().map(|at| now.since(at)) {
+                if let Some(took) = entry.accepted_at.take().map(|at| now.since(at)) {
                     let quick = took <= self.cfg.longest_warm_load;
-                    match hold.had_since {
-                        Some(since) if quick && hold.from_store => self.memory.was_kept(since),
-                        _ if hold.from_store => self.window.ended(took, under_way, now),
+                    match entry.had_since {
+                        Some(since) if quick && entry.from_store => self.memory.was_kept(since),
+                        _ if entry.from_store => self.window.ended(took, under_way, now),
                         _ => {}
                     }
                 }
-                let (version, outdated) = (hold.version, hold.outdated);
-                let questions = hold.ready(now);
+                let (version, outdated) = (entry.version, entry.outdated);
+                let questions = entry.ready(now);
                 target.remembered.note(order.weights.clone());
                 out.push(tell(&order.target, &order.weights, Some(version)));
                 self.answer_loaded(questions, &order.target, outdated, now, out);
             }
             // Another order has been executed in the meantime, so the answer says nothing about
             // this load.
-            OrderAnswer::OutOfTurn if confirming => hold.state = HoldState::Loading(look_again),
+            OrderAnswer::OutOfTurn if confirming => entry.state = AdapterStage::Loading(look_again),
             // The load is still in progress.
             OrderAnswer::Accepted if confirming => {
-                let after = hold.accepted_at.map(|at| now.since(at));
-                if !hold.from_store && after.is_some_and(|it| it > self.cfg.longest_warm_load) {
-                    hold.from_store = true;
+                let after = entry.accepted_at.map(|at| now.since(at));
+                if !entry.from_store && after.is_some_and(|it| it > self.cfg.longest_warm_load) {
+                    entry.from_store = true;
                     self.memory
-                        .was_forgotten(hold.had_since.unwrap_or_default());
+                        .was_forgotten(entry.had_since.unwrap_or_default());
                 }
-                hold.state = HoldState::Loading(look_again);
+                entry.state = AdapterStage::Loading(look_again);
             }
             OrderAnswer::Accepted => {
-                let load_time = times.of(hold.from_store);
-                hold.state = HoldState::Loading(now + load_time + self.cfg.load_margin);
-                hold.accepted_at = Some(now);
+                let load_time = times.of(entry.from_store);
+                entry.state = AdapterStage::Loading(now + load_time + self.cfg.load_margin);
+                entry.accepted_at = Some(now);
             }
             // A load that should have ended by now most likely has; if not, the target refuses the
             // requests without running them. The waiting requests would be no better off at another
@@ -133,23 +133,23 @@
             OrderAnswer::Unanswered if confirming => {
                 // The time at which the load ended will not be known; a late guess would look like
                 // a slow weight store.
-                hold.accepted_at = None;
-                let questions = hold.take_questions();
-                let outdated = hold.outdated;
+                entry.accepted_at = None;
+                let questions = entry.take_questions();
+                let outdated = entry.outdated;
                 self.answer_loaded(questions, &order.target, outdated, now, out);
             }
             // Without an answer the adapter may still be loaded, and counts as taking a slot until
             // the target has reported.
             OrderAnswer::Unanswered => {
-                let questions = hold.take_questions();
+                let questions = entry.take_questions();
                 self.place_elsewhere(&order.target, questions, now, out);
             }
             OrderAnswer::OutOfTurn
             | OrderAnswer::OtherTarget
             | OrderAnswer::Refused
             | OrderAnswer::NotSent => {
-                let questions = hold.take_questions();
-                target.holds.shift_remove(&order.weights);
+                let questions = entry.take_questions();
+                target.adapters.shift_remove(&order.weights);
                 self.place_elsewhere(&order.target, questions, now, out);
             }
         }
@@ -168,8 +168,8 @@
             | OrderAnswer::OtherTarget
             | OrderAnswer::Refused
             | OrderAnswer::NotSent => {
-                if let Some(hold) = target.holds.get_mut(&order.weights) {
-                    hold.state = HoldState::Ending;
+                if let Some(entry) = target.adapters.get_mut(&order.weights) {
+                    entry.state = AdapterStage::Ending;
                 }
             }
         }
@@ -209,44 +209,44 @@
             held || report.loading.contains(weights)
         };
         let unlisted: Vec<_> = target
-            .holds
+            .adapters
             .iter()
-            .filter(|(weights, hold)| hold.state != HoldState::Planned && !listed(weights))
+            .filter(|(weights, entry)| entry.state != AdapterStage::Planned && !listed(weights))
             .map(|(weights, _)| weights.clone())
             .collect();
         for weights in unlisted {
-            if let Some(hold) = target.holds.get_mut(&weights) {
-                lost.extend(hold.take_questions());
+            if let Some(entry) = target.adapters.get_mut(&weights) {
+                lost.extend(entry.take_questions());
             }
             target.gave_up(&weights);
             out.push(tell(name, &weights, None));
         }
         for (weights, version) in &report.adapters {
             let newest = self.newest.get(weights).copied().unwrap_or_default();
-            let fresh = Hold {
+            let fresh = AdapterEntry {
                 free_from: now + self.cfg.uses_told,
-                ..Hold::new(HoldState::Ready, *version, now)
+                ..AdapterEntry::new(AdapterStage::Ready, *version, now)
             };
-            let hold = target.holds.entry(weights.clone()).or_insert(fresh);
+            let entry = target.adapters.entry(weights.clone()).or_insert(fresh);
             // Its last request has not ended, or the order was lost: the order is sent again.
-            if hold.state == HoldState::Unloading {
-                hold.state = HoldState::Ending;
+            if entry.state == AdapterStage::Unloading {
+                entry.state = AdapterStage::Ending;
                 continue;
             }
-            hold.state = HoldState::Ready;
-            hold.version = *version;
-            hold.outdated = *version < newest;
+            entry.state = AdapterStage::Ready;
+            entry.version = *version;
+            entry.outdated = *version < newest;
             out.push(tell(name, weights, Some(*version)));
-            loaded.push((hold.take_questions(), hold.outdated));
+            loaded.push((entry.take_questions(), entry.outdated));
         }
         for weights in &report.loading {
-            let coming = Hold::new(HoldState::Loading(ready_at), FIRST_KNOWN, now);
-            let hold = target.holds.entry(weights.clone()).or_insert(coming);
+            let coming = AdapterEntry::new(AdapterStage::Loading(ready_at), FIRST_KNOWN, now);
+            let entry = target.adapters.entry(weights.clone()).or_insert(coming);
             // A lost order may be executed while the same load is planned again. If the load stayed
             // planned it would count for no slot, and the next order could exceed the target's
             // slots, which kills it.
-            if matches!(hold.state, HoldState::Ordered | HoldState::Planned) {
-                hold.state = HoldState::Loading(ready_at);
+            if matches!(entry.state, AdapterStage::Ordered | AdapterStage::Planned) {
+                entry.state = AdapterStage::Loading(ready_at);
             }
         }
         for (questions, outdated) in loaded {
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_model::{Moment, ServiceName, TargetName};
 
-use super::hold::HoldState;
+use super::hold::AdapterStage;
 use super::planner::ResidencyPlanner;
 use super::target::{TargetState, Turn};
 use super::wants::Want;
@@ -36,7 +36,7 @@
     pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<Found> {
         let waits = self.waits(now);
         self.best_of(want, now, |target| {
-            let has_it = target.holds.contains_key(&want.weights);
+            let has_it = target.adapters.contains_key(&want.weights);
             (!has_it)
                 .then(|| self.loaded_in(target, want, waits))
                 .flatten()
@@ -88,21 +88,21 @@
         if want.weights.adapter.is_none() {
             return Some(Readiness::at_once());
         }
-        let Some(hold) = target.holds.get(&want.weights) else {
+        let Some(entry) = target.adapters.get(&want.weights) else {
             return self.loaded_in(target, want, waits);
         };
-        if hold.outdated || hold.is_going() {
+        if entry.outdated || entry.is_going() {
             return None;
         }
-        let held_in = match hold.state {
-            HoldState::Ready => Duration::ZERO,
-            HoldState::Loading(at) => waits.now.until(at),
-            HoldState::Confirming => self.cfg.load_margin,
-            HoldState::Ordered => waits.times.of(hold.from_store),
-            HoldState::Planned => {
-                waits.until_loaded(hold.from_store) + self.turn_wait(target, waits.now)
+        let held_in = match entry.state {
+            AdapterStage::Ready => Duration::ZERO,
+            AdapterStage::Loading(at) => waits.now.until(at),
+            AdapterStage::Confirming => self.cfg.load_margin,
+            AdapterStage::Ordered => waits.times.of(entry.from_store),
+            AdapterStage::Planned => {
+                waits.until_loaded(entry.from_store) + self.turn_wait(target, waits.now)
             }
-            HoldState::Ending | HoldState::Unloading => return None,
+            AdapterStage::Ending | AdapterStage::Unloading => return None,
         };
         Some(Readiness::soon(held_in))
     }
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -4,7 +4,7 @@
 
 /// The stages of loading and unloading an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HoldState {
+pub(crate) enum AdapterStage {
     /// The load is planned but not ordered.
     Planned,
     /// The load has been ordered, and its answer is outstanding or was lost.
@@ -24,8 +24,8 @@
 
 /// One adapter on one target.
 #[derive(Clone, Debug)]
-pub(crate) struct Hold {
-    pub(crate) state: HoldState,
+pub(crate) struct AdapterEntry {
+    pub(crate) state: AdapterStage,
     pub(crate) version: u64,
     pub(crate) last_used: Moment,
     /// When the load was planned or ended, the version became outdated, or the unload was decided.
@@ -51,8 +51,8 @@
     pub(crate) accepted_at: Option<Moment>,
 }
 
-impl Hold {
-    pub(crate) fn new(state: HoldState, version: u64, now: Moment) -> Self {
+impl AdapterEntry {
+    pub(crate) fn new(state: AdapterStage, version: u64, now: Moment) -> Self {
         Self {
             state,
             version,
@@ -71,7 +71,7 @@
 
     /// Marks the load as ended, and returns the placement requests that waited for it.
     pub(crate) fn ready(&mut self, now: Moment) -> Vec<u64> {
-        self.state = HoldState::Ready;
+        self.state = AdapterStage::Ready;
         self.since = now;
         self.last_used = now;
         self.take_questions()
@@ -85,24 +85,27 @@
 
     /// Returns whether new requests may use the adapter.
     pub(crate) fn serves(&self) -> bool {
-        self.state == HoldState::Ready && !self.outdated
+        self.state == AdapterStage::Ready && !self.outdated
     }
 
     /// Returns whether the load has not been ordered yet.
     pub(crate) fn is_planned(&self) -> bool {
-        self.state == HoldState::Planned
+        self.state == AdapterStage::Planned
     }
 
     /// Returns whether the adapter is planned or loading, and therefore not announced yet.
     pub(crate) fn is_coming(&self) -> bool {
         matches!(
             self.state,
-            HoldState::Planned | HoldState::Ordered | HoldState::Loading(_) | HoldState::Confirming
+            AdapterStage::Planned
+                | AdapterStage::Ordered
+                | AdapterStage::Loading(_)
+                | AdapterStage::Confirming
         )
     }
 
     /// Returns whether the adapter is being unloaded, so that its slot will become free.
     pub(crate) fn is_going(&self) -> bool {
-        matches!(self.state, HoldState::Ending | HoldState::Unloading)
+        matches!(self.state, AdapterStage::Ending | AdapterStage::Unloading)
     }
 }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -4,7 +4,7 @@
 use chervilshunt_model::{Moment, TargetName};
 use indexmap::IndexSet;
 
-use super::hold::{Hold, HoldState};
+use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Order, ResidencyAction};
 use super::planner::ResidencyPlanner;
 use super::target::Turn;
@@ -43,13 +43,15 @@
     }
 
     /// Returns the loads that have not been ordered.
-    pub(super) fn waiting_loads(&self) -> impl Iterator<Item = (&Hold, &TargetName, &Weights)> {
+    pub(super) fn waiting_loads(
+        &self,
+    ) -> impl Iterator<Item = (&AdapterEntry, &TargetName, &Weights)> {
         let targets = self.targets.iter();
         let targets = targets.filter(|(_, it)| it.touched || it.summary.planned > 0);
         targets.flat_map(|(name, target)| {
-            let planned = target.holds.iter();
-            let planned = planned.filter(|(_, hold)| hold.is_planned());
-            planned.map(move |(weights, hold)| (hold, name, weights))
+            let planned = target.adapters.iter();
+            let planned = planned.filter(|(_, entry)| entry.is_planned());
+            planned.map(move |(weights, entry)| (entry, name, weights))
         })
     }
 
@@ -57,8 +59,10 @@
     pub(super) fn waiting_fetches(&self) -> usize {
         let targets = self.targets.values().map(|it| {
             if it.touched {
-                let holds = it.holds.values();
-                holds.filter(|it| it.is_planned() && it.from_store).count()
+                let adapters = it.adapters.values();
+                adapters
+                    .filter(|it| it.is_planned() && it.from_store)
+                    .count()
             } else {
                 it.summary.planned_fetches
             }
@@ -101,8 +105,8 @@
         let waiting = self.waiting_loads();
         let waiting = waiting.filter(|(_, name, weights)| self.can_begin(name, weights));
         let (mut fetches, reloads): (Vec<_>, Vec<_>) =
-            waiting.partition(|(hold, ..)| hold.from_store);
-        fetches.sort_by_key(|(hold, ..)| hold.since);
+            waiting.partition(|(entry, ..)| entry.from_store);
+        fetches.sort_by_key(|(entry, ..)| entry.since);
         let admitted = fetches.into_iter().take(room).chain(reloads);
         self.admitted = admitted
             .map(|(_, name, weights)| (name.clone(), weights.clone()))
@@ -116,12 +120,12 @@
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        let unwanted = target.holds.extract_if(.., |_, hold| {
-            let ends_at = now + times.of(hold.from_store);
-            let in_vain = hold.wanted_until.is_some_and(|until| until <= ends_at);
-            hold.is_planned() && in_vain
+        let unwanted = target.adapters.extract_if(.., |_, entry| {
+            let ends_at = now + times.of(entry.from_store);
+            let in_vain = entry.wanted_until.is_some_and(|until| until <= ends_at);
+            entry.is_planned() && in_vain
         });
-        let questions: Vec<u64> = unwanted.flat_map(|(_, hold)| hold.questions).collect();
+        let questions: Vec<u64> = unwanted.flat_map(|(_, entry)| entry.questions).collect();
         self.answer_later(questions, out);
     }
 
@@ -162,14 +166,16 @@
         }
         if let Some(target) = self.targets.get_mut(name) {
             let had_since = target.remembered.since(&weights);
-            if let Some(hold) = target.holds.get_mut(&weights) {
-                if hold.is_planned() {
-                    hold.had_since = had_since;
+            if let Some(entry) = target.adapters.get_mut(&weights) {
+                if entry.is_planned() {
+                    entry.had_since = had_since;
                 }
-                hold.state = match kind {
-                    OrderKind::Load if hold.state == HoldState::Planned => HoldState::Ordered,
-                    OrderKind::Load => HoldState::Confirming,
-                    OrderKind::Unload => HoldState::Unloading,
+                entry.state = match kind {
+                    OrderKind::Load if entry.state == AdapterStage::Planned => {
+                        AdapterStage::Ordered
+                    }
+                    OrderKind::Load => AdapterStage::Confirming,
+                    OrderKind::Unload => AdapterStage::Unloading,
                 };
             }
             target.turn = Turn::Out(order.clone());
@@ -189,27 +195,28 @@
         now: Moment,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let mut holds = target.holds.iter();
-        let due = holds.find(|(_, it)| matches!(it.state, HoldState::Loading(at) if at <= now));
-        due.map(|(weights, hold)| (OrderKind::Load, weights.clone(), self.named(weights, hold)))
+        let mut adapters = target.adapters.iter();
+        let due =
+            adapters.find(|(_, it)| matches!(it.state, AdapterStage::Loading(at) if at <= now));
+        due.map(|(weights, entry)| (OrderKind::Load, weights.clone(), self.named(weights, entry)))
     }
 
-    fn named(&self, weights: &Weights, hold: &Hold) -> Option<u64> {
-        self.newest.contains_key(weights).then_some(hold.version)
+    fn named(&self, weights: &Weights, entry: &AdapterEntry) -> Option<u64> {
+        self.newest.contains_key(weights).then_some(entry.version)
     }
 
     /// Returns the next admitted load.
     fn next_load(&self, name: &TargetName) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let mut planned = target.holds.iter();
-        let (weights, hold) = planned.find(|(weights, hold)| {
-            hold.state == HoldState::Planned
+        let mut planned = target.adapters.iter();
+        let (weights, entry) = planned.find(|(weights, entry)| {
+            entry.state == AdapterStage::Planned
                 && self.admitted.contains(&(name.clone(), (*weights).clone()))
         })?;
         if !self.can_begin(name, weights) {
             return None;
         }
-        Some((OrderKind::Load, weights.clone(), self.named(weights, hold)))
+        Some((OrderKind::Load, weights.clone(), self.named(weights, entry)))
     }
 
     /// Returns the next adapter that is to be unloaded.
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -78,7 +78,7 @@
             }
             ModelStep::Load(weights) if self.may_load_model(name, now) => {
                 self.store_loads.push_back(now);
-                let questions = self.drop_holds(name, out);
+                let questions = self.drop_adapters(name, out);
                 self.answer_later(questions, out);
                 (OrderKind::Load, weights)
             }
@@ -239,7 +239,7 @@
     ) {
         match (order.kind, answer) {
             (OrderKind::Unload, OrderAnswer::Accepted | OrderAnswer::Done) => {
-                let questions = self.drop_holds(&order.target, out);
+                let questions = self.drop_adapters(&order.target, out);
                 self.place_elsewhere(&order.target, questions, now, out);
             }
             (OrderKind::Load, OrderAnswer::Accepted) => self.note_load(order, now),
@@ -282,17 +282,17 @@
     }
 
     /// Forgets all adapters of a target, and returns the placement requests that waited for them.
-    fn drop_holds(&mut self, name: &TargetName, out: &mut Vec<ResidencyAction>) -> Vec<u64> {
+    fn drop_adapters(&mut self, name: &TargetName, out: &mut Vec<ResidencyAction>) -> Vec<u64> {
         let Some(target) = self.targets.get_mut(name) else {
             return Vec::new();
         };
         target.touched = true;
         let mut questions = Vec::new();
-        for (weights, hold) in std::mem::take(&mut target.holds) {
-            if !hold.is_planned() {
+        for (weights, entry) in std::mem::take(&mut target.adapters) {
+            if !entry.is_planned() {
                 target.remembered.note(weights.clone());
             }
-            questions.extend(hold.questions);
+            questions.extend(entry.questions);
             out.push(tell(name, &weights, None));
         }
         questions
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -10,7 +10,7 @@
 
 use super::config::ResidencyConfig;
 use super::grants::{GrantNumber, Grants};
-use super::hold::HoldState;
+use super::hold::AdapterStage;
 use super::lanes::LaneSwitch;
 use super::learnt::Learnt;
 use super::memory::MemorySize;
@@ -197,8 +197,8 @@
         let Some(target) = self.targets.get(name) else {
             return;
         };
-        let planned = target.holds.values();
-        let planned = planned.filter(|hold| hold.is_planned());
+        let planned = target.adapters.values();
+        let planned = planned.filter(|entry| entry.is_planned());
         let limits = self.limits.get(&target.facts.service);
         let model = target.facts.models.first();
         let slots = limits
@@ -208,11 +208,11 @@
             room: target.count_room(slots.unwrap_or(0), now),
             wake_at: self.target_wakeup(target, now),
             planned: planned.clone().count(),
-            planned_fetches: planned.filter(|hold| hold.from_store).count(),
+            planned_fetches: planned.filter(|entry| entry.from_store).count(),
             fetching: target.fetching(),
             outdated: self.has_outdated_model(target, now),
             depends_on_others: self.lacks_model(name, now)
-                || target.holds.values().any(|hold| hold.outdated),
+                || target.adapters.values().any(|entry| entry.outdated),
         };
         if let Some(target) = self.targets.get_mut(name) {
             target.summary = summary;
@@ -255,19 +255,19 @@
             Turn::Unknown(at) => Some(*at),
             Turn::Asked | Turn::Free(_) | Turn::Out(_) => None,
         };
-        let holds = target.holds.values();
-        let due = holds.filter_map(|hold| match hold.state {
-            HoldState::Loading(at) => Some(at),
-            HoldState::Ready if hold.outdated => Some(hold.since + self.cfg.old_version_grace),
-            HoldState::Ending => Some(hold.since + self.cfg.uses_settle),
-            HoldState::Planned => {
-                let load_time = self.load_times().of(hold.from_store);
-                hold.wanted_until.map(|until| until - load_time)
+        let adapters = target.adapters.values();
+        let due = adapters.filter_map(|entry| match entry.state {
+            AdapterStage::Loading(at) => Some(at),
+            AdapterStage::Ready if entry.outdated => Some(entry.since + self.cfg.old_version_grace),
+            AdapterStage::Ending => Some(entry.since + self.cfg.uses_settle),
+            AdapterStage::Planned => {
+                let load_time = self.load_times().of(entry.from_store);
+                entry.wanted_until.map(|until| until - load_time)
             }
-            HoldState::Ordered
-            | HoldState::Confirming
-            | HoldState::Ready
-            | HoldState::Unloading => None,
+            AdapterStage::Ordered
+            | AdapterStage::Confirming
+            | AdapterStage::Ready
+            | AdapterStage::Unloading => None,
         });
         let store = self.store_loads.front();
         let model = store.filter(|_| target.facts.models.is_empty());
@@ -330,8 +330,8 @@
         };
         self.grants.forget_target(name);
         self.remember_lost(&target, now);
-        for hold in target.holds.into_values() {
-            self.place_elsewhere(name, hold.questions, now, out);
+        for entry in target.adapters.into_values() {
+            self.place_elsewhere(name, entry.questions, now, out);
         }
     }
 
@@ -353,9 +353,9 @@
                 continue;
             };
             target.set_use(from, it.weights.as_ref(), it.in_flight);
-            let hold = it.weights.as_ref();
-            if let Some(hold) = hold.and_then(|weights| target.holds.get_mut(weights)) {
-                hold.last_used = now;
+            let entry = it.weights.as_ref();
+            if let Some(entry) = entry.and_then(|weights| target.adapters.get_mut(weights)) {
+                entry.last_used = now;
             }
         }
         self.uses.insert(from.clone(), uses);
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -125,8 +125,8 @@
         let mut target = TargetState::new(facts, now + self.cfg.report_lag);
         target.lost = before.lost.of_earlier_start(&before.turn, now);
         self.grants.forget_target(&target.facts.name);
-        for hold in before.holds.into_values() {
-            self.answer_later(hold.questions, out);
+        for entry in before.adapters.into_values() {
+            self.answer_later(entry.questions, out);
         }
         self.insert_target(target);
     }
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -9,7 +9,7 @@
 
 use super::config::ResidencyConfig;
 use super::grants::Grant;
-use super::hold::{Hold, HoldState};
+use super::hold::{AdapterEntry, AdapterStage};
 use super::memory::Remembered;
 use super::models::{LoadedFor, ModelOrder};
 use super::order::Order;
@@ -41,7 +41,7 @@
     /// When the last order was sent to the target.
     pub(crate) ordered_at: Moment,
     /// The adapters of the target, including planned and loading ones.
-    pub(crate) holds: IndexMap<Weights, Hold>,
+    pub(crate) adapters: IndexMap<Weights, AdapterEntry>,
     /// Adapters that the target had recently, some of which it still has in memory.
     pub(crate) remembered: Remembered,
     /// The pending order for a base model.
@@ -115,7 +115,7 @@
             facts,
             turn: Turn::Unknown(ask_at),
             ordered_at: Moment::ZERO,
-            holds: IndexMap::new(),
+            adapters: IndexMap::new(),
             remembered: Remembered::default(),
             model_order: None,
             reloads: None,
@@ -148,10 +148,10 @@
     /// Returns the adapters that requests can use, by base model.
     pub(crate) fn serving_adapters(&self) -> Vec<HeldAdapters> {
         let mut by_model: IndexMap<Arc<str>, Vec<(Arc<str>, u64)>> = IndexMap::new();
-        for (weights, hold) in self.holds.iter().filter(|(_, hold)| hold.serves()) {
+        for (weights, entry) in self.adapters.iter().filter(|(_, entry)| entry.serves()) {
             if let Some(adapter) = &weights.adapter {
                 let adapters = by_model.entry(Arc::clone(&weights.model)).or_default();
-                adapters.push((Arc::clone(adapter), hold.version));
+                adapters.push((Arc::clone(adapter), entry.version));
             }
         }
         let by_model = by_model.into_iter();
@@ -162,8 +162,9 @@
 
     /// Returns the number of loads that have been ordered and have not ended.
     pub(crate) fn loading(&self) -> usize {
-        let loading = |hold: &&Hold| hold.is_coming() && hold.state != HoldState::Planned;
-        self.holds.values().filter(loading).count()
+        let loading =
+            |entry: &&AdapterEntry| entry.is_coming() && entry.state != AdapterStage::Planned;
+        self.adapters.values().filter(loading).count()
     }
 
     /// Returns the number of loads in progress at the weight store, as far as known.
@@ -172,33 +173,37 @@
     /// If it were counted, a few lost answers would block the loads of all other targets.
     pub(crate) fn fetching(&self) -> usize {
         let answers = matches!(self.turn, Turn::Out(_) | Turn::Free(_));
-        let fetching = |hold: &&Hold| match hold.state {
-            HoldState::Loading(_) => hold.from_store,
-            HoldState::Ordered | HoldState::Confirming => answers && hold.from_store,
-            HoldState::Planned | HoldState::Ready | HoldState::Ending | HoldState::Unloading => {
-                false
-            }
+        let fetching = |entry: &&AdapterEntry| match entry.state {
+            AdapterStage::Loading(_) => entry.from_store,
+            AdapterStage::Ordered | AdapterStage::Confirming => answers && entry.from_store,
+            AdapterStage::Planned
+            | AdapterStage::Ready
+            | AdapterStage::Ending
+            | AdapterStage::Unloading => false,
         };
-        self.holds.values().filter(fetching).count()
+        self.adapters.values().filter(fetching).count()
     }
 
     /// Returns the number of loads that are planned or in progress.
     pub(crate) fn coming(&self) -> usize {
-        self.holds.values().filter(|hold| hold.is_coming()).count()
+        self.adapters
+            .values()
+            .filter(|entry| entry.is_coming())
+            .count()
     }
 
     /// Returns whether the target is waiting for requests to end before it unloads an adapter, and
     /// accepts no other order until then.
     pub(crate) fn gives_up(&self) -> bool {
-        let mut states = self.holds.values().map(|hold| hold.state);
+        let mut states = self.adapters.values().map(|entry| entry.state);
         let ordered = matches!(self.turn, Turn::Out(_));
-        !ordered && states.any(|state| state == HoldState::Unloading)
+        !ordered && states.any(|state| state == AdapterStage::Unloading)
     }
 
     /// Returns the number of slots taken, including those that unanswered orders may take.
     pub(crate) fn slots_taken(&self) -> usize {
-        let taken = |hold: &&Hold| hold.state != HoldState::Planned;
-        self.holds.values().filter(taken).count() + self.slots_of_late_orders()
+        let taken = |entry: &&AdapterEntry| entry.state != AdapterStage::Planned;
+        self.adapters.values().filter(taken).count() + self.slots_of_late_orders()
     }
 
     /// Returns the number of slots that orders to an earlier start of the target may take.
@@ -212,24 +217,24 @@
     }
 
     /// Returns whether an adapter may be evicted immediately.
-    fn is_free(&self, weights: &Weights, hold: &Hold, now: Moment) -> bool {
-        hold.serves() && hold.free_from <= now && self.in_use(weights) == 0
+    fn is_free(&self, weights: &Weights, entry: &AdapterEntry, now: Moment) -> bool {
+        entry.serves() && entry.free_from <= now && self.in_use(weights) == 0
     }
 
     /// Returns the adapter to evict: the least recently used one of those not in use.
     pub(crate) fn victim(&self, now: Moment) -> Option<&Weights> {
-        let free = self.holds.iter();
-        let free = free.filter(|(weights, hold)| self.is_free(weights, hold, now));
-        let first = free.min_by_key(|(_, hold)| hold.last_used);
+        let free = self.adapters.iter();
+        let free = free.filter(|(weights, entry)| self.is_free(weights, entry, now));
+        let first = free.min_by_key(|(_, entry)| entry.last_used);
         first.map(|(weights, _)| weights)
     }
 
     /// Returns an adapter that is no longer announced and that nothing uses any more.
     pub(crate) fn unused_ending(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
-        let mut holds = self.holds.iter();
-        let due = holds.find(|(weights, hold)| {
-            hold.state == HoldState::Ending
-                && now.since(hold.since) >= cfg.uses_settle
+        let mut adapters = self.adapters.iter();
+        let due = adapters.find(|(weights, entry)| {
+            entry.state == AdapterStage::Ending
+                && now.since(entry.since) >= cfg.uses_settle
                 && self.in_use(weights) == 0
         });
         due.map(|(weights, _)| weights)
@@ -237,7 +242,7 @@
 
     /// Computes the capacity, for the requests that arrive until something changes at this target.
     pub(crate) fn count_room(&self, slots: usize, now: Moment) -> Room {
-        let coming_free = self.holds.values().map(|hold| hold.free_from);
+        let coming_free = self.adapters.values().map(|entry| entry.free_from);
         let until = coming_free.filter(|at| *at > now).min();
         Room {
             slots,
@@ -260,28 +265,28 @@
 
     fn counted_room(&self, slots: usize, now: Moment) -> usize {
         let stays = self
-            .holds
+            .adapters
             .iter()
-            .filter(|(weights, hold)| !hold.is_going() && !self.is_free(weights, hold, now));
+            .filter(|(weights, entry)| !entry.is_going() && !self.is_free(weights, entry, now));
         slots.saturating_sub(stays.count() + self.slots_of_late_orders())
     }
 
     /// Returns whether a load fits without evicting another adapter.
     pub(crate) fn has_free_slot(&self, slots: usize) -> bool {
-        self.holds.len() + self.slots_of_late_orders() < slots
+        self.adapters.len() + self.slots_of_late_orders() < slots
     }
 
     /// Returns whether an adapter has to be evicted for a planned load.
     pub(crate) fn lacks_slot(&self, slots: usize) -> bool {
-        let mut states = self.holds.values().map(|hold| hold.state);
-        let planned = states.clone().any(|state| state == HoldState::Planned);
-        let going = states.any(|state| state == HoldState::Unloading);
+        let mut states = self.adapters.values().map(|entry| entry.state);
+        let planned = states.clone().any(|state| state == AdapterStage::Planned);
+        let going = states.any(|state| state == AdapterStage::Unloading);
         planned && !going && self.slots_taken() >= slots
     }
 
     /// Removes an adapter that the target no longer holds but may still have in memory.
     pub(crate) fn gave_up(&mut self, weights: &Weights) {
-        self.holds.shift_remove(weights);
+        self.adapters.shift_remove(weights);
         self.remembered.note(weights.clone());
     }
 
@@ -313,14 +318,14 @@
                 self.grants.remove(&grant.weights);
             }
         }
-        if let Some(hold) = self.holds.get_mut(&grant.weights) {
-            hold.last_used = now;
+        if let Some(entry) = self.adapters.get_mut(&grant.weights) {
+            entry.last_used = now;
         }
     }
 
     /// Returns the number of prompt tokens that are prefilled before those of another request.
     pub(crate) fn backlog(&self) -> u32 {
-        let waiting = self.holds.values().map(|hold| hold.waiting_tokens);
+        let waiting = self.adapters.values().map(|entry| entry.waiting_tokens);
         self.reading + waiting.sum::<u32>()
     }
 
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_model::{Moment, ServiceName, TargetName, ZoneName};
 
-use super::hold::HoldState;
+use super::hold::AdapterStage;
 use super::order::ResidencyAction;
 use super::planner::ResidencyPlanner;
 use super::wants::{Want, tell};
@@ -56,7 +56,7 @@
             };
             let replaced = used && self.plan_load(&want, now).is_some();
             if !replaced {
-                self.end_hold(&name, &weights, now, out);
+                self.retire(&name, &weights, now, out);
             }
         }
     }
@@ -65,7 +65,7 @@
     fn touch_holders(&mut self, weights: &Weights) {
         for target in self.targets.values_mut() {
             target.touched |= match weights.adapter {
-                Some(_) => target.holds.contains_key(weights),
+                Some(_) => target.adapters.contains_key(weights),
                 None => target.lists_model(&weights.model),
             };
         }
@@ -82,22 +82,22 @@
         let mut found = Vec::new();
         for (name, target) in &mut self.targets {
             let in_use = target.in_use(weights) > 0;
-            let Some(hold) = target.holds.get_mut(weights) else {
+            let Some(entry) = target.adapters.get_mut(weights) else {
                 continue;
             };
-            if hold.version >= version {
+            if entry.version >= version {
                 continue;
             }
-            if hold.state == HoldState::Planned {
-                hold.version = version;
+            if entry.state == AdapterStage::Planned {
+                entry.version = version;
                 continue;
             }
             // An adapter that is outdated already keeps its original grace period.
-            if !hold.outdated {
-                hold.since = now;
+            if !entry.outdated {
+                entry.since = now;
             }
-            hold.outdated = true;
-            let used = in_use || now.since(hold.last_used) < USED_OF_LATE;
+            entry.outdated = true;
+            let used = in_use || now.since(entry.last_used) < USED_OF_LATE;
             let facts = &target.facts;
             let (service, zone) = (facts.service.clone(), facts.zone.clone());
             found.push((name.clone(), service, zone, used));
@@ -117,27 +117,30 @@
             return;
         };
         let outdated = target
-            .holds
+            .adapters
             .iter()
-            .filter(|(_, hold)| hold.outdated && hold.state == HoldState::Ready);
+            .filter(|(_, entry)| entry.outdated && entry.state == AdapterStage::Ready);
         let due: Vec<Weights> = outdated
-            .filter(|(weights, hold)| {
-                now.since(hold.since) >= self.cfg.old_version_grace || self.serves_newest(weights)
+            .filter(|(weights, entry)| {
+                now.since(entry.since) >= self.cfg.old_version_grace || self.serves_newest(weights)
             })
             .map(|(weights, _)| weights.clone())
             .collect();
         for weights in due {
-            self.end_hold(name, &weights, now, out);
+            self.retire(name, &weights, now, out);
         }
     }
 
     fn serves_newest(&self, weights: &Weights) -> bool {
-        let mut holds = self.targets.values().filter_map(|it| it.holds.get(weights));
-        holds.any(|hold| hold.serves())
+        let mut adapters = self
+            .targets
+            .values()
+            .filter_map(|it| it.adapters.get(weights));
+        adapters.any(|entry| entry.serves())
     }
 
     /// Stops announcing an adapter, which is unloaded once nothing uses it any more.
-    pub(super) fn end_hold(
+    pub(super) fn retire(
         &mut self,
         name: &TargetName,
         weights: &Weights,
@@ -145,12 +148,12 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         let target = self.targets.get_mut(name);
-        let Some(hold) = target.and_then(|target| target.holds.get_mut(weights)) else {
+        let Some(entry) = target.and_then(|target| target.adapters.get_mut(weights)) else {
             return;
         };
-        if hold.state == HoldState::Ready {
-            hold.state = HoldState::Ending;
-            hold.since = now;
+        if entry.state == AdapterStage::Ready {
+            entry.state = AdapterStage::Ending;
+            entry.since = now;
             self.touch(name);
             out.push(tell(name, weights, None));
         }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::grants::GrantNumber;
-use super::hold::{Hold, HoldState};
+use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Placed, ResidencyAction};
 use super::planner::ResidencyPlanner;
 use super::target::Turn;
@@ -93,12 +93,12 @@
                 return self.answer_later(vec![question], out);
             };
             target.touched = true;
-            let hold = target.holds.entry(weights.clone()).or_insert(planned);
-            hold.last_used = now;
-            if hold.state != HoldState::Ready {
-                hold.questions.push(question);
-                hold.waiting_tokens += asked.want.prompt_tokens;
-                hold.wanted_until = hold.wanted_until.max(Some(asked.until));
+            let entry = target.adapters.entry(weights.clone()).or_insert(planned);
+            entry.last_used = now;
+            if entry.state != AdapterStage::Ready {
+                entry.questions.push(question);
+                entry.waiting_tokens += asked.want.prompt_tokens;
+                entry.wanted_until = entry.wanted_until.max(Some(asked.until));
                 self.asked.insert(question, asked);
                 return;
             }
@@ -116,8 +116,8 @@
     ) {
         let number = GrantNumber(question);
         let Asked { from, want, .. } = asked;
-        let holds = self.targets.get(target).map(|it| &it.holds);
-        let version = holds
+        let adapters = self.targets.get(target).map(|it| &it.adapters);
+        let version = adapters
             .and_then(|it| it.get(&want.weights))
             .map(|it| it.version);
         self.grant(number, from, target, want.weights, want.prompt_tokens, now);
@@ -151,22 +151,22 @@
     }
 
     /// Creates the entry of an adapter whose load is planned.
-    fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> Hold {
+    fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> AdapterEntry {
         let version = self.newest.get(weights).copied();
         let target = self.targets.get(name);
         let kept = target.is_some_and(|it| it.remembered.keeps(weights, self.memory));
-        Hold {
+        AdapterEntry {
             from_store: !kept,
-            ..Hold::new(HoldState::Planned, version.unwrap_or(FIRST_VERSION), now)
+            ..AdapterEntry::new(AdapterStage::Planned, version.unwrap_or(FIRST_VERSION), now)
         }
     }
 
     /// Plans to load an adapter ahead of requests, on the best target that has capacity for it.
     pub(super) fn plan_load(&mut self, want: &Want, now: Moment) -> Option<TargetName> {
         let found = self.best_load(want, now)?;
-        let hold = self.planned(&found.target, &want.weights, now);
+        let entry = self.planned(&found.target, &want.weights, now);
         let target = self.targets.get_mut(&found.target)?;
-        target.holds.insert(want.weights.clone(), hold);
+        target.adapters.insert(want.weights.clone(), entry);
         target.touched = true;
         Some(found.target)
     }
@@ -216,16 +216,16 @@
             return;
         };
         let lag = self.cfg.report_lag;
-        let Some(hold) = target.holds.get_mut(weights) else {
+        let Some(entry) = target.adapters.get_mut(weights) else {
             return;
         };
         // A request that was refused just as the load ended says nothing about the adapter.
-        if hold.state != HoldState::Ready || now.since(hold.since) < lag {
+        if entry.state != AdapterStage::Ready || now.since(entry.since) < lag {
             return;
         }
-        hold.state = HoldState::Ending;
-        hold.outdated = true;
-        hold.since = now;
+        entry.state = AdapterStage::Ending;
+        entry.outdated = true;
+        entry.since = now;
         target.touched = true;
         out.push(tell(name, weights, None));
         if let Turn::Free(_) = target.turn {
