--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -8,7 +8,7 @@
 use super::models::report_models;
 use super::order::{Order, OrderAnswer, OrderNumber, ResidencyAction, TargetReport};
 use super::planner::ResidencyPlanner;
-use super::target::Turn;
+use super::target::OrderState;
 use super::wants::tell;
 use crate::dispatch::TargetFacts;
 use crate::owner::OrderKind;
@@ -22,40 +22,50 @@
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let out_here = self.targets.values().find_map(|target| match &target.turn {
-            Turn::Out(order) if order.number == number => Some((order.clone(), target.ordered_at)),
-            Turn::Out(_) | Turn::Unknown(_) | Turn::Asked | Turn::Free(_) => None,
-        });
+        let in_flight = self
+            .targets
+            .values()
+            .find_map(|target| match &target.order_state {
+                OrderState::InFlight(order) if order.number == number => {
+                    Some((order.clone(), target.ordered_at))
+                }
+                OrderState::InFlight(_)
+                | OrderState::Unknown(_)
+                | OrderState::Querying
+                | OrderState::Idle(_) => None,
+            });
         // An order to a target that is gone, or that was given up on, no longer has any effect.
-        let Some((order, ordered_at)) = out_here else {
+        let Some((order, ordered_at)) = in_flight else {
             return;
         };
         let lag = self.cfg.report_lag;
         let accepted = order.accepted_before;
-        let turn = match answer {
+        let order_state = match answer {
             // A report shows when the order has ended, and with what result.
-            _ if order.weights.adapter.is_none() => Turn::Unknown(now + lag),
+            _ if order.weights.adapter.is_none() => OrderState::Unknown(now + lag),
             // The repeated order of a load that is still in progress is not counted.
-            OrderAnswer::Accepted if self.is_confirming(&order) => Turn::Free(accepted),
+            OrderAnswer::Accepted if self.is_confirming(&order) => OrderState::Idle(accepted),
             // The target waits for the last request with the adapter to end, and does not report
             // when it is done.
-            OrderAnswer::Accepted if order.kind == OrderKind::Unload => Turn::Unknown(now + lag),
-            OrderAnswer::Accepted => Turn::Free(accepted + 1),
+            OrderAnswer::Accepted if order.kind == OrderKind::Unload => {
+                OrderState::Unknown(now + lag)
+            }
+            OrderAnswer::Accepted => OrderState::Idle(accepted + 1),
             // A load order for an adapter that is already loaded is not counted; an unload that
             // completes immediately is.
-            OrderAnswer::Done if order.kind == OrderKind::Load => Turn::Free(accepted),
-            OrderAnswer::Done => Turn::Free(accepted + 1),
+            OrderAnswer::Done if order.kind == OrderKind::Load => OrderState::Idle(accepted),
+            OrderAnswer::Done => OrderState::Idle(accepted + 1),
             // An immediate retry could repeat forever.
             OrderAnswer::NotSent
             | OrderAnswer::OutOfTurn
             | OrderAnswer::OtherTarget
-            | OrderAnswer::Refused => Turn::Unknown(now + lag),
+            | OrderAnswer::Refused => OrderState::Unknown(now + lag),
             // The outcome is visible this long after the order was sent, and most of that time has
             // passed.
-            OrderAnswer::Unanswered => Turn::Unknown(now.max(ordered_at + lag)),
+            OrderAnswer::Unanswered => OrderState::Unknown(now.max(ordered_at + lag)),
         };
         if let Some(target) = self.targets.get_mut(&order.target) {
-            target.turn = turn;
+            target.order_state = order_state;
             target.touched = true;
             if answer == OrderAnswer::Unanswered {
                 target.lost.note(&order, now);
@@ -195,13 +205,14 @@
         let Some(target) = self.targets.get(name) else {
             return;
         };
-        if target.turn != Turn::Asked || !self.model_order_ended(name, report, now) {
+        if target.order_state != OrderState::Querying || !self.model_order_ended(name, report, now)
+        {
             return;
         }
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        target.turn = Turn::Free(report.accepted);
+        target.order_state = OrderState::Idle(report.accepted);
         target.was_asked = true;
         target.touched = true;
         let listed = |weights: &_| {
@@ -278,9 +289,9 @@
     pub(super) fn not_reported(&mut self, name: &TargetName, now: Moment) {
         let again = now + self.cfg.report_lag;
         if let Some(target) = self.targets.get_mut(name)
-            && target.turn == Turn::Asked
+            && target.order_state == OrderState::Querying
         {
-            target.turn = Turn::Unknown(again);
+            target.order_state = OrderState::Unknown(again);
             target.was_asked = true;
             target.touched = true;
         }
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -6,7 +6,7 @@
 
 use super::hold::AdapterStage;
 use super::planner::ResidencyPlanner;
-use super::target::{TargetState, Turn};
+use super::target::{OrderState, TargetState};
 use super::wants::Want;
 use crate::dispatch::{Lane, Weights, long_prompt_targets};
 
@@ -100,7 +100,7 @@
             AdapterStage::Confirming => self.cfg.load_margin,
             AdapterStage::Ordered => waits.times.of(entry.from_store),
             AdapterStage::Planned => {
-                waits.until_loaded(entry.from_store) + self.turn_wait(target, waits.now)
+                waits.until_loaded(entry.from_store) + self.order_delay(target, waits.now)
             }
             AdapterStage::Ending | AdapterStage::Unloading => return None,
         };
@@ -117,7 +117,7 @@
         }
         let from_store = !target.remembered.keeps(&want.weights, self.memory);
         let load_time = waits.times.of(from_store);
-        let mut held_in = waits.until_loaded(from_store) + self.turn_wait(target, waits.now);
+        let mut held_in = waits.until_loaded(from_store) + self.order_delay(target, waits.now);
         // A target executes orders one at a time, and loads a limited number of adapters
         // concurrently.
         let coming = target.coming();
@@ -156,11 +156,11 @@
 
     /// Returns how long a target cannot be sent an order because the number of orders that it has
     /// accepted must be queried first.
-    fn turn_wait(&self, target: &TargetState, now: Moment) -> Duration {
-        match target.turn {
-            Turn::Unknown(at) => now.until(at) + self.cfg.order_time,
-            Turn::Asked => self.cfg.order_time,
-            Turn::Free(_) | Turn::Out(_) => Duration::ZERO,
+    fn order_delay(&self, target: &TargetState, now: Moment) -> Duration {
+        match target.order_state {
+            OrderState::Unknown(at) => now.until(at) + self.cfg.order_time,
+            OrderState::Querying => self.cfg.order_time,
+            OrderState::Idle(_) | OrderState::InFlight(_) => Duration::ZERO,
         }
     }
 
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -7,7 +7,7 @@
 use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Order, ResidencyAction};
 use super::planner::ResidencyPlanner;
-use super::target::Turn;
+use super::target::OrderState;
 use super::wants::tell;
 use crate::dispatch::Weights;
 use crate::owner::OrderKind;
@@ -89,7 +89,7 @@
             return false;
         };
         let limits = self.limits.get(&target.facts.service);
-        matches!(target.turn, Turn::Free(_))
+        matches!(target.order_state, OrderState::Idle(_))
             && target.loading() < self.cfg.loads_a_target
             && target.model_order.is_none()
             && limits.is_some_and(|it| target.slots_taken() < it.adapters_beside(&weights.model))
@@ -133,15 +133,17 @@
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        if matches!(target.turn, Turn::Unknown(at) if at <= now) {
-            target.turn = Turn::Asked;
+        if matches!(target.order_state, OrderState::Unknown(at) if at <= now) {
+            target.order_state = OrderState::Querying;
             out.push(ResidencyAction::Ask(name.clone()));
         }
     }
 
     /// Sends a target its next order if it can accept one.
     fn next_order(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
-        let Some(Turn::Free(accepted)) = self.targets.get(name).map(|it| it.turn.clone()) else {
+        let Some(OrderState::Idle(accepted)) =
+            self.targets.get(name).map(|it| it.order_state.clone())
+        else {
             return;
         };
         let next = self
@@ -178,7 +180,7 @@
                     OrderKind::Unload => AdapterStage::Unloading,
                 };
             }
-            target.turn = Turn::Out(order.clone());
+            target.order_state = OrderState::InFlight(order.clone());
             target.ordered_at = now;
         }
         out.push(ResidencyAction::Order(order));
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -14,7 +14,7 @@
 
 use super::order::{Order, OrderAnswer, ResidencyAction, TargetReport};
 use super::planner::ResidencyPlanner;
-use super::target::{TargetState, Turn};
+use super::target::{OrderState, TargetState};
 use super::wants::tell;
 use crate::dispatch::{LoadedModel, Weights};
 use crate::owner::OrderKind;
@@ -172,7 +172,9 @@
         let outdated: Vec<_> = outdated
             .filter(|(_, it)| it.touched || it.summary.outdated)
             .filter(|(_, it)| self.has_outdated_model(it, now) && it.takes_work())
-            .filter(|(_, it)| it.model_order.is_none() && matches!(it.turn, Turn::Free(_)))
+            .filter(|(_, it)| {
+                it.model_order.is_none() && matches!(it.order_state, OrderState::Idle(_))
+            })
             .collect();
         if outdated.is_empty() {
             return;
@@ -272,7 +274,7 @@
         target.touched = true;
         target.was_asked = true;
         if report.busy {
-            target.turn = Turn::Unknown(now + LOOK_AGAIN);
+            target.order_state = OrderState::Unknown(now + LOOK_AGAIN);
             return false;
         }
         target.model_order = None;
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -17,7 +17,7 @@
 use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
 use super::pace::ReadingPace;
 use super::restart::LostLoads;
-use super::target::{Summary, TargetState, Turn};
+use super::target::{OrderState, Summary, TargetState};
 use super::wants::Asked;
 use super::window::LoadWindow;
 use crate::dispatch::{
@@ -251,9 +251,9 @@
     }
 
     fn target_wakeup(&self, target: &TargetState, now: Moment) -> Option<Moment> {
-        let ask_at = match &target.turn {
-            Turn::Unknown(at) => Some(*at),
-            Turn::Asked | Turn::Free(_) | Turn::Out(_) => None,
+        let ask_at = match &target.order_state {
+            OrderState::Unknown(at) => Some(*at),
+            OrderState::Querying | OrderState::Idle(_) | OrderState::InFlight(_) => None,
         };
         let adapters = target.adapters.values();
         let due = adapters.filter_map(|entry| match entry.state {
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -12,7 +12,7 @@
 
 use super::order::{Order, ResidencyAction};
 use super::planner::ResidencyPlanner;
-use super::target::{TargetState, Turn};
+use super::target::{OrderState, TargetState};
 use crate::dispatch::{TargetFacts, TargetStart};
 use crate::owner::OrderKind;
 
@@ -90,10 +90,10 @@
     }
 
     /// Returns the orders as those of an earlier start, including the one that is in flight.
-    fn of_earlier_start(mut self, turn: &Turn, now: Moment) -> Self {
-        match turn {
-            Turn::Out(order) => self.note(order, now),
-            Turn::Unknown(_) | Turn::Asked | Turn::Free(_) => {}
+    fn of_earlier_start(mut self, order_state: &OrderState, now: Moment) -> Self {
+        match order_state {
+            OrderState::InFlight(order) => self.note(order, now),
+            OrderState::Unknown(_) | OrderState::Querying | OrderState::Idle(_) => {}
         }
         self.earlier.append(&mut self.present);
         self.forget_old(now);
@@ -123,7 +123,7 @@
             return;
         };
         let mut target = TargetState::new(facts, now + self.cfg.report_lag);
-        target.lost = before.lost.of_earlier_start(&before.turn, now);
+        target.lost = before.lost.of_earlier_start(&before.order_state, now);
         self.grants.forget_target(&target.facts.name);
         for entry in before.adapters.into_values() {
             self.answer_later(entry.questions, out);
@@ -134,7 +134,10 @@
     /// Remembers the orders that may still be executed by a target that is gone, since it may come
     /// back or restart under its name.
     pub(super) fn remember_lost(&mut self, target: &TargetState, now: Moment) {
-        let lost = target.lost.clone().of_earlier_start(&target.turn, now);
+        let lost = target
+            .lost
+            .clone()
+            .of_earlier_start(&target.order_state, now);
         self.lost_of_gone.insert(target.facts.name.clone(), lost);
         self.lost_of_gone.retain(|_, lost| {
             lost.forget_old(now);
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -18,15 +18,15 @@
 
 /// What is known about the orders that a target has accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum OrderState {
     /// The target has to be queried, at the given time at the earliest.
     Unknown(Moment),
     /// The target is being queried.
-    Asked,
+    Querying,
     /// The target has accepted this many orders, and none is in flight.
-    Free(u64),
+    Idle(u64),
     /// An order is in flight.
-    Out(Order),
+    InFlight(Order),
 }
 
 /// How long a computed capacity stays valid when no time is known at which it changes; late orders
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TargetState {
     pub(crate) facts: TargetFacts,
-    pub(crate) turn: Turn,
+    pub(crate) order_state: OrderState,
     /// When the last order was sent to the target.
     pub(crate) ordered_at: Moment,
     /// The adapters of the target, including planned and loading ones.
@@ -113,7 +113,7 @@
     pub(crate) fn new(facts: TargetFacts, ask_at: Moment) -> Self {
         Self {
             facts,
-            turn: Turn::Unknown(ask_at),
+            order_state: OrderState::Unknown(ask_at),
             ordered_at: Moment::ZERO,
             adapters: IndexMap::new(),
             remembered: Remembered::default(),
@@ -172,7 +172,10 @@
     /// A load whose last order was not answered has not begun, has ended, or begins seconds later.
     /// If it were counted, a few lost answers would block the loads of all other targets.
     pub(crate) fn fetching(&self) -> usize {
-        let answers = matches!(self.turn, Turn::Out(_) | Turn::Free(_));
+        let answers = matches!(
+            self.order_state,
+            OrderState::InFlight(_) | OrderState::Idle(_)
+        );
         let fetching = |entry: &&AdapterEntry| match entry.state {
             AdapterStage::Loading(_) => entry.from_store,
             AdapterStage::Ordered | AdapterStage::Confirming => answers && entry.from_store,
@@ -196,7 +199,7 @@
     /// accepts no other order until then.
     pub(crate) fn gives_up(&self) -> bool {
         let mut states = self.adapters.values().map(|entry| entry.state);
-        let ordered = matches!(self.turn, Turn::Out(_));
+        let ordered = matches!(self.order_state, OrderState::InFlight(_));
         !ordered && states.any(|state| state == AdapterStage::Unloading)
     }
 
@@ -208,10 +211,10 @@
 
     /// Returns the number of slots that orders to an earlier start of the target may take.
     fn slots_of_late_orders(&self) -> usize {
-        let accepted = match &self.turn {
-            Turn::Free(accepted) => Some(*accepted),
-            Turn::Out(order) => Some(order.accepted_before),
-            Turn::Unknown(_) | Turn::Asked => None,
+        let accepted = match &self.order_state {
+            OrderState::Idle(accepted) => Some(*accepted),
+            OrderState::InFlight(order) => Some(order.accepted_before),
+            OrderState::Unknown(_) | OrderState::Querying => None,
         };
         self.lost.slots(accepted)
     }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -9,7 +9,7 @@
 use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Placed, ResidencyAction};
 use super::planner::ResidencyPlanner;
-use super::target::Turn;
+use super::target::OrderState;
 use crate::dispatch::{AdapterHolding, Lane, Weights};
 
 /// The requirements of a request on its target.
@@ -228,8 +228,8 @@
         entry.since = now;
         target.touched = true;
         out.push(tell(name, weights, None));
-        if let Turn::Free(_) = target.turn {
-            target.turn = Turn::Unknown(now + lag);
+        if let OrderState::Idle(_) = target.order_state {
+            target.order_state = OrderState::Unknown(now + lag);
         }
     }
 }
