--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -12,10 +12,10 @@
 
 /// A target suitable for a request.
 #[derive(Clone, Debug)]
-pub(super) struct Found {
+pub(super) struct TargetCandidate {
     pub(super) target: TargetName,
     /// The expected time until the target holds the adapter.
-    pub(super) held_in: Duration,
+    pub(super) ready_in: Duration,
     /// The expected time to first token plus penalties, in milliseconds.
     score: f64,
 }
@@ -27,18 +27,18 @@
     /// A target with a backlog of prompts is passed over for one that has to load the adapter
     /// first, where that is faster. This spreads a busy adapter over as many targets as its
     /// requests need.
-    pub(super) fn best_target(&self, want: &Want, now: Moment) -> Option<Found> {
-        let waits = self.waits(now);
-        self.best_of(want, now, |target| self.held_in(target, want, waits))
+    pub(super) fn best_target(&self, want: &Want, now: Moment) -> Option<TargetCandidate> {
+        let delays = self.queue_delays(now);
+        self.best_of(want, now, |target| self.ready_in(target, want, delays))
     }
 
     /// Returns the target that would load an adapter soonest, among those that do not have it.
-    pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<Found> {
-        let waits = self.waits(now);
+    pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<TargetCandidate> {
+        let delays = self.queue_delays(now);
         self.best_of(want, now, |target| {
             let has_it = target.adapters.contains_key(&want.weights);
             (!has_it)
-                .then(|| self.loaded_in(target, want, waits))
+                .then(|| self.loaded_in(target, want, delays))
                 .flatten()
         })
     }
@@ -47,20 +47,20 @@
         &self,
         want: &Want,
         now: Moment,
-        held_in: impl Fn(&TargetState) -> Option<Readiness>,
-    ) -> Option<Found> {
-        let kept = self.kept_for_long_prompts(&want.service, now);
+        ready_in: impl Fn(&TargetState) -> Option<Readiness>,
+    ) -> Option<TargetCandidate> {
+        let kept = self.reserved_for_long_prompts(&want.service, now);
         let targets = self.targets.iter();
         let targets = targets.filter(|(name, target)| self.may_place(name, target, want, now));
         let found = targets.filter_map(|(name, target)| {
-            let readiness = held_in(target)?;
+            let readiness = ready_in(target)?;
             let mut score = self.score(target, want, readiness);
             if !kept.is_empty() && kept.contains(&name) != (want.lane == Lane::LongPrompt) {
                 score += millis(self.cfg.lane_penalty);
             }
-            Some(Found {
+            Some(TargetCandidate {
                 target: name.clone(),
-                held_in: readiness.held_in,
+                ready_in: readiness.ready_in,
                 score,
             })
         });
@@ -70,10 +70,10 @@
     /// Returns the expected time to first token at a target plus penalties, in milliseconds.
     fn score(&self, target: &TargetState, want: &Want, readiness: Readiness) -> f64 {
         let read_before = self.pace.millis(target.backlog());
-        let held_in = millis(readiness.held_in);
+        let ready_in = millis(readiness.ready_in);
         // Prefill continues during a load, but a target that has to do both is more likely to be
         // late.
-        let begins = read_before.max(held_in) + read_before.min(held_in) * BOTH_WAITS;
+        let begins = read_before.max(ready_in) + read_before.min(ready_in) * OVERLAP_WEIGHT;
         let taken = f64::from(target.in_flight()) / f64::from(target.facts.slots.max(1));
         let mut score = begins + millis(readiness.penalty);
         score += taken * millis(self.cfg.load_penalty);
@@ -84,54 +84,64 @@
     }
 
     /// Returns how soon a target holds the adapter, or `None` if it has no slot for it.
-    fn held_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
+    fn ready_in(
+        &self,
+        target: &TargetState,
+        want: &Want,
+        delays: QueueDelays,
+    ) -> Option<Readiness> {
         if want.weights.adapter.is_none() {
             return Some(Readiness::at_once());
         }
         let Some(entry) = target.adapters.get(&want.weights) else {
-            return self.loaded_in(target, want, waits);
+            return self.loaded_in(target, want, delays);
         };
         if entry.outdated || entry.is_going() {
             return None;
         }
-        let held_in = match entry.state {
+        let ready_in = match entry.state {
             AdapterStage::Ready => Duration::ZERO,
-            AdapterStage::Loading(at) => waits.now.until(at),
+            AdapterStage::Loading(at) => delays.now.until(at),
             AdapterStage::Confirming => self.cfg.load_margin,
-            AdapterStage::Ordered => waits.times.of(entry.from_store),
+            AdapterStage::Ordered => delays.times.of(entry.from_store),
             AdapterStage::Planned => {
-                waits.until_loaded(entry.from_store) + self.order_delay(target, waits.now)
+                delays.until_loaded(entry.from_store) + self.order_delay(target, delays.now)
             }
             AdapterStage::Ending | AdapterStage::Unloading => return None,
         };
-        Some(Readiness::soon(held_in))
+        Some(Readiness::soon(ready_in))
     }
 
     /// Returns how soon a target would have loaded an adapter that it does not hold, or `None` if
     /// it has no slot for it.
-    fn loaded_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
+    fn loaded_in(
+        &self,
+        target: &TargetState,
+        want: &Want,
+        delays: QueueDelays,
+    ) -> Option<Readiness> {
         let limits = self.limits.get(&target.facts.service)?;
         let slots = limits.adapters_beside(&want.weights.model);
-        if target.room(slots, waits.now) == 0 {
+        if target.room(slots, delays.now) == 0 {
             return None;
         }
         let from_store = !target.remembered.keeps(&want.weights, self.memory);
-        let load_time = waits.times.of(from_store);
-        let mut held_in = waits.until_loaded(from_store) + self.order_delay(target, waits.now);
+        let load_time = delays.times.of(from_store);
+        let mut ready_in = delays.until_loaded(from_store) + self.order_delay(target, delays.now);
         // A target executes orders one at a time, and loads a limited number of adapters
         // concurrently.
         let coming = target.coming();
-        held_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
-        held_in += load_time.mul_f64((coming / self.cfg.loads_a_target) as f64);
+        ready_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
+        ready_in += load_time.mul_f64((coming / self.cfg.loads_a_target) as f64);
         if !target.has_free_slot(slots) {
-            held_in += self.cfg.give_up_time;
+            ready_in += self.cfg.give_up_time;
         }
         let penalty = if from_store {
             self.cfg.fetch_penalty
         } else {
             self.cfg.warm_penalty
         };
-        Some(Readiness { held_in, penalty })
+        Some(Readiness { ready_in, penalty })
     }
 
     /// Returns the expected load durations.
@@ -143,11 +153,11 @@
     }
 
     /// Returns the queueing delays of loads that do not depend on the target.
-    fn waits(&self, now: Moment) -> Waits {
+    fn queue_delays(&self, now: Moment) -> QueueDelays {
         let times = self.load_times();
         let before = self.waiting_fetches() + self.loads_under_way();
         let rounds = before as f64 / self.window.size() as f64;
-        Waits {
+        QueueDelays {
             now,
             times,
             store: times.fetch.mul_f64(rounds.floor()),
@@ -166,7 +176,7 @@
 
     /// Returns the targets of a service that are reserved for long prompts; empty while none are
     /// reserved.
-    fn kept_for_long_prompts(&self, service: &ServiceName, now: Moment) -> Vec<&TargetName> {
+    fn reserved_for_long_prompts(&self, service: &ServiceName, now: Moment) -> Vec<&TargetName> {
         if !self.lanes.is_on(now) {
             return Vec::new();
         }
@@ -206,7 +216,7 @@
 
 /// The weight of the shorter of prefill backlog and load time, which overlap at a target that has
 /// both. If the weight were zero, targets with equal scores would send all loads to the first one.
-const BOTH_WAITS: f64 = 0.2;
+const OVERLAP_WEIGHT: f64 = 0.2;
 
 /// The expected durations of loads.
 #[derive(Clone, Copy, Debug)]
@@ -226,14 +236,14 @@
 /// The queueing delays of loads at the time of a selection. They are computed once for all targets,
 /// since the delay at the weight store depends on every target.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct QueueDelays {
     now: Moment,
     times: LoadTimes,
     /// The time until the weight store has capacity for another load.
     store: Duration,
 }
 
-impl Waits {
+impl QueueDelays {
     /// Returns the time until a load that is queued now has ended.
     fn until_loaded(self, from_store: bool) -> Duration {
         let store = if from_store {
@@ -248,7 +258,7 @@
 /// How soon a target holds an adapter, and the penalty for loading it there.
 #[derive(Clone, Copy, Debug)]
 struct Readiness {
-    held_in: Duration,
+    ready_in: Duration,
     penalty: Duration,
 }
 
@@ -257,9 +267,9 @@
         Self::soon(Duration::ZERO)
     }
 
-    const fn soon(held_in: Duration) -> Self {
+    const fn soon(ready_in: Duration) -> Self {
         Self {
-            held_in,
+            ready_in,
             penalty: Duration::ZERO,
         }
     }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/wants.rs
@@ -57,16 +57,16 @@
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let Some(found) = self.best_target(&asked.want, now) else {
+        let Some(candidate) = self.best_target(&asked.want, now) else {
             return self.answer_later(vec![question], out);
         };
-        if now + found.held_in > asked.until {
-            let retry_in = found.held_in.max(self.cfg.retry_in);
+        if now + candidate.ready_in > asked.until {
+            let retry_in = candidate.ready_in.max(self.cfg.retry_in);
             let later = Placed::Later { retry_in };
             out.push(ResidencyAction::Answer(question, later));
             return;
         }
-        self.place(question, asked, &found.target, now, out);
+        self.place(question, asked, &candidate.target, now, out);
     }
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
@@ -163,12 +163,12 @@
 
     /// Plans to load an adapter ahead of requests, on the best target that has capacity for it.
     pub(super) fn plan_load(&mut self, want: &Want, now: Moment) -> Option<TargetName> {
-        let found = self.best_load(want, now)?;
-        let entry = self.planned(&found.target, &want.weights, now);
-        let target = self.targets.get_mut(&found.target)?;
+        let candidate = self.best_load(want, now)?;
+        let entry = self.planned(&candidate.target, &want.weights, now);
+        let target = self.targets.get_mut(&candidate.target)?;
         target.adapters.insert(want.weights.clone(), entry);
         target.touched = true;
-        Some(found.target)
+        Some(candidate.target)
     }
 
     /// Finds another target for the requests that waited for a failed load, within their remaining
