--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -44,8 +44,8 @@
 };
 pub use rank::{TargetTable, rank_targets};
 pub use residency::{
-    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, Placed, ResidencyAction,
-    ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetReport, Use, Want,
+    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, Placed, PlacementRequest,
+    ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetReport, Use,
 };
 pub use retry::{
     Admission, Backoff, BackoffConfig, Breaker, BreakerConfig, BreakerState, BreakerTicket,
--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -7,9 +7,9 @@
 use super::hold::{AdapterEntry, AdapterStage};
 use super::models::report_models;
 use super::order::{Order, OrderAnswer, OrderNumber, ResidencyAction, TargetReport};
+use super::placement::tell;
 use super::planner::ResidencyPlanner;
 use super::target::OrderState;
-use super::wants::tell;
 use crate::dispatch::TargetFacts;
 use crate::owner::OrderKind;
 
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -5,9 +5,9 @@
 use chervilshunt_model::{Moment, ServiceName, TargetName};
 
 use super::hold::AdapterStage;
+use super::placement::PlacementRequest;
 use super::planner::ResidencyPlanner;
 use super::target::{OrderState, TargetState};
-use super::wants::Want;
 use crate::dispatch::{Lane, Weights, long_prompt_targets};
 
 /// A target suitable for a request.
@@ -27,35 +27,45 @@
     /// A target with a backlog of prompts is passed over for one that has to load the adapter
     /// first, where that is faster. This spreads a busy adapter over as many targets as its
     /// requests need.
-    pub(super) fn best_target(&self, want: &Want, now: Moment) -> Option<TargetCandidate> {
+    pub(super) fn best_target(
+        &self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetCandidate> {
         let delays = self.queue_delays(now);
-        self.best_of(want, now, |target| self.ready_in(target, want, delays))
+        self.best_of(request, now, |target| {
+            self.ready_in(target, request, delays)
+        })
     }
 
     /// Returns the target that would load an adapter soonest, among those that do not have it.
-    pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<TargetCandidate> {
+    pub(super) fn best_load(
+        &self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetCandidate> {
         let delays = self.queue_delays(now);
-        self.best_of(want, now, |target| {
-            let has_it = target.adapters.contains_key(&want.weights);
+        self.best_of(request, now, |target| {
+            let has_it = target.adapters.contains_key(&request.weights);
             (!has_it)
-                .then(|| self.loaded_in(target, want, delays))
+                .then(|| self.loaded_in(target, request, delays))
                 .flatten()
         })
     }
 
     fn best_of(
         &self,
-        want: &Want,
+        request: &PlacementRequest,
         now: Moment,
         ready_in: impl Fn(&TargetState) -> Option<Readiness>,
     ) -> Option<TargetCandidate> {
-        let kept = self.reserved_for_long_prompts(&want.service, now);
+        let kept = self.reserved_for_long_prompts(&request.service, now);
         let targets = self.targets.iter();
-        let targets = targets.filter(|(name, target)| self.may_place(name, target, want, now));
+        let targets = targets.filter(|(name, target)| self.may_place(name, target, request, now));
         let found = targets.filter_map(|(name, target)| {
             let readiness = ready_in(target)?;
-            let mut score = self.score(target, want, readiness);
-            if !kept.is_empty() && kept.contains(&name) != (want.lane == Lane::LongPrompt) {
+            let mut score = self.score(target, request, readiness);
+            if !kept.is_empty() && kept.contains(&name) != (request.lane == Lane::LongPrompt) {
                 score += millis(self.cfg.lane_penalty);
             }
             Some(TargetCandidate {
@@ -68,7 +78,7 @@
     }
 
     /// Returns the expected time to first token at a target plus penalties, in milliseconds.
-    fn score(&self, target: &TargetState, want: &Want, readiness: Readiness) -> f64 {
+    fn score(&self, target: &TargetState, request: &PlacementRequest, readiness: Readiness) -> f64 {
         let read_before = self.pace.millis(target.backlog());
         let ready_in = millis(readiness.ready_in);
         // Prefill continues during a load, but a target that has to do both is more likely to be
@@ -77,7 +87,7 @@
         let taken = f64::from(target.in_flight()) / f64::from(target.facts.slots.max(1));
         let mut score = begins + millis(readiness.penalty);
         score += taken * millis(self.cfg.load_penalty);
-        if target.facts.zone != want.zone {
+        if target.facts.zone != request.zone {
             score += millis(self.cfg.zone_penalty);
         }
         score
@@ -87,14 +97,14 @@
     fn ready_in(
         &self,
         target: &TargetState,
-        want: &Want,
+        request: &PlacementRequest,
         delays: QueueDelays,
     ) -> Option<Readiness> {
-        if want.weights.adapter.is_none() {
+        if request.weights.adapter.is_none() {
             return Some(Readiness::at_once());
         }
-        let Some(entry) = target.adapters.get(&want.weights) else {
-            return self.loaded_in(target, want, delays);
+        let Some(entry) = target.adapters.get(&request.weights) else {
+            return self.loaded_in(target, request, delays);
         };
         if entry.outdated || entry.is_going() {
             return None;
@@ -117,15 +127,15 @@
     fn loaded_in(
         &self,
         target: &TargetState,
-        want: &Want,
+        request: &PlacementRequest,
         delays: QueueDelays,
     ) -> Option<Readiness> {
         let limits = self.limits.get(&target.facts.service)?;
-        let slots = limits.adapters_beside(&want.weights.model);
+        let slots = limits.adapters_beside(&request.weights.model);
         if target.room(slots, delays.now) == 0 {
             return None;
         }
-        let from_store = !target.remembered.keeps(&want.weights, self.memory);
+        let from_store = !target.remembered.keeps(&request.weights, self.memory);
         let load_time = delays.times.of(from_store);
         let mut ready_in = delays.until_loaded(from_store) + self.order_delay(target, delays.now);
         // A target executes orders one at a time, and loads a limited number of adapters
@@ -185,13 +195,19 @@
         long_prompt_targets(taking.map(|it| &it.facts.name))
     }
 
-    fn may_place(&self, name: &TargetName, target: &TargetState, want: &Want, now: Moment) -> bool {
-        target.facts.service == want.service
+    fn may_place(
+        &self,
+        name: &TargetName,
+        target: &TargetState,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> bool {
+        target.facts.service == request.service
             && target.takes_work()
             && target.model_order.is_none()
             && !target.gives_up()
-            && self.holds_model(target, &want.weights, now)
-            && !want.avoid.contains(name)
+            && self.holds_model(target, &request.weights, now)
+            && !request.avoid.contains(name)
     }
 
     /// Returns whether a target holds the base model that a request names or whose adapter it
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -40,7 +40,7 @@
     pub(crate) waiting_tokens: u32,
     /// The latest time until which a request waits for the adapter, or `None` if it is loaded ahead
     /// of requests.
-    pub(crate) wanted_until: Option<Moment>,
+    pub(crate) needed_until: Option<Moment>,
     /// Whether the load is expected to come from the weight store rather than from the target's
     /// memory.
     pub(crate) from_store: bool,
@@ -62,7 +62,7 @@
             outdated: false,
             questions: Vec::new(),
             waiting_tokens: 0,
-            wanted_until: None,
+            needed_until: None,
             from_store: true,
             had_since: None,
             accepted_at: None,
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -6,9 +6,9 @@
 
 use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Order, ResidencyAction};
+use super::placement::tell;
 use super::planner::ResidencyPlanner;
 use super::target::OrderState;
-use super::wants::tell;
 use crate::dispatch::Weights;
 use crate::owner::OrderKind;
 
@@ -122,7 +122,7 @@
         };
         let unwanted = target.adapters.extract_if(.., |_, entry| {
             let ends_at = now + times.of(entry.from_store);
-            let in_vain = entry.wanted_until.is_some_and(|until| until <= ends_at);
+            let in_vain = entry.needed_until.is_some_and(|until| until <= ends_at);
             entry.is_planned() && in_vain
         });
         let questions: Vec<u64> = unwanted.flat_map(|(_, entry)| entry.questions).collect();
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -19,11 +19,11 @@
 mod models;
 mod order;
 mod pace;
+mod placement;
 mod planner;
 mod restart;
 mod target;
 mod versions;
-mod wants;
 mod window;
 
 pub use config::ResidencyConfig;
@@ -32,5 +32,5 @@
 pub use order::{
     Order, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent, TargetReport, Use,
 };
+pub use placement::PlacementRequest;
 pub use planner::ResidencyPlanner;
-pub use wants::Want;
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -13,9 +13,9 @@
 use indexmap::IndexMap;
 
 use super::order::{Order, OrderAnswer, ResidencyAction, TargetReport};
+use super::placement::tell;
 use super::planner::ResidencyPlanner;
 use super::target::{OrderState, TargetState};
-use super::wants::tell;
 use crate::dispatch::{LoadedModel, Weights};
 use crate::owner::OrderKind;
 
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::grants::{GrantNumber, GrantProgress};
-use super::wants::Want;
+use super::placement::PlacementRequest;
 use crate::dispatch::{AdapterHolding, PlacementLimits, TargetFacts, TargetStart, Weights};
 use crate::owner::OrderKind;
 
@@ -113,13 +113,13 @@
     /// The limits on what the targets of a service may hold.
     Limits(ServiceName, PlacementLimits),
     /// An instance needs a target for a request.
-    Wanted {
+    PlacementRequested {
         /// Identifies the placement request in the answer.
         question: u64,
         /// The instance that asks.
         from: InstanceId,
         /// The requirements of the request.
-        want: Want,
+        request: PlacementRequest,
         /// How long the request waits for placement.
         within: Duration,
     },
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -14,7 +14,7 @@
 
 /// The requirements of a request on its target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PlacementRequest {
     /// The service that the request is for.
     #[serde(rename = "s")]
     pub service: ServiceName,
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Asked {
     pub(super) from: InstanceId,
-    pub(super) want: Want,
+    pub(super) request: PlacementRequest,
     /// The time until which the request waits.
     pub(super) until: Moment,
 }
@@ -50,14 +50,14 @@
     /// A request for which no target has a slot does not wait for one. When slots are scarce,
     /// waiting requests were placed so late that their answers missed their deadlines anyway, and
     /// took the slots from others that would have been in time.
-    pub(super) fn wanted(
+    pub(super) fn place_or_refuse(
         &mut self,
         question: u64,
         asked: Asked,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let Some(candidate) = self.best_target(&asked.want, now) else {
+        let Some(candidate) = self.best_target(&asked.request, now) else {
             return self.answer_later(vec![question], out);
         };
         if now + candidate.ready_in > asked.until {
@@ -71,8 +71,8 @@
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
     /// which leaves time for its prefill.
-    pub(super) fn places_within(&self, want: &Want, within: Duration) -> Duration {
-        let reading = Duration::from_secs_f64(self.pace.millis(want.prompt_tokens) / 1e3);
+    pub(super) fn places_within(&self, request: &PlacementRequest, within: Duration) -> Duration {
+        let reading = Duration::from_secs_f64(self.pace.millis(request.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
         left.max(within.mul_f64(LEAST_PLACING_SHARE))
     }
@@ -86,7 +86,7 @@
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let weights = &asked.want.weights;
+        let weights = &asked.request.weights;
         if weights.adapter.is_some() {
             let planned = self.planned(name, weights, now);
             let Some(target) = self.targets.get_mut(name) else {
@@ -97,8 +97,8 @@
             entry.last_used = now;
             if entry.state != AdapterStage::Ready {
                 entry.questions.push(question);
-                entry.waiting_tokens += asked.want.prompt_tokens;
-                entry.wanted_until = entry.wanted_until.max(Some(asked.until));
+                entry.waiting_tokens += asked.request.prompt_tokens;
+                entry.needed_until = entry.needed_until.max(Some(asked.until));
                 self.asked.insert(question, asked);
                 return;
             }
@@ -115,12 +115,19 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         let number = GrantNumber(question);
-        let Asked { from, want, .. } = asked;
+        let Asked { from, request, .. } = asked;
         let adapters = self.targets.get(target).map(|it| &it.adapters);
         let version = adapters
-            .and_then(|it| it.get(&want.weights))
+            .and_then(|it| it.get(&request.weights))
             .map(|it| it.version);
-        self.grant(number, from, target, want.weights, want.prompt_tokens, now);
+        self.grant(
+            number,
+            from,
+            target,
+            request.weights,
+            request.prompt_tokens,
+            now,
+        );
         let placed = Placed::At {
             target: target.clone(),
             version,
@@ -162,11 +169,15 @@
     }
 
     /// Plans to load an adapter ahead of requests, on the best target that has capacity for it.
-    pub(super) fn plan_load(&mut self, want: &Want, now: Moment) -> Option<TargetName> {
-        let candidate = self.best_load(want, now)?;
-        let entry = self.planned(&candidate.target, &want.weights, now);
+    pub(super) fn plan_load(
+        &mut self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetName> {
+        let candidate = self.best_load(request, now)?;
+        let entry = self.planned(&candidate.target, &request.weights, now);
         let target = self.targets.get_mut(&candidate.target)?;
-        target.adapters.insert(want.weights.clone(), entry);
+        target.adapters.insert(request.weights.clone(), entry);
         target.touched = true;
         Some(candidate.target)
     }
@@ -182,8 +193,8 @@
     ) {
         for question in questions {
             if let Some(mut asked) = self.asked.remove(&question) {
-                asked.want.avoid.push(failed.clone());
-                self.wanted(question, asked, now, out);
+                asked.request.avoid.push(failed.clone());
+                self.place_or_refuse(question, asked, now, out);
             }
         }
     }
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -16,9 +16,9 @@
 use super::memory::MemorySize;
 use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
 use super::pace::ReadingPace;
+use super::placement::Asked;
 use super::restart::LostLoads;
 use super::target::{OrderState, Summary, TargetState};
-use super::wants::Asked;
 use super::window::LoadWindow;
 use crate::dispatch::{
     AnnouncedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
@@ -127,14 +127,23 @@
                 self.limits.insert(service, limits);
                 self.touch_all();
             }
-            ResidencyEvent::Wanted {
+            ResidencyEvent::PlacementRequested {
                 question,
                 from,
-                want,
+                request,
                 within,
             } => {
-                let until = now + self.places_within(&want, within);
-                self.wanted(question, Asked { from, want, until }, now, &mut out);
+                let until = now + self.places_within(&request, within);
+                self.place_or_refuse(
+                    question,
+                    Asked {
+                        from,
+                        request,
+                        until,
+                    },
+                    now,
+                    &mut out,
+                );
             }
             ResidencyEvent::Used(from, uses, grants) => self.used(&from, uses, &grants, now),
             ResidencyEvent::Progressed(progress) => self.progressed(&progress, now),
@@ -262,7 +271,7 @@
             AdapterStage::Ending => Some(entry.since + self.cfg.uses_settle),
             AdapterStage::Planned => {
                 let load_time = self.load_times().of(entry.from_store);
-                entry.wanted_until.map(|until| until - load_time)
+                entry.needed_until.map(|until| until - load_time)
             }
             AdapterStage::Ordered
             | AdapterStage::Confirming
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -7,8 +7,8 @@
 
 use super::hold::AdapterStage;
 use super::order::ResidencyAction;
+use super::placement::{PlacementRequest, tell};
 use super::planner::ResidencyPlanner;
-use super::wants::{Want, tell};
 use crate::dispatch::{Lane, Weights};
 
 /// How recently an adapter must have been used for its newest version to be loaded ahead of
@@ -46,7 +46,7 @@
         for (name, service, zone, _) in outdated {
             // If nothing uses the adapter, or no other target has capacity, the old version is
             // retired immediately.
-            let want = Want {
+            let request = PlacementRequest {
                 service,
                 weights: weights.clone(),
                 prompt_tokens: 0,
@@ -54,7 +54,7 @@
                 zone,
                 avoid: Vec::new(),
             };
-            let replaced = used && self.plan_load(&want, now).is_some();
+            let replaced = used && self.plan_load(&request, now).is_some();
             if !replaced {
                 self.retire(&name, &weights, now, out);
             }
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -4,8 +4,8 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, Placed, ResidencyAction,
-    ResidencyEvent, ResidencyPlanner, TargetReport, Use, Want, Weights,
+    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, Placed, PlacementRequest,
+    ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, Use, Weights,
 };
 use chervilshunt_model::InstanceId;
 use placing::{adapter, at, before_asking, reported, target, wanted};
@@ -283,21 +283,21 @@
 #[case::long(6_000, true)]
 fn a_long_prompt_needs_its_place_earlier(#[case] prompt_tokens: u32, #[case] refused: bool) {
     let mut places = OnePlace::new();
-    let ResidencyEvent::Wanted {
+    let ResidencyEvent::PlacementRequested {
         question,
         from,
-        want,
+        request,
         within,
     } = wanted(1, adapter("a1"), 400)
     else {
         panic!("a want");
     };
-    places.handle(ResidencyEvent::Wanted {
+    places.handle(ResidencyEvent::PlacementRequested {
         question,
         from,
-        want: Want {
+        request: PlacementRequest {
             prompt_tokens,
-            ..want
+            ..request
         },
         within,
     });
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -15,8 +15,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedModel, Order, OrderAnswer, OrderKind, OrderNumber,
-    Placed, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetFacts,
-    TargetStart, Use, Want, Weights,
+    Placed, PlacementRequest, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
+    TargetFacts, TargetStart, Use, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
@@ -353,10 +353,10 @@
                 } else {
                     Lane::General
                 };
-                self.event(ResidencyEvent::Wanted {
+                self.event(ResidencyEvent::PlacementRequested {
                     question,
                     from: InstanceId::from("i"),
-                    want: Want {
+                    request: PlacementRequest {
                         service: service(),
                         weights: adapter(n),
                         prompt_tokens: 1_000,
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, OrderAnswer, OrderKind, OrderNumber, Placed, ResidencyAction, ResidencyEvent,
-    ResidencyPlanner, Use, Want, Weights,
+    Lane, OrderAnswer, OrderKind, OrderNumber, Placed, PlacementRequest, ResidencyAction,
+    ResidencyEvent, ResidencyPlanner, Use, Weights,
 };
 use chervilshunt_model::{InstanceId, ZoneName};
 use placing::{adapter, at, before_asking, service, target};
@@ -35,10 +35,10 @@
 }
 
 fn wants(weights: Weights) -> ResidencyEvent {
-    ResidencyEvent::Wanted {
+    ResidencyEvent::PlacementRequested {
         question: QUESTION,
         from: InstanceId::from("i"),
-        want: Want {
+        request: PlacementRequest {
             service: service(),
             weights,
             prompt_tokens: 0,
@@ -201,10 +201,10 @@
 fn those_who_wait_are_told_while_they_can_still_come_back() {
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(460));
-    let first = ResidencyEvent::Wanted {
+    let first = ResidencyEvent::PlacementRequested {
         question: QUESTION + 1,
         from: InstanceId::from("i"),
-        want: Want {
+        request: PlacementRequest {
             service: service(),
             weights: adapter("a1"),
             prompt_tokens: 0,
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -7,9 +7,9 @@
 
 use chervilshunt_core::{
     AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
-    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, ResidencyAction,
-    ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport, TargetRequirements, TargetStart,
-    Use, Want, Weights,
+    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, PlacementRequest,
+    ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport,
+    TargetRequirements, TargetStart, Use, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -175,10 +175,10 @@
     }
 
     fn want(&mut self, name: &str) {
-        self.handle(ResidencyEvent::Wanted {
+        self.handle(ResidencyEvent::PlacementRequested {
             question: self.now,
             from: InstanceId::from("i"),
-            want: Want {
+            request: PlacementRequest {
                 service: service(),
                 weights: adapter(name),
                 prompt_tokens: 1_000,
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -16,8 +16,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind,
-    Placed, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetFacts, Want,
-    Weights,
+    Placed, PlacementRequest, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
+    TargetFacts, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::limits;
@@ -204,10 +204,10 @@
 
     fn ask(&mut self, weights: &Weights) {
         self.next_question += 1;
-        self.handle(ResidencyEvent::Wanted {
+        self.handle(ResidencyEvent::PlacementRequested {
             question: self.next_question,
             from: InstanceId::from("i"),
-            want: Want {
+            request: PlacementRequest {
                 service: service(),
                 weights: weights.clone(),
                 prompt_tokens: 100,
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, LoadedModel, ModelSpec, PlacementLimits, ResidencyConfig, ResidencyEvent,
-    ResidencyPlanner, TargetFacts, TargetReport, Want, Weights,
+    Lane, LoadedModel, ModelSpec, PlacementLimits, PlacementRequest, ResidencyConfig,
+    ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, ServiceName, TargetName, ZoneName};
 
@@ -75,10 +75,10 @@
 
 /// A placement request of instance `i` for an adapter, which waits for `within_ms` milliseconds.
 pub(crate) fn wanted(question: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
-    ResidencyEvent::Wanted {
+    ResidencyEvent::PlacementRequested {
         question,
         from: InstanceId::from("i"),
-        want: Want {
+        request: PlacementRequest {
             service: service(),
             weights,
             prompt_tokens: 1_000,
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -69,10 +69,10 @@
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
                     return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
                 };
-                let wanted = |question| ResidencyEvent::Wanted {
+                let wanted = |question| ResidencyEvent::PlacementRequested {
                     question,
                     from,
-                    want,
+                    request: want,
                     within,
                 };
                 self.wanted(wanted, reply);
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -5,8 +5,8 @@
 
 use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
 use chervilshunt_core::{
-    Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
-    TargetSnapshot, TargetStart, Use, Want, Weights,
+    Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, PlacementRequest, StoredCrashes,
+    TargetFacts, TargetSnapshot, TargetStart, Use, Weights,
 };
 use chervilshunt_mesh::Purpose;
 use chervilshunt_model::{InstanceId, StoreRevision, TargetName};
@@ -38,7 +38,7 @@
     },
     /// To the placer: a request needs a target, and waits for it for a time. Answered by `Placed`.
     #[serde(rename = "w")]
-    Want(Want, Duration),
+    Want(PlacementRequest, Duration),
     /// From the placer: where the request may be sent, as a grant of that number.
     #[serde(rename = "p")]
     Placed(Placed, GrantNumber),
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    AdapterHolding, Choice, Lane, Placed, TargetRequirements, WaitReason, Want, Weights,
+    AdapterHolding, Choice, Lane, Placed, PlacementRequest, TargetRequirements, WaitReason, Weights,
 };
 use chervilshunt_model::TargetName;
 
@@ -207,7 +207,7 @@
             avoid
         };
         avoid.extend(self.avoid.iter().cloned());
-        let want = Want {
+        let want = PlacementRequest {
             service: self.req.service.clone(),
             weights,
             prompt_tokens: self.req.size.prompt_tokens,
