--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -37,7 +37,7 @@
 
 /// A placement request that has not been answered.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingPlacement {
     pub(super) from: InstanceId,
     pub(super) request: PlacementRequest,
     /// The time until which the request waits.
@@ -53,20 +53,20 @@
     pub(super) fn place_or_refuse(
         &mut self,
         question: u64,
-        asked: Asked,
+        pending: PendingPlacement,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let Some(candidate) = self.best_target(&asked.request, now) else {
+        let Some(candidate) = self.best_target(&pending.request, now) else {
             return self.answer_later(vec![question], out);
         };
-        if now + candidate.ready_in > asked.until {
+        if now + candidate.ready_in > pending.until {
             let retry_in = candidate.ready_in.max(self.cfg.retry_in);
             let later = Placed::Later { retry_in };
             out.push(ResidencyAction::Answer(question, later));
             return;
         }
-        self.place(question, asked, &candidate.target, now, out);
+        self.place(question, pending, &candidate.target, now, out);
     }
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
@@ -81,12 +81,12 @@
     pub(super) fn place(
         &mut self,
         question: u64,
-        asked: Asked,
+        pending: PendingPlacement,
         name: &TargetName,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let weights = &asked.request.weights;
+        let weights = &pending.request.weights;
         if weights.adapter.is_some() {
             let planned = self.planned(name, weights, now);
             let Some(target) = self.targets.get_mut(name) else {
@@ -97,25 +97,25 @@
             entry.last_used = now;
             if entry.state != AdapterStage::Ready {
                 entry.questions.push(question);
-                entry.waiting_tokens += asked.request.prompt_tokens;
-                entry.needed_until = entry.needed_until.max(Some(asked.until));
-                self.asked.insert(question, asked);
+                entry.waiting_tokens += pending.request.prompt_tokens;
+                entry.needed_until = entry.needed_until.max(Some(pending.until));
+                self.pending.insert(question, pending);
                 return;
             }
         }
-        self.answer_at(question, asked, name, now, out);
+        self.answer_at(question, pending, name, now, out);
     }
 
     fn answer_at(
         &mut self,
         question: u64,
-        asked: Asked,
+        pending: PendingPlacement,
         target: &TargetName,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
         let number = GrantNumber(question);
-        let Asked { from, request, .. } = asked;
+        let PendingPlacement { from, request, .. } = pending;
         let adapters = self.targets.get(target).map(|it| &it.adapters);
         let version = adapters
             .and_then(|it| it.get(&request.weights))
@@ -151,8 +151,8 @@
             return self.answer_later(questions, out);
         }
         for question in questions {
-            if let Some(asked) = self.asked.remove(&question) {
-                self.answer_at(question, asked, target, now, out);
+            if let Some(pending) = self.pending.remove(&question) {
+                self.answer_at(question, pending, target, now, out);
             }
         }
     }
@@ -192,9 +192,9 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         for question in questions {
-            if let Some(mut asked) = self.asked.remove(&question) {
-                asked.request.avoid.push(failed.clone());
-                self.place_or_refuse(question, asked, now, out);
+            if let Some(mut pending) = self.pending.remove(&question) {
+                pending.request.avoid.push(failed.clone());
+                self.place_or_refuse(question, pending, now, out);
             }
         }
     }
@@ -203,7 +203,7 @@
     pub(super) fn answer_later(&mut self, questions: Vec<u64>, out: &mut Vec<ResidencyAction>) {
         let retry_in = self.cfg.retry_in;
         for question in questions {
-            self.asked.remove(&question);
+            self.pending.remove(&question);
             let later = Placed::Later { retry_in };
             out.push(ResidencyAction::Answer(question, later));
         }
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -16,7 +16,7 @@
 use super::memory::MemorySize;
 use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
 use super::pace::ReadingPace;
-use super::placement::Asked;
+use super::placement::PendingPlacement;
 use super::restart::LostLoads;
 use super::target::{OrderState, Summary, TargetState};
 use super::window::LoadWindow;
@@ -53,7 +53,7 @@
     pub(super) lanes: LaneSwitch,
     pub(super) grants: Grants,
     /// The placement requests that wait for a load to end.
-    pub(super) asked: HashMap<u64, Asked>,
+    pub(super) pending: HashMap<u64, PendingPlacement>,
     /// Unanswered orders to targets that are gone.
     pub(super) lost_of_gone: HashMap<TargetName, LostLoads>,
     /// Loads that may be ordered now; the others wait for a load in progress to end.
@@ -88,7 +88,7 @@
             pace: ReadingPace::default(),
             lanes: LaneSwitch::default(),
             grants: Grants::default(),
-            asked: HashMap::new(),
+            pending: HashMap::new(),
             lost_of_gone: HashMap::new(),
             admitted: HashSet::new(),
             uses: HashMap::new(),
@@ -136,7 +136,7 @@
                 let until = now + self.places_within(&request, within);
                 self.place_or_refuse(
                     question,
-                    Asked {
+                    PendingPlacement {
                         from,
                         request,
                         until,
