--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -114,10 +114,10 @@
                     }
                 }
                 let (version, outdated) = (entry.version, entry.outdated);
-                let questions = entry.ready(now);
+                let waiting_requests = entry.ready(now);
                 target.remembered.note(order.weights.clone());
                 out.push(tell(&order.target, &order.weights, Some(version)));
-                self.answer_loaded(questions, &order.target, outdated, now, out);
+                self.answer_loaded(waiting_requests, &order.target, outdated, now, out);
             }
             // Another order has been executed in the meantime, so the answer says nothing about
             // this load.
@@ -144,23 +144,23 @@
                 // The time at which the load ended will not be known; a late guess would look like
                 // a slow weight store.
                 entry.accepted_at = None;
-                let questions = entry.take_questions();
+                let waiting_requests = entry.take_waiting_requests();
                 let outdated = entry.outdated;
-                self.answer_loaded(questions, &order.target, outdated, now, out);
+                self.answer_loaded(waiting_requests, &order.target, outdated, now, out);
             }
             // Without an answer the adapter may still be loaded, and counts as taking a slot until
             // the target has reported.
             OrderAnswer::Unanswered => {
-                let questions = entry.take_questions();
-                self.place_elsewhere(&order.target, questions, now, out);
+                let waiting_requests = entry.take_waiting_requests();
+                self.place_elsewhere(&order.target, waiting_requests, now, out);
             }
             OrderAnswer::OutOfTurn
             | OrderAnswer::OtherTarget
             | OrderAnswer::Refused
             | OrderAnswer::NotSent => {
-                let questions = entry.take_questions();
+                let waiting_requests = entry.take_waiting_requests();
                 target.adapters.shift_remove(&order.weights);
-                self.place_elsewhere(&order.target, questions, now, out);
+                self.place_elsewhere(&order.target, waiting_requests, now, out);
             }
         }
     }
@@ -227,7 +227,7 @@
             .collect();
         for weights in unlisted {
             if let Some(entry) = target.adapters.get_mut(&weights) {
-                lost.extend(entry.take_questions());
+                lost.extend(entry.take_waiting_requests());
             }
             target.gave_up(&weights);
             out.push(tell(name, &weights, None));
@@ -248,7 +248,7 @@
             entry.version = *version;
             entry.outdated = *version < newest;
             out.push(tell(name, weights, Some(*version)));
-            loaded.push((entry.take_questions(), entry.outdated));
+            loaded.push((entry.take_waiting_requests(), entry.outdated));
         }
         for weights in &report.loading {
             let coming = AdapterEntry::new(AdapterStage::Loading(ready_at), FIRST_KNOWN, now);
@@ -260,8 +260,8 @@
                 entry.state = AdapterStage::Loading(ready_at);
             }
         }
-        for (questions, outdated) in loaded {
-            self.answer_loaded(questions, name, outdated, now, out);
+        for (waiting_requests, outdated) in loaded {
+            self.answer_loaded(waiting_requests, name, outdated, now, out);
         }
         self.answer_later(lost, out);
     }
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -35,7 +35,7 @@
     /// Whether a newer version has been announced.
     pub(crate) outdated: bool,
     /// The placement requests that wait for the load to end.
-    pub(crate) questions: Vec<u64>,
+    pub(crate) waiting_requests: Vec<u64>,
     /// The prompt tokens of the waiting requests.
     pub(crate) waiting_tokens: u32,
     /// The latest time until which a request waits for the adapter, or `None` if it is loaded ahead
@@ -60,7 +60,7 @@
             since: now,
             free_from: now,
             outdated: false,
-            questions: Vec::new(),
+            waiting_requests: Vec::new(),
             waiting_tokens: 0,
             needed_until: None,
             from_store: true,
@@ -74,13 +74,13 @@
         self.state = AdapterStage::Ready;
         self.since = now;
         self.last_used = now;
-        self.take_questions()
+        self.take_waiting_requests()
     }
 
     /// Removes and returns the placement requests that wait for the adapter.
-    pub(crate) fn take_questions(&mut self) -> Vec<u64> {
+    pub(crate) fn take_waiting_requests(&mut self) -> Vec<u64> {
         self.waiting_tokens = 0;
-        std::mem::take(&mut self.questions)
+        std::mem::take(&mut self.waiting_requests)
     }
 
     /// Returns whether new requests may use the adapter.
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -125,8 +125,10 @@
             let in_vain = entry.needed_until.is_some_and(|until| until <= ends_at);
             entry.is_planned() && in_vain
         });
-        let questions: Vec<u64> = unwanted.flat_map(|(_, entry)| entry.questions).collect();
-        self.answer_later(questions, out);
+        let waiting_requests: Vec<u64> = unwanted
+            .flat_map(|(_, entry)| entry.waiting_requests)
+            .collect();
+        self.answer_later(waiting_requests, out);
     }
 
     fn ask_if_due(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -78,8 +78,8 @@
             }
             ModelStep::Load(weights) if self.may_load_model(name, now) => {
                 self.store_loads.push_back(now);
-                let questions = self.drop_adapters(name, out);
-                self.answer_later(questions, out);
+                let waiting_requests = self.drop_adapters(name, out);
+                self.answer_later(waiting_requests, out);
                 (OrderKind::Load, weights)
             }
             ModelStep::GiveUp(_) | ModelStep::Load(_) => return None,
@@ -241,8 +241,8 @@
     ) {
         match (order.kind, answer) {
             (OrderKind::Unload, OrderAnswer::Accepted | OrderAnswer::Done) => {
-                let questions = self.drop_adapters(&order.target, out);
-                self.place_elsewhere(&order.target, questions, now, out);
+                let waiting_requests = self.drop_adapters(&order.target, out);
+                self.place_elsewhere(&order.target, waiting_requests, now, out);
             }
             (OrderKind::Load, OrderAnswer::Accepted) => self.note_load(order, now),
             (OrderKind::Load, OrderAnswer::Done)
@@ -289,15 +289,15 @@
             return Vec::new();
         };
         target.touched = true;
-        let mut questions = Vec::new();
+        let mut waiting_requests = Vec::new();
         for (weights, entry) in std::mem::take(&mut target.adapters) {
             if !entry.is_planned() {
                 target.remembered.note(weights.clone());
             }
-            questions.extend(entry.questions);
+            waiting_requests.extend(entry.waiting_requests);
             out.push(tell(name, &weights, None));
         }
-        questions
+        waiting_requests
     }
 }
 
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -115,7 +115,7 @@
     /// An instance needs a target for a request.
     PlacementRequested {
         /// Identifies the placement request in the answer.
-        question: u64,
+        request_id: u64,
         /// The instance that asks.
         from: InstanceId,
         /// The requirements of the request.
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -52,21 +52,21 @@
     /// took the slots from others that would have been in time.
     pub(super) fn place_or_refuse(
         &mut self,
-        question: u64,
+        request_id: u64,
         pending: PendingPlacement,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
         let Some(candidate) = self.best_target(&pending.request, now) else {
-            return self.answer_later(vec![question], out);
+            return self.answer_later(vec![request_id], out);
         };
         if now + candidate.ready_in > pending.until {
             let retry_in = candidate.ready_in.max(self.cfg.retry_in);
             let later = Placed::Later { retry_in };
-            out.push(ResidencyAction::Answer(question, later));
+            out.push(ResidencyAction::Answer(request_id, later));
             return;
         }
-        self.place(question, pending, &candidate.target, now, out);
+        self.place(request_id, pending, &candidate.target, now, out);
     }
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
@@ -80,7 +80,7 @@
     /// Assigns a target to a request, immediately or once its adapter has been loaded there.
     pub(super) fn place(
         &mut self,
-        question: u64,
+        request_id: u64,
         pending: PendingPlacement,
         name: &TargetName,
         now: Moment,
@@ -90,31 +90,31 @@
         if weights.adapter.is_some() {
             let planned = self.planned(name, weights, now);
             let Some(target) = self.targets.get_mut(name) else {
-                return self.answer_later(vec![question], out);
+                return self.answer_later(vec![request_id], out);
             };
             target.touched = true;
             let entry = target.adapters.entry(weights.clone()).or_insert(planned);
             entry.last_used = now;
             if entry.state != AdapterStage::Ready {
-                entry.questions.push(question);
+                entry.waiting_requests.push(request_id);
                 entry.waiting_tokens += pending.request.prompt_tokens;
                 entry.needed_until = entry.needed_until.max(Some(pending.until));
-                self.pending.insert(question, pending);
+                self.pending.insert(request_id, pending);
                 return;
             }
         }
-        self.answer_at(question, pending, name, now, out);
+        self.answer_at(request_id, pending, name, now, out);
     }
 
     fn answer_at(
         &mut self,
-        question: u64,
+        request_id: u64,
         pending: PendingPlacement,
         target: &TargetName,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let number = GrantNumber(question);
+        let number = GrantNumber(request_id);
         let PendingPlacement { from, request, .. } = pending;
         let adapters = self.targets.get(target).map(|it| &it.adapters);
         let version = adapters
@@ -132,7 +132,7 @@
             target: target.clone(),
             version,
         };
-        out.push(ResidencyAction::Answer(question, placed));
+        out.push(ResidencyAction::Answer(request_id, placed));
     }
 
     /// Answers the requests that waited for an adapter which is now loaded.
@@ -141,18 +141,18 @@
     /// load of the newest was planned.
     pub(super) fn answer_loaded(
         &mut self,
-        questions: Vec<u64>,
+        waiting_requests: Vec<u64>,
         target: &TargetName,
         outdated: bool,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
         if outdated {
-            return self.answer_later(questions, out);
+            return self.answer_later(waiting_requests, out);
         }
-        for question in questions {
-            if let Some(pending) = self.pending.remove(&question) {
-                self.answer_at(question, pending, target, now, out);
+        for request_id in waiting_requests {
+            if let Some(pending) = self.pending.remove(&request_id) {
+                self.answer_at(request_id, pending, target, now, out);
             }
         }
     }
@@ -187,25 +187,29 @@
     pub(super) fn place_elsewhere(
         &mut self,
         failed: &TargetName,
-        questions: Vec<u64>,
+        waiting_requests: Vec<u64>,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        for question in questions {
-            if let Some(mut pending) = self.pending.remove(&question) {
+        for request_id in waiting_requests {
+            if let Some(mut pending) = self.pending.remove(&request_id) {
                 pending.request.avoid.push(failed.clone());
-                self.place_or_refuse(question, pending, now, out);
+                self.place_or_refuse(request_id, pending, now, out);
             }
         }
     }
 
     /// Answers requests that they cannot be placed now.
-    pub(super) fn answer_later(&mut self, questions: Vec<u64>, out: &mut Vec<ResidencyAction>) {
+    pub(super) fn answer_later(
+        &mut self,
+        waiting_requests: Vec<u64>,
+        out: &mut Vec<ResidencyAction>,
+    ) {
         let retry_in = self.cfg.retry_in;
-        for question in questions {
-            self.pending.remove(&question);
+        for request_id in waiting_requests {
+            self.pending.remove(&request_id);
             let later = Placed::Later { retry_in };
-            out.push(ResidencyAction::Answer(question, later));
+            out.push(ResidencyAction::Answer(request_id, later));
         }
     }
 
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -128,14 +128,14 @@
                 self.touch_all();
             }
             ResidencyEvent::PlacementRequested {
-                question,
+                request_id,
                 from,
                 request,
                 within,
             } => {
                 let until = now + self.places_within(&request, within);
                 self.place_or_refuse(
-                    question,
+                    request_id,
                     PendingPlacement {
                         from,
                         request,
@@ -340,7 +340,7 @@
         self.grants.forget_target(name);
         self.remember_lost(&target, now);
         for entry in target.adapters.into_values() {
-            self.place_elsewhere(name, entry.questions, now, out);
+            self.place_elsewhere(name, entry.waiting_requests, now, out);
         }
     }
 
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -44,8 +44,8 @@
                         ));
                         self.orders.push(order);
                     }
-                    ResidencyAction::Answer(question, placed) => {
-                        self.answers.push((question, placed));
+                    ResidencyAction::Answer(request_id, placed) => {
+                        self.answers.push((request_id, placed));
                     }
                     ResidencyAction::Ask(_) | ResidencyAction::Tell(_) => {}
                 }
@@ -73,13 +73,13 @@
         }
     }
 
-    fn want(&mut self, question: u64, name: &str, within_ms: u64) {
-        self.handle(wanted(question, adapter(name), within_ms));
+    fn want(&mut self, request_id: u64, name: &str, within_ms: u64) {
+        self.handle(wanted(request_id, adapter(name), within_ms));
     }
 
-    fn end(&mut self, question: u64) {
+    fn end(&mut self, request_id: u64) {
         self.handle(ResidencyEvent::Progressed(GrantProgress {
-            ended: vec![GrantNumber(question)],
+            ended: vec![GrantNumber(request_id)],
             ..GrantProgress::default()
         }));
     }
@@ -93,13 +93,14 @@
         self.handle(ResidencyEvent::Used(InstanceId::from("i"), uses, grants));
     }
 
-    fn is_placed(&self, question: u64) -> bool {
-        let placed = |it: &(u64, Placed)| it.0 == question && matches!(it.1, Placed::At { .. });
+    fn is_placed(&self, request_id: u64) -> bool {
+        let placed = |it: &(u64, Placed)| it.0 == request_id && matches!(it.1, Placed::At { .. });
         self.answers.iter().any(placed)
     }
 
-    fn is_refused(&self, question: u64) -> bool {
-        let refused = |it: &(u64, Placed)| it.0 == question && matches!(it.1, Placed::Later { .. });
+    fn is_refused(&self, request_id: u64) -> bool {
+        let refused =
+            |it: &(u64, Placed)| it.0 == request_id && matches!(it.1, Placed::Later { .. });
         self.answers.iter().any(refused)
     }
 
@@ -284,7 +285,7 @@
 fn a_long_prompt_needs_its_place_earlier(#[case] prompt_tokens: u32, #[case] refused: bool) {
     let mut places = OnePlace::new();
     let ResidencyEvent::PlacementRequested {
-        question,
+        request_id,
         from,
         request,
         within,
@@ -293,7 +294,7 @@
         panic!("a want");
     };
     places.handle(ResidencyEvent::PlacementRequested {
-        question,
+        request_id,
         from,
         request: PlacementRequest {
             prompt_tokens,
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -191,10 +191,10 @@
                     due.or_default()
                         .push(ResidencyEvent::Reported(target, report));
                 }
-                ResidencyAction::Answer(question, Placed::At { .. }) => {
+                ResidencyAction::Answer(request_id, Placed::At { .. }) => {
                     self.placed += 1;
                     let ended = ResidencyEvent::Progressed(GrantProgress {
-                        ended: vec![GrantNumber(question)],
+                        ended: vec![GrantNumber(request_id)],
                         ..GrantProgress::default()
                     });
                     let due = self.coming.entry(now_ms + IN_USE_MS);
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -84,7 +84,7 @@
     late: Vec<(Moment, TargetName, Order)>,
     out: BTreeMap<TargetName, OrderNumber>,
     open: BTreeSet<u64>,
-    next_question: u64,
+    next_request_id: u64,
     used: BTreeMap<(TargetName, String), u32>,
     told_used_at: BTreeMap<(TargetName, String), Moment>,
     /// The time of the last usage report.
@@ -109,7 +109,7 @@
             late: Vec::new(),
             out: BTreeMap::new(),
             open: BTreeSet::new(),
-            next_question: 0,
+            next_request_id: 0,
             used: BTreeMap::new(),
             told_used_at: BTreeMap::new(),
             told_at: Moment::ZERO,
@@ -221,17 +221,17 @@
                 });
             }
             ResidencyAction::Tell(_) => {}
-            ResidencyAction::Answer(question, placed) => {
+            ResidencyAction::Answer(request_id, placed) => {
                 assert!(
-                    self.open.remove(&question),
-                    "question {question} answered twice"
+                    self.open.remove(&request_id),
+                    "placement request {request_id} answered twice"
                 );
                 if let Placed::At { target, .. } = placed {
                     assert!(
                         self.index(&target).is_some(),
                         "placed at {target}, which is gone"
                     );
-                    self.begin(question, target);
+                    self.begin(request_id, target);
                 }
             }
         }
@@ -344,17 +344,17 @@
     fn apply(&mut self, step: Step) {
         match step {
             Step::Want(n, long) => {
-                let question = self.next_question;
-                self.next_question += 1;
-                self.open.insert(question);
-                self.wants.insert(question, adapter(n).to_string());
+                let request_id = self.next_request_id;
+                self.next_request_id += 1;
+                self.open.insert(request_id);
+                self.wants.insert(request_id, adapter(n).to_string());
                 let lane = if long {
                     Lane::LongPrompt
                 } else {
                     Lane::General
                 };
                 self.event(ResidencyEvent::PlacementRequested {
-                    question,
+                    request_id,
                     from: InstanceId::from("i"),
                     request: PlacementRequest {
                         service: service(),
@@ -391,13 +391,13 @@
 
     /// Begins a granted request. A target that does not hold the adapter, because it has restarted
     /// or the load has not ended, refuses it, and nothing is in flight.
-    fn begin(&mut self, question: u64, target: TargetName) {
-        let adapter = self.wants[&question].clone();
+    fn begin(&mut self, request_id: u64, target: TargetName) {
+        let adapter = self.wants[&request_id].clone();
         let index = self.index(&target).expect("a target that is there");
         if self.real[&index].serves(&adapter) {
-            self.granted.insert(question, (target, adapter));
+            self.granted.insert(request_id, (target, adapter));
         } else {
-            let ended = vec![GrantNumber(question)];
+            let ended = vec![GrantNumber(request_id)];
             self.event(ResidencyEvent::Progressed(GrantProgress {
                 ended,
                 ..GrantProgress::default()
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -57,8 +57,8 @@
 ) {
     let mut residency = planner();
     let mut targets = Vec::new();
-    for question in 0..requests {
-        let actions = residency.handle(wanted(question, adapter("busy"), 2_000), at(600));
+    for request_id in 0..requests {
+        let actions = residency.handle(wanted(request_id, adapter("busy"), 2_000), at(600));
         targets.extend(loads(&actions).into_iter().map(|(_, target, _)| target));
     }
     assert_eq!(targets.len(), more, "{targets:?}");
@@ -70,8 +70,8 @@
 #[test]
 fn prompts_that_have_been_read_keep_no_request_away() {
     let mut residency = planner();
-    for question in 0..12 {
-        residency.handle(wanted(question, adapter("busy"), 2_000), at(600));
+    for request_id in 0..12 {
+        residency.handle(wanted(request_id, adapter("busy"), 2_000), at(600));
     }
     let progress = GrantProgress {
         begun: (0..12).map(GrantNumber).collect(),
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -14,7 +14,7 @@
 use placing::{adapter, at, before_asking, service, target};
 use rstest::rstest;
 
-const QUESTION: u64 = 7;
+const REQUEST_ID: u64 = 7;
 /// The number of requests that a target executes concurrently.
 const SLOTS: u32 = 16;
 
@@ -36,7 +36,7 @@
 
 fn wants(weights: Weights) -> ResidencyEvent {
     ResidencyEvent::PlacementRequested {
-        question: QUESTION,
+        request_id: REQUEST_ID,
         from: InstanceId::from("i"),
         request: PlacementRequest {
             service: service(),
@@ -56,7 +56,7 @@
 
 fn answer(actions: &[ResidencyAction]) -> Option<&Placed> {
     actions.iter().find_map(|action| match action {
-        ResidencyAction::Answer(QUESTION, placed) => Some(placed),
+        ResidencyAction::Answer(REQUEST_ID, placed) => Some(placed),
         _ => None,
     })
 }
@@ -202,7 +202,7 @@
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(460));
     let first = ResidencyEvent::PlacementRequested {
-        question: QUESTION + 1,
+        request_id: REQUEST_ID + 1,
         from: InstanceId::from("i"),
         request: PlacementRequest {
             service: service(),
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -176,7 +176,7 @@
 
     fn want(&mut self, name: &str) {
         self.handle(ResidencyEvent::PlacementRequested {
-            question: self.now,
+            request_id: self.now,
             from: InstanceId::from("i"),
             request: PlacementRequest {
                 service: service(),
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -101,7 +101,7 @@
     sites: Vec<Site>,
     now_ms: u64,
     versions: BTreeMap<String, u64>,
-    next_question: u64,
+    next_request_id: u64,
     open: Vec<(GrantNumber, Moment)>,
     answers: Vec<(Moment, ResidencyEvent)>,
     late: Vec<(Moment, Order)>,
@@ -132,7 +132,7 @@
             sites: vec![site; TARGETS],
             now_ms: 0,
             versions: BTreeMap::from([("base".to_owned(), FIRST)]),
-            next_question: 0,
+            next_request_id: 0,
             open: Vec::new(),
             answers: Vec::new(),
             late: Vec::new(),
@@ -196,16 +196,16 @@
                     let report = ResidencyEvent::Reported(name, report);
                     self.answers.push((now + Duration::from_millis(2), report));
                 }
-                ResidencyAction::Answer(question, placed) => self.answered(question, placed),
+                ResidencyAction::Answer(request_id, placed) => self.answered(request_id, placed),
                 ResidencyAction::Tell(_) => {}
             }
         }
     }
 
     fn ask(&mut self, weights: &Weights) {
-        self.next_question += 1;
+        self.next_request_id += 1;
         self.handle(ResidencyEvent::PlacementRequested {
-            question: self.next_question,
+            request_id: self.next_request_id,
             from: InstanceId::from("i"),
             request: PlacementRequest {
                 service: service(),
@@ -219,14 +219,14 @@
         });
     }
 
-    fn answered(&mut self, question: u64, placed: Placed) {
+    fn answered(&mut self, request_id: u64, placed: Placed) {
         let now = self.now();
         match placed {
             Placed::At { target: name, .. } => {
                 let site = &mut self.sites[index(&name)];
                 site.runs.push(now + RUNS_FOR);
                 let version = site.real.version;
-                self.open.push((GrantNumber(question), now + RUNS_FOR));
+                self.open.push((GrantNumber(request_id), now + RUNS_FOR));
                 self.placed.push(PlacedAt { at: now, version });
             }
             Placed::Later { .. } => self.refused.push((self.now_ms, placed)),
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -74,9 +74,9 @@
 }
 
 /// A placement request of instance `i` for an adapter, which waits for `within_ms` milliseconds.
-pub(crate) fn wanted(question: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
+pub(crate) fn wanted(request_id: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
     ResidencyEvent::PlacementRequested {
-        question,
+        request_id,
         from: InstanceId::from("i"),
         request: PlacementRequest {
             service: service(),
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -70,7 +70,7 @@
                     return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
                 };
                 let wanted = |question| ResidencyEvent::PlacementRequested {
-                    question,
+                    request_id: question,
                     from,
                     request: want,
                     within,
