--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -44,8 +44,9 @@
 };
 pub use rank::{TargetTable, rank_targets};
 pub use residency::{
-    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, Placed, PlacementRequest,
-    ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner, TargetReport, Use,
+    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, PlacementRequest,
+    PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
+    TargetReport, Use,
 };
 pub use retry::{
     Admission, Backoff, BackoffConfig, Breaker, BreakerConfig, BreakerState, BreakerTicket,
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -30,7 +30,8 @@
 pub use grants::{GrantNumber, GrantProgress};
 pub use learnt::Learnt;
 pub use order::{
-    Order, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent, TargetReport, Use,
+    Order, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction, ResidencyEvent,
+    TargetReport, Use,
 };
 pub use placement::PlacementRequest;
 pub use planner::ResidencyPlanner;
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -84,7 +84,7 @@
 
 /// The result of a placement request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Placed {
+pub enum PlacementResult {
     /// A target holds the adapter now. The request may be sent there, and counts as in flight until
     /// its end is reported; the grant has the number of the placement request.
     At {
@@ -153,5 +153,5 @@
     /// Notify all instances about an adapter on a target.
     Tell(AdapterHolding),
     /// Answer a placement request.
-    Answer(u64, Placed),
+    Answer(u64, PlacementResult),
 }
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -7,7 +7,7 @@
 
 use super::grants::GrantNumber;
 use super::hold::{AdapterEntry, AdapterStage};
-use super::order::{Placed, ResidencyAction};
+use super::order::{PlacementResult, ResidencyAction};
 use super::planner::ResidencyPlanner;
 use super::target::OrderState;
 use crate::dispatch::{AdapterHolding, Lane, Weights};
@@ -62,7 +62,7 @@
         };
         if now + candidate.ready_in > pending.until {
             let retry_in = candidate.ready_in.max(self.cfg.retry_in);
-            let later = Placed::Later { retry_in };
+            let later = PlacementResult::Later { retry_in };
             out.push(ResidencyAction::Answer(request_id, later));
             return;
         }
@@ -128,7 +128,7 @@
             request.prompt_tokens,
             now,
         );
-        let placed = Placed::At {
+        let placed = PlacementResult::At {
             target: target.clone(),
             version,
         };
@@ -208,7 +208,7 @@
         let retry_in = self.cfg.retry_in;
         for request_id in waiting_requests {
             self.pending.remove(&request_id);
-            let later = Placed::Later { retry_in };
+            let later = PlacementResult::Later { retry_in };
             out.push(ResidencyAction::Answer(request_id, later));
         }
     }
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, WaitReason, Weights,
+    Choice, Dispatch, DispatchConfig, Lane, PlacementResult, TargetRequirements, WaitReason,
+    Weights,
 };
 use chervilshunt_model::ZoneName;
 use model_updates::{
@@ -88,7 +89,7 @@
     let late = replay.placed.iter().filter(|it| it.at >= bound);
     let outdated = late.clone().filter(|it| it.version != Some(SECOND)).count();
     assert_eq!((outdated, late.count() > 0), (0, true));
-    let refused = |placed: &Placed| matches!(placed, Placed::Later { .. });
+    let refused = |placed: &PlacementResult| matches!(placed, PlacementResult::Later { .. });
     assert!(replay.refused.iter().all(|(_, placed)| refused(placed)));
 }
 
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -4,7 +4,7 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, Placed, PlacementRequest,
+    GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, PlacementRequest, PlacementResult,
     ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, Use, Weights,
 };
 use chervilshunt_model::InstanceId;
@@ -16,7 +16,7 @@
     residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
-    answers: Vec<(u64, Placed)>,
+    answers: Vec<(u64, PlacementResult)>,
 }
 
 impl OnePlace {
@@ -94,13 +94,16 @@
     }
 
     fn is_placed(&self, request_id: u64) -> bool {
-        let placed = |it: &(u64, Placed)| it.0 == request_id && matches!(it.1, Placed::At { .. });
+        let placed = |it: &(u64, PlacementResult)| {
+            it.0 == request_id && matches!(it.1, PlacementResult::At { .. })
+        };
         self.answers.iter().any(placed)
     }
 
     fn is_refused(&self, request_id: u64) -> bool {
-        let refused =
-            |it: &(u64, Placed)| it.0 == request_id && matches!(it.1, Placed::Later { .. });
+        let refused = |it: &(u64, PlacementResult)| {
+            it.0 == request_id && matches!(it.1, PlacementResult::Later { .. })
+        };
         self.answers.iter().any(refused)
     }
 
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, LoadedModel, ModelSpec, Order, OrderAnswer, OrderKind, Placed,
-    PlacementLimits, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
-    TargetFacts, TargetReport, Weights,
+    GrantNumber, GrantProgress, LoadedModel, ModelSpec, Order, OrderAnswer, OrderKind,
+    PlacementLimits, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, TargetReport, Weights,
 };
 use chervilshunt_model::{Moment, TargetName, ZoneName};
 use placing::{service, wanted};
@@ -191,7 +191,7 @@
                     due.or_default()
                         .push(ResidencyEvent::Reported(target, report));
                 }
-                ResidencyAction::Answer(request_id, Placed::At { .. }) => {
+                ResidencyAction::Answer(request_id, PlacementResult::At { .. }) => {
                     self.placed += 1;
                     let ended = ResidencyEvent::Progressed(GrantProgress {
                         ended: vec![GrantNumber(request_id)],
@@ -200,7 +200,8 @@
                     let due = self.coming.entry(now_ms + IN_USE_MS);
                     due.or_default().push(ended);
                 }
-                ResidencyAction::Answer(_, Placed::Later { .. }) | ResidencyAction::Tell(_) => {}
+                ResidencyAction::Answer(_, PlacementResult::Later { .. })
+                | ResidencyAction::Tell(_) => {}
             }
         }
     }
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -15,8 +15,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedModel, Order, OrderAnswer, OrderKind, OrderNumber,
-    Placed, PlacementRequest, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
-    TargetFacts, TargetStart, Use, Weights,
+    PlacementRequest, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, TargetStart, Use, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
@@ -226,7 +226,7 @@
                     self.open.remove(&request_id),
                     "placement request {request_id} answered twice"
                 );
-                if let Placed::At { target, .. } = placed {
+                if let PlacementResult::At { target, .. } = placed {
                     assert!(
                         self.index(&target).is_some(),
                         "placed at {target}, which is gone"
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -9,8 +9,8 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent,
-    ResidencyPlanner, Weights,
+    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction,
+    ResidencyEvent, ResidencyPlanner, Weights,
 };
 use chervilshunt_model::TargetName;
 use placing::{adapter, at, before_asking, facts, reported, target, wanted};
@@ -40,7 +40,7 @@
 
 fn placed_at(actions: &[ResidencyAction]) -> Option<&TargetName> {
     actions.iter().find_map(|action| match action {
-        ResidencyAction::Answer(_, Placed::At { target, .. }) => Some(target),
+        ResidencyAction::Answer(_, PlacementResult::At { target, .. }) => Some(target),
         _ => None,
     })
 }
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, OrderAnswer, OrderKind, OrderNumber, Placed, PlacementRequest, ResidencyAction,
+    Lane, OrderAnswer, OrderKind, OrderNumber, PlacementRequest, PlacementResult, ResidencyAction,
     ResidencyEvent, ResidencyPlanner, Use, Weights,
 };
 use chervilshunt_model::{InstanceId, ZoneName};
@@ -54,7 +54,7 @@
     placing::reported(0, adapters)
 }
 
-fn answer(actions: &[ResidencyAction]) -> Option<&Placed> {
+fn answer(actions: &[ResidencyAction]) -> Option<&PlacementResult> {
     actions.iter().find_map(|action| match action {
         ResidencyAction::Answer(REQUEST_ID, placed) => Some(placed),
         _ => None,
@@ -80,7 +80,7 @@
     assert_eq!(answer(&actions), None);
     let actions = residency.handle(reported(vec![(adapter("a1"), 1)]), at(470));
     assert!(
-        !matches!(answer(&actions), Some(Placed::At { .. })),
+        !matches!(answer(&actions), Some(PlacementResult::At { .. })),
         "{actions:?}"
     );
 }
@@ -99,7 +99,7 @@
     let done = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Done);
     let actions = residency.handle(done, look);
     assert!(
-        matches!(answer(&actions), Some(Placed::Later { .. })),
+        matches!(answer(&actions), Some(PlacementResult::Later { .. })),
         "{actions:?}"
     );
 }
@@ -220,7 +220,7 @@
     assert_eq!(residency.next_wakeup(), Some(at(1_250)));
     let actions = residency.handle(ResidencyEvent::Tick, at(1_250));
     assert!(
-        matches!(answer(&actions), Some(Placed::Later { .. })),
+        matches!(answer(&actions), Some(PlacementResult::Later { .. })),
         "{actions:?}"
     );
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -7,7 +7,7 @@
 
 use chervilshunt_core::{
     AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
-    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, Placed, PlacementRequest,
+    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, PlacementRequest, PlacementResult,
     ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport,
     TargetRequirements, TargetStart, Use, Weights,
 };
@@ -136,7 +136,7 @@
     residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
-    answers: Vec<Placed>,
+    answers: Vec<PlacementResult>,
     asked: bool,
 }
 
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -16,8 +16,8 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind,
-    Placed, PlacementRequest, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
-    TargetFacts, Weights,
+    PlacementRequest, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::limits;
@@ -112,7 +112,7 @@
     /// The number of orders to unload a base model.
     pub(crate) given_up: usize,
     pub(crate) placed: Vec<PlacedAt>,
-    pub(crate) refused: Vec<(u64, Placed)>,
+    pub(crate) refused: Vec<(u64, PlacementResult)>,
     /// The highest number of targets that accepted no requests at the same time.
     pub(crate) most_away: usize,
 }
@@ -219,17 +219,17 @@
         });
     }
 
-    fn answered(&mut self, request_id: u64, placed: Placed) {
+    fn answered(&mut self, request_id: u64, placed: PlacementResult) {
         let now = self.now();
         match placed {
-            Placed::At { target: name, .. } => {
+            PlacementResult::At { target: name, .. } => {
                 let site = &mut self.sites[index(&name)];
                 site.runs.push(now + RUNS_FOR);
                 let version = site.real.version;
                 self.open.push((GrantNumber(request_id), now + RUNS_FOR));
                 self.placed.push(PlacedAt { at: now, version });
             }
-            Placed::Later { .. } => self.refused.push((self.now_ms, placed)),
+            PlacementResult::Later { .. } => self.refused.push((self.now_ms, placed)),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -7,8 +7,8 @@
 
 use chervilshunt_coord::era_of_term;
 use chervilshunt_core::{
-    GrantNumber, Order, OrderAnswer, Placed, ResidencyAction, ResidencyConfig, ResidencyEvent,
-    ResidencyPlanner, TargetReport, Use,
+    GrantNumber, Order, OrderAnswer, PlacementResult, ResidencyAction, ResidencyConfig,
+    ResidencyEvent, ResidencyPlanner, TargetReport, Use,
 };
 use chervilshunt_engine::{EngineError, Limits, Outcome};
 use chervilshunt_mesh::{Peer, Reply};
@@ -241,7 +241,7 @@
         self.plan(wanted(question));
     }
 
-    fn answer(&mut self, question: u64, placed: Placed) {
+    fn answer(&mut self, question: u64, placed: PlacementResult) {
         let reply = self.placer.as_mut();
         let reply = reply.and_then(|placer| placer.questions.remove(&question));
         if let Some(reply) = reply
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -5,8 +5,8 @@
 
 use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
 use chervilshunt_core::{
-    Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, PlacementRequest, StoredCrashes,
-    TargetFacts, TargetSnapshot, TargetStart, Use, Weights,
+    Fingerprint, GrantNumber, GrantProgress, Learnt, PlacementRequest, PlacementResult,
+    StoredCrashes, TargetFacts, TargetSnapshot, TargetStart, Use, Weights,
 };
 use chervilshunt_mesh::Purpose;
 use chervilshunt_model::{InstanceId, StoreRevision, TargetName};
@@ -41,7 +41,7 @@
     Want(PlacementRequest, Duration),
     /// From the placer: where the request may be sent, as a grant of that number.
     #[serde(rename = "p")]
-    Placed(Placed, GrantNumber),
+    Placed(PlacementResult, GrantNumber),
     /// To the placer: how far the sender has come with its grants.
     #[serde(rename = "g")]
     Progress(GrantProgress),
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    AdapterHolding, Choice, Lane, Placed, PlacementRequest, TargetRequirements, WaitReason, Weights,
+    AdapterHolding, Choice, Lane, PlacementRequest, PlacementResult, TargetRequirements,
+    WaitReason, Weights,
 };
 use chervilshunt_model::TargetName;
 
@@ -221,14 +222,14 @@
             .mesh
             .request(&placer, message, patience + ANSWER_MARGIN);
         match self.unless_silent(answer).await {
-            Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
+            Some(Ok(PeerMessage::Placed(PlacementResult::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
                 self.heard();
                 self.report_placement("placed", Some(&target));
                 self.note_holder(&target, version);
                 Ok(self.at_target(target, grant))
             }
-            Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
+            Some(Ok(PeerMessage::Placed(PlacementResult::Later { retry_in }, _))) => {
                 self.heard();
                 self.report_placement("no room", None);
                 Err(Refusal::retry_after(Reason::NotPlaced, retry_in))
