--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -44,7 +44,7 @@
 };
 pub use rank::{TargetTable, rank_targets};
 pub use residency::{
-    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, PlacementRequest,
+    GrantNumber, GrantProgress, LoadEstimates, Order, OrderAnswer, OrderNumber, PlacementRequest,
     PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
     TargetReport, Use,
 };
--- a/crates/chervilshunt_core/src/residency/learnt.rs
+++ b/crates/chervilshunt_core/src/residency/estimates.rs
@@ -11,7 +11,7 @@
 /// The estimates are therefore sent to all instances, any of which may become the next placer. They
 /// are only initial values: where they are wrong, the next rounds of loads correct them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Learnt {
+pub struct LoadEstimates {
     /// The duration of a load from the weight store at full speed.
     #[serde(rename = "t")]
     pub load_time: Duration,
--- a/crates/chervilshunt_core/src/residency/memory.rs
+++ b/crates/chervilshunt_core/src/residency/memory.rs
@@ -37,7 +37,7 @@
     }
 
     /// Starts with the estimate of another placer.
-    pub(crate) fn begin_with(kept: usize) -> Self {
+    pub(crate) fn start_with(kept: usize) -> Self {
         Self(kept.max(FEWEST))
     }
 
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -10,10 +10,10 @@
 mod answers;
 mod choice;
 mod config;
+mod estimates;
 mod grants;
 mod hold;
 mod lanes;
-mod learnt;
 mod loads;
 mod memory;
 mod models;
@@ -27,8 +27,8 @@
 mod window;
 
 pub use config::ResidencyConfig;
+pub use estimates::LoadEstimates;
 pub use grants::{GrantNumber, GrantProgress};
-pub use learnt::Learnt;
 pub use order::{
     Order, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction, ResidencyEvent,
     TargetReport, Use,
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -9,10 +9,10 @@
 use indexmap::IndexMap;
 
 use super::config::ResidencyConfig;
+use super::estimates::LoadEstimates;
 use super::grants::{GrantNumber, Grants};
 use super::hold::AdapterStage;
 use super::lanes::LaneSwitch;
-use super::learnt::Learnt;
 use super::memory::MemorySize;
 use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
 use super::pace::ReadingPace;
@@ -98,9 +98,9 @@
     }
 
     /// Returns this planner's estimates, or `None` while it has none.
-    pub fn learnt(&self) -> Option<Learnt> {
-        let (load_time, loads_at_once) = self.window.learnt()?;
-        Some(Learnt {
+    pub fn estimates(&self) -> Option<LoadEstimates> {
+        let (load_time, loads_at_once) = self.window.estimates()?;
+        Some(LoadEstimates {
             load_time,
             loads_at_once,
             kept_in_memory: u32::try_from(self.memory.get()).unwrap_or(u32::MAX),
@@ -108,10 +108,10 @@
     }
 
     /// Starts with the estimates of another planner.
-    pub fn begin_with(&mut self, learnt: Learnt) {
+    pub fn start_with(&mut self, estimates: LoadEstimates) {
         self.window
-            .begin_with(learnt.load_time, learnt.loads_at_once);
-        self.memory = MemorySize::begin_with(learnt.kept_in_memory as usize);
+            .start_with(estimates.load_time, estimates.loads_at_once);
+        self.memory = MemorySize::start_with(estimates.kept_in_memory as usize);
     }
 
     /// Processes one event and returns the actions to perform.
--- a/crates/chervilshunt_core/src/residency/window.rs
+++ b/crates/chervilshunt_core/src/residency/window.rs
@@ -66,13 +66,13 @@
 
     /// Returns the duration of a load at full speed and the number of loads that the store serves
     /// at that speed, once known.
-    pub(crate) fn learnt(&self) -> Option<(Duration, u32)> {
+    pub(crate) fn estimates(&self) -> Option<(Duration, u32)> {
         let load_time = self.usual?;
         (!self.doubles).then_some((load_time, self.size as u32))
     }
 
     /// Starts with the estimates of another placer.
-    pub(crate) fn begin_with(&mut self, load_time: Duration, loads_at_once: u32) {
+    pub(crate) fn start_with(&mut self, load_time: Duration, loads_at_once: u32) {
         self.usual = Some(load_time);
         self.size = f64::from(loads_at_once).clamp(FEWEST, MOST);
         self.doubles = false;
@@ -92,7 +92,7 @@
     /// progress.
     pub(crate) fn ended(&mut self, took: Duration, under_way: usize, now: Moment) {
         let Some(usual) = self.usual else {
-            return self.learn(took);
+            return self.add_sample(took);
         };
         // A load that began before the window was last cut was slowed down by loads that no longer
         // run.
@@ -132,7 +132,7 @@
         }
     }
 
-    fn learn(&mut self, took: Duration) {
+    fn add_sample(&mut self, took: Duration) {
         self.samples.push(took);
         if self.samples.len() == SAMPLES {
             self.samples.sort_unstable();
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -365,9 +365,9 @@
     };
     let mut first = Replay::new(overloaded);
     first.pass(SECONDS);
-    let learnt = first.residency.learnt().expect("it has learnt the pace");
+    let estimates = first.residency.estimates().expect("it has learnt the pace");
     let mut next = Replay::new(load);
-    next.residency.begin_with(learnt);
+    next.residency.start_with(estimates);
     next.pass(1);
     let mut unaware = Replay::new(load);
     unaware.pass(1);
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chervilshunt_coord::{SoleAction, SoleConfig, SoleEvent, SoleKeeper, SoleWritten};
-use chervilshunt_core::{Learnt, ResidencyEvent, ResidencyPlanner, Weights};
+use chervilshunt_core::{LoadEstimates, ResidencyEvent, ResidencyPlanner, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
 use chervilshunt_platform::Exchange;
@@ -63,7 +63,7 @@
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
     /// What placers have learnt by trying.
-    pub(super) learnt: Option<Learnt>,
+    pub(super) learnt: Option<LoadEstimates>,
     /// The instances that may read the platform's objects for this one, while it is the placer.
     pub(super) helpers: watch::Sender<Vec<Peer>>,
     /// What was seen of the platform, as the placer tells it.
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -52,7 +52,7 @@
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
         let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), now);
         if let Some(learnt) = self.learnt {
-            residency.begin_with(learnt);
+            residency.start_with(learnt);
         }
         self.placer = Some(Placer {
             residency,
@@ -196,7 +196,7 @@
         let placer = self.placer.as_ref()?;
         Some(PeerMessage::Placing {
             knows_targets: placer.residency.knows_targets(),
-            learnt: placer.residency.learnt().or(self.learnt),
+            learnt: placer.residency.estimates().or(self.learnt),
             instances: placer.presence.count(),
             platform: self.feed.view(now),
             lease: self.keeper.held(),
@@ -220,7 +220,7 @@
     pub(super) fn take_own_placing(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
-            self.learnt = placer.residency.learnt().or(self.learnt);
+            self.learnt = placer.residency.estimates().or(self.learnt);
             self.take_placing(knows_targets, placer.presence.count());
         }
     }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
 use chervilshunt_core::{
-    Fingerprint, GrantNumber, GrantProgress, Learnt, PlacementRequest, PlacementResult,
+    Fingerprint, GrantNumber, GrantProgress, LoadEstimates, PlacementRequest, PlacementResult,
     StoredCrashes, TargetFacts, TargetSnapshot, TargetStart, Use, Weights,
 };
 use chervilshunt_mesh::Purpose;
@@ -63,7 +63,7 @@
         knows_targets: bool,
         /// What it has learnt by trying, for the next placer.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-        learnt: Option<Learnt>,
+        learnt: Option<LoadEstimates>,
         /// Instances that the placer hears of.
         #[serde(rename = "i")]
         instances: u32,
