--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -14,7 +14,7 @@
 use super::load::TargetLoad;
 use super::self_reports::ReportedLeaving;
 use super::uses::UseTable;
-use crate::residency::Use;
+use crate::residency::TargetUse;
 
 /// The time without a message after which the placer is considered unreachable.
 const PLACER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
@@ -378,7 +378,7 @@
     }
 
     /// Returns everything used since the last call, with the current number of requests in flight.
-    pub fn report_uses(&mut self) -> Vec<Use> {
+    pub fn report_uses(&mut self) -> Vec<TargetUse> {
         self.uses.report()
     }
 
--- a/crates/chervilshunt_core/src/dispatch/uses.rs
+++ b/crates/chervilshunt_core/src/dispatch/uses.rs
@@ -5,7 +5,7 @@
 use chervilshunt_model::TargetName;
 
 use super::facts::Weights;
-use crate::residency::Use;
+use crate::residency::TargetUse;
 
 /// Requests in flight by target and weights, including entries used since the last report.
 #[derive(Debug, Default)]
@@ -37,12 +37,15 @@
     }
 
     /// Returns everything used since the last call, and removes entries without requests in flight.
-    pub(crate) fn report(&mut self) -> Vec<Use> {
-        let uses = self.in_flight.iter().map(|((target, weights), count)| Use {
-            target: target.clone(),
-            weights: weights.clone(),
-            in_flight: *count,
-        });
+    pub(crate) fn report(&mut self) -> Vec<TargetUse> {
+        let uses = self
+            .in_flight
+            .iter()
+            .map(|((target, weights), count)| TargetUse {
+                target: target.clone(),
+                weights: weights.clone(),
+                in_flight: *count,
+            });
         let uses = uses.collect();
         self.in_flight.retain(|_, count| *count > 0);
         uses
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -46,7 +46,7 @@
 pub use residency::{
     GrantNumber, GrantProgress, LoadEstimates, Order, OrderAnswer, OrderNumber, PlacementRequest,
     PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
-    TargetReport, Use,
+    TargetReport, TargetUse,
 };
 pub use retry::{
     Admission, Backoff, BackoffConfig, Breaker, BreakerConfig, BreakerState, BreakerTicket,
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -13,7 +13,7 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName};
 use serde::{Deserialize, Serialize};
 
-use super::order::Use;
+use super::order::TargetUse;
 use super::planner::ResidencyPlanner;
 use crate::dispatch::Weights;
 
@@ -152,15 +152,15 @@
     pub(super) fn uses_beside_grants(
         &mut self,
         holder: &InstanceId,
-        mut uses: Vec<Use>,
+        mut uses: Vec<TargetUse>,
         told: &[GrantNumber],
         now: Moment,
-    ) -> Vec<Use> {
+    ) -> Vec<TargetUse> {
         let told: HashSet<GrantNumber> = told.iter().copied().collect();
         let mut lost = Vec::new();
         for (number, grant) in self.grants.of(holder) {
             if told.contains(&number) {
-                let same = |it: &&mut Use| {
+                let same = |it: &&mut TargetUse| {
                     it.target == grant.target && it.weights.as_ref() == Some(&grant.weights)
                 };
                 if let Some(it) = uses.iter_mut().find(same) {
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -31,7 +31,7 @@
 pub use grants::{GrantNumber, GrantProgress};
 pub use order::{
     Order, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction, ResidencyEvent,
-    TargetReport, Use,
+    TargetReport, TargetUse,
 };
 pub use placement::PlacementRequest;
 pub use planner::ResidencyPlanner;
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -70,7 +70,7 @@
 
 /// The requests that one instance has in flight with an adapter at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct TargetUse {
     /// The name of the target.
     #[serde(rename = "t")]
     pub target: TargetName,
@@ -124,7 +124,7 @@
         within: Duration,
     },
     /// Everything that one instance has in flight, and the grants that are included in it.
-    Used(InstanceId, Vec<Use>, Vec<GrantNumber>),
+    Used(InstanceId, Vec<TargetUse>, Vec<GrantNumber>),
     /// The progress of granted requests.
     Progressed(GrantProgress),
     /// An instance is gone, together with the requests that it had in flight.
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -14,7 +14,7 @@
 use super::hold::AdapterStage;
 use super::lanes::LaneSwitch;
 use super::memory::MemorySize;
-use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
+use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, TargetUse};
 use super::pace::ReadingPace;
 use super::placement::PendingPlacement;
 use super::restart::LostLoads;
@@ -59,7 +59,7 @@
     /// Loads that may be ordered now; the others wait for a load in progress to end.
     pub(super) admitted: HashSet<(TargetName, Weights)>,
     /// The last usage report of each instance.
-    pub(super) uses: HashMap<InstanceId, Vec<Use>>,
+    pub(super) uses: HashMap<InstanceId, Vec<TargetUse>>,
     next_order: u64,
     knows_targets: bool,
     /// The time from which the first targets are queried.
@@ -350,7 +350,13 @@
         self.uses.remove(from);
     }
 
-    fn used(&mut self, from: &InstanceId, uses: Vec<Use>, grants: &[GrantNumber], now: Moment) {
+    fn used(
+        &mut self,
+        from: &InstanceId,
+        uses: Vec<TargetUse>,
+        grants: &[GrantNumber],
+        now: Moment,
+    ) {
         let uses = self.uses_beside_grants(from, uses, grants, now);
         for before in self.uses.get(from).into_iter().flatten() {
             if let Some(target) = self.targets.get_mut(&before.target) {
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -5,7 +5,7 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Order, OrderAnswer, OrderKind, PlacementRequest, PlacementResult,
-    ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, Use, Weights,
+    ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, TargetUse, Weights,
 };
 use chervilshunt_model::InstanceId;
 use placing::{adapter, at, before_asking, reported, target, wanted};
@@ -85,7 +85,7 @@
     }
 
     fn tells(&mut self, in_flight: u32, grants: Vec<GrantNumber>) {
-        let uses = vec![Use {
+        let uses = vec![TargetUse {
             target: target(0),
             weights: Some(adapter("a1")),
             in_flight,
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -16,7 +16,7 @@
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedModel, Order, OrderAnswer, OrderKind, OrderNumber,
     PlacementRequest, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
-    ResidencyPlanner, TargetFacts, TargetStart, Use, Weights,
+    ResidencyPlanner, TargetFacts, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
@@ -427,11 +427,13 @@
         for key in self.granted.values() {
             *counts.entry(key.clone()).or_default() += 1;
         }
-        let uses = counts.iter().map(|((target, weights), in_flight)| Use {
-            target: target.clone(),
-            weights: Some(weights_of(weights)),
-            in_flight: *in_flight,
-        });
+        let uses = counts
+            .iter()
+            .map(|((target, weights), in_flight)| TargetUse {
+                target: target.clone(),
+                weights: Some(weights_of(weights)),
+                in_flight: *in_flight,
+            });
         let uses = uses.collect();
         let grants = self.granted.keys().copied().map(GrantNumber).collect();
         self.event(ResidencyEvent::Used(InstanceId::from("i"), uses, grants));
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -8,7 +8,7 @@
 
 use chervilshunt_core::{
     Lane, OrderAnswer, OrderKind, OrderNumber, PlacementRequest, PlacementResult, ResidencyAction,
-    ResidencyEvent, ResidencyPlanner, Use, Weights,
+    ResidencyEvent, ResidencyPlanner, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, ZoneName};
 use placing::{adapter, at, before_asking, service, target};
@@ -234,7 +234,7 @@
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(placing::reported(0, vec![(adapter("a1"), 1)]), at(453));
     residency.handle(placing::reported(1, vec![]), at(453));
-    let uses = vec![Use {
+    let uses = vec![TargetUse {
         target: target(0),
         weights: Some(adapter("a1")),
         in_flight: 1,
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -9,7 +9,7 @@
     AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
     LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, PlacementRequest, PlacementResult,
     ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport,
-    TargetRequirements, TargetStart, Use, Weights,
+    TargetRequirements, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -289,7 +289,7 @@
         assert!(planning.load(name), "{name}");
     }
     // While in use, none of them can be evicted.
-    let uses = ["b1", "b2", "b3"].map(|name| Use {
+    let uses = ["b1", "b2", "b3"].map(|name| TargetUse {
         target: target(0),
         weights: Some(adapter(name)),
         in_flight: 1,
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -8,7 +8,7 @@
 use chervilshunt_coord::era_of_term;
 use chervilshunt_core::{
     GrantNumber, Order, OrderAnswer, PlacementResult, ResidencyAction, ResidencyConfig,
-    ResidencyEvent, ResidencyPlanner, TargetReport, Use,
+    ResidencyEvent, ResidencyPlanner, TargetReport, TargetUse,
 };
 use chervilshunt_engine::{EngineError, Limits, Outcome};
 use chervilshunt_mesh::{Peer, Reply};
@@ -171,7 +171,7 @@
         &mut self,
         from: &InstanceId,
         sign: SignOfLife,
-        (uses, grants): (Vec<Use>, Vec<GrantNumber>),
+        (uses, grants): (Vec<TargetUse>, Vec<GrantNumber>),
     ) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -6,7 +6,7 @@
 use chervilshunt_coord::{HeldLease, SeenRecord, SoleRecord, SoleWritten};
 use chervilshunt_core::{
     Fingerprint, GrantNumber, GrantProgress, LoadEstimates, PlacementRequest, PlacementResult,
-    StoredCrashes, TargetFacts, TargetSnapshot, TargetStart, Use, Weights,
+    StoredCrashes, TargetFacts, TargetSnapshot, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_mesh::Purpose;
 use chervilshunt_model::{InstanceId, StoreRevision, TargetName};
@@ -31,7 +31,7 @@
         processor_share: f32,
         /// What it has under way.
         #[serde(rename = "u")]
-        uses: Vec<Use>,
+        uses: Vec<TargetUse>,
         /// The grants that are part of it.
         #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
         grants: Vec<GrantNumber>,
