--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -79,7 +79,7 @@
 
     /// Returns the expected time to first token at a target plus penalties, in milliseconds.
     fn score(&self, target: &TargetState, request: &PlacementRequest, readiness: Readiness) -> f64 {
-        let read_before = self.pace.millis(target.backlog());
+        let read_before = self.prefill_rate.millis(target.backlog());
         let ready_in = millis(readiness.ready_in);
         // Prefill continues during a load, but a target that has to do both is more likely to be
         // late.
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -62,7 +62,7 @@
     pub(crate) target: TargetName,
     pub(crate) weights: Weights,
     /// The prompt tokens of the request that still await prefill.
-    pub(crate) reading: u32,
+    pub(crate) prefill_tokens: u32,
     given_at: Moment,
 }
 
@@ -103,7 +103,7 @@
             holder,
             target: target.clone(),
             weights,
-            reading: tokens,
+            prefill_tokens: tokens,
             given_at: now,
         };
         self.grants.open.insert(number, grant);
@@ -129,11 +129,11 @@
         let Some(grant) = self.grants.open.get_mut(&number) else {
             return;
         };
-        let tokens = std::mem::take(&mut grant.reading);
+        let tokens = std::mem::take(&mut grant.prefill_tokens);
         let given_at = grant.given_at;
         if let Some(target) = self.targets.get_mut(&grant.target) {
-            let read_for = target.has_read(tokens, given_at, now);
-            self.pace.read(tokens, read_for);
+            let took = target.prefill_completed(tokens, given_at, now);
+            self.prefill_rate.record(tokens, took);
         }
     }
 
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -72,7 +72,8 @@
     /// Returns how long a request may wait for placement if its first token is due within `within`,
     /// which leaves time for its prefill.
     pub(super) fn places_within(&self, request: &PlacementRequest, within: Duration) -> Duration {
-        let reading = Duration::from_secs_f64(self.pace.millis(request.prompt_tokens) / 1e3);
+        let reading =
+            Duration::from_secs_f64(self.prefill_rate.millis(request.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
         left.max(within.mul_f64(LEAST_PLACING_SHARE))
     }
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -15,8 +15,8 @@
 use super::lanes::LaneSwitch;
 use super::memory::MemorySize;
 use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, TargetUse};
-use super::pace::ReadingPace;
 use super::placement::PendingPlacement;
+use super::prefill_rate::PrefillRate;
 use super::restart::LostLoads;
 use super::target::{OrderState, Summary, TargetState};
 use super::window::LoadWindow;
@@ -49,7 +49,7 @@
     pub(super) store_loads: VecDeque<Moment>,
     pub(super) window: LoadWindow,
     pub(super) memory: MemorySize,
-    pub(super) pace: ReadingPace,
+    pub(super) prefill_rate: PrefillRate,
     pub(super) lanes: LaneSwitch,
     pub(super) grants: Grants,
     /// The placement requests that wait for a load to end.
@@ -85,7 +85,7 @@
             store_loads: VecDeque::new(),
             window: LoadWindow::new(),
             memory: MemorySize::default(),
-            pace: ReadingPace::default(),
+            prefill_rate: PrefillRate::default(),
             lanes: LaneSwitch::default(),
             grants: Grants::default(),
             pending: HashMap::new(),
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -65,9 +65,9 @@
     grants: HashMap<Weights, u32>,
     granted: u32,
     /// The prompt tokens of granted requests that still await prefill.
-    reading: u32,
+    prefill_tokens: u32,
     /// When the prefill of a prompt last completed at this target.
-    last_read: Moment,
+    last_prefill: Moment,
     /// Unanswered orders to load adapters.
     pub(crate) lost: LostLoads,
     /// Whether the target has answered a query, or one has failed.
@@ -126,8 +126,8 @@
             in_flight: 0,
             grants: HashMap::new(),
             granted: 0,
-            reading: 0,
-            last_read: Moment::ZERO,
+            prefill_tokens: 0,
+            last_prefill: Moment::ZERO,
             lost: LostLoads::default(),
             was_asked: false,
             touched: true,
@@ -298,22 +298,27 @@
         self.touched = true;
         *self.grants.entry(weights.clone()).or_default() += 1;
         self.granted += 1;
-        self.reading += tokens;
+        self.prefill_tokens += tokens;
     }
 
     /// Records that the prompt of a granted request has been prefilled, and returns how long the
     /// target has worked on it.
-    pub(crate) fn has_read(&mut self, tokens: u32, given_at: Moment, now: Moment) -> Duration {
-        self.reading = self.reading.saturating_sub(tokens);
-        let began = given_at.max(self.last_read);
-        self.last_read = now;
+    pub(crate) fn prefill_completed(
+        &mut self,
+        tokens: u32,
+        given_at: Moment,
+        now: Moment,
+    ) -> Duration {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(tokens);
+        let began = given_at.max(self.last_prefill);
+        self.last_prefill = now;
         now.since(began)
     }
 
     /// Removes a granted request that has ended.
     pub(crate) fn grant_ended(&mut self, grant: &Grant, now: Moment) {
         self.touched = true;
-        self.reading = self.reading.saturating_sub(grant.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(grant.prefill_tokens);
         self.granted = self.granted.saturating_sub(1);
         if let Some(count) = self.grants.get_mut(&grant.weights) {
             *count -= 1;
@@ -329,7 +334,7 @@
     /// Returns the number of prompt tokens that are prefilled before those of another request.
     pub(crate) fn backlog(&self) -> u32 {
         let waiting = self.adapters.values().map(|entry| entry.waiting_tokens);
-        self.reading + waiting.sum::<u32>()
+        self.prefill_tokens + waiting.sum::<u32>()
     }
 
     /// Adds the requests that an instance has in flight at this target with some weights.
