--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -115,7 +115,7 @@
                 }
                 let (version, outdated) = (entry.version, entry.outdated);
                 let waiting_requests = entry.ready(now);
-                target.remembered.note(order.weights.clone());
+                target.recent_adapters.record(order.weights.clone());
                 out.push(tell(&order.target, &order.weights, Some(version)));
                 self.answer_loaded(waiting_requests, &order.target, outdated, now, out);
             }
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -135,7 +135,7 @@
         if target.room(slots, delays.now) == 0 {
             return None;
         }
-        let from_store = !target.remembered.keeps(&request.weights, self.memory);
+        let from_store = !target.recent_adapters.keeps(&request.weights, self.memory);
         let load_time = delays.times.of(from_store);
         let mut ready_in = delays.until_loaded(from_store) + self.order_delay(target, delays.now);
         // A target executes orders one at a time, and loads a limited number of adapters
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -169,7 +169,7 @@
             out.push(tell(name, &weights, None));
         }
         if let Some(target) = self.targets.get_mut(name) {
-            let had_since = target.remembered.since(&weights);
+            let had_since = target.recent_adapters.since(&weights);
             if let Some(entry) = target.adapters.get_mut(&weights) {
                 if entry.is_planned() {
                     entry.had_since = had_since;
--- a/crates/chervilshunt_core/src/residency/memory.rs
+++ b/crates/chervilshunt_core/src/residency/memory.rs
@@ -6,9 +6,9 @@
 
 /// The number of adapters that a target is assumed to keep in memory until loads have shown the
 /// actual number.
-const FIRST_GUESS: usize = 120;
+const INITIAL_ESTIMATE: usize = 120;
 /// The smallest estimate; the adapters in slots have copies in memory too.
-const FEWEST: usize = 4;
+const MIN_ESTIMATE: usize = 4;
 
 /// The number of adapters that each target keeps in memory, estimated from the duration of loads.
 ///
@@ -20,7 +20,7 @@
 
 impl Default for MemorySize {
     fn default() -> Self {
-        Self(FIRST_GUESS)
+        Self(INITIAL_ESTIMATE)
     }
 }
 
@@ -28,7 +28,7 @@
     /// Records that a load came from the weight store although only `since` other adapters were
     /// used since.
     pub(crate) fn was_forgotten(&mut self, since: usize) {
-        self.0 = self.0.min(since).max(FEWEST);
+        self.0 = self.0.min(since).max(MIN_ESTIMATE);
     }
 
     /// Records that a load came from memory although `since` other adapters were used since.
@@ -38,7 +38,7 @@
 
     /// Starts with the estimate of another placer.
     pub(crate) fn start_with(kept: usize) -> Self {
-        Self(kept.max(FEWEST))
+        Self(kept.max(MIN_ESTIMATE))
     }
 
     pub(super) const fn get(self) -> usize {
@@ -48,19 +48,19 @@
 
 /// The adapters that one target had recently, the most recent one last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Remembered {
+pub(crate) struct RecentAdapters {
     adapters: IndexSet<Weights>,
 }
 
 /// The maximum number of adapters remembered per target.
-const MOST: usize = 512;
+const MAX_RECENT: usize = 512;
 
-impl Remembered {
+impl RecentAdapters {
     /// Records that the target has an adapter now.
-    pub(crate) fn note(&mut self, weights: Weights) {
+    pub(crate) fn record(&mut self, weights: Weights) {
         self.adapters.shift_remove(&weights);
         self.adapters.insert(weights);
-        if self.adapters.len() > MOST {
+        if self.adapters.len() > MAX_RECENT {
             self.adapters.shift_remove_index(0);
         }
     }
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -292,7 +292,7 @@
         let mut waiting_requests = Vec::new();
         for (weights, entry) in std::mem::take(&mut target.adapters) {
             if !entry.is_planned() {
-                target.remembered.note(weights.clone());
+                target.recent_adapters.record(weights.clone());
             }
             waiting_requests.extend(entry.waiting_requests);
             out.push(tell(name, &weights, None));
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -162,7 +162,7 @@
     fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> AdapterEntry {
         let version = self.newest.get(weights).copied();
         let target = self.targets.get(name);
-        let kept = target.is_some_and(|it| it.remembered.keeps(weights, self.memory));
+        let kept = target.is_some_and(|it| it.recent_adapters.keeps(weights, self.memory));
         AdapterEntry {
             from_store: !kept,
             ..AdapterEntry::new(AdapterStage::Planned, version.unwrap_or(FIRST_VERSION), now)
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -10,7 +10,7 @@
 use super::config::ResidencyConfig;
 use super::grants::Grant;
 use super::hold::{AdapterEntry, AdapterStage};
-use super::memory::Remembered;
+use super::memory::RecentAdapters;
 use super::models::{LoadedFor, ModelOrder};
 use super::order::Order;
 use super::restart::LostLoads;
@@ -43,7 +43,7 @@
     /// The adapters of the target, including planned and loading ones.
     pub(crate) adapters: IndexMap<Weights, AdapterEntry>,
     /// Adapters that the target had recently, some of which it still has in memory.
-    pub(crate) remembered: Remembered,
+    pub(crate) recent_adapters: RecentAdapters,
     /// The pending order for a base model.
     pub(crate) model_order: Option<ModelOrder>,
     /// The base model that the target was last ordered to unload or load, and is to hold.
@@ -116,7 +116,7 @@
             order_state: OrderState::Unknown(ask_at),
             ordered_at: Moment::ZERO,
             adapters: IndexMap::new(),
-            remembered: Remembered::default(),
+            recent_adapters: RecentAdapters::default(),
             model_order: None,
             reloads: None,
             loaded_for: None,
@@ -290,7 +290,7 @@
     /// Removes an adapter that the target no longer holds but may still have in memory.
     pub(crate) fn gave_up(&mut self, weights: &Weights) {
         self.adapters.shift_remove(weights);
-        self.remembered.note(weights.clone());
+        self.recent_adapters.record(weights.clone());
     }
 
     /// Counts a granted request.
