--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -132,7 +132,7 @@
     ) -> Option<Readiness> {
         let limits = self.limits.get(&target.facts.service)?;
         let slots = limits.adapters_beside(&request.weights.model);
-        if target.room(slots, delays.now) == 0 {
+        if target.free_slots(slots, delays.now) == 0 {
             return None;
         }
         let from_store = !target.recent_adapters.keeps(&request.weights, self.memory);
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -214,7 +214,7 @@
             .zip(model)
             .map(|(it, model)| it.adapters_beside(&model.name));
         let summary = Summary {
-            room: target.count_room(slots.unwrap_or(0), now),
+            free_slots: target.count_free_slots(slots.unwrap_or(0), now),
             wake_at: self.target_wakeup(target, now),
             planned: planned.clone().count(),
             planned_fetches: planned.filter(|entry| entry.from_store).count(),
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -31,7 +31,7 @@
 
 /// How long a computed capacity stays valid when no time is known at which it changes; late orders
 /// to earlier starts of a target expire in the meantime.
-const LONGEST_COUNT: Duration = Duration::from_secs(1);
+const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
 /// The state of one target as known to the placer.
 #[derive(Clone, Debug)]
@@ -96,12 +96,12 @@
     /// Whether due work depends on other targets, so that this one is inspected with every event.
     pub(crate) depends_on_others: bool,
     /// The capacity for more adapters.
-    pub(crate) room: Room,
+    pub(crate) free_slots: FreeSlots,
 }
 
 /// The capacity of a target for more adapters, as computed at its last inspection.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Room {
+pub(crate) struct FreeSlots {
     /// The total number of slots that the computation was based on.
     slots: usize,
     adapters: usize,
@@ -244,13 +244,13 @@
     }
 
     /// Computes the capacity, for the requests that arrive until something changes at this target.
-    pub(crate) fn count_room(&self, slots: usize, now: Moment) -> Room {
+    pub(crate) fn count_free_slots(&self, slots: usize, now: Moment) -> FreeSlots {
         let coming_free = self.adapters.values().map(|entry| entry.free_from);
         let until = coming_free.filter(|at| *at > now).min();
-        Room {
+        FreeSlots {
             slots,
-            adapters: self.counted_room(slots, now),
-            until: until.unwrap_or(now + LONGEST_COUNT),
+            adapters: self.compute_free_slots(slots, now),
+            until: until.unwrap_or(now + MAX_COUNT_AGE),
         }
     }
 
@@ -258,15 +258,15 @@
     ///
     /// Every request asks this of all targets. With thousands of targets, computing it each time
     /// would dominate the cost of a request.
-    pub(crate) fn room(&self, slots: usize, now: Moment) -> usize {
-        let room = &self.summary.room;
-        if !self.touched && room.slots == slots && now < room.until {
-            return room.adapters;
+    pub(crate) fn free_slots(&self, slots: usize, now: Moment) -> usize {
+        let free = &self.summary.free_slots;
+        if !self.touched && free.slots == slots && now < free.until {
+            return free.adapters;
         }
-        self.counted_room(slots, now)
+        self.compute_free_slots(slots, now)
     }
 
-    fn counted_room(&self, slots: usize, now: Moment) -> usize {
+    fn compute_free_slots(&self, slots: usize, now: Moment) -> usize {
         let stays = self
             .adapters
             .iter()
