--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -44,7 +44,7 @@
         let wanted = wanted(question, base.clone(), 1_000);
         let actions: Vec<ResidencyAction> = residency.handle(wanted, now);
         black_box(actions);
-        let ended = ResidencyEvent::Progressed(GrantProgress {
+        let ended = ResidencyEvent::GrantsProgressed(GrantProgress {
             ended: vec![GrantNumber(question)],
             ..GrantProgress::default()
         });
--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -15,7 +15,7 @@
 
 impl ResidencyPlanner {
     /// Handles a target's answer to an order.
-    pub(super) fn answered(
+    pub(super) fn order_answered(
         &mut self,
         number: OrderNumber,
         answer: OrderAnswer,
@@ -186,7 +186,7 @@
     }
 
     /// Applies a target's report of what it holds.
-    pub(super) fn reported(
+    pub(super) fn target_reported(
         &mut self,
         name: &TargetName,
         report: &TargetReport,
@@ -198,7 +198,7 @@
         let mut lost = Vec::new();
         match self.compare_start(name, report.started) {
             // The report is from before the current start of the target.
-            Some(Ordering::Less) => return self.not_reported(name, now),
+            Some(Ordering::Less) => return self.report_failed(name, now),
             Some(Ordering::Greater) => return self.restart_reported(name, report, now, out),
             Some(Ordering::Equal) | None => {}
         }
@@ -286,7 +286,7 @@
     }
 
     /// Records that a target did not answer a report request.
-    pub(super) fn not_reported(&mut self, name: &TargetName, now: Moment) {
+    pub(super) fn report_failed(&mut self, name: &TargetName, now: Moment) {
         let again = now + self.cfg.report_lag;
         if let Some(target) = self.targets.get_mut(name)
             && target.order_state == OrderState::Querying
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -110,7 +110,7 @@
     }
 
     /// Applies the progress of instances' granted requests.
-    pub(super) fn progressed(&mut self, progress: &GrantProgress, now: Moment) {
+    pub(super) fn grants_progressed(&mut self, progress: &GrantProgress, now: Moment) {
         let was_on = self.lanes.is_on(now);
         self.lanes.note(progress.ended.len(), progress.paused, now);
         if self.lanes.is_on(now) != was_on {
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -124,19 +124,19 @@
         within: Duration,
     },
     /// Everything that one instance has in flight, and the grants that are included in it.
-    Used(InstanceId, Vec<TargetUse>, Vec<GrantNumber>),
+    UsageReported(InstanceId, Vec<TargetUse>, Vec<GrantNumber>),
     /// The progress of granted requests.
-    Progressed(GrantProgress),
+    GrantsProgressed(GrantProgress),
     /// An instance is gone, together with the requests that it had in flight.
     InstanceGone(InstanceId),
     /// A target reported that it does not hold an adapter that was announced for it.
     NotHeld(TargetName, Weights),
     /// A target answered an order.
-    Answered(OrderNumber, OrderAnswer),
+    OrderAnswered(OrderNumber, OrderAnswer),
     /// A target reported its state.
-    Reported(TargetName, TargetReport),
+    TargetReported(TargetName, TargetReport),
     /// A target could not be queried.
-    NotReported(TargetName),
+    ReportFailed(TargetName),
     /// The newest version of some weights was announced.
     VersionAnnounced(Weights, u64),
     /// Time has passed.
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -145,19 +145,21 @@
                     &mut out,
                 );
             }
-            ResidencyEvent::Used(from, uses, grants) => self.used(&from, uses, &grants, now),
-            ResidencyEvent::Progressed(progress) => self.progressed(&progress, now),
+            ResidencyEvent::UsageReported(from, uses, grants) => {
+                self.usage_reported(&from, uses, &grants, now)
+            }
+            ResidencyEvent::GrantsProgressed(progress) => self.grants_progressed(&progress, now),
             ResidencyEvent::InstanceGone(from) => self.instance_gone(&from, now),
             ResidencyEvent::NotHeld(target, weights) => {
                 self.not_held(&target, &weights, now, &mut out);
             }
-            ResidencyEvent::Answered(number, answer) => {
-                self.answered(number, answer, now, &mut out);
+            ResidencyEvent::OrderAnswered(number, answer) => {
+                self.order_answered(number, answer, now, &mut out);
             }
-            ResidencyEvent::Reported(target, report) => {
-                self.reported(&target, &report, now, &mut out);
+            ResidencyEvent::TargetReported(target, report) => {
+                self.target_reported(&target, &report, now, &mut out);
             }
-            ResidencyEvent::NotReported(target) => self.not_reported(&target, now),
+            ResidencyEvent::ReportFailed(target) => self.report_failed(&target, now),
             ResidencyEvent::VersionAnnounced(weights, version) => {
                 self.version_announced(weights, version, now, &mut out);
             }
@@ -346,11 +348,11 @@
 
     fn instance_gone(&mut self, from: &InstanceId, now: Moment) {
         self.holder_gone(from, now);
-        self.used(from, Vec::new(), &[], now);
+        self.usage_reported(from, Vec::new(), &[], now);
         self.uses.remove(from);
     }
 
-    fn used(
+    fn usage_reported(
         &mut self,
         from: &InstanceId,
         uses: Vec<TargetUse>,
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -38,7 +38,7 @@
             for action in self.residency.handle(event, at(self.now)) {
                 match action {
                     ResidencyAction::Order(order) => {
-                        events.push(ResidencyEvent::Answered(
+                        events.push(ResidencyEvent::OrderAnswered(
                             order.number,
                             self.carry_out(&order),
                         ));
@@ -78,7 +78,7 @@
     }
 
     fn end(&mut self, request_id: u64) {
-        self.handle(ResidencyEvent::Progressed(GrantProgress {
+        self.handle(ResidencyEvent::GrantsProgressed(GrantProgress {
             ended: vec![GrantNumber(request_id)],
             ..GrantProgress::default()
         }));
@@ -90,7 +90,11 @@
             weights: Some(adapter("a1")),
             in_flight,
         }];
-        self.handle(ResidencyEvent::Used(InstanceId::from("i"), uses, grants));
+        self.handle(ResidencyEvent::UsageReported(
+            InstanceId::from("i"),
+            uses,
+            grants,
+        ));
     }
 
     fn is_placed(&self, request_id: u64) -> bool {
@@ -223,7 +227,7 @@
     for _ in 0..3 {
         let order = given_up.pop().expect("an order");
         assert_eq!(order.kind, OrderKind::Unload);
-        let accepted = ResidencyEvent::Answered(order.number, OrderAnswer::Accepted);
+        let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
         residency.handle(accepted, at(1_003));
         let asked = residency.next_wakeup().expect("it is asked again");
         residency.handle(ResidencyEvent::Tick, asked);
@@ -235,7 +239,7 @@
             adapters: vec![(adapter("a1"), 1)],
             loading: Vec::new(),
         };
-        let reported = ResidencyEvent::Reported(target(0), report);
+        let reported = ResidencyEvent::TargetReported(target(0), report);
         given_up = orders(&residency.handle(reported, asked));
     }
     assert_eq!(given_up.len(), 1);
@@ -263,7 +267,7 @@
         panic!("{actions:?}");
     };
     assert_eq!(order.kind, OrderKind::Unload);
-    let accepted = ResidencyEvent::Answered(order.number, OrderAnswer::Accepted);
+    let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_003));
     let asked = residency.next_wakeup().expect("it is asked again");
     let actions = residency.handle(ResidencyEvent::Tick, asked);
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -189,11 +189,11 @@
                     let report = self.store.report(&target);
                     let due = self.coming.entry(now_ms + ROUND_TRIP_MS);
                     due.or_default()
-                        .push(ResidencyEvent::Reported(target, report));
+                        .push(ResidencyEvent::TargetReported(target, report));
                 }
                 ResidencyAction::Answer(request_id, PlacementResult::At { .. }) => {
                     self.placed += 1;
-                    let ended = ResidencyEvent::Progressed(GrantProgress {
+                    let ended = ResidencyEvent::GrantsProgressed(GrantProgress {
                         ended: vec![GrantNumber(request_id)],
                         ..GrantProgress::default()
                     });
@@ -216,7 +216,7 @@
             let answer = self.store.carry_out(self.load, &order, now_ms);
             (ROUND_TRIP_MS, answer)
         };
-        let answered = ResidencyEvent::Answered(order.number, answer);
+        let answered = ResidencyEvent::OrderAnswered(order.number, answer);
         self.coming
             .entry(now_ms + after)
             .or_default()
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -216,8 +216,8 @@
             ResidencyAction::Ask(target) => {
                 let report = self.index(&target).map(|it| self.real[&it].report());
                 self.event(match report {
-                    Some(report) => ResidencyEvent::Reported(target, report),
-                    None => ResidencyEvent::NotReported(target),
+                    Some(report) => ResidencyEvent::TargetReported(target, report),
+                    None => ResidencyEvent::ReportFailed(target),
                 });
             }
             ResidencyAction::Tell(_) => {}
@@ -280,7 +280,7 @@
 
     fn answer(&mut self, order: &Order, answer: OrderAnswer) {
         self.out.remove(&order.target);
-        self.event(ResidencyEvent::Answered(order.number, answer));
+        self.event(ResidencyEvent::OrderAnswered(order.number, answer));
     }
 
     fn advance(&mut self, millis: u64) {
@@ -336,7 +336,7 @@
         self.fate = 0;
         self.used.clear();
         self.granted.clear();
-        let ended = ResidencyEvent::Used(InstanceId::from("i"), Vec::new(), Vec::new());
+        let ended = ResidencyEvent::UsageReported(InstanceId::from("i"), Vec::new(), Vec::new());
         self.event(ended);
         self.advance(millis);
     }
@@ -398,7 +398,7 @@
             self.granted.insert(request_id, (target, adapter));
         } else {
             let ended = vec![GrantNumber(request_id)];
-            self.event(ResidencyEvent::Progressed(GrantProgress {
+            self.event(ResidencyEvent::GrantsProgressed(GrantProgress {
                 ended,
                 ..GrantProgress::default()
             }));
@@ -412,7 +412,7 @@
         };
         self.granted.remove(&number);
         if told {
-            self.event(ResidencyEvent::Progressed(GrantProgress {
+            self.event(ResidencyEvent::GrantsProgressed(GrantProgress {
                 begun: vec![GrantNumber(number)],
                 ended: vec![GrantNumber(number)],
                 ..GrantProgress::default()
@@ -436,7 +436,11 @@
             });
         let uses = uses.collect();
         let grants = self.granted.keys().copied().map(GrantNumber).collect();
-        self.event(ResidencyEvent::Used(InstanceId::from("i"), uses, grants));
+        self.event(ResidencyEvent::UsageReported(
+            InstanceId::from("i"),
+            uses,
+            grants,
+        ));
     }
 
     fn use_adapter(&mut self, target: u8, n: u8, in_flight: u32) {
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -77,7 +77,7 @@
         begun: (0..12).map(GrantNumber).collect(),
         ..GrantProgress::default()
     };
-    residency.handle(ResidencyEvent::Progressed(progress), at(900));
+    residency.handle(ResidencyEvent::GrantsProgressed(progress), at(900));
     let actions = residency.handle(wanted(50, adapter("busy"), 2_000), at(900));
     assert_eq!(placed_at(&actions), Some(&target(0)));
 }
@@ -100,14 +100,14 @@
     let [(cold, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
-    let accepted = ResidencyEvent::Answered(*cold, OrderAnswer::Accepted);
+    let accepted = ResidencyEvent::OrderAnswered(*cold, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_503));
     let actions = residency.handle(wanted(2, adapter("kept"), 5_000), at(1_510));
     let [(kept, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
     residency.handle(
-        ResidencyEvent::Answered(*kept, OrderAnswer::Accepted),
+        ResidencyEvent::OrderAnswered(*kept, OrderAnswer::Accepted),
         at(1_513),
     );
     assert_eq!(residency.next_wakeup(), Some(at(1_513 + 28)));
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -91,12 +91,12 @@
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(455));
     let actions = residency.handle(wanted(), at(460));
-    let accepted = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Accepted);
+    let accepted = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Accepted);
     residency.handle(accepted, at(463));
     residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(500));
     let look = residency.next_wakeup().expect("a look at the load");
     let actions = residency.handle(ResidencyEvent::Tick, look);
-    let done = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Done);
+    let done = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Done);
     let actions = residency.handle(done, look);
     assert!(
         matches!(answer(&actions), Some(PlacementResult::Later { .. })),
@@ -117,7 +117,7 @@
     let not_held = ResidencyEvent::NotHeld(target(0), adapter("a1"));
     residency.handle(not_held, at(1_001));
     residency.handle(wants(adapter("a3")), at(1_002));
-    let accepted = ResidencyEvent::Answered(loading, OrderAnswer::Accepted);
+    let accepted = ResidencyEvent::OrderAnswered(loading, OrderAnswer::Accepted);
     let actions = residency.handle(accepted, at(1_003));
     let loads = actions.iter().filter(|action| match action {
         ResidencyAction::Order(order) => order.kind == OrderKind::Load,
@@ -138,7 +138,7 @@
     for (lost, wanted_at) in [("a8", 1_000), ("a3", 2_000)] {
         let wanted = placing::wanted(1, adapter(lost), 1_000);
         let actions = residency.handle(wanted, at(wanted_at));
-        let unanswered = ResidencyEvent::Answered(ordered(&actions), OrderAnswer::Unanswered);
+        let unanswered = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Unanswered);
         residency.handle(unanswered, at(wanted_at + 250));
         if lost == "a8" {
             residency.handle(ResidencyEvent::Tick, at(wanted_at + 700));
@@ -246,7 +246,7 @@
             let named = ResidencyEvent::VersionAnnounced(adapter("a1"), 2 + (now - 500) / 1_500);
             actions.extend(residency.handle(named, at(now)));
         }
-        let used = ResidencyEvent::Used(InstanceId::from("i"), uses.clone(), Vec::new());
+        let used = ResidencyEvent::UsageReported(InstanceId::from("i"), uses.clone(), Vec::new());
         actions.extend(residency.handle(used, at(now)));
         // Loads are never answered, so that no newer version is ever available.
         for action in actions {
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -200,12 +200,15 @@
             loading: Vec::new(),
         };
         self.asked = false;
-        self.handle(ResidencyEvent::Reported(TargetName::from("t0"), report));
+        self.handle(ResidencyEvent::TargetReported(
+            TargetName::from("t0"),
+            report,
+        ));
     }
 
     fn answer(&mut self, answer: OrderAnswer) {
         let number = self.orders.last().expect("an order").number;
-        self.handle(ResidencyEvent::Answered(number, answer));
+        self.handle(ResidencyEvent::OrderAnswered(number, answer));
     }
 
     /// Requests an adapter and lets the target load it; returns whether the load was ordered.
@@ -295,7 +298,11 @@
         in_flight: 1,
     });
     let instance = InstanceId::from("i");
-    planning.handle(ResidencyEvent::Used(instance, uses.to_vec(), Vec::new()));
+    planning.handle(ResidencyEvent::UsageReported(
+        instance,
+        uses.to_vec(),
+        Vec::new(),
+    ));
     let loads = |it: &Planning| {
         let loads = it.orders.iter().filter(|it| it.kind == OrderKind::Load);
         loads.filter(|it| it.weights == adapter("b4")).count()
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -193,7 +193,7 @@
                 ResidencyAction::Order(order) => self.order(order),
                 ResidencyAction::Ask(name) => {
                     let report = self.sites[index(&name)].real.report();
-                    let report = ResidencyEvent::Reported(name, report);
+                    let report = ResidencyEvent::TargetReported(name, report);
                     self.answers.push((now + Duration::from_millis(2), report));
                 }
                 ResidencyAction::Answer(request_id, placed) => self.answered(request_id, placed),
@@ -246,11 +246,11 @@
                 ended,
                 ..GrantProgress::default()
             };
-            self.handle(ResidencyEvent::Progressed(progress));
+            self.handle(ResidencyEvent::GrantsProgressed(progress));
         }
         if self.now_ms.is_multiple_of(400) {
             let open = self.open.iter().map(|it| it.0).collect();
-            self.handle(ResidencyEvent::Used(
+            self.handle(ResidencyEvent::UsageReported(
                 InstanceId::from("i"),
                 Vec::new(),
                 open,
@@ -316,7 +316,7 @@
                 (OrderAnswer::Unanswered, GIVEN_UP_AFTER)
             }
         };
-        let answered = ResidencyEvent::Answered(order.number, answer);
+        let answered = ResidencyEvent::OrderAnswered(order.number, answer);
         self.answers.push((now + after, answered));
     }
 }
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -92,7 +92,7 @@
 
 /// The report of a target that has accepted no orders.
 pub(crate) fn reported(index: usize, adapters: Vec<(Weights, u64)>) -> ResidencyEvent {
-    ResidencyEvent::Reported(target(index), idle(0, adapters, Vec::new()))
+    ResidencyEvent::TargetReported(target(index), idle(0, adapters, Vec::new()))
 }
 
 /// The report of the first target after it has accepted some orders.
@@ -101,7 +101,7 @@
     adapters: Vec<(Weights, u64)>,
     loading: Vec<Weights>,
 ) -> ResidencyEvent {
-    ResidencyEvent::Reported(target(0), idle(accepted, adapters, loading))
+    ResidencyEvent::TargetReported(target(0), idle(accepted, adapters, loading))
 }
 
 fn idle(accepted: u64, adapters: Vec<(Weights, u64)>, loading: Vec<Weights>) -> TargetReport {
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -263,7 +263,7 @@
     type Return = ();
 
     async fn handle(&mut self, Ordered(number, answer): Ordered, _cx: &mut xtra::Context<Self>) {
-        self.plan(ResidencyEvent::Answered(number, answer));
+        self.plan(ResidencyEvent::OrderAnswered(number, answer));
         self.after_message();
     }
 }
@@ -273,8 +273,8 @@
 
     async fn handle(&mut self, Asked(target, report): Asked, _cx: &mut xtra::Context<Self>) {
         self.plan(match report {
-            Some(report) => ResidencyEvent::Reported(target, report),
-            None => ResidencyEvent::NotReported(target),
+            Some(report) => ResidencyEvent::TargetReported(target, report),
+            None => ResidencyEvent::ReportFailed(target),
         });
         self.after_message();
     }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -181,7 +181,7 @@
         if let Some(placing) = self.placing(now) {
             self.send(&sign.peer(from), placing);
         }
-        self.plan(ResidencyEvent::Used(from.clone(), uses, grants));
+        self.plan(ResidencyEvent::UsageReported(from.clone(), uses, grants));
         let silent = self
             .placer
             .as_mut()
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -17,7 +17,7 @@
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
             let me = self.me().clone();
-            self.plan(ResidencyEvent::Used(me, uses, grants));
+            self.plan(ResidencyEvent::UsageReported(me, uses, grants));
             self.take_own_placing();
             self.choose_helpers();
             return;
@@ -77,7 +77,9 @@
                 };
                 self.wanted(wanted, reply);
             }
-            PeerMessage::Progress(progress) => self.plan(ResidencyEvent::Progressed(progress)),
+            PeerMessage::Progress(progress) => {
+                self.plan(ResidencyEvent::GrantsProgressed(progress))
+            }
             PeerMessage::NotHeld(target, weights) => {
                 self.plan(ResidencyEvent::NotHeld(target, weights));
             }
