--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -7,7 +7,7 @@
 use super::hold::{AdapterEntry, AdapterStage};
 use super::models::report_models;
 use super::order::{Order, OrderAnswer, OrderNumber, ResidencyAction, TargetReport};
-use super::placement::tell;
+use super::placement::notification;
 use super::planner::ResidencyPlanner;
 use super::target::OrderState;
 use crate::dispatch::TargetFacts;
@@ -116,7 +116,7 @@
                 let (version, outdated) = (entry.version, entry.outdated);
                 let waiting_requests = entry.ready(now);
                 target.recent_adapters.record(order.weights.clone());
-                out.push(tell(&order.target, &order.weights, Some(version)));
+                out.push(notification(&order.target, &order.weights, Some(version)));
                 self.answer_loaded(waiting_requests, &order.target, outdated, now, out);
             }
             // Another order has been executed in the meantime, so the answer says nothing about
@@ -213,7 +213,7 @@
             return;
         };
         target.order_state = OrderState::Idle(report.accepted);
-        target.was_asked = true;
+        target.was_queried = true;
         target.touched = true;
         let listed = |weights: &_| {
             let held = report.adapters.iter().any(|(held, _)| held == weights);
@@ -230,7 +230,7 @@
                 lost.extend(entry.take_waiting_requests());
             }
             target.gave_up(&weights);
-            out.push(tell(name, &weights, None));
+            out.push(notification(name, &weights, None));
         }
         for (weights, version) in &report.adapters {
             let newest = self.newest.get(weights).copied().unwrap_or_default();
@@ -247,7 +247,7 @@
             entry.state = AdapterStage::Ready;
             entry.version = *version;
             entry.outdated = *version < newest;
-            out.push(tell(name, weights, Some(*version)));
+            out.push(notification(name, weights, Some(*version)));
             loaded.push((entry.take_waiting_requests(), entry.outdated));
         }
         for weights in &report.loading {
@@ -263,7 +263,7 @@
         for (waiting_requests, outdated) in loaded {
             self.answer_loaded(waiting_requests, name, outdated, now, out);
         }
-        self.answer_later(lost, out);
+        self.refuse(lost, out);
     }
 
     /// Handles the report of a start that the platform does not list yet.
@@ -292,7 +292,7 @@
             && target.order_state == OrderState::Querying
         {
             target.order_state = OrderState::Unknown(again);
-            target.was_asked = true;
+            target.was_queried = true;
             target.touched = true;
         }
     }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -6,7 +6,7 @@
 
 use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Order, ResidencyAction};
-use super::placement::tell;
+use super::placement::notification;
 use super::planner::ResidencyPlanner;
 use super::target::OrderState;
 use crate::dispatch::Weights;
@@ -34,7 +34,7 @@
         names.extend(self.model_updates.iter().cloned());
         for name in &names {
             self.retire_outdated(name, now, out);
-            self.ask_if_due(name, now, out);
+            self.query_if_due(name, now, out);
             self.next_order(name, now, out);
         }
         for name in &names {
@@ -128,16 +128,16 @@
         let waiting_requests: Vec<u64> = unwanted
             .flat_map(|(_, entry)| entry.waiting_requests)
             .collect();
-        self.answer_later(waiting_requests, out);
+        self.refuse(waiting_requests, out);
     }
 
-    fn ask_if_due(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn query_if_due(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
         if matches!(target.order_state, OrderState::Unknown(at) if at <= now) {
             target.order_state = OrderState::Querying;
-            out.push(ResidencyAction::Ask(name.clone()));
+            out.push(ResidencyAction::QueryTarget(name.clone()));
         }
     }
 
@@ -166,7 +166,7 @@
             weights: weights.clone(),
         };
         if kind == OrderKind::Unload {
-            out.push(tell(name, &weights, None));
+            out.push(notification(name, &weights, None));
         }
         if let Some(target) = self.targets.get_mut(name) {
             let had_since = target.recent_adapters.since(&weights);
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 
 use super::order::{Order, OrderAnswer, ResidencyAction, TargetReport};
-use super::placement::tell;
+use super::placement::notification;
 use super::planner::ResidencyPlanner;
 use super::target::{OrderState, TargetState};
 use crate::dispatch::{LoadedModel, Weights};
@@ -79,7 +79,7 @@
             ModelStep::Load(weights) if self.may_load_model(name, now) => {
                 self.store_loads.push_back(now);
                 let waiting_requests = self.drop_adapters(name, out);
-                self.answer_later(waiting_requests, out);
+                self.refuse(waiting_requests, out);
                 (OrderKind::Load, weights)
             }
             ModelStep::GiveUp(_) | ModelStep::Load(_) => return None,
@@ -272,7 +272,7 @@
             return true;
         }
         target.touched = true;
-        target.was_asked = true;
+        target.was_queried = true;
         if report.busy {
             target.order_state = OrderState::Unknown(now + LOOK_AGAIN);
             return false;
@@ -295,7 +295,7 @@
                 target.recent_adapters.record(weights.clone());
             }
             waiting_requests.extend(entry.waiting_requests);
-            out.push(tell(name, &weights, None));
+            out.push(notification(name, &weights, None));
         }
         waiting_requests
     }
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -149,9 +149,9 @@
     /// Send an order to a target.
     Order(Order),
     /// Query the state of a target.
-    Ask(TargetName),
+    QueryTarget(TargetName),
     /// Notify all instances about an adapter on a target.
-    Tell(AdapterHolding),
+    Notify(AdapterHolding),
     /// Answer a placement request.
     Answer(u64, PlacementResult),
 }
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -58,7 +58,7 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         let Some(candidate) = self.best_target(&pending.request, now) else {
-            return self.answer_later(vec![request_id], out);
+            return self.refuse(vec![request_id], out);
         };
         if now + candidate.ready_in > pending.until {
             let retry_in = candidate.ready_in.max(self.cfg.retry_in);
@@ -71,7 +71,7 @@
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
     /// which leaves time for its prefill.
-    pub(super) fn places_within(&self, request: &PlacementRequest, within: Duration) -> Duration {
+    pub(super) fn placement_time(&self, request: &PlacementRequest, within: Duration) -> Duration {
         let reading =
             Duration::from_secs_f64(self.prefill_rate.millis(request.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
@@ -91,7 +91,7 @@
         if weights.adapter.is_some() {
             let planned = self.planned(name, weights, now);
             let Some(target) = self.targets.get_mut(name) else {
-                return self.answer_later(vec![request_id], out);
+                return self.refuse(vec![request_id], out);
             };
             target.touched = true;
             let entry = target.adapters.entry(weights.clone()).or_insert(planned);
@@ -149,7 +149,7 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         if outdated {
-            return self.answer_later(waiting_requests, out);
+            return self.refuse(waiting_requests, out);
         }
         for request_id in waiting_requests {
             if let Some(pending) = self.pending.remove(&request_id) {
@@ -201,11 +201,7 @@
     }
 
     /// Answers requests that they cannot be placed now.
-    pub(super) fn answer_later(
-        &mut self,
-        waiting_requests: Vec<u64>,
-        out: &mut Vec<ResidencyAction>,
-    ) {
+    pub(super) fn refuse(&mut self, waiting_requests: Vec<u64>, out: &mut Vec<ResidencyAction>) {
         let retry_in = self.cfg.retry_in;
         for request_id in waiting_requests {
             self.pending.remove(&request_id);
@@ -243,7 +239,7 @@
         entry.outdated = true;
         entry.since = now;
         target.touched = true;
-        out.push(tell(name, weights, None));
+        out.push(notification(name, weights, None));
         if let OrderState::Idle(_) = target.order_state {
             target.order_state = OrderState::Unknown(now + lag);
         }
@@ -256,12 +252,12 @@
 const FIRST_VERSION: u64 = 1;
 
 /// Creates the notification to all instances about one adapter on one target.
-pub(super) fn tell(
+pub(super) fn notification(
     target: &TargetName,
     weights: &Weights,
     version: Option<u64>,
 ) -> ResidencyAction {
-    ResidencyAction::Tell(AdapterHolding {
+    ResidencyAction::Notify(AdapterHolding {
         target: target.clone(),
         started: None,
         weights: weights.clone(),
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -28,9 +28,9 @@
 /// The last few may be slow or gone.
 const KNOWN_SHARE: f64 = 0.95;
 /// The number of targets that a new placer queries at once.
-const ASKS_AT_ONCE: u32 = 128;
+const INITIAL_QUERIES: u32 = 128;
 /// The interval between the queries of further targets.
-const ASK_SPACING: Duration = Duration::from_micros(650);
+const QUERY_INTERVAL: Duration = Duration::from_micros(650);
 
 /// Decides which target holds which weights. [`Self::handle`] takes an event and returns the
 /// actions to perform.
@@ -63,7 +63,7 @@
     next_order: u64,
     knows_targets: bool,
     /// The time from which the first targets are queried.
-    asks_from: Moment,
+    queries_from: Moment,
 }
 
 impl ResidencyPlanner {
@@ -74,7 +74,7 @@
     /// planner would then order one load more than the target has slots for, which kills it.
     pub fn new(cfg: ResidencyConfig, now: Moment) -> Self {
         Self {
-            asks_from: now + cfg.report_lag,
+            queries_from: now + cfg.report_lag,
             cfg,
             targets: IndexMap::new(),
             limits: HashMap::new(),
@@ -133,7 +133,7 @@
                 request,
                 within,
             } => {
-                let until = now + self.places_within(&request, within);
+                let until = now + self.placement_time(&request, within);
                 self.place_or_refuse(
                     request_id,
                     PendingPlacement {
@@ -174,7 +174,7 @@
     /// Adds the start of the target to notifications about its adapters.
     fn name_starts(&self, out: &mut [ResidencyAction]) {
         for action in out {
-            if let ResidencyAction::Tell(holding) = action {
+            if let ResidencyAction::Notify(holding) = action {
                 holding.started = self.started(&holding.target);
             }
         }
@@ -243,8 +243,8 @@
 
     fn note_known_targets(&mut self) {
         if !self.knows_targets && !self.targets.is_empty() {
-            let asked = self.targets.values().filter(|it| it.was_asked).count();
-            self.knows_targets = asked as f64 >= self.targets.len() as f64 * KNOWN_SHARE;
+            let queried = self.targets.values().filter(|it| it.was_queried).count();
+            self.knows_targets = queried as f64 >= self.targets.len() as f64 * KNOWN_SHARE;
         }
     }
 
@@ -262,7 +262,7 @@
     }
 
     fn target_wakeup(&self, target: &TargetState, now: Moment) -> Option<Moment> {
-        let ask_at = match &target.order_state {
+        let query_at = match &target.order_state {
             OrderState::Unknown(at) => Some(*at),
             OrderState::Querying | OrderState::Idle(_) | OrderState::InFlight(_) => None,
         };
@@ -286,7 +286,7 @@
         // Work that is overdue waits for an answer or a usage report, which are events themselves.
         let due = due.chain(model).chain(target.lost.next_old());
         let due = due.filter(|at| *at > now);
-        due.chain(ask_at).min()
+        due.chain(query_at).min()
     }
 
     pub(super) fn next_number(&mut self) -> OrderNumber {
@@ -312,8 +312,8 @@
                 target.touched = true;
             }
             None => {
-                let ask_at = self.first_ask(now);
-                self.insert_target(TargetState::new(facts, ask_at));
+                let query_at = self.first_query(now);
+                self.insert_target(TargetState::new(facts, query_at));
             }
         }
     }
@@ -329,10 +329,10 @@
     /// If thousands of targets were queried at once, their answers would exceed what the placer
     /// processes before it times out and asks again, and it would never learn the state of any of
     /// them.
-    fn first_ask(&mut self, now: Moment) -> Moment {
-        let asked = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
-        let turn = ASK_SPACING.saturating_mul(asked.saturating_sub(ASKS_AT_ONCE));
-        now.max(self.asks_from + turn)
+    fn first_query(&mut self, now: Moment) -> Moment {
+        let queried = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
+        let turn = QUERY_INTERVAL.saturating_mul(queried.saturating_sub(INITIAL_QUERIES));
+        now.max(self.queries_from + turn)
     }
 
     fn target_gone(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -126,7 +126,7 @@
         target.lost = before.lost.of_earlier_start(&before.order_state, now);
         self.grants.forget_target(&target.facts.name);
         for entry in before.adapters.into_values() {
-            self.answer_later(entry.waiting_requests, out);
+            self.refuse(entry.waiting_requests, out);
         }
         self.insert_target(target);
     }
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -71,7 +71,7 @@
     /// Unanswered orders to load adapters.
     pub(crate) lost: LostLoads,
     /// Whether the target has answered a query, or one has failed.
-    pub(crate) was_asked: bool,
+    pub(crate) was_queried: bool,
     /// Whether something has changed since the planner last inspected the target.
     pub(crate) touched: bool,
     pub(crate) summary: Summary,
@@ -110,10 +110,10 @@
 }
 
 impl TargetState {
-    pub(crate) fn new(facts: TargetFacts, ask_at: Moment) -> Self {
+    pub(crate) fn new(facts: TargetFacts, query_at: Moment) -> Self {
         Self {
             facts,
-            order_state: OrderState::Unknown(ask_at),
+            order_state: OrderState::Unknown(query_at),
             ordered_at: Moment::ZERO,
             adapters: IndexMap::new(),
             recent_adapters: RecentAdapters::default(),
@@ -129,7 +129,7 @@
             prefill_tokens: 0,
             last_prefill: Moment::ZERO,
             lost: LostLoads::default(),
-            was_asked: false,
+            was_queried: false,
             touched: true,
             summary: Summary::default(),
         }
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -7,7 +7,7 @@
 
 use super::hold::AdapterStage;
 use super::order::ResidencyAction;
-use super::placement::{PlacementRequest, tell};
+use super::placement::{PlacementRequest, notification};
 use super::planner::ResidencyPlanner;
 use crate::dispatch::{Lane, Weights};
 
@@ -155,7 +155,7 @@
             entry.state = AdapterStage::Ending;
             entry.since = now;
             self.touch(name);
-            out.push(tell(name, weights, None));
+            out.push(notification(name, weights, None));
         }
     }
 }
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -47,7 +47,7 @@
                     ResidencyAction::Answer(request_id, placed) => {
                         self.answers.push((request_id, placed));
                     }
-                    ResidencyAction::Ask(_) | ResidencyAction::Tell(_) => {}
+                    ResidencyAction::QueryTarget(_) | ResidencyAction::Notify(_) => {}
                 }
             }
         }
@@ -263,7 +263,7 @@
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
     let actions = residency.handle(wanted(1, adapter("a2"), 3_000), at(1_000));
-    let [ResidencyAction::Tell(_), ResidencyAction::Order(order)] = &*actions else {
+    let [ResidencyAction::Notify(_), ResidencyAction::Order(order)] = &*actions else {
         panic!("{actions:?}");
     };
     assert_eq!(order.kind, OrderKind::Unload);
@@ -272,7 +272,7 @@
     let asked = residency.next_wakeup().expect("it is asked again");
     let actions = residency.handle(ResidencyEvent::Tick, asked);
     assert!(
-        actions.contains(&ResidencyAction::Ask(target(0))),
+        actions.contains(&ResidencyAction::QueryTarget(target(0))),
         "{actions:?}"
     );
     let actions = residency.handle(reported(0, Vec::new()), asked);
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -185,7 +185,7 @@
         for action in actions {
             match action {
                 ResidencyAction::Order(order) => self.order(order, now_ms),
-                ResidencyAction::Ask(target) => {
+                ResidencyAction::QueryTarget(target) => {
                     let report = self.store.report(&target);
                     let due = self.coming.entry(now_ms + ROUND_TRIP_MS);
                     due.or_default()
@@ -201,7 +201,7 @@
                     due.or_default().push(ended);
                 }
                 ResidencyAction::Answer(_, PlacementResult::Later { .. })
-                | ResidencyAction::Tell(_) => {}
+                | ResidencyAction::Notify(_) => {}
             }
         }
     }
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -213,14 +213,14 @@
     fn act(&mut self, action: ResidencyAction) {
         match action {
             ResidencyAction::Order(order) => self.order(order),
-            ResidencyAction::Ask(target) => {
+            ResidencyAction::QueryTarget(target) => {
                 let report = self.index(&target).map(|it| self.real[&it].report());
                 self.event(match report {
                     Some(report) => ResidencyEvent::TargetReported(target, report),
                     None => ResidencyEvent::ReportFailed(target),
                 });
             }
-            ResidencyAction::Tell(_) => {}
+            ResidencyAction::Notify(_) => {}
             ResidencyAction::Answer(request_id, placed) => {
                 assert!(
                     self.open.remove(&request_id),
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -127,7 +127,7 @@
         let actions = residency.handle(ResidencyEvent::Tick, at(now));
         let asks = actions.iter();
         let asks = asks
-            .filter(|it| matches!(it, ResidencyAction::Ask(_)))
+            .filter(|it| matches!(it, ResidencyAction::QueryTarget(_)))
             .count();
         if now > 450 {
             longest = longest.max(asks);
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -166,7 +166,7 @@
     assert_eq!(residency.next_wakeup(), Some(at(450)));
     let actions = residency.handle(ResidencyEvent::Tick, at(450));
     assert!(
-        matches!(&*actions, [ResidencyAction::Ask(_)]),
+        matches!(&*actions, [ResidencyAction::QueryTarget(_)]),
         "{actions:?}"
     );
 }
@@ -251,7 +251,7 @@
         // Loads are never answered, so that no newer version is ever available.
         for action in actions {
             match action {
-                ResidencyAction::Tell(it) if it.target == target(0) && it.version.is_none() => {
+                ResidencyAction::Notify(it) if it.target == target(0) && it.version.is_none() => {
                     told_gone_at.get_or_insert(now);
                 }
                 _ => {}
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -161,8 +161,8 @@
             match action {
                 ResidencyAction::Order(order) => self.orders.push(order),
                 ResidencyAction::Answer(_, placed) => self.answers.push(placed),
-                ResidencyAction::Ask(_) => self.asked = true,
-                ResidencyAction::Tell(_) => {}
+                ResidencyAction::QueryTarget(_) => self.asked = true,
+                ResidencyAction::Notify(_) => {}
             }
         }
     }
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -191,13 +191,13 @@
         for action in self.residency.handle(event, now) {
             match action {
                 ResidencyAction::Order(order) => self.order(order),
-                ResidencyAction::Ask(name) => {
+                ResidencyAction::QueryTarget(name) => {
                     let report = self.sites[index(&name)].real.report();
                     let report = ResidencyEvent::TargetReported(name, report);
                     self.answers.push((now + Duration::from_millis(2), report));
                 }
                 ResidencyAction::Answer(request_id, placed) => self.answered(request_id, placed),
-                ResidencyAction::Tell(_) => {}
+                ResidencyAction::Notify(_) => {}
             }
         }
     }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -97,8 +97,8 @@
     fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
         match action {
             ResidencyAction::Order(order) => self.give_order(order, now),
-            ResidencyAction::Ask(target) => self.ask(target),
-            ResidencyAction::Tell(holding) => self.shared.dispatch().holding_changed(holding),
+            ResidencyAction::QueryTarget(target) => self.ask(target),
+            ResidencyAction::Notify(holding) => self.shared.dispatch().holding_changed(holding),
             ResidencyAction::Answer(question, placed) => self.answer(question, placed),
         }
     }
