--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -93,7 +93,7 @@
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let look_again = now + self.cfg.look_again;
+        let load_recheck = now + self.cfg.load_recheck;
         let under_way = self.loads_under_way();
         let times = self.load_times();
         let Some(target) = self.targets.get_mut(&order.target) else {
@@ -106,7 +106,7 @@
         match answer {
             OrderAnswer::Done => {
                 if let Some(took) = entry.accepted_at.take().map(|at| now.since(at)) {
-                    let quick = took <= self.cfg.longest_warm_load;
+                    let quick = took <= self.cfg.max_warm_load;
                     match entry.had_since {
                         Some(since) if quick && entry.from_store => self.memory.was_kept(since),
                         _ if entry.from_store => self.window.ended(took, under_way, now),
@@ -121,16 +121,18 @@
             }
             // Another order has been executed in the meantime, so the answer says nothing about
             // this load.
-            OrderAnswer::OutOfTurn if confirming => entry.state = AdapterStage::Loading(look_again),
+            OrderAnswer::OutOfTurn if confirming => {
+                entry.state = AdapterStage::Loading(load_recheck)
+            }
             // The load is still in progress.
             OrderAnswer::Accepted if confirming => {
                 let after = entry.accepted_at.map(|at| now.since(at));
-                if !entry.from_store && after.is_some_and(|it| it > self.cfg.longest_warm_load) {
+                if !entry.from_store && after.is_some_and(|it| it > self.cfg.max_warm_load) {
                     entry.from_store = true;
                     self.memory
                         .was_forgotten(entry.had_since.unwrap_or_default());
                 }
-                entry.state = AdapterStage::Loading(look_again);
+                entry.state = AdapterStage::Loading(load_recheck);
             }
             OrderAnswer::Accepted => {
                 let load_time = times.of(entry.from_store);
@@ -235,7 +237,7 @@
         for (weights, version) in &report.adapters {
             let newest = self.newest.get(weights).copied().unwrap_or_default();
             let fresh = AdapterEntry {
-                free_from: now + self.cfg.uses_told,
+                free_from: now + self.cfg.usage_report_time,
                 ..AdapterEntry::new(AdapterStage::Ready, *version, now)
             };
             let entry = target.adapters.entry(weights.clone()).or_insert(fresh);
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -142,9 +142,9 @@
         // concurrently.
         let coming = target.coming();
         ready_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
-        ready_in += load_time.mul_f64((coming / self.cfg.loads_a_target) as f64);
+        ready_in += load_time.mul_f64((coming / self.cfg.loads_per_target) as f64);
         if !target.has_free_slot(slots) {
-            ready_in += self.cfg.give_up_time;
+            ready_in += self.cfg.unload_time;
         }
         let penalty = if from_store {
             self.cfg.fetch_penalty
--- a/crates/chervilshunt_core/src/residency/config.rs
+++ b/crates/chervilshunt_core/src/residency/config.rs
@@ -12,14 +12,14 @@
     pub warm_load: Duration,
     /// The longest duration of a load from memory; a load that takes longer came from the weight
     /// store.
-    pub longest_warm_load: Duration,
+    pub max_warm_load: Duration,
     /// The margin added to the expected duration of a load. A request sent too early is refused and
     /// has to be retried, which a budget limits.
     pub load_margin: Duration,
     /// How soon a load that was still in progress is checked again.
-    pub look_again: Duration,
+    pub load_recheck: Duration,
     /// The number of adapters that one target loads concurrently.
-    pub loads_a_target: usize,
+    pub loads_per_target: usize,
     /// How much sooner the first token has to be expected for an adapter to be loaded from the
     /// weight store onto one more target: such a load takes store capacity from adapters that no
     /// target holds.
@@ -37,13 +37,13 @@
     pub order_time: Duration,
     /// The time until the slot of an adapter that must be unloaded first is free: an order and its
     /// answer.
-    pub give_up_time: Duration,
+    pub unload_time: Duration,
     /// How long an adapter with an outdated version is not announced before it is unloaded:
     /// instances are notified up to 0.2 s later, and report what they use every 0.4 s.
-    pub uses_settle: Duration,
+    pub usage_settle_time: Duration,
     /// The time after finding an adapter on a target by which all instances have reported whether
     /// they use it.
-    pub uses_told: Duration,
+    pub usage_report_time: Duration,
     /// How long an older version is still announced while the newest one is being loaded elsewhere.
     pub old_version_grace: Duration,
     /// How long a target's report lags behind the orders that it has accepted.
@@ -60,7 +60,7 @@
     pub base_loads_at_once: usize,
     /// The share of a service's targets, rounded up, that may be out of service at a time to update
     /// their base model. A larger share completes an update sooner.
-    pub updated_share: f64,
+    pub max_updating_share: f64,
 }
 
 impl Default for ResidencyConfig {
@@ -68,26 +68,26 @@
         Self {
             cold_load: Duration::from_millis(250),
             warm_load: Duration::from_millis(25),
-            longest_warm_load: Duration::from_millis(100),
+            max_warm_load: Duration::from_millis(100),
             load_margin: Duration::from_millis(3),
-            look_again: Duration::from_millis(30),
-            loads_a_target: 4,
+            load_recheck: Duration::from_millis(30),
+            loads_per_target: 4,
             fetch_penalty: Duration::from_millis(300),
             warm_penalty: Duration::from_millis(15),
             zone_penalty: Duration::from_millis(5),
             load_penalty: Duration::from_millis(100),
             lane_penalty: Duration::from_millis(1_000),
             order_time: Duration::from_millis(5),
-            give_up_time: Duration::from_millis(5),
-            uses_settle: Duration::from_millis(700),
-            uses_told: Duration::from_millis(500),
+            unload_time: Duration::from_millis(5),
+            usage_settle_time: Duration::from_millis(700),
+            usage_report_time: Duration::from_millis(500),
             old_version_grace: Duration::from_millis(2_000),
             report_lag: Duration::from_millis(450),
             retry_in: Duration::from_millis(400),
             store_window: Duration::from_secs(5),
             store_share: 0.9,
             base_loads_at_once: 2,
-            updated_share: 0.2,
+            max_updating_share: 0.2,
         }
     }
 }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -90,7 +90,7 @@
         };
         let limits = self.limits.get(&target.facts.service);
         matches!(target.order_state, OrderState::Idle(_))
-            && target.loading() < self.cfg.loads_a_target
+            && target.loading() < self.cfg.loads_per_target
             && target.model_order.is_none()
             && limits.is_some_and(|it| target.slots_taken() < it.adapters_beside(&weights.model))
     }
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -198,7 +198,7 @@
         let targets = self.targets.values();
         let targets = targets.filter(|it| it.facts.service == *service && it.takes_work());
         let away = targets.clone().filter(|it| it.is_without_model(now));
-        let most = (targets.count() as f64 * self.cfg.updated_share).ceil();
+        let most = (targets.count() as f64 * self.cfg.max_updating_share).ceil();
         (most as usize).saturating_sub(away.count())
     }
 
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -270,7 +270,7 @@
         let due = adapters.filter_map(|entry| match entry.state {
             AdapterStage::Loading(at) => Some(at),
             AdapterStage::Ready if entry.outdated => Some(entry.since + self.cfg.old_version_grace),
-            AdapterStage::Ending => Some(entry.since + self.cfg.uses_settle),
+            AdapterStage::Ending => Some(entry.since + self.cfg.usage_settle_time),
             AdapterStage::Planned => {
                 let load_time = self.load_times().of(entry.from_store);
                 entry.needed_until.map(|until| until - load_time)
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -237,7 +237,7 @@
         let mut adapters = self.adapters.iter();
         let due = adapters.find(|(weights, entry)| {
             entry.state == AdapterStage::Ending
-                && now.since(entry.since) >= cfg.uses_settle
+                && now.since(entry.since) >= cfg.usage_settle_time
                 && self.in_use(weights) == 0
         });
         due.map(|(weights, _)| weights)
