--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -172,7 +172,7 @@
             return;
         };
         match answer {
-            OrderAnswer::Done => target.gave_up(&order.weights),
+            OrderAnswer::Done => target.adapter_unloaded(&order.weights),
             // The target waits for its last requests; the next report shows whether the adapter has
             // been unloaded.
             OrderAnswer::Accepted | OrderAnswer::Unanswered => {}
@@ -231,7 +231,7 @@
             if let Some(entry) = target.adapters.get_mut(&weights) {
                 lost.extend(entry.take_waiting_requests());
             }
-            target.gave_up(&weights);
+            target.adapter_unloaded(&weights);
             out.push(notification(name, &weights, None));
         }
         for (weights, version) in &report.adapters {
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -106,7 +106,7 @@
         let Some(entry) = target.adapters.get(&request.weights) else {
             return self.loaded_in(target, request, delays);
         };
-        if entry.outdated || entry.is_going() {
+        if entry.outdated || entry.is_leaving() {
             return None;
         }
         let ready_in = match entry.state {
@@ -140,9 +140,9 @@
         let mut ready_in = delays.until_loaded(from_store) + self.order_delay(target, delays.now);
         // A target executes orders one at a time, and loads a limited number of adapters
         // concurrently.
-        let coming = target.coming();
-        ready_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
-        ready_in += load_time.mul_f64((coming / self.cfg.loads_per_target) as f64);
+        let pending_loads = target.pending_loads();
+        ready_in += self.cfg.order_time * u32::try_from(pending_loads).unwrap_or(u32::MAX);
+        ready_in += load_time.mul_f64((pending_loads / self.cfg.loads_per_target) as f64);
         if !target.has_free_slot(slots) {
             ready_in += self.cfg.unload_time;
         }
@@ -205,7 +205,7 @@
         target.facts.service == request.service
             && target.takes_work()
             && target.model_order.is_none()
-            && !target.gives_up()
+            && !target.is_unloading()
             && self.holds_model(target, &request.weights, now)
             && !request.avoid.contains(name)
     }
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns whether the adapter is planned or loading, and therefore not announced yet.
-    pub(crate) fn is_coming(&self) -> bool {
+    pub(crate) fn is_loading(&self) -> bool {
         matches!(
             self.state,
             AdapterStage::Planned
@@ -105,7 +105,7 @@
     }
 
     /// Returns whether the adapter is being unloaded, so that its slot will become free.
-    pub(crate) fn is_going(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         matches!(self.state, AdapterStage::Ending | AdapterStage::Unloading)
     }
 }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -26,7 +26,7 @@
             if let Some(target) = self.targets.get_mut(name) {
                 target.lost.forget_old(now);
             }
-            self.drop_unwanted(name, now, out);
+            self.drop_expired(name, now, out);
         }
         self.admit();
         names.extend(self.admitted.iter().map(|(name, _)| name.clone()));
@@ -115,17 +115,17 @@
 
     /// Drops planned loads that would end after every waiting request has timed out, so that those
     /// requests are answered while they can still retry.
-    fn drop_unwanted(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn drop_expired(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let times = self.load_times();
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        let unwanted = target.adapters.extract_if(.., |_, entry| {
+        let expired = target.adapters.extract_if(.., |_, entry| {
             let ends_at = now + times.of(entry.from_store);
             let in_vain = entry.needed_until.is_some_and(|until| until <= ends_at);
             entry.is_planned() && in_vain
         });
-        let waiting_requests: Vec<u64> = unwanted
+        let waiting_requests: Vec<u64> = expired
             .flat_map(|(_, entry)| entry.waiting_requests)
             .collect();
         self.refuse(waiting_requests, out);
@@ -230,7 +230,7 @@
         now: Moment,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let due = target.unused_ending(&self.cfg, now)?;
+        let due = target.unused_adapter(&self.cfg, now)?;
         Some((OrderKind::Unload, due.clone(), None))
     }
 
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ModelStep {
     Load(Weights),
-    GiveUp(Weights),
+    Unload(Weights),
 }
 
 impl ResidencyPlanner {
@@ -73,7 +73,7 @@
         out: &mut Vec<ResidencyAction>,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let (kind, weights) = match self.model_step(name, now)? {
-            ModelStep::GiveUp(weights) if self.model_updates.remove(name) => {
+            ModelStep::Unload(weights) if self.model_updates.remove(name) => {
                 (OrderKind::Unload, weights)
             }
             ModelStep::Load(weights) if self.may_load_model(name, now) => {
@@ -82,7 +82,7 @@
                 self.refuse(waiting_requests, out);
                 (OrderKind::Load, weights)
             }
-            ModelStep::GiveUp(_) | ModelStep::Load(_) => return None,
+            ModelStep::Unload(_) | ModelStep::Load(_) => return None,
         };
         let target = self.targets.get_mut(name)?;
         target.model_order = Some(ModelOrder {
@@ -99,12 +99,12 @@
             return None;
         }
         if let Some(weights) = self.outdated_model(target, now) {
-            return Some(ModelStep::GiveUp(weights));
+            return Some(ModelStep::Unload(weights));
         }
         let limits = self.limits.get(&target.facts.service)?;
         let configured = |it: &Weights| limits.models.iter().any(|spec| spec.name == it.model);
-        let given_up = target.reloads.as_ref().filter(|it| configured(it));
-        if let Some(weights) = given_up.filter(|it| !target.lists_model(&it.model)) {
+        let to_reload = target.reloads.as_ref().filter(|it| configured(it));
+        if let Some(weights) = to_reload.filter(|it| !target.lists_model(&it.model)) {
             return Some(ModelStep::Load(weights.clone()));
         }
         if !target.facts.models.is_empty() {
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -163,7 +163,7 @@
     /// Returns the number of loads that have been ordered and have not ended.
     pub(crate) fn loading(&self) -> usize {
         let loading =
-            |entry: &&AdapterEntry| entry.is_coming() && entry.state != AdapterStage::Planned;
+            |entry: &&AdapterEntry| entry.is_loading() && entry.state != AdapterStage::Planned;
         self.adapters.values().filter(loading).count()
     }
 
@@ -188,16 +188,16 @@
     }
 
     /// Returns the number of loads that are planned or in progress.
-    pub(crate) fn coming(&self) -> usize {
+    pub(crate) fn pending_loads(&self) -> usize {
         self.adapters
             .values()
-            .filter(|entry| entry.is_coming())
+            .filter(|entry| entry.is_loading())
             .count()
     }
 
     /// Returns whether the target is waiting for requests to end before it unloads an adapter, and
     /// accepts no other order until then.
-    pub(crate) fn gives_up(&self) -> bool {
+    pub(crate) fn is_unloading(&self) -> bool {
         let mut states = self.adapters.values().map(|entry| entry.state);
         let ordered = matches!(self.order_state, OrderState::InFlight(_));
         !ordered && states.any(|state| state == AdapterStage::Unloading)
@@ -233,7 +233,7 @@
     }
 
     /// Returns an adapter that is no longer announced and that nothing uses any more.
-    pub(crate) fn unused_ending(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
+    pub(crate) fn unused_adapter(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
         let mut adapters = self.adapters.iter();
         let due = adapters.find(|(weights, entry)| {
             entry.state == AdapterStage::Ending
@@ -270,7 +270,7 @@
         let stays = self
             .adapters
             .iter()
-            .filter(|(weights, entry)| !entry.is_going() && !self.is_free(weights, entry, now));
+            .filter(|(weights, entry)| !entry.is_leaving() && !self.is_free(weights, entry, now));
         slots.saturating_sub(stays.count() + self.slots_of_late_orders())
     }
 
@@ -288,7 +288,7 @@
     }
 
     /// Removes an adapter that the target no longer holds but may still have in memory.
-    pub(crate) fn gave_up(&mut self, weights: &Weights) {
+    pub(crate) fn adapter_unloaded(&mut self, weights: &Weights) {
         self.adapters.shift_remove(weights);
         self.recent_adapters.record(weights.clone());
     }
