--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -253,7 +253,7 @@
             loaded.push((entry.take_waiting_requests(), entry.outdated));
         }
         for weights in &report.loading {
-            let coming = AdapterEntry::new(AdapterStage::Loading(ready_at), FIRST_KNOWN, now);
+            let coming = AdapterEntry::new(AdapterStage::Loading(ready_at), ASSUMED_VERSION, now);
             let entry = target.adapters.entry(weights.clone()).or_insert(coming);
             // A lost order may be executed while the same load is planned again. If the load stayed
             // planned it would count for no slot, and the next order could exceed the target's
@@ -301,4 +301,4 @@
 }
 
 /// The version assumed for a load in progress until the target lists it.
-const FIRST_KNOWN: u64 = 1;
+const ASSUMED_VERSION: u64 = 1;
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -20,7 +20,7 @@
 /// How long usage reports may omit a grant before it counts as ended. The answer that gives the
 /// grant and a report sent before it are in transit for some milliseconds, and for 100 ms where an
 /// instance has used up its CPU quota.
-const UNTOLD: Duration = Duration::from_millis(300);
+const MAX_OMITTED: Duration = Duration::from_millis(300);
 
 /// Identifies a grant; numbers are unique across all placers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -166,7 +166,7 @@
                 if let Some(it) = uses.iter_mut().find(same) {
                     it.in_flight = it.in_flight.saturating_sub(1);
                 }
-            } else if now.since(grant.given_at) >= UNTOLD {
+            } else if now.since(grant.given_at) >= MAX_OMITTED {
                 lost.push(number);
             }
         }
--- a/crates/chervilshunt_core/src/residency/lanes.rs
+++ b/crates/chervilshunt_core/src/residency/lanes.rs
@@ -19,10 +19,10 @@
 const PAUSED_SHARE: f64 = 0.025;
 /// The minimum rate of pauses at which long prompts are separated, in pauses per second, so that a
 /// single pause among few requests does not count.
-const LEAST_A_SECOND: f64 = 1.5;
+const MIN_PAUSES_PER_SECOND: f64 = 1.5;
 /// How long the separation lasts after the last pauses that justified it. It is then switched off
 /// as a trial: with separation the pauses stop, so nothing would show that it is no longer needed.
-const KEEPS_FOR: Duration = Duration::from_secs(30);
+const SEPARATION_TIME: Duration = Duration::from_secs(30);
 
 /// Whether long prompts are sent to targets of their own.
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,8 +42,8 @@
         self.paused.add(f64::from(paused), HALF_LIFE, now);
         let paused = self.paused.per_second(HALF_LIFE, now);
         let ended = self.ended.per_second(HALF_LIFE, now);
-        if paused >= LEAST_A_SECOND.max(ended * PAUSED_SHARE) {
-            self.until = Some(now + KEEPS_FOR);
+        if paused >= MIN_PAUSES_PER_SECOND.max(ended * PAUSED_SHARE) {
+            self.until = Some(now + SEPARATION_TIME);
         }
     }
 
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -21,22 +21,22 @@
 
 /// How soon a target that was still executing an order for a base model is asked again. Loads take
 /// at least 0.6 s.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+const MODEL_RECHECK: Duration = Duration::from_millis(200);
 /// How often the targets to update next are selected. The selection inspects all outdated targets;
 /// running it with every event would dominate the cost of a request.
-const PICK_EVERY: Duration = Duration::from_millis(100);
+const SELECTION_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a target's own report of its base models takes precedence over the platform's list.
 /// Targets write their entry at least every 1.2 s, and an entry may be seen most of a second late:
 /// an entry from before an order would cause an updated model to be unloaded again.
-const LISTED_LATE: Duration = Duration::from_millis(2_500);
+const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
 /// How soon a base model is loaded again for a version that its last load did not bring. Without
 /// this limit, a version missing from the weight store would cost each target its adapters every
 /// few seconds; a version that arrives there slightly late is picked up by the second load.
-const LOAD_AGAIN: Duration = Duration::from_secs(60);
+const MIN_RELOAD_INTERVAL: Duration = Duration::from_secs(60);
 /// How long an order for a base model counts its target as out of service when further targets are
 /// selected. An order that never ends, on a target that cannot be queried, must not block the
 /// update of the others.
-const COUNTS_FOR: Duration = Duration::from_secs(20);
+const MAX_ORDER_TIME: Duration = Duration::from_secs(20);
 
 /// An order for a base model that has been sent to a target.
 ///
@@ -127,7 +127,9 @@
             let newest = self.newest.get(&weights).copied()?;
             let loaded = target.loaded_for.as_ref();
             let loaded = loaded.is_some_and(|it| {
-                it.weights == weights && it.newest >= newest && now.since(it.at) < LOAD_AGAIN
+                it.weights == weights
+                    && it.newest >= newest
+                    && now.since(it.at) < MIN_RELOAD_INTERVAL
             });
             (newest > held.version && !loaded).then_some(weights)
         })
@@ -163,7 +165,7 @@
     /// longest stream; one after the other, at 5 s each, the last of 18 targets would be updated
     /// after a minute and a half.
     pub(super) fn pick_model_updates(&mut self, now: Moment) {
-        if now.since(self.model_updates_picked_at) < PICK_EVERY {
+        if now.since(self.model_updates_picked_at) < SELECTION_INTERVAL {
             return;
         }
         self.model_updates_picked_at = now;
@@ -274,12 +276,12 @@
         target.touched = true;
         target.was_queried = true;
         if report.busy {
-            target.order_state = OrderState::Unknown(now + LOOK_AGAIN);
+            target.order_state = OrderState::Unknown(now + MODEL_RECHECK);
             return false;
         }
         target.model_order = None;
         target.facts.models = report_models(report);
-        target.models_reported_until = now + LISTED_LATE;
+        target.models_reported_until = now + REPORT_VALIDITY;
         true
     }
 
@@ -303,7 +305,7 @@
 
 impl ModelOrder {
     fn counts(&self, now: Moment) -> bool {
-        now.since(self.given_at) < COUNTS_FOR
+        now.since(self.given_at) < MAX_ORDER_TIME
     }
 }
 
--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -75,7 +75,7 @@
         let reading =
             Duration::from_secs_f64(self.prefill_rate.millis(request.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
-        left.max(within.mul_f64(LEAST_PLACING_SHARE))
+        left.max(within.mul_f64(MIN_PLACEMENT_SHARE))
     }
 
     /// Assigns a target to a request, immediately or once its adapter has been loaded there.
@@ -247,7 +247,7 @@
 }
 
 /// The minimum share of its time that a request may wait for placement, however long its prompt is.
-const LEAST_PLACING_SHARE: f64 = 0.4;
+const MIN_PLACEMENT_SHARE: f64 = 0.4;
 /// The version of weights for which none has been announced.
 const FIRST_VERSION: u64 = 1;
 
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -26,7 +26,7 @@
 
 /// The share of targets that must have reported before the placer counts as knowing what is held.
 /// The last few may be slow or gone.
-const KNOWN_SHARE: f64 = 0.95;
+const MIN_QUERIED_SHARE: f64 = 0.95;
 /// The number of targets that a new placer queries at once.
 const INITIAL_QUERIES: u32 = 128;
 /// The interval between the queries of further targets.
@@ -244,7 +244,7 @@
     fn note_known_targets(&mut self) {
         if !self.knows_targets && !self.targets.is_empty() {
             let queried = self.targets.values().filter(|it| it.was_queried).count();
-            self.knows_targets = queried as f64 >= self.targets.len() as f64 * KNOWN_SHARE;
+            self.knows_targets = queried as f64 >= self.targets.len() as f64 * MIN_QUERIED_SHARE;
         }
     }
 
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -18,11 +18,11 @@
 
 /// How late an unanswered order may be executed. The platform specifies "seconds later"; this is
 /// three times the longest time known for any target.
-const LATE_ORDERS: Duration = Duration::from_secs(15);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
 /// How many orders in advance an unanswered order begins to reserve a slot: more than are sent
 /// while a target takes to free one.
-const NEXT_ORDERS: u64 = 16;
+const ORDERS_AHEAD: u64 = 16;
 
 /// An unanswered order to load an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,14 +56,14 @@
 
     /// Forgets orders that are too old to be executed.
     pub(crate) fn forget_old(&mut self, now: Moment) {
-        let is_recent = |it: &LostLoad| now.since(it.lost_at) < LATE_ORDERS;
+        let is_recent = |it: &LostLoad| now.since(it.lost_at) < MAX_ORDER_DELAY;
         self.present.retain(is_recent);
         self.earlier.retain(is_recent);
     }
 
     /// Returns when the next order to an earlier start becomes too old to be executed.
     pub(crate) fn next_old(&self) -> Option<Moment> {
-        let old = self.earlier.iter().map(|it| it.lost_at + LATE_ORDERS);
+        let old = self.earlier.iter().map(|it| it.lost_at + MAX_ORDER_DELAY);
         old.min()
     }
 
@@ -79,7 +79,7 @@
     pub(crate) fn slots(&self, accepted: Option<u64>) -> usize {
         let is_due = |it: &&LostLoad| {
             accepted.is_none_or(|accepted| {
-                (accepted..=accepted + NEXT_ORDERS).contains(&it.accepted_before)
+                (accepted..=accepted + ORDERS_AHEAD).contains(&it.accepted_before)
             })
         };
         self.earlier.iter().filter(is_due).count()
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -13,7 +13,7 @@
 
 /// How recently an adapter must have been used for its newest version to be loaded ahead of
 /// requests. Otherwise it is loaded on request.
-const USED_OF_LATE: Duration = Duration::from_secs(1);
+const RECENT_USE: Duration = Duration::from_secs(1);
 
 impl ResidencyPlanner {
     /// Applies the announcement of a newest version.
@@ -97,7 +97,7 @@
                 entry.since = now;
             }
             entry.outdated = true;
-            let used = in_use || now.since(entry.last_used) < USED_OF_LATE;
+            let used = in_use || now.since(entry.last_used) < RECENT_USE;
             let facts = &target.facts;
             let (service, zone) = (facts.service.clone(), facts.zone.clone());
             found.push((name.clone(), service, zone, used));
--- a/crates/chervilshunt_core/src/residency/window.rs
+++ b/crates/chervilshunt_core/src/residency/window.rs
@@ -19,19 +19,19 @@
 /// The smallest window, which the smallest store serves at full speed. It is also the initial
 /// window, so that the loads from which the usual duration is estimated do not slow each other
 /// down.
-const FEWEST: f64 = 8.0;
+const MIN_SIZE: f64 = 8.0;
 /// The largest window, far above the capacity of any store, as a guard against unbounded growth.
-const MOST: f64 = 256.0;
+const MAX_SIZE: f64 = 256.0;
 /// How much the window grows with each load in the initial doubling phase, in loads.
 const SEARCH_STEP: f64 = 2.0;
 /// The smallest factor by which one round can shrink the window.
-const DEEPEST_CUT: f64 = 0.5;
+const MIN_CUT_FACTOR: f64 = 0.5;
 /// The number of loads from which the usual duration is estimated, by their median: up to three may
 /// have come from a target's memory, in a tenth of the time, without the planner knowing. They fit
 /// into the first round.
 const SAMPLES: usize = 7;
 /// The minimum number of loads by which a round is judged.
-const FEWEST_IN_ROUND: usize = 5;
+const MIN_ROUND_LOADS: usize = 5;
 /// How much longer than usual a load may take before it counts as late: loads are checked every 30
 /// ms, and the order and its answer take some milliseconds each.
 const TOLERANCE: Duration = Duration::from_millis(45);
@@ -55,7 +55,7 @@
 impl LoadWindow {
     pub(crate) const fn new() -> Self {
         Self {
-            size: FEWEST,
+            size: MIN_SIZE,
             doubles: true,
             samples: Vec::new(),
             usual: None,
@@ -74,7 +74,7 @@
     /// Starts with the estimates of another placer.
     pub(crate) fn start_with(&mut self, load_time: Duration, loads_at_once: u32) {
         self.usual = Some(load_time);
-        self.size = f64::from(loads_at_once).clamp(FEWEST, MOST);
+        self.size = f64::from(loads_at_once).clamp(MIN_SIZE, MAX_SIZE);
         self.doubles = false;
     }
 
@@ -106,7 +106,7 @@
             } else {
                 1.0 / self.size
             };
-            self.size = (self.size + step).min(MOST);
+            self.size = (self.size + step).min(MAX_SIZE);
         }
         let served = if is_late {
             under_way as f64 * usual.as_secs_f64() / took.as_secs_f64()
@@ -114,7 +114,7 @@
             f64::INFINITY
         };
         self.round.push(served);
-        if self.round.len() >= FEWEST_IN_ROUND.max(self.size() / 2) {
+        if self.round.len() >= MIN_ROUND_LOADS.max(self.size() / 2) {
             self.judge_round(now);
         }
     }
@@ -125,7 +125,7 @@
         round.sort_unstable_by(f64::total_cmp);
         let middle = round.get(round.len() / 2).copied();
         if let Some(served) = middle.filter(|served| served.is_finite()) {
-            let least = (self.size * DEEPEST_CUT).max(FEWEST);
+            let least = (self.size * MIN_CUT_FACTOR).max(MIN_SIZE);
             self.size = served.clamp(least, self.size.max(least));
             self.doubles = false;
             self.round_began = now;
