--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn a_leaving_target_is_sent_no_requests() {
     // A draining target keeps serving for seconds, but requests sent to it in that time are cut off
     // when it stops.
     let mut leaving = facts("t1", "here", &[]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_silent_target_is_passed_over_for_a_while() {
+fn an_unreachable_target_is_excluded_temporarily() {
     // A target that has lost power stays listed for three heartbeats. Each request sent to it in
     // that time would wait in vain for a connection.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn one_is_tried_all_the_same_if_all_are_silent() {
+fn a_target_is_tried_if_all_are_unreachable() {
     // If no target responds, the likely cause is this instance's own network link, which may have
     // recovered. Refusing all requests would prevent it from ever noticing.
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_target_that_fails_many_requests_is_passed_over() {
+fn a_target_that_fails_many_requests_is_avoided() {
     // A faulty target fails two out of five requests while its health check passes, and looks idle
     // because failures are fast.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
@@ -90,7 +90,7 @@
 }
 
 /// One target, which has reported as many requests as it may be sent.
-fn before_a_full_target() -> Dispatch {
+fn with_a_full_target() -> Dispatch {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
     let report = LoadReport {
         running: 4,
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_full_target_is_not_chosen() {
-    let dispatch = before_a_full_target();
+    let dispatch = with_a_full_target();
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 0)),
         Err(WaitReason::Full)
@@ -116,8 +116,8 @@
 /// second in which it sent 6, with three targets that execute 18 requests concurrently in 60 ms
 /// each.
 #[test]
-fn a_target_that_was_full_is_asked_again_though_nothing_is_heard_of_it() {
-    let mut dispatch = before_a_full_target();
+fn a_full_target_is_tried_again_once_its_report_is_old() {
+    let mut dispatch = with_a_full_target();
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 100)),
         Err(WaitReason::Full)
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_report_from_before_own_sendings_does_not_hide_them() {
+fn a_report_from_before_own_requests_does_not_hide_them() {
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
     let idle = LoadReport {
         running: 0,
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn an_old_version_serves_for_a_grace_and_is_then_asked_for_by_number() {
+fn an_old_version_serves_for_its_grace_period_and_the_newest_is_then_required() {
     let weights = adapter("a");
     let mut dispatch = dispatch([
         facts("t1", "here", &[("a", 1)]),
@@ -169,7 +169,7 @@
 /// follow each other: the required version must not be the one just announced, which no target can
 /// have loaded yet, since the previous version may still serve.
 #[test]
-fn a_base_model_is_asked_for_in_the_version_that_its_target_lists_while_a_newer_one_is_new() {
+fn the_listed_version_of_a_base_model_is_required_while_a_newer_one_is_new() {
     let weights = Weights::base(&"base".into());
     let mut updated = facts("t1", "here", &[]);
     updated.models[0].version = 2;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_the_placer_tells_goes_before_what_targets_list() {
+fn the_snapshot_of_the_placer_takes_precedence_over_listed_adapters() {
     let weights = adapter("a");
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)]), facts("t2", "here", &[])]);
     let held = |target: &str, adapters: Vec<(Arc<str>, u64)>| TargetSnapshot {
@@ -227,7 +227,10 @@
 #[case(6, 1)]
 #[case(9, 2)]
 #[case(18, 3)]
-fn a_sixth_of_the_targets_is_kept_for_long_prompts(#[case] targets: usize, #[case] kept: usize) {
+fn a_sixth_of_the_targets_is_reserved_for_long_prompts(
+    #[case] targets: usize,
+    #[case] kept: usize,
+) {
     let names: Vec<TargetName> = (0..targets)
         .map(|it| TargetName::new(format!("t{it}")))
         .collect();
@@ -244,7 +247,7 @@
 // Without requests, only the share of the allowance remains.
 #[case(0, 4, 8)]
 #[case(0, 400, 0)]
-fn repeats_are_bounded_in_every_window(
+fn retries_are_bounded_in_every_window(
     #[case] requests: usize,
     #[case] instances: usize,
     #[case] allowed: usize,
@@ -273,7 +276,7 @@
 /// Guards against an answer from an outdated version. The placer's knowledge of a target may
 /// predate the newest version; the target refuses the request if that version is required.
 #[test]
-fn a_target_that_the_placer_names_is_asked_for_the_newest_version() {
+fn a_target_selected_by_the_placer_must_confirm_the_newest_version() {
     let mut dispatch = dispatch([facts("t1", "here", &[("a1", 1)])]);
     let named = TargetName::from("t1");
     let weights = adapter("a1");
@@ -286,7 +289,7 @@
 #[rstest]
 #[case::leaves(Some(Leaving { gone_after: None }))]
 #[case::is_gone(None)]
-fn a_target_that_the_placer_names_is_passed_over_if_it(#[case] leaving: Option<Leaving>) {
+fn a_target_selected_by_the_placer_is_not_used_if_it(#[case] leaving: Option<Leaving>) {
     let known = leaving.map(|leaving| TargetFacts {
         leaving: Some(leaving),
         ..facts("t1", "here", &[("a1", 1)])
@@ -300,7 +303,7 @@
 /// 2, 3 and 4 are announced 2 s apart; a request must not begin on version 1 once version 2 has
 /// been known for longer than the grace period.
 #[test]
-fn each_version_is_counted_from_its_own_naming() {
+fn the_grace_period_of_a_version_starts_at_its_own_announcement() {
     let held = [("t1", 1), ("t2", 2), ("t3", 3)];
     let mut dispatch =
         dispatch(held.map(|(name, version)| facts(name, "here", &[("a1", version)])));
@@ -330,7 +333,7 @@
 
 /// Guards against a request that begins on an outdated version after queueing at its target.
 #[test]
-fn the_begin_deadline_of_a_version_counts_from_the_naming_of_the_next_one() {
+fn the_begin_deadline_of_a_version_counts_from_the_announcement_of_the_next_one() {
     let weights = adapter("a");
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)])]);
     assert_eq!(dispatch.begin_deadline(&weights, 1), None);
--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -70,7 +70,7 @@
 
 /// Returns a steady flow of drafts, and every half second a simultaneous burst of prompts of 1,000
 /// to 3,000 tokens.
-fn clumps(seed: u64) -> Vec<Arrival> {
+fn bursts(seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut all = Vec::new();
     for half in 0..SECONDS * 2 {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn long_prompts_on_targets_of_their_own_spare_the_streams() {
+fn reserving_targets_for_long_prompts_reduces_late_streams() {
     let together = late_share(DispatchConfig::default(), arrivals(7), |_| Lane::General);
     let apart = late_share(DispatchConfig::default(), arrivals(7), Lane::of);
     assert!(
@@ -260,13 +260,13 @@
 }
 
 #[test]
-fn prompt_tokens_still_to_be_read_spread_a_clump() {
+fn pending_prefill_tokens_spread_a_burst() {
     let unseen = DispatchConfig {
         prefill_token_capacity: f64::MAX,
         ..DispatchConfig::default()
     };
-    let by_requests = late_share(unseen, clumps(7), Lane::of);
-    let by_tokens = late_share(DispatchConfig::default(), clumps(7), Lane::of);
+    let by_requests = late_share(unseen, bursts(7), Lane::of);
+    let by_tokens = late_share(DispatchConfig::default(), bursts(7), Lane::of);
     assert!(
         by_tokens < by_requests * 0.9,
         "late: {by_requests:.3} by requests, {by_tokens:.3} by tokens"
