--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_instance_that_is_told_nothing_follows_by_itself() {
+fn an_instance_without_notifications_polls_continuously() {
     let mut guide = PollGuide::new(VALIDITY, MAX_POLL_INTERVAL);
     assert_eq!(guide.mode(at(0)), PollMode::Continuous);
     guide.polled(rev(7), at(0));
@@ -38,10 +38,7 @@
 #[case::it_has_seen_as_much(Some(7), PollMode::Paused)]
 #[case::it_has_seen_more(Some(9), PollMode::Paused)]
 #[case::it_has_seen_nothing(None, PollMode::Once)]
-fn an_instance_that_is_told_of_a_change_looks_once(
-    #[case] seen: Option<u64>,
-    #[case] pace: PollMode,
-) {
+fn an_instance_notified_of_a_change_polls_once(#[case] seen: Option<u64>, #[case] pace: PollMode) {
     let mut guide = notified();
     if let Some(revision) = seen {
         guide.polled(rev(revision), at(0));
@@ -53,7 +50,7 @@
 /// platform, or its machine is partitioned; the instances must not rely on the last notification
 /// indefinitely.
 #[test]
-fn what_is_told_counts_for_a_second_after_what_it_tells_was_seen() {
+fn a_notification_is_valid_for_a_second_after_its_observation() {
     let mut guide = notified();
     guide.polled(rev(7), at(0));
     assert_eq!(guide.mode(at(999)), PollMode::Paused);
@@ -68,7 +65,7 @@
 }
 
 #[test]
-fn an_instance_whose_placer_is_lost_follows_by_itself_at_once() {
+fn an_instance_whose_placer_is_lost_polls_continuously() {
     let mut guide = notified();
     guide.polled(rev(7), at(0));
     guide.placer_lost();
@@ -76,7 +73,7 @@
 }
 
 #[test]
-fn an_instance_looks_now_and_then_in_any_case() {
+fn an_instance_polls_occasionally_in_any_case() {
     let mut guide = notified();
     guide.polled(rev(7), at(0));
     guide.notified(rev(7), at(9_900));
@@ -88,10 +85,10 @@
 #[rstest]
 #[case::it_has_seen_all_before(Some(7), Continuity::Next)]
 #[case::it_has_seen_a_part_of_them(Some(8), Continuity::Next)]
-#[case::it_has_looked_since(Some(9), Continuity::Known)]
+#[case::it_has_polled_since(Some(9), Continuity::Known)]
 #[case::some_before_are_missing(Some(6), Continuity::Gap)]
 #[case::it_has_seen_nothing(None, Continuity::Gap)]
-fn told_changes_are_taken_in_where_none_is_missing_before_them(
+fn changes_are_applied_if_none_is_missing_before_them(
     #[case] seen: Option<u64>,
     #[case] follows: Continuity,
 ) {
@@ -105,7 +102,7 @@
 /// A change may be sent before the next regular notification. It does not say when the placer last
 /// saw the platform, so it must not extend the validity of earlier notifications.
 #[test]
-fn a_told_change_makes_an_instance_look_that_has_missed_one() {
+fn a_change_makes_an_instance_poll_that_missed_one() {
     let mut guide = notified();
     guide.polled(rev(7), at(0));
     guide.changed(rev(9));
@@ -125,7 +122,7 @@
 /// their numbers were compared, changes after the restore would count as known, or as a
 /// continuation of the previous history.
 #[test]
-fn changes_of_a_new_era_make_an_instance_look() {
+fn changes_of_a_new_era_make_an_instance_poll() {
     let mut guide = notified();
     guide.polled(rev(9), at(0));
     let restored = StoreRevision::new(1, 3);
--- a/crates/chervilshunt_core/tests/guide_machine.rs
+++ b/crates/chervilshunt_core/tests/guide_machine.rs
@@ -32,15 +32,15 @@
     /// An object changes.
     Change(u64),
     /// The placer polls the platform and notifies followers of the changes.
-    PlacerLooks,
+    PlacerPolls,
     /// The placer sends a follower its regular notification.
-    Tell(usize),
+    Notify(usize),
     /// A message in transit arrives, is lost, or is duplicated.
     Deliver(usize),
     Lose(usize),
     Double(usize),
     /// The placer becomes connected to the platform, or disconnected.
-    Reach(bool),
+    SetConnected(bool),
     /// Another instance becomes the placer, with its own knowledge.
     Replace,
     /// A follower restarts without any knowledge.
@@ -51,12 +51,12 @@
     prop_oneof![
         4 => (1..=LONGEST_STEP_MS).prop_map(Step::Pass),
         3 => (0..OBJECTS).prop_map(Step::Change),
-        4 => Just(Step::PlacerLooks),
-        4 => (0..FOLLOWERS).prop_map(Step::Tell),
+        4 => Just(Step::PlacerPolls),
+        4 => (0..FOLLOWERS).prop_map(Step::Notify),
         6 => (0..64_usize).prop_map(Step::Deliver),
         2 => (0..64_usize).prop_map(Step::Lose),
         1 => (0..64_usize).prop_map(Step::Double),
-        1 => any::<bool>().prop_map(Step::Reach),
+        1 => any::<bool>().prop_map(Step::SetConnected),
         1 => Just(Step::Replace),
         1 => (0..FOLLOWERS).prop_map(Step::Restart),
     ]
@@ -84,17 +84,17 @@
 #[derive(Clone, Debug)]
 struct Follower {
     guide: PollGuide,
-    believes: Picture,
+    known: Picture,
     /// The time since which the guide has asked for a poll.
-    wants_look_since: Option<Moment>,
+    needs_poll_since: Option<Moment>,
 }
 
 impl Follower {
     fn new() -> Self {
         Self {
             guide: PollGuide::new(VALIDITY, MAX_POLL_INTERVAL),
-            believes: Picture::new(),
-            wants_look_since: None,
+            known: Picture::new(),
+            needs_poll_since: None,
         }
     }
 
@@ -109,7 +109,7 @@
                 self.guide.changed(rev(up_to));
                 if self.guide.continuity(rev(after), rev(up_to)) == Continuity::Next {
                     for (object, revision) in changed {
-                        let known = self.believes.entry(object).or_default();
+                        let known = self.known.entry(object).or_default();
                         *known = revision.max(*known);
                     }
                     self.guide.caught_up(rev(up_to));
@@ -125,13 +125,13 @@
     platform: Picture,
     /// The time at which each revision was created.
     made_at: Vec<Moment>,
-    placer_reaches: bool,
+    placer_connected: bool,
     placer: Picture,
     placer_seen: u64,
     placer_seen_at: Option<Moment>,
-    told: u64,
+    notified: u64,
     followers: Vec<Follower>,
-    under_way: Vec<(usize, Message)>,
+    in_transit: Vec<(usize, Message)>,
 }
 
 impl World {
@@ -142,13 +142,13 @@
             revision: 0,
             platform: Picture::new(),
             made_at: vec![now],
-            placer_reaches: true,
+            placer_connected: true,
             placer: Picture::new(),
             placer_seen: 0,
             placer_seen_at: None,
-            told: 0,
+            notified: 0,
             followers: vec![Follower::new(); FOLLOWERS],
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
         }
     }
 
@@ -160,47 +160,47 @@
                 self.platform.insert(object, self.revision);
                 self.made_at.push(self.now);
             }
-            Step::PlacerLooks if self.placer_reaches => self.placer_looks(),
-            Step::PlacerLooks => {}
-            Step::Tell(follower) => {
+            Step::PlacerPolls if self.placer_connected => self.placer_polls(),
+            Step::PlacerPolls => {}
+            Step::Notify(follower) => {
                 if let Some(as_of) = self.placer_seen_at {
                     let changed_at = self.placer.values().copied().max().unwrap_or(0);
                     let view = Message::View { changed_at, as_of };
-                    self.under_way.push((follower, view));
+                    self.in_transit.push((follower, view));
                 }
             }
             Step::Deliver(index) => {
-                if let Some(index) = index.checked_rem(self.under_way.len()) {
-                    let (follower, message) = self.under_way.remove(index);
+                if let Some(index) = index.checked_rem(self.in_transit.len()) {
+                    let (follower, message) = self.in_transit.remove(index);
                     self.followers[follower].take(message);
                 }
             }
             Step::Lose(index) => {
-                if let Some(index) = index.checked_rem(self.under_way.len()) {
-                    self.under_way.remove(index);
+                if let Some(index) = index.checked_rem(self.in_transit.len()) {
+                    self.in_transit.remove(index);
                 }
             }
             Step::Double(index) => {
-                if let Some(index) = index.checked_rem(self.under_way.len()) {
-                    let message = self.under_way[index].clone();
-                    self.under_way.push(message);
+                if let Some(index) = index.checked_rem(self.in_transit.len()) {
+                    let message = self.in_transit[index].clone();
+                    self.in_transit.push(message);
                 }
             }
-            Step::Reach(reaches) => self.placer_reaches = reaches,
+            Step::SetConnected(connected) => self.placer_connected = connected,
             Step::Replace => {
                 // The next placer has polled everything before it sends anything.
-                self.placer_reaches = true;
-                self.placer_looks();
-                self.told = self.placer.values().copied().max().unwrap_or(0);
+                self.placer_connected = true;
+                self.placer_polls();
+                self.notified = self.placer.values().copied().max().unwrap_or(0);
             }
             Step::Restart(follower) => {
                 self.followers[follower] = Follower::new();
-                self.under_way.retain(|(to, _)| *to != follower);
+                self.in_transit.retain(|(to, _)| *to != follower);
             }
         }
     }
 
-    fn placer_looks(&mut self) {
+    fn placer_polls(&mut self) {
         let seen = self.placer_seen;
         let changed = self.platform.iter().filter(|(_, at)| **at > seen);
         let changed: Picture = changed.map(|(object, at)| (*object, *at)).collect();
@@ -208,16 +208,16 @@
         self.placer_seen_at = Some(self.now);
         self.placer.extend(&changed);
         let up_to = self.placer.values().copied().max().unwrap_or(0);
-        let after = std::mem::replace(&mut self.told, up_to);
+        let after = std::mem::replace(&mut self.notified, up_to);
         if up_to > after {
             for follower in 0..FOLLOWERS {
                 let changed = changed.clone();
-                let news = Message::ChangeBatch {
+                let update = Message::ChangeBatch {
                     after,
                     up_to,
                     changed,
                 };
-                self.under_way.push((follower, news));
+                self.in_transit.push((follower, update));
             }
         }
     }
@@ -226,27 +226,27 @@
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
         for follower in &mut self.followers {
-            let looks = match follower.guide.mode(self.now) {
+            let polls = match follower.guide.mode(self.now) {
                 PollMode::Paused => {
-                    follower.wants_look_since = None;
+                    follower.needs_poll_since = None;
                     false
                 }
                 PollMode::Continuous | PollMode::Once => {
-                    follower.wants_look_since.replace(self.now).is_some()
+                    follower.needs_poll_since.replace(self.now).is_some()
                 }
             };
-            if looks {
-                follower.believes = self.platform.clone();
+            if polls {
+                follower.known = self.platform.clone();
                 follower.guide.polled(rev(self.revision), self.now);
-                follower.wants_look_since = None;
+                follower.needs_poll_since = None;
             }
         }
     }
 
     /// Returns a description of what is wrong with a follower, if anything is.
     fn fault(&self, before: &Follower, follower: &Follower) -> Option<String> {
-        let older = before.believes.iter().find(|(object, at)| {
-            let known = follower.believes.get(*object);
+        let older = before.known.iter().find(|(object, at)| {
+            let known = follower.known.get(*object);
             known.is_some_and(|known| known < *at)
         });
         if let Some((object, at)) = older {
@@ -258,7 +258,7 @@
         let missed: BTreeSet<u64> = self
             .platform
             .iter()
-            .filter(|(object, at)| follower.believes.get(*object) != Some(*at))
+            .filter(|(object, at)| follower.known.get(*object) != Some(*at))
             .map(|(_, at)| *at)
             .collect();
         let late = missed.iter().find(|revision| {
@@ -271,7 +271,7 @@
 
 proptest! {
     #[test]
-    fn followers_know_what_changes_in_time_and_nothing_older_replaces_it(
+    fn followers_learn_changes_in_time_and_never_go_back(
         steps in vec(step(), 1..400)
     ) {
         let mut world = World::new();
@@ -284,7 +284,7 @@
             world.take(step.clone());
             for (index, (before, follower)) in before.iter().zip(&world.followers).enumerate() {
                 // A follower that has just started does not serve callers before its first poll.
-                if restarted == Some(index) || follower.believes.is_empty() {
+                if restarted == Some(index) || follower.known.is_empty() {
                     continue;
                 }
                 let fault = world.fault(before, follower);
