--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -12,14 +12,14 @@
 use rstest::rstest;
 
 /// A planner with one target, which has a single adapter slot and executes orders immediately.
-struct OnePlace {
+struct SingleSlot {
     residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
     answers: Vec<(u64, PlacementResult)>,
 }
 
-impl OnePlace {
+impl SingleSlot {
     fn new() -> Self {
         let mut it = Self {
             residency: before_asking(1, 16, 1),
@@ -40,7 +40,7 @@
                     ResidencyAction::Order(order) => {
                         events.push(ResidencyEvent::OrderAnswered(
                             order.number,
-                            self.carry_out(&order),
+                            self.execute(&order),
                         ));
                         self.orders.push(order);
                     }
@@ -54,7 +54,7 @@
     }
 
     /// Accepts a load when it is first ordered, and reports it as done when it is ordered again.
-    fn carry_out(&self, order: &Order) -> OrderAnswer {
+    fn execute(&self, order: &Order) -> OrderAnswer {
         let last = self
             .orders
             .iter()
@@ -84,7 +84,7 @@
         }));
     }
 
-    fn tells(&mut self, in_flight: u32, grants: Vec<GrantNumber>) {
+    fn report_uses(&mut self, in_flight: u32, grants: Vec<GrantNumber>) {
         let uses = vec![TargetUse {
             target: target(0),
             weights: Some(adapter("a1")),
@@ -111,12 +111,12 @@
         self.answers.iter().any(refused)
     }
 
-    fn gives_up(&self) -> bool {
+    fn has_unloaded(&self) -> bool {
         self.orders.iter().any(|it| it.kind == OrderKind::Unload)
     }
 
     /// Creates the setup with a first granted request that occupies the slot.
-    fn taken() -> Self {
+    fn occupied() -> Self {
         let mut it = Self::new();
         it.want(1, "a1", 1_000);
         it.pass(260);
@@ -130,95 +130,95 @@
 /// adapter is loaded without waiting. When a slot had to be unused until usage reports had settled,
 /// this took 1.7 s longer.
 #[test]
-fn a_place_turns_over_as_soon_as_its_last_request_has_ended() {
-    let mut places = OnePlace::taken();
-    places.want(2, "a2", 1_000);
-    assert!(places.is_refused(2));
-    assert!(!places.gives_up(), "an adapter in use is not given up");
-    places.end(1);
-    places.want(3, "a2", 1_000);
-    places.pass(260);
-    assert!(places.is_placed(3));
+fn a_slot_is_reused_as_soon_as_its_last_request_has_ended() {
+    let mut slot = SingleSlot::occupied();
+    slot.want(2, "a2", 1_000);
+    assert!(slot.is_refused(2));
+    assert!(!slot.has_unloaded(), "an adapter in use is not given up");
+    slot.end(1);
+    slot.want(3, "a2", 1_000);
+    slot.pass(260);
+    assert!(slot.is_placed(3));
 }
 
 /// A repeated request for an adapter that is still loaded needs no load and does not wait.
 #[test]
-fn an_unused_adapter_stays_until_its_place_is_needed() {
-    let mut places = OnePlace::taken();
-    places.end(1);
-    places.pass(5_000);
-    let before = places.orders.len();
-    places.want(2, "a1", 1_000);
-    assert!(places.is_placed(2));
-    assert_eq!(places.orders.len(), before);
+fn an_unused_adapter_stays_until_its_slot_is_needed() {
+    let mut slot = SingleSlot::occupied();
+    slot.end(1);
+    slot.pass(5_000);
+    let before = slot.orders.len();
+    slot.want(2, "a1", 1_000);
+    assert!(slot.is_placed(2));
+    assert_eq!(slot.orders.len(), before);
 }
 
 /// Guards against grants that never end because a message was lost: either the report of the
 /// request's end, or the answer that gave the grant. The next usage report omits the grant, which
 /// ends it. A report sent before the answer arrived omits it too, and must not end it.
 #[test]
-fn a_grant_that_its_instance_does_not_tell_of_ends() {
-    let mut places = OnePlace::taken();
-    places.tells(0, Vec::new());
-    places.want(2, "a2", 5_000);
+fn a_grant_omitted_from_usage_reports_ends() {
+    let mut slot = SingleSlot::occupied();
+    slot.report_uses(0, Vec::new());
+    slot.want(2, "a2", 5_000);
     assert!(
-        !places.gives_up(),
+        !slot.has_unloaded(),
         "the telling and the grant may have crossed"
     );
-    places.pass(400);
-    places.tells(1, vec![GrantNumber(1)]);
-    places.want(3, "a2", 5_000);
-    assert!(!places.gives_up(), "it is told of");
-    places.pass(400);
-    places.tells(0, Vec::new());
-    places.want(4, "a2", 5_000);
-    assert!(places.gives_up());
+    slot.pass(400);
+    slot.report_uses(1, vec![GrantNumber(1)]);
+    slot.want(3, "a2", 5_000);
+    assert!(!slot.has_unloaded(), "it is told of");
+    slot.pass(400);
+    slot.report_uses(0, Vec::new());
+    slot.want(4, "a2", 5_000);
+    assert!(slot.has_unloaded());
 }
 
 #[test]
 fn the_grants_of_an_instance_end_with_it() {
-    let mut places = OnePlace::taken();
-    places.handle(ResidencyEvent::InstanceGone(InstanceId::from("i")));
-    places.want(2, "a2", 5_000);
-    assert!(places.gives_up());
+    let mut slot = SingleSlot::occupied();
+    slot.handle(ResidencyEvent::InstanceGone(InstanceId::from("i")));
+    slot.want(2, "a2", 5_000);
+    assert!(slot.has_unloaded());
 }
 
 /// Requests in flight that this placer did not grant, but a previous placer or none, protect their
 /// adapter from eviction too.
 #[test]
-fn what_is_told_beside_grants_keeps_its_adapter() {
-    let mut places = OnePlace::taken();
-    places.tells(2, vec![GrantNumber(1)]);
-    places.end(1);
-    places.want(2, "a2", 5_000);
-    assert!(!places.gives_up());
-    places.tells(0, Vec::new());
-    places.want(3, "a2", 5_000);
-    assert!(places.gives_up());
+fn uses_reported_besides_grants_protect_their_adapter() {
+    let mut slot = SingleSlot::occupied();
+    slot.report_uses(2, vec![GrantNumber(1)]);
+    slot.end(1);
+    slot.want(2, "a2", 5_000);
+    assert!(!slot.has_unloaded());
+    slot.report_uses(0, Vec::new());
+    slot.want(3, "a2", 5_000);
+    assert!(slot.has_unloaded());
 }
 
 /// Guards against ends of grants that are counted more than once, because they are reported
 /// repeatedly or for an unknown grant.
 #[test]
-fn an_end_that_is_told_twice_or_late_counts_once() {
-    let mut places = OnePlace::taken();
-    places.want(2, "a1", 1_000);
-    assert!(places.is_placed(2));
-    places.end(1);
-    places.end(1);
-    places.end(77);
-    places.want(3, "a2", 5_000);
-    assert!(!places.gives_up(), "the second request is under way");
-    places.end(2);
-    places.want(4, "a2", 5_000);
-    assert!(places.gives_up());
+fn an_end_that_is_reported_twice_counts_once() {
+    let mut slot = SingleSlot::occupied();
+    slot.want(2, "a1", 1_000);
+    assert!(slot.is_placed(2));
+    slot.end(1);
+    slot.end(1);
+    slot.end(77);
+    slot.want(3, "a2", 5_000);
+    assert!(!slot.has_unloaded(), "the second request is under way");
+    slot.end(2);
+    slot.want(4, "a2", 5_000);
+    assert!(slot.has_unloaded());
 }
 
 /// Guards against a target that is never sent orders again. The request has not ended when the
 /// target is queried, and the target is busy with a base model. The unload order is repeated until
 /// the adapter has been unloaded.
 #[test]
-fn a_target_that_still_waits_is_told_again() {
+fn an_unload_order_is_repeated_while_the_target_waits() {
     let mut residency = before_asking(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
@@ -258,7 +258,7 @@
 /// report when it is done. It has to be queried: without that, it loaded nothing more for the rest
 /// of a day, and a few such orders took most slots out of use.
 #[test]
-fn a_target_that_waits_before_it_gives_an_adapter_up_is_not_lost() {
+fn a_target_that_delays_an_unload_is_queried() {
     let mut residency = before_asking(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
@@ -289,8 +289,8 @@
 #[rstest]
 #[case::short(100, false)]
 #[case::long(6_000, true)]
-fn a_long_prompt_needs_its_place_earlier(#[case] prompt_tokens: u32, #[case] refused: bool) {
-    let mut places = OnePlace::new();
+fn a_long_prompt_needs_its_slot_earlier(#[case] prompt_tokens: u32, #[case] refused: bool) {
+    let mut slot = SingleSlot::new();
     let ResidencyEvent::PlacementRequested {
         request_id,
         from,
@@ -300,7 +300,7 @@
     else {
         panic!("a want");
     };
-    places.handle(ResidencyEvent::PlacementRequested {
+    slot.handle(ResidencyEvent::PlacementRequested {
         request_id,
         from,
         request: PlacementRequest {
@@ -309,7 +309,7 @@
         },
         within,
     });
-    assert_eq!(places.is_refused(1), refused);
-    places.pass(260);
-    assert_eq!(places.is_placed(1), !refused);
+    assert_eq!(slot.is_refused(1), refused);
+    slot.pass(260);
+    assert_eq!(slot.is_placed(1), !refused);
 }
