--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -34,14 +34,14 @@
     adapter_slots: usize,
     load_ms: f64,
     at_full_speed: usize,
-    wants_a_second: u64,
+    requests_per_second: u64,
     /// One in this many orders is not answered and executed seconds later; zero for none.
-    one_lost_of: u64,
+    lost_order_interval: u64,
 }
 
 /// How late an unanswered order is executed, and after what time its answer is given up on.
-const CARRIED_OUT_AFTER_MS: u64 = 4_000;
-const GIVEN_UP_AFTER_MS: u64 = 250;
+const LATE_EXECUTION_MS: u64 = 4_000;
+const ANSWER_TIMEOUT_MS: u64 = 250;
 
 #[derive(Clone, Debug, PartialEq)]
 enum At {
@@ -208,10 +208,13 @@
 
     fn order(&mut self, order: Order, now_ms: u64) {
         self.store.orders += 1;
-        let lost =
-            self.load.one_lost_of > 0 && self.store.orders.is_multiple_of(self.load.one_lost_of);
+        let lost = self.load.lost_order_interval > 0
+            && self
+                .store
+                .orders
+                .is_multiple_of(self.load.lost_order_interval);
         let (after, answer) = if lost {
-            (GIVEN_UP_AFTER_MS, OrderAnswer::Unanswered)
+            (ANSWER_TIMEOUT_MS, OrderAnswer::Unanswered)
         } else {
             let answer = self.store.carry_out(self.load, &order, now_ms);
             (ROUND_TRIP_MS, answer)
@@ -222,7 +225,7 @@
             .or_default()
             .push(answered);
         if lost {
-            let at = now_ms + CARRIED_OUT_AFTER_MS;
+            let at = now_ms + LATE_EXECUTION_MS;
             self.store.late.entry(at).or_default().push(order);
         }
     }
@@ -264,7 +267,7 @@
             if self.residency.next_wakeup().is_some_and(|at| at <= now) {
                 self.handle(ResidencyEvent::Tick, now_ms);
             }
-            let due = now_ms * self.load.wants_a_second / 1_000;
+            let due = now_ms * self.load.requests_per_second / 1_000;
             while wants < due {
                 self.want(wants, now_ms);
                 wants += 1;
@@ -276,21 +279,21 @@
 
 /// The share of requests that may fail while the store's capacity is being estimated: the first
 /// 1.25 s of 20 s, with the slowest loads.
-const FINDING_THE_PACE: f64 = 0.07;
+const ESTIMATION_SHARE: f64 = 0.07;
 
 /// Guards against mistaking loads that take longer than expected at any rate for an overloaded
 /// store. When they were, the window stayed at its minimum: of 150 requests per second with 112
 /// targets, 19% were placed in time where the store could have served all of them.
 #[rstest]
-#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 25, one_lost_of: 0 })]
-#[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, wants_a_second: 50, one_lost_of: 0 })]
-#[case::slower_loads(Load { targets: 112, adapter_slots: 8, load_ms: 288.0, at_full_speed: 64, wants_a_second: 150, one_lost_of: 0 })]
-#[case::much_slower_loads(Load { targets: 112, adapter_slots: 8, load_ms: 400.0, at_full_speed: 64, wants_a_second: 120, one_lost_of: 0 })]
-#[case::quicker_loads(Load { targets: 112, adapter_slots: 8, load_ms: 150.0, at_full_speed: 64, wants_a_second: 150, one_lost_of: 0 })]
-fn wants_within_the_stores_reach_are_placed(#[case] load: Load) {
+#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, requests_per_second: 25, lost_order_interval: 0 })]
+#[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, requests_per_second: 50, lost_order_interval: 0 })]
+#[case::slower_loads(Load { targets: 112, adapter_slots: 8, load_ms: 288.0, at_full_speed: 64, requests_per_second: 150, lost_order_interval: 0 })]
+#[case::much_slower_loads(Load { targets: 112, adapter_slots: 8, load_ms: 400.0, at_full_speed: 64, requests_per_second: 120, lost_order_interval: 0 })]
+#[case::quicker_loads(Load { targets: 112, adapter_slots: 8, load_ms: 150.0, at_full_speed: 64, requests_per_second: 150, lost_order_interval: 0 })]
+fn requests_within_the_capacity_of_the_store_are_placed(#[case] load: Load) {
     let (placed, slowness) = Replay::new(load).run();
     assert!(
-        placed > 1.0 - FINDING_THE_PACE && slowness < 1.3,
+        placed > 1.0 - ESTIMATION_SHARE && slowness < 1.3,
         "placed {placed:.3}, loads take {slowness:.2} times as long as at full speed"
     );
 }
@@ -298,11 +301,11 @@
 /// With requests a third above the store's capacity, adapters are still loaded at nearly its full
 /// rate, and not all of them late: requests that cannot be served are refused immediately.
 #[rstest]
-#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 43, one_lost_of: 0 })]
-#[case::large_store(Load { targets: 112, adapter_slots: 8, load_ms: 288.0, at_full_speed: 64, wants_a_second: 300, one_lost_of: 0 })]
+#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, requests_per_second: 43, lost_order_interval: 0 })]
+#[case::large_store(Load { targets: 112, adapter_slots: 8, load_ms: 288.0, at_full_speed: 64, requests_per_second: 300, lost_order_interval: 0 })]
 fn an_overloaded_store_is_used_in_full(#[case] load: Load) {
     let (placed, slowness) = Replay::new(load).run();
-    let reach = load.at_full_speed as f64 / load.load_ms * 1e3 / load.wants_a_second as f64;
+    let reach = load.at_full_speed as f64 / load.load_ms * 1e3 / load.requests_per_second as f64;
     assert!(
         placed > reach * 0.85 && slowness < 1.6,
         "placed {placed:.3} of {reach:.3}, loads take {slowness:.2} times as long as at full speed"
@@ -321,8 +324,8 @@
         adapter_slots: 8,
         load_ms: 288.0,
         at_full_speed: 64,
-        wants_a_second: 100,
-        one_lost_of: 3,
+        requests_per_second: 100,
+        lost_order_interval: 3,
     };
     let (placed, _) = Replay::new(load).run();
     assert!(placed > 0.65, "placed {placed:.3}");
@@ -334,10 +337,10 @@
 /// the outcome of the order can be visible. Two thirds of the first orders are answered, and some
 /// of the other requests have time for another target.
 #[rstest]
-#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, wants_a_second: 25, one_lost_of: 3 })]
-#[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, wants_a_second: 50, one_lost_of: 3 })]
-#[case::large_store(Load { targets: 117, adapter_slots: 10, load_ms: 250.0, at_full_speed: 48, wants_a_second: 170, one_lost_of: 3 })]
-fn late_orders_are_no_sign_of_a_slow_store(#[case] load: Load) {
+#[case::small_store(Load { targets: 9, adapter_slots: 30, load_ms: 250.0, at_full_speed: 8, requests_per_second: 25, lost_order_interval: 3 })]
+#[case::middle_store(Load { targets: 18, adapter_slots: 21, load_ms: 250.0, at_full_speed: 16, requests_per_second: 50, lost_order_interval: 3 })]
+#[case::large_store(Load { targets: 117, adapter_slots: 10, load_ms: 250.0, at_full_speed: 48, requests_per_second: 170, lost_order_interval: 3 })]
+fn late_orders_do_not_count_as_a_slow_store(#[case] load: Load) {
     let (placed, slowness) = Replay::new(load).run();
     assert!(
         placed > 0.7 && slowness < 1.3,
@@ -350,17 +353,17 @@
 /// from its first second. Without them it starts with eight concurrent loads, and callers are
 /// refused until it has estimated the store's capacity again.
 #[test]
-fn a_new_placer_loads_at_the_pace_that_the_last_one_learnt() {
+fn a_new_placer_starts_with_the_estimates_of_the_previous_one() {
     let load = Load {
         targets: 117,
         adapter_slots: 10,
         load_ms: 250.0,
         at_full_speed: 48,
-        wants_a_second: 170,
-        one_lost_of: 0,
+        requests_per_second: 170,
+        lost_order_interval: 0,
     };
     let overloaded = Load {
-        wants_a_second: 300,
+        requests_per_second: 300,
         ..load
     };
     let mut first = Replay::new(overloaded);
@@ -372,7 +375,7 @@
     let mut unaware = Replay::new(load);
     unaware.pass(1);
     assert!(
-        next.placed as f64 > 0.9 * (load.wants_a_second as f64 * 0.75),
+        next.placed as f64 > 0.9 * (load.requests_per_second as f64 * 0.75),
         "{} placed in the first second, {} without what was learnt",
         next.placed,
         unaware.placed
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -26,10 +26,10 @@
 const TARGETS: u8 = 3;
 const ADAPTERS: u8 = 9;
 /// How often an instance reports its requests in flight.
-const TELL_EVERY: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How often a target writes its entry.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(1_200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -300,7 +300,7 @@
             if self.planner.next_wakeup().is_some_and(|at| at <= self.now) {
                 self.event(ResidencyEvent::Tick);
             }
-            if self.now.since(self.told_at) >= TELL_EVERY {
+            if self.now.since(self.told_at) >= REPORT_INTERVAL {
                 self.tell();
             }
         }
@@ -318,7 +318,7 @@
                 changed.push(*index);
             }
         }
-        if self.heartbeats && self.now.since(self.heartbeat_at) >= HEARTBEAT_EVERY {
+        if self.heartbeats && self.now.since(self.heartbeat_at) >= HEARTBEAT_INTERVAL {
             self.heartbeat_at = self.now;
             changed = self.real.keys().copied().collect();
         }
@@ -465,7 +465,7 @@
     /// time, or is ordered to unload what is in use; and that every placement request is answered
     /// once targets answer again.
     #[test]
-    fn orders_stay_within_what_targets_bear(steps in prop::collection::vec(step(), 1..120)) {
+    fn orders_stay_within_the_limits_of_targets(steps in prop::collection::vec(step(), 1..120)) {
         let mut world = World::new();
         world.advance(600);
         for step in steps {
@@ -479,7 +479,7 @@
     /// to load eventually: one at a time, each in at most 3 s, where a lost order may be executed 3
     /// s late.
     #[test]
-    fn targets_come_to_hold_the_newest_base_model(
+    fn all_targets_eventually_hold_the_newest_base_model(
         steps in prop::collection::vec(step_with_base_versions(), 1..120)
     ) {
         let mut world = World::new();
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -68,7 +68,7 @@
 /// Guards against prompts that keep counting after their prefill has completed, which would keep
 /// requests away from the target that holds the adapter.
 #[test]
-fn prompts_that_have_been_read_keep_no_request_away() {
+fn prefilled_prompts_do_not_count() {
     let mut residency = planner();
     for request_id in 0..12 {
         residency.handle(wanted(request_id, adapter("busy"), 2_000), at(600));
@@ -119,7 +119,7 @@
 #[rstest]
 #[case::hundreds(120, 1)]
 #[case::thousands(3_000, 1_500)]
-fn targets_are_asked_at_a_pace_that_a_placer_bears(#[case] targets: usize, #[case] millis: u64) {
+fn targets_are_queried_at_a_limited_rate(#[case] targets: usize, #[case] millis: u64) {
     let mut residency = before_asking(targets, 10, 2);
     let mut asked = 0;
     let mut longest = 0;
@@ -144,7 +144,7 @@
 /// Guards against instances that select targets themselves because one target was added. The new
 /// target has not been queried yet, but the placer must still count as knowing its targets.
 #[test]
-fn a_placer_that_knows_the_targets_goes_on_knowing_them() {
+fn a_new_target_does_not_reset_the_knowledge_of_the_placer() {
     let mut residency = before_asking(2, 10, 2);
     assert!(!residency.knows_targets());
     residency.handle(ResidencyEvent::Tick, at(450));
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -87,7 +87,7 @@
 
 /// Guards against the same when the newer version is announced while the older one is being loaded.
 #[test]
-fn a_load_that_was_ordered_before_a_newer_version_was_named_serves_nobody_who_waits() {
+fn a_load_of_a_superseded_version_answers_no_waiting_request() {
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(455));
     let actions = residency.handle(wanted(), at(460));
@@ -131,7 +131,7 @@
 /// it in progress must not leave it planned, without a slot. Found in a random run: three of four
 /// slots were taken, with `loading: [a8]`, and the next order loaded a6.
 #[test]
-fn a_load_that_is_found_under_way_while_it_is_planned_takes_a_slot() {
+fn a_planned_load_that_is_found_in_progress_takes_a_slot() {
     let mut residency = with_slots(3);
     let held = vec![(adapter("a1"), 1), (adapter("a2"), 1)];
     residency.handle(reported(held.clone()), at(455));
@@ -161,7 +161,7 @@
 /// report lags behind the orders that it has accepted; if queried immediately, the target would
 /// omit the last load ordered.
 #[test]
-fn a_new_planner_waits_before_it_asks_for_as_long_as_reports_lag() {
+fn a_new_planner_waits_for_the_report_lag_before_it_queries_targets() {
     let mut residency = before_asking(1, SLOTS, 4);
     assert_eq!(residency.next_wakeup(), Some(at(450)));
     let actions = residency.handle(ResidencyEvent::Tick, at(450));
@@ -177,7 +177,7 @@
 #[rstest]
 #[case::not_told_yet(959, false)]
 #[case::told(960, true)]
-fn a_new_planner_gives_up_what_nobody_uses_once_uses_have_been_told(
+fn a_new_planner_evicts_unused_adapters_once_uses_have_been_reported(
     #[case] wanted_at: u64,
     #[case] gives_up: bool,
 ) {
@@ -198,7 +198,7 @@
 /// Guards against a caller that is refused only after it has stopped waiting. An order that the
 /// target does not answer delays a load until it would end too late.
 #[test]
-fn those_who_wait_are_told_while_they_can_still_come_back() {
+fn waiting_requests_are_refused_while_they_can_still_retry() {
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(460));
     let first = ResidencyEvent::PlacementRequested {
@@ -229,7 +229,7 @@
 /// grace period starts when the first newer version is announced, and must not restart with each
 /// further one.
 #[test]
-fn an_outdated_hold_gets_no_more_time_with_the_next_version() {
+fn a_further_version_does_not_extend_the_grace_period() {
     let mut residency = before_asking(2, SLOTS, 4);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(placing::reported(0, vec![(adapter("a1"), 1)]), at(453));
