--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -69,7 +69,7 @@
 /// requests, since its previous ones never end, and would be sent requests for an adapter that it
 /// no longer holds.
 #[test]
-fn nothing_of_before_holds_once_a_target_has_started_again() {
+fn a_restart_discards_the_earlier_state() {
     let mut dispatch = dispatch(100, &["a1"]);
     for _ in 0..3 {
         dispatch.sent(&target(0), Some(&adapter("a1")));
@@ -87,7 +87,7 @@
 /// one as their connections break; if they were subtracted from the load of the new start, its own
 /// requests would not be counted.
 #[test]
-fn the_end_of_a_request_of_before_does_not_count_for_the_new_start() {
+fn the_end_of_an_earlier_request_does_not_count_for_the_new_start() {
     let mut dispatch = dispatch(100, &[]);
     dispatch.sent(&target(0), None);
     dispatch.target_listed(entry(200, &[]), at(30));
@@ -105,7 +105,7 @@
 #[rstest]
 #[case::after_the_new_one(false)]
 #[case::after_its_end(true)]
-fn an_entry_of_an_earlier_start_brings_nothing_back(#[case] gone: bool) {
+fn an_entry_of_an_earlier_start_is_ignored(#[case] gone: bool) {
     let mut dispatch = dispatch(200, &[]);
     if gone {
         dispatch.target_gone(&target(0));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_hold_of_an_earlier_start_is_not_believed() {
+fn a_holding_of_an_earlier_start_is_ignored() {
     let mut dispatch = dispatch(200, &[]);
     let holding = |start| AdapterHolding {
         target: target(0),
@@ -231,7 +231,7 @@
 #[rstest]
 #[case::seen_in_its_entry(false)]
 #[case::seen_in_its_report(true)]
-fn an_order_to_the_start_before_counts_for_nothing(#[case] in_report: bool) {
+fn an_order_to_the_previous_start_is_ignored(#[case] in_report: bool) {
     let mut planning = Planning::begin();
     planning.want("a1");
     assert_eq!(planning.orders.len(), 1);
@@ -258,7 +258,7 @@
 /// the target would be announced as holding adapters that it lost, and orders would state the order
 /// count of the previous start.
 #[test]
-fn a_report_of_the_start_before_is_not_believed() {
+fn a_report_of_the_previous_start_is_ignored() {
     let mut planning = Planning::begin();
     planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
@@ -277,7 +277,7 @@
 /// three others and not answered. The target restarts and accepts three loads, so the lost order
 /// may now be executed; a fourth load must not be ordered in addition.
 #[test]
-fn an_order_that_may_come_late_keeps_a_slot_of_the_new_start() {
+fn an_order_that_may_be_executed_late_reserves_a_slot() {
     let mut planning = Planning::begin();
     for name in ["a1", "a2", "a3"] {
         assert!(planning.load(name));
