--- a/crates/chervilshunt_core/tests/self_reports.rs
+++ b/crates/chervilshunt_core/tests/self_reports.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_target_that_says_it_leaves_is_no_longer_chosen() {
+fn a_target_that_reports_leaving_is_no_longer_selected() {
     let mut dispatch = dispatch([started("t1", 7), started("t2", 7)]);
     assert!(dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
     assert!(!dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
@@ -36,7 +36,7 @@
 
 /// Guards against an earlier entry that makes a leaving target usable again.
 #[test]
-fn its_entry_does_not_take_it_back() {
+fn an_earlier_entry_does_not_make_it_usable_again() {
     let mut dispatch = dispatch([started("t1", 7)]);
     dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
     assert_eq!(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn its_next_start_is_used() {
+fn a_later_start_is_used() {
     let mut dispatch = dispatch([started("t1", 7)]);
     dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
     dispatch.target_listed(started("t1", 8), at(1));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_target_that_wants_a_pause_is_not_chosen_until_its_end() {
+fn a_target_that_requests_a_pause_is_not_selected_until_its_end() {
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "here", &[])]);
     dispatch.pause_requested(&name("t1"), Duration::from_secs(2), at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
@@ -84,7 +84,7 @@
 
 /// Guards against callers that wait for targets which are known to accept no requests.
 #[test]
-fn where_all_want_a_pause_the_first_end_is_told() {
+fn the_first_end_is_returned_if_all_targets_are_paused() {
     let holding = [("a", 1)];
     let mut dispatch = dispatch([facts("t1", "here", &holding), facts("t2", "here", &holding)]);
     dispatch.pause_requested(&name("t1"), Duration::from_secs(3), at(0));
@@ -105,7 +105,7 @@
 
 /// Guards against an outdated copy of the platform's list, in which a leaving target is ready.
 #[test]
-fn a_target_whose_entry_said_that_it_leaves_stays_leaving() {
+fn a_target_listed_as_leaving_stays_leaving() {
     let mut dispatch = dispatch([started("t1", 7)]);
     let mut draining = started("t1", 7);
     draining.leaving = Some(Leaving { gone_after: None });
@@ -122,7 +122,7 @@
 /// Guards against an outdated copy of the list that contains a removed target, which must be
 /// distinguished from a new one.
 #[test]
-fn an_entry_of_a_start_that_is_gone_is_known_as_such() {
+fn an_entry_of_a_removed_start_is_recognized() {
     let mut dispatch = dispatch([started("t1", 7), facts("t2", "here", &[])]);
     assert!(!dispatch.is_removed_start(&started("t1", 7)), "it is there");
     dispatch.target_gone(&name("t1"));
