--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -12,7 +12,7 @@
 use chervilshunt_core::{
     GrantNumber, GrantProgress, ResidencyAction, ResidencyEvent, ResidencyPlanner, Weights,
 };
-use placing::{at, before_asking, reported, wanted};
+use placing::{at, reported, unqueried_planner, wanted};
 
 /// Requests and adapters that a target takes at a time.
 const SLOTS: u32 = 64;
@@ -23,7 +23,7 @@
 
 /// A planner that knows what all its targets hold.
 fn planner(targets: usize) -> ResidencyPlanner {
-    let mut residency = before_asking(targets, SLOTS, ADAPTER_SLOTS);
+    let mut residency = unqueried_planner(targets, SLOTS, ADAPTER_SLOTS);
     residency.handle(ResidencyEvent::Tick, at(1_000));
     for index in 0..targets {
         residency.handle(reported(index, Vec::new()), at(1_000));
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -11,7 +11,7 @@
 };
 use chervilshunt_model::ZoneName;
 use model_updates::{
-    FIRST, Fate, NAMED_AT, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
+    ANNOUNCED_AT, FIRST, Fate, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
 };
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
 const ASKS_EVERY_MS: u64 = 100;
 /// Until when the targets have to be updated: nine targets, a quarter of them at a time, and each waits
 /// for requests of 3 s, then loads for 0.6 s; twice that is enough for the reports and listings between.
-const UPDATED_BY_MS: u64 = NAMED_AT + 36_000;
+const UPDATED_BY_MS: u64 = ANNOUNCED_AT + 36_000;
 /// The operators want no request to begin on an older version later than this after its naming.
 const VERSION_BOUND_MS: u64 = 5_000;
 
@@ -31,9 +31,9 @@
     replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(SECOND); TARGETS]);
     assert!(
-        replay.most_away <= TARGETS.div_ceil(4),
+        replay.max_out_of_service <= TARGETS.div_ceil(4),
         "{}",
-        replay.most_away
+        replay.max_out_of_service
     );
     replay
 }
@@ -85,7 +85,7 @@
 fn a_request_for_the_base_model_is_never_sent_where_an_older_version_is() {
     let mut replay = Replay::new();
     replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &base());
-    let bound = at(NAMED_AT) + Duration::from_millis(VERSION_BOUND_MS);
+    let bound = at(ANNOUNCED_AT) + Duration::from_millis(VERSION_BOUND_MS);
     let late = replay.placed.iter().filter(|it| it.at >= bound);
     let outdated = late.clone().filter(|it| it.version != Some(SECOND)).count();
     assert_eq!((outdated, late.count() > 0), (0, true));
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -8,7 +8,7 @@
     ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, TargetUse, Weights,
 };
 use chervilshunt_model::InstanceId;
-use placing::{adapter, at, before_asking, reported, target, wanted};
+use placing::{adapter, at, reported, target, unqueried_planner, wanted};
 use rstest::rstest;
 
 /// A planner with one target, which has a single adapter slot and executes orders immediately.
@@ -22,7 +22,7 @@
 impl SingleSlot {
     fn new() -> Self {
         let mut it = Self {
-            residency: before_asking(1, 16, 1),
+            residency: unqueried_planner(1, 16, 1),
             now: 450,
             orders: Vec::new(),
             answers: Vec::new(),
@@ -219,7 +219,7 @@
 /// the adapter has been unloaded.
 #[test]
 fn an_unload_order_is_repeated_while_the_target_waits() {
-    let mut residency = before_asking(1, 16, 1);
+    let mut residency = unqueried_planner(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
     let actions = residency.handle(wanted(1, adapter("a2"), 9_000), at(1_000));
@@ -259,7 +259,7 @@
 /// of a day, and a few such orders took most slots out of use.
 #[test]
 fn a_target_that_delays_an_unload_is_queried() {
-    let mut residency = before_asking(1, 16, 1);
+    let mut residency = unqueried_planner(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
     let actions = residency.handle(wanted(1, adapter("a2"), 3_000), at(1_000));
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    fn carry_out(&mut self, load: Load, order: &Order, now_ms: u64) -> OrderAnswer {
+    fn execute(&mut self, load: Load, order: &Order, now_ms: u64) -> OrderAnswer {
         let key = (order.target.clone(), order.weights.clone());
         let accepted = self.accepted.entry(order.target.clone()).or_default();
         if order.accepted_before != *accepted {
@@ -216,7 +216,7 @@
         let (after, answer) = if lost {
             (ANSWER_TIMEOUT_MS, OrderAnswer::Unanswered)
         } else {
-            let answer = self.store.carry_out(self.load, &order, now_ms);
+            let answer = self.store.execute(self.load, &order, now_ms);
             (ROUND_TRIP_MS, answer)
         };
         let answered = ResidencyEvent::OrderAnswered(order.number, answer);
@@ -258,7 +258,7 @@
         for now_ms in 1..seconds * 1_000 {
             self.store.pass(self.load, now_ms);
             for order in self.store.late.remove(&now_ms).unwrap_or_default() {
-                self.store.carry_out(self.load, &order, now_ms);
+                self.store.execute(self.load, &order, now_ms);
             }
             for event in self.coming.remove(&now_ms).unwrap_or_default() {
                 self.handle(event, now_ms);
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -21,7 +21,7 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
 use proptest::prelude::*;
-use real_target::{RealTarget, SLOTS, weights_of};
+use real_target::{SLOTS, SimulatedTarget, weights_of};
 
 const TARGETS: u8 = 3;
 const ADAPTERS: u8 = 9;
@@ -78,7 +78,7 @@
 struct World {
     planner: ResidencyPlanner,
     now: Moment,
-    real: BTreeMap<u8, RealTarget>,
+    real: BTreeMap<u8, SimulatedTarget>,
     versions: BTreeMap<String, u64>,
     fate: u8,
     late: Vec<(Moment, TargetName, Order)>,
@@ -145,7 +145,7 @@
     /// Starts a target, which holds no adapters.
     fn start(&mut self, target: u8) {
         let start = self.now.as_millis();
-        let real = RealTarget::new(Some(start), self.newest_base());
+        let real = SimulatedTarget::new(Some(start), self.newest_base());
         self.real.insert(target, real);
     }
 
@@ -258,7 +258,7 @@
         match self.fate {
             1 => self.answer(&order, OrderAnswer::Unanswered),
             2 => {
-                self.carry_out(index, &order);
+                self.execute(index, &order);
                 self.answer(&order, OrderAnswer::Unanswered);
             }
             3 => {
@@ -267,15 +267,15 @@
                 self.answer(&order, OrderAnswer::Unanswered);
             }
             _ => {
-                let answer = self.carry_out(index, &order);
+                let answer = self.execute(index, &order);
                 self.answer(&order, answer);
             }
         }
     }
 
-    fn carry_out(&mut self, index: u8, order: &Order) -> OrderAnswer {
+    fn execute(&mut self, index: u8, order: &Order) -> OrderAnswer {
         let real = self.real.get_mut(&index).expect("a target that is there");
-        real.carry_out(order, self.now)
+        real.execute(order, self.now)
     }
 
     fn answer(&mut self, order: &Order, answer: OrderAnswer) {
@@ -294,7 +294,7 @@
                 .collect();
             for (_, target, order) in due {
                 if let Some(index) = self.index(&target) {
-                    self.carry_out(index, &order);
+                    self.execute(index, &order);
                 }
             }
             if self.planner.next_wakeup().is_some_and(|at| at <= self.now) {
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -13,7 +13,7 @@
     ResidencyEvent, ResidencyPlanner, Weights,
 };
 use chervilshunt_model::TargetName;
-use placing::{adapter, at, before_asking, facts, reported, target, wanted};
+use placing::{adapter, at, facts, reported, target, unqueried_planner, wanted};
 use rstest::rstest;
 
 const TARGETS: usize = 12;
@@ -21,7 +21,7 @@
 /// Creates a planner with targets that have 10 request slots and 20 adapter slots, of which the
 /// first holds the busy adapter and the others none.
 fn planner() -> ResidencyPlanner {
-    let mut residency = before_asking(TARGETS, 10, 20);
+    let mut residency = unqueried_planner(TARGETS, 10, 20);
     residency.handle(ResidencyEvent::Tick, at(450));
     for index in 0..TARGETS {
         let held = (index == 0).then(|| (adapter("busy"), 1));
@@ -86,7 +86,7 @@
 /// to capacity, which does not affect an adapter that the target still has in memory.
 #[test]
 fn a_load_from_memory_does_not_wait_for_the_weight_store() {
-    let mut residency = before_asking(1, 10, 2);
+    let mut residency = unqueried_planner(1, 10, 2);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("kept"), 1)]), at(451));
     residency.handle(reported(0, vec![]), at(452));
@@ -120,7 +120,7 @@
 #[case::hundreds(120, 1)]
 #[case::thousands(3_000, 1_500)]
 fn targets_are_queried_at_a_limited_rate(#[case] targets: usize, #[case] millis: u64) {
-    let mut residency = before_asking(targets, 10, 2);
+    let mut residency = unqueried_planner(targets, 10, 2);
     let mut asked = 0;
     let mut longest = 0;
     for now in 450..450 + 3_000 {
@@ -145,7 +145,7 @@
 /// target has not been queried yet, but the placer must still count as knowing its targets.
 #[test]
 fn a_new_target_does_not_reset_the_knowledge_of_the_placer() {
-    let mut residency = before_asking(2, 10, 2);
+    let mut residency = unqueried_planner(2, 10, 2);
     assert!(!residency.knows_targets());
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![]), at(451));
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -11,7 +11,7 @@
     ResidencyEvent, ResidencyPlanner, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, ZoneName};
-use placing::{adapter, at, before_asking, service, target};
+use placing::{adapter, at, service, target, unqueried_planner};
 use rstest::rstest;
 
 const REQUEST_ID: u64 = 7;
@@ -25,7 +25,7 @@
 
 /// Creates the same with the given number of adapter slots on the target.
 fn with_slots(adapter_slots: usize) -> ResidencyPlanner {
-    let mut residency = before_asking(1, SLOTS, adapter_slots);
+    let mut residency = unqueried_planner(1, SLOTS, adapter_slots);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency
 }
@@ -162,7 +162,7 @@
 /// omit the last load ordered.
 #[test]
 fn a_new_planner_waits_for_the_report_lag_before_it_queries_targets() {
-    let mut residency = before_asking(1, SLOTS, 4);
+    let mut residency = unqueried_planner(1, SLOTS, 4);
     assert_eq!(residency.next_wakeup(), Some(at(450)));
     let actions = residency.handle(ResidencyEvent::Tick, at(450));
     assert!(
@@ -230,7 +230,7 @@
 /// further one.
 #[test]
 fn a_further_version_does_not_extend_the_grace_period() {
-    let mut residency = before_asking(2, SLOTS, 4);
+    let mut residency = unqueried_planner(2, SLOTS, 4);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(placing::reported(0, vec![(adapter("a1"), 1)]), at(453));
     residency.handle(placing::reported(1, vec![]), at(453));
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -142,7 +142,7 @@
 
 impl Planning {
     fn begin() -> Self {
-        let mut residency = placing::before_asking(0, 16, SLOTS);
+        let mut residency = placing::unqueried_planner(0, 16, SLOTS);
         residency.handle(ResidencyEvent::TargetListed(entry(100, &[])), at(0));
         let mut it = Self {
             residency,
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -22,23 +22,23 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::limits;
 pub(crate) use placing::{adapter, at, service, target};
-use real_target::{RealTarget, SLOTS};
+use real_target::{SLOTS, SimulatedTarget};
 
 pub(crate) const TARGETS: usize = 9;
 pub(crate) const FIRST: u64 = 1;
 pub(crate) const SECOND: u64 = 2;
 /// When the second version is announced, in milliseconds.
-pub(crate) const NAMED_AT: u64 = 2_000;
+pub(crate) const ANNOUNCED_AT: u64 = 2_000;
 
 /// How long a request is in flight.
-const RUNS_FOR: Duration = Duration::from_secs(3);
+const REQUEST_DURATION: Duration = Duration::from_secs(3);
 /// How late the planner sees a target's entry.
-const LISTED_AFTER: Duration = Duration::from_millis(400);
+const LISTING_DELAY: Duration = Duration::from_millis(400);
 /// After what time a lost answer is given up on.
-const GIVEN_UP_AFTER: Duration = Duration::from_millis(250);
-const CARRIED_OUT_LATE: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+const LATE_EXECUTION_DELAY: Duration = Duration::from_secs(3);
 /// The time that an order and its answer take.
-const ANSWERED_AFTER: Duration = Duration::from_millis(2);
+const ANSWER_DELAY: Duration = Duration::from_millis(2);
 const STEP_MS: u64 = 5;
 
 pub(crate) fn base() -> Weights {
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Debug)]
 struct Site {
-    real: RealTarget,
+    real: SimulatedTarget,
     /// The end times of its requests.
     runs: Vec<Moment>,
     /// The base model versions to list, each with the time from which it is listed.
@@ -114,7 +114,7 @@
     pub(crate) placed: Vec<PlacedAt>,
     pub(crate) refused: Vec<(u64, PlacementResult)>,
     /// The highest number of targets that accepted no requests at the same time.
-    pub(crate) most_away: usize,
+    pub(crate) max_out_of_service: usize,
 }
 
 impl Replay {
@@ -123,7 +123,7 @@
         let limits = limits(SLOTS);
         residency.handle(ResidencyEvent::Limits(service(), limits), at(0));
         let site = Site {
-            real: RealTarget::new(None, FIRST),
+            real: SimulatedTarget::new(None, FIRST),
             runs: Vec::new(),
             listings: vec![(at(0), Some(FIRST))],
         };
@@ -141,7 +141,7 @@
             given_up: 0,
             placed: Vec::new(),
             refused: Vec::new(),
-            most_away: 0,
+            max_out_of_service: 0,
         }
     }
 
@@ -156,7 +156,7 @@
             self.now_ms += STEP_MS;
             self.targets_go_on();
             self.listings();
-            if self.now_ms == NAMED_AT {
+            if self.now_ms == ANNOUNCED_AT {
                 if self.brings_named {
                     self.versions.insert("base".to_owned(), SECOND);
                 }
@@ -166,8 +166,8 @@
             for answer in due {
                 self.handle(answer);
             }
-            self.tell_uses();
-            if self.now_ms >= NAMED_AT / 2 && self.now_ms.is_multiple_of(asks_every_ms) {
+            self.report_uses();
+            if self.now_ms >= ANNOUNCED_AT / 2 && self.now_ms.is_multiple_of(asks_every_ms) {
                 self.ask(weights);
             }
             if self
@@ -177,8 +177,11 @@
             {
                 self.handle(ResidencyEvent::Tick);
             }
-            let away = self.sites.iter().filter(|site| site.real.is_away());
-            self.most_away = self.most_away.max(away.count());
+            let away = self
+                .sites
+                .iter()
+                .filter(|site| site.real.is_out_of_service());
+            self.max_out_of_service = self.max_out_of_service.max(away.count());
         }
     }
 
@@ -224,9 +227,10 @@
         match placed {
             PlacementResult::At { target: name, .. } => {
                 let site = &mut self.sites[index(&name)];
-                site.runs.push(now + RUNS_FOR);
+                site.runs.push(now + REQUEST_DURATION);
                 let version = site.real.version;
-                self.open.push((GrantNumber(request_id), now + RUNS_FOR));
+                self.open
+                    .push((GrantNumber(request_id), now + REQUEST_DURATION));
                 self.placed.push(PlacedAt { at: now, version });
             }
             PlacementResult::Later { .. } => self.refused.push((self.now_ms, placed)),
@@ -234,7 +238,7 @@
     }
 
     /// Reports ended requests and, periodically, those in flight to the planner.
-    fn tell_uses(&mut self) {
+    fn report_uses(&mut self) {
         let now = self.now();
         let ended: Vec<GrantNumber> = self
             .open
@@ -269,12 +273,12 @@
         let due: Vec<_> = self.late.extract_if(.., |it| it.0 <= now).collect();
         for (_, order) in due {
             let site = &mut self.sites[index(&order.target)];
-            site.real.carry_out(&order, now);
+            site.real.execute(&order, now);
         }
         for site in &mut self.sites {
             site.runs.retain(|end| *end > now);
             if site.real.pass(&self.versions, !site.runs.is_empty(), now) {
-                site.listings.push((now + LISTED_AFTER, site.real.version));
+                site.listings.push((now + LISTING_DELAY, site.real.version));
             }
         }
     }
@@ -305,15 +309,15 @@
         };
         let site = &mut self.sites[index(&order.target)];
         let (answer, after) = match fate {
-            Fate::Answered => (site.real.carry_out(&order, now), ANSWERED_AFTER),
+            Fate::Answered => (site.real.execute(&order, now), ANSWER_DELAY),
             Fate::AnswerLost => {
-                site.real.carry_out(&order, now);
-                (OrderAnswer::Unanswered, GIVEN_UP_AFTER)
+                site.real.execute(&order, now);
+                (OrderAnswer::Unanswered, ANSWER_TIMEOUT)
             }
-            Fate::Lost => (OrderAnswer::Unanswered, GIVEN_UP_AFTER),
+            Fate::Lost => (OrderAnswer::Unanswered, ANSWER_TIMEOUT),
             Fate::Late => {
-                self.late.push((now + CARRIED_OUT_LATE, order.clone()));
-                (OrderAnswer::Unanswered, GIVEN_UP_AFTER)
+                self.late.push((now + LATE_EXECUTION_DELAY, order.clone()));
+                (OrderAnswer::Unanswered, ANSWER_TIMEOUT)
             }
         };
         let answered = ResidencyEvent::OrderAnswered(order.number, answer);
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -63,7 +63,11 @@
 }
 
 /// Creates a planner with targets that it has not queried yet.
-pub(crate) fn before_asking(targets: usize, slots: u32, adapter_slots: usize) -> ResidencyPlanner {
+pub(crate) fn unqueried_planner(
+    targets: usize,
+    slots: u32,
+    adapter_slots: usize,
+) -> ResidencyPlanner {
     let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), at(0));
     let limits = ResidencyEvent::Limits(service(), limits(adapter_slots));
     residency.handle(limits, at(0));
--- a/crates/chervilshunt_core/tests/support/real_target.rs
+++ b/crates/chervilshunt_core/tests/support/real_target.rs
@@ -17,17 +17,17 @@
 pub(crate) const SLOTS: usize = 4;
 /// The durations of loading an adapter and a base model.
 const ADAPTER_LOAD: Duration = Duration::from_millis(240);
-const LOAD_OF_MODEL: Duration = Duration::from_millis(600);
+const MODEL_LOAD: Duration = Duration::from_millis(600);
 
 /// The order for its base model that the target is executing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ModelWork {
-    GivingUp,
+    Unloading,
     Loading(Moment),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct RealTarget {
+pub(crate) struct SimulatedTarget {
     pub(crate) start: Option<u64>,
     pub(crate) accepted: u64,
     /// The version of its base model, or `None` while it holds none.
@@ -37,7 +37,7 @@
     pub(crate) loading: BTreeMap<String, Moment>,
 }
 
-impl RealTarget {
+impl SimulatedTarget {
     pub(crate) fn new(start: Option<u64>, version: u64) -> Self {
         Self {
             start,
@@ -51,13 +51,13 @@
 
     /// Returns whether the target accepts no requests because its base model is missing or about to
     /// be unloaded or loaded.
-    pub(crate) fn is_away(&self) -> bool {
+    pub(crate) fn is_out_of_service(&self) -> bool {
         self.version.is_none() || self.work.is_some()
     }
 
-    pub(crate) fn carry_out(&mut self, order: &Order, now: Moment) -> OrderAnswer {
+    pub(crate) fn execute(&mut self, order: &Order, now: Moment) -> OrderAnswer {
         if order.weights.adapter.is_none() {
-            return self.carry_out_for_model(order, now);
+            return self.execute_for_model(order, now);
         }
         let adapter = order.weights.to_string();
         let loading = self.loading.contains_key(&adapter);
@@ -86,13 +86,13 @@
         }
     }
 
-    fn carry_out_for_model(&mut self, order: &Order, now: Moment) -> OrderAnswer {
+    fn execute_for_model(&mut self, order: &Order, now: Moment) -> OrderAnswer {
         let work = match order.kind {
             OrderKind::Load if self.version.is_some() => return OrderAnswer::Done,
             _ if self.is_out_of_turn(order) => return OrderAnswer::OutOfTurn,
             OrderKind::Unload if self.version.is_none() => return OrderAnswer::Refused,
-            OrderKind::Load => ModelWork::Loading(now + LOAD_OF_MODEL),
-            OrderKind::Unload => ModelWork::GivingUp,
+            OrderKind::Load => ModelWork::Loading(now + MODEL_LOAD),
+            OrderKind::Unload => ModelWork::Unloading,
         };
         self.accepted += 1;
         self.work = Some(work);
@@ -119,7 +119,7 @@
             self.held.insert(adapter, version);
         }
         match self.work {
-            Some(ModelWork::GivingUp) if !in_use => {
+            Some(ModelWork::Unloading) if !in_use => {
                 self.version = None;
                 self.held.clear();
                 self.loading.clear();
@@ -133,7 +133,7 @@
 
     /// Returns whether a request for an adapter may begin.
     pub(crate) fn serves(&self, adapter: &str) -> bool {
-        self.held.contains_key(adapter) && !self.is_away()
+        self.held.contains_key(adapter) && !self.is_out_of_service()
     }
 
     pub(crate) fn report(&self) -> TargetReport {
