--- a/crates/chervilshunt_core/tests/dispatch_load.rs
+++ b/crates/chervilshunt_core/tests/dispatch_load.rs
@@ -151,7 +151,7 @@
         let rng = &mut self.rng;
         let Choice::Send { target, .. } = self.dispatch.choose(&requirements, || rng.random(), now)
         else {
-            panic!("there is room");
+            panic!("a target has room");
         };
         let index = (0..TARGETS)
             .find(|it| name(*it) == target)
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -134,7 +134,7 @@
     let mut slot = SingleSlot::occupied();
     slot.want(2, "a2", 1_000);
     assert!(slot.is_refused(2));
-    assert!(!slot.has_unloaded(), "an adapter in use is not given up");
+    assert!(!slot.has_unloaded(), "an adapter in use is not unloaded");
     slot.end(1);
     slot.want(3, "a2", 1_000);
     slot.pass(260);
@@ -163,12 +163,12 @@
     slot.want(2, "a2", 5_000);
     assert!(
         !slot.has_unloaded(),
-        "the telling and the grant may have crossed"
+        "the usage report and the grant may have crossed"
     );
     slot.pass(400);
     slot.report_uses(1, vec![GrantNumber(1)]);
     slot.want(3, "a2", 5_000);
-    assert!(!slot.has_unloaded(), "it is told of");
+    assert!(!slot.has_unloaded(), "the report includes the grant");
     slot.pass(400);
     slot.report_uses(0, Vec::new());
     slot.want(4, "a2", 5_000);
@@ -208,7 +208,7 @@
     slot.end(1);
     slot.end(77);
     slot.want(3, "a2", 5_000);
-    assert!(!slot.has_unloaded(), "the second request is under way");
+    assert!(!slot.has_unloaded(), "the second request is in flight");
     slot.end(2);
     slot.want(4, "a2", 5_000);
     assert!(slot.has_unloaded());
@@ -229,7 +229,9 @@
         assert_eq!(order.kind, OrderKind::Unload);
         let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
         residency.handle(accepted, at(1_003));
-        let asked = residency.next_wakeup().expect("it is asked again");
+        let asked = residency
+            .next_wakeup()
+            .expect("the target is queried again");
         residency.handle(ResidencyEvent::Tick, asked);
         let report = TargetReport {
             started: None,
@@ -269,7 +271,9 @@
     assert_eq!(order.kind, OrderKind::Unload);
     let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_003));
-    let asked = residency.next_wakeup().expect("it is asked again");
+    let asked = residency
+        .next_wakeup()
+        .expect("the target is queried again");
     let actions = residency.handle(ResidencyEvent::Tick, asked);
     assert!(
         actions.contains(&ResidencyAction::QueryTarget(target(0))),
--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -114,7 +114,7 @@
     assert_eq!(
         guide.continuity(rev(8), rev(9)),
         Continuity::Known,
-        "it goes back to nothing older"
+        "the guide never goes back to an older revision"
     );
 }
 
--- a/crates/chervilshunt_core/tests/guide_machine.rs
+++ b/crates/chervilshunt_core/tests/guide_machine.rs
@@ -262,7 +262,8 @@
             .map(|(_, at)| *at)
             .collect();
         let late = missed.iter().find(|revision| {
-            let made_at = self.made_at[usize::try_from(**revision).expect("a small number")];
+            let made_at =
+                self.made_at[usize::try_from(**revision).expect("a revision that fits into usize")];
             self.now.since(made_at) > bound
         });
         late.map(|revision| format!("the change at {revision} is missed"))
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -368,7 +368,10 @@
     };
     let mut first = Replay::new(overloaded);
     first.pass(SECONDS);
-    let estimates = first.residency.estimates().expect("it has learnt the pace");
+    let estimates = first
+        .residency
+        .estimates()
+        .expect("estimates after the replay");
     let mut next = Replay::new(load);
     next.residency.start_with(estimates);
     next.pass(1);
@@ -376,7 +379,7 @@
     unaware.pass(1);
     assert!(
         next.placed as f64 > 0.9 * (load.requests_per_second as f64 * 0.75),
-        "{} placed in the first second, {} without what was learnt",
+        "{} placed in the first second, {} without the estimates",
         next.placed,
         unaware.placed
     );
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -239,18 +239,14 @@
 
     fn order(&mut self, order: Order) {
         let before = self.out.insert(order.target.clone(), order.number);
-        assert!(
-            before.is_none(),
-            "two orders on their way to {}",
-            order.target
-        );
+        assert!(before.is_none(), "two orders in flight to {}", order.target);
         // Unloading a base model waits for all requests of the target.
         if order.kind == OrderKind::Unload && order.weights.adapter.is_some() {
             let key = (order.target.clone(), order.weights.to_string());
             let used = self.used.get(&key).copied().unwrap_or_default();
             let granted = self.granted.values().filter(|it| **it == key).count();
             let in_use = used as usize + granted;
-            assert_eq!(in_use, 0, "{:?} gives up what is in use", order);
+            assert_eq!(in_use, 0, "{:?} unloads an adapter in use", order);
         }
         let Some(index) = self.index(&order.target) else {
             return self.answer(&order, OrderAnswer::Unanswered);
@@ -274,7 +270,7 @@
     }
 
     fn execute(&mut self, index: u8, order: &Order) -> OrderAnswer {
-        let real = self.real.get_mut(&index).expect("a target that is there");
+        let real = self.real.get_mut(&index).expect("an existing target");
         real.execute(order, self.now)
     }
 
@@ -393,7 +389,7 @@
     /// or the load has not ended, refuses it, and nothing is in flight.
     fn begin(&mut self, request_id: u64, target: TargetName) {
         let adapter = self.wants[&request_id].clone();
-        let index = self.index(&target).expect("a target that is there");
+        let index = self.index(&target).expect("an existing target");
         if self.real[&index].serves(&adapter) {
             self.granted.insert(request_id, (target, adapter));
         } else {
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -94,7 +94,7 @@
     let accepted = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Accepted);
     residency.handle(accepted, at(463));
     residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(500));
-    let look = residency.next_wakeup().expect("a look at the load");
+    let look = residency.next_wakeup().expect("a check of the load");
     let actions = residency.handle(ResidencyEvent::Tick, look);
     let done = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Done);
     let actions = residency.handle(done, look);
@@ -258,6 +258,6 @@
             }
         }
     }
-    let told_gone_at = told_gone_at.expect("it is no longer told of");
+    let told_gone_at = told_gone_at.expect("the end of its announcement");
     assert!(told_gone_at <= 500 + 2_100, "{told_gone_at} ms");
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -244,9 +244,17 @@
         planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
         planning.answer(OrderAnswer::Accepted);
     }
-    assert_eq!(planning.answers.len(), 1, "the caller is told at once");
+    assert_eq!(
+        planning.answers.len(),
+        1,
+        "the caller is answered immediately"
+    );
     planning.pass(300);
-    assert_eq!(planning.orders.len(), 1, "nothing until it has been asked");
+    assert_eq!(
+        planning.orders.len(),
+        1,
+        "no order before the target has been queried"
+    );
     planning.pass(500);
     planning.reports(200, 0, &[]);
     planning.want("a2");
@@ -267,7 +275,7 @@
     let snapshots = planning.residency.snapshots();
     assert!(snapshots.iter().all(|it| it.models.is_empty()));
     planning.pass(500);
-    assert!(planning.asked, "it is asked again");
+    assert!(planning.asked, "the target is queried again");
     planning.reports(200, 0, &[]);
     planning.want("a1");
     assert_eq!(planning.orders[0].accepted_before, 0);
@@ -311,5 +319,5 @@
     assert_eq!(loads(&planning), 0, "the slot may be taken");
     planning.pass(16_000);
     planning.want("b4");
-    assert!(loads(&planning) > 0, "no order is so late");
+    assert!(loads(&planning) > 0, "no order is executed that late");
 }
--- a/crates/chervilshunt_core/tests/self_reports.rs
+++ b/crates/chervilshunt_core/tests/self_reports.rs
@@ -131,7 +131,7 @@
     assert!(dispatch.is_removed_start(&started("t1", 6)));
     assert!(
         !dispatch.is_removed_start(&started("t1", 8)),
-        "it has started again"
+        "it has restarted"
     );
     assert!(dispatch.is_removed_start(&facts("t2", "here", &[])));
     assert!(!dispatch.is_removed_start(&started("t3", 1)));
