--- a/crates/chervilshunt_core/src/residency/answers.rs
+++ b/crates/chervilshunt_core/src/residency/answers.rs
@@ -94,7 +94,7 @@
         out: &mut Vec<ResidencyAction>,
     ) {
         let load_recheck = now + self.cfg.load_recheck;
-        let under_way = self.loads_under_way();
+        let in_progress = self.loads_in_progress();
         let times = self.load_times();
         let Some(target) = self.targets.get_mut(&order.target) else {
             return;
@@ -107,9 +107,9 @@
             OrderAnswer::Done => {
                 if let Some(took) = entry.accepted_at.take().map(|at| now.since(at)) {
                     let quick = took <= self.cfg.max_warm_load;
-                    match entry.had_since {
+                    match entry.adapters_since {
                         Some(since) if quick && entry.from_store => self.memory.was_kept(since),
-                        _ if entry.from_store => self.window.ended(took, under_way, now),
+                        _ if entry.from_store => self.window.ended(took, in_progress, now),
                         _ => {}
                     }
                 }
@@ -130,7 +130,7 @@
                 if !entry.from_store && after.is_some_and(|it| it > self.cfg.max_warm_load) {
                     entry.from_store = true;
                     self.memory
-                        .was_forgotten(entry.had_since.unwrap_or_default());
+                        .was_forgotten(entry.adapters_since.unwrap_or_default());
                 }
                 entry.state = AdapterStage::Loading(load_recheck);
             }
@@ -253,8 +253,12 @@
             loaded.push((entry.take_waiting_requests(), entry.outdated));
         }
         for weights in &report.loading {
-            let coming = AdapterEntry::new(AdapterStage::Loading(ready_at), ASSUMED_VERSION, now);
-            let entry = target.adapters.entry(weights.clone()).or_insert(coming);
+            let found_loading =
+                AdapterEntry::new(AdapterStage::Loading(ready_at), ASSUMED_VERSION, now);
+            let entry = target
+                .adapters
+                .entry(weights.clone())
+                .or_insert(found_loading);
             // A lost order may be executed while the same load is planned again. If the load stayed
             // planned it would count for no slot, and the next order could exceed the target's
             // slots, which kills it.
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -165,7 +165,7 @@
     /// Returns the queueing delays of loads that do not depend on the target.
     fn queue_delays(&self, now: Moment) -> QueueDelays {
         let times = self.load_times();
-        let before = self.waiting_fetches() + self.loads_under_way();
+        let before = self.waiting_fetches() + self.loads_in_progress();
         let rounds = before as f64 / self.window.size() as f64;
         QueueDelays {
             now,
@@ -224,8 +224,8 @@
         if weights.adapter.is_some() {
             return true;
         }
-        let named = self.base_versions.get(&weights.model);
-        let oldest = named.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
+        let announced = self.base_versions.get(&weights.model);
+        let oldest = announced.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
         oldest.is_none_or(|oldest| held >= oldest)
     }
 }
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -153,13 +153,13 @@
         &mut self,
         holder: &InstanceId,
         mut uses: Vec<TargetUse>,
-        told: &[GrantNumber],
+        reported: &[GrantNumber],
         now: Moment,
     ) -> Vec<TargetUse> {
-        let told: HashSet<GrantNumber> = told.iter().copied().collect();
+        let reported: HashSet<GrantNumber> = reported.iter().copied().collect();
         let mut lost = Vec::new();
         for (number, grant) in self.grants.of(holder) {
-            if told.contains(&number) {
+            if reported.contains(&number) {
                 let same = |it: &&mut TargetUse| {
                     it.target == grant.target && it.weights.as_ref() == Some(&grant.weights)
                 };
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -46,7 +46,7 @@
     pub(crate) from_store: bool,
     /// How many other adapters the target had since it last had this one, at the time the load was
     /// ordered; `None` if it never had it.
-    pub(crate) had_since: Option<usize>,
+    pub(crate) adapters_since: Option<usize>,
     /// When the target accepted the load, or `None` if its start was not observed.
     pub(crate) accepted_at: Option<Moment>,
 }
@@ -64,7 +64,7 @@
             waiting_tokens: 0,
             needed_until: None,
             from_store: true,
-            had_since: None,
+            adapters_since: None,
             accepted_at: None,
         }
     }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -71,7 +71,7 @@
     }
 
     /// Returns the number of adapter loads from the weight store that are in progress.
-    pub(super) fn loads_under_way(&self) -> usize {
+    pub(super) fn loads_in_progress(&self) -> usize {
         let targets = self.targets.values();
         let fetching = targets.map(|it| {
             if it.touched {
@@ -101,7 +101,7 @@
     /// Loads that wait for a slot, or for their target's answer to an order, are skipped: they
     /// would occupy the window without loading anything.
     fn admit(&mut self) {
-        let room = self.window.size().saturating_sub(self.loads_under_way());
+        let room = self.window.size().saturating_sub(self.loads_in_progress());
         let waiting = self.waiting_loads();
         let waiting = waiting.filter(|(_, name, weights)| self.can_begin(name, weights));
         let (mut fetches, reloads): (Vec<_>, Vec<_>) =
@@ -122,8 +122,8 @@
         };
         let expired = target.adapters.extract_if(.., |_, entry| {
             let ends_at = now + times.of(entry.from_store);
-            let in_vain = entry.needed_until.is_some_and(|until| until <= ends_at);
-            entry.is_planned() && in_vain
+            let is_too_late = entry.needed_until.is_some_and(|until| until <= ends_at);
+            entry.is_planned() && is_too_late
         });
         let waiting_requests: Vec<u64> = expired
             .flat_map(|(_, entry)| entry.waiting_requests)
@@ -169,10 +169,10 @@
             out.push(notification(name, &weights, None));
         }
         if let Some(target) = self.targets.get_mut(name) {
-            let had_since = target.recent_adapters.since(&weights);
+            let adapters_since = target.recent_adapters.since(&weights);
             if let Some(entry) = target.adapters.get_mut(&weights) {
                 if entry.is_planned() {
-                    entry.had_since = had_since;
+                    entry.adapters_since = adapters_since;
                 }
                 entry.state = match kind {
                     OrderKind::Load if entry.state == AdapterStage::Planned => {
@@ -202,10 +202,16 @@
         let mut adapters = target.adapters.iter();
         let due =
             adapters.find(|(_, it)| matches!(it.state, AdapterStage::Loading(at) if at <= now));
-        due.map(|(weights, entry)| (OrderKind::Load, weights.clone(), self.named(weights, entry)))
+        due.map(|(weights, entry)| {
+            (
+                OrderKind::Load,
+                weights.clone(),
+                self.ordered_version(weights, entry),
+            )
+        })
     }
 
-    fn named(&self, weights: &Weights, entry: &AdapterEntry) -> Option<u64> {
+    fn ordered_version(&self, weights: &Weights, entry: &AdapterEntry) -> Option<u64> {
         self.newest.contains_key(weights).then_some(entry.version)
     }
 
@@ -220,7 +226,11 @@
         if !self.can_begin(name, weights) {
             return None;
         }
-        Some((OrderKind::Load, weights.clone(), self.named(weights, entry)))
+        Some((
+            OrderKind::Load,
+            weights.clone(),
+            self.ordered_version(weights, entry),
+        ))
     }
 
     /// Returns the next adapter that is to be unloaded.
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -245,8 +245,8 @@
 
     /// Computes the capacity, for the requests that arrive until something changes at this target.
     pub(crate) fn count_free_slots(&self, slots: usize, now: Moment) -> FreeSlots {
-        let coming_free = self.adapters.values().map(|entry| entry.free_from);
-        let until = coming_free.filter(|at| *at > now).min();
+        let evictable_from = self.adapters.values().map(|entry| entry.free_from);
+        let until = evictable_from.filter(|at| *at > now).min();
         FreeSlots {
             slots,
             adapters: self.compute_free_slots(slots, now),
@@ -267,11 +267,11 @@
     }
 
     fn compute_free_slots(&self, slots: usize, now: Moment) -> usize {
-        let stays = self
+        let occupied = self
             .adapters
             .iter()
             .filter(|(weights, entry)| !entry.is_leaving() && !self.is_free(weights, entry, now));
-        slots.saturating_sub(stays.count() + self.slots_of_late_orders())
+        slots.saturating_sub(occupied.count() + self.slots_of_late_orders())
     }
 
     /// Returns whether a load fits without evicting another adapter.
@@ -283,8 +283,8 @@
     pub(crate) fn lacks_slot(&self, slots: usize) -> bool {
         let mut states = self.adapters.values().map(|entry| entry.state);
         let planned = states.clone().any(|state| state == AdapterStage::Planned);
-        let going = states.any(|state| state == AdapterStage::Unloading);
-        planned && !going && self.slots_taken() >= slots
+        let unloading = states.any(|state| state == AdapterStage::Unloading);
+        planned && !unloading && self.slots_taken() >= slots
     }
 
     /// Removes an adapter that the target no longer holds but may still have in memory.
@@ -366,8 +366,8 @@
     /// Returns the number of requests in flight with an adapter.
     pub(crate) fn in_use(&self, weights: &Weights) -> u32 {
         let uses = self.uses.get(weights);
-        let told: u32 = uses.into_iter().flatten().map(|(_, count)| count).sum();
-        told + self.grants.get(weights).copied().unwrap_or(0)
+        let reported: u32 = uses.into_iter().flatten().map(|(_, count)| count).sum();
+        reported + self.grants.get(weights).copied().unwrap_or(0)
     }
 
     /// Returns the number of requests in flight at this target.
--- a/crates/chervilshunt_core/src/residency/versions.rs
+++ b/crates/chervilshunt_core/src/residency/versions.rs
@@ -35,8 +35,8 @@
         *known = version;
         if weights.adapter.is_none() {
             let grace = self.cfg.old_version_grace;
-            let named = self.base_versions.entry(weights.model).or_default();
-            return named.announce(version, grace, now);
+            let announced = self.base_versions.entry(weights.model).or_default();
+            return announced.announce(version, grace, now);
         }
         let outdated = self.mark_outdated(&weights, version, now);
         if outdated.is_empty() {
--- a/crates/chervilshunt_core/src/residency/window.rs
+++ b/crates/chervilshunt_core/src/residency/window.rs
@@ -88,9 +88,9 @@
         self.usual.unwrap_or(guess)
     }
 
-    /// Records that a load from the weight store has ended while `under_way` loads were in
+    /// Records that a load from the weight store has ended while `in_progress` loads were in
     /// progress.
-    pub(crate) fn ended(&mut self, took: Duration, under_way: usize, now: Moment) {
+    pub(crate) fn ended(&mut self, took: Duration, in_progress: usize, now: Moment) {
         let Some(usual) = self.usual else {
             return self.add_sample(took);
         };
@@ -100,7 +100,7 @@
             return;
         }
         let is_late = took > usual + TOLERANCE;
-        if !is_late && under_way >= self.size() {
+        if !is_late && in_progress >= self.size() {
             let step = if self.doubles {
                 SEARCH_STEP
             } else {
@@ -109,7 +109,7 @@
             self.size = (self.size + step).min(MAX_SIZE);
         }
         let served = if is_late {
-            under_way as f64 * usual.as_secs_f64() / took.as_secs_f64()
+            in_progress as f64 * usual.as_secs_f64() / took.as_secs_f64()
         } else {
             f64::INFINITY
         };
