--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -12,7 +12,7 @@
 use chervilshunt_core::{
     GrantNumber, GrantProgress, ResidencyAction, ResidencyEvent, ResidencyPlanner, Weights,
 };
-use placing::{at, reported, unqueried_planner, wanted};
+use placing::{at, placement_request, reported, unqueried_planner};
 
 /// Requests and adapters that a target takes at a time.
 const SLOTS: u32 = 64;
@@ -41,7 +41,7 @@
     let began = Instant::now();
     for question in 0..WANTS {
         now = now + WANT_EVERY;
-        let wanted = wanted(question, base.clone(), 1_000);
+        let wanted = placement_request(question, base.clone(), 1_000);
         let actions: Vec<ResidencyAction> = residency.handle(wanted, now);
         black_box(actions);
         let ended = ResidencyEvent::GrantsProgressed(GrantProgress {
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -8,7 +8,7 @@
     ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetReport, TargetUse, Weights,
 };
 use chervilshunt_model::InstanceId;
-use placing::{adapter, at, reported, target, unqueried_planner, wanted};
+use placing::{adapter, at, placement_request, reported, target, unqueried_planner};
 use rstest::rstest;
 
 /// A planner with one target, which has a single adapter slot and executes orders immediately.
@@ -73,8 +73,8 @@
         }
     }
 
-    fn want(&mut self, request_id: u64, name: &str, within_ms: u64) {
-        self.handle(wanted(request_id, adapter(name), within_ms));
+    fn request_placement(&mut self, request_id: u64, name: &str, within_ms: u64) {
+        self.handle(placement_request(request_id, adapter(name), within_ms));
     }
 
     fn end(&mut self, request_id: u64) {
@@ -118,7 +118,7 @@
     /// Creates the setup with a first granted request that occupies the slot.
     fn occupied() -> Self {
         let mut it = Self::new();
-        it.want(1, "a1", 1_000);
+        it.request_placement(1, "a1", 1_000);
         it.pass(260);
         assert!(it.is_placed(1));
         it
@@ -132,11 +132,11 @@
 #[test]
 fn a_slot_is_reused_as_soon_as_its_last_request_has_ended() {
     let mut slot = SingleSlot::occupied();
-    slot.want(2, "a2", 1_000);
+    slot.request_placement(2, "a2", 1_000);
     assert!(slot.is_refused(2));
     assert!(!slot.has_unloaded(), "an adapter in use is not unloaded");
     slot.end(1);
-    slot.want(3, "a2", 1_000);
+    slot.request_placement(3, "a2", 1_000);
     slot.pass(260);
     assert!(slot.is_placed(3));
 }
@@ -148,7 +148,7 @@
     slot.end(1);
     slot.pass(5_000);
     let before = slot.orders.len();
-    slot.want(2, "a1", 1_000);
+    slot.request_placement(2, "a1", 1_000);
     assert!(slot.is_placed(2));
     assert_eq!(slot.orders.len(), before);
 }
@@ -160,18 +160,18 @@
 fn a_grant_omitted_from_usage_reports_ends() {
     let mut slot = SingleSlot::occupied();
     slot.report_uses(0, Vec::new());
-    slot.want(2, "a2", 5_000);
+    slot.request_placement(2, "a2", 5_000);
     assert!(
         !slot.has_unloaded(),
         "the usage report and the grant may have crossed"
     );
     slot.pass(400);
     slot.report_uses(1, vec![GrantNumber(1)]);
-    slot.want(3, "a2", 5_000);
+    slot.request_placement(3, "a2", 5_000);
     assert!(!slot.has_unloaded(), "the report includes the grant");
     slot.pass(400);
     slot.report_uses(0, Vec::new());
-    slot.want(4, "a2", 5_000);
+    slot.request_placement(4, "a2", 5_000);
     assert!(slot.has_unloaded());
 }
 
@@ -179,7 +179,7 @@
 fn the_grants_of_an_instance_end_with_it() {
     let mut slot = SingleSlot::occupied();
     slot.handle(ResidencyEvent::InstanceGone(InstanceId::from("i")));
-    slot.want(2, "a2", 5_000);
+    slot.request_placement(2, "a2", 5_000);
     assert!(slot.has_unloaded());
 }
 
@@ -190,10 +190,10 @@
     let mut slot = SingleSlot::occupied();
     slot.report_uses(2, vec![GrantNumber(1)]);
     slot.end(1);
-    slot.want(2, "a2", 5_000);
+    slot.request_placement(2, "a2", 5_000);
     assert!(!slot.has_unloaded());
     slot.report_uses(0, Vec::new());
-    slot.want(3, "a2", 5_000);
+    slot.request_placement(3, "a2", 5_000);
     assert!(slot.has_unloaded());
 }
 
@@ -202,15 +202,15 @@
 #[test]
 fn an_end_that_is_reported_twice_counts_once() {
     let mut slot = SingleSlot::occupied();
-    slot.want(2, "a1", 1_000);
+    slot.request_placement(2, "a1", 1_000);
     assert!(slot.is_placed(2));
     slot.end(1);
     slot.end(1);
     slot.end(77);
-    slot.want(3, "a2", 5_000);
+    slot.request_placement(3, "a2", 5_000);
     assert!(!slot.has_unloaded(), "the second request is in flight");
     slot.end(2);
-    slot.want(4, "a2", 5_000);
+    slot.request_placement(4, "a2", 5_000);
     assert!(slot.has_unloaded());
 }
 
@@ -222,7 +222,7 @@
     let mut residency = unqueried_planner(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
-    let actions = residency.handle(wanted(1, adapter("a2"), 9_000), at(1_000));
+    let actions = residency.handle(placement_request(1, adapter("a2"), 9_000), at(1_000));
     let mut given_up = orders(&actions);
     for _ in 0..3 {
         let order = given_up.pop().expect("an order");
@@ -264,7 +264,7 @@
     let mut residency = unqueried_planner(1, 16, 1);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
-    let actions = residency.handle(wanted(1, adapter("a2"), 3_000), at(1_000));
+    let actions = residency.handle(placement_request(1, adapter("a2"), 3_000), at(1_000));
     let [ResidencyAction::Notify(_), ResidencyAction::Order(order)] = &*actions else {
         panic!("{actions:?}");
     };
@@ -300,7 +300,7 @@
         from,
         request,
         within,
-    } = wanted(1, adapter("a1"), 400)
+    } = placement_request(1, adapter("a1"), 400)
     else {
         panic!("a want");
     };
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -17,7 +17,7 @@
     ResidencyPlanner, TargetFacts, TargetReport, Weights,
 };
 use chervilshunt_model::{Moment, TargetName, ZoneName};
-use placing::{service, wanted};
+use placing::{placement_request, service};
 use rstest::rstest;
 
 const SECONDS: u64 = 20;
@@ -230,12 +230,12 @@
         }
     }
 
-    fn want(&mut self, number: u64, now_ms: u64) {
+    fn request_placement(&mut self, number: u64, now_ms: u64) {
         let weights = Weights {
             model: "base".into(),
             adapter: Some(format!("a{number}").into()),
         };
-        let wanted = wanted(number, weights, PATIENCE_MS);
+        let wanted = placement_request(number, weights, PATIENCE_MS);
         self.handle(wanted, now_ms);
     }
 
@@ -269,7 +269,7 @@
             }
             let due = now_ms * self.load.requests_per_second / 1_000;
             while wants < due {
-                self.want(wants, now_ms);
+                self.request_placement(wants, now_ms);
                 wants += 1;
             }
         }
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -13,7 +13,7 @@
     ResidencyEvent, ResidencyPlanner, Weights,
 };
 use chervilshunt_model::TargetName;
-use placing::{adapter, at, facts, reported, target, unqueried_planner, wanted};
+use placing::{adapter, at, facts, placement_request, reported, target, unqueried_planner};
 use rstest::rstest;
 
 const TARGETS: usize = 12;
@@ -58,7 +58,10 @@
     let mut residency = planner();
     let mut targets = Vec::new();
     for request_id in 0..requests {
-        let actions = residency.handle(wanted(request_id, adapter("busy"), 2_000), at(600));
+        let actions = residency.handle(
+            placement_request(request_id, adapter("busy"), 2_000),
+            at(600),
+        );
         targets.extend(loads(&actions).into_iter().map(|(_, target, _)| target));
     }
     assert_eq!(targets.len(), more, "{targets:?}");
@@ -71,14 +74,17 @@
 fn prefilled_prompts_do_not_count() {
     let mut residency = planner();
     for request_id in 0..12 {
-        residency.handle(wanted(request_id, adapter("busy"), 2_000), at(600));
+        residency.handle(
+            placement_request(request_id, adapter("busy"), 2_000),
+            at(600),
+        );
     }
     let progress = GrantProgress {
         begun: (0..12).map(GrantNumber).collect(),
         ..GrantProgress::default()
     };
     residency.handle(ResidencyEvent::GrantsProgressed(progress), at(900));
-    let actions = residency.handle(wanted(50, adapter("busy"), 2_000), at(900));
+    let actions = residency.handle(placement_request(50, adapter("busy"), 2_000), at(900));
     assert_eq!(placed_at(&actions), Some(&target(0)));
 }
 
@@ -96,13 +102,13 @@
     );
     residency.handle(ResidencyEvent::Tick, at(1_450));
     residency.handle(reported(0, vec![]), at(1_451));
-    let actions = residency.handle(wanted(1, adapter("cold"), 5_000), at(1_500));
+    let actions = residency.handle(placement_request(1, adapter("cold"), 5_000), at(1_500));
     let [(cold, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
     let accepted = ResidencyEvent::OrderAnswered(*cold, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_503));
-    let actions = residency.handle(wanted(2, adapter("kept"), 5_000), at(1_510));
+    let actions = residency.handle(placement_request(2, adapter("kept"), 5_000), at(1_510));
     let [(kept, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -30,11 +30,11 @@
     residency
 }
 
-fn wanted() -> ResidencyEvent {
-    wants(adapter("a1"))
+fn placement_request() -> ResidencyEvent {
+    placement_request_for(adapter("a1"))
 }
 
-fn wants(weights: Weights) -> ResidencyEvent {
+fn placement_request_for(weights: Weights) -> ResidencyEvent {
     ResidencyEvent::PlacementRequested {
         request_id: REQUEST_ID,
         from: InstanceId::from("i"),
@@ -76,7 +76,7 @@
 fn an_older_version_that_a_target_lists_does_not_end_a_planned_load() {
     let mut residency = begun();
     residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(451));
-    let actions = residency.handle(wanted(), at(460));
+    let actions = residency.handle(placement_request(), at(460));
     assert_eq!(answer(&actions), None);
     let actions = residency.handle(reported(vec![(adapter("a1"), 1)]), at(470));
     assert!(
@@ -90,7 +90,7 @@
 fn a_load_of_a_superseded_version_answers_no_waiting_request() {
     let mut residency = begun();
     residency.handle(reported(Vec::new()), at(455));
-    let actions = residency.handle(wanted(), at(460));
+    let actions = residency.handle(placement_request(), at(460));
     let accepted = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Accepted);
     residency.handle(accepted, at(463));
     residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(500));
@@ -112,11 +112,11 @@
 fn a_refused_request_frees_no_slot() {
     let mut residency = with_slots(2);
     residency.handle(reported(vec![(adapter("a1"), 1)]), at(455));
-    let actions = residency.handle(wants(adapter("a2")), at(1_000));
+    let actions = residency.handle(placement_request_for(adapter("a2")), at(1_000));
     let loading = ordered(&actions);
     let not_held = ResidencyEvent::NotHeld(target(0), adapter("a1"));
     residency.handle(not_held, at(1_001));
-    residency.handle(wants(adapter("a3")), at(1_002));
+    residency.handle(placement_request_for(adapter("a3")), at(1_002));
     let accepted = ResidencyEvent::OrderAnswered(loading, OrderAnswer::Accepted);
     let actions = residency.handle(accepted, at(1_003));
     let loads = actions.iter().filter(|action| match action {
@@ -136,7 +136,7 @@
     let held = vec![(adapter("a1"), 1), (adapter("a2"), 1)];
     residency.handle(reported(held.clone()), at(455));
     for (lost, wanted_at) in [("a8", 1_000), ("a3", 2_000)] {
-        let wanted = placing::wanted(1, adapter(lost), 1_000);
+        let wanted = placing::placement_request(1, adapter(lost), 1_000);
         let actions = residency.handle(wanted, at(wanted_at));
         let unanswered = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Unanswered);
         residency.handle(unanswered, at(wanted_at + 250));
@@ -145,8 +145,14 @@
             residency.handle(reported(held.clone()), at(wanted_at + 705));
         }
     }
-    residency.handle(placing::wanted(2, adapter("a6"), 1_500), at(2_300));
-    residency.handle(placing::wanted(3, adapter("a8"), 1_500), at(2_310));
+    residency.handle(
+        placing::placement_request(2, adapter("a6"), 1_500),
+        at(2_300),
+    );
+    residency.handle(
+        placing::placement_request(3, adapter("a8"), 1_500),
+        at(2_310),
+    );
     residency.handle(ResidencyEvent::Tick, at(2_700));
     let late = placing::report(1, held, vec![adapter("a8")]);
     let actions = residency.handle(late, at(2_705));
@@ -186,7 +192,7 @@
         reported(vec![(adapter("a1"), 1), (adapter("a2"), 1)]),
         at(460),
     );
-    let actions = residency.handle(wants(adapter("a3")), at(wanted_at));
+    let actions = residency.handle(placement_request_for(adapter("a3")), at(wanted_at));
     let orders = actions.iter().filter_map(|action| match action {
         ResidencyAction::Order(order) => Some(order.kind),
         _ => None,
@@ -215,7 +221,7 @@
         within: Duration::from_secs(5),
     };
     residency.handle(first, at(500));
-    let actions = residency.handle(wants(adapter("a2")), at(500));
+    let actions = residency.handle(placement_request_for(adapter("a2")), at(500));
     assert_eq!(answer(&actions), None);
     assert_eq!(residency.next_wakeup(), Some(at(1_250)));
     let actions = residency.handle(ResidencyEvent::Tick, at(1_250));
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    fn want(&mut self, name: &str) {
+    fn request_placement(&mut self, name: &str) {
         self.handle(ResidencyEvent::PlacementRequested {
             request_id: self.now,
             from: InstanceId::from("i"),
@@ -214,7 +214,7 @@
     /// Requests an adapter and lets the target load it; returns whether the load was ordered.
     fn load(&mut self, name: &str) -> bool {
         let before = self.orders.len();
-        self.want(name);
+        self.request_placement(name);
         if self.orders.len() == before {
             return false;
         }
@@ -233,7 +233,7 @@
 #[case::seen_in_its_report(true)]
 fn an_order_to_the_previous_start_is_ignored(#[case] in_report: bool) {
     let mut planning = Planning::begin();
-    planning.want("a1");
+    planning.request_placement("a1");
     assert_eq!(planning.orders.len(), 1);
     if in_report {
         planning.answer(OrderAnswer::OutOfTurn);
@@ -257,7 +257,7 @@
     );
     planning.pass(500);
     planning.reports(200, 0, &[]);
-    planning.want("a2");
+    planning.request_placement("a2");
     let order = planning.orders.last().expect("an order");
     assert_eq!((order.accepted_before, &order.weights), (0, &adapter("a2")));
 }
@@ -277,7 +277,7 @@
     planning.pass(500);
     assert!(planning.asked, "the target is queried again");
     planning.reports(200, 0, &[]);
-    planning.want("a1");
+    planning.request_placement("a1");
     assert_eq!(planning.orders[0].accepted_before, 0);
 }
 
@@ -290,7 +290,7 @@
     for name in ["a1", "a2", "a3"] {
         assert!(planning.load(name));
     }
-    planning.want("a4");
+    planning.request_placement("a4");
     assert_eq!(planning.orders.last().expect("an order").accepted_before, 3);
     planning.answer(OrderAnswer::Unanswered);
     planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
@@ -315,9 +315,9 @@
         let loads = it.orders.iter().filter(|it| it.kind == OrderKind::Load);
         loads.filter(|it| it.weights == adapter("b4")).count()
     };
-    planning.want("b4");
+    planning.request_placement("b4");
     assert_eq!(loads(&planning), 0, "the slot may be taken");
     planning.pass(16_000);
-    planning.want("b4");
+    planning.request_placement("b4");
     assert!(loads(&planning) > 0, "no order is executed that late");
 }
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -78,7 +78,11 @@
 }
 
 /// A placement request of instance `i` for an adapter, which waits for `within_ms` milliseconds.
-pub(crate) fn wanted(request_id: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
+pub(crate) fn placement_request(
+    request_id: u64,
+    weights: Weights,
+    within_ms: u64,
+) -> ResidencyEvent {
     ResidencyEvent::PlacementRequested {
         request_id,
         from: InstanceId::from("i"),
