--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Want(u8, bool),
+    Request(u8, bool),
     Use(u8, u8, u32),
     /// A granted request ends, and its instance either reports that immediately or only omits it
     /// from the next usage report.
@@ -54,9 +54,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        10 => (0..ADAPTERS, any::<bool>()).prop_map(|(a, long)| Step::Want(a, long)),
+        10 => (0..ADAPTERS, any::<bool>()).prop_map(|(a, long)| Step::Request(a, long)),
         4 => (0..TARGETS, 0..ADAPTERS, 0..40_u32).prop_map(|(t, a, n)| Step::Use(t, a, n)),
-        8 => (any::<u8>(), any::<bool>()).prop_map(|(n, told)| Step::End(n, told)),
+        8 => (any::<u8>(), any::<bool>()).prop_map(|(n, reported)| Step::End(n, reported)),
         1 => (0..ADAPTERS).prop_map(Step::Version),
         12 => (1..900_u64).prop_map(Step::Advance),
         3 => (0..4_u8).prop_map(Step::Fate),
@@ -86,14 +86,14 @@
     open: BTreeSet<u64>,
     next_request_id: u64,
     used: BTreeMap<(TargetName, String), u32>,
-    told_used_at: BTreeMap<(TargetName, String), Moment>,
+    use_reported_at: BTreeMap<(TargetName, String), Moment>,
     /// The time of the last usage report.
-    told_at: Moment,
+    reported_at: Moment,
     /// Whether targets periodically write their entries even if nothing has changed.
     heartbeats: bool,
     heartbeat_at: Moment,
     /// The adapter of each placement request.
-    wants: BTreeMap<u64, String>,
+    requested_adapters: BTreeMap<u64, String>,
     /// The granted requests in flight, each with its target and adapter.
     granted: BTreeMap<u64, (TargetName, String)>,
 }
@@ -111,11 +111,11 @@
             open: BTreeSet::new(),
             next_request_id: 0,
             used: BTreeMap::new(),
-            told_used_at: BTreeMap::new(),
-            told_at: Moment::ZERO,
+            use_reported_at: BTreeMap::new(),
+            reported_at: Moment::ZERO,
             heartbeats: false,
             heartbeat_at: Moment::ZERO,
-            wants: BTreeMap::new(),
+            requested_adapters: BTreeMap::new(),
             granted: BTreeMap::new(),
         };
         let limits = limits(SLOTS);
@@ -283,7 +283,7 @@
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = self.now + Duration::from_millis(10);
-            self.targets_go_on();
+            self.advance_targets();
             let due: Vec<_> = self
                 .late
                 .extract_if(.., |(at, ..)| *at <= self.now)
@@ -296,14 +296,14 @@
             if self.planner.next_wakeup().is_some_and(|at| at <= self.now) {
                 self.event(ResidencyEvent::Tick);
             }
-            if self.now.since(self.told_at) >= REPORT_INTERVAL {
+            if self.now.since(self.reported_at) >= REPORT_INTERVAL {
                 self.tell();
             }
         }
     }
 
     /// Advances the targets, and lists those whose base model was loaded or unloaded.
-    fn targets_go_on(&mut self) {
+    fn advance_targets(&mut self) {
         let mut changed = Vec::new();
         for (index, real) in &mut self.real {
             let name = Self::name(*index);
@@ -339,11 +339,12 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Want(n, long) => {
+            Step::Request(n, long) => {
                 let request_id = self.next_request_id;
                 self.next_request_id += 1;
                 self.open.insert(request_id);
-                self.wants.insert(request_id, adapter(n).to_string());
+                self.requested_adapters
+                    .insert(request_id, adapter(n).to_string());
                 let lane = if long {
                     Lane::LongPrompt
                 } else {
@@ -364,7 +365,7 @@
                 });
             }
             Step::Use(target, n, in_flight) => self.use_adapter(target, n, in_flight),
-            Step::End(n, told) => self.end_grant(n, told),
+            Step::End(n, reported) => self.end_grant(n, reported),
             Step::Version(n) => {
                 let name = adapter(n).to_string();
                 let version = self.versions.get(&name).copied().unwrap_or(1) + 1;
@@ -388,7 +389,7 @@
     /// Begins a granted request. A target that does not hold the adapter, because it has restarted
     /// or the load has not ended, refuses it, and nothing is in flight.
     fn begin(&mut self, request_id: u64, target: TargetName) {
-        let adapter = self.wants[&request_id].clone();
+        let adapter = self.requested_adapters[&request_id].clone();
         let index = self.index(&target).expect("an existing target");
         if self.real[&index].serves(&adapter) {
             self.granted.insert(request_id, (target, adapter));
@@ -401,13 +402,13 @@
         }
     }
 
-    fn end_grant(&mut self, n: u8, told: bool) {
+    fn end_grant(&mut self, n: u8, reported: bool) {
         let count = self.granted.len().max(1);
         let Some(number) = self.granted.keys().copied().nth(usize::from(n) % count) else {
             return;
         };
         self.granted.remove(&number);
-        if told {
+        if reported {
             self.event(ResidencyEvent::GrantsProgressed(GrantProgress {
                 begun: vec![GrantNumber(number)],
                 ended: vec![GrantNumber(number)],
@@ -418,7 +419,7 @@
 
     /// Reports all requests in flight.
     fn tell(&mut self) {
-        self.told_at = self.now;
+        self.reported_at = self.now;
         let mut counts = self.used.clone();
         for key in self.granted.values() {
             *counts.entry(key.clone()).or_default() += 1;
@@ -445,8 +446,8 @@
             .get(&target)
             .is_some_and(|it| it.held.contains_key(&adapter(n).to_string()));
         let key = (Self::name(target), adapter(n).to_string());
-        let told = self.told_used_at.insert(key.clone(), self.now);
-        if !held || told == Some(self.now) {
+        let reported = self.use_reported_at.insert(key.clone(), self.now);
+        if !held || reported == Some(self.now) {
             return;
         }
         self.used.insert(key, in_flight);
