--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -297,7 +297,7 @@
                 self.event(ResidencyEvent::Tick);
             }
             if self.now.since(self.reported_at) >= REPORT_INTERVAL {
-                self.tell();
+                self.report_uses();
             }
         }
     }
@@ -418,7 +418,7 @@
     }
 
     /// Reports all requests in flight.
-    fn tell(&mut self) {
+    fn report_uses(&mut self) {
         self.reported_at = self.now;
         let mut counts = self.used.clone();
         for key in self.granted.values() {
@@ -451,7 +451,7 @@
             return;
         }
         self.used.insert(key, in_flight);
-        self.tell();
+        self.report_uses();
     }
 }
 
