--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -35,9 +35,9 @@
 // local zone outweighs that.
 #[case::equal(0, "here")]
 #[case::busier(1, "there")]
-fn another_zone_counts_less_than_a_request(#[case] under_way: usize, #[case] expected: &str) {
+fn another_zone_counts_less_than_a_request(#[case] in_flight: usize, #[case] expected: &str) {
     let mut dispatch = dispatch([facts("here", "here", &[]), facts("there", "there", &[])]);
-    for _ in 0..under_way {
+    for _ in 0..in_flight {
         dispatch.sent(&TargetName::from("here"), None);
     }
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to(expected));
@@ -193,8 +193,8 @@
             adapters,
         }],
     };
-    let told = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
-    dispatch.apply_snapshots(told, at(100));
+    let snapshots = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
+    dispatch.apply_snapshots(snapshots, at(100));
     dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(200));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 200)),
@@ -308,8 +308,8 @@
     let mut dispatch =
         dispatch(held.map(|(name, version)| facts(name, "here", &[("a1", version)])));
     let weights = adapter("a1");
-    for (version, named_at) in [(2, 0), (3, 2_000), (4, 4_000)] {
-        dispatch.version_announced(weights.clone(), version, at(named_at));
+    for (version, announced_at) in [(2, 0), (3, 2_000), (4, 4_000)] {
+        dispatch.version_announced(weights.clone(), version, at(announced_at));
     }
     let holders = |now: u64| -> Vec<String> {
         let avoid = |name: &str| -> Vec<TargetName> {
--- a/crates/chervilshunt_core/tests/grants.rs
+++ b/crates/chervilshunt_core/tests/grants.rs
@@ -223,16 +223,16 @@
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("a1"), 1)]), at(450));
     let actions = residency.handle(placement_request(1, adapter("a2"), 9_000), at(1_000));
-    let mut given_up = orders(&actions);
+    let mut unload_orders = orders(&actions);
     for _ in 0..3 {
-        let order = given_up.pop().expect("an order");
+        let order = unload_orders.pop().expect("an order");
         assert_eq!(order.kind, OrderKind::Unload);
         let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
         residency.handle(accepted, at(1_003));
-        let asked = residency
+        let query_at = residency
             .next_wakeup()
             .expect("the target is queried again");
-        residency.handle(ResidencyEvent::Tick, asked);
+        residency.handle(ResidencyEvent::Tick, query_at);
         let report = TargetReport {
             started: None,
             accepted: 1,
@@ -242,9 +242,9 @@
             loading: Vec::new(),
         };
         let reported = ResidencyEvent::TargetReported(target(0), report);
-        given_up = orders(&residency.handle(reported, asked));
+        unload_orders = orders(&residency.handle(reported, query_at));
     }
-    assert_eq!(given_up.len(), 1);
+    assert_eq!(unload_orders.len(), 1);
 }
 
 fn orders(actions: &[ResidencyAction]) -> Vec<Order> {
@@ -271,15 +271,15 @@
     assert_eq!(order.kind, OrderKind::Unload);
     let accepted = ResidencyEvent::OrderAnswered(order.number, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_003));
-    let asked = residency
+    let query_at = residency
         .next_wakeup()
         .expect("the target is queried again");
-    let actions = residency.handle(ResidencyEvent::Tick, asked);
+    let actions = residency.handle(ResidencyEvent::Tick, query_at);
     assert!(
         actions.contains(&ResidencyAction::QueryTarget(target(0))),
         "{actions:?}"
     );
-    let actions = residency.handle(reported(0, Vec::new()), asked);
+    let actions = residency.handle(reported(0, Vec::new()), query_at);
     let load = actions.iter().find_map(|action| match action {
         ResidencyAction::Order(order) => Some((order.kind, &order.weights)),
         _ => None,
--- a/crates/chervilshunt_core/tests/guide.rs
+++ b/crates/chervilshunt_core/tests/guide.rs
@@ -38,12 +38,12 @@
 #[case::it_has_seen_as_much(Some(7), PollMode::Paused)]
 #[case::it_has_seen_more(Some(9), PollMode::Paused)]
 #[case::it_has_seen_nothing(None, PollMode::Once)]
-fn an_instance_notified_of_a_change_polls_once(#[case] seen: Option<u64>, #[case] pace: PollMode) {
+fn an_instance_notified_of_a_change_polls_once(#[case] seen: Option<u64>, #[case] mode: PollMode) {
     let mut guide = notified();
     if let Some(revision) = seen {
         guide.polled(rev(revision), at(0));
     }
-    assert_eq!(guide.mode(at(10)), pace);
+    assert_eq!(guide.mode(at(10)), mode);
 }
 
 /// Guards against requests sent to a target that has left. The placer loses its connection to the
@@ -90,13 +90,13 @@
 #[case::it_has_seen_nothing(None, Continuity::Gap)]
 fn changes_are_applied_if_none_is_missing_before_them(
     #[case] seen: Option<u64>,
-    #[case] follows: Continuity,
+    #[case] expected: Continuity,
 ) {
     let mut guide = notified();
     if let Some(revision) = seen {
         guide.polled(rev(revision), at(0));
     }
-    assert_eq!(guide.continuity(rev(7), rev(9)), follows);
+    assert_eq!(guide.continuity(rev(7), rev(9)), expected);
 }
 
 /// A change may be sent before the next regular notification. It does not say when the placer last
--- a/crates/chervilshunt_core/tests/residency_load.rs
+++ b/crates/chervilshunt_core/tests/residency_load.rs
@@ -242,19 +242,22 @@
     /// Returns the share of requests that were placed in time, and the mean duration of the loads
     /// in the second half, as a multiple of a load at full speed.
     fn run(mut self) -> (f64, f64) {
-        let wants = self.pass(SECONDS);
+        let requests = self.pass(SECONDS);
         let settled = self
             .store
             .load_times_ms
             .split_off(self.store.load_times_ms.len() / 2);
         let mean = settled.iter().sum::<u64>() as f64 / settled.len().max(1) as f64;
-        (self.placed as f64 / wants as f64, mean / self.load.load_ms)
+        (
+            self.placed as f64 / requests as f64,
+            mean / self.load.load_ms,
+        )
     }
 
     /// Runs the replay for some seconds from its start, and returns the number of placement
     /// requests.
     fn pass(&mut self, seconds: u64) -> u64 {
-        let mut wants = 0;
+        let mut requests = 0;
         for now_ms in 1..seconds * 1_000 {
             self.store.pass(self.load, now_ms);
             for order in self.store.late.remove(&now_ms).unwrap_or_default() {
@@ -268,12 +271,12 @@
                 self.handle(ResidencyEvent::Tick, now_ms);
             }
             let due = now_ms * self.load.requests_per_second / 1_000;
-            while wants < due {
-                self.request_placement(wants, now_ms);
-                wants += 1;
+            while requests < due {
+                self.request_placement(requests, now_ms);
+                requests += 1;
             }
         }
-        wants
+        requests
     }
 }
 
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -127,23 +127,23 @@
 #[case::thousands(3_000, 1_500)]
 fn targets_are_queried_at_a_limited_rate(#[case] targets: usize, #[case] millis: u64) {
     let mut residency = unqueried_planner(targets, 10, 2);
-    let mut asked = 0;
+    let mut queried = 0;
     let mut longest = 0;
     for now in 450..450 + 3_000 {
         let actions = residency.handle(ResidencyEvent::Tick, at(now));
-        let asks = actions.iter();
-        let asks = asks
+        let queries = actions.iter();
+        let queries = queries
             .filter(|it| matches!(it, ResidencyAction::QueryTarget(_)))
             .count();
         if now > 450 {
-            longest = longest.max(asks);
+            longest = longest.max(queries);
         }
-        asked += asks;
+        queried += queries;
         if now < 450 + millis {
-            assert!(asked < targets || targets <= 128, "{asked} at {now}");
+            assert!(queried < targets || targets <= 128, "{queried} at {now}");
         }
     }
-    assert_eq!(asked, targets);
+    assert_eq!(queried, targets);
     assert!(longest <= 2, "{longest} in a millisecond");
 }
 
--- a/crates/chervilshunt_core/tests/residency_versions.rs
+++ b/crates/chervilshunt_core/tests/residency_versions.rs
@@ -94,10 +94,10 @@
     let accepted = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Accepted);
     residency.handle(accepted, at(463));
     residency.handle(ResidencyEvent::VersionAnnounced(adapter("a1"), 2), at(500));
-    let look = residency.next_wakeup().expect("a check of the load");
-    let actions = residency.handle(ResidencyEvent::Tick, look);
+    let check_at = residency.next_wakeup().expect("a check of the load");
+    let actions = residency.handle(ResidencyEvent::Tick, check_at);
     let done = ResidencyEvent::OrderAnswered(ordered(&actions), OrderAnswer::Done);
-    let actions = residency.handle(done, look);
+    let actions = residency.handle(done, check_at);
     assert!(
         matches!(answer(&actions), Some(PlacementResult::Later { .. })),
         "{actions:?}"
@@ -181,11 +181,11 @@
 /// evict any adapter until instances have reported their uses for half a second, and then does so
 /// as soon as a request needs a slot.
 #[rstest]
-#[case::not_told_yet(959, false)]
-#[case::told(960, true)]
+#[case::not_reported_yet(959, false)]
+#[case::all_reported(960, true)]
 fn a_new_planner_evicts_unused_adapters_once_uses_have_been_reported(
     #[case] wanted_at: u64,
-    #[case] gives_up: bool,
+    #[case] unloads: bool,
 ) {
     let mut residency = with_slots(2);
     residency.handle(
@@ -197,7 +197,7 @@
         ResidencyAction::Order(order) => Some(order.kind),
         _ => None,
     });
-    let expected: &[OrderKind] = if gives_up { &[OrderKind::Unload] } else { &[] };
+    let expected: &[OrderKind] = if unloads { &[OrderKind::Unload] } else { &[] };
     assert_eq!(orders.collect::<Vec<_>>(), expected, "{actions:?}");
 }
 
@@ -245,7 +245,7 @@
         weights: Some(adapter("a1")),
         in_flight: 1,
     }];
-    let mut told_gone_at = None;
+    let mut removed_at = None;
     for now in (500..6_000).step_by(50) {
         let mut actions = Vec::new();
         if (now - 500) % 1_500 == 0 {
@@ -258,12 +258,12 @@
         for action in actions {
             match action {
                 ResidencyAction::Notify(it) if it.target == target(0) && it.version.is_none() => {
-                    told_gone_at.get_or_insert(now);
+                    removed_at.get_or_insert(now);
                 }
                 _ => {}
             }
         }
     }
-    let told_gone_at = told_gone_at.expect("the end of its announcement");
-    assert!(told_gone_at <= 500 + 2_100, "{told_gone_at} ms");
+    let removed_at = removed_at.expect("the end of its announcement");
+    assert!(removed_at <= 500 + 2_100, "{removed_at} ms");
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -137,7 +137,7 @@
     now: u64,
     orders: Vec<Order>,
     answers: Vec<PlacementResult>,
-    asked: bool,
+    queried: bool,
 }
 
 impl Planning {
@@ -149,7 +149,7 @@
             now: 0,
             orders: Vec::new(),
             answers: Vec::new(),
-            asked: false,
+            queried: false,
         };
         it.pass(500);
         it.reports(100, 0, &[]);
@@ -161,7 +161,7 @@
             match action {
                 ResidencyAction::Order(order) => self.orders.push(order),
                 ResidencyAction::Answer(_, placed) => self.answers.push(placed),
-                ResidencyAction::QueryTarget(_) => self.asked = true,
+                ResidencyAction::QueryTarget(_) => self.queried = true,
                 ResidencyAction::Notify(_) => {}
             }
         }
@@ -199,7 +199,7 @@
             adapters: adapters.iter().map(|it| (adapter(it), 1)).collect(),
             loading: Vec::new(),
         };
-        self.asked = false;
+        self.queried = false;
         self.handle(ResidencyEvent::TargetReported(
             TargetName::from("t0"),
             report,
@@ -238,7 +238,7 @@
     if in_report {
         planning.answer(OrderAnswer::OutOfTurn);
         planning.pass(500);
-        assert!(planning.asked);
+        assert!(planning.queried);
         planning.reports(200, 0, &[]);
     } else {
         planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
@@ -270,12 +270,12 @@
     let mut planning = Planning::begin();
     planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
-    assert!(planning.asked);
+    assert!(planning.queried);
     planning.reports(100, 7, &["a1"]);
     let snapshots = planning.residency.snapshots();
     assert!(snapshots.iter().all(|it| it.models.is_empty()));
     planning.pass(500);
-    assert!(planning.asked, "the target is queried again");
+    assert!(planning.queried, "the target is queried again");
     planning.reports(200, 0, &[]);
     planning.request_placement("a1");
     assert_eq!(planning.orders[0].accepted_before, 0);
