--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -113,7 +113,7 @@
 #[test]
 fn a_version_that_no_load_brings_is_not_loaded_over_and_over() {
     let mut replay = Replay::new();
-    replay.brings_named = false;
+    replay.loads_announced_version = false;
     replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(FIRST); TARGETS]);
     assert!(replay.given_up <= TARGETS, "{}", replay.given_up);
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -108,7 +108,7 @@
     /// The outcomes of successive orders for the base model; all orders after those are answered.
     pub(crate) fates: Vec<Fate>,
     /// Whether loads bring the announced version.
-    pub(crate) brings_named: bool,
+    pub(crate) loads_announced_version: bool,
     /// The number of orders to unload a base model.
     pub(crate) given_up: usize,
     pub(crate) placed: Vec<PlacedAt>,
@@ -137,7 +137,7 @@
             answers: Vec::new(),
             late: Vec::new(),
             fates: Vec::new(),
-            brings_named: true,
+            loads_announced_version: true,
             given_up: 0,
             placed: Vec::new(),
             refused: Vec::new(),
@@ -149,15 +149,15 @@
         self.sites.iter().map(|site| site.real.version).collect()
     }
 
-    /// Lets time pass, with a request for some weights every `asks_every_ms` once the planner knows
+    /// Lets time pass, with a request for some weights every `request_interval_ms` once the planner knows
     /// its targets.
-    pub(crate) fn run_until(&mut self, end_ms: u64, asks_every_ms: u64, weights: &Weights) {
+    pub(crate) fn run_until(&mut self, end_ms: u64, request_interval_ms: u64, weights: &Weights) {
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            self.targets_go_on();
+            self.advance_targets();
             self.listings();
             if self.now_ms == ANNOUNCED_AT {
-                if self.brings_named {
+                if self.loads_announced_version {
                     self.versions.insert("base".to_owned(), SECOND);
                 }
                 self.handle(ResidencyEvent::VersionAnnounced(base(), SECOND));
@@ -167,7 +167,7 @@
                 self.handle(answer);
             }
             self.report_uses();
-            if self.now_ms >= ANNOUNCED_AT / 2 && self.now_ms.is_multiple_of(asks_every_ms) {
+            if self.now_ms >= ANNOUNCED_AT / 2 && self.now_ms.is_multiple_of(request_interval_ms) {
                 self.ask(weights);
             }
             if self
@@ -268,7 +268,7 @@
         due.map(|it| it.1).collect()
     }
 
-    fn targets_go_on(&mut self) {
+    fn advance_targets(&mut self) {
         let now = self.now();
         let due: Vec<_> = self.late.extract_if(.., |it| it.0 <= now).collect();
         for (_, order) in due {
