--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -116,5 +116,5 @@
     replay.loads_announced_version = false;
     replay.run_until(UPDATED_BY_MS, ASKS_EVERY_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(FIRST); TARGETS]);
-    assert!(replay.given_up <= TARGETS, "{}", replay.given_up);
+    assert!(replay.unload_orders <= TARGETS, "{}", replay.unload_orders);
 }
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -110,7 +110,7 @@
     /// Whether loads bring the announced version.
     pub(crate) loads_announced_version: bool,
     /// The number of orders to unload a base model.
-    pub(crate) given_up: usize,
+    pub(crate) unload_orders: usize,
     pub(crate) placed: Vec<PlacedAt>,
     pub(crate) refused: Vec<(u64, PlacementResult)>,
     /// The highest number of targets that accepted no requests at the same time.
@@ -138,7 +138,7 @@
             late: Vec::new(),
             fates: Vec::new(),
             loads_announced_version: true,
-            given_up: 0,
+            unload_orders: 0,
             placed: Vec::new(),
             refused: Vec::new(),
             max_out_of_service: 0,
@@ -168,7 +168,7 @@
             }
             self.report_uses();
             if self.now_ms >= ANNOUNCED_AT / 2 && self.now_ms.is_multiple_of(request_interval_ms) {
-                self.ask(weights);
+                self.send_request(weights);
             }
             if self
                 .residency
@@ -205,7 +205,7 @@
         }
     }
 
-    fn ask(&mut self, weights: &Weights) {
+    fn send_request(&mut self, weights: &Weights) {
         self.next_request_id += 1;
         self.handle(ResidencyEvent::PlacementRequested {
             request_id: self.next_request_id,
@@ -300,7 +300,7 @@
         let now = self.now();
         let about_model = order.weights.adapter.is_none();
         if about_model && order.kind == OrderKind::Unload {
-            self.given_up += 1;
+            self.unload_orders += 1;
         }
         let fate = if about_model && !self.fates.is_empty() {
             self.fates.remove(0)
