--- a/crates/chervilshunt_core/tests/support/real_target.rs
+++ b/crates/chervilshunt_core/tests/support/real_target.rs
@@ -16,8 +16,8 @@
 /// The number of adapter slots.
 pub(crate) const SLOTS: usize = 4;
 /// The durations of loading an adapter and a base model.
-const ADAPTER_LOAD: Duration = Duration::from_millis(240);
-const MODEL_LOAD: Duration = Duration::from_millis(600);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(240);
+const BASE_LOAD_TIME: Duration = Duration::from_millis(600);
 
 /// The order for its base model that the target is executing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
             OrderKind::Load => {
                 self.accepted += 1;
                 self.held.remove(&adapter);
-                self.loading.insert(adapter, now + ADAPTER_LOAD);
+                self.loading.insert(adapter, now + ADAPTER_LOAD_TIME);
                 assert!(
                     self.held.len() + self.loading.len() <= SLOTS,
                     "ordered to hold more than {SLOTS} adapters: {self:?}"
@@ -91,7 +91,7 @@
             OrderKind::Load if self.version.is_some() => return OrderAnswer::Done,
             _ if self.is_out_of_turn(order) => return OrderAnswer::OutOfTurn,
             OrderKind::Unload if self.version.is_none() => return OrderAnswer::Refused,
-            OrderKind::Load => ModelWork::Loading(now + MODEL_LOAD),
+            OrderKind::Load => ModelWork::Loading(now + BASE_LOAD_TIME),
             OrderKind::Unload => ModelWork::Unloading,
         };
         self.accepted += 1;
