--- a/crates/chervilshunt_core/src/dispatch/guide.rs
+++ b/crates/chervilshunt_core/src/dispatch/guide.rs
@@ -122,8 +122,8 @@
     /// Returns when the mode next changes without any event, if it does.
     pub fn next_wakeup(&self, now: Moment) -> Option<Moment> {
         let valid_until = self.valid_until().filter(|until| *until > now)?;
-        let rested = self.polled.map(|(_, at)| at + self.max_poll_interval);
-        Some(rested.map_or(valid_until, |rested| rested.min(valid_until)))
+        let poll_due = self.polled.map(|(_, at)| at + self.max_poll_interval);
+        Some(poll_due.map_or(valid_until, |poll_due| poll_due.min(valid_until)))
     }
 
     fn valid_until(&self) -> Option<Moment> {
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns whether the adapter is planned or loading, and therefore not announced yet.
-    pub(crate) fn is_loading(&self) -> bool {
+    pub(crate) fn is_load_pending(&self) -> bool {
         matches!(
             self.state,
             AdapterStage::Planned
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -163,7 +163,7 @@
     /// Returns the number of loads that have been ordered and have not ended.
     pub(crate) fn loading(&self) -> usize {
         let loading =
-            |entry: &&AdapterEntry| entry.is_loading() && entry.state != AdapterStage::Planned;
+            |entry: &&AdapterEntry| entry.is_load_pending() && entry.state != AdapterStage::Planned;
         self.adapters.values().filter(loading).count()
     }
 
@@ -191,7 +191,7 @@
     pub(crate) fn pending_loads(&self) -> usize {
         self.adapters
             .values()
-            .filter(|entry| entry.is_loading())
+            .filter(|entry| entry.is_load_pending())
             .count()
     }
 
