--- a/crates/chervilshunt_core/src/residency/placement.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -12,7 +12,7 @@
 use super::target::OrderState;
 use crate::dispatch::{AdapterHolding, Lane, Weights};
 
-/// The requirements of a request on its target.
+/// An instance's request to the placer for a target for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequest {
     /// The service that the request is for.
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -29,7 +29,7 @@
     InFlight(Order),
 }
 
-/// How long a computed capacity stays valid when no time is known at which it changes; late orders
+/// How long a count of free slots stays valid when no time is known at which it changes; late orders
 /// to earlier starts of a target expire in the meantime.
 const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
@@ -95,17 +95,17 @@
     pub(crate) outdated: bool,
     /// Whether due work depends on other targets, so that this one is inspected with every event.
     pub(crate) depends_on_others: bool,
-    /// The capacity for more adapters.
+    /// The slots that are free for more adapters.
     pub(crate) free_slots: FreeSlots,
 }
 
-/// The capacity of a target for more adapters, as computed at its last inspection.
+/// The slots of a target that are free for more adapters, as counted at its last inspection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FreeSlots {
-    /// The total number of slots that the computation was based on.
+    /// The total number of slots that the count was based on.
     slots: usize,
     adapters: usize,
-    /// The time from which the capacity may have changed without an event.
+    /// The time from which the count may have changed without an event.
     until: Moment,
 }
 
@@ -243,7 +243,7 @@
         due.map(|(weights, _)| weights)
     }
 
-    /// Computes the capacity, for the requests that arrive until something changes at this target.
+    /// Counts the free slots, for the requests that arrive until something changes at this target.
     pub(crate) fn count_free_slots(&self, slots: usize, now: Moment) -> FreeSlots {
         let evictable_from = self.adapters.values().map(|entry| entry.free_from);
         let until = evictable_from.filter(|at| *at > now).min();
