--- a/crates/chervilshunt_core/examples/model_update_costs.rs
+++ b/crates/chervilshunt_core/examples/model_update_costs.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, Residency, ResidencyAction, ResidencyEvent, Weights,
+    GrantNumber, GrantProgress, ResidencyAction, ResidencyEvent, ResidencyPlanner, Weights,
 };
-use placing::{at, before_asking, reported, wanted};
+use placing::{at, placement_request, reported, unqueried_planner};
 
 /// Concurrent requests and adapter slots of each target.
 const SLOTS: u32 = 64;
@@ -23,8 +23,8 @@
 const REQUEST_INTERVAL: Duration = Duration::from_micros(714);
 
 /// Creates a planner that knows what all its targets hold.
-fn planner(targets: usize) -> Residency {
-    let mut residency = before_asking(targets, SLOTS, ADAPTER_SLOTS);
+fn planner(targets: usize) -> ResidencyPlanner {
+    let mut residency = unqueried_planner(targets, SLOTS, ADAPTER_SLOTS);
     residency.handle(ResidencyEvent::Tick, at(1_000));
     for index in 0..targets {
         residency.handle(reported(index, Vec::new()), at(1_000));
@@ -37,15 +37,15 @@
     let mut now = at(2_000);
     let base = Weights::base(&"base".into());
     if outdated {
-        residency.handle(ResidencyEvent::VersionNamed(base.clone(), 2), now);
+        residency.handle(ResidencyEvent::VersionAnnounced(base.clone(), 2), now);
     }
     let started = Instant::now();
     for number in 0..REQUESTS {
         now = now + REQUEST_INTERVAL;
-        let wanted = wanted(number, base.clone(), 1_000);
+        let wanted = placement_request(number, base.clone(), 1_000);
         let actions: Vec<ResidencyAction> = residency.handle(wanted, now);
         black_box(actions);
-        let ended = ResidencyEvent::Progressed(GrantProgress {
+        let ended = ResidencyEvent::GrantsProgressed(GrantProgress {
             ended: vec![GrantNumber(number)],
             ..GrantProgress::default()
         });
--- a/crates/chervilshunt_core/src/dispatch/choose.rs
+++ b/crates/chervilshunt_core/src/dispatch/choose.rs
@@ -22,7 +22,7 @@
     /// The number of prompt tokens awaiting prefill that weighs as much as all slots of a target.
     /// Prefilling that many at once stalls the streams on the target for 250 ms, the pause that
     /// callers want kept.
-    pub reading_tokens: f64,
+    pub prefill_token_capacity: f64,
     /// The score added to a target whose share of failed requests is too high.
     pub failing_penalty: f64,
     /// The number of requests beyond its slots that a target is sent, as a share of its slots. The
@@ -46,7 +46,7 @@
         Self {
             zone_penalty: 0.04,
             jitter: 0.02,
-            reading_tokens: 10_000.0,
+            prefill_token_capacity: 10_000.0,
             failing_penalty: 2.0,
             queue_share: 0.5,
             old_version_grace: Duration::from_millis(2_500),
@@ -113,14 +113,14 @@
 /// The number of requests at a target reserved for long prompts from which another long prompt is
 /// sent elsewhere. Each takes about 120 ms of prefill, so that the next one would start after most
 /// of a second.
-const BUSY_WITH_LONG_PROMPTS: f64 = 6.0;
+const LONG_PROMPTS_PER_TARGET: f64 = 6.0;
 
 /// The maximum age of the reported load of other instances for it to make a target count as full.
 /// Targets report their load with responses, so a full target that is sent nothing would never be
 /// seen to have room, and an instance without requests in flight there would refuse requests
 /// indefinitely. A target that is still full refuses the probing request without running it, and
 /// the refusal carries its load.
-const FULL_FOR: Duration = Duration::from_millis(250);
+const MAX_FULL_REPORT_AGE: Duration = Duration::from_millis(250);
 
 /// Returns the holders that a request of this lane should be sent to.
 fn prefer_lane<'a>(
@@ -133,7 +133,7 @@
         Lane::LongPrompt
             if kept
                 .iter()
-                .any(|it| it.load.total() < BUSY_WITH_LONG_PROMPTS) =>
+                .any(|it| it.load.total() < LONG_PROMPTS_PER_TARGET) =>
         {
             kept
         }
@@ -244,20 +244,20 @@
 
     /// Returns whether a version may still serve requests.
     fn is_current(&self, weights: &Weights, version: u64, now: Moment) -> bool {
-        let named = self.versions.get(weights);
-        let oldest = named.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
+        let announced = self.versions.get(weights);
+        let oldest = announced.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
         oldest.is_none_or(|oldest| version >= oldest)
     }
 
     fn has_room(&self, target: &Target, now: Moment) -> bool {
         let slots = f64::from(target.facts.slots);
-        target.load.known_within(FULL_FOR, now) < slots * (1.0 + self.cfg.queue_share)
+        target.load.known_within(MAX_FULL_REPORT_AGE, now) < slots * (1.0 + self.cfg.queue_share)
     }
 
     fn score(&self, target: &Target) -> f64 {
         let slots = f64::from(target.facts.slots.max(1));
         let mut score = target.load.total() / slots;
-        score += f64::from(target.load.reading()) / self.cfg.reading_tokens;
+        score += f64::from(target.load.prefill_tokens()) / self.cfg.prefill_token_capacity;
         if target.facts.zone != self.zone {
             score += self.cfg.zone_penalty;
         }
@@ -293,10 +293,10 @@
         now: Moment,
     ) -> Option<u64> {
         let weights = weights?;
-        let named = self.versions.get(weights)?;
-        let oldest = named.oldest_allowed(self.cfg.old_version_grace, now)?;
+        let announced = self.versions.get(weights)?;
+        let oldest = announced.oldest_allowed(self.cfg.old_version_grace, now)?;
         let held = self.held_version(target, weights);
-        held.filter(|held| *held >= oldest).or(named.newest())
+        held.filter(|held| *held >= oldest).or(announced.newest())
     }
 
     /// Returns the version of the given weights that a target is known to hold.
--- a/crates/chervilshunt_core/src/dispatch/mod.rs
+++ b/crates/chervilshunt_core/src/dispatch/mod.rs
@@ -15,7 +15,7 @@
 mod lanes;
 mod load;
 mod routes;
-mod said;
+mod self_reports;
 mod state;
 mod uses;
 
@@ -27,8 +27,8 @@
 };
 pub use guide::{Continuity, PollGuide, PollMode};
 pub use health::{HealthConfig, HealthSignal};
-pub(crate) use holders::NamedVersions;
-pub use holders::{HeldAdapters, Holding, TargetSnapshot};
+pub(crate) use holders::AnnouncedVersions;
+pub use holders::{AdapterHolding, HeldAdapters, TargetSnapshot};
 pub use lanes::{Lane, long_prompt_targets};
 pub use routes::{CallerBounds, Repeat, Route, RouteTable, ServiceSpec};
 pub use state::{Dispatch, EntryChange};
--- a/crates/chervilshunt_core/src/dispatch/state.rs
+++ b/crates/chervilshunt_core/src/dispatch/state.rs
@@ -10,21 +10,21 @@
 use super::choose::DispatchConfig;
 use super::facts::{Leaving, LoadReport, TargetFacts, TargetStart, Weights};
 use super::health::{HealthSignal, TargetHealth};
-use super::holders::{HeldAdapters, Holders, Holding, NamedVersions, TargetSnapshot};
+use super::holders::{AdapterHolding, AnnouncedVersions, HeldAdapters, Holders, TargetSnapshot};
 use super::load::TargetLoad;
-use super::said::SaidLeaving;
+use super::self_reports::ReportedLeaving;
 use super::uses::UseTable;
-use crate::residency::Use;
+use crate::residency::TargetUse;
 
 /// The time without a message after which the placer is considered unreachable.
-const PLACER_SILENCE: Duration = Duration::from_secs(3);
+const PLACER_UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 /// How long the placer's snapshot of all targets takes precedence over what the targets list
 /// themselves, which lags behind by up to one and a half heartbeats.
-const SNAPSHOT_TRUST: Duration = Duration::from_secs(3);
+const SNAPSHOT_VALIDITY: Duration = Duration::from_secs(3);
 
 /// The time without a message after which the placer is no longer asked to place requests: three
 /// times the interval at which it sends updates.
-const GUIDED_SILENCE: Duration = Duration::from_millis(1_300);
+const PLACER_SELECTING_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// The number of removed targets whose last start is remembered, so that late entries can be
 /// recognized. Far more than fail within the time by which a write can be late.
 const REMEMBERED_GONE: usize = 1_024;
@@ -59,12 +59,12 @@
     pub(crate) zone: ZoneName,
     pub(crate) targets: IndexMap<TargetName, Target>,
     pub(crate) holders: Holders,
-    pub(crate) versions: HashMap<Weights, NamedVersions>,
-    pub(crate) said_leaving: SaidLeaving,
+    pub(crate) versions: HashMap<Weights, AnnouncedVersions>,
+    pub(crate) reported_leaving: ReportedLeaving,
     uses: UseTable,
     /// The last start of each removed target, the most recently removed last.
     gone: IndexMap<TargetName, Option<TargetStart>>,
-    placer_heard: Option<Moment>,
+    placer_responded_at: Option<Moment>,
     /// Whether the placer has reported that it places requests, and nothing has contradicted that
     /// since.
     is_placing: bool,
@@ -81,10 +81,10 @@
             targets: IndexMap::new(),
             holders: Holders::default(),
             versions: HashMap::new(),
-            said_leaving: SaidLeaving::default(),
+            reported_leaving: ReportedLeaving::default(),
             uses: UseTable::default(),
             gone: IndexMap::new(),
-            placer_heard: None,
+            placer_responded_at: None,
             is_placing: false,
             snapshot_at: None,
         }
@@ -95,17 +95,19 @@
     /// A restarted target holds no adapters and has none of the requests that were sent to it
     /// before. If these were still counted, old requests would keep new ones away from it, and old
     /// adapters would attract requests that it refuses.
-    pub fn target_seen(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
-        let change = self.target_told(facts.clone(), now);
+    pub fn target_listed(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
+        let change = self.target_forwarded(facts.clone(), now);
         let snapshot_age = self.snapshot_at.map(|at| now.since(at));
-        if change != EntryChange::Outdated && snapshot_age.is_none_or(|age| age >= SNAPSHOT_TRUST) {
-            self.take_listed_adapters(&facts);
+        if change != EntryChange::Outdated
+            && snapshot_age.is_none_or(|age| age >= SNAPSHOT_VALIDITY)
+        {
+            self.apply_listed_adapters(&facts);
         }
         change
     }
 
     /// Applies a target's entry forwarded by the placer, which omits the adapters that it holds.
-    pub fn target_told(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
+    pub fn target_forwarded(&mut self, facts: TargetFacts, now: Moment) -> EntryChange {
         let known = self.targets.get(&facts.name).map(|it| it.facts.started);
         let last = known.unwrap_or_else(|| self.gone.get(&facts.name).copied().flatten());
         let change = match (TargetStart::compare(facts.started, last), known) {
@@ -119,9 +121,9 @@
         };
         let mut facts = facts;
         if facts.leaving.is_some() {
-            self.said_leaving.note(&facts.name, facts.started);
+            self.reported_leaving.note(&facts.name, facts.started);
         }
-        if self.said_leaving.includes(&facts.name, facts.started) {
+        if self.reported_leaving.includes(&facts.name, facts.started) {
             facts.leaving.get_or_insert(Leaving { gone_after: None });
         }
         match self.targets.get_mut(&facts.name) {
@@ -154,7 +156,7 @@
     }
 
     /// Returns whether an entry belongs to a start of a target that was known and has been removed.
-    pub fn was_gone(&self, facts: &TargetFacts) -> bool {
+    pub fn is_removed_start(&self, facts: &TargetFacts) -> bool {
         let last = self.gone.get(&facts.name);
         !self.targets.contains_key(&facts.name)
             && last.is_some_and(|last| TargetStart::compare(facts.started, *last).is_le())
@@ -171,7 +173,7 @@
     }
 
     /// Returns how many targets of a service are known, whether usable or not.
-    pub fn listed(&self, service: &ServiceName) -> usize {
+    pub fn target_count(&self, service: &ServiceName) -> usize {
         let targets = self.targets.values();
         targets.filter(|it| it.facts.service == *service).count()
     }
@@ -180,14 +182,14 @@
     ///
     /// No orders are sent to targets until there is another placer, so this is what the targets
     /// hold.
-    pub fn take_snapshots(&mut self, snapshots: Vec<TargetSnapshot>, now: Moment) {
+    pub fn apply_snapshots(&mut self, snapshots: Vec<TargetSnapshot>, now: Moment) {
         self.snapshot_at = Some(now);
         for snapshot in snapshots {
-            self.take_snapshot(snapshot, now);
+            self.apply_snapshot(snapshot, now);
         }
     }
 
-    fn take_snapshot(&mut self, snapshot: TargetSnapshot, now: Moment) {
+    fn apply_snapshot(&mut self, snapshot: TargetSnapshot, now: Moment) {
         let TargetSnapshot {
             target,
             started,
@@ -200,11 +202,11 @@
         if TargetStart::compare(started, known.facts.started) == Ordering::Less {
             return;
         }
-        known.load.told(in_flight, now);
+        known.load.total_reported(in_flight, now);
         self.holders.forget_target(&target);
         for HeldAdapters { model, adapters } in models {
             for (adapter, version) in adapters {
-                self.holders.set(Holding {
+                self.holders.set(AdapterHolding {
                     target: target.clone(),
                     started,
                     weights: Weights::adapter(&model, &adapter),
@@ -216,7 +218,7 @@
 
     /// Applies a change in the adapters of a target, unless it refers to an earlier start of the
     /// target.
-    pub fn holding_changed(&mut self, holding: Holding) {
+    pub fn holding_changed(&mut self, holding: AdapterHolding) {
         let known = self.started(&holding.target);
         if TargetStart::compare(holding.started, known) != Ordering::Less {
             self.holders.set(holding);
@@ -224,14 +226,14 @@
     }
 
     /// Records a sign of life from the placer.
-    pub fn placer_heard(&mut self, now: Moment) {
-        self.placer_heard = Some(now);
+    pub fn placer_responded(&mut self, now: Moment) {
+        self.placer_responded_at = Some(now);
     }
 
     /// Records whether the placer places requests. Until the placer knows what targets hold, an
     /// instance does better with its own knowledge.
-    pub fn placer_told(&mut self, is_placing: bool, now: Moment) {
-        self.placer_heard = Some(now);
+    pub fn placer_status_reported(&mut self, is_placing: bool, now: Moment) {
+        self.placer_responded_at = Some(now);
         self.is_placing = is_placing;
     }
 
@@ -244,45 +246,46 @@
     /// Returns whether the placer selects targets, since it knows the requests that all instances
     /// have in flight and which adapters are about to be unloaded. Otherwise this instance selects
     /// targets itself.
-    pub fn is_guided(&self, now: Moment) -> bool {
-        self.is_placing && self.heard_within(GUIDED_SILENCE, now)
+    pub fn is_placer_selecting(&self, now: Moment) -> bool {
+        self.is_placing && self.placer_responded_within(PLACER_SELECTING_TIMEOUT, now)
     }
 
     /// Returns whether a message from the placer was received within the given time.
-    pub fn heard_within(&self, silence: Duration, now: Moment) -> bool {
-        self.placer_heard.is_some_and(|at| now.since(at) < silence)
+    pub fn placer_responded_within(&self, time: Duration, now: Moment) -> bool {
+        self.placer_responded_at
+            .is_some_and(|at| now.since(at) < time)
     }
 
     /// Returns the targets of a service that this instance prefers not to use, because they
     /// recently did not respond or failed. Empty if that is true of most of them, since the fault
     /// may then lie with this instance.
-    pub fn doubtful(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
+    pub fn suspect_targets(&self, service: &ServiceName, now: Moment) -> Vec<TargetName> {
         let targets = self.targets.values();
         let serving = targets.filter(|it| it.facts.service == *service);
-        let (doubtful, sound): (Vec<&Target>, Vec<&Target>) = serving.partition(|target| {
+        let (suspect, sound): (Vec<&Target>, Vec<&Target>) = serving.partition(|target| {
             let failing = target.health.failing_share() > self.cfg.health.failing_share;
             failing || target.health.is_unreachable(now)
         });
-        if doubtful.len() > sound.len() {
+        if suspect.len() > sound.len() {
             return Vec::new();
         }
-        let names = doubtful.into_iter().map(|it| it.facts.name.clone());
+        let names = suspect.into_iter().map(|it| it.facts.name.clone());
         names.collect()
     }
 
     /// Returns whether a message from the placer was received recently.
-    pub fn is_placer_heard(&self, now: Moment) -> bool {
-        self.heard_within(PLACER_SILENCE, now)
+    pub fn is_placer_reachable(&self, now: Moment) -> bool {
+        self.placer_responded_within(PLACER_UNREACHABLE_AFTER, now)
     }
 
     /// Records the newest version of some weights.
-    pub fn version_named(&mut self, weights: Weights, version: u64, now: Moment) {
-        let named = self.versions.entry(weights).or_default();
+    pub fn version_announced(&mut self, weights: Weights, version: u64, now: Moment) {
+        let announced = self.versions.entry(weights).or_default();
         let kept_for = self
             .cfg
             .old_version_grace
             .max(self.cfg.old_version_begin_limit);
-        named.name(version, kept_for, now);
+        announced.announce(version, kept_for, now);
     }
 
     /// Returns the newest version of some weights and how long it has been known, or `None` if no
@@ -302,7 +305,7 @@
     /// Records that a target reports that it does not hold an adapter, or not in the expected
     /// version.
     pub fn not_held(&mut self, target: &TargetName, weights: &Weights) {
-        self.holders.set(Holding {
+        self.holders.set(AdapterHolding {
             target: target.clone(),
             started: None,
             weights: weights.clone(),
@@ -340,23 +343,23 @@
     }
 
     /// Adds prompt tokens that a target has to prefill before it answers.
-    pub fn reads(&mut self, target: &TargetName, tokens: u32) {
+    pub fn add_prefill(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.reads(tokens);
+            target.load.add_prefill(tokens);
         }
     }
 
     /// Removes prompt tokens that a target has prefilled or no longer has to.
-    pub fn has_read(&mut self, target: &TargetName, tokens: u32) {
+    pub fn remove_prefill(&mut self, target: &TargetName, tokens: u32) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.has_read(tokens);
+            target.load.remove_prefill(tokens);
         }
     }
 
     /// Applies the load that a target reports.
-    pub fn reported(&mut self, target: &TargetName, report: LoadReport, now: Moment) {
+    pub fn load_reported(&mut self, target: &TargetName, report: LoadReport, now: Moment) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.reported(report, now);
+            target.load.load_reported(report, now);
         }
     }
 
@@ -375,15 +378,15 @@
     }
 
     /// Returns everything used since the last call, with the current number of requests in flight.
-    pub fn tell_uses(&mut self) -> Vec<Use> {
-        self.uses.tell()
+    pub fn report_uses(&mut self) -> Vec<TargetUse> {
+        self.uses.report()
     }
 
-    fn take_listed_adapters(&mut self, facts: &TargetFacts) {
+    fn apply_listed_adapters(&mut self, facts: &TargetFacts) {
         self.holders.forget_target(&facts.name);
         for model in &facts.models {
             for adapter in &model.adapters {
-                self.holders.set(Holding {
+                self.holders.set(AdapterHolding {
                     target: facts.name.clone(),
                     started: facts.started,
                     weights: Weights::adapter(&model.name, &adapter.name),
--- a/crates/chervilshunt_core/src/lib.rs
+++ b/crates/chervilshunt_core/src/lib.rs
@@ -24,11 +24,11 @@
 pub use bugs::Bug;
 pub use decision::{Decision, DecisionKind, WaitTimes};
 pub use dispatch::{
-    CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange, HealthConfig,
-    HealthSignal, HeldAdapters, Holding, Lane, Leaving, LoadReport, LoadedAdapter, LoadedModel,
-    ModelSpec, PlacementLimits, PollGuide, PollMode, Repeat, RequestSize, Route, RouteTable,
-    ServiceBudgets, ServiceSpec, TargetFacts, TargetRequirements, TargetSnapshot, TargetStart,
-    WaitReason, Weights, WindowBudget, WindowBudgetConfig, long_prompt_targets,
+    AdapterHolding, CallerBounds, Choice, Continuity, Dispatch, DispatchConfig, EntryChange,
+    HealthConfig, HealthSignal, HeldAdapters, Lane, Leaving, LoadReport, LoadedAdapter,
+    LoadedModel, ModelSpec, PlacementLimits, PollGuide, PollMode, Repeat, RequestSize, Route,
+    RouteTable, ServiceBudgets, ServiceSpec, TargetFacts, TargetRequirements, TargetSnapshot,
+    TargetStart, WaitReason, Weights, WindowBudget, WindowBudgetConfig, long_prompt_targets,
 };
 pub use mechanisms::Mechanisms;
 pub use owner::{
@@ -44,8 +44,9 @@
 };
 pub use rank::{TargetTable, rank_targets};
 pub use residency::{
-    GrantNumber, GrantProgress, Learnt, Order, OrderAnswer, OrderNumber, Placed, Residency,
-    ResidencyAction, ResidencyConfig, ResidencyEvent, TargetReport, Use, Want,
+    GrantNumber, GrantProgress, LoadEstimates, Order, OrderAnswer, OrderNumber, PlacementRequest,
+    PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent, ResidencyPlanner,
+    TargetReport, TargetUse,
 };
 pub use retry::{
     Admission, Backoff, BackoffConfig, Breaker, BreakerConfig, BreakerState, BreakerTicket,
--- a/crates/chervilshunt_core/src/residency/choice.rs
+++ b/crates/chervilshunt_core/src/residency/choice.rs
@@ -4,63 +4,73 @@
 
 use chervilshunt_model::{Moment, ServiceName, TargetName};
 
-use super::hold::HoldState;
-use super::planner::Residency;
-use super::target::{TargetState, Turn};
-use super::wants::Want;
+use super::hold::AdapterStage;
+use super::placement::PlacementRequest;
+use super::planner::ResidencyPlanner;
+use super::target::{OrderState, TargetState};
 use crate::dispatch::{Lane, Weights, long_prompt_targets};
 
 /// A target suitable for a request.
 #[derive(Clone, Debug)]
-pub(super) struct Found {
+pub(super) struct TargetCandidate {
     pub(super) target: TargetName,
     /// The expected time until the target holds the adapter.
-    pub(super) held_in: Duration,
+    pub(super) ready_in: Duration,
     /// The expected time to first token plus penalties, in milliseconds.
     score: f64,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Returns the target with the lowest score, whether it holds the adapter, is loading it or
     /// would have to load it; `None` if no target has a slot for it.
     ///
     /// A target with a backlog of prompts is passed over for one that has to load the adapter
     /// first, where that is faster. This spreads a busy adapter over as many targets as its
     /// requests need.
-    pub(super) fn best_target(&self, want: &Want, now: Moment) -> Option<Found> {
-        let waits = self.waits(now);
-        self.best_of(want, now, |target| self.held_in(target, want, waits))
+    pub(super) fn best_target(
+        &self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetCandidate> {
+        let delays = self.queue_delays(now);
+        self.best_of(request, now, |target| {
+            self.ready_in(target, request, delays)
+        })
     }
 
     /// Returns the target that would load an adapter soonest, among those that do not have it.
-    pub(super) fn best_load(&self, want: &Want, now: Moment) -> Option<Found> {
-        let waits = self.waits(now);
-        self.best_of(want, now, |target| {
-            let has_it = target.holds.contains_key(&want.weights);
+    pub(super) fn best_load(
+        &self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetCandidate> {
+        let delays = self.queue_delays(now);
+        self.best_of(request, now, |target| {
+            let has_it = target.adapters.contains_key(&request.weights);
             (!has_it)
-                .then(|| self.loaded_in(target, want, waits))
+                .then(|| self.loaded_in(target, request, delays))
                 .flatten()
         })
     }
 
     fn best_of(
         &self,
-        want: &Want,
+        request: &PlacementRequest,
         now: Moment,
-        held_in: impl Fn(&TargetState) -> Option<Readiness>,
-    ) -> Option<Found> {
-        let kept = self.kept_for_long_prompts(&want.service, now);
+        ready_in: impl Fn(&TargetState) -> Option<Readiness>,
+    ) -> Option<TargetCandidate> {
+        let kept = self.reserved_for_long_prompts(&request.service, now);
         let targets = self.targets.iter();
-        let targets = targets.filter(|(name, target)| self.may_place(name, target, want, now));
+        let targets = targets.filter(|(name, target)| self.may_place(name, target, request, now));
         let found = targets.filter_map(|(name, target)| {
-            let readiness = held_in(target)?;
-            let mut score = self.score(target, want, readiness);
-            if !kept.is_empty() && kept.contains(&name) != (want.lane == Lane::LongPrompt) {
+            let readiness = ready_in(target)?;
+            let mut score = self.score(target, request, readiness);
+            if !kept.is_empty() && kept.contains(&name) != (request.lane == Lane::LongPrompt) {
                 score += millis(self.cfg.lane_penalty);
             }
-            Some(Found {
+            Some(TargetCandidate {
                 target: name.clone(),
-                held_in: readiness.held_in,
+                ready_in: readiness.ready_in,
                 score,
             })
         });
@@ -68,70 +78,80 @@
     }
 
     /// Returns the expected time to first token at a target plus penalties, in milliseconds.
-    fn score(&self, target: &TargetState, want: &Want, readiness: Readiness) -> f64 {
-        let read_before = self.pace.millis(target.backlog());
-        let held_in = millis(readiness.held_in);
+    fn score(&self, target: &TargetState, request: &PlacementRequest, readiness: Readiness) -> f64 {
+        let read_before = self.prefill_rate.millis(target.backlog());
+        let ready_in = millis(readiness.ready_in);
         // Prefill continues during a load, but a target that has to do both is more likely to be
         // late.
-        let begins = read_before.max(held_in) + read_before.min(held_in) * BOTH_WAITS;
+        let begins = read_before.max(ready_in) + read_before.min(ready_in) * OVERLAP_WEIGHT;
         let taken = f64::from(target.in_flight()) / f64::from(target.facts.slots.max(1));
         let mut score = begins + millis(readiness.penalty);
         score += taken * millis(self.cfg.load_penalty);
-        if target.facts.zone != want.zone {
+        if target.facts.zone != request.zone {
             score += millis(self.cfg.zone_penalty);
         }
         score
     }
 
     /// Returns how soon a target holds the adapter, or `None` if it has no slot for it.
-    fn held_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
-        if want.weights.adapter.is_none() {
+    fn ready_in(
+        &self,
+        target: &TargetState,
+        request: &PlacementRequest,
+        delays: QueueDelays,
+    ) -> Option<Readiness> {
+        if request.weights.adapter.is_none() {
             return Some(Readiness::at_once());
         }
-        let Some(hold) = target.holds.get(&want.weights) else {
-            return self.loaded_in(target, want, waits);
+        let Some(entry) = target.adapters.get(&request.weights) else {
+            return self.loaded_in(target, request, delays);
         };
-        if hold.outdated || hold.is_going() {
+        if entry.outdated || entry.is_leaving() {
             return None;
         }
-        let held_in = match hold.state {
-            HoldState::Ready => Duration::ZERO,
-            HoldState::Loading(at) => waits.now.until(at),
-            HoldState::Confirming => self.cfg.load_margin,
-            HoldState::Ordered => waits.times.of(hold.from_store),
-            HoldState::Planned => {
-                waits.until_loaded(hold.from_store) + self.turn_wait(target, waits.now)
+        let ready_in = match entry.state {
+            AdapterStage::Ready => Duration::ZERO,
+            AdapterStage::Loading(at) => delays.now.until(at),
+            AdapterStage::Confirming => self.cfg.load_margin,
+            AdapterStage::Ordered => delays.times.of(entry.from_store),
+            AdapterStage::Planned => {
+                delays.until_loaded(entry.from_store) + self.order_delay(target, delays.now)
             }
-            HoldState::Ending | HoldState::Unloading => return None,
+            AdapterStage::Ending | AdapterStage::Unloading => return None,
         };
-        Some(Readiness::soon(held_in))
+        Some(Readiness::soon(ready_in))
     }
 
     /// Returns how soon a target would have loaded an adapter that it does not hold, or `None` if
     /// it has no slot for it.
-    fn loaded_in(&self, target: &TargetState, want: &Want, waits: Waits) -> Option<Readiness> {
+    fn loaded_in(
+        &self,
+        target: &TargetState,
+        request: &PlacementRequest,
+        delays: QueueDelays,
+    ) -> Option<Readiness> {
         let limits = self.limits.get(&target.facts.service)?;
-        let slots = limits.adapters_beside(&want.weights.model);
-        if target.room(slots, waits.now) == 0 {
+        let slots = limits.adapters_beside(&request.weights.model);
+        if target.free_slots(slots, delays.now) == 0 {
             return None;
         }
-        let from_store = !target.remembered.keeps(&want.weights, self.memory);
-        let load_time = waits.times.of(from_store);
-        let mut held_in = waits.until_loaded(from_store) + self.turn_wait(target, waits.now);
+        let from_store = !target.recent_adapters.keeps(&request.weights, self.memory);
+        let load_time = delays.times.of(from_store);
+        let mut ready_in = delays.until_loaded(from_store) + self.order_delay(target, delays.now);
         // A target executes orders one at a time, and loads a limited number of adapters
         // concurrently.
-        let coming = target.coming();
-        held_in += self.cfg.order_time * u32::try_from(coming).unwrap_or(u32::MAX);
-        held_in += load_time.mul_f64((coming / self.cfg.loads_a_target) as f64);
+        let pending_loads = target.pending_loads();
+        ready_in += self.cfg.order_time * u32::try_from(pending_loads).unwrap_or(u32::MAX);
+        ready_in += load_time.mul_f64((pending_loads / self.cfg.loads_per_target) as f64);
         if !target.has_free_slot(slots) {
-            held_in += self.cfg.give_up_time;
+            ready_in += self.cfg.unload_time;
         }
         let penalty = if from_store {
             self.cfg.fetch_penalty
         } else {
             self.cfg.warm_penalty
         };
-        Some(Readiness { held_in, penalty })
+        Some(Readiness { ready_in, penalty })
     }
 
     /// Returns the expected load durations.
@@ -143,11 +163,11 @@
     }
 
     /// Returns the queueing delays of loads that do not depend on the target.
-    fn waits(&self, now: Moment) -> Waits {
+    fn queue_delays(&self, now: Moment) -> QueueDelays {
         let times = self.load_times();
-        let before = self.waiting_fetches() + self.loads_under_way();
+        let before = self.waiting_fetches() + self.loads_in_progress();
         let rounds = before as f64 / self.window.size() as f64;
-        Waits {
+        QueueDelays {
             now,
             times,
             store: times.fetch.mul_f64(rounds.floor()),
@@ -156,17 +176,17 @@
 
     /// Returns how long a target cannot be sent an order because the number of orders that it has
     /// accepted must be queried first.
-    fn turn_wait(&self, target: &TargetState, now: Moment) -> Duration {
-        match target.turn {
-            Turn::Unknown(at) => now.until(at) + self.cfg.order_time,
-            Turn::Asked => self.cfg.order_time,
-            Turn::Free(_) | Turn::Out(_) => Duration::ZERO,
+    fn order_delay(&self, target: &TargetState, now: Moment) -> Duration {
+        match target.order_state {
+            OrderState::Unknown(at) => now.until(at) + self.cfg.order_time,
+            OrderState::Querying => self.cfg.order_time,
+            OrderState::Idle(_) | OrderState::InFlight(_) => Duration::ZERO,
         }
     }
 
     /// Returns the targets of a service that are reserved for long prompts; empty while none are
     /// reserved.
-    fn kept_for_long_prompts(&self, service: &ServiceName, now: Moment) -> Vec<&TargetName> {
+    fn reserved_for_long_prompts(&self, service: &ServiceName, now: Moment) -> Vec<&TargetName> {
         if !self.lanes.is_on(now) {
             return Vec::new();
         }
@@ -175,13 +195,19 @@
         long_prompt_targets(taking.map(|it| &it.facts.name))
     }
 
-    fn may_place(&self, name: &TargetName, target: &TargetState, want: &Want, now: Moment) -> bool {
-        target.facts.service == want.service
+    fn may_place(
+        &self,
+        name: &TargetName,
+        target: &TargetState,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> bool {
+        target.facts.service == request.service
             && target.takes_work()
             && target.model_order.is_none()
-            && !target.gives_up()
-            && self.holds_model(target, &want.weights, now)
-            && !want.avoid.contains(name)
+            && !target.is_unloading()
+            && self.holds_model(target, &request.weights, now)
+            && !request.avoid.contains(name)
     }
 
     /// Returns whether a target holds the base model that a request names or whose adapter it
@@ -198,15 +224,15 @@
         if weights.adapter.is_some() {
             return true;
         }
-        let named = self.base_versions.get(&weights.model);
-        let oldest = named.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
+        let announced = self.base_versions.get(&weights.model);
+        let oldest = announced.and_then(|it| it.oldest_allowed(self.cfg.old_version_grace, now));
         oldest.is_none_or(|oldest| held >= oldest)
     }
 }
 
 /// The weight of the shorter of prefill backlog and load time, which overlap at a target that has
 /// both. If the weight were zero, targets with equal scores would send all loads to the first one.
-const BOTH_WAITS: f64 = 0.2;
+const OVERLAP_WEIGHT: f64 = 0.2;
 
 /// The expected durations of loads.
 #[derive(Clone, Copy, Debug)]
@@ -226,14 +252,14 @@
 /// The queueing delays of loads at the time of a selection. They are computed once for all targets,
 /// since the delay at the weight store depends on every target.
 #[derive(Clone, Copy, Debug)]
-struct Waits {
+struct QueueDelays {
     now: Moment,
     times: LoadTimes,
     /// The time until the weight store has capacity for another load.
     store: Duration,
 }
 
-impl Waits {
+impl QueueDelays {
     /// Returns the time until a load that is queued now has ended.
     fn until_loaded(self, from_store: bool) -> Duration {
         let store = if from_store {
@@ -248,7 +274,7 @@
 /// How soon a target holds an adapter, and the penalty for loading it there.
 #[derive(Clone, Copy, Debug)]
 struct Readiness {
-    held_in: Duration,
+    ready_in: Duration,
     penalty: Duration,
 }
 
@@ -257,9 +283,9 @@
         Self::soon(Duration::ZERO)
     }
 
-    const fn soon(held_in: Duration) -> Self {
+    const fn soon(ready_in: Duration) -> Self {
         Self {
-            held_in,
+            ready_in,
             penalty: Duration::ZERO,
         }
     }
--- a/crates/chervilshunt_core/src/residency/grants.rs
+++ b/crates/chervilshunt_core/src/residency/grants.rs
@@ -13,14 +13,14 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName};
 use serde::{Deserialize, Serialize};
 
-use super::order::Use;
-use super::planner::Residency;
+use super::order::TargetUse;
+use super::planner::ResidencyPlanner;
 use crate::dispatch::Weights;
 
 /// How long usage reports may omit a grant before it counts as ended. The answer that gives the
 /// grant and a report sent before it are in transit for some milliseconds, and for 100 ms where an
 /// instance has used up its CPU quota.
-const UNTOLD: Duration = Duration::from_millis(300);
+const MAX_OMITTED: Duration = Duration::from_millis(300);
 
 /// Identifies a grant; numbers are unique across all placers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
     pub(crate) target: TargetName,
     pub(crate) weights: Weights,
     /// The prompt tokens of the request that still await prefill.
-    pub(crate) reading: u32,
+    pub(crate) prefill_tokens: u32,
     given_at: Moment,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Records that an instance may now send a request to a target.
     pub(super) fn grant(
         &mut self,
@@ -103,14 +103,14 @@
             holder,
             target: target.clone(),
             weights,
-            reading: tokens,
+            prefill_tokens: tokens,
             given_at: now,
         };
         self.grants.open.insert(number, grant);
     }
 
     /// Applies the progress of instances' granted requests.
-    pub(super) fn progressed(&mut self, progress: &GrantProgress, now: Moment) {
+    pub(super) fn grants_progressed(&mut self, progress: &GrantProgress, now: Moment) {
         let was_on = self.lanes.is_on(now);
         self.lanes.note(progress.ended.len(), progress.paused, now);
         if self.lanes.is_on(now) != was_on {
@@ -129,11 +129,11 @@
         let Some(grant) = self.grants.open.get_mut(&number) else {
             return;
         };
-        let tokens = std::mem::take(&mut grant.reading);
+        let tokens = std::mem::take(&mut grant.prefill_tokens);
         let given_at = grant.given_at;
         if let Some(target) = self.targets.get_mut(&grant.target) {
-            let read_for = target.has_read(tokens, given_at, now);
-            self.pace.read(tokens, read_for);
+            let took = target.prefill_completed(tokens, given_at, now);
+            self.prefill_rate.record(tokens, took);
         }
     }
 
@@ -152,21 +152,21 @@
     pub(super) fn uses_beside_grants(
         &mut self,
         holder: &InstanceId,
-        mut uses: Vec<Use>,
-        told: &[GrantNumber],
+        mut uses: Vec<TargetUse>,
+        reported: &[GrantNumber],
         now: Moment,
-    ) -> Vec<Use> {
-        let told: HashSet<GrantNumber> = told.iter().copied().collect();
+    ) -> Vec<TargetUse> {
+        let reported: HashSet<GrantNumber> = reported.iter().copied().collect();
         let mut lost = Vec::new();
         for (number, grant) in self.grants.of(holder) {
-            if told.contains(&number) {
-                let same = |it: &&mut Use| {
+            if reported.contains(&number) {
+                let same = |it: &&mut TargetUse| {
                     it.target == grant.target && it.weights.as_ref() == Some(&grant.weights)
                 };
                 if let Some(it) = uses.iter_mut().find(same) {
                     it.in_flight = it.in_flight.saturating_sub(1);
                 }
-            } else if now.since(grant.given_at) >= UNTOLD {
+            } else if now.since(grant.given_at) >= MAX_OMITTED {
                 lost.push(number);
             }
         }
--- a/crates/chervilshunt_core/src/residency/hold.rs
+++ b/crates/chervilshunt_core/src/residency/hold.rs
@@ -4,7 +4,7 @@
 
 /// The stages of loading and unloading an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HoldState {
+pub(crate) enum AdapterStage {
     /// The load is planned but not ordered.
     Planned,
     /// The load has been ordered, and its answer is outstanding or was lost.
@@ -24,8 +24,8 @@
 
 /// One adapter on one target.
 #[derive(Clone, Debug)]
-pub(crate) struct Hold {
-    pub(crate) state: HoldState,
+pub(crate) struct AdapterEntry {
+    pub(crate) state: AdapterStage,
     pub(crate) version: u64,
     pub(crate) last_used: Moment,
     /// When the load was planned or ended, the version became outdated, or the unload was decided.
@@ -35,24 +35,24 @@
     /// Whether a newer version has been announced.
     pub(crate) outdated: bool,
     /// The placement requests that wait for the load to end.
-    pub(crate) questions: Vec<u64>,
+    pub(crate) waiting_requests: Vec<u64>,
     /// The prompt tokens of the waiting requests.
     pub(crate) waiting_tokens: u32,
     /// The latest time until which a request waits for the adapter, or `None` if it is loaded ahead
     /// of requests.
-    pub(crate) wanted_until: Option<Moment>,
+    pub(crate) needed_until: Option<Moment>,
     /// Whether the load is expected to come from the weight store rather than from the target's
     /// memory.
     pub(crate) from_store: bool,
     /// How many other adapters the target had since it last had this one, at the time the load was
     /// ordered; `None` if it never had it.
-    pub(crate) had_since: Option<usize>,
+    pub(crate) adapters_since: Option<usize>,
     /// When the target accepted the load, or `None` if its start was not observed.
     pub(crate) accepted_at: Option<Moment>,
 }
 
-impl Hold {
-    pub(crate) fn new(state: HoldState, version: u64, now: Moment) -> Self {
+impl AdapterEntry {
+    pub(crate) fn new(state: AdapterStage, version: u64, now: Moment) -> Self {
         Self {
             state,
             version,
@@ -60,49 +60,52 @@
             since: now,
             free_from: now,
             outdated: false,
-            questions: Vec::new(),
+            waiting_requests: Vec::new(),
             waiting_tokens: 0,
-            wanted_until: None,
+            needed_until: None,
             from_store: true,
-            had_since: None,
+            adapters_since: None,
             accepted_at: None,
         }
     }
 
     /// Marks the load as ended, and returns the placement requests that waited for it.
     pub(crate) fn ready(&mut self, now: Moment) -> Vec<u64> {
-        self.state = HoldState::Ready;
+        self.state = AdapterStage::Ready;
         self.since = now;
         self.last_used = now;
-        self.take_questions()
+        self.take_waiting_requests()
     }
 
     /// Removes and returns the placement requests that wait for the adapter.
-    pub(crate) fn take_questions(&mut self) -> Vec<u64> {
+    pub(crate) fn take_waiting_requests(&mut self) -> Vec<u64> {
         self.waiting_tokens = 0;
-        std::mem::take(&mut self.questions)
+        std::mem::take(&mut self.waiting_requests)
     }
 
     /// Returns whether new requests may use the adapter.
     pub(crate) fn serves(&self) -> bool {
-        self.state == HoldState::Ready && !self.outdated
+        self.state == AdapterStage::Ready && !self.outdated
     }
 
     /// Returns whether the load has not been ordered yet.
     pub(crate) fn is_planned(&self) -> bool {
-        self.state == HoldState::Planned
+        self.state == AdapterStage::Planned
     }
 
     /// Returns whether the adapter is planned or loading, and therefore not announced yet.
-    pub(crate) fn is_coming(&self) -> bool {
+    pub(crate) fn is_load_pending(&self) -> bool {
         matches!(
             self.state,
-            HoldState::Planned | HoldState::Ordered | HoldState::Loading(_) | HoldState::Confirming
+            AdapterStage::Planned
+                | AdapterStage::Ordered
+                | AdapterStage::Loading(_)
+                | AdapterStage::Confirming
         )
     }
 
     /// Returns whether the adapter is being unloaded, so that its slot will become free.
-    pub(crate) fn is_going(&self) -> bool {
-        matches!(self.state, HoldState::Ending | HoldState::Unloading)
+    pub(crate) fn is_leaving(&self) -> bool {
+        matches!(self.state, AdapterStage::Ending | AdapterStage::Unloading)
     }
 }
--- a/crates/chervilshunt_core/src/residency/loads.rs
+++ b/crates/chervilshunt_core/src/residency/loads.rs
@@ -4,15 +4,15 @@
 use chervilshunt_model::{Moment, TargetName};
 use indexmap::IndexSet;
 
-use super::hold::{Hold, HoldState};
+use super::hold::{AdapterEntry, AdapterStage};
 use super::order::{Order, ResidencyAction};
-use super::planner::Residency;
-use super::target::Turn;
-use super::wants::tell;
+use super::placement::notification;
+use super::planner::ResidencyPlanner;
+use super::target::OrderState;
 use crate::dispatch::Weights;
 use crate::owner::OrderKind;
 
-impl Residency {
+impl ResidencyPlanner {
     /// Performs whatever has become due or possible on any target.
     pub(super) fn advance(&mut self, now: Moment, out: &mut Vec<ResidencyAction>) {
         let due = self.targets.iter().filter(|(_, target)| {
@@ -26,7 +26,7 @@
             if let Some(target) = self.targets.get_mut(name) {
                 target.lost.forget_old(now);
             }
-            self.drop_unwanted(name, now, out);
+            self.drop_expired(name, now, out);
         }
         self.admit();
         names.extend(self.admitted.iter().map(|(name, _)| name.clone()));
@@ -34,7 +34,7 @@
         names.extend(self.model_updates.iter().cloned());
         for name in &names {
             self.retire_outdated(name, now, out);
-            self.ask_if_due(name, now, out);
+            self.query_if_due(name, now, out);
             self.next_order(name, now, out);
         }
         for name in &names {
@@ -43,13 +43,15 @@
     }
 
     /// Returns the loads that have not been ordered.
-    pub(super) fn waiting_loads(&self) -> impl Iterator<Item = (&Hold, &TargetName, &Weights)> {
+    pub(super) fn waiting_loads(
+        &self,
+    ) -> impl Iterator<Item = (&AdapterEntry, &TargetName, &Weights)> {
         let targets = self.targets.iter();
         let targets = targets.filter(|(_, it)| it.touched || it.summary.planned > 0);
         targets.flat_map(|(name, target)| {
-            let planned = target.holds.iter();
-            let planned = planned.filter(|(_, hold)| hold.is_planned());
-            planned.map(move |(weights, hold)| (hold, name, weights))
+            let planned = target.adapters.iter();
+            let planned = planned.filter(|(_, entry)| entry.is_planned());
+            planned.map(move |(weights, entry)| (entry, name, weights))
         })
     }
 
@@ -57,8 +59,10 @@
     pub(super) fn waiting_fetches(&self) -> usize {
         let targets = self.targets.values().map(|it| {
             if it.touched {
-                let holds = it.holds.values();
-                holds.filter(|it| it.is_planned() && it.from_store).count()
+                let adapters = it.adapters.values();
+                adapters
+                    .filter(|it| it.is_planned() && it.from_store)
+                    .count()
             } else {
                 it.summary.planned_fetches
             }
@@ -67,7 +71,7 @@
     }
 
     /// Returns the number of adapter loads from the weight store that are in progress.
-    pub(super) fn loads_under_way(&self) -> usize {
+    pub(super) fn loads_in_progress(&self) -> usize {
         let targets = self.targets.values();
         let fetching = targets.map(|it| {
             if it.touched {
@@ -85,8 +89,8 @@
             return false;
         };
         let limits = self.limits.get(&target.facts.service);
-        matches!(target.turn, Turn::Free(_))
-            && target.loading() < self.cfg.loads_a_target
+        matches!(target.order_state, OrderState::Idle(_))
+            && target.loading() < self.cfg.loads_per_target
             && target.model_order.is_none()
             && limits.is_some_and(|it| target.slots_taken() < it.adapters_beside(&weights.model))
     }
@@ -97,12 +101,12 @@
     /// Loads that wait for a slot, or for their target's answer to an order, are skipped: they
     /// would occupy the window without loading anything.
     fn admit(&mut self) {
-        let room = self.window.size().saturating_sub(self.loads_under_way());
+        let room = self.window.size().saturating_sub(self.loads_in_progress());
         let waiting = self.waiting_loads();
         let waiting = waiting.filter(|(_, name, weights)| self.can_begin(name, weights));
         let (mut fetches, reloads): (Vec<_>, Vec<_>) =
-            waiting.partition(|(hold, ..)| hold.from_store);
-        fetches.sort_by_key(|(hold, ..)| hold.since);
+            waiting.partition(|(entry, ..)| entry.from_store);
+        fetches.sort_by_key(|(entry, ..)| entry.since);
         let admitted = fetches.into_iter().take(room).chain(reloads);
         self.admitted = admitted
             .map(|(_, name, weights)| (name.clone(), weights.clone()))
@@ -111,33 +115,37 @@
 
     /// Drops planned loads that would end after every waiting request has timed out, so that those
     /// requests are answered while they can still retry.
-    fn drop_unwanted(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn drop_expired(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let times = self.load_times();
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        let unwanted = target.holds.extract_if(.., |_, hold| {
-            let ends_at = now + times.of(hold.from_store);
-            let in_vain = hold.wanted_until.is_some_and(|until| until <= ends_at);
-            hold.is_planned() && in_vain
+        let expired = target.adapters.extract_if(.., |_, entry| {
+            let ends_at = now + times.of(entry.from_store);
+            let is_too_late = entry.needed_until.is_some_and(|until| until <= ends_at);
+            entry.is_planned() && is_too_late
         });
-        let questions: Vec<u64> = unwanted.flat_map(|(_, hold)| hold.questions).collect();
-        self.answer_later(questions, out);
+        let waiting_requests: Vec<u64> = expired
+            .flat_map(|(_, entry)| entry.waiting_requests)
+            .collect();
+        self.refuse(waiting_requests, out);
     }
 
-    fn ask_if_due(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn query_if_due(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        if matches!(target.turn, Turn::Unknown(at) if at <= now) {
-            target.turn = Turn::Asked;
-            out.push(ResidencyAction::Ask(name.clone()));
+        if matches!(target.order_state, OrderState::Unknown(at) if at <= now) {
+            target.order_state = OrderState::Querying;
+            out.push(ResidencyAction::QueryTarget(name.clone()));
         }
     }
 
     /// Sends a target its next order if it can accept one.
     fn next_order(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
-        let Some(Turn::Free(accepted)) = self.targets.get(name).map(|it| it.turn.clone()) else {
+        let Some(OrderState::Idle(accepted)) =
+            self.targets.get(name).map(|it| it.order_state.clone())
+        else {
             return;
         };
         let next = self
@@ -158,21 +166,23 @@
             weights: weights.clone(),
         };
         if kind == OrderKind::Unload {
-            out.push(tell(name, &weights, None));
+            out.push(notification(name, &weights, None));
         }
         if let Some(target) = self.targets.get_mut(name) {
-            let had_since = target.remembered.since(&weights);
-            if let Some(hold) = target.holds.get_mut(&weights) {
-                if hold.is_planned() {
-                    hold.had_since = had_since;
+            let adapters_since = target.recent_adapters.since(&weights);
+            if let Some(entry) = target.adapters.get_mut(&weights) {
+                if entry.is_planned() {
+                    entry.adapters_since = adapters_since;
                 }
-                hold.state = match kind {
-                    OrderKind::Load if hold.state == HoldState::Planned => HoldState::Ordered,
-                    OrderKind::Load => HoldState::Confirming,
-                    OrderKind::Unload => HoldState::Unloading,
+                entry.state = match kind {
+                    OrderKind::Load if entry.state == AdapterStage::Planned => {
+                        AdapterStage::Ordered
+                    }
+                    OrderKind::Load => AdapterStage::Confirming,
+                    OrderKind::Unload => AdapterStage::Unloading,
                 };
             }
-            target.turn = Turn::Out(order.clone());
+            target.order_state = OrderState::InFlight(order.clone());
             target.ordered_at = now;
         }
         out.push(ResidencyAction::Order(order));
@@ -189,27 +199,38 @@
         now: Moment,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let mut holds = target.holds.iter();
-        let due = holds.find(|(_, it)| matches!(it.state, HoldState::Loading(at) if at <= now));
-        due.map(|(weights, hold)| (OrderKind::Load, weights.clone(), self.named(weights, hold)))
+        let mut adapters = target.adapters.iter();
+        let due =
+            adapters.find(|(_, it)| matches!(it.state, AdapterStage::Loading(at) if at <= now));
+        due.map(|(weights, entry)| {
+            (
+                OrderKind::Load,
+                weights.clone(),
+                self.ordered_version(weights, entry),
+            )
+        })
     }
 
-    fn named(&self, weights: &Weights, hold: &Hold) -> Option<u64> {
-        self.newest.contains_key(weights).then_some(hold.version)
+    fn ordered_version(&self, weights: &Weights, entry: &AdapterEntry) -> Option<u64> {
+        self.newest.contains_key(weights).then_some(entry.version)
     }
 
     /// Returns the next admitted load.
     fn next_load(&self, name: &TargetName) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let mut planned = target.holds.iter();
-        let (weights, hold) = planned.find(|(weights, hold)| {
-            hold.state == HoldState::Planned
+        let mut planned = target.adapters.iter();
+        let (weights, entry) = planned.find(|(weights, entry)| {
+            entry.state == AdapterStage::Planned
                 && self.admitted.contains(&(name.clone(), (*weights).clone()))
         })?;
         if !self.can_begin(name, weights) {
             return None;
         }
-        Some((OrderKind::Load, weights.clone(), self.named(weights, hold)))
+        Some((
+            OrderKind::Load,
+            weights.clone(),
+            self.ordered_version(weights, entry),
+        ))
     }
 
     /// Returns the next adapter that is to be unloaded.
@@ -219,7 +240,7 @@
         now: Moment,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let target = self.targets.get(name)?;
-        let due = target.unused_ending(&self.cfg, now)?;
+        let due = target.unused_adapter(&self.cfg, now)?;
         Some((OrderKind::Unload, due.clone(), None))
     }
 
--- a/crates/chervilshunt_core/src/residency/mod.rs
+++ b/crates/chervilshunt_core/src/residency/mod.rs
@@ -10,27 +10,28 @@
 mod answers;
 mod choice;
 mod config;
+mod estimates;
 mod grants;
 mod hold;
 mod lanes;
-mod learnt;
 mod loads;
 mod memory;
 mod models;
 mod order;
-mod pace;
+mod placement;
 mod planner;
+mod prefill_rate;
 mod restart;
 mod target;
 mod versions;
-mod wants;
 mod window;
 
 pub use config::ResidencyConfig;
+pub use estimates::LoadEstimates;
 pub use grants::{GrantNumber, GrantProgress};
-pub use learnt::Learnt;
 pub use order::{
-    Order, OrderAnswer, OrderNumber, Placed, ResidencyAction, ResidencyEvent, TargetReport, Use,
+    Order, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction, ResidencyEvent,
+    TargetReport, TargetUse,
 };
-pub use planner::Residency;
-pub use wants::Want;
+pub use placement::PlacementRequest;
+pub use planner::ResidencyPlanner;
--- a/crates/chervilshunt_core/src/residency/models.rs
+++ b/crates/chervilshunt_core/src/residency/models.rs
@@ -13,30 +13,30 @@
 use indexmap::IndexMap;
 
 use super::order::{Order, OrderAnswer, ResidencyAction, TargetReport};
-use super::planner::Residency;
-use super::target::{TargetState, Turn};
-use super::wants::tell;
+use super::placement::notification;
+use super::planner::ResidencyPlanner;
+use super::target::{OrderState, TargetState};
 use crate::dispatch::{LoadedModel, Weights};
 use crate::owner::OrderKind;
 
 /// How soon a target that was still executing an order for a base model is asked again. Loads take
 /// at least 0.6 s.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+const MODEL_RECHECK: Duration = Duration::from_millis(200);
 /// How often the targets to update next are selected. The selection inspects all outdated targets;
 /// running it with every event would dominate the cost of a request.
-const PICK_EVERY: Duration = Duration::from_millis(100);
+const SELECTION_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a target's own report of its base models takes precedence over the platform's list.
 /// Targets write their entry at least every 1.2 s, and an entry may be seen most of a second late:
 /// an entry from before an order would cause an updated model to be unloaded again.
-const LISTED_LATE: Duration = Duration::from_millis(2_500);
+const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
 /// How soon a base model is loaded again for a version that its last load did not bring. Without
 /// this limit, a version missing from the weight store would cost each target its adapters every
 /// few seconds; a version that arrives there slightly late is picked up by the second load.
-const LOAD_AGAIN: Duration = Duration::from_secs(60);
+const MIN_RELOAD_INTERVAL: Duration = Duration::from_secs(60);
 /// How long an order for a base model counts its target as out of service when further targets are
 /// selected. An order that never ends, on a target that cannot be queried, must not block the
 /// update of the others.
-const COUNTS_FOR: Duration = Duration::from_secs(20);
+const MAX_ORDER_TIME: Duration = Duration::from_secs(20);
 
 /// An order for a base model that has been sent to a target.
 ///
@@ -61,10 +61,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ModelStep {
     Load(Weights),
-    GiveUp(Weights),
+    Unload(Weights),
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Returns the next order for a base model, if one is due.
     pub(super) fn next_model_order(
         &mut self,
@@ -73,16 +73,16 @@
         out: &mut Vec<ResidencyAction>,
     ) -> Option<(OrderKind, Weights, Option<u64>)> {
         let (kind, weights) = match self.model_step(name, now)? {
-            ModelStep::GiveUp(weights) if self.model_updates.remove(name) => {
+            ModelStep::Unload(weights) if self.model_updates.remove(name) => {
                 (OrderKind::Unload, weights)
             }
             ModelStep::Load(weights) if self.may_load_model(name, now) => {
                 self.store_loads.push_back(now);
-                let questions = self.drop_holds(name, out);
-                self.answer_later(questions, out);
+                let waiting_requests = self.drop_adapters(name, out);
+                self.refuse(waiting_requests, out);
                 (OrderKind::Load, weights)
             }
-            ModelStep::GiveUp(_) | ModelStep::Load(_) => return None,
+            ModelStep::Unload(_) | ModelStep::Load(_) => return None,
         };
         let target = self.targets.get_mut(name)?;
         target.model_order = Some(ModelOrder {
@@ -99,12 +99,12 @@
             return None;
         }
         if let Some(weights) = self.outdated_model(target, now) {
-            return Some(ModelStep::GiveUp(weights));
+            return Some(ModelStep::Unload(weights));
         }
         let limits = self.limits.get(&target.facts.service)?;
         let configured = |it: &Weights| limits.models.iter().any(|spec| spec.name == it.model);
-        let given_up = target.reloads.as_ref().filter(|it| configured(it));
-        if let Some(weights) = given_up.filter(|it| !target.lists_model(&it.model)) {
+        let to_reload = target.reloads.as_ref().filter(|it| configured(it));
+        if let Some(weights) = to_reload.filter(|it| !target.lists_model(&it.model)) {
             return Some(ModelStep::Load(weights.clone()));
         }
         if !target.facts.models.is_empty() {
@@ -127,7 +127,9 @@
             let newest = self.newest.get(&weights).copied()?;
             let loaded = target.loaded_for.as_ref();
             let loaded = loaded.is_some_and(|it| {
-                it.weights == weights && it.newest >= newest && now.since(it.at) < LOAD_AGAIN
+                it.weights == weights
+                    && it.newest >= newest
+                    && now.since(it.at) < MIN_RELOAD_INTERVAL
             });
             (newest > held.version && !loaded).then_some(weights)
         })
@@ -163,7 +165,7 @@
     /// longest stream; one after the other, at 5 s each, the last of 18 targets would be updated
     /// after a minute and a half.
     pub(super) fn pick_model_updates(&mut self, now: Moment) {
-        if now.since(self.model_updates_picked_at) < PICK_EVERY {
+        if now.since(self.model_updates_picked_at) < SELECTION_INTERVAL {
             return;
         }
         self.model_updates_picked_at = now;
@@ -172,7 +174,9 @@
         let outdated: Vec<_> = outdated
             .filter(|(_, it)| it.touched || it.summary.outdated)
             .filter(|(_, it)| self.has_outdated_model(it, now) && it.takes_work())
-            .filter(|(_, it)| it.model_order.is_none() && matches!(it.turn, Turn::Free(_)))
+            .filter(|(_, it)| {
+                it.model_order.is_none() && matches!(it.order_state, OrderState::Idle(_))
+            })
             .collect();
         if outdated.is_empty() {
             return;
@@ -196,7 +200,7 @@
         let targets = self.targets.values();
         let targets = targets.filter(|it| it.facts.service == *service && it.takes_work());
         let away = targets.clone().filter(|it| it.is_without_model(now));
-        let most = (targets.count() as f64 * self.cfg.updated_share).ceil();
+        let most = (targets.count() as f64 * self.cfg.max_updating_share).ceil();
         (most as usize).saturating_sub(away.count())
     }
 
@@ -239,8 +243,8 @@
     ) {
         match (order.kind, answer) {
             (OrderKind::Unload, OrderAnswer::Accepted | OrderAnswer::Done) => {
-                let questions = self.drop_holds(&order.target, out);
-                self.place_elsewhere(&order.target, questions, now, out);
+                let waiting_requests = self.drop_adapters(&order.target, out);
+                self.place_elsewhere(&order.target, waiting_requests, now, out);
             }
             (OrderKind::Load, OrderAnswer::Accepted) => self.note_load(order, now),
             (OrderKind::Load, OrderAnswer::Done)
@@ -270,38 +274,38 @@
             return true;
         }
         target.touched = true;
-        target.was_asked = true;
+        target.was_queried = true;
         if report.busy {
-            target.turn = Turn::Unknown(now + LOOK_AGAIN);
+            target.order_state = OrderState::Unknown(now + MODEL_RECHECK);
             return false;
         }
         target.model_order = None;
         target.facts.models = report_models(report);
-        target.models_reported_until = now + LISTED_LATE;
+        target.models_reported_until = now + REPORT_VALIDITY;
         true
     }
 
     /// Forgets all adapters of a target, and returns the placement requests that waited for them.
-    fn drop_holds(&mut self, name: &TargetName, out: &mut Vec<ResidencyAction>) -> Vec<u64> {
+    fn drop_adapters(&mut self, name: &TargetName, out: &mut Vec<ResidencyAction>) -> Vec<u64> {
         let Some(target) = self.targets.get_mut(name) else {
             return Vec::new();
         };
         target.touched = true;
-        let mut questions = Vec::new();
-        for (weights, hold) in std::mem::take(&mut target.holds) {
-            if !hold.is_planned() {
-                target.remembered.note(weights.clone());
+        let mut waiting_requests = Vec::new();
+        for (weights, entry) in std::mem::take(&mut target.adapters) {
+            if !entry.is_planned() {
+                target.recent_adapters.record(weights.clone());
             }
-            questions.extend(hold.questions);
-            out.push(tell(name, &weights, None));
+            waiting_requests.extend(entry.waiting_requests);
+            out.push(notification(name, &weights, None));
         }
-        questions
+        waiting_requests
     }
 }
 
 impl ModelOrder {
     fn counts(&self, now: Moment) -> bool {
-        now.since(self.given_at) < COUNTS_FOR
+        now.since(self.given_at) < MAX_ORDER_TIME
     }
 }
 
--- a/crates/chervilshunt_core/src/residency/order.rs
+++ b/crates/chervilshunt_core/src/residency/order.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::grants::{GrantNumber, GrantProgress};
-use super::wants::Want;
-use crate::dispatch::{Holding, PlacementLimits, TargetFacts, TargetStart, Weights};
+use super::placement::PlacementRequest;
+use crate::dispatch::{AdapterHolding, PlacementLimits, TargetFacts, TargetStart, Weights};
 use crate::owner::OrderKind;
 
 /// The number of an order, unique within one placer.
@@ -70,7 +70,7 @@
 
 /// The requests that one instance has in flight with an adapter at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct TargetUse {
     /// The name of the target.
     #[serde(rename = "t")]
     pub target: TargetName,
@@ -84,7 +84,7 @@
 
 /// The result of a placement request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Placed {
+pub enum PlacementResult {
     /// A target holds the adapter now. The request may be sent there, and counts as in flight until
     /// its end is reported; the grant has the number of the placement request.
     At {
@@ -107,38 +107,38 @@
 #[derive(Clone, Debug)]
 pub enum ResidencyEvent {
     /// The platform lists a target.
-    TargetSeen(TargetFacts),
+    TargetListed(TargetFacts),
     /// A target is gone.
     TargetGone(TargetName),
     /// The limits on what the targets of a service may hold.
     Limits(ServiceName, PlacementLimits),
     /// An instance needs a target for a request.
-    Wanted {
+    PlacementRequested {
         /// Identifies the placement request in the answer.
-        question: u64,
+        request_id: u64,
         /// The instance that asks.
         from: InstanceId,
         /// The requirements of the request.
-        want: Want,
+        request: PlacementRequest,
         /// How long the request waits for placement.
         within: Duration,
     },
     /// Everything that one instance has in flight, and the grants that are included in it.
-    Used(InstanceId, Vec<Use>, Vec<GrantNumber>),
+    UsageReported(InstanceId, Vec<TargetUse>, Vec<GrantNumber>),
     /// The progress of granted requests.
-    Progressed(GrantProgress),
+    GrantsProgressed(GrantProgress),
     /// An instance is gone, together with the requests that it had in flight.
     InstanceGone(InstanceId),
     /// A target reported that it does not hold an adapter that was announced for it.
     NotHeld(TargetName, Weights),
     /// A target answered an order.
-    Answered(OrderNumber, OrderAnswer),
+    OrderAnswered(OrderNumber, OrderAnswer),
     /// A target reported its state.
-    Reported(TargetName, TargetReport),
+    TargetReported(TargetName, TargetReport),
     /// A target could not be queried.
-    NotReported(TargetName),
+    ReportFailed(TargetName),
     /// The newest version of some weights was announced.
-    VersionNamed(Weights, u64),
+    VersionAnnounced(Weights, u64),
     /// Time has passed.
     Tick,
 }
@@ -149,9 +149,9 @@
     /// Send an order to a target.
     Order(Order),
     /// Query the state of a target.
-    Ask(TargetName),
+    QueryTarget(TargetName),
     /// Notify all instances about an adapter on a target.
-    Tell(Holding),
+    Notify(AdapterHolding),
     /// Answer a placement request.
-    Answer(u64, Placed),
+    Answer(u64, PlacementResult),
 }
--- a/crates/chervilshunt_core/src/residency/wants.rs
+++ b/crates/chervilshunt_core/src/residency/placement.rs
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 
 use super::grants::GrantNumber;
-use super::hold::{Hold, HoldState};
-use super::order::{Placed, ResidencyAction};
-use super::planner::Residency;
-use super::target::Turn;
-use crate::dispatch::{Holding, Lane, Weights};
+use super::hold::{AdapterEntry, AdapterStage};
+use super::order::{PlacementResult, ResidencyAction};
+use super::planner::ResidencyPlanner;
+use super::target::OrderState;
+use crate::dispatch::{AdapterHolding, Lane, Weights};
 
-/// The requirements of a request on its target.
+/// An instance's request to the placer for a target for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct PlacementRequest {
     /// The service that the request is for.
     #[serde(rename = "s")]
     pub service: ServiceName,
@@ -37,95 +37,103 @@
 
 /// A placement request that has not been answered.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingPlacement {
     pub(super) from: InstanceId,
-    pub(super) want: Want,
+    pub(super) request: PlacementRequest,
     /// The time until which the request waits.
     pub(super) until: Moment,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Finds a target for a request, or refuses it immediately.
     ///
     /// A request for which no target has a slot does not wait for one. When slots are scarce,
     /// waiting requests were placed so late that their answers missed their deadlines anyway, and
     /// took the slots from others that would have been in time.
-    pub(super) fn wanted(
+    pub(super) fn place_or_refuse(
         &mut self,
-        question: u64,
-        asked: Asked,
+        request_id: u64,
+        pending: PendingPlacement,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let Some(found) = self.best_target(&asked.want, now) else {
-            return self.answer_later(vec![question], out);
+        let Some(candidate) = self.best_target(&pending.request, now) else {
+            return self.refuse(vec![request_id], out);
         };
-        if now + found.held_in > asked.until {
-            let retry_in = found.held_in.max(self.cfg.retry_in);
-            let later = Placed::Later { retry_in };
-            out.push(ResidencyAction::Answer(question, later));
+        if now + candidate.ready_in > pending.until {
+            let retry_in = candidate.ready_in.max(self.cfg.retry_in);
+            let later = PlacementResult::Later { retry_in };
+            out.push(ResidencyAction::Answer(request_id, later));
             return;
         }
-        self.place(question, asked, &found.target, now, out);
+        self.place(request_id, pending, &candidate.target, now, out);
     }
 
     /// Returns how long a request may wait for placement if its first token is due within `within`,
     /// which leaves time for its prefill.
-    pub(super) fn places_within(&self, want: &Want, within: Duration) -> Duration {
-        let reading = Duration::from_secs_f64(self.pace.millis(want.prompt_tokens) / 1e3);
+    pub(super) fn placement_time(&self, request: &PlacementRequest, within: Duration) -> Duration {
+        let reading =
+            Duration::from_secs_f64(self.prefill_rate.millis(request.prompt_tokens) / 1e3);
         let left = within.saturating_sub(reading);
-        left.max(within.mul_f64(LEAST_PLACING_SHARE))
+        left.max(within.mul_f64(MIN_PLACEMENT_SHARE))
     }
 
     /// Assigns a target to a request, immediately or once its adapter has been loaded there.
     pub(super) fn place(
         &mut self,
-        question: u64,
-        asked: Asked,
+        request_id: u64,
+        pending: PendingPlacement,
         name: &TargetName,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let weights = &asked.want.weights;
+        let weights = &pending.request.weights;
         if weights.adapter.is_some() {
             let planned = self.planned(name, weights, now);
             let Some(target) = self.targets.get_mut(name) else {
-                return self.answer_later(vec![question], out);
+                return self.refuse(vec![request_id], out);
             };
             target.touched = true;
-            let hold = target.holds.entry(weights.clone()).or_insert(planned);
-            hold.last_used = now;
-            if hold.state != HoldState::Ready {
-                hold.questions.push(question);
-                hold.waiting_tokens += asked.want.prompt_tokens;
-                hold.wanted_until = hold.wanted_until.max(Some(asked.until));
-                self.asked.insert(question, asked);
+            let entry = target.adapters.entry(weights.clone()).or_insert(planned);
+            entry.last_used = now;
+            if entry.state != AdapterStage::Ready {
+                entry.waiting_requests.push(request_id);
+                entry.waiting_tokens += pending.request.prompt_tokens;
+                entry.needed_until = entry.needed_until.max(Some(pending.until));
+                self.pending.insert(request_id, pending);
                 return;
             }
         }
-        self.answer_at(question, asked, name, now, out);
+        self.answer_at(request_id, pending, name, now, out);
     }
 
     fn answer_at(
         &mut self,
-        question: u64,
-        asked: Asked,
+        request_id: u64,
+        pending: PendingPlacement,
         target: &TargetName,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        let number = GrantNumber(question);
-        let Asked { from, want, .. } = asked;
-        let holds = self.targets.get(target).map(|it| &it.holds);
-        let version = holds
-            .and_then(|it| it.get(&want.weights))
+        let number = GrantNumber(request_id);
+        let PendingPlacement { from, request, .. } = pending;
+        let adapters = self.targets.get(target).map(|it| &it.adapters);
+        let version = adapters
+            .and_then(|it| it.get(&request.weights))
             .map(|it| it.version);
-        self.grant(number, from, target, want.weights, want.prompt_tokens, now);
-        let placed = Placed::At {
+        self.grant(
+            number,
+            from,
+            target,
+            request.weights,
+            request.prompt_tokens,
+            now,
+        );
+        let placed = PlacementResult::At {
             target: target.clone(),
             version,
         };
-        out.push(ResidencyAction::Answer(question, placed));
+        out.push(ResidencyAction::Answer(request_id, placed));
     }
 
     /// Answers the requests that waited for an adapter which is now loaded.
@@ -134,41 +142,45 @@
     /// load of the newest was planned.
     pub(super) fn answer_loaded(
         &mut self,
-        questions: Vec<u64>,
+        waiting_requests: Vec<u64>,
         target: &TargetName,
         outdated: bool,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
         if outdated {
-            return self.answer_later(questions, out);
+            return self.refuse(waiting_requests, out);
         }
-        for question in questions {
-            if let Some(asked) = self.asked.remove(&question) {
-                self.answer_at(question, asked, target, now, out);
+        for request_id in waiting_requests {
+            if let Some(pending) = self.pending.remove(&request_id) {
+                self.answer_at(request_id, pending, target, now, out);
             }
         }
     }
 
     /// Creates the entry of an adapter whose load is planned.
-    fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> Hold {
+    fn planned(&self, name: &TargetName, weights: &Weights, now: Moment) -> AdapterEntry {
         let version = self.newest.get(weights).copied();
         let target = self.targets.get(name);
-        let kept = target.is_some_and(|it| it.remembered.keeps(weights, self.memory));
-        Hold {
+        let kept = target.is_some_and(|it| it.recent_adapters.keeps(weights, self.memory));
+        AdapterEntry {
             from_store: !kept,
-            ..Hold::new(HoldState::Planned, version.unwrap_or(FIRST_VERSION), now)
+            ..AdapterEntry::new(AdapterStage::Planned, version.unwrap_or(FIRST_VERSION), now)
         }
     }
 
     /// Plans to load an adapter ahead of requests, on the best target that has capacity for it.
-    pub(super) fn plan_load(&mut self, want: &Want, now: Moment) -> Option<TargetName> {
-        let found = self.best_load(want, now)?;
-        let hold = self.planned(&found.target, &want.weights, now);
-        let target = self.targets.get_mut(&found.target)?;
-        target.holds.insert(want.weights.clone(), hold);
+    pub(super) fn plan_load(
+        &mut self,
+        request: &PlacementRequest,
+        now: Moment,
+    ) -> Option<TargetName> {
+        let candidate = self.best_load(request, now)?;
+        let entry = self.planned(&candidate.target, &request.weights, now);
+        let target = self.targets.get_mut(&candidate.target)?;
+        target.adapters.insert(request.weights.clone(), entry);
         target.touched = true;
-        Some(found.target)
+        Some(candidate.target)
     }
 
     /// Finds another target for the requests that waited for a failed load, within their remaining
@@ -176,25 +188,25 @@
     pub(super) fn place_elsewhere(
         &mut self,
         failed: &TargetName,
-        questions: Vec<u64>,
+        waiting_requests: Vec<u64>,
         now: Moment,
         out: &mut Vec<ResidencyAction>,
     ) {
-        for question in questions {
-            if let Some(mut asked) = self.asked.remove(&question) {
-                asked.want.avoid.push(failed.clone());
-                self.wanted(question, asked, now, out);
+        for request_id in waiting_requests {
+            if let Some(mut pending) = self.pending.remove(&request_id) {
+                pending.request.avoid.push(failed.clone());
+                self.place_or_refuse(request_id, pending, now, out);
             }
         }
     }
 
     /// Answers requests that they cannot be placed now.
-    pub(super) fn answer_later(&mut self, questions: Vec<u64>, out: &mut Vec<ResidencyAction>) {
+    pub(super) fn refuse(&mut self, waiting_requests: Vec<u64>, out: &mut Vec<ResidencyAction>) {
         let retry_in = self.cfg.retry_in;
-        for question in questions {
-            self.asked.remove(&question);
-            let later = Placed::Later { retry_in };
-            out.push(ResidencyAction::Answer(question, later));
+        for request_id in waiting_requests {
+            self.pending.remove(&request_id);
+            let later = PlacementResult::Later { retry_in };
+            out.push(ResidencyAction::Answer(request_id, later));
         }
     }
 
@@ -216,36 +228,36 @@
             return;
         };
         let lag = self.cfg.report_lag;
-        let Some(hold) = target.holds.get_mut(weights) else {
+        let Some(entry) = target.adapters.get_mut(weights) else {
             return;
         };
         // A request that was refused just as the load ended says nothing about the adapter.
-        if hold.state != HoldState::Ready || now.since(hold.since) < lag {
+        if entry.state != AdapterStage::Ready || now.since(entry.since) < lag {
             return;
         }
-        hold.state = HoldState::Ending;
-        hold.outdated = true;
-        hold.since = now;
+        entry.state = AdapterStage::Ending;
+        entry.outdated = true;
+        entry.since = now;
         target.touched = true;
-        out.push(tell(name, weights, None));
-        if let Turn::Free(_) = target.turn {
-            target.turn = Turn::Unknown(now + lag);
+        out.push(notification(name, weights, None));
+        if let OrderState::Idle(_) = target.order_state {
+            target.order_state = OrderState::Unknown(now + lag);
         }
     }
 }
 
 /// The minimum share of its time that a request may wait for placement, however long its prompt is.
-const LEAST_PLACING_SHARE: f64 = 0.4;
+const MIN_PLACEMENT_SHARE: f64 = 0.4;
 /// The version of weights for which none has been announced.
 const FIRST_VERSION: u64 = 1;
 
 /// Creates the notification to all instances about one adapter on one target.
-pub(super) fn tell(
+pub(super) fn notification(
     target: &TargetName,
     weights: &Weights,
     version: Option<u64>,
 ) -> ResidencyAction {
-    ResidencyAction::Tell(Holding {
+    ResidencyAction::Notify(AdapterHolding {
         target: target.clone(),
         started: None,
         weights: weights.clone(),
--- a/crates/chervilshunt_core/src/residency/planner.rs
+++ b/crates/chervilshunt_core/src/residency/planner.rs
@@ -9,39 +9,39 @@
 use indexmap::IndexMap;
 
 use super::config::ResidencyConfig;
+use super::estimates::LoadEstimates;
 use super::grants::{GrantNumber, Grants};
-use super::hold::HoldState;
+use super::hold::AdapterStage;
 use super::lanes::LaneSwitch;
-use super::learnt::Learnt;
 use super::memory::MemorySize;
-use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, Use};
-use super::pace::ReadingPace;
+use super::order::{OrderNumber, ResidencyAction, ResidencyEvent, TargetUse};
+use super::placement::PendingPlacement;
+use super::prefill_rate::PrefillRate;
 use super::restart::LostLoads;
-use super::target::{Summary, TargetState, Turn};
-use super::wants::Asked;
+use super::target::{OrderState, Summary, TargetState};
 use super::window::LoadWindow;
 use crate::dispatch::{
-    NamedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
+    AnnouncedVersions, PlacementLimits, TargetFacts, TargetSnapshot, TargetStart, Weights,
 };
 
 /// The share of targets that must have reported before the placer counts as knowing what is held.
 /// The last few may be slow or gone.
-const KNOWN_SHARE: f64 = 0.95;
+const MIN_QUERIED_SHARE: f64 = 0.95;
 /// The number of targets that a new placer queries at once.
-const ASKS_AT_ONCE: u32 = 128;
+const INITIAL_QUERIES: u32 = 128;
 /// The interval between the queries of further targets.
-const ASK_SPACING: Duration = Duration::from_micros(650);
+const QUERY_INTERVAL: Duration = Duration::from_micros(650);
 
 /// Decides which target holds which weights. [`Self::handle`] takes an event and returns the
 /// actions to perform.
 #[derive(Debug)]
-pub struct Residency {
+pub struct ResidencyPlanner {
     pub(super) cfg: ResidencyConfig,
     pub(super) targets: IndexMap<TargetName, TargetState>,
     pub(super) limits: HashMap<ServiceName, PlacementLimits>,
     pub(super) newest: HashMap<Weights, u64>,
     /// The announced versions of base models.
-    pub(super) base_versions: HashMap<Arc<str>, NamedVersions>,
+    pub(super) base_versions: HashMap<Arc<str>, AnnouncedVersions>,
     /// The targets that may unload an outdated base model now.
     pub(super) model_updates: HashSet<TargetName>,
     pub(super) model_updates_picked_at: Moment,
@@ -49,24 +49,24 @@
     pub(super) store_loads: VecDeque<Moment>,
     pub(super) window: LoadWindow,
     pub(super) memory: MemorySize,
-    pub(super) pace: ReadingPace,
+    pub(super) prefill_rate: PrefillRate,
     pub(super) lanes: LaneSwitch,
     pub(super) grants: Grants,
     /// The placement requests that wait for a load to end.
-    pub(super) asked: HashMap<u64, Asked>,
+    pub(super) pending: HashMap<u64, PendingPlacement>,
     /// Unanswered orders to targets that are gone.
     pub(super) lost_of_gone: HashMap<TargetName, LostLoads>,
     /// Loads that may be ordered now; the others wait for a load in progress to end.
     pub(super) admitted: HashSet<(TargetName, Weights)>,
     /// The last usage report of each instance.
-    pub(super) uses: HashMap<InstanceId, Vec<Use>>,
+    pub(super) uses: HashMap<InstanceId, Vec<TargetUse>>,
     next_order: u64,
     knows_targets: bool,
     /// The time from which the first targets are queried.
-    asks_from: Moment,
+    queries_from: Moment,
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Creates a planner without targets; each target is queried when it is first seen.
     ///
     /// A target's report lags behind the orders that it has accepted, and this instance itself may
@@ -74,7 +74,7 @@
     /// planner would then order one load more than the target has slots for, which kills it.
     pub fn new(cfg: ResidencyConfig, now: Moment) -> Self {
         Self {
-            asks_from: now + cfg.report_lag,
+            queries_from: now + cfg.report_lag,
             cfg,
             targets: IndexMap::new(),
             limits: HashMap::new(),
@@ -85,10 +85,10 @@
             store_loads: VecDeque::new(),
             window: LoadWindow::new(),
             memory: MemorySize::default(),
-            pace: ReadingPace::default(),
+            prefill_rate: PrefillRate::default(),
             lanes: LaneSwitch::default(),
             grants: Grants::default(),
-            asked: HashMap::new(),
+            pending: HashMap::new(),
             lost_of_gone: HashMap::new(),
             admitted: HashSet::new(),
             uses: HashMap::new(),
@@ -98,9 +98,9 @@
     }
 
     /// Returns this planner's estimates, or `None` while it has none.
-    pub fn learnt(&self) -> Option<Learnt> {
-        let (load_time, loads_at_once) = self.window.learnt()?;
-        Some(Learnt {
+    pub fn estimates(&self) -> Option<LoadEstimates> {
+        let (load_time, loads_at_once) = self.window.estimates()?;
+        Some(LoadEstimates {
             load_time,
             loads_at_once,
             kept_in_memory: u32::try_from(self.memory.get()).unwrap_or(u32::MAX),
@@ -108,10 +108,10 @@
     }
 
     /// Starts with the estimates of another planner.
-    pub fn begin_with(&mut self, learnt: Learnt) {
+    pub fn start_with(&mut self, estimates: LoadEstimates) {
         self.window
-            .begin_with(learnt.load_time, learnt.loads_at_once);
-        self.memory = MemorySize::begin_with(learnt.kept_in_memory as usize);
+            .start_with(estimates.load_time, estimates.loads_at_once);
+        self.memory = MemorySize::start_with(estimates.kept_in_memory as usize);
     }
 
     /// Processes one event and returns the actions to perform.
@@ -120,37 +120,48 @@
         match event {
             // Targets write their entries every second. With thousands of them, the planner would
             // check for due work thousands of times per second, and delay its other events.
-            ResidencyEvent::TargetSeen(facts) if self.is_known(&facts, now) => return out,
-            ResidencyEvent::TargetSeen(facts) => self.target_seen(facts, now, &mut out),
+            ResidencyEvent::TargetListed(facts) if self.is_known(&facts, now) => return out,
+            ResidencyEvent::TargetListed(facts) => self.target_listed(facts, now, &mut out),
             ResidencyEvent::TargetGone(name) => self.target_gone(&name, now, &mut out),
             ResidencyEvent::Limits(service, limits) => {
                 self.limits.insert(service, limits);
                 self.touch_all();
             }
-            ResidencyEvent::Wanted {
-                question,
+            ResidencyEvent::PlacementRequested {
+                request_id,
                 from,
-                want,
+                request,
                 within,
             } => {
-                let until = now + self.places_within(&want, within);
-                self.wanted(question, Asked { from, want, until }, now, &mut out);
+                let until = now + self.placement_time(&request, within);
+                self.place_or_refuse(
+                    request_id,
+                    PendingPlacement {
+                        from,
+                        request,
+                        until,
+                    },
+                    now,
+                    &mut out,
+                );
             }
-            ResidencyEvent::Used(from, uses, grants) => self.used(&from, uses, &grants, now),
-            ResidencyEvent::Progressed(progress) => self.progressed(&progress, now),
+            ResidencyEvent::UsageReported(from, uses, grants) => {
+                self.usage_reported(&from, uses, &grants, now)
+            }
+            ResidencyEvent::GrantsProgressed(progress) => self.grants_progressed(&progress, now),
             ResidencyEvent::InstanceGone(from) => self.instance_gone(&from, now),
             ResidencyEvent::NotHeld(target, weights) => {
                 self.not_held(&target, &weights, now, &mut out);
             }
-            ResidencyEvent::Answered(number, answer) => {
-                self.answered(number, answer, now, &mut out);
+            ResidencyEvent::OrderAnswered(number, answer) => {
+                self.order_answered(number, answer, now, &mut out);
             }
-            ResidencyEvent::Reported(target, report) => {
-                self.reported(&target, &report, now, &mut out);
+            ResidencyEvent::TargetReported(target, report) => {
+                self.target_reported(&target, &report, now, &mut out);
             }
-            ResidencyEvent::NotReported(target) => self.not_reported(&target, now),
-            ResidencyEvent::VersionNamed(weights, version) => {
-                self.version_named(weights, version, now, &mut out);
+            ResidencyEvent::ReportFailed(target) => self.report_failed(&target, now),
+            ResidencyEvent::VersionAnnounced(weights, version) => {
+                self.version_announced(weights, version, now, &mut out);
             }
             ResidencyEvent::Tick => {}
         }
@@ -163,7 +174,7 @@
     /// Adds the start of the target to notifications about its adapters.
     fn name_starts(&self, out: &mut [ResidencyAction]) {
         for action in out {
-            if let ResidencyAction::Tell(holding) = action {
+            if let ResidencyAction::Notify(holding) = action {
                 holding.started = self.started(&holding.target);
             }
         }
@@ -197,22 +208,22 @@
         let Some(target) = self.targets.get(name) else {
             return;
         };
-        let planned = target.holds.values();
-        let planned = planned.filter(|hold| hold.is_planned());
+        let planned = target.adapters.values();
+        let planned = planned.filter(|entry| entry.is_planned());
         let limits = self.limits.get(&target.facts.service);
         let model = target.facts.models.first();
         let slots = limits
             .zip(model)
             .map(|(it, model)| it.adapters_beside(&model.name));
         let summary = Summary {
-            room: target.count_room(slots.unwrap_or(0), now),
+            free_slots: target.count_free_slots(slots.unwrap_or(0), now),
             wake_at: self.target_wakeup(target, now),
             planned: planned.clone().count(),
-            planned_fetches: planned.filter(|hold| hold.from_store).count(),
+            planned_fetches: planned.filter(|entry| entry.from_store).count(),
             fetching: target.fetching(),
             outdated: self.has_outdated_model(target, now),
             depends_on_others: self.lacks_model(name, now)
-                || target.holds.values().any(|hold| hold.outdated),
+                || target.adapters.values().any(|entry| entry.outdated),
         };
         if let Some(target) = self.targets.get_mut(name) {
             target.summary = summary;
@@ -232,8 +243,8 @@
 
     fn note_known_targets(&mut self) {
         if !self.knows_targets && !self.targets.is_empty() {
-            let asked = self.targets.values().filter(|it| it.was_asked).count();
-            self.knows_targets = asked as f64 >= self.targets.len() as f64 * KNOWN_SHARE;
+            let queried = self.targets.values().filter(|it| it.was_queried).count();
+            self.knows_targets = queried as f64 >= self.targets.len() as f64 * MIN_QUERIED_SHARE;
         }
     }
 
@@ -251,23 +262,23 @@
     }
 
     fn target_wakeup(&self, target: &TargetState, now: Moment) -> Option<Moment> {
-        let ask_at = match &target.turn {
-            Turn::Unknown(at) => Some(*at),
-            Turn::Asked | Turn::Free(_) | Turn::Out(_) => None,
+        let query_at = match &target.order_state {
+            OrderState::Unknown(at) => Some(*at),
+            OrderState::Querying | OrderState::Idle(_) | OrderState::InFlight(_) => None,
         };
-        let holds = target.holds.values();
-        let due = holds.filter_map(|hold| match hold.state {
-            HoldState::Loading(at) => Some(at),
-            HoldState::Ready if hold.outdated => Some(hold.since + self.cfg.old_version_grace),
-            HoldState::Ending => Some(hold.since + self.cfg.uses_settle),
-            HoldState::Planned => {
-                let load_time = self.load_times().of(hold.from_store);
-                hold.wanted_until.map(|until| until - load_time)
+        let adapters = target.adapters.values();
+        let due = adapters.filter_map(|entry| match entry.state {
+            AdapterStage::Loading(at) => Some(at),
+            AdapterStage::Ready if entry.outdated => Some(entry.since + self.cfg.old_version_grace),
+            AdapterStage::Ending => Some(entry.since + self.cfg.usage_settle_time),
+            AdapterStage::Planned => {
+                let load_time = self.load_times().of(entry.from_store);
+                entry.needed_until.map(|until| until - load_time)
             }
-            HoldState::Ordered
-            | HoldState::Confirming
-            | HoldState::Ready
-            | HoldState::Unloading => None,
+            AdapterStage::Ordered
+            | AdapterStage::Confirming
+            | AdapterStage::Ready
+            | AdapterStage::Unloading => None,
         });
         let store = self.store_loads.front();
         let model = store.filter(|_| target.facts.models.is_empty());
@@ -275,7 +286,7 @@
         // Work that is overdue waits for an answer or a usage report, which are events themselves.
         let due = due.chain(model).chain(target.lost.next_old());
         let due = due.filter(|at| *at > now);
-        due.chain(ask_at).min()
+        due.chain(query_at).min()
     }
 
     pub(super) fn next_number(&mut self) -> OrderNumber {
@@ -283,7 +294,7 @@
         OrderNumber(self.next_order)
     }
 
-    fn target_seen(&mut self, facts: TargetFacts, now: Moment, out: &mut Vec<ResidencyAction>) {
+    fn target_listed(&mut self, facts: TargetFacts, now: Moment, out: &mut Vec<ResidencyAction>) {
         if !self.limits.contains_key(&facts.service) {
             return;
         }
@@ -301,8 +312,8 @@
                 target.touched = true;
             }
             None => {
-                let ask_at = self.first_ask(now);
-                self.insert_target(TargetState::new(facts, ask_at));
+                let query_at = self.first_query(now);
+                self.insert_target(TargetState::new(facts, query_at));
             }
         }
     }
@@ -310,7 +321,7 @@
     /// Returns whether an entry contains no news for the planner.
     fn is_known(&self, facts: &TargetFacts, now: Moment) -> bool {
         let known = self.targets.get(&facts.name);
-        known.is_some_and(|it| now >= it.models_reported_until && !it.facts.concerns_all(facts))
+        known.is_some_and(|it| now >= it.models_reported_until && !it.facts.needs_broadcast(facts))
     }
 
     /// Returns when a newly seen target is queried.
@@ -318,10 +329,10 @@
     /// If thousands of targets were queried at once, their answers would exceed what the placer
     /// processes before it times out and asks again, and it would never learn the state of any of
     /// them.
-    fn first_ask(&mut self, now: Moment) -> Moment {
-        let asked = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
-        let turn = ASK_SPACING.saturating_mul(asked.saturating_sub(ASKS_AT_ONCE));
-        now.max(self.asks_from + turn)
+    fn first_query(&mut self, now: Moment) -> Moment {
+        let queried = u32::try_from(self.targets.len()).unwrap_or(u32::MAX);
+        let turn = QUERY_INTERVAL.saturating_mul(queried.saturating_sub(INITIAL_QUERIES));
+        now.max(self.queries_from + turn)
     }
 
     fn target_gone(&mut self, name: &TargetName, now: Moment, out: &mut Vec<ResidencyAction>) {
@@ -330,18 +341,24 @@
         };
         self.grants.forget_target(name);
         self.remember_lost(&target, now);
-        for hold in target.holds.into_values() {
-            self.place_elsewhere(name, hold.questions, now, out);
+        for entry in target.adapters.into_values() {
+            self.place_elsewhere(name, entry.waiting_requests, now, out);
         }
     }
 
     fn instance_gone(&mut self, from: &InstanceId, now: Moment) {
         self.holder_gone(from, now);
-        self.used(from, Vec::new(), &[], now);
+        self.usage_reported(from, Vec::new(), &[], now);
         self.uses.remove(from);
     }
 
-    fn used(&mut self, from: &InstanceId, uses: Vec<Use>, grants: &[GrantNumber], now: Moment) {
+    fn usage_reported(
+        &mut self,
+        from: &InstanceId,
+        uses: Vec<TargetUse>,
+        grants: &[GrantNumber],
+        now: Moment,
+    ) {
         let uses = self.uses_beside_grants(from, uses, grants, now);
         for before in self.uses.get(from).into_iter().flatten() {
             if let Some(target) = self.targets.get_mut(&before.target) {
@@ -353,9 +370,9 @@
                 continue;
             };
             target.set_use(from, it.weights.as_ref(), it.in_flight);
-            let hold = it.weights.as_ref();
-            if let Some(hold) = hold.and_then(|weights| target.holds.get_mut(weights)) {
-                hold.last_used = now;
+            let entry = it.weights.as_ref();
+            if let Some(entry) = entry.and_then(|weights| target.adapters.get_mut(weights)) {
+                entry.last_used = now;
             }
         }
         self.uses.insert(from.clone(), uses);
--- a/crates/chervilshunt_core/src/residency/restart.rs
+++ b/crates/chervilshunt_core/src/residency/restart.rs
@@ -11,18 +11,18 @@
 use chervilshunt_model::{Moment, TargetName};
 
 use super::order::{Order, ResidencyAction};
-use super::planner::Residency;
-use super::target::{TargetState, Turn};
+use super::planner::ResidencyPlanner;
+use super::target::{OrderState, TargetState};
 use crate::dispatch::{TargetFacts, TargetStart};
 use crate::owner::OrderKind;
 
 /// How late an unanswered order may be executed. The platform specifies "seconds later"; this is
 /// three times the longest time known for any target.
-const LATE_ORDERS: Duration = Duration::from_secs(15);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
 
 /// How many orders in advance an unanswered order begins to reserve a slot: more than are sent
 /// while a target takes to free one.
-const NEXT_ORDERS: u64 = 16;
+const ORDERS_AHEAD: u64 = 16;
 
 /// An unanswered order to load an adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,14 +56,14 @@
 
     /// Forgets orders that are too old to be executed.
     pub(crate) fn forget_old(&mut self, now: Moment) {
-        let is_recent = |it: &LostLoad| now.since(it.lost_at) < LATE_ORDERS;
+        let is_recent = |it: &LostLoad| now.since(it.lost_at) < MAX_ORDER_DELAY;
         self.present.retain(is_recent);
         self.earlier.retain(is_recent);
     }
 
     /// Returns when the next order to an earlier start becomes too old to be executed.
     pub(crate) fn next_old(&self) -> Option<Moment> {
-        let old = self.earlier.iter().map(|it| it.lost_at + LATE_ORDERS);
+        let old = self.earlier.iter().map(|it| it.lost_at + MAX_ORDER_DELAY);
         old.min()
     }
 
@@ -79,7 +79,7 @@
     pub(crate) fn slots(&self, accepted: Option<u64>) -> usize {
         let is_due = |it: &&LostLoad| {
             accepted.is_none_or(|accepted| {
-                (accepted..=accepted + NEXT_ORDERS).contains(&it.accepted_before)
+                (accepted..=accepted + ORDERS_AHEAD).contains(&it.accepted_before)
             })
         };
         self.earlier.iter().filter(is_due).count()
@@ -90,10 +90,10 @@
     }
 
     /// Returns the orders as those of an earlier start, including the one that is in flight.
-    fn of_earlier_start(mut self, turn: &Turn, now: Moment) -> Self {
-        match turn {
-            Turn::Out(order) => self.note(order, now),
-            Turn::Unknown(_) | Turn::Asked | Turn::Free(_) => {}
+    fn of_earlier_start(mut self, order_state: &OrderState, now: Moment) -> Self {
+        match order_state {
+            OrderState::InFlight(order) => self.note(order, now),
+            OrderState::Unknown(_) | OrderState::Querying | OrderState::Idle(_) => {}
         }
         self.earlier.append(&mut self.present);
         self.forget_old(now);
@@ -101,7 +101,7 @@
     }
 }
 
-impl Residency {
+impl ResidencyPlanner {
     /// Compares a reported start of a target with the known one.
     pub(super) fn compare_start(
         &self,
@@ -123,10 +123,10 @@
             return;
         };
         let mut target = TargetState::new(facts, now + self.cfg.report_lag);
-        target.lost = before.lost.of_earlier_start(&before.turn, now);
+        target.lost = before.lost.of_earlier_start(&before.order_state, now);
         self.grants.forget_target(&target.facts.name);
-        for hold in before.holds.into_values() {
-            self.answer_later(hold.questions, out);
+        for entry in before.adapters.into_values() {
+            self.refuse(entry.waiting_requests, out);
         }
         self.insert_target(target);
     }
@@ -134,7 +134,10 @@
     /// Remembers the orders that may still be executed by a target that is gone, since it may come
     /// back or restart under its name.
     pub(super) fn remember_lost(&mut self, target: &TargetState, now: Moment) {
-        let lost = target.lost.clone().of_earlier_start(&target.turn, now);
+        let lost = target
+            .lost
+            .clone()
+            .of_earlier_start(&target.order_state, now);
         self.lost_of_gone.insert(target.facts.name.clone(), lost);
         self.lost_of_gone.retain(|_, lost| {
             lost.forget_old(now);
--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -9,8 +9,8 @@
 
 use super::config::ResidencyConfig;
 use super::grants::Grant;
-use super::hold::{Hold, HoldState};
-use super::memory::Remembered;
+use super::hold::{AdapterEntry, AdapterStage};
+use super::memory::RecentAdapters;
 use super::models::{LoadedFor, ModelOrder};
 use super::order::Order;
 use super::restart::LostLoads;
@@ -18,32 +18,32 @@
 
 /// What is known about the orders that a target has accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum OrderState {
     /// The target has to be queried, at the given time at the earliest.
     Unknown(Moment),
     /// The target is being queried.
-    Asked,
+    Querying,
     /// The target has accepted this many orders, and none is in flight.
-    Free(u64),
+    Idle(u64),
     /// An order is in flight.
-    Out(Order),
+    InFlight(Order),
 }
 
-/// How long a computed capacity stays valid when no time is known at which it changes; late orders
+/// How long a count of free slots stays valid when no time is known at which it changes; late orders
 /// to earlier starts of a target expire in the meantime.
-const LONGEST_COUNT: Duration = Duration::from_secs(1);
+const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
 /// The state of one target as known to the placer.
 #[derive(Clone, Debug)]
 pub(crate) struct TargetState {
     pub(crate) facts: TargetFacts,
-    pub(crate) turn: Turn,
+    pub(crate) order_state: OrderState,
     /// When the last order was sent to the target.
     pub(crate) ordered_at: Moment,
     /// The adapters of the target, including planned and loading ones.
-    pub(crate) holds: IndexMap<Weights, Hold>,
+    pub(crate) adapters: IndexMap<Weights, AdapterEntry>,
     /// Adapters that the target had recently, some of which it still has in memory.
-    pub(crate) remembered: Remembered,
+    pub(crate) recent_adapters: RecentAdapters,
     /// The pending order for a base model.
     pub(crate) model_order: Option<ModelOrder>,
     /// The base model that the target was last ordered to unload or load, and is to hold.
@@ -65,13 +65,13 @@
     grants: HashMap<Weights, u32>,
     granted: u32,
     /// The prompt tokens of granted requests that still await prefill.
-    reading: u32,
+    prefill_tokens: u32,
     /// When the prefill of a prompt last completed at this target.
-    last_read: Moment,
+    last_prefill: Moment,
     /// Unanswered orders to load adapters.
     pub(crate) lost: LostLoads,
     /// Whether the target has answered a query, or one has failed.
-    pub(crate) was_asked: bool,
+    pub(crate) was_queried: bool,
     /// Whether something has changed since the planner last inspected the target.
     pub(crate) touched: bool,
     pub(crate) summary: Summary,
@@ -95,28 +95,28 @@
     pub(crate) outdated: bool,
     /// Whether due work depends on other targets, so that this one is inspected with every event.
     pub(crate) depends_on_others: bool,
-    /// The capacity for more adapters.
-    pub(crate) room: Room,
+    /// The slots that are free for more adapters.
+    pub(crate) free_slots: FreeSlots,
 }
 
-/// The capacity of a target for more adapters, as computed at its last inspection.
+/// The slots of a target that are free for more adapters, as counted at its last inspection.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Room {
-    /// The total number of slots that the computation was based on.
+pub(crate) struct FreeSlots {
+    /// The total number of slots that the count was based on.
     slots: usize,
     adapters: usize,
-    /// The time from which the capacity may have changed without an event.
+    /// The time from which the count may have changed without an event.
     until: Moment,
 }
 
 impl TargetState {
-    pub(crate) fn new(facts: TargetFacts, ask_at: Moment) -> Self {
+    pub(crate) fn new(facts: TargetFacts, query_at: Moment) -> Self {
         Self {
             facts,
-            turn: Turn::Unknown(ask_at),
+            order_state: OrderState::Unknown(query_at),
             ordered_at: Moment::ZERO,
-            holds: IndexMap::new(),
-            remembered: Remembered::default(),
+            adapters: IndexMap::new(),
+            recent_adapters: RecentAdapters::default(),
             model_order: None,
             reloads: None,
             loaded_for: None,
@@ -126,10 +126,10 @@
             in_flight: 0,
             grants: HashMap::new(),
             granted: 0,
-            reading: 0,
-            last_read: Moment::ZERO,
+            prefill_tokens: 0,
+            last_prefill: Moment::ZERO,
             lost: LostLoads::default(),
-            was_asked: false,
+            was_queried: false,
             touched: true,
             summary: Summary::default(),
         }
@@ -148,10 +148,10 @@
     /// Returns the adapters that requests can use, by base model.
     pub(crate) fn serving_adapters(&self) -> Vec<HeldAdapters> {
         let mut by_model: IndexMap<Arc<str>, Vec<(Arc<str>, u64)>> = IndexMap::new();
-        for (weights, hold) in self.holds.iter().filter(|(_, hold)| hold.serves()) {
+        for (weights, entry) in self.adapters.iter().filter(|(_, entry)| entry.serves()) {
             if let Some(adapter) = &weights.adapter {
                 let adapters = by_model.entry(Arc::clone(&weights.model)).or_default();
-                adapters.push((Arc::clone(adapter), hold.version));
+                adapters.push((Arc::clone(adapter), entry.version));
             }
         }
         let by_model = by_model.into_iter();
@@ -162,8 +162,9 @@
 
     /// Returns the number of loads that have been ordered and have not ended.
     pub(crate) fn loading(&self) -> usize {
-        let loading = |hold: &&Hold| hold.is_coming() && hold.state != HoldState::Planned;
-        self.holds.values().filter(loading).count()
+        let loading =
+            |entry: &&AdapterEntry| entry.is_load_pending() && entry.state != AdapterStage::Planned;
+        self.adapters.values().filter(loading).count()
     }
 
     /// Returns the number of loads in progress at the weight store, as far as known.
@@ -171,78 +172,85 @@
     /// A load whose last order was not answered has not begun, has ended, or begins seconds later.
     /// If it were counted, a few lost answers would block the loads of all other targets.
     pub(crate) fn fetching(&self) -> usize {
-        let answers = matches!(self.turn, Turn::Out(_) | Turn::Free(_));
-        let fetching = |hold: &&Hold| match hold.state {
-            HoldState::Loading(_) => hold.from_store,
-            HoldState::Ordered | HoldState::Confirming => answers && hold.from_store,
-            HoldState::Planned | HoldState::Ready | HoldState::Ending | HoldState::Unloading => {
-                false
-            }
+        let answers = matches!(
+            self.order_state,
+            OrderState::InFlight(_) | OrderState::Idle(_)
+        );
+        let fetching = |entry: &&AdapterEntry| match entry.state {
+            AdapterStage::Loading(_) => entry.from_store,
+            AdapterStage::Ordered | AdapterStage::Confirming => answers && entry.from_store,
+            AdapterStage::Planned
+            | AdapterStage::Ready
+            | AdapterStage::Ending
+            | AdapterStage::Unloading => false,
         };
-        self.holds.values().filter(fetching).count()
+        self.adapters.values().filter(fetching).count()
     }
 
     /// Returns the number of loads that are planned or in progress.
-    pub(crate) fn coming(&self) -> usize {
-        self.holds.values().filter(|hold| hold.is_coming()).count()
+    pub(crate) fn pending_loads(&self) -> usize {
+        self.adapters
+            .values()
+            .filter(|entry| entry.is_load_pending())
+            .count()
     }
 
     /// Returns whether the target is waiting for requests to end before it unloads an adapter, and
     /// accepts no other order until then.
-    pub(crate) fn gives_up(&self) -> bool {
-        let mut states = self.holds.values().map(|hold| hold.state);
-        let ordered = matches!(self.turn, Turn::Out(_));
-        !ordered && states.any(|state| state == HoldState::Unloading)
+    pub(crate) fn is_unloading(&self) -> bool {
+        let mut states = self.adapters.values().map(|entry| entry.state);
+        let ordered = matches!(self.order_state, OrderState::InFlight(_));
+        !ordered && states.any(|state| state == AdapterStage::Unloading)
     }
 
     /// Returns the number of slots taken, including those that unanswered orders may take.
     pub(crate) fn slots_taken(&self) -> usize {
-        let taken = |hold: &&Hold| hold.state != HoldState::Planned;
-        self.holds.values().filter(taken).count() + self.slots_of_late_orders()
+        let taken = |entry: &&AdapterEntry| entry.state != AdapterStage::Planned;
+        self.adapters.values().filter(taken).count() + self.slots_of_late_orders()
     }
 
     /// Returns the number of slots that orders to an earlier start of the target may take.
     fn slots_of_late_orders(&self) -> usize {
-        let accepted = match &self.turn {
-            Turn::Free(accepted) => Some(*accepted),
-            Turn::Out(order) => Some(order.accepted_before),
-            Turn::Unknown(_) | Turn::Asked => None,
+        let accepted = match &self.order_state {
+            OrderState::Idle(accepted) => Some(*accepted),
+            OrderState::InFlight(order) => Some(order.accepted_before),
+            OrderState::Unknown(_) | OrderState::Querying => None,
         };
         self.lost.slots(accepted)
     }
 
     /// Returns whether an adapter may be evicted immediately.
-    fn is_free(&self, weights: &Weights, hold: &Hold, now: Moment) -> bool {
-        hold.serves() && hold.free_from <= now && self.in_use(weights) == 0
+    fn is_free(&self, weights: &Weights, entry: &AdapterEntry, now: Moment) -> bool {
+        entry.serves() && entry.free_from <= now && self.in_use(weights) == 0
     }
 
     /// Returns the adapter to evict: the least recently used one of those not in use.
     pub(crate) fn victim(&self, now: Moment) -> Option<&Weights> {
-        let free = self.holds.iter();
-        let free = free.filter(|(weights, hold)| self.is_free(weights, hold, now));
-        let first = free.min_by_key(|(_, hold)| hold.last_used);
+        let free = self.adapters.iter();
+        let free = free.filter(|(weights, entry)| self.is_free(weights, entry, now));
+        let first = free.min_by_key(|(_, entry)| entry.last_used);
         first.map(|(weights, _)| weights)
     }
 
     /// Returns an adapter that is no longer announced and that nothing uses any more.
-    pub(crate) fn unused_ending(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
-        let mut holds = self.holds.iter();
-        let due = holds.find(|(weights, hold)| {
-            hold.state == HoldState::Ending
-                && now.since(hold.since) >= cfg.uses_settle
+    pub(crate) fn unused_adapter(&self, cfg: &ResidencyConfig, now: Moment) -> Option<&Weights> {
+        let mut adapters = self.adapters.iter();
+        let due = adapters.find(|(weights, entry)| {
+            entry.state == AdapterStage::Ending
+                && now.since(entry.since) >= cfg.usage_settle_time
                 && self.in_use(weights) == 0
         });
         due.map(|(weights, _)| weights)
     }
 
-    /// Computes the capacity, for the requests that arrive until something changes at this target.
-    pub(crate) fn count_room(&self, slots: usize, now: Moment) -> Room {
-        let coming_free = self.holds.values().map(|hold| hold.free_from);
-        let until = coming_free.filter(|at| *at > now).min();
-        Room {
+    /// Counts the free slots, for the requests that arrive until something changes at this target.
+    pub(crate) fn count_free_slots(&self, slots: usize, now: Moment) -> FreeSlots {
+        let evictable_from = self.adapters.values().map(|entry| entry.free_from);
+        let until = evictable_from.filter(|at| *at > now).min();
+        FreeSlots {
             slots,
-            adapters: self.counted_room(slots, now),
-            until: until.unwrap_or(now + LONGEST_COUNT),
+            adapters: self.compute_free_slots(slots, now),
+            until: until.unwrap_or(now + MAX_COUNT_AGE),
         }
     }
 
@@ -250,39 +258,39 @@
     ///
     /// Every request asks this of all targets. With thousands of targets, computing it each time
     /// would dominate the cost of a request.
-    pub(crate) fn room(&self, slots: usize, now: Moment) -> usize {
-        let room = &self.summary.room;
-        if !self.touched && room.slots == slots && now < room.until {
-            return room.adapters;
+    pub(crate) fn free_slots(&self, slots: usize, now: Moment) -> usize {
+        let free = &self.summary.free_slots;
+        if !self.touched && free.slots == slots && now < free.until {
+            return free.adapters;
         }
-        self.counted_room(slots, now)
+        self.compute_free_slots(slots, now)
     }
 
-    fn counted_room(&self, slots: usize, now: Moment) -> usize {
-        let stays = self
-            .holds
+    fn compute_free_slots(&self, slots: usize, now: Moment) -> usize {
+        let occupied = self
+            .adapters
             .iter()
-            .filter(|(weights, hold)| !hold.is_going() && !self.is_free(weights, hold, now));
-        slots.saturating_sub(stays.count() + self.slots_of_late_orders())
+            .filter(|(weights, entry)| !entry.is_leaving() && !self.is_free(weights, entry, now));
+        slots.saturating_sub(occupied.count() + self.slots_of_late_orders())
     }
 
     /// Returns whether a load fits without evicting another adapter.
     pub(crate) fn has_free_slot(&self, slots: usize) -> bool {
-        self.holds.len() + self.slots_of_late_orders() < slots
+        self.adapters.len() + self.slots_of_late_orders() < slots
     }
 
     /// Returns whether an adapter has to be evicted for a planned load.
     pub(crate) fn lacks_slot(&self, slots: usize) -> bool {
-        let mut states = self.holds.values().map(|hold| hold.state);
-        let planned = states.clone().any(|state| state == HoldState::Planned);
-        let going = states.any(|state| state == HoldState::Unloading);
-        planned && !going && self.slots_taken() >= slots
+        let mut states = self.adapters.values().map(|entry| entry.state);
+        let planned = states.clone().any(|state| state == AdapterStage::Planned);
+        let unloading = states.any(|state| state == AdapterStage::Unloading);
+        planned && !unloading && self.slots_taken() >= slots
     }
 
     /// Removes an adapter that the target no longer holds but may still have in memory.
-    pub(crate) fn gave_up(&mut self, weights: &Weights) {
-        self.holds.shift_remove(weights);
-        self.remembered.note(weights.clone());
+    pub(crate) fn adapter_unloaded(&mut self, weights: &Weights) {
+        self.adapters.shift_remove(weights);
+        self.recent_adapters.record(weights.clone());
     }
 
     /// Counts a granted request.
@@ -290,22 +298,27 @@
         self.touched = true;
         *self.grants.entry(weights.clone()).or_default() += 1;
         self.granted += 1;
-        self.reading += tokens;
+        self.prefill_tokens += tokens;
     }
 
     /// Records that the prompt of a granted request has been prefilled, and returns how long the
     /// target has worked on it.
-    pub(crate) fn has_read(&mut self, tokens: u32, given_at: Moment, now: Moment) -> Duration {
-        self.reading = self.reading.saturating_sub(tokens);
-        let began = given_at.max(self.last_read);
-        self.last_read = now;
+    pub(crate) fn prefill_completed(
+        &mut self,
+        tokens: u32,
+        given_at: Moment,
+        now: Moment,
+    ) -> Duration {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(tokens);
+        let began = given_at.max(self.last_prefill);
+        self.last_prefill = now;
         now.since(began)
     }
 
     /// Removes a granted request that has ended.
     pub(crate) fn grant_ended(&mut self, grant: &Grant, now: Moment) {
         self.touched = true;
-        self.reading = self.reading.saturating_sub(grant.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(grant.prefill_tokens);
         self.granted = self.granted.saturating_sub(1);
         if let Some(count) = self.grants.get_mut(&grant.weights) {
             *count -= 1;
@@ -313,15 +326,15 @@
                 self.grants.remove(&grant.weights);
             }
         }
-        if let Some(hold) = self.holds.get_mut(&grant.weights) {
-            hold.last_used = now;
+        if let Some(entry) = self.adapters.get_mut(&grant.weights) {
+            entry.last_used = now;
         }
     }
 
     /// Returns the number of prompt tokens that are prefilled before those of another request.
     pub(crate) fn backlog(&self) -> u32 {
-        let waiting = self.holds.values().map(|hold| hold.waiting_tokens);
-        self.reading + waiting.sum::<u32>()
+        let waiting = self.adapters.values().map(|entry| entry.waiting_tokens);
+        self.prefill_tokens + waiting.sum::<u32>()
     }
 
     /// Adds the requests that an instance has in flight at this target with some weights.
@@ -353,8 +366,8 @@
     /// Returns the number of requests in flight with an adapter.
     pub(crate) fn in_use(&self, weights: &Weights) -> u32 {
         let uses = self.uses.get(weights);
-        let told: u32 = uses.into_iter().flatten().map(|(_, count)| count).sum();
-        told + self.grants.get(weights).copied().unwrap_or(0)
+        let reported: u32 = uses.into_iter().flatten().map(|(_, count)| count).sum();
+        reported + self.grants.get(weights).copied().unwrap_or(0)
     }
 
     /// Returns the number of requests in flight at this target.
--- a/crates/chervilshunt_core/tests/base_versions.rs
+++ b/crates/chervilshunt_core/tests/base_versions.rs
@@ -6,11 +6,12 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, Lane, Placed, TargetRequirements, WaitReason, Weights,
+    Choice, Dispatch, DispatchConfig, Lane, PlacementResult, TargetRequirements, WaitReason,
+    Weights,
 };
 use chervilshunt_model::ZoneName;
 use model_updates::{
-    FIRST, Fate, NAMED_AT, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
+    ANNOUNCED_AT, FIRST, Fate, Replay, SECOND, TARGETS, adapter, at, base, facts, service, target,
 };
 use rstest::rstest;
 
@@ -19,7 +20,7 @@
 /// Time by which all targets must have the newest version, in milliseconds. Nine targets are
 /// updated, a quarter of them at a time; each waits for requests of 3 s and then loads for 0.6 s.
 /// The bound is twice that, which leaves time for the reports and listings in between.
-const UPDATE_DEADLINE_MS: u64 = NAMED_AT + 36_000;
+const UPDATE_DEADLINE_MS: u64 = ANNOUNCED_AT + 36_000;
 /// The operators require that no request starts on an older version later than this after the new
 /// version was named.
 const MAX_VERSION_LAG_MS: u64 = 5_000;
@@ -32,9 +33,9 @@
     replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(SECOND); TARGETS]);
     assert!(
-        replay.most_away <= TARGETS.div_ceil(4),
+        replay.max_out_of_service <= TARGETS.div_ceil(4),
         "{}",
-        replay.most_away
+        replay.max_out_of_service
     );
     replay
 }
@@ -48,8 +49,8 @@
 #[test]
 fn an_adapter_is_served_where_the_base_model_is_older_than_the_newest() {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
-    dispatch.target_seen(facts(0, Some(FIRST), &["a1"]), at(0));
-    dispatch.version_named(base(), SECOND, at(0));
+    dispatch.target_listed(facts(0, Some(FIRST), &["a1"]), at(0));
+    dispatch.version_announced(base(), SECOND, at(0));
     let choose = |weights: &Weights, now_ms| {
         let service = service();
         let ask = TargetRequirements {
@@ -88,11 +89,11 @@
 fn a_request_for_the_base_model_is_never_sent_to_an_older_version() {
     let mut replay = Replay::new();
     replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &base());
-    let bound = at(NAMED_AT) + Duration::from_millis(MAX_VERSION_LAG_MS);
+    let bound = at(ANNOUNCED_AT) + Duration::from_millis(MAX_VERSION_LAG_MS);
     let late = replay.placed.iter().filter(|it| it.at >= bound);
     let outdated = late.clone().filter(|it| it.version != Some(SECOND)).count();
     assert_eq!((outdated, late.count() > 0), (0, true));
-    let refused = |placed: &Placed| matches!(placed, Placed::Later { .. });
+    let refused = |placed: &PlacementResult| matches!(placed, PlacementResult::Later { .. });
     assert!(replay.refused.iter().all(|(_, placed)| refused(placed)));
 }
 
@@ -117,8 +118,8 @@
 #[test]
 fn a_version_that_the_store_lacks_is_not_loaded_repeatedly() {
     let mut replay = Replay::new();
-    replay.brings_named = false;
+    replay.loads_announced_version = false;
     replay.run_until(UPDATE_DEADLINE_MS, REQUEST_INTERVAL_MS, &adapter("a1"));
     assert_eq!(replay.versions(), vec![Some(FIRST); TARGETS]);
-    assert!(replay.given_up <= TARGETS, "{}", replay.given_up);
+    assert!(replay.unload_orders <= TARGETS, "{}", replay.unload_orders);
 }
--- a/crates/chervilshunt_core/tests/dispatch.rs
+++ b/crates/chervilshunt_core/tests/dispatch.rs
@@ -35,16 +35,16 @@
 // local zone outweighs that.
 #[case::equal(0, "here")]
 #[case::busier(1, "there")]
-fn another_zone_counts_less_than_a_request(#[case] under_way: usize, #[case] expected: &str) {
+fn another_zone_counts_less_than_a_request(#[case] in_flight: usize, #[case] expected: &str) {
     let mut dispatch = dispatch([facts("here", "here", &[]), facts("there", "there", &[])]);
-    for _ in 0..under_way {
+    for _ in 0..in_flight {
         dispatch.sent(&TargetName::from("here"), None);
     }
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to(expected));
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn a_leaving_target_is_sent_no_requests() {
     // A draining target keeps serving for seconds, but requests sent to it in that time are cut off
     // when it stops.
     let mut leaving = facts("t1", "here", &[]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_silent_target_is_passed_over_for_a_while() {
+fn an_unreachable_target_is_excluded_temporarily() {
     // A target that has lost power stays listed for three heartbeats. Each request sent to it in
     // that time would wait in vain for a connection.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn one_is_tried_all_the_same_if_all_are_silent() {
+fn a_target_is_tried_if_all_are_unreachable() {
     // If no target responds, the likely cause is this instance's own network link, which may have
     // recovered. Refusing all requests would prevent it from ever noticing.
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_target_that_fails_many_requests_is_passed_over() {
+fn a_target_that_fails_many_requests_is_avoided() {
     // A faulty target fails two out of five requests while its health check passes, and looks idle
     // because failures are fast.
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
@@ -90,20 +90,20 @@
 }
 
 /// One target, which has reported as many requests as it may be sent.
-fn before_a_full_target() -> Dispatch {
+fn with_a_full_target() -> Dispatch {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
     let report = LoadReport {
         running: 4,
         waiting: 2,
         slots: 4,
     };
-    dispatch.reported(&TargetName::from("t1"), report, at(0));
+    dispatch.load_reported(&TargetName::from("t1"), report, at(0));
     dispatch
 }
 
 #[test]
 fn a_full_target_is_not_chosen() {
-    let dispatch = before_a_full_target();
+    let dispatch = with_a_full_target();
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 0)),
         Err(WaitReason::Full)
@@ -116,8 +116,8 @@
 /// second in which it sent 6, with three targets that execute 18 requests concurrently in 60 ms
 /// each.
 #[test]
-fn a_target_that_was_full_is_asked_again_though_nothing_is_heard_of_it() {
-    let mut dispatch = before_a_full_target();
+fn a_full_target_is_tried_again_once_its_report_is_old() {
+    let mut dispatch = with_a_full_target();
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 100)),
         Err(WaitReason::Full)
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_report_from_before_own_sendings_does_not_hide_them() {
+fn a_report_from_before_own_requests_does_not_hide_them() {
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "there", &[])]);
     let idle = LoadReport {
         running: 0,
@@ -143,20 +143,20 @@
         slots: 4,
     };
     for target in ["t1", "t2"] {
-        dispatch.reported(&TargetName::from(target), idle, at(0));
+        dispatch.load_reported(&TargetName::from(target), idle, at(0));
     }
     dispatch.sent(&TargetName::from("t1"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to("t2"));
 }
 
 #[test]
-fn an_old_version_serves_for_a_grace_and_is_then_asked_for_by_number() {
+fn an_old_version_serves_for_its_grace_period_and_the_newest_is_then_required() {
     let weights = adapter("a");
     let mut dispatch = dispatch([
         facts("t1", "here", &[("a", 1)]),
         facts("t2", "there", &[("a", 2)]),
     ]);
-    dispatch.version_named(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 2, at(0));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 2_499)),
         to("t1")
@@ -169,19 +169,19 @@
 /// follow each other: the required version must not be the one just announced, which no target can
 /// have loaded yet, since the previous version may still serve.
 #[test]
-fn a_base_model_is_asked_for_in_the_version_that_its_target_lists_while_a_newer_one_is_new() {
+fn the_listed_version_of_a_base_model_is_required_while_a_newer_one_is_new() {
     let weights = Weights::base(&"base".into());
     let mut updated = facts("t1", "here", &[]);
     updated.models[0].version = 2;
     let mut dispatch = dispatch([updated, facts("t2", "here", &[])]);
-    dispatch.version_named(weights.clone(), 2, at(0));
-    dispatch.version_named(weights.clone(), 3, at(3_000));
+    dispatch.version_announced(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 3, at(3_000));
     let chosen = chosen(choose(&dispatch, Some(&weights), &[], 3_100));
     assert_eq!(chosen, Ok(("t1".to_owned(), Some(2))));
 }
 
 #[test]
-fn what_the_placer_tells_goes_before_what_targets_list() {
+fn the_snapshot_of_the_placer_takes_precedence_over_listed_adapters() {
     let weights = adapter("a");
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)]), facts("t2", "here", &[])]);
     let held = |target: &str, adapters: Vec<(Arc<str>, u64)>| TargetSnapshot {
@@ -193,15 +193,15 @@
             adapters,
         }],
     };
-    let told = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
-    dispatch.take_snapshots(told, at(100));
-    dispatch.target_seen(facts("t1", "here", &[("a", 1)]), at(200));
+    let snapshots = vec![held("t1", Vec::new()), held("t2", vec![("a".into(), 1)])];
+    dispatch.apply_snapshots(snapshots, at(100));
+    dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(200));
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &[], 200)),
         to("t2")
     );
     // Three seconds have passed since the placer's snapshot, so the targets' own lists apply again.
-    dispatch.target_seen(facts("t1", "here", &[("a", 1)]), at(3_100));
+    dispatch.target_listed(facts("t1", "here", &[("a", 1)]), at(3_100));
     let avoid = [TargetName::from("t2")];
     assert_eq!(
         chosen(choose(&dispatch, Some(&weights), &avoid, 3_100)),
@@ -227,7 +227,10 @@
 #[case(6, 1)]
 #[case(9, 2)]
 #[case(18, 3)]
-fn a_sixth_of_the_targets_is_kept_for_long_prompts(#[case] targets: usize, #[case] kept: usize) {
+fn a_sixth_of_the_targets_is_reserved_for_long_prompts(
+    #[case] targets: usize,
+    #[case] kept: usize,
+) {
     let names: Vec<TargetName> = (0..targets)
         .map(|it| TargetName::new(format!("t{it}")))
         .collect();
@@ -244,7 +247,7 @@
 // Without requests, only the share of the allowance remains.
 #[case(0, 4, 8)]
 #[case(0, 400, 0)]
-fn repeats_are_bounded_in_every_window(
+fn retries_are_bounded_in_every_window(
     #[case] requests: usize,
     #[case] instances: usize,
     #[case] allowed: usize,
@@ -261,7 +264,7 @@
     }
     let count = |budget: &mut chervilshunt_core::WindowBudget, now| {
         (0..1_000)
-            .filter(|_| budget.try_repeat(instances, now))
+            .filter(|_| budget.try_retry(instances, now))
             .count()
     };
     assert_eq!(count(budget, at(1)), allowed);
@@ -273,11 +276,11 @@
 /// Guards against an answer from an outdated version. The placer's knowledge of a target may
 /// predate the newest version; the target refuses the request if that version is required.
 #[test]
-fn a_target_that_the_placer_names_is_asked_for_the_newest_version() {
+fn a_target_selected_by_the_placer_must_confirm_the_newest_version() {
     let mut dispatch = dispatch([facts("t1", "here", &[("a1", 1)])]);
     let named = TargetName::from("t1");
     let weights = adapter("a1");
-    dispatch.version_named(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 2, at(0));
     let at_named = |now| chosen(dispatch.choose_named(&named, Some(&weights), at(now)));
     assert_eq!(at_named(100), Ok(("t1".to_owned(), None)));
     assert_eq!(at_named(3_000), Ok(("t1".to_owned(), Some(2))));
@@ -286,7 +289,7 @@
 #[rstest]
 #[case::leaves(Some(Leaving { gone_after: None }))]
 #[case::is_gone(None)]
-fn a_target_that_the_placer_names_is_passed_over_if_it(#[case] leaving: Option<Leaving>) {
+fn a_target_selected_by_the_placer_is_not_used_if_it(#[case] leaving: Option<Leaving>) {
     let known = leaving.map(|leaving| TargetFacts {
         leaving: Some(leaving),
         ..facts("t1", "here", &[("a1", 1)])
@@ -300,13 +303,13 @@
 /// 2, 3 and 4 are announced 2 s apart; a request must not begin on version 1 once version 2 has
 /// been known for longer than the grace period.
 #[test]
-fn each_version_is_counted_from_its_own_naming() {
+fn the_grace_period_of_a_version_starts_at_its_own_announcement() {
     let held = [("t1", 1), ("t2", 2), ("t3", 3)];
     let mut dispatch =
         dispatch(held.map(|(name, version)| facts(name, "here", &[("a1", version)])));
     let weights = adapter("a1");
-    for (version, named_at) in [(2, 0), (3, 2_000), (4, 4_000)] {
-        dispatch.version_named(weights.clone(), version, at(named_at));
+    for (version, announced_at) in [(2, 0), (3, 2_000), (4, 4_000)] {
+        dispatch.version_announced(weights.clone(), version, at(announced_at));
     }
     let holders = |now: u64| -> Vec<String> {
         let avoid = |name: &str| -> Vec<TargetName> {
@@ -330,12 +333,12 @@
 
 /// Guards against a request that begins on an outdated version after queueing at its target.
 #[test]
-fn the_begin_deadline_of_a_version_counts_from_the_naming_of_the_next_one() {
+fn the_begin_deadline_of_a_version_counts_from_the_announcement_of_the_next_one() {
     let weights = adapter("a");
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)])]);
     assert_eq!(dispatch.begin_deadline(&weights, 1), None);
-    dispatch.version_named(weights.clone(), 2, at(0));
-    dispatch.version_named(weights.clone(), 3, at(2_000));
+    dispatch.version_announced(weights.clone(), 2, at(0));
+    dispatch.version_announced(weights.clone(), 3, at(2_000));
     let deadline = |version| dispatch.begin_deadline(&weights, version);
     assert_eq!(deadline(1), Some(at(3_500)));
     assert_eq!(deadline(2), Some(at(5_500)));
@@ -350,7 +353,7 @@
     let mut dispatch = dispatch([facts("t1", "here", &[("a", 1)])]);
     for number in 0..20 {
         let now = number * 500;
-        dispatch.version_named(weights.clone(), number + 2, at(now));
+        dispatch.version_announced(weights.clone(), number + 2, at(now));
         let deadline = dispatch.begin_deadline(&weights, 1);
         assert!(
             deadline <= Some(at(now.max(3_500))),
--- a/crates/chervilshunt_core/tests/residency_machine.rs
+++ b/crates/chervilshunt_core/tests/residency_machine.rs
@@ -15,25 +15,25 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedModel, Order, OrderAnswer, OrderKind, OrderNumber,
-    Placed, Residency, ResidencyAction, ResidencyConfig, ResidencyEvent, TargetFacts, TargetStart,
-    Use, Want, Weights,
+    PlacementRequest, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::{limits, service};
 use proptest::prelude::*;
-use real_target::{RealTarget, SLOTS, weights_of};
+use real_target::{SLOTS, SimulatedTarget, weights_of};
 
 const TARGETS: u8 = 3;
 const ADAPTERS: u8 = 9;
 /// How often an instance reports its requests in flight.
-const TELL_EVERY: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How often a target writes its entry.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(1_200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 #[derive(Clone, Debug)]
 enum Step {
-    Want(u8, bool),
+    Request(u8, bool),
     Use(u8, u8, u32),
     /// A granted request ends, and its instance either reports that immediately or only omits it
     /// from the next usage report.
@@ -54,9 +54,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        10 => (0..ADAPTERS, any::<bool>()).prop_map(|(a, long)| Step::Want(a, long)),
+        10 => (0..ADAPTERS, any::<bool>()).prop_map(|(a, long)| Step::Request(a, long)),
         4 => (0..TARGETS, 0..ADAPTERS, 0..40_u32).prop_map(|(t, a, n)| Step::Use(t, a, n)),
-        8 => (any::<u8>(), any::<bool>()).prop_map(|(n, told)| Step::End(n, told)),
+        8 => (any::<u8>(), any::<bool>()).prop_map(|(n, reported)| Step::End(n, reported)),
         1 => (0..ADAPTERS).prop_map(Step::Version),
         12 => (1..900_u64).prop_map(Step::Advance),
         3 => (0..4_u8).prop_map(Step::Fate),
@@ -76,24 +76,24 @@
 }
 
 struct World {
-    planner: Residency,
+    planner: ResidencyPlanner,
     now: Moment,
-    real: BTreeMap<u8, RealTarget>,
+    real: BTreeMap<u8, SimulatedTarget>,
     versions: BTreeMap<String, u64>,
     fate: u8,
     late: Vec<(Moment, TargetName, Order)>,
     out: BTreeMap<TargetName, OrderNumber>,
     open: BTreeSet<u64>,
-    next_question: u64,
+    next_request_id: u64,
     used: BTreeMap<(TargetName, String), u32>,
-    told_used_at: BTreeMap<(TargetName, String), Moment>,
+    use_reported_at: BTreeMap<(TargetName, String), Moment>,
     /// The time of the last usage report.
-    told_at: Moment,
+    reported_at: Moment,
     /// Whether targets periodically write their entries even if nothing has changed.
     heartbeats: bool,
     heartbeat_at: Moment,
     /// The adapter of each placement request.
-    wants: BTreeMap<u64, String>,
+    requested_adapters: BTreeMap<u64, String>,
     /// The granted requests in flight, each with its target and adapter.
     granted: BTreeMap<u64, (TargetName, String)>,
 }
@@ -101,7 +101,7 @@
 impl World {
     fn new() -> Self {
         let mut world = Self {
-            planner: Residency::new(ResidencyConfig::default(), Moment::from_millis(9_000)),
+            planner: ResidencyPlanner::new(ResidencyConfig::default(), Moment::from_millis(9_000)),
             now: Moment::from_millis(10_000),
             real: BTreeMap::new(),
             versions: BTreeMap::new(),
@@ -109,13 +109,13 @@
             late: Vec::new(),
             out: BTreeMap::new(),
             open: BTreeSet::new(),
-            next_question: 0,
+            next_request_id: 0,
             used: BTreeMap::new(),
-            told_used_at: BTreeMap::new(),
-            told_at: Moment::ZERO,
+            use_reported_at: BTreeMap::new(),
+            reported_at: Moment::ZERO,
             heartbeats: false,
             heartbeat_at: Moment::ZERO,
-            wants: BTreeMap::new(),
+            requested_adapters: BTreeMap::new(),
             granted: BTreeMap::new(),
         };
         let limits = limits(SLOTS);
@@ -145,7 +145,7 @@
     /// Starts a target, which holds no adapters.
     fn start(&mut self, target: u8) {
         let start = self.now.as_millis();
-        let real = RealTarget::new(Some(start), self.newest_base());
+        let real = SimulatedTarget::new(Some(start), self.newest_base());
         self.real.insert(target, real);
     }
 
@@ -169,7 +169,7 @@
             leaving: None,
             models: model.into_iter().collect(),
         };
-        self.event(ResidencyEvent::TargetSeen(facts));
+        self.event(ResidencyEvent::TargetListed(facts));
     }
 
     fn vanish(&mut self, target: u8) {
@@ -213,25 +213,25 @@
     fn act(&mut self, action: ResidencyAction) {
         match action {
             ResidencyAction::Order(order) => self.order(order),
-            ResidencyAction::Ask(target) => {
+            ResidencyAction::QueryTarget(target) => {
                 let report = self.index(&target).map(|it| self.real[&it].report());
                 self.event(match report {
-                    Some(report) => ResidencyEvent::Reported(target, report),
-                    None => ResidencyEvent::NotReported(target),
+                    Some(report) => ResidencyEvent::TargetReported(target, report),
+                    None => ResidencyEvent::ReportFailed(target),
                 });
             }
-            ResidencyAction::Tell(_) => {}
-            ResidencyAction::Answer(question, placed) => {
+            ResidencyAction::Notify(_) => {}
+            ResidencyAction::Answer(request_id, placed) => {
                 assert!(
-                    self.open.remove(&question),
-                    "question {question} answered twice"
+                    self.open.remove(&request_id),
+                    "placement request {request_id} answered twice"
                 );
-                if let Placed::At { target, .. } = placed {
+                if let PlacementResult::At { target, .. } = placed {
                     assert!(
                         self.index(&target).is_some(),
                         "placed at {target}, which is gone"
                     );
-                    self.begin(question, target);
+                    self.begin(request_id, target);
                 }
             }
         }
@@ -239,18 +239,14 @@
 
     fn order(&mut self, order: Order) {
         let before = self.out.insert(order.target.clone(), order.number);
-        assert!(
-            before.is_none(),
-            "two orders on their way to {}",
-            order.target
-        );
+        assert!(before.is_none(), "two orders in flight to {}", order.target);
         // Unloading a base model waits for all requests of the target.
         if order.kind == OrderKind::Unload && order.weights.adapter.is_some() {
             let key = (order.target.clone(), order.weights.to_string());
             let used = self.used.get(&key).copied().unwrap_or_default();
             let granted = self.granted.values().filter(|it| **it == key).count();
             let in_use = used as usize + granted;
-            assert_eq!(in_use, 0, "{:?} gives up what is in use", order);
+            assert_eq!(in_use, 0, "{:?} unloads an adapter in use", order);
         }
         let Some(index) = self.index(&order.target) else {
             return self.answer(&order, OrderAnswer::Unanswered);
@@ -258,7 +254,7 @@
         match self.fate {
             1 => self.answer(&order, OrderAnswer::Unanswered),
             2 => {
-                self.carry_out(index, &order);
+                self.execute(index, &order);
                 self.answer(&order, OrderAnswer::Unanswered);
             }
             3 => {
@@ -267,47 +263,47 @@
                 self.answer(&order, OrderAnswer::Unanswered);
             }
             _ => {
-                let answer = self.carry_out(index, &order);
+                let answer = self.execute(index, &order);
                 self.answer(&order, answer);
             }
         }
     }
 
-    fn carry_out(&mut self, index: u8, order: &Order) -> OrderAnswer {
-        let real = self.real.get_mut(&index).expect("a target that is there");
-        real.carry_out(order, self.now)
+    fn execute(&mut self, index: u8, order: &Order) -> OrderAnswer {
+        let real = self.real.get_mut(&index).expect("an existing target");
+        real.execute(order, self.now)
     }
 
     fn answer(&mut self, order: &Order, answer: OrderAnswer) {
         self.out.remove(&order.target);
-        self.event(ResidencyEvent::Answered(order.number, answer));
+        self.event(ResidencyEvent::OrderAnswered(order.number, answer));
     }
 
     fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.now < end {
             self.now = self.now + Duration::from_millis(10);
-            self.targets_go_on();
+            self.advance_targets();
             let due: Vec<_> = self
                 .late
                 .extract_if(.., |(at, ..)| *at <= self.now)
                 .collect();
             for (_, target, order) in due {
                 if let Some(index) = self.index(&target) {
-                    self.carry_out(index, &order);
+                    self.execute(index, &order);
                 }
             }
             if self.planner.next_wakeup().is_some_and(|at| at <= self.now) {
                 self.event(ResidencyEvent::Tick);
             }
-            if self.now.since(self.told_at) >= TELL_EVERY {
-                self.tell();
+            if self.now.since(self.reported_at) >= REPORT_INTERVAL {
+                self.report_uses();
             }
         }
     }
 
     /// Advances the targets, and lists those whose base model was loaded or unloaded.
-    fn targets_go_on(&mut self) {
+    fn advance_targets(&mut self) {
         let mut changed = Vec::new();
         for (index, real) in &mut self.real {
             let name = Self::name(*index);
@@ -318,7 +314,7 @@
                 changed.push(*index);
             }
         }
-        if self.heartbeats && self.now.since(self.heartbeat_at) >= HEARTBEAT_EVERY {
+        if self.heartbeats && self.now.since(self.heartbeat_at) >= HEARTBEAT_INTERVAL {
             self.heartbeat_at = self.now;
             changed = self.real.keys().copied().collect();
         }
@@ -336,27 +332,28 @@
         self.fate = 0;
         self.used.clear();
         self.granted.clear();
-        let ended = ResidencyEvent::Used(InstanceId::from("i"), Vec::new(), Vec::new());
+        let ended = ResidencyEvent::UsageReported(InstanceId::from("i"), Vec::new(), Vec::new());
         self.event(ended);
         self.advance(millis);
     }
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Want(n, long) => {
-                let question = self.next_question;
-                self.next_question += 1;
-                self.open.insert(question);
-                self.wants.insert(question, adapter(n).to_string());
+            Step::Request(n, long) => {
+                let request_id = self.next_request_id;
+                self.next_request_id += 1;
+                self.open.insert(request_id);
+                self.requested_adapters
+                    .insert(request_id, adapter(n).to_string());
                 let lane = if long {
                     Lane::LongPrompt
                 } else {
                     Lane::General
                 };
-                self.event(ResidencyEvent::Wanted {
-                    question,
+                self.event(ResidencyEvent::PlacementRequested {
+                    request_id,
                     from: InstanceId::from("i"),
-                    want: Want {
+                    request: PlacementRequest {
                         service: service(),
                         weights: adapter(n),
                         prompt_tokens: 1_000,
@@ -368,18 +365,18 @@
                 });
             }
             Step::Use(target, n, in_flight) => self.use_adapter(target, n, in_flight),
-            Step::End(n, told) => self.end_grant(n, told),
+            Step::End(n, reported) => self.end_grant(n, reported),
             Step::Version(n) => {
                 let name = adapter(n).to_string();
                 let version = self.versions.get(&name).copied().unwrap_or(1) + 1;
                 self.versions.insert(name, version);
-                self.event(ResidencyEvent::VersionNamed(adapter(n), version));
+                self.event(ResidencyEvent::VersionAnnounced(adapter(n), version));
             }
             Step::BaseVersion => {
                 let version = self.newest_base() + 1;
                 self.versions.insert("base".to_owned(), version);
                 let base = Weights::base(&"base".into());
-                self.event(ResidencyEvent::VersionNamed(base, version));
+                self.event(ResidencyEvent::VersionAnnounced(base, version));
             }
             Step::Advance(millis) => self.advance(millis),
             Step::Fate(fate) => self.fate = fate,
@@ -391,28 +388,28 @@
 
     /// Begins a granted request. A target that does not hold the adapter, because it has restarted
     /// or the load has not ended, refuses it, and nothing is in flight.
-    fn begin(&mut self, question: u64, target: TargetName) {
-        let adapter = self.wants[&question].clone();
-        let index = self.index(&target).expect("a target that is there");
+    fn begin(&mut self, request_id: u64, target: TargetName) {
+        let adapter = self.requested_adapters[&request_id].clone();
+        let index = self.index(&target).expect("an existing target");
         if self.real[&index].serves(&adapter) {
-            self.granted.insert(question, (target, adapter));
+            self.granted.insert(request_id, (target, adapter));
         } else {
-            let ended = vec![GrantNumber(question)];
-            self.event(ResidencyEvent::Progressed(GrantProgress {
+            let ended = vec![GrantNumber(request_id)];
+            self.event(ResidencyEvent::GrantsProgressed(GrantProgress {
                 ended,
                 ..GrantProgress::default()
             }));
         }
     }
 
-    fn end_grant(&mut self, n: u8, told: bool) {
+    fn end_grant(&mut self, n: u8, reported: bool) {
         let count = self.granted.len().max(1);
         let Some(number) = self.granted.keys().copied().nth(usize::from(n) % count) else {
             return;
         };
         self.granted.remove(&number);
-        if told {
-            self.event(ResidencyEvent::Progressed(GrantProgress {
+        if reported {
+            self.event(ResidencyEvent::GrantsProgressed(GrantProgress {
                 begun: vec![GrantNumber(number)],
                 ended: vec![GrantNumber(number)],
                 ..GrantProgress::default()
@@ -421,20 +418,26 @@
     }
 
     /// Reports all requests in flight.
-    fn tell(&mut self) {
-        self.told_at = self.now;
+    fn report_uses(&mut self) {
+        self.reported_at = self.now;
         let mut counts = self.used.clone();
         for key in self.granted.values() {
             *counts.entry(key.clone()).or_default() += 1;
         }
-        let uses = counts.iter().map(|((target, weights), in_flight)| Use {
-            target: target.clone(),
-            weights: Some(weights_of(weights)),
-            in_flight: *in_flight,
-        });
+        let uses = counts
+            .iter()
+            .map(|((target, weights), in_flight)| TargetUse {
+                target: target.clone(),
+                weights: Some(weights_of(weights)),
+                in_flight: *in_flight,
+            });
         let uses = uses.collect();
         let grants = self.granted.keys().copied().map(GrantNumber).collect();
-        self.event(ResidencyEvent::Used(InstanceId::from("i"), uses, grants));
+        self.event(ResidencyEvent::UsageReported(
+            InstanceId::from("i"),
+            uses,
+            grants,
+        ));
     }
 
     fn use_adapter(&mut self, target: u8, n: u8, in_flight: u32) {
@@ -443,12 +446,12 @@
             .get(&target)
             .is_some_and(|it| it.held.contains_key(&adapter(n).to_string()));
         let key = (Self::name(target), adapter(n).to_string());
-        let told = self.told_used_at.insert(key.clone(), self.now);
-        if !held || told == Some(self.now) {
+        let reported = self.use_reported_at.insert(key.clone(), self.now);
+        if !held || reported == Some(self.now) {
             return;
         }
         self.used.insert(key, in_flight);
-        self.tell();
+        self.report_uses();
     }
 }
 
@@ -459,7 +462,7 @@
     /// time, or is ordered to unload what is in use; and that every placement request is answered
     /// once targets answer again.
     #[test]
-    fn orders_stay_within_what_targets_bear(steps in prop::collection::vec(step(), 1..120)) {
+    fn orders_stay_within_the_limits_of_targets(steps in prop::collection::vec(step(), 1..120)) {
         let mut world = World::new();
         world.advance(600);
         for step in steps {
@@ -473,7 +476,7 @@
     /// to load eventually: one at a time, each in at most 3 s, where a lost order may be executed 3
     /// s late.
     #[test]
-    fn targets_come_to_hold_the_newest_base_model(
+    fn all_targets_eventually_hold_the_newest_base_model(
         steps in prop::collection::vec(step_with_base_versions(), 1..120)
     ) {
         let mut world = World::new();
--- a/crates/chervilshunt_core/tests/residency_spread.rs
+++ b/crates/chervilshunt_core/tests/residency_spread.rs
@@ -9,19 +9,19 @@
 mod placing;
 
 use chervilshunt_core::{
-    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, Placed, Residency, ResidencyAction,
-    ResidencyEvent, Weights,
+    GrantNumber, GrantProgress, OrderAnswer, OrderNumber, PlacementResult, ResidencyAction,
+    ResidencyEvent, ResidencyPlanner, Weights,
 };
 use chervilshunt_model::TargetName;
-use placing::{adapter, at, before_asking, facts, reported, target, wanted};
+use placing::{adapter, at, facts, placement_request, reported, target, unqueried_planner};
 use rstest::rstest;
 
 const TARGETS: usize = 12;
 
 /// Creates a planner with targets that have 10 request slots and 20 adapter slots, of which the
 /// first holds the busy adapter and the others none.
-fn planner() -> Residency {
-    let mut residency = before_asking(TARGETS, 10, 20);
+fn planner() -> ResidencyPlanner {
+    let mut residency = unqueried_planner(TARGETS, 10, 20);
     residency.handle(ResidencyEvent::Tick, at(450));
     for index in 0..TARGETS {
         let held = (index == 0).then(|| (adapter("busy"), 1));
@@ -40,7 +40,7 @@
 
 fn placed_at(actions: &[ResidencyAction]) -> Option<&TargetName> {
     actions.iter().find_map(|action| match action {
-        ResidencyAction::Answer(_, Placed::At { target, .. }) => Some(target),
+        ResidencyAction::Answer(_, PlacementResult::At { target, .. }) => Some(target),
         _ => None,
     })
 }
@@ -57,8 +57,11 @@
 ) {
     let mut residency = planner();
     let mut targets = Vec::new();
-    for question in 0..requests {
-        let actions = residency.handle(wanted(question, adapter("busy"), 2_000), at(600));
+    for request_id in 0..requests {
+        let actions = residency.handle(
+            placement_request(request_id, adapter("busy"), 2_000),
+            at(600),
+        );
         targets.extend(loads(&actions).into_iter().map(|(_, target, _)| target));
     }
     assert_eq!(targets.len(), more, "{targets:?}");
@@ -68,17 +71,20 @@
 /// Guards against prompts that keep counting after their prefill has completed, which would keep
 /// requests away from the target that holds the adapter.
 #[test]
-fn prompts_that_have_been_read_keep_no_request_away() {
+fn prefilled_prompts_do_not_count() {
     let mut residency = planner();
-    for question in 0..12 {
-        residency.handle(wanted(question, adapter("busy"), 2_000), at(600));
+    for request_id in 0..12 {
+        residency.handle(
+            placement_request(request_id, adapter("busy"), 2_000),
+            at(600),
+        );
     }
     let progress = GrantProgress {
         begun: (0..12).map(GrantNumber).collect(),
         ..GrantProgress::default()
     };
-    residency.handle(ResidencyEvent::Progressed(progress), at(900));
-    let actions = residency.handle(wanted(50, adapter("busy"), 2_000), at(900));
+    residency.handle(ResidencyEvent::GrantsProgressed(progress), at(900));
+    let actions = residency.handle(placement_request(50, adapter("busy"), 2_000), at(900));
     assert_eq!(placed_at(&actions), Some(&target(0)));
 }
 
@@ -86,7 +92,7 @@
 /// to capacity, which does not affect an adapter that the target still has in memory.
 #[test]
 fn a_load_from_memory_does_not_wait_for_the_weight_store() {
-    let mut residency = before_asking(1, 10, 2);
+    let mut residency = unqueried_planner(1, 10, 2);
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![(adapter("kept"), 1)]), at(451));
     residency.handle(reported(0, vec![]), at(452));
@@ -96,18 +102,18 @@
     );
     residency.handle(ResidencyEvent::Tick, at(1_450));
     residency.handle(reported(0, vec![]), at(1_451));
-    let actions = residency.handle(wanted(1, adapter("cold"), 5_000), at(1_500));
+    let actions = residency.handle(placement_request(1, adapter("cold"), 5_000), at(1_500));
     let [(cold, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
-    let accepted = ResidencyEvent::Answered(*cold, OrderAnswer::Accepted);
+    let accepted = ResidencyEvent::OrderAnswered(*cold, OrderAnswer::Accepted);
     residency.handle(accepted, at(1_503));
-    let actions = residency.handle(wanted(2, adapter("kept"), 5_000), at(1_510));
+    let actions = residency.handle(placement_request(2, adapter("kept"), 5_000), at(1_510));
     let [(kept, ..)] = &*loads(&actions) else {
         panic!("{actions:?}");
     };
     residency.handle(
-        ResidencyEvent::Answered(*kept, OrderAnswer::Accepted),
+        ResidencyEvent::OrderAnswered(*kept, OrderAnswer::Accepted),
         at(1_513),
     );
     assert_eq!(residency.next_wakeup(), Some(at(1_513 + 28)));
@@ -119,39 +125,39 @@
 #[rstest]
 #[case::hundreds(120, 1)]
 #[case::thousands(3_000, 1_500)]
-fn targets_are_asked_at_a_pace_that_a_placer_bears(#[case] targets: usize, #[case] millis: u64) {
-    let mut residency = before_asking(targets, 10, 2);
-    let mut asked = 0;
+fn targets_are_queried_at_a_limited_rate(#[case] targets: usize, #[case] millis: u64) {
+    let mut residency = unqueried_planner(targets, 10, 2);
+    let mut queried = 0;
     let mut longest = 0;
     for now in 450..450 + 3_000 {
         let actions = residency.handle(ResidencyEvent::Tick, at(now));
-        let asks = actions.iter();
-        let asks = asks
-            .filter(|it| matches!(it, ResidencyAction::Ask(_)))
+        let queries = actions.iter();
+        let queries = queries
+            .filter(|it| matches!(it, ResidencyAction::QueryTarget(_)))
             .count();
         if now > 450 {
-            longest = longest.max(asks);
+            longest = longest.max(queries);
         }
-        asked += asks;
+        queried += queries;
         if now < 450 + millis {
-            assert!(asked < targets || targets <= 128, "{asked} at {now}");
+            assert!(queried < targets || targets <= 128, "{queried} at {now}");
         }
     }
-    assert_eq!(asked, targets);
+    assert_eq!(queried, targets);
     assert!(longest <= 2, "{longest} in a millisecond");
 }
 
 /// Guards against instances that select targets themselves because one target was added. The new
 /// target has not been queried yet, but the placer must still count as knowing its targets.
 #[test]
-fn a_placer_that_knows_the_targets_goes_on_knowing_them() {
-    let mut residency = before_asking(2, 10, 2);
+fn a_new_target_does_not_reset_the_knowledge_of_the_placer() {
+    let mut residency = unqueried_planner(2, 10, 2);
     assert!(!residency.knows_targets());
     residency.handle(ResidencyEvent::Tick, at(450));
     residency.handle(reported(0, vec![]), at(451));
     assert!(!residency.knows_targets());
     residency.handle(reported(1, vec![]), at(452));
     assert!(residency.knows_targets());
-    residency.handle(ResidencyEvent::TargetSeen(facts(2, 10)), at(600));
+    residency.handle(ResidencyEvent::TargetListed(facts(2, 10)), at(600));
     assert!(residency.knows_targets());
 }
--- a/crates/chervilshunt_core/tests/restarts.rs
+++ b/crates/chervilshunt_core/tests/restarts.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Holding, Lane, LoadedAdapter,
-    LoadedModel, Order, OrderAnswer, OrderKind, Placed, Residency, ResidencyAction, ResidencyEvent,
-    TargetFacts, TargetReport, TargetRequirements, TargetStart, Use, Want, Weights,
+    AdapterHolding, Choice, Dispatch, DispatchConfig, EntryChange, HealthSignal, Lane,
+    LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind, PlacementRequest, PlacementResult,
+    ResidencyAction, ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport,
+    TargetRequirements, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_model::{InstanceId, TargetName, ZoneName};
 use placing::{adapter, at, service, target};
@@ -44,7 +45,7 @@
 
 fn dispatch(start: u64, adapters: &[&str]) -> Dispatch {
     let mut dispatch = Dispatch::new(DispatchConfig::default(), ZoneName::from("zone"));
-    dispatch.target_seen(entry(start, adapters), at(0));
+    dispatch.target_listed(entry(start, adapters), at(0));
     dispatch
 }
 
@@ -68,28 +69,28 @@
 /// requests, since its previous ones never end, and would be sent requests for an adapter that it
 /// no longer holds.
 #[test]
-fn nothing_of_before_holds_once_a_target_has_started_again() {
+fn a_restart_discards_the_earlier_state() {
     let mut dispatch = dispatch(100, &["a1"]);
     for _ in 0..3 {
         dispatch.sent(&target(0), Some(&adapter("a1")));
     }
     dispatch.record_signal(&target(0), HealthSignal::Unreachable, at(10));
     assert!(!is_sent(&choice(&dispatch, None, 20)), "it is full");
-    let change = dispatch.target_seen(entry(200, &[]), at(30));
+    let change = dispatch.target_listed(entry(200, &[]), at(30));
     assert_eq!(change, EntryChange::Restarted);
     assert!(is_sent(&choice(&dispatch, None, 40)));
     assert!(!is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
-    assert_eq!(dispatch.tell_uses(), []);
+    assert_eq!(dispatch.report_uses(), []);
 }
 
 /// Guards against an overloaded target after a restart. Requests to the previous start end one by
 /// one as their connections break; if they were subtracted from the load of the new start, its own
 /// requests would not be counted.
 #[test]
-fn the_end_of_a_request_of_before_does_not_count_for_the_new_start() {
+fn the_end_of_an_earlier_request_does_not_count_for_the_new_start() {
     let mut dispatch = dispatch(100, &[]);
     dispatch.sent(&target(0), None);
-    dispatch.target_seen(entry(200, &[]), at(30));
+    dispatch.target_listed(entry(200, &[]), at(30));
     for _ in 0..3 {
         dispatch.sent(&target(0), None);
     }
@@ -104,21 +105,21 @@
 #[rstest]
 #[case::after_the_new_one(false)]
 #[case::after_its_end(true)]
-fn an_entry_of_an_earlier_start_brings_nothing_back(#[case] gone: bool) {
+fn an_entry_of_an_earlier_start_is_ignored(#[case] gone: bool) {
     let mut dispatch = dispatch(200, &[]);
     if gone {
         dispatch.target_gone(&target(0));
     }
-    let change = dispatch.target_seen(entry(100, &["a1"]), at(30));
+    let change = dispatch.target_listed(entry(100, &["a1"]), at(30));
     assert_eq!(change, EntryChange::Outdated);
     assert!(!is_sent(&choice(&dispatch, Some(&adapter("a1")), 40)));
     assert_eq!(dispatch.target(&target(0)).is_none(), gone);
 }
 
 #[test]
-fn a_hold_of_an_earlier_start_is_not_believed() {
+fn a_holding_of_an_earlier_start_is_ignored() {
     let mut dispatch = dispatch(200, &[]);
-    let holding = |start| Holding {
+    let holding = |start| AdapterHolding {
         target: target(0),
         started: started(start),
         weights: adapter("a1"),
@@ -132,23 +133,23 @@
 
 /// A planner and one target, whose answers are given by the test.
 struct Planning {
-    residency: Residency,
+    residency: ResidencyPlanner,
     now: u64,
     orders: Vec<Order>,
-    answers: Vec<Placed>,
-    asked: bool,
+    answers: Vec<PlacementResult>,
+    queried: bool,
 }
 
 impl Planning {
     fn begin() -> Self {
-        let mut residency = placing::before_asking(0, 16, SLOTS);
-        residency.handle(ResidencyEvent::TargetSeen(entry(100, &[])), at(0));
+        let mut residency = placing::unqueried_planner(0, 16, SLOTS);
+        residency.handle(ResidencyEvent::TargetListed(entry(100, &[])), at(0));
         let mut it = Self {
             residency,
             now: 0,
             orders: Vec::new(),
             answers: Vec::new(),
-            asked: false,
+            queried: false,
         };
         it.pass(500);
         it.reports(100, 0, &[]);
@@ -160,8 +161,8 @@
             match action {
                 ResidencyAction::Order(order) => self.orders.push(order),
                 ResidencyAction::Answer(_, placed) => self.answers.push(placed),
-                ResidencyAction::Ask(_) => self.asked = true,
-                ResidencyAction::Tell(_) => {}
+                ResidencyAction::QueryTarget(_) => self.queried = true,
+                ResidencyAction::Notify(_) => {}
             }
         }
     }
@@ -173,11 +174,11 @@
         }
     }
 
-    fn want(&mut self, name: &str) {
-        self.handle(ResidencyEvent::Wanted {
-            question: self.now,
+    fn request_placement(&mut self, name: &str) {
+        self.handle(ResidencyEvent::PlacementRequested {
+            request_id: self.now,
             from: InstanceId::from("i"),
-            want: Want {
+            request: PlacementRequest {
                 service: service(),
                 weights: adapter(name),
                 prompt_tokens: 1_000,
@@ -198,19 +199,22 @@
             adapters: adapters.iter().map(|it| (adapter(it), 1)).collect(),
             loading: Vec::new(),
         };
-        self.asked = false;
-        self.handle(ResidencyEvent::Reported(TargetName::from("t0"), report));
+        self.queried = false;
+        self.handle(ResidencyEvent::TargetReported(
+            TargetName::from("t0"),
+            report,
+        ));
     }
 
     fn answer(&mut self, answer: OrderAnswer) {
         let number = self.orders.last().expect("an order").number;
-        self.handle(ResidencyEvent::Answered(number, answer));
+        self.handle(ResidencyEvent::OrderAnswered(number, answer));
     }
 
     /// Requests an adapter and lets the target load it; returns whether the load was ordered.
     fn load(&mut self, name: &str) -> bool {
         let before = self.orders.len();
-        self.want(name);
+        self.request_placement(name);
         if self.orders.len() == before {
             return false;
         }
@@ -227,25 +231,33 @@
 #[rstest]
 #[case::seen_in_its_entry(false)]
 #[case::seen_in_its_report(true)]
-fn an_order_to_the_start_before_counts_for_nothing(#[case] in_report: bool) {
+fn an_order_to_the_previous_start_is_ignored(#[case] in_report: bool) {
     let mut planning = Planning::begin();
-    planning.want("a1");
+    planning.request_placement("a1");
     assert_eq!(planning.orders.len(), 1);
     if in_report {
         planning.answer(OrderAnswer::OutOfTurn);
         planning.pass(500);
-        assert!(planning.asked);
+        assert!(planning.queried);
         planning.reports(200, 0, &[]);
     } else {
-        planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+        planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
         planning.answer(OrderAnswer::Accepted);
     }
-    assert_eq!(planning.answers.len(), 1, "the caller is told at once");
+    assert_eq!(
+        planning.answers.len(),
+        1,
+        "the caller is answered immediately"
+    );
     planning.pass(300);
-    assert_eq!(planning.orders.len(), 1, "nothing until it has been asked");
+    assert_eq!(
+        planning.orders.len(),
+        1,
+        "no order before the target has been queried"
+    );
     planning.pass(500);
     planning.reports(200, 0, &[]);
-    planning.want("a2");
+    planning.request_placement("a2");
     let order = planning.orders.last().expect("an order");
     assert_eq!((order.accepted_before, &order.weights), (0, &adapter("a2")));
 }
@@ -254,18 +266,18 @@
 /// the target would be announced as holding adapters that it lost, and orders would state the order
 /// count of the previous start.
 #[test]
-fn a_report_of_the_start_before_is_not_believed() {
+fn a_report_of_the_previous_start_is_ignored() {
     let mut planning = Planning::begin();
-    planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+    planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
-    assert!(planning.asked);
+    assert!(planning.queried);
     planning.reports(100, 7, &["a1"]);
     let snapshots = planning.residency.snapshots();
     assert!(snapshots.iter().all(|it| it.models.is_empty()));
     planning.pass(500);
-    assert!(planning.asked, "it is asked again");
+    assert!(planning.queried, "the target is queried again");
     planning.reports(200, 0, &[]);
-    planning.want("a1");
+    planning.request_placement("a1");
     assert_eq!(planning.orders[0].accepted_before, 0);
 }
 
@@ -273,35 +285,39 @@
 /// three others and not answered. The target restarts and accepts three loads, so the lost order
 /// may now be executed; a fourth load must not be ordered in addition.
 #[test]
-fn an_order_that_may_come_late_keeps_a_slot_of_the_new_start() {
+fn an_order_that_may_be_executed_late_reserves_a_slot() {
     let mut planning = Planning::begin();
     for name in ["a1", "a2", "a3"] {
         assert!(planning.load(name));
     }
-    planning.want("a4");
+    planning.request_placement("a4");
     assert_eq!(planning.orders.last().expect("an order").accepted_before, 3);
     planning.answer(OrderAnswer::Unanswered);
-    planning.handle(ResidencyEvent::TargetSeen(entry(200, &[])));
+    planning.handle(ResidencyEvent::TargetListed(entry(200, &[])));
     planning.pass(500);
     planning.reports(200, 0, &[]);
     for name in ["b1", "b2", "b3"] {
         assert!(planning.load(name), "{name}");
     }
     // While in use, none of them can be evicted.
-    let uses = ["b1", "b2", "b3"].map(|name| Use {
+    let uses = ["b1", "b2", "b3"].map(|name| TargetUse {
         target: target(0),
         weights: Some(adapter(name)),
         in_flight: 1,
     });
     let instance = InstanceId::from("i");
-    planning.handle(ResidencyEvent::Used(instance, uses.to_vec(), Vec::new()));
+    planning.handle(ResidencyEvent::UsageReported(
+        instance,
+        uses.to_vec(),
+        Vec::new(),
+    ));
     let loads = |it: &Planning| {
         let loads = it.orders.iter().filter(|it| it.kind == OrderKind::Load);
         loads.filter(|it| it.weights == adapter("b4")).count()
     };
-    planning.want("b4");
+    planning.request_placement("b4");
     assert_eq!(loads(&planning), 0, "the slot may be taken");
     planning.pass(16_000);
-    planning.want("b4");
-    assert!(loads(&planning) > 0, "no order is so late");
+    planning.request_placement("b4");
+    assert!(loads(&planning) > 0, "no order is executed that late");
 }
--- a/crates/chervilshunt_core/tests/said.rs
+++ b/crates/chervilshunt_core/tests/self_reports.rs
@@ -21,26 +21,26 @@
 }
 
 #[test]
-fn a_target_that_says_it_leaves_is_no_longer_chosen() {
+fn a_target_that_reports_leaving_is_no_longer_selected() {
     let mut dispatch = dispatch([started("t1", 7), started("t2", 7)]);
-    assert!(dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
-    assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
+    assert!(dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
+    assert!(!dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
     for _ in 0..3 {
         assert_eq!(chosen(choose(&dispatch, None, &[], 0)), to("t2"));
         dispatch.sent(&name("t2"), None);
     }
     let named = dispatch.choose_named(&name("t1"), None, at(0));
     assert_eq!(chosen(named), Err(WaitReason::NoTarget));
-    assert_eq!(dispatch.closed(&service(), at(0)), [name("t1")]);
+    assert_eq!(dispatch.closed_targets(&service(), at(0)), [name("t1")]);
 }
 
 /// Guards against an earlier entry that makes a leaving target usable again.
 #[test]
-fn its_entry_does_not_take_it_back() {
+fn an_earlier_entry_does_not_make_it_usable_again() {
     let mut dispatch = dispatch([started("t1", 7)]);
-    dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
+    dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
     assert_eq!(
-        dispatch.target_seen(started("t1", 7), at(1)),
+        dispatch.target_listed(started("t1", 7), at(1)),
         EntryChange::Known
     );
     assert_eq!(
@@ -50,7 +50,7 @@
     // This also holds after the target was missing from the list for a time.
     dispatch.target_gone(&name("t1"));
     assert_eq!(
-        dispatch.target_told(started("t1", 7), at(2)),
+        dispatch.target_forwarded(started("t1", 7), at(2)),
         EntryChange::New
     );
     assert_eq!(
@@ -60,37 +60,37 @@
 }
 
 #[test]
-fn its_next_start_is_used() {
+fn a_later_start_is_used() {
     let mut dispatch = dispatch([started("t1", 7)]);
-    dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7)));
-    dispatch.target_seen(started("t1", 8), at(1));
+    dispatch.leaving_reported(&name("t1"), Some(TargetStart(7)));
+    dispatch.target_listed(started("t1", 8), at(1));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
     // A response of the previous start arrives late.
-    assert!(!dispatch.says_it_leaves(&name("t1"), Some(TargetStart(7))));
+    assert!(!dispatch.leaving_reported(&name("t1"), Some(TargetStart(7))));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1)), to("t1"));
 }
 
 #[test]
-fn a_target_that_wants_a_pause_is_not_chosen_until_its_end() {
+fn a_target_that_requests_a_pause_is_not_selected_until_its_end() {
     let mut dispatch = dispatch([facts("t1", "here", &[]), facts("t2", "here", &[])]);
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(2), at(0));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(2), at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 1_999)), to("t2"));
     let named = dispatch.choose_named(&name("t1"), None, at(1_999));
     assert_eq!(chosen(named), Err(WaitReason::NoTarget));
-    assert_eq!(dispatch.closed(&service(), at(1_999)), [name("t1")]);
+    assert_eq!(dispatch.closed_targets(&service(), at(1_999)), [name("t1")]);
     dispatch.sent(&name("t2"), None);
     assert_eq!(chosen(choose(&dispatch, None, &[], 2_000)), to("t1"));
 }
 
 /// Guards against callers that wait for targets which are known to accept no requests.
 #[test]
-fn where_all_want_a_pause_the_first_end_is_told() {
+fn the_first_end_is_returned_if_all_targets_are_paused() {
     let holding = [("a", 1)];
     let mut dispatch = dispatch([facts("t1", "here", &holding), facts("t2", "here", &holding)]);
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(3), at(0));
-    dispatch.wants_pause(&name("t2"), Duration::from_secs(2), at(500));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(3), at(0));
+    dispatch.pause_requested(&name("t2"), Duration::from_secs(2), at(500));
     // A later, shorter pause does not shorten the first one.
-    dispatch.wants_pause(&name("t1"), Duration::from_secs(1), at(600));
+    dispatch.pause_requested(&name("t1"), Duration::from_secs(1), at(600));
     let choice = choose(&dispatch, Some(&adapter("a")), &[], 1_000);
     assert_eq!(chosen(choice), Err(WaitReason::Paused(at(2_500))));
 }
@@ -99,40 +99,40 @@
 #[test]
 fn a_pause_is_bounded() {
     let mut dispatch = dispatch([facts("t1", "here", &[])]);
-    dispatch.wants_pause(&name("t1"), Duration::MAX, at(0));
+    dispatch.pause_requested(&name("t1"), Duration::MAX, at(0));
     assert_eq!(chosen(choose(&dispatch, None, &[], 600_000)), to("t1"));
 }
 
 /// Guards against an outdated copy of the platform's list, in which a leaving target is ready.
 #[test]
-fn a_target_whose_entry_said_that_it_leaves_stays_leaving() {
+fn a_target_listed_as_leaving_stays_leaving() {
     let mut dispatch = dispatch([started("t1", 7)]);
     let mut draining = started("t1", 7);
     draining.leaving = Some(Leaving { gone_after: None });
-    dispatch.target_seen(draining, at(1));
-    dispatch.target_seen(started("t1", 7), at(2));
+    dispatch.target_listed(draining, at(1));
+    dispatch.target_listed(started("t1", 7), at(2));
     assert_eq!(
         chosen(choose(&dispatch, None, &[], 2)),
         Err(WaitReason::NoTarget)
     );
-    dispatch.target_seen(started("t1", 8), at(3));
+    dispatch.target_listed(started("t1", 8), at(3));
     assert_eq!(chosen(choose(&dispatch, None, &[], 3)), to("t1"));
 }
 
 /// Guards against an outdated copy of the list that contains a removed target, which must be
 /// distinguished from a new one.
 #[test]
-fn an_entry_of_a_start_that_is_gone_is_known_as_such() {
+fn an_entry_of_a_removed_start_is_recognized() {
     let mut dispatch = dispatch([started("t1", 7), facts("t2", "here", &[])]);
-    assert!(!dispatch.was_gone(&started("t1", 7)), "it is there");
+    assert!(!dispatch.is_removed_start(&started("t1", 7)), "it is there");
     dispatch.target_gone(&name("t1"));
     dispatch.target_gone(&name("t2"));
-    assert!(dispatch.was_gone(&started("t1", 7)));
-    assert!(dispatch.was_gone(&started("t1", 6)));
+    assert!(dispatch.is_removed_start(&started("t1", 7)));
+    assert!(dispatch.is_removed_start(&started("t1", 6)));
     assert!(
-        !dispatch.was_gone(&started("t1", 8)),
-        "it has started again"
+        !dispatch.is_removed_start(&started("t1", 8)),
+        "it has restarted"
     );
-    assert!(dispatch.was_gone(&facts("t2", "here", &[])));
-    assert!(!dispatch.was_gone(&started("t3", 1)));
+    assert!(dispatch.is_removed_start(&facts("t2", "here", &[])));
+    assert!(!dispatch.is_removed_start(&started("t3", 1)));
 }
--- a/crates/chervilshunt_core/tests/support/model_updates.rs
+++ b/crates/chervilshunt_core/tests/support/model_updates.rs
@@ -16,29 +16,29 @@
 
 use chervilshunt_core::{
     GrantNumber, GrantProgress, Lane, LoadedAdapter, LoadedModel, Order, OrderAnswer, OrderKind,
-    Placed, Residency, ResidencyAction, ResidencyConfig, ResidencyEvent, TargetFacts, Want,
-    Weights,
+    PlacementRequest, PlacementResult, ResidencyAction, ResidencyConfig, ResidencyEvent,
+    ResidencyPlanner, TargetFacts, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, TargetName, ZoneName};
 use placing::limits;
 pub(crate) use placing::{adapter, at, service, target};
-use real_target::{RealTarget, SLOTS};
+use real_target::{SLOTS, SimulatedTarget};
 
 pub(crate) const TARGETS: usize = 9;
 pub(crate) const FIRST: u64 = 1;
 pub(crate) const SECOND: u64 = 2;
 /// When the second version is announced, in milliseconds.
-pub(crate) const NAMED_AT: u64 = 2_000;
+pub(crate) const ANNOUNCED_AT: u64 = 2_000;
 
 /// How long a request is in flight.
-const RUNS_FOR: Duration = Duration::from_secs(3);
+const REQUEST_DURATION: Duration = Duration::from_secs(3);
 /// How late the planner sees a target's entry.
-const LISTED_AFTER: Duration = Duration::from_millis(400);
+const LISTING_DELAY: Duration = Duration::from_millis(400);
 /// After what time a lost answer is given up on.
-const GIVEN_UP_AFTER: Duration = Duration::from_millis(250);
-const CARRIED_OUT_LATE: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+const LATE_EXECUTION_DELAY: Duration = Duration::from_secs(3);
 /// The time that an order and its answer take.
-const ANSWERED_AFTER: Duration = Duration::from_millis(2);
+const ANSWER_DELAY: Duration = Duration::from_millis(2);
 const STEP_MS: u64 = 5;
 
 pub(crate) fn base() -> Weights {
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Debug)]
 struct Site {
-    real: RealTarget,
+    real: SimulatedTarget,
     /// The end times of its requests.
     runs: Vec<Moment>,
     /// The base model versions to list, each with the time from which it is listed.
@@ -97,33 +97,33 @@
 }
 
 pub(crate) struct Replay {
-    residency: Residency,
+    residency: ResidencyPlanner,
     sites: Vec<Site>,
     now_ms: u64,
     versions: BTreeMap<String, u64>,
-    next_question: u64,
+    next_request_id: u64,
     open: Vec<(GrantNumber, Moment)>,
     answers: Vec<(Moment, ResidencyEvent)>,
     late: Vec<(Moment, Order)>,
     /// The outcomes of successive orders for the base model; all orders after those are answered.
     pub(crate) fates: Vec<Fate>,
     /// Whether loads bring the announced version.
-    pub(crate) brings_named: bool,
+    pub(crate) loads_announced_version: bool,
     /// The number of orders to unload a base model.
-    pub(crate) given_up: usize,
+    pub(crate) unload_orders: usize,
     pub(crate) placed: Vec<PlacedAt>,
-    pub(crate) refused: Vec<(u64, Placed)>,
+    pub(crate) refused: Vec<(u64, PlacementResult)>,
     /// The highest number of targets that accepted no requests at the same time.
-    pub(crate) most_away: usize,
+    pub(crate) max_out_of_service: usize,
 }
 
 impl Replay {
     pub(crate) fn new() -> Self {
-        let mut residency = Residency::new(ResidencyConfig::default(), at(0));
+        let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), at(0));
         let limits = limits(SLOTS);
         residency.handle(ResidencyEvent::Limits(service(), limits), at(0));
         let site = Site {
-            real: RealTarget::new(None, FIRST),
+            real: SimulatedTarget::new(None, FIRST),
             runs: Vec::new(),
             listings: vec![(at(0), Some(FIRST))],
         };
@@ -132,16 +132,16 @@
             sites: vec![site; TARGETS],
             now_ms: 0,
             versions: BTreeMap::from([("base".to_owned(), FIRST)]),
-            next_question: 0,
+            next_request_id: 0,
             open: Vec::new(),
             answers: Vec::new(),
             late: Vec::new(),
             fates: Vec::new(),
-            brings_named: true,
-            given_up: 0,
+            loads_announced_version: true,
+            unload_orders: 0,
             placed: Vec::new(),
             refused: Vec::new(),
-            most_away: 0,
+            max_out_of_service: 0,
         }
     }
 
@@ -149,26 +149,26 @@
         self.sites.iter().map(|site| site.real.version).collect()
     }
 
-    /// Lets time pass, with a request for some weights every `asks_every_ms` once the planner knows
+    /// Lets time pass, with a request for some weights every `request_interval_ms` once the planner knows
     /// its targets.
-    pub(crate) fn run_until(&mut self, end_ms: u64, asks_every_ms: u64, weights: &Weights) {
+    pub(crate) fn run_until(&mut self, end_ms: u64, request_interval_ms: u64, weights: &Weights) {
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            self.targets_go_on();
+            self.advance_targets();
             self.listings();
-            if self.now_ms == NAMED_AT {
-                if self.brings_named {
+            if self.now_ms == ANNOUNCED_AT {
+                if self.loads_announced_version {
                     self.versions.insert("base".to_owned(), SECOND);
                 }
-                self.handle(ResidencyEvent::VersionNamed(base(), SECOND));
+                self.handle(ResidencyEvent::VersionAnnounced(base(), SECOND));
             }
             let due: Vec<ResidencyEvent> = self.take_due_answers();
             for answer in due {
                 self.handle(answer);
             }
-            self.tell_uses();
-            if self.now_ms >= NAMED_AT / 2 && self.now_ms.is_multiple_of(asks_every_ms) {
-                self.ask(weights);
+            self.report_uses();
+            if self.now_ms >= ANNOUNCED_AT / 2 && self.now_ms.is_multiple_of(request_interval_ms) {
+                self.send_request(weights);
             }
             if self
                 .residency
@@ -177,8 +177,11 @@
             {
                 self.handle(ResidencyEvent::Tick);
             }
-            let away = self.sites.iter().filter(|site| site.real.is_away());
-            self.most_away = self.most_away.max(away.count());
+            let away = self
+                .sites
+                .iter()
+                .filter(|site| site.real.is_out_of_service());
+            self.max_out_of_service = self.max_out_of_service.max(away.count());
         }
     }
 
@@ -191,23 +194,23 @@
         for action in self.residency.handle(event, now) {
             match action {
                 ResidencyAction::Order(order) => self.order(order),
-                ResidencyAction::Ask(name) => {
+                ResidencyAction::QueryTarget(name) => {
                     let report = self.sites[index(&name)].real.report();
-                    let report = ResidencyEvent::Reported(name, report);
+                    let report = ResidencyEvent::TargetReported(name, report);
                     self.answers.push((now + Duration::from_millis(2), report));
                 }
-                ResidencyAction::Answer(question, placed) => self.answered(question, placed),
-                ResidencyAction::Tell(_) => {}
+                ResidencyAction::Answer(request_id, placed) => self.answered(request_id, placed),
+                ResidencyAction::Notify(_) => {}
             }
         }
     }
 
-    fn ask(&mut self, weights: &Weights) {
-        self.next_question += 1;
-        self.handle(ResidencyEvent::Wanted {
-            question: self.next_question,
+    fn send_request(&mut self, weights: &Weights) {
+        self.next_request_id += 1;
+        self.handle(ResidencyEvent::PlacementRequested {
+            request_id: self.next_request_id,
             from: InstanceId::from("i"),
-            want: Want {
+            request: PlacementRequest {
                 service: service(),
                 weights: weights.clone(),
                 prompt_tokens: 100,
@@ -219,22 +222,23 @@
         });
     }
 
-    fn answered(&mut self, question: u64, placed: Placed) {
+    fn answered(&mut self, request_id: u64, placed: PlacementResult) {
         let now = self.now();
         match placed {
-            Placed::At { target: name, .. } => {
+            PlacementResult::At { target: name, .. } => {
                 let site = &mut self.sites[index(&name)];
-                site.runs.push(now + RUNS_FOR);
+                site.runs.push(now + REQUEST_DURATION);
                 let version = site.real.version;
-                self.open.push((GrantNumber(question), now + RUNS_FOR));
+                self.open
+                    .push((GrantNumber(request_id), now + REQUEST_DURATION));
                 self.placed.push(PlacedAt { at: now, version });
             }
-            Placed::Later { .. } => self.refused.push((self.now_ms, placed)),
+            PlacementResult::Later { .. } => self.refused.push((self.now_ms, placed)),
         }
     }
 
     /// Reports ended requests and, periodically, those in flight to the planner.
-    fn tell_uses(&mut self) {
+    fn report_uses(&mut self) {
         let now = self.now();
         let ended: Vec<GrantNumber> = self
             .open
@@ -246,11 +250,11 @@
                 ended,
                 ..GrantProgress::default()
             };
-            self.handle(ResidencyEvent::Progressed(progress));
+            self.handle(ResidencyEvent::GrantsProgressed(progress));
         }
         if self.now_ms.is_multiple_of(400) {
             let open = self.open.iter().map(|it| it.0).collect();
-            self.handle(ResidencyEvent::Used(
+            self.handle(ResidencyEvent::UsageReported(
                 InstanceId::from("i"),
                 Vec::new(),
                 open,
@@ -264,17 +268,17 @@
         due.map(|it| it.1).collect()
     }
 
-    fn targets_go_on(&mut self) {
+    fn advance_targets(&mut self) {
         let now = self.now();
         let due: Vec<_> = self.late.extract_if(.., |it| it.0 <= now).collect();
         for (_, order) in due {
             let site = &mut self.sites[index(&order.target)];
-            site.real.carry_out(&order, now);
+            site.real.execute(&order, now);
         }
         for site in &mut self.sites {
             site.runs.retain(|end| *end > now);
             if site.real.pass(&self.versions, !site.runs.is_empty(), now) {
-                site.listings.push((now + LISTED_AFTER, site.real.version));
+                site.listings.push((now + LISTING_DELAY, site.real.version));
             }
         }
     }
@@ -287,7 +291,7 @@
                 .extract_if(.., |it| it.0 <= now)
                 .collect();
             for (_, version) in due {
-                self.handle(ResidencyEvent::TargetSeen(facts(index, version, &[])));
+                self.handle(ResidencyEvent::TargetListed(facts(index, version, &[])));
             }
         }
     }
@@ -296,7 +300,7 @@
         let now = self.now();
         let about_model = order.weights.adapter.is_none();
         if about_model && order.kind == OrderKind::Unload {
-            self.given_up += 1;
+            self.unload_orders += 1;
         }
         let fate = if about_model && !self.fates.is_empty() {
             self.fates.remove(0)
@@ -305,18 +309,18 @@
         };
         let site = &mut self.sites[index(&order.target)];
         let (answer, after) = match fate {
-            Fate::Answered => (site.real.carry_out(&order, now), ANSWERED_AFTER),
+            Fate::Answered => (site.real.execute(&order, now), ANSWER_DELAY),
             Fate::AnswerLost => {
-                site.real.carry_out(&order, now);
-                (OrderAnswer::Unanswered, GIVEN_UP_AFTER)
+                site.real.execute(&order, now);
+                (OrderAnswer::Unanswered, ANSWER_TIMEOUT)
             }
-            Fate::Lost => (OrderAnswer::Unanswered, GIVEN_UP_AFTER),
+            Fate::Lost => (OrderAnswer::Unanswered, ANSWER_TIMEOUT),
             Fate::Late => {
-                self.late.push((now + CARRIED_OUT_LATE, order.clone()));
-                (OrderAnswer::Unanswered, GIVEN_UP_AFTER)
+                self.late.push((now + LATE_EXECUTION_DELAY, order.clone()));
+                (OrderAnswer::Unanswered, ANSWER_TIMEOUT)
             }
         };
-        let answered = ResidencyEvent::Answered(order.number, answer);
+        let answered = ResidencyEvent::OrderAnswered(order.number, answer);
         self.answers.push((now + after, answered));
     }
 }
--- a/crates/chervilshunt_core/tests/support/placing.rs
+++ b/crates/chervilshunt_core/tests/support/placing.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Lane, LoadedModel, ModelSpec, PlacementLimits, Residency, ResidencyConfig, ResidencyEvent,
-    TargetFacts, TargetReport, Want, Weights,
+    Lane, LoadedModel, ModelSpec, PlacementLimits, PlacementRequest, ResidencyConfig,
+    ResidencyEvent, ResidencyPlanner, TargetFacts, TargetReport, Weights,
 };
 use chervilshunt_model::{InstanceId, Moment, ServiceName, TargetName, ZoneName};
 
@@ -63,22 +63,30 @@
 }
 
 /// Creates a planner with targets that it has not queried yet.
-pub(crate) fn before_asking(targets: usize, slots: u32, adapter_slots: usize) -> Residency {
-    let mut residency = Residency::new(ResidencyConfig::default(), at(0));
+pub(crate) fn unqueried_planner(
+    targets: usize,
+    slots: u32,
+    adapter_slots: usize,
+) -> ResidencyPlanner {
+    let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), at(0));
     let limits = ResidencyEvent::Limits(service(), limits(adapter_slots));
     residency.handle(limits, at(0));
     for index in 0..targets {
-        residency.handle(ResidencyEvent::TargetSeen(facts(index, slots)), at(0));
+        residency.handle(ResidencyEvent::TargetListed(facts(index, slots)), at(0));
     }
     residency
 }
 
 /// A placement request of instance `i` for an adapter, which waits for `within_ms` milliseconds.
-pub(crate) fn wanted(question: u64, weights: Weights, within_ms: u64) -> ResidencyEvent {
-    ResidencyEvent::Wanted {
-        question,
+pub(crate) fn placement_request(
+    request_id: u64,
+    weights: Weights,
+    within_ms: u64,
+) -> ResidencyEvent {
+    ResidencyEvent::PlacementRequested {
+        request_id,
         from: InstanceId::from("i"),
-        want: Want {
+        request: PlacementRequest {
             service: service(),
             weights,
             prompt_tokens: 1_000,
@@ -92,7 +100,7 @@
 
 /// The report of a target that has accepted no orders.
 pub(crate) fn reported(index: usize, adapters: Vec<(Weights, u64)>) -> ResidencyEvent {
-    ResidencyEvent::Reported(target(index), idle(0, adapters, Vec::new()))
+    ResidencyEvent::TargetReported(target(index), idle(0, adapters, Vec::new()))
 }
 
 /// The report of the first target after it has accepted some orders.
@@ -101,7 +109,7 @@
     adapters: Vec<(Weights, u64)>,
     loading: Vec<Weights>,
 ) -> ResidencyEvent {
-    ResidencyEvent::Reported(target(0), idle(accepted, adapters, loading))
+    ResidencyEvent::TargetReported(target(0), idle(accepted, adapters, loading))
 }
 
 fn idle(accepted: u64, adapters: Vec<(Weights, u64)>, loading: Vec<Weights>) -> TargetReport {
--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -8,7 +8,7 @@
     ExclusiveLeaseAction, ExclusiveLeaseConfig, ExclusiveLeaseEvent, ExclusiveLeaseKeeper,
     LeaseWriteOutcome,
 };
-use chervilshunt_core::{Learnt, Residency, ResidencyEvent, Weights};
+use chervilshunt_core::{LoadEstimates, ResidencyEvent, ResidencyPlanner, Weights};
 use chervilshunt_mesh::{Inbound, Peer, Reply};
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
 use chervilshunt_platform::Exchange;
@@ -46,7 +46,7 @@
 /// The planner with what belongs to it, while this instance is the placer.
 #[derive(Debug)]
 pub(super) struct Placer {
-    pub(super) residency: Residency,
+    pub(super) residency: ResidencyPlanner,
     pub(super) questions: HashMap<u64, Reply<PeerMessage>>,
     pub(super) next_question: u64,
     pub(super) presence: Presence,
@@ -66,7 +66,7 @@
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
     /// What placers have learnt by trying.
-    pub(super) learnt: Option<Learnt>,
+    pub(super) learnt: Option<LoadEstimates>,
     /// The instances that may read the platform's objects for this one, while it is the placer.
     pub(super) helpers: watch::Sender<Vec<Peer>>,
     /// What was seen of the platform, as the placer tells it.
@@ -266,7 +266,7 @@
     type Return = ();
 
     async fn handle(&mut self, Ordered(number, answer): Ordered, _cx: &mut xtra::Context<Self>) {
-        self.plan(ResidencyEvent::Answered(number, answer));
+        self.plan(ResidencyEvent::OrderAnswered(number, answer));
         self.after_message();
     }
 }
@@ -276,8 +276,8 @@
 
     async fn handle(&mut self, Asked(target, report): Asked, _cx: &mut xtra::Context<Self>) {
         self.plan(match report {
-            Some(report) => ResidencyEvent::Reported(target, report),
-            None => ResidencyEvent::NotReported(target),
+            Some(report) => ResidencyEvent::TargetReported(target, report),
+            None => ResidencyEvent::ReportFailed(target),
         });
         self.after_message();
     }
