--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -7,8 +7,8 @@
 
 use chervilshunt_coord::era_of_term;
 use chervilshunt_core::{
-    GrantNumber, Order, OrderAnswer, Placed, Residency, ResidencyAction, ResidencyConfig,
-    ResidencyEvent, TargetReport, Use,
+    GrantNumber, Order, OrderAnswer, PlacementResult, ResidencyAction, ResidencyConfig,
+    ResidencyEvent, ResidencyPlanner, TargetReport, TargetUse,
 };
 use chervilshunt_engine::{EngineError, Limits, Outcome};
 use chervilshunt_mesh::{Peer, Reply};
@@ -50,9 +50,9 @@
         slog::info!(self.shared.log, "placing begins"; "term" => term,
             "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
-        let mut residency = Residency::new(ResidencyConfig::default(), now);
+        let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), now);
         if let Some(learnt) = self.learnt {
-            residency.begin_with(learnt);
+            residency.start_with(learnt);
         }
         self.placer = Some(Placer {
             residency,
@@ -65,12 +65,12 @@
         }
         let targets: Vec<_> = self.shared.dispatch().targets().cloned().collect();
         for facts in targets {
-            self.plan(ResidencyEvent::TargetSeen(facts));
+            self.plan(ResidencyEvent::TargetListed(facts));
         }
         for (weights, version) in self.versions.clone() {
-            self.plan(ResidencyEvent::VersionNamed(weights, version));
+            self.plan(ResidencyEvent::VersionAnnounced(weights, version));
         }
-        self.shared.dispatch().placer_heard(now);
+        self.shared.dispatch().placer_responded(now);
     }
 
     /// Stops placing. Questions that wait end unanswered, and the other instances, which choose by
@@ -97,8 +97,8 @@
     fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
         match action {
             ResidencyAction::Order(order) => self.give_order(order, now),
-            ResidencyAction::Ask(target) => self.ask(target),
-            ResidencyAction::Tell(holding) => self.shared.dispatch().holding_changed(holding),
+            ResidencyAction::QueryTarget(target) => self.ask(target),
+            ResidencyAction::Notify(holding) => self.shared.dispatch().holding_changed(holding),
             ResidencyAction::Answer(question, placed) => self.answer(question, placed),
         }
     }
@@ -171,7 +171,7 @@
         &mut self,
         from: &InstanceId,
         sign: SignOfLife,
-        (uses, grants): (Vec<Use>, Vec<GrantNumber>),
+        (uses, grants): (Vec<TargetUse>, Vec<GrantNumber>),
     ) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
@@ -181,7 +181,7 @@
         if let Some(placing) = self.placing(now) {
             self.send(&sign.peer(from), placing);
         }
-        self.plan(ResidencyEvent::Used(from.clone(), uses, grants));
+        self.plan(ResidencyEvent::UsageReported(from.clone(), uses, grants));
         let silent = self
             .placer
             .as_mut()
@@ -196,7 +196,7 @@
         let placer = self.placer.as_ref()?;
         Some(PeerMessage::Placing {
             knows_targets: placer.residency.knows_targets(),
-            learnt: placer.residency.learnt().or(self.learnt),
+            learnt: placer.residency.estimates().or(self.learnt),
             instances: placer.presence.count(),
             platform: self.feed.view(now),
             lease: self.keeper.held(),
@@ -220,7 +220,7 @@
     pub(super) fn take_own_placing(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
-            self.learnt = placer.residency.learnt().or(self.learnt);
+            self.learnt = placer.residency.estimates().or(self.learnt);
             self.take_placing(knows_targets, placer.presence.count());
         }
     }
@@ -241,7 +241,7 @@
         self.plan(wanted(question));
     }
 
-    fn answer(&mut self, question: u64, placed: Placed) {
+    fn answer(&mut self, question: u64, placed: PlacementResult) {
         let reply = self.placer.as_mut();
         let reply = reply.and_then(|placer| placer.questions.remove(&question));
         if let Some(reply) = reply
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -206,7 +206,7 @@
         if self.placer.is_some() {
             let targets: Vec<_> = self.shared.dispatch().targets().cloned().collect();
             for facts in targets {
-                self.plan(ResidencyEvent::TargetSeen(facts));
+                self.plan(ResidencyEvent::TargetListed(facts));
             }
         }
     }
@@ -215,7 +215,7 @@
     fn target_listed(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
-            dispatch.target_seen(facts, now)
+            dispatch.target_listed(facts, now)
         });
     }
 
@@ -223,7 +223,7 @@
     pub(super) fn target_told(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
-            dispatch.target_told(facts, now)
+            dispatch.target_forwarded(facts, now)
         });
     }
 
@@ -254,7 +254,7 @@
     ) {
         let was_absent = self.absences.due.remove(&facts.name).is_some();
         let before = before.as_ref();
-        if was_absent || before.is_none_or(|before| before.concerns_all(&facts)) {
+        if was_absent || before.is_none_or(|before| before.needs_broadcast(&facts)) {
             self.feed.target_changed(&facts, revision);
         }
         // Of the first list only its length is logged: line by line, thousands of targets are most of the
@@ -282,7 +282,7 @@
             // A connection to the start before is of no use, and may never say so.
             self.shared.engines.retain(|it| *it != facts.address);
         }
-        self.plan(ResidencyEvent::TargetSeen(facts));
+        self.plan(ResidencyEvent::TargetListed(facts));
     }
 
     /// Takes in that another instance, or a request of this one, was told by a target that it leaves.
@@ -293,7 +293,7 @@
         from: &InstanceId,
     ) {
         let mut dispatch = self.shared.dispatch();
-        let is_new = dispatch.says_it_leaves(target, started);
+        let is_new = dispatch.leaving_reported(target, started);
         let facts = dispatch.target(target).cloned();
         drop(dispatch);
         if is_new {
@@ -311,7 +311,7 @@
             }
         }
         if let Some(facts) = facts {
-            self.plan(ResidencyEvent::TargetSeen(facts));
+            self.plan(ResidencyEvent::TargetListed(facts));
         }
     }
 
@@ -331,11 +331,11 @@
         }
         self.shared
             .dispatch()
-            .version_named(weights.clone(), version, now);
+            .version_announced(weights.clone(), version, now);
         if known != Some(version) {
             self.shared.version_named.send_replace(());
         }
-        self.plan(ResidencyEvent::VersionNamed(weights, version));
+        self.plan(ResidencyEvent::VersionAnnounced(weights, version));
     }
 
     /// Takes in that entries of targets have gone.
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -13,11 +13,11 @@
 impl Control {
     /// Tells the placer what this instance has under way.
     pub(super) fn tell_use(&mut self) {
-        let uses = self.shared.dispatch().tell_uses();
+        let uses = self.shared.dispatch().report_uses();
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
             let me = self.me().clone();
-            self.plan(ResidencyEvent::Used(me, uses, grants));
+            self.plan(ResidencyEvent::UsageReported(me, uses, grants));
             self.take_own_placing();
             self.choose_helpers();
             return;
@@ -69,15 +69,17 @@
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
                     return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
                 };
-                let wanted = |question| ResidencyEvent::Wanted {
-                    question,
+                let wanted = |question| ResidencyEvent::PlacementRequested {
+                    request_id: question,
                     from,
-                    want,
+                    request: want,
                     within,
                 };
                 self.wanted(wanted, reply);
             }
-            PeerMessage::Progress(progress) => self.plan(ResidencyEvent::Progressed(progress)),
+            PeerMessage::Progress(progress) => {
+                self.plan(ResidencyEvent::GrantsProgressed(progress))
+            }
             PeerMessage::NotHeld(target, weights) => {
                 self.plan(ResidencyEvent::NotHeld(target, weights));
             }
@@ -122,7 +124,9 @@
     /// Takes in whether the placer places, and how many instances there are.
     pub(super) fn take_placing(&self, knows_targets: bool, instances: u32) {
         let now = self.now();
-        self.shared.dispatch().placer_told(knows_targets, now);
+        self.shared
+            .dispatch()
+            .placer_status_reported(knows_targets, now);
         if knows_targets {
             self.shared.set_placer_decided();
         }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -7,8 +7,8 @@
     ExclusiveLeaseRecord, HeldLease, LeaseWriteOutcome, VersionedLeaseRecord,
 };
 use chervilshunt_core::{
-    Fingerprint, GrantNumber, GrantProgress, Learnt, Placed, StoredCrashes, TargetFacts,
-    TargetSnapshot, TargetStart, Use, Want, Weights,
+    Fingerprint, GrantNumber, GrantProgress, LoadEstimates, PlacementRequest, PlacementResult,
+    StoredCrashes, TargetFacts, TargetSnapshot, TargetStart, TargetUse, Weights,
 };
 use chervilshunt_mesh::Purpose;
 use chervilshunt_model::{InstanceId, StoreRevision, TargetName};
@@ -33,17 +33,17 @@
         processor_share: f32,
         /// What it has under way.
         #[serde(rename = "u")]
-        uses: Vec<Use>,
+        uses: Vec<TargetUse>,
         /// The grants that are part of it.
         #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
         grants: Vec<GrantNumber>,
     },
     /// To the placer: a request needs a target, and waits for it for a time. Answered by `Placed`.
     #[serde(rename = "w")]
-    Want(Want, Duration),
+    Want(PlacementRequest, Duration),
     /// From the placer: where the request may be sent, as a grant of that number.
     #[serde(rename = "p")]
-    Placed(Placed, GrantNumber),
+    Placed(PlacementResult, GrantNumber),
     /// To the placer: how far the sender has come with its grants.
     #[serde(rename = "g")]
     Progress(GrantProgress),
@@ -65,7 +65,7 @@
         knows_targets: bool,
         /// What it has learnt by trying, for the next placer.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-        learnt: Option<Learnt>,
+        learnt: Option<LoadEstimates>,
         /// Instances that the placer hears of.
         #[serde(rename = "i")]
         instances: u32,
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -74,7 +74,7 @@
         let reading = req.size.prompt_tokens;
         let mut dispatch = shared.dispatch();
         dispatch.sent(target, weights);
-        dispatch.reads(target, reading);
+        dispatch.add_prefill(target, reading);
         let started = dispatch.started(target);
         drop(dispatch);
         Self {
@@ -98,7 +98,7 @@
         }
         self.clear(req);
         let tokens = std::mem::take(&mut self.reading);
-        self.shared.dispatch().has_read(&self.target, tokens);
+        self.shared.dispatch().remove_prefill(&self.target, tokens);
         if let Some(grant) = &self.grant {
             grant.begun();
         }
@@ -158,7 +158,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatch = self.shared.dispatch();
-        dispatch.has_read(&self.target, self.reading);
+        dispatch.remove_prefill(&self.target, self.reading);
         dispatch.ended(&self.target, self.weights.as_ref(), self.started);
     }
 }
@@ -286,7 +286,7 @@
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         let mut budgets = self.shared.budgets();
-        let allowed = budgets.of(&self.req.service).try_repeat(instances, now);
+        let allowed = budgets.of(&self.req.service).try_retry(instances, now);
         self.sendings += u32::from(allowed);
         metrics::counter!("chervilshunt_repeats_total", "allowed" => if allowed { "yes" } else { "no" })
             .increment(1);
@@ -337,7 +337,7 @@
                 .shared
                 .budgets()
                 .of(&self.req.service)
-                .allows_repeat(instances, now)
+                .allows_retry(instances, now)
     }
 
     fn judge(
@@ -353,7 +353,9 @@
         let load = load.and_then(|it| it.to_str().ok());
         let load = load.and_then(self.shared.dialect.targets.load);
         if let Some(load) = load {
-            self.shared.dispatch().reported(&chosen.target, load, now);
+            self.shared
+                .dispatch()
+                .load_reported(&chosen.target, load, now);
         }
         let again = self.may_run_again();
         let verdict = judge(names, &self.req.id, &chosen.target, &head, again);
@@ -398,7 +400,7 @@
             slog::info!(shared.log, "target wants a pause";
                 "request" => &*self.req.id, "target" => target.as_str(),
                 "pause_ms" => pause.as_millis() as u64);
-            shared.dispatch().wants_pause(target, pause, now);
+            shared.dispatch().pause_requested(target, pause, now);
         }
     }
 
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use chervilshunt_core::{
-    Choice, Holding, Lane, Placed, TargetRequirements, WaitReason, Want, Weights,
+    AdapterHolding, Choice, Lane, PlacementRequest, PlacementResult, TargetRequirements,
+    WaitReason, Weights,
 };
 use chervilshunt_model::TargetName;
 
@@ -118,7 +119,7 @@
 
     fn is_guided(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.placer.load().is_some() && self.shared.dispatch().is_guided(now)
+        self.shared.placer.load().is_some() && self.shared.dispatch().is_placer_selecting(now)
     }
 
     fn choose(&self) -> Result<Chosen, WaitReason> {
@@ -202,12 +203,12 @@
         let patience = patience.min(self.req.left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
-            let mut avoid = dispatch.doubtful(&self.req.service, now);
-            avoid.extend(dispatch.closed(&self.req.service, now));
+            let mut avoid = dispatch.suspect_targets(&self.req.service, now);
+            avoid.extend(dispatch.closed_targets(&self.req.service, now));
             avoid
         };
         avoid.extend(self.avoid.iter().cloned());
-        let want = Want {
+        let want = PlacementRequest {
             service: self.req.service.clone(),
             weights,
             prompt_tokens: self.req.size.prompt_tokens,
@@ -221,14 +222,14 @@
             .mesh
             .request(&placer, message, patience + ANSWER_MARGIN);
         match self.unless_silent(answer).await {
-            Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
+            Some(Ok(PeerMessage::Placed(PlacementResult::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
                 self.heard();
                 self.report_placement("placed", Some(&target));
                 self.note_holder(&target, version);
                 Ok(self.at_target(target, grant))
             }
-            Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
+            Some(Ok(PeerMessage::Placed(PlacementResult::Later { retry_in }, _))) => {
                 self.heard();
                 self.report_placement("no room", None);
                 Err(Refusal::retry_after(Reason::NotPlaced, retry_in))
@@ -254,7 +255,7 @@
         };
         let mut dispatch = self.shared.dispatch();
         let started = dispatch.started(target);
-        dispatch.holding_changed(Holding {
+        dispatch.holding_changed(AdapterHolding {
             target: target.clone(),
             started,
             weights: weights.clone(),
@@ -264,7 +265,7 @@
 
     fn heard(&self) {
         let now = self.shared.clock.now();
-        self.shared.dispatch().placer_heard(now);
+        self.shared.dispatch().placer_responded(now);
     }
 
     /// Waits for the placer's answer; none if the placer falls silent and another way is known.
@@ -280,7 +281,7 @@
                 weights.adapter.is_none() || dispatch.holders_of(weights).next().is_some()
             });
             let silence = if is_known { SUSPECT_AFTER } else { GONE_AFTER };
-            if !dispatch.heard_within(silence, now) {
+            if !dispatch.placer_responded_within(silence, now) {
                 return None;
             }
         }
@@ -308,7 +309,7 @@
     fn report_wait(&self, wait: WaitReason) {
         match wait {
             WaitReason::NoTarget | WaitReason::NotHeld => {
-                let listed = self.shared.dispatch().listed(&self.req.service);
+                let listed = self.shared.dispatch().target_count(&self.req.service);
                 slog::info!(self.shared.log, "no choice";
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
