--- a/crates/chervilshunt_coord/src/config.rs
+++ b/crates/chervilshunt_coord/src/config.rs
@@ -1,9 +1,9 @@
 //! Configuration: changes of many objects that take effect on all instances or on none.
 //!
-//! A [`ConfigFollower`] holds the configuration in force and acknowledges changes. A [`Proposer`] commits
-//! a change in four steps: it writes the changed pages, writes the change into the head as pending,
-//! collects the acknowledgements of all live instances, and writes the new revision into the head.
-//! See `docs/design/configuration.md`.
+//! A [`ConfigFollower`] holds the configuration in force and acknowledges changes. A [`Proposer`]
+//! commits a change in four steps: it writes the changed pages, writes the change into the head as
+//! pending, collects the acknowledgements of all live instances, and writes the new revision into
+//! the head. See `docs/design/configuration.md`.
 
 mod follower;
 mod head;
