--- a/crates/chervilshunt_core/src/residency/target.rs
+++ b/crates/chervilshunt_core/src/residency/target.rs
@@ -29,8 +29,8 @@
     InFlight(Order),
 }
 
-/// How long a count of free slots stays valid when no time is known at which it changes; late orders
-/// to earlier starts of a target expire in the meantime.
+/// How long a count of free slots stays valid when no time is known at which it changes; late
+/// orders to earlier starts of a target expire in the meantime.
 const MAX_COUNT_AGE: Duration = Duration::from_secs(1);
 
 /// The state of one target as known to the placer.
