--- a/crates/chervilshunt_platform/src/accounting.rs
+++ b/crates/chervilshunt_platform/src/accounting.rs
@@ -1,4 +1,4 @@
-//! The metrics of the client: every call by purpose, verb and result.
+//! Client metrics: calls by purpose, verb and result, bytes transferred, and open watches.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::PlatformError;
 
-/// What a call does.
+/// The operation of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// Reads one object.
     Get,
     /// Reads all objects of a kind.
     List,
-    /// Waits for changes of a kind.
+    /// Streams changes to objects of a kind.
     Watch,
-    /// Makes an object.
+    /// Creates an object.
     Create,
     /// Replaces an object.
     Update,
-    /// Removes an object.
+    /// Deletes an object.
     Delete,
 }
 
 impl Verb {
-    /// Returns the name in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Get => "get",
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Says whether the call changes an object.
+    /// Returns whether the call changes an object.
     pub const fn writes(self) -> bool {
         matches!(self, Self::Create | Self::Update | Self::Delete)
     }
 }
 
-/// Counts one try of a call as the platform counts it, and how long it took.
+/// Counts one attempt of a call, as the platform counts it, and records its duration.
 pub(crate) fn count_attempt(
     purpose: &'static str,
     verb: Verb,
@@ -60,7 +60,7 @@
         .record(took);
 }
 
-/// Counts a retry that was made or, without budget, was not.
+/// Counts a retry that was made (`allowed`) or refused because the retry budget was used up.
 pub(crate) fn count_retry(purpose: &'static str, allowed: bool) {
     let name = if allowed {
         "chervilshunt_platform_retries_total"
@@ -70,23 +70,23 @@
     counter!(name, "purpose" => purpose).increment(1);
 }
 
-/// Counts a call that the client's own rate limit kept back until it was given up on.
+/// Counts a call that the client's own rate limit would have delayed beyond its deadline.
 pub(crate) fn count_held_back(purpose: &'static str) {
     counter!("chervilshunt_platform_held_back_total", "purpose" => purpose).increment(1);
 }
 
-/// Counts objects of which a watch had missed the last event.
+/// Counts the objects whose latest event a watch did not deliver.
 pub(crate) fn count_missed_events(purpose: &'static str, missed: usize) {
     counter!("chervilshunt_platform_missed_events_total", "purpose" => purpose)
         .increment(missed as u64);
 }
 
-/// Counts bytes on the wire, heads included.
+/// Counts bytes read from or written to connections, including HTTP headers.
 pub(crate) fn count_bytes(direction: &'static str, bytes: usize) {
     counter!("chervilshunt_platform_bytes_total", "direction" => direction).increment(bytes as u64);
 }
 
-/// Keeps a watch counted as one open call.
+/// Counts a watch as open until dropped.
 #[derive(Debug)]
 pub(crate) struct OpenWatch(Gauge);
 
--- a/crates/chervilshunt_platform/src/answer.rs
+++ b/crates/chervilshunt_platform/src/answer.rs
@@ -1,4 +1,4 @@
-//! What an answer, or the lack of one, says about a call.
+//! Maps error responses, lost responses and time-outs to [`PlatformError`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,16 @@
 use crate::accounting::Verb;
 use crate::wire::Status;
 
-/// Reads the failure of a call from an answer that is no success: its name, what it does, and the
-/// answer's status, headers and body.
+/// Maps an error response to a [`PlatformError`].
+///
+/// The arguments are the call's label and verb, and the response's status, headers and body.
 pub type FailureReader = fn(&Arc<str>, Verb, StatusCode, &HeaderMap, &[u8]) -> PlatformError;
 
-/// Turns an answer that is no success into the error that it stands for.
+/// Maps an error response of the object API to a [`PlatformError`].
 ///
-/// A write that is answered with 5xx has an unknown outcome. Kubernetes' API server answers
-/// 500 and 504 also when its store did not tell in time whether a write took effect, and a
-/// balancer before it answers 503 when it lost the connection after the write was sent.
+/// The outcome of a write that fails with a 5xx status is unknown. The Kubernetes API server
+/// returns 500 and 504 also when its store did not confirm a write in time, and a load balancer
+/// in front of it returns 503 when it loses the connection after sending the write.
 pub(crate) fn failure(
     call: &Arc<str>,
     verb: Verb,
@@ -26,11 +27,11 @@
     body: &[u8],
 ) -> PlatformError {
     let call = Arc::clone(call);
-    let told: Status = serde_json::from_slice(body).unwrap_or_default();
-    let message = || -> Arc<str> { format!("{status}: {}", told.message).into() };
+    let reported: Status = serde_json::from_slice(body).unwrap_or_default();
+    let message = || -> Arc<str> { format!("{status}: {}", reported.message).into() };
     match status {
         StatusCode::NOT_FOUND => PlatformError::NotFound { call },
-        StatusCode::CONFLICT if told.reason == "AlreadyExists" => {
+        StatusCode::CONFLICT if reported.reason == "AlreadyExists" => {
             PlatformError::AlreadyExists { call }
         }
         StatusCode::CONFLICT => PlatformError::Conflict { call },
@@ -58,7 +59,7 @@
     }
 }
 
-/// Returns the error of a call that was sent, at least in part, and whose answer was lost.
+/// Returns the error for a call that was at least partly sent and whose response was lost.
 pub(crate) fn lost(call: &Arc<str>, verb: Verb, cause: impl Into<Arc<str>>) -> PlatformError {
     let call = Arc::clone(call);
     let cause = cause.into();
@@ -69,20 +70,20 @@
     }
 }
 
-/// Returns the error of a call that was sent and went unanswered for too long.
+/// Returns the error for a call that was sent and got no response within the time limit.
 pub(crate) fn timed_out(call: &Arc<str>, verb: Verb) -> PlatformError {
     let call = Arc::clone(call);
     if verb.writes() {
         PlatformError::OutcomeUnknown {
             call,
-            cause: "no answer in time".into(),
+            cause: "no response within the time limit".into(),
         }
     } else {
         PlatformError::Timeout { call }
     }
 }
 
-/// Says whether the same call may be made again: it was not applied, and may work later.
+/// Returns whether the call may be retried: it changed nothing, and a retry may succeed.
 pub(crate) const fn may_retry(err: &PlatformError) -> bool {
     match err {
         PlatformError::Unavailable { .. }
@@ -98,7 +99,7 @@
     }
 }
 
-/// Returns the seconds of a `Retry-After`, which may be a fraction; a date is left aside.
+/// Parses the `Retry-After` header as seconds, which may be fractional. HTTP dates are ignored.
 pub fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
     let seconds = value.trim().parse().ok()?;
--- a/crates/chervilshunt_platform/src/error.rs
+++ b/crates/chervilshunt_platform/src/error.rs
@@ -1,40 +1,41 @@
-//! Why a call failed, told apart by what the caller may do about it.
+//! Errors of platform calls, classified by how the caller can handle them.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// Why a call to the platform failed.
+/// The error of a call to the platform.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum PlatformError {
-    /// The object has another version by now; nothing was written.
-    #[snafu(display("{call}: the object has been changed meanwhile"))]
+    /// The object's version has changed. Nothing was written.
+    #[snafu(display("{call}: the object was modified concurrently"))]
     Conflict {
         /// The call, as `verb resource/name`.
         call: Arc<str>,
     },
-    /// There is an object of this name already; nothing was written.
-    #[snafu(display("{call}: the object exists already"))]
+    /// An object with this name already exists. Nothing was written.
+    #[snafu(display("{call}: the object already exists"))]
     AlreadyExists {
         /// The call.
         call: Arc<str>,
     },
-    /// There is no object of this name.
-    #[snafu(display("{call}: there is no such object"))]
+    /// No object with this name exists.
+    #[snafu(display("{call}: no such object"))]
     NotFound {
         /// The call.
         call: Arc<str>,
     },
-    /// The version to go on from is no longer in the platform's history.
-    #[snafu(display("{call}: the version is too old to go on from"))]
+    /// The version to continue from is no longer in the platform's history.
+    #[snafu(display("{call}: the version to continue from has expired"))]
     Expired {
         /// The call.
         call: Arc<str>,
     },
-    /// The platform can't be reached or says it can't serve; the call was provably not applied.
+    /// The platform is unreachable or reports that it is unavailable. A write that fails with this
+    /// error was certainly not applied.
     #[snafu(display("{call}: the platform is unavailable: {cause}"))]
     Unavailable {
         /// The call.
@@ -42,39 +43,39 @@
         /// What went wrong.
         cause: Arc<str>,
     },
-    /// A write may or may not have taken effect: read the object back to find out.
-    #[snafu(display("{call}: whether the write took effect is unknown: {cause}"))]
+    /// A write may or may not have taken effect. Read the object back to find out.
+    #[snafu(display("{call}: the outcome of the write is unknown: {cause}"))]
     OutcomeUnknown {
         /// The call.
         call: Arc<str>,
         /// What went wrong.
         cause: Arc<str>,
     },
-    /// The call was not made, or turned away, as there are too many; nothing was applied.
+    /// The call exceeded this client's or the platform's rate limit. Nothing was applied.
     #[snafu(display("{call}: too many calls"))]
     RateLimited {
         /// The call.
         call: Arc<str>,
-        /// When to try again at the earliest.
+        /// The minimum time to wait before a retry, if known.
         retry_after: Option<Duration>,
     },
-    /// A read went unanswered for too long.
-    #[snafu(display("{call}: no answer in time"))]
+    /// A read got no response within the time limit.
+    #[snafu(display("{call}: no response within the time limit"))]
     Timeout {
         /// The call.
         call: Arc<str>,
     },
-    /// The platform does not allow the call: the operator has to grant it.
+    /// The platform denied the call. The operator has to grant the permission.
     #[snafu(display(
-        "{call}: the platform does not allow it ({message}); see docs/operators/platform.md"
+        "{call}: permission denied by the platform ({message}); see docs/operators/platform.md"
     ))]
     Denied {
         /// The call.
         call: Arc<str>,
-        /// What the platform said.
+        /// The platform's status and message.
         message: Arc<str>,
     },
-    /// The call or its answer is malformed; trying again does not help.
+    /// The call or its response is malformed. A retry does not help.
     #[snafu(display("{call}: {problem}"))]
     Invalid {
         /// The call.
@@ -85,7 +86,8 @@
 }
 
 impl PlatformError {
-    /// Says whether the platform, not the call, is at fault, so that the call may work later.
+    /// Returns whether the failure lies with the platform rather than the call, so that the call
+    /// may succeed later.
     pub const fn is_outage(&self) -> bool {
         matches!(
             self,
@@ -96,7 +98,7 @@
         )
     }
 
-    /// Returns a short name of the kind of failure, for metrics.
+    /// Returns the kind of the error as a metric label value.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Conflict { .. } => "conflict",
