--- a/crates/chervilshunt_platform/src/call.rs
+++ b/crates/chervilshunt_platform/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to the object API: what it asks, and how it is written.
+//! Calls to the object API and their encoding as HTTP requests.
 
 use std::sync::Arc;
 
@@ -16,41 +16,41 @@
     "application/json;as=PartialObjectMetadata;g=meta.k8s.io;v=v1,application/json";
 const ACCEPT_METADATA_LIST: &str =
     "application/json;as=PartialObjectMetadataList;g=meta.k8s.io;v=v1,application/json";
-/// An API server that makes no tables sends metadata at once.
+/// An API server without support for tables falls back to metadata within the same call.
 const ACCEPT_TABLE: &str = "application/json;as=Table;g=meta.k8s.io;v=v1,\
     application/json;as=PartialObjectMetadataList;g=meta.k8s.io;v=v1,application/json";
 
-/// Objects in one page of a list of versions. What they hold is not sent, so that it does not
-/// depend on their size.
+/// The number of objects in one page of a version list. It does not depend on the size of the
+/// objects because their content is not sent.
 const VERSIONS_PAGE: u32 = 500;
 
-/// How much of each object a list gives.
+/// The part of each object that a list returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListedPart {
     Whole,
     Metadata,
-    /// The columns of the kind's definition.
+    /// The printer columns of the kind's definition.
     Table,
 }
 
-/// One call, as often as it may be tried.
+/// A call to the platform, which may be attempted several times.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub(crate) verb: Verb,
     pub(crate) resource: Resource,
-    /// The call as errors name it.
+    /// The call as error messages show it.
     pub(crate) label: Arc<str>,
     pub(crate) path: String,
     pub(crate) accept: &'static str,
     pub(crate) body: Bytes,
-    /// Reads what an answer that is no success stands for.
+    /// Maps an error response to an error.
     pub(crate) failure: FailureReader,
 }
 
 impl Call {
-    /// Makes a call to an object service that has paths and failures of its own.
+    /// Creates a call to an object service with its own paths and error responses.
     ///
-    /// `failure` reads the answers that are no success.
+    /// `failure` maps error responses to errors.
     pub fn custom(
         verb: Verb,
         resource: Resource,
@@ -69,21 +69,22 @@
         }
     }
 
-    /// Returns the path and query that are called.
+    /// Returns the path and query of the request.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Returns the body that is sent.
+    /// Returns the request body.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// Makes a call about one object.
+    /// Creates a call for one object.
     ///
     /// # Errors
-    /// Fails if the name is none that an object can have. In a path it would name something else:
-    /// to delete the object of an empty name is to delete them all.
+    /// Returns `Invalid` if the name is not a valid object name. Such a name would make the path
+    /// refer to something else: deleting an object with an empty name would delete the whole
+    /// collection.
     pub(crate) fn of_object(
         verb: Verb,
         resource: Resource,
@@ -103,21 +104,21 @@
             body: Bytes::new(),
             failure,
         };
-        if is_name(name) {
+        if is_valid_name(name) {
             Ok(call)
         } else {
-            Err(call.invalid("an object's name has letters, digits, `-`, `.` and `_` only"))
+            Err(call.invalid("object names may contain only letters, digits, `-`, `.` and `_`"))
         }
     }
 
-    /// Makes a call about a kind of objects.
+    /// Creates a call for the collection of objects of a kind.
     pub(crate) fn of_kind(verb: Verb, resource: Resource, namespace: &str, query: &str) -> Self {
-        let mark = if query.is_empty() { "" } else { "?" };
+        let separator = if query.is_empty() { "" } else { "?" };
         Self {
             verb,
             resource,
             label: format!("{} {}", verb.as_str(), resource.plural).into(),
-            path: format!("{}{mark}{query}", resource.path(namespace)),
+            path: format!("{}{separator}{query}", resource.path(namespace)),
             accept: if verb.writes() {
                 ACCEPT_METADATA
             } else {
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Makes a call for one page of a list; `next` says where it goes on.
+    /// Creates a call for one page of a list. `next` is the continuation token of the previous
+    /// page, or empty for the first page.
     pub(crate) fn of_page(
         resource: Resource,
         namespace: &str,
@@ -146,7 +148,10 @@
         call
     }
 
-    /// Adds a body.
+    /// Sets the body.
+    ///
+    /// # Errors
+    /// Returns `Invalid` if encoding the body failed.
     pub(crate) fn with_body(
         mut self,
         body: serde_json::Result<Vec<u8>>,
@@ -208,7 +213,7 @@
     query.finish()
 }
 
-/// Returns the query of a watch.
+/// Returns the query string of a watch that starts after the version `from`.
 pub(crate) fn watch_query(
     selector: &Selector,
     from: ResourceVersion,
@@ -224,7 +229,7 @@
     query.finish()
 }
 
-/// Returns the body of a deletion that depends on the object's version.
+/// Returns the body of a delete call that succeeds only if the object has the given version.
 pub(crate) fn delete_body(version: ResourceVersion) -> serde_json::Result<Vec<u8>> {
     serde_json::to_vec(&DeleteOptions {
         api_version: "v1",
@@ -255,7 +260,7 @@
     }
 }
 
-fn is_name(name: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_');
-    !matches!(name, "" | "." | "..") && name.bytes().all(fits)
+fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_');
+    !matches!(name, "" | "." | "..") && name.bytes().all(is_allowed)
 }
--- a/crates/chervilshunt_platform/src/config.rs
+++ b/crates/chervilshunt_platform/src/config.rs
@@ -1,4 +1,4 @@
-//! What the client has to be told.
+//! Configuration of the platform client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,34 +7,34 @@
 use chervilshunt_core::{BackoffConfig, RetryBudgetConfig};
 use chervilshunt_model::InstanceId;
 
-/// What the client has to be told; [`PlatformConfig::new`] fills in the usual values.
+/// Configuration of the platform client. [`PlatformConfig::new`] fills in the defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformConfig {
-    /// Where the object API listens.
+    /// The address of the object API.
     pub address: SocketAddr,
     /// The namespace that holds the system's objects.
     pub namespace: Arc<str>,
-    /// The instance that calls, for the platform's own accounts.
+    /// The calling instance, sent with each call so that the platform can attribute it.
     pub instance: InstanceId,
     /// The time limits of calls.
     pub timeouts: Timeouts,
-    /// The bound on calls a second by this process.
+    /// The rate limit on the calls of this process.
     pub rate: RateLimit,
-    /// How many retries all calls together get.
+    /// The retry budget shared by all calls.
     pub retries: RetryBudgetConfig,
-    /// The wait between retries of a call.
+    /// The backoff between attempts of a call.
     pub backoff: BackoffConfig,
-    /// How watches are kept up.
+    /// The default timing of watches.
     pub watch: WatchTiming,
-    /// The number of instances, until [`crate::Platform::set_fleet_size`] tells it.
+    /// The number of instances assumed until [`crate::Platform::set_fleet_size`] is called.
     pub fleet_size: usize,
 }
 
-/// What the number of instances is taken to be before it is known.
-const FLEET_SIZE: usize = 100;
+/// The number of instances assumed before the actual number is known.
+const DEFAULT_FLEET_SIZE: usize = 100;
 
 impl PlatformConfig {
-    /// Returns the usual values.
+    /// Returns a configuration with default values.
     pub fn new(address: SocketAddr, namespace: impl Into<Arc<str>>, instance: InstanceId) -> Self {
         Self {
             address,
@@ -45,7 +45,7 @@
             retries: RetryBudgetConfig::default(),
             backoff: BackoffConfig::default(),
             watch: WatchTiming::default(),
-            fleet_size: FLEET_SIZE,
+            fleet_size: DEFAULT_FLEET_SIZE,
         }
     }
 }
@@ -53,13 +53,14 @@
 /// The time limits of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// For opening a connection.
+    /// The time limit for opening a connection.
     pub connect: Duration,
-    /// For one try of a call, its wait for a connection included.
+    /// The time limit for one attempt of a call, including the wait for a connection.
     pub attempt: Duration,
-    /// For a call with all its tries, waits for the rate limit and between tries included.
+    /// The time limit for a call with all its attempts, including waits for the rate limit and
+    /// between attempts.
     pub call: Duration,
-    /// The most tries of a call.
+    /// The maximum number of attempts of a call.
     pub max_attempts: u32,
 }
 
@@ -74,14 +75,14 @@
     }
 }
 
-/// The bound on calls a second by this process.
+/// The rate limit on the calls of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Calls a second in the long run.
+    /// The sustained rate, in calls per second.
     pub per_second: f64,
-    /// Calls that may come at once.
+    /// The number of calls that may be made at once.
     pub burst: f64,
-    /// The part of the burst that only urgent calls may use.
+    /// The part of the burst reserved for urgent calls, in calls.
     pub urgent_reserve: f64,
 }
 
@@ -95,32 +96,33 @@
     }
 }
 
-/// How watches are kept up.
+/// Time-outs, check intervals and buffering of watches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WatchTiming {
-    /// The wait between tries to reconnect.
+    /// The backoff between attempts to reconnect.
     pub backoff: BackoffConfig,
-    /// The silence, bookmarks included, after which a watch is taken to be stalled and opened
-    /// anew. It has to lie well above the platform's interval between bookmarks.
+    /// The time without any line, bookmarks included, after which a watch is considered stalled
+    /// and is reopened. It has to be well above the platform's interval between bookmarks.
     pub silence: Duration,
-    /// The shortest time between two checks for events that the watch never told. Up to a fifth
-    /// is added or taken off at random.
+    /// The minimum time between two checks for events that the watch did not deliver. Jitter of
+    /// up to 20 % is added or subtracted.
     pub check_min: Duration,
-    /// The checks a second that all instances together make for one kind of objects.
+    /// The rate, in checks per second, at which all instances together check one kind of object.
     pub checks_per_second: f64,
-    /// How long events may take to arrive after a list has shown what they tell.
+    /// How long a check waits, after it has listed the objects, for events still in transit.
     pub settle: Duration,
-    /// The time after which the platform is asked to end a watch, so that it is spread anew.
+    /// The time after which the platform is asked to end a watch, so that watches are
+    /// redistributed over its servers.
     pub lifetime: Duration,
-    /// Events that may wait for the receiver.
+    /// The number of events buffered for the receiver.
     pub buffer: usize,
 }
 
 impl WatchTiming {
-    /// Returns the time between two checks of one instance among `fleet_size`, before jitter.
+    /// Returns the time between two checks by one of `fleet_size` instances, before jitter.
     ///
-    /// It grows with the fleet, so that the calls of all instances together don't: the platform's
-    /// rates grow more slowly than the fleet does.
+    /// The interval grows with the fleet so that the total rate of checks stays constant: the
+    /// platform's rate limits grow more slowly than the fleet.
     pub fn check_interval(&self, fleet_size: usize) -> Duration {
         let spread = fleet_size as f64 / self.checks_per_second;
         let spread = Duration::try_from_secs_f64(spread).unwrap_or(Duration::MAX);
