--- a/crates/chervilshunt_platform/src/lib.rs
+++ b/crates/chervilshunt_platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! Client of the platform: its object API and its instance list.
+//! Client of the platform's object API and instance list.
 //!
-//! Every call of a process goes through one [`Platform`], which counts it, bounds its rate, gives
-//! it a time limit and repeats it only where that can't do harm. What must last lives in objects
-//! behind it; this crate decides nothing about their meaning. See `docs/design/platform-client.md`
-//! and `docs/operators/platform.md`.
+//! All calls of a process go through one [`Platform`], which counts them, limits their rate and
+//! duration, and retries them only where that is safe. Durable state is kept in objects of the
+//! platform; this crate does not interpret their content. See `docs/design/platform-client.md` and
+//! `docs/operators/platform.md`.
 
 mod accounting;
 mod answer;
--- a/crates/chervilshunt_platform/src/object.rs
+++ b/crates/chervilshunt_platform/src/object.rs
@@ -1,28 +1,29 @@
-//! Objects with their versions.
+//! Objects and lists of objects with their resource versions.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// The version of an object or of a collection, which the platform raises with each write.
+/// The version of an object or collection, which the platform increases with each write.
 ///
-/// Kubernetes' versions compare as numbers from release 1.35 on, and did so in every release
-/// before. The client depends on it in one place: it never goes back to an older list.
+/// Kubernetes specifies that resource versions compare as numbers from release 1.35 on, and they
+/// did so in every earlier release. The client relies on it to reject lists that are older than
+/// what it has already seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ResourceVersion(u64);
 
 impl ResourceVersion {
-    /// Wraps a number.
+    /// Creates a version from its number.
     pub const fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// Returns the number.
+    /// Returns the version as a number.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Reads the text form that the object API uses.
+    /// Parses the text form used by the object API.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         text.parse().ok().map(Self)
     }
@@ -34,23 +35,23 @@
     }
 }
 
-/// One object.
+/// An object of the object API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Object<S> {
-    /// Its name, which is unique among its kind.
+    /// The name, unique within the kind.
     pub name: Arc<str>,
-    /// The version that was read; none if it has not been written yet.
+    /// The version that was read, or `None` if the object has not been written yet.
     pub resource_version: Option<ResourceVersion>,
-    /// What selectors see.
+    /// Labels, which selectors match.
     pub labels: BTreeMap<String, String>,
-    /// Remarks that no selector sees.
+    /// Annotations, which selectors do not match.
     pub annotations: BTreeMap<String, String>,
-    /// Its content.
+    /// The content.
     pub spec: S,
 }
 
 impl<S> Object<S> {
-    /// Makes an object that has not been written yet.
+    /// Creates an object that has not been written yet.
     pub fn new(name: impl Into<Arc<str>>, spec: S) -> Self {
         Self {
             name: name.into(),
@@ -69,31 +70,31 @@
     }
 }
 
-/// Objects as they stood together at one version.
+/// A consistent snapshot of objects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectList<S> {
-    /// The version of the collection that they show.
+    /// The version of the collection at the snapshot.
     pub resource_version: ResourceVersion,
-    /// The objects, in name order.
+    /// The objects, ordered by name.
     pub objects: Vec<Object<S>>,
-    /// Objects whose content can't be read; somebody else may have written them.
+    /// Objects whose content can't be decoded, for example because another client wrote them.
     pub malformed: Vec<MalformedObject>,
 }
 
-/// An object whose content can't be read.
+/// An object whose content can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MalformedObject {
-    /// Its name.
+    /// The object's name.
     pub name: Arc<str>,
-    /// Why it can't be read.
+    /// The decoding error.
     pub problem: Arc<str>,
 }
 
-/// Names and versions of objects as they stood together at one version, without their content.
+/// A consistent snapshot of the names and versions of objects, without their content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionList {
-    /// The version of the collection that they show.
+    /// The version of the collection at the snapshot.
     pub resource_version: ResourceVersion,
-    /// Name and version of each object, in name order.
+    /// The name and version of each object, ordered by name.
     pub items: Vec<(Arc<str>, ResourceVersion)>,
 }
--- a/crates/chervilshunt_platform/src/resource.rs
+++ b/crates/chervilshunt_platform/src/resource.rs
@@ -1,39 +1,40 @@
-//! The kinds of objects that the system uses.
+//! The kinds of objects that the system stores in or reads from the platform.
 
-/// Where an object keeps what is neither name nor label.
+/// Where an object's JSON holds its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Layout {
-    /// In its `spec`.
+    /// In the field `spec`.
     Spec,
-    /// Beside its `metadata`, as EndpointSlices do.
+    /// In fields next to `metadata`, as in EndpointSlices.
     Flat,
 }
 
-/// A kind of object, and where the object API has it.
+/// A kind of object and its location in the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resource {
     /// The API group.
     pub group: &'static str,
-    /// The version of the group.
+    /// The version of the API group.
     pub version: &'static str,
-    /// The name in paths.
+    /// The plural name, used in paths.
     pub plural: &'static str,
-    /// The name in objects.
+    /// The kind, as given in objects.
     pub kind: &'static str,
-    /// Where objects of the kind keep their content.
+    /// Where the JSON of an object holds its content.
     pub layout: Layout,
-    /// What calls about it are for, in metrics and logs.
+    /// The purpose of calls for this kind, as a label value of metrics.
     pub purpose: &'static str,
-    /// Objects in one page of a list, so that the answer stays a few megabytes at most.
+    /// The number of objects in one page of a list, chosen to keep a response within a few
+    /// megabytes.
     pub page: u32,
-    /// The column of its tables that gives an object's version, if its definition has one.
+    /// The printer column that holds an object's version, if the kind's definition has one.
     pub version_column: Option<&'static str>,
-    /// Whether its writes may use the part of the rate that is kept for urgent calls.
+    /// Whether writes may use the part of the burst reserved for urgent calls.
     pub urgent_writes: bool,
 }
 
 impl Resource {
-    /// Returns the path of the kind's objects in a namespace.
+    /// Returns the path of the kind's collection in a namespace.
     pub(crate) fn path(&self, namespace: &str) -> String {
         let Self {
             group,
@@ -45,21 +46,21 @@
     }
 }
 
-/// The group of the system's own kinds.
+/// The API group of the system's own kinds.
 const OWN_GROUP: &str = "chervilshunt.io";
 
-/// The column that the definition of assignments has beside the name; see
+/// The printer column for the version in the definition of assignments. See
 /// `docs/operators/platform.md`.
 const VERSION_COLUMN: &str = "Version";
 
-/// For objects of up to a few kilobytes.
-const SMALL_OBJECTS: u32 = 500;
+/// The page size, in objects, for objects of up to a few kilobytes.
+const SMALL_OBJECTS_PAGE: u32 = 500;
 
-/// For objects of some tens of kilobytes.
-const MEDIUM_OBJECTS: u32 = 50;
+/// The page size, in objects, for objects of some tens of kilobytes.
+const MEDIUM_OBJECTS_PAGE: u32 = 50;
 
-/// For objects of up to a megabyte.
-const LARGE_OBJECTS: u32 = 4;
+/// The page size, in objects, for objects of up to a megabyte.
+const LARGE_OBJECTS_PAGE: u32 = 4;
 
 const fn own_kind(
     plural: &'static str,
@@ -80,8 +81,8 @@
     }
 }
 
-/// Leases, one for each instance. Their renewals are urgent: one that waits behind a newcomer's
-/// pages would cost the instance its roles.
+/// Leases, one per instance. Renewals are urgent: if one had to wait behind the pages that a new
+/// instance reads, the lease could expire and the instance would lose its roles.
 pub const LEASES: Resource = Resource {
     group: "coordination.k8s.io",
     version: "v1",
@@ -89,12 +90,12 @@
     kind: "Lease",
     layout: Layout::Spec,
     purpose: "leases",
-    page: SMALL_OBJECTS,
+    page: SMALL_OBJECTS_PAGE,
     version_column: None,
     urgent_writes: true,
 };
 
-/// The instance list.
+/// EndpointSlices, which hold the instance list.
 pub const ENDPOINT_SLICES: Resource = Resource {
     group: "discovery.k8s.io",
     version: "v1",
@@ -102,25 +103,38 @@
     kind: "EndpointSlice",
     layout: Layout::Flat,
     purpose: "instance_list",
-    page: MEDIUM_OBJECTS,
+    page: MEDIUM_OBJECTS_PAGE,
     version_column: None,
     urgent_writes: false,
 };
 
-/// The head of the configuration.
-pub const CONFIG_HEADS: Resource =
-    own_kind("configheads", "ConfigHead", "config_head", SMALL_OBJECTS);
+/// The head record of the configuration.
+pub const CONFIG_HEADS: Resource = own_kind(
+    "configheads",
+    "ConfigHead",
+    "config_head",
+    SMALL_OBJECTS_PAGE,
+);
 
 /// The pages of the configuration.
-pub const CONFIG_PAGES: Resource =
-    own_kind("configpages", "ConfigPage", "config_pages", LARGE_OBJECTS);
+pub const CONFIG_PAGES: Resource = own_kind(
+    "configpages",
+    "ConfigPage",
+    "config_pages",
+    LARGE_OBJECTS_PAGE,
+);
 
-/// Which instance holds which role. There are enough to make a table worth its head, which is
-/// longer than that of a list of metadata by what four objects take there.
+/// Assignments of roles to instances. They are numerous enough for a table to pay off: its header
+/// is larger than that of a metadata list by the size of four objects in the latter.
 pub const ASSIGNMENTS: Resource = Resource {
     version_column: Some(VERSION_COLUMN),
-    ..own_kind("assignments", "Assignment", "assignments", LARGE_OBJECTS)
+    ..own_kind(
+        "assignments",
+        "Assignment",
+        "assignments",
+        LARGE_OBJECTS_PAGE,
+    )
 };
 
-/// Claims of idempotency keys.
-pub const CLAIM_PAGES: Resource = own_kind("claimpages", "ClaimPage", "claims", LARGE_OBJECTS);
+/// Pages of idempotency claims.
+pub const CLAIM_PAGES: Resource = own_kind("claimpages", "ClaimPage", "claims", LARGE_OBJECTS_PAGE);
--- a/crates/chervilshunt_platform/src/selector.rs
+++ b/crates/chervilshunt_platform/src/selector.rs
@@ -1,8 +1,9 @@
-//! Selection of objects by their labels.
+//! Label selectors.
 
 use std::fmt;
 
-/// A selector of labels by equality, all of which have to hold; the default selects everything.
+/// A set of label equality requirements, all of which have to hold. The default selects every
+/// object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector(Vec<(String, String)>);
 
@@ -17,14 +18,14 @@
         Self::all().and(key, value)
     }
 
-    /// Narrows the selection to objects whose label `key` is `value`.
+    /// Adds the requirement that the label `key` is `value`.
     #[must_use]
     pub fn and(mut self, key: impl Into<String>, value: impl Into<String>) -> Self {
         self.0.push((key.into(), value.into()));
         self
     }
 
-    /// Says whether it selects every object.
+    /// Returns whether the selector matches every object.
     pub const fn is_all(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/chervilshunt_platform/src/table.rs
+++ b/crates/chervilshunt_platform/src/table.rs
@@ -1,4 +1,4 @@
-//! A list as a table: the columns of a kind's definition in place of its objects.
+//! Lists in table format, which contain the printer columns of a kind instead of its objects.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 use crate::ResourceVersion;
 use crate::wire::ListMetadata;
 
-/// The kind that an API server gives to a table.
+/// The `kind` of a table in an API server's response.
 const TABLE_KIND: &str = "Table";
 
-/// The column that every table has.
+/// The name column, which every table has.
 const NAME_COLUMN: &str = "Name";
 
-/// One page of a list as a table, or the head of what was sent in place of one.
+/// One page of a list in table format, or the metadata of the list that was sent instead.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct TablePage {
@@ -38,22 +38,22 @@
 }
 
 impl TablePage {
-    /// Says whether an API server made a table.
+    /// Returns whether the response is a table.
     pub(crate) fn is_table(&self) -> bool {
         self.kind == TABLE_KIND
     }
 
-    /// Reads names and versions; none if a cell for them is missing or of another form.
+    /// Returns the names and versions, or `None` if a column or cell is missing or malformed.
     pub(crate) fn versions(&self, column: &str) -> Option<Vec<(Arc<str>, ResourceVersion)>> {
-        let (name, version) = (self.place(NAME_COLUMN)?, self.place(column)?);
+        let (name, version) = (self.column_index(NAME_COLUMN)?, self.column_index(column)?);
         let rows = self.rows.iter().map(|row| {
-            let cell = |place: usize| row.cells.get(place)?.as_str();
+            let cell = |index: usize| row.cells.get(index)?.as_str();
             Some((cell(name)?.into(), ResourceVersion::parse(cell(version)?)?))
         });
         rows.collect()
     }
 
-    fn place(&self, column: &str) -> Option<usize> {
+    fn column_index(&self, column: &str) -> Option<usize> {
         self.column_definitions
             .iter()
             .position(|definition| definition.name == column)
--- a/crates/chervilshunt_platform/src/wire.rs
+++ b/crates/chervilshunt_platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! Objects and lists as the object API writes them.
+//! JSON encoding and decoding of objects, lists and watch events of the object API.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use crate::{Layout, Object, Resource, ResourceVersion};
 
-/// What every object says of itself.
+/// The metadata of an object.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Metadata {
@@ -22,13 +22,14 @@
     pub(crate) annotations: BTreeMap<String, String>,
 }
 
-/// An object of which only the metadata matters.
+/// An object of which only the metadata is decoded.
 #[derive(Debug, Deserialize)]
 pub(crate) struct MetadataOnly {
     pub(crate) metadata: Metadata,
 }
 
-/// A list whose items are read one by one, so that a malformed one spoils no other.
+/// A list whose items are decoded individually, so that a malformed item does not fail the whole
+/// list.
 #[derive(Debug, Deserialize)]
 pub(crate) struct RawList<'a> {
     pub(crate) metadata: ListMetadata,
@@ -44,7 +45,7 @@
     pub(crate) next: String,
 }
 
-/// One line of a watch.
+/// One line of a watch's response.
 #[derive(Debug, Deserialize)]
 pub(crate) struct RawEvent<'a> {
     #[serde(rename = "type")]
@@ -63,7 +64,7 @@
     Error,
 }
 
-/// What the object API says of a failure.
+/// The `Status` object with which the object API reports a failure.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Status {
@@ -73,23 +74,23 @@
 }
 
 #[derive(Serialize)]
-struct SpecOut<'a, S> {
+struct SpecObjectRef<'a, S> {
     #[serde(flatten)]
-    head: Head<'a>,
+    header: ObjectHeader<'a>,
     spec: &'a S,
 }
 
 #[derive(Serialize)]
-struct FlatOut<'a, S> {
+struct FlatObjectRef<'a, S> {
     #[serde(flatten)]
-    head: Head<'a>,
+    header: ObjectHeader<'a>,
     #[serde(flatten)]
     spec: &'a S,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
-struct Head<'a> {
+struct ObjectHeader<'a> {
     api_version: String,
     kind: &'a str,
     metadata: Metadata,
@@ -97,27 +98,27 @@
 
 #[derive(Deserialize)]
 #[serde(bound = "S: DeserializeOwned")]
-struct SpecIn<S> {
+struct SpecObject<S> {
     metadata: Metadata,
-    /// Kubernetes leaves out an empty one.
+    /// Kubernetes omits an empty `spec`.
     #[serde(default = "Option::default")]
     spec: Option<S>,
 }
 
 #[derive(Deserialize)]
-struct FlatIn<S> {
+struct FlatObject<S> {
     metadata: Metadata,
     #[serde(flatten)]
     spec: S,
 }
 
-/// Writes an object, with the version that it has to have.
+/// Encodes an object. `version` is the version that the stored object must have, if any.
 pub(crate) fn encode<S: Serialize>(
     resource: Resource,
     object: &Object<S>,
     version: Option<ResourceVersion>,
 ) -> serde_json::Result<Vec<u8>> {
-    let head = Head {
+    let header = ObjectHeader {
         api_version: format!("{}/{}", resource.group, resource.version),
         kind: resource.kind,
         metadata: Metadata {
@@ -129,19 +130,19 @@
     };
     let spec = &object.spec;
     match resource.layout {
-        Layout::Spec => serde_json::to_vec(&SpecOut { head, spec }),
-        Layout::Flat => serde_json::to_vec(&FlatOut { head, spec }),
+        Layout::Spec => serde_json::to_vec(&SpecObjectRef { header, spec }),
+        Layout::Flat => serde_json::to_vec(&FlatObjectRef { header, spec }),
     }
 }
 
-/// Reads an object.
+/// Decodes an object.
 pub(crate) fn decode<S: DeserializeOwned>(
     resource: Resource,
     text: &[u8],
 ) -> serde_json::Result<Object<S>> {
     let (metadata, spec) = match resource.layout {
         Layout::Spec => {
-            let object: SpecIn<S> = serde_json::from_slice(text)?;
+            let object: SpecObject<S> = serde_json::from_slice(text)?;
             let spec = match object.spec {
                 Some(spec) => spec,
                 None => S::deserialize(serde_json::Value::Null)?,
@@ -149,7 +150,7 @@
             (object.metadata, spec)
         }
         Layout::Flat => {
-            let object: FlatIn<S> = serde_json::from_slice(text)?;
+            let object: FlatObject<S> = serde_json::from_slice(text)?;
             (object.metadata, object.spec)
         }
     };
