--- a/crates/chervilshunt_platform/src/instance_list/mod.rs
+++ b/crates/chervilshunt_platform/src/instance_list/mod.rs
@@ -1,4 +1,4 @@
-//! The instance list: EndpointSlices as changes of single instances and targets.
+//! The instance list: combines EndpointSlices into changes of individual instances and targets.
 
 mod slice;
 mod view;
--- a/crates/chervilshunt_platform/src/instance_list/slice.rs
+++ b/crates/chervilshunt_platform/src/instance_list/slice.rs
@@ -1,73 +1,73 @@
-//! EndpointSlices as the object API has them.
+//! EndpointSlices in the format of the object API.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The label that names the service of a slice.
+/// The label that holds the name of a slice's service.
 pub const SERVICE_LABEL: &str = "kubernetes.io/service-name";
 
-/// What a slice holds beside its metadata.
+/// The content of a slice, without its metadata.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointSlice {
-    /// The kind of all its addresses, `IPv4` or `IPv6`.
+    /// The type of all addresses in the slice, `IPv4` or `IPv6`.
     pub address_type: Arc<str>,
-    /// Its endpoints.
+    /// The endpoints in the slice.
     #[serde(default)]
     pub endpoints: Vec<Endpoint>,
-    /// The ports of each of its endpoints.
+    /// The ports, which are the same for all endpoints in the slice.
     #[serde(default)]
     pub ports: Vec<EndpointPort>,
 }
 
-/// One endpoint.
+/// One endpoint of a slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Endpoint {
-    /// Its addresses, of which the first counts.
+    /// The addresses of the endpoint. Only the first is used.
     pub addresses: Vec<Arc<str>>,
-    /// Whether it serves.
+    /// The readiness of the endpoint.
     #[serde(default)]
     pub conditions: EndpointConditions,
-    /// What it is an endpoint of.
+    /// The instance or target behind the endpoint.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_ref: Option<TargetRef>,
-    /// The availability zone that it stands in.
+    /// The availability zone of the endpoint.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Arc<str>>,
 }
 
-/// Whether an endpoint serves; what is left out is as Kubernetes has it.
+/// The conditions of an endpoint. Missing values have the defaults that Kubernetes defines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointConditions {
-    /// Whether it takes new work; left out, it does.
+    /// Whether the endpoint accepts new work. Defaults to `true`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready: Option<bool>,
-    /// Whether it answers; left out, as `ready`.
+    /// Whether the endpoint responds to requests. Defaults to `ready`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub serving: Option<bool>,
-    /// Whether it is about to leave; left out, it is not.
+    /// Whether the endpoint is shutting down. Defaults to `false`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub terminating: Option<bool>,
 }
 
-/// What an endpoint stands for.
+/// A reference to the instance or target behind an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRef {
-    /// Its kind.
+    /// The kind of the referenced object.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<Arc<str>>,
     /// The name of the instance or target.
     pub name: Arc<str>,
 }
 
-/// A port of all endpoints of a slice.
+/// A port shared by all endpoints of a slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointPort {
-    /// Its name.
+    /// The name of the port.
     #[serde(default)]
     pub name: Arc<str>,
-    /// Its number.
+    /// The port number.
     pub port: u16,
 }
--- a/crates/chervilshunt_platform/src/instance_list/view.rs
+++ b/crates/chervilshunt_platform/src/instance_list/view.rs
@@ -1,4 +1,4 @@
-//! The instances and targets that the slices of a watch add up to.
+//! Maintains the set of instances and targets from the slices that a watch delivers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -9,75 +9,75 @@
 use super::slice::{Endpoint, EndpointSlice, SERVICE_LABEL};
 use crate::{Object, ResourceVersion, WatchEvent};
 
-/// One instance or target as the list has it.
+/// One instance or target of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedInstance {
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: ServiceName,
     /// The instance id or the target's name.
     pub name: Arc<str>,
-    /// Its address.
+    /// The IP address.
     pub address: IpAddr,
-    /// The availability zone that it stands in, if the list says so.
+    /// The availability zone, if the slice gives one.
     pub zone: Option<ZoneName>,
-    /// Its ports by name.
+    /// The port numbers by port name.
     pub ports: BTreeMap<Arc<str>, u16>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub ready: bool,
-    /// Whether it answers.
+    /// Whether it responds to requests.
     pub serving: bool,
-    /// Whether it is about to leave.
+    /// Whether it is shutting down.
     pub terminating: bool,
 }
 
 impl ListedInstance {
-    /// Says whether new work may be given to it.
+    /// Returns whether new work may be sent to it.
     pub const fn takes_new_work(&self) -> bool {
         self.serving && !self.terminating
     }
 }
 
-/// A change of the list.
+/// A change to the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InstanceChange {
-    /// It is new.
+    /// An instance or target was added.
     Joined(ListedInstance),
-    /// It has changed: its state, address, zone or ports.
+    /// The state, address, zone or ports of an instance or target changed.
     Changed(ListedInstance),
-    /// It is gone from the list.
+    /// An instance or target was removed.
     Left {
-        /// The service that it belonged to.
+        /// The service to which it belonged.
         service: ServiceName,
-        /// Its name.
+        /// The instance id or the target's name.
         name: Arc<str>,
     },
-    /// An endpoint was left out of the list as it can't be read.
+    /// An endpoint, or a whole slice, was skipped because it is malformed.
     Skipped {
-        /// The slice that it is in.
+        /// The name of the slice.
         slice: Arc<str>,
-        /// What is wrong with it.
+        /// The reason.
         problem: EndpointProblem,
     },
 }
 
-/// Why an endpoint can't be read.
+/// The reason why an endpoint or a slice is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointProblem {
-    /// The slice can't be read at all; what it said before stands.
+    /// The slice can't be decoded. Its previous content, if any, remains in force.
     MalformedSlice,
-    /// The slice does not name its service.
+    /// The slice has no label with the name of its service.
     NoService,
-    /// The endpoint does not name what it stands for.
+    /// The endpoint has no reference to an instance or target.
     NoName,
-    /// The endpoint has no address that is an IP number.
+    /// The endpoint has no address, or its first address is not an IP address.
     NoAddress,
 }
 
-/// Adds up slices to instances.
+/// The instances and targets of all slices.
 ///
-/// An instance may stand in two slices for a while when the platform moves it from one to the
-/// other: the slice that was written last counts, and the instance leaves when the last one has
-/// dropped it.
+/// An instance may be in two slices for a while when the platform moves it from one to the other.
+/// The slice with the higher version takes precedence, and the instance is removed from the list
+/// once no slice contains it.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceList {
     slices: BTreeMap<Arc<str>, SliceView>,
@@ -99,12 +99,12 @@
         self.instances.get(&(service.clone(), name.into()))
     }
 
-    /// Returns all instances and targets by service and name.
+    /// Returns all instances and targets, ordered by service and name.
     pub fn iter(&self) -> impl Iterator<Item = &ListedInstance> {
         self.instances.values()
     }
 
-    /// Returns the instances or targets of a service, by name.
+    /// Returns the instances or targets of a service, ordered by name.
     pub fn of_service<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -113,17 +113,17 @@
             .filter(move |instance| instance.service == *service)
     }
 
-    /// Says whether the list was told in full and is being kept up.
+    /// Returns whether the watch has delivered the complete list and is not stalled.
     pub const fn is_current(&self) -> bool {
         self.is_current
     }
 
-    /// Takes an event of the watch and returns what it changes.
+    /// Applies an event of the watch and returns the resulting changes.
     pub fn apply(&mut self, event: WatchEvent<EndpointSlice>) -> Vec<InstanceChange> {
         match event {
             WatchEvent::Applied(slice) => self.put(slice),
             WatchEvent::Deleted { name } => match self.slices.remove(&name) {
-                Some(view) => self.settle(view.instances.into_keys().collect()),
+                Some(view) => self.recompute(view.instances.into_keys().collect()),
                 None => Vec::new(),
             },
             WatchEvent::Malformed { name, .. } => vec![InstanceChange::Skipped {
@@ -142,16 +142,16 @@
     }
 
     fn put(&mut self, slice: Object<EndpointSlice>) -> Vec<InstanceChange> {
-        let (instances, problems) = read_slice(&slice);
+        let (instances, problems) = parse_slice(&slice);
         let view = SliceView {
             version: slice.resource_version,
             instances,
         };
-        let mut touched: BTreeSet<_> = view.instances.keys().cloned().collect();
+        let mut affected: BTreeSet<_> = view.instances.keys().cloned().collect();
         if let Some(before) = self.slices.insert(Arc::clone(&slice.name), view) {
-            touched.extend(before.instances.into_keys());
+            affected.extend(before.instances.into_keys());
         }
-        let mut changes = self.settle(touched);
+        let mut changes = self.recompute(affected);
         changes.extend(problems.into_iter().map(|problem| InstanceChange::Skipped {
             slice: Arc::clone(&slice.name),
             problem,
@@ -159,15 +159,15 @@
         changes
     }
 
-    /// Works out anew the instances whose slices have changed.
-    fn settle(&mut self, touched: BTreeSet<InstanceKey>) -> Vec<InstanceChange> {
-        touched
+    /// Recomputes the instances whose slices have changed.
+    fn recompute(&mut self, affected: BTreeSet<InstanceKey>) -> Vec<InstanceChange> {
+        affected
             .into_iter()
-            .filter_map(|key| self.settle_one(key))
+            .filter_map(|key| self.recompute_one(key))
             .collect()
     }
 
-    fn settle_one(&mut self, key: InstanceKey) -> Option<InstanceChange> {
+    fn recompute_one(&mut self, key: InstanceKey) -> Option<InstanceChange> {
         let newest = self
             .slices
             .values()
@@ -191,8 +191,8 @@
     }
 }
 
-/// Reads the endpoints of a slice, and what is wrong with those that can't be read.
-fn read_slice(
+/// Returns the instances of a slice, and the problems of its malformed endpoints.
+fn parse_slice(
     slice: &Object<EndpointSlice>,
 ) -> (BTreeMap<InstanceKey, ListedInstance>, Vec<EndpointProblem>) {
     let Some(service) = slice.labels.get(SERVICE_LABEL) else {
@@ -206,7 +206,7 @@
     let mut instances = BTreeMap::new();
     let mut problems = Vec::new();
     for endpoint in &slice.spec.endpoints {
-        match read_endpoint(&service, &ports, endpoint) {
+        match parse_endpoint(&service, &ports, endpoint) {
             Ok(instance) => {
                 let key = (service.clone(), Arc::clone(&instance.name));
                 instances.insert(key, instance);
@@ -217,7 +217,7 @@
     (instances, problems)
 }
 
-fn read_endpoint(
+fn parse_endpoint(
     service: &ServiceName,
     ports: &BTreeMap<Arc<str>, u16>,
     endpoint: &Endpoint,
