--- a/crates/chervilshunt_platform/src/exchange.rs
+++ b/crates/chervilshunt_platform/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of calls and answers, with rate limit, time limits, retries and accounts.
+//! Sends calls over HTTP, with rate limit, time limits, retries and metrics.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,16 +20,16 @@
 use crate::transport::{HttpClient, http_client};
 use crate::{PlatformConfig, PlatformError, Timeouts};
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// The maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Names the instance to the platform.
+/// Identifies the calling instance to the platform.
 const INSTANCE_HEADER: &str = "x-instance";
 
-/// Makes every call of the process.
+/// Sends all calls of the process to the platform.
 ///
-/// [`crate::Platform`] speaks the object API through it; a service that speaks otherwise is called
-/// with [`Call::custom`], under the same rate, time limits and accounts.
+/// [`crate::Platform`] uses it for the object API. Services with a different API are called with
+/// [`Call::custom`], under the same rate limit, time limits and metrics.
 #[derive(Debug)]
 pub struct Exchange {
     cfg: PlatformConfig,
@@ -38,7 +38,7 @@
 }
 
 impl Exchange {
-    /// Makes an exchange; it connects at the first call.
+    /// Creates an exchange. It connects on the first call.
     pub fn new(cfg: PlatformConfig) -> Self {
         Self {
             http: http_client(cfg.timeouts.connect),
@@ -47,25 +47,26 @@
         }
     }
 
-    /// Returns what the exchange was told.
+    /// Returns the configuration.
     pub const fn config(&self) -> &PlatformConfig {
         &self.cfg
     }
 
-    /// Makes a call, and makes it again where that can't do harm.
+    /// Makes a call, retrying it where that is safe, and returns the response body.
     ///
     /// # Errors
-    /// What the call's reader of failures says; `Unavailable`, `Timeout` or `OutcomeUnknown` where
-    /// there is no answer.
+    /// Returns the error that the call's [`crate::FailureReader`] makes of an error response;
+    /// `Unavailable`, `Timeout` or `OutcomeUnknown` if there is no response; and `RateLimited` if
+    /// this process's rate limit leaves no time before the deadline.
     pub async fn call(&self, call: &Call, timeouts: Timeouts) -> Result<Bytes, PlatformError> {
-        let answer = self.call_for_answer(call, timeouts).await?;
-        Ok(answer.into_body())
+        let response = self.call_for_answer(call, timeouts).await?;
+        Ok(response.into_body())
     }
 
-    /// Makes a call as [`Exchange::call`] does, and returns the headers of its answer too.
+    /// Makes a call like [`Exchange::call`] and returns the whole response, including its headers.
     ///
     /// # Errors
-    /// Those of [`Exchange::call`].
+    /// Returns the same errors as [`Exchange::call`].
     pub async fn call_for_answer(
         &self,
         call: &Call,
@@ -73,17 +74,17 @@
     ) -> Result<Response<Bytes>, PlatformError> {
         let deadline = now() + timeouts.call;
         let mut backoff = Backoff::new(self.cfg.backoff);
-        self.pacer.record_first_try();
+        self.pacer.record_first_attempt();
         let mut attempts = 1;
         loop {
-            let answered = self
-                .attempt(call, timeouts.attempt, deadline, async |answer| {
-                    read_answer(call, answer).await
+            let result = self
+                .attempt(call, timeouts.attempt, deadline, async |response| {
+                    read_response(call, response).await
                 })
                 .await;
-            let err = match answered {
+            let err = match result {
                 Err(err) if may_retry(&err) => err,
-                answered => return answered,
+                result => return result,
             };
             let wait = backoff.next_wait(rand::random::<f64>);
             let wait = match &err {
@@ -107,20 +108,23 @@
         }
     }
 
-    /// Makes one try of a call and leaves the body of its answer to be read without a time limit.
+    /// Makes one attempt of a call and returns the response body as a stream, which may be read
+    /// without a time limit.
     pub(crate) async fn open(
         &self,
         call: &Call,
         timeouts: Timeouts,
     ) -> Result<Incoming, PlatformError> {
         let deadline = now() + timeouts.call;
-        let answer = self
-            .attempt(call, timeouts.attempt, deadline, async |answer| Ok(answer))
+        let response = self
+            .attempt(call, timeouts.attempt, deadline, async |response| {
+                Ok(response)
+            })
             .await?;
-        Ok(answer.into_body())
+        Ok(response.into_body())
     }
 
-    /// Makes one try of a call, in the process's turn and within its time limit.
+    /// Makes one attempt of a call within its time limit, after waiting for the rate limit.
     async fn attempt<T>(
         &self,
         call: &Call,
@@ -129,21 +133,21 @@
         read: impl AsyncFnOnce(Response<Incoming>) -> Result<T, PlatformError>,
     ) -> Result<T, PlatformError> {
         let purpose = call.resource.purpose;
-        if let Err(retry_after) = self.pacer.turn(call.urgency(), deadline).await {
+        if let Err(retry_after) = self.pacer.acquire(call.urgency(), deadline).await {
             count_held_back(purpose);
             return Err(PlatformError::RateLimited {
                 call: Arc::clone(&call.label),
                 retry_after,
             });
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let limit = limit.min(now().until(deadline));
         let result = self.send(call, limit, read).await;
         count_attempt(
             purpose,
             call.verb,
             result.as_ref().map(|_| ()),
-            began.elapsed(),
+            started_at.elapsed(),
         );
         result
     }
@@ -158,15 +162,15 @@
         let connection = capture_connection(&mut req);
         let exchange = async {
             let sent = self.http.request(req).await;
-            let answer = sent.map_err(|err| match err.is_connect() {
+            let response = sent.map_err(|err| match err.is_connect() {
                 true => call.unavailable(&err.to_string()),
                 false => lost(&call.label, call.verb, err.to_string()),
             })?;
-            if answer.status().is_success() {
-                return read(answer).await;
+            if response.status().is_success() {
+                return read(response).await;
             }
-            let (head, body) = answer.into_parts();
-            let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+            let (head, body) = response.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
             let body = body.map(|body| body.to_bytes()).unwrap_or_default();
             Err((call.failure)(
                 &call.label,
@@ -179,7 +183,7 @@
         match timeout(limit, exchange).await {
             Ok(result) => result,
             Err(_elapsed) if connection.connection_metadata().is_none() => {
-                Err(call.unavailable("no connection in time"))
+                Err(call.unavailable("no connection within the time limit"))
             }
             Err(_elapsed) => Err(timed_out(&call.label, call.verb)),
         }
@@ -200,12 +204,12 @@
     }
 }
 
-async fn read_answer(
+async fn read_response(
     call: &Call,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
 ) -> Result<Response<Bytes>, PlatformError> {
-    let (head, body) = answer.into_parts();
-    match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
+    let (head, body) = response.into_parts();
+    match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
         Err(err) => Err(lost(&call.label, call.verb, err.to_string())),
     }
--- a/crates/chervilshunt_platform/src/pacer.rs
+++ b/crates/chervilshunt_platform/src/pacer.rs
@@ -1,4 +1,4 @@
-//! The process's own rate limit, and the retry budget of all its calls.
+//! The client-side rate limit and the retry budget for all calls of the process.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,18 +9,19 @@
 use crate::clock::{now, sleep_until};
 use crate::{PlatformConfig, RateLimit};
 
-/// Paces every call of the process.
+/// Limits the rate of calls and the share of retries for the whole process.
 #[derive(Debug)]
 pub(crate) struct Pacer {
     bucket: Mutex<TokenBucket>,
     budget: Mutex<RetryBudget>,
     urgent_reserve: f64,
-    /// Only the first in each line waits for the bucket, so that calls go out in order.
-    urgent_line: tokio::sync::Mutex<()>,
-    line: tokio::sync::Mutex<()>,
+    /// Queues for urgent and normal calls. Only the first call in each queue waits for the bucket,
+    /// so that calls are sent in order.
+    urgent_queue: tokio::sync::Mutex<()>,
+    queue: tokio::sync::Mutex<()>,
 }
 
-/// Whether a call may use the part of the rate that is kept for urgent ones.
+/// Whether a call may use the part of the burst reserved for urgent calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
     Urgent,
@@ -38,26 +39,27 @@
             bucket: Mutex::new(TokenBucket::new(per_second, burst, now)),
             budget: Mutex::new(RetryBudget::new(cfg.retries, now)),
             urgent_reserve,
-            urgent_line: tokio::sync::Mutex::default(),
-            line: tokio::sync::Mutex::default(),
+            urgent_queue: tokio::sync::Mutex::default(),
+            queue: tokio::sync::Mutex::default(),
         }
     }
 
-    /// Waits until a call may go out.
+    /// Waits until the rate limit allows a call.
     ///
     /// # Errors
-    /// Fails at once if that can't be before `deadline`; says how long it would take.
-    pub(crate) async fn turn(
+    /// Fails if the call can't be allowed before `deadline`. Returns the time until it would be
+    /// allowed, if known: it is `None` if the deadline passes while the call is queued.
+    pub(crate) async fn acquire(
         &self,
         urgency: Urgency,
         deadline: Moment,
     ) -> Result<(), Option<Duration>> {
-        let (line, reserve) = match urgency {
-            Urgency::Urgent => (&self.urgent_line, 0.0),
-            Urgency::Normal => (&self.line, self.urgent_reserve),
+        let (queue, reserve) = match urgency {
+            Urgency::Urgent => (&self.urgent_queue, 0.0),
+            Urgency::Normal => (&self.queue, self.urgent_reserve),
         };
-        let in_line = tokio::time::timeout(now().until(deadline), line.lock()).await;
-        let _first = in_line.map_err(|_elapsed| None)?;
+        let head = tokio::time::timeout(now().until(deadline), queue.lock()).await;
+        let _head = head.map_err(|_elapsed| None)?;
         loop {
             let taken = lock(&self.bucket).try_take(reserve, now());
             let ready_at = match taken {
@@ -71,12 +73,12 @@
         }
     }
 
-    /// Takes note of the first try of a call.
-    pub(crate) fn record_first_try(&self) {
+    /// Records the first attempt of a call in the retry budget.
+    pub(crate) fn record_first_attempt(&self) {
         lock(&self.budget).record_first_try(now());
     }
 
-    /// Says whether one more retry is allowed, and counts it if so.
+    /// Returns whether the budget allows another retry, and deducts it if so.
     pub(crate) fn try_retry(&self) -> bool {
         lock(&self.budget).try_retry(now())
     }
--- a/crates/chervilshunt_platform/src/transport.rs
+++ b/crates/chervilshunt_platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections to the platform, whose bytes are counted.
+//! The HTTP client and its TCP connections, with counting of bytes.
 
 use std::future::Future;
 use std::io;
@@ -18,25 +18,26 @@
 
 use crate::accounting::count_bytes;
 
-/// How long an unused connection is kept. It lies below the time after which servers usually close
-/// one, as a write on a connection that is just being closed has an unknown outcome.
-const POOL_IDLE: Duration = Duration::from_secs(20);
+/// How long an idle connection is kept in the pool. It is shorter than the usual idle time-out of
+/// servers, because a write on a connection that is being closed has an unknown outcome.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Silence on a connection after which the system probes it, and the pause between probes.
+/// Idle time after which the kernel starts to probe a connection.
 ///
-/// A connection that a cut has silenced is never reset. A watch on it would wait in vain until its
-/// own time is over, and changes would come into force that much later; probes find it within 3 s.
+/// A connection interrupted by a network partition is not reset. Without probes, a watch on it
+/// would receive nothing until its idle time-out, which would delay the changes it should deliver.
+/// The probes detect the loss within 3 s.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long sent bytes may go unacknowledged before the system gives the connection up; the same
-/// bound as the probes give a connection without traffic.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(3);
+/// How long sent bytes may stay unacknowledged before the kernel closes the connection. The value
+/// equals the detection time of the keepalive probes on an idle connection.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The HTTP client below every call.
+/// The HTTP client used for all calls.
 pub(crate) type HttpClient = Client<CountedConnector, Full<Bytes>>;
 
-/// Makes the HTTP client.
+/// Creates the HTTP client.
 pub(crate) fn http_client(connect_timeout: Duration) -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(connect_timeout));
@@ -45,14 +46,14 @@
     connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
     connector.set_keepalive_retries(Some(KEEPALIVE_PROBES));
     #[cfg(target_os = "linux")]
-    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+    connector.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(POOL_IDLE)
+        .pool_idle_timeout(POOL_IDLE_TIMEOUT)
         .build(CountedConnector(connector))
 }
 
-/// Opens connections whose bytes are counted.
+/// A connector whose connections count their bytes.
 #[derive(Clone, Debug)]
 pub(crate) struct CountedConnector(HttpConnector);
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A TCP connection that counts the bytes read and written.
 #[derive(Debug)]
 pub(crate) struct CountedStream(TcpStream);
 
