--- a/crates/chervilshunt_platform/src/client.rs
+++ b/crates/chervilshunt_platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: every call with its rate limit, time limits, retries and accounts.
+//! The platform client: rate-limited calls with time limits, retries and metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,7 +13,7 @@
 use crate::answer::lost;
 use crate::call::{Call, ListedPart, delete_body, watch_query};
 use crate::exchange::Exchange;
-use crate::item::Item;
+use crate::item::ParsedItem;
 use crate::table::TablePage;
 use crate::watch::{Reconnects, WatchEvent, start_watch};
 use crate::wire::{ListMetadata, MetadataOnly, RawList, decode, encode};
@@ -22,10 +22,10 @@
     Timeouts, VersionList, WatchTiming,
 };
 
-/// How often a list is begun anew when the platform forgets the version of its pages.
+/// How many times a list is restarted from its first page after the continuation token expired.
 const MAX_LIST_RESTARTS: u32 = 2;
 
-/// The client of the platform; clones share one account, rate limit and retry budget.
+/// The platform client. Clones share the connections, the rate limit and the retry budget.
 #[derive(Clone, Debug)]
 pub struct Platform {
     shared: Arc<Shared>,
@@ -41,7 +41,7 @@
 }
 
 impl Platform {
-    /// Makes a client; it connects at the first call.
+    /// Creates a client. It connects on the first call.
     pub fn new(cfg: PlatformConfig, log: Logger) -> Self {
         Self {
             timeouts: cfg.timeouts,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns a client with other time limits that shares everything else.
+    /// Returns a client with different time limits that shares everything else with this one.
     #[must_use]
     pub fn with_timeouts(&self, timeouts: Timeouts) -> Self {
         Self {
@@ -63,12 +63,13 @@
         }
     }
 
-    /// Returns what the client was told.
+    /// Returns the client's configuration.
     pub fn config(&self) -> &PlatformConfig {
         self.shared.exchange.config()
     }
 
-    /// Tells how many instances share the platform; checks of watches get rarer with it.
+    /// Sets the number of instances that share the platform. The interval between checks of a
+    /// watch grows with it.
     pub fn set_fleet_size(&self, instances: usize) {
         let fleet_size = &self.shared.fleet_size;
         fleet_size.store(instances, Ordering::Relaxed);
@@ -77,7 +78,8 @@
     /// Reads one object.
     ///
     /// # Errors
-    /// `NotFound`, or as every read: `Unavailable`, `Timeout`, `RateLimited`, `Denied`, `Invalid`.
+    /// Returns `NotFound`, or one of the errors of every read: `Unavailable`, `Timeout`,
+    /// `RateLimited`, `Denied`, `Invalid`.
     pub async fn get<S: DeserializeOwned>(
         &self,
         resource: Resource,
@@ -89,17 +91,17 @@
         object.map_err(|err| call.malformed(&err))
     }
 
-    /// Reads all objects that a selector takes, page by page, as they stood together.
+    /// Reads a consistent snapshot of all objects that match a selector, page by page.
     ///
     /// # Errors
-    /// `Expired` if the platform forgets the version too fast to page through it, or as every
-    /// read.
+    /// Returns `Expired` if the snapshot's version keeps leaving the platform's history before all
+    /// pages are read, or one of the errors of every read (see [`Platform::get`]).
     pub async fn list<S: DeserializeOwned>(
         &self,
         resource: Resource,
         selector: &Selector,
     ) -> Result<ObjectList<S>, PlatformError> {
-        let read = |item: &str| Item::read(resource, item);
+        let read = |item: &str| ParsedItem::parse(resource, item);
         let (resource_version, items) = self.list_items(resource, selector, read).await?;
         let mut list = ObjectList {
             resource_version,
@@ -108,21 +110,21 @@
         };
         for item in items {
             match item {
-                Item::Object(object) => list.objects.push(object),
-                Item::Malformed { object, .. } => list.malformed.push(object),
+                ParsedItem::Object(object) => list.objects.push(object),
+                ParsedItem::Malformed { object, .. } => list.malformed.push(object),
             }
         }
         Ok(list)
     }
 
-    /// Reads the names and versions of all objects that a selector takes, without their content.
+    /// Reads the names and versions of all objects that match a selector, without their content.
     ///
-    /// It tells at a fraction of the bytes of a list what has changed since it was last read. Where
-    /// the kind has a column for the version it is read from a table, and else from the objects'
-    /// metadata, which says much besides.
+    /// This detects changes at a fraction of the bytes of a full list. If the kind has a column
+    /// for the version, the versions are read from a table, otherwise from the objects' metadata,
+    /// which is larger because it carries other fields too.
     ///
     /// # Errors
-    /// As [`Platform::list`].
+    /// Returns the same errors as [`Platform::list`].
     pub async fn list_versions(
         &self,
         resource: Resource,
@@ -136,8 +138,11 @@
         self.list_metadata(resource, selector).await
     }
 
-    /// Reads names and versions from a table, or from metadata if the platform makes no tables;
-    /// none if its table lacks the column, as where the kind's definition was installed without it.
+    /// Reads names and versions from a table, or from metadata if the platform does not support
+    /// tables.
+    ///
+    /// Returns `None` if the table lacks the column, for example because the kind's definition was
+    /// installed without it.
     async fn list_table(
         &self,
         resource: Resource,
@@ -181,8 +186,9 @@
     /// Creates an object and returns its version.
     ///
     /// # Errors
-    /// `AlreadyExists`, or as every write: `OutcomeUnknown` if its answer was lost, and where
-    /// nothing was written `Unavailable`, `RateLimited`, `Denied`, `Invalid`.
+    /// Returns `AlreadyExists`, or one of the errors of every write: `OutcomeUnknown` if it is
+    /// unknown whether the write took effect, for example because the response was lost, and
+    /// `Unavailable`, `RateLimited`, `Denied` or `Invalid` if nothing was written.
     pub async fn create<S: Serialize>(
         &self,
         resource: Resource,
@@ -193,10 +199,11 @@
         self.write(&call).await
     }
 
-    /// Replaces an object if it still has the version that was read, and returns its new one.
+    /// Replaces an object if it still has the version that was read, and returns its new version.
     ///
     /// # Errors
-    /// `Conflict` if it has another version by now, `NotFound`, or as every write.
+    /// Returns `Conflict` if the object's version has changed, `Invalid` if `object` has no
+    /// version, `NotFound`, or one of the errors of every write (see [`Platform::create`]).
     pub async fn update<S: Serialize>(
         &self,
         resource: Resource,
@@ -205,16 +212,17 @@
         let call = Call::of_object(Verb::Update, resource, self.namespace(), &object.name)?;
         let version = object.resource_version;
         if version.is_none() {
-            return Err(call.invalid("an update needs the version that was read"));
+            return Err(call.invalid("an update requires the object's resource version"));
         }
         let call = call.with_body(encode(resource, object, version))?;
         self.write(&call).await
     }
 
-    /// Deletes an object, only at a version if one is given.
+    /// Deletes an object. If `version` is given, deletes it only at that version.
     ///
     /// # Errors
-    /// `Conflict` if it has another version, `NotFound`, or as every write.
+    /// Returns `Conflict` if the object has a different version, `NotFound`, or one of the errors
+    /// of every write (see [`Platform::create`]).
     pub async fn delete(
         &self,
         resource: Resource,
@@ -229,9 +237,9 @@
         Ok(())
     }
 
-    /// Follows all objects that a selector takes, through every loss of the connection.
+    /// Watches all objects that match a selector, reconnecting whenever the connection is lost.
     ///
-    /// It ends when the receiver is dropped. See [`WatchEvent`] for what comes in which order.
+    /// The watch ends when the receiver is dropped. See [`WatchEvent`] for the order of events.
     pub fn watch<S>(&self, resource: Resource, selector: Selector) -> mpsc::Receiver<WatchEvent<S>>
     where
         S: DeserializeOwned + Send + 'static,
@@ -239,7 +247,8 @@
         self.watch_with(resource, selector, self.config().watch)
     }
 
-    /// Follows objects as [`Platform::watch`] does, with a timing of its own.
+    /// Watches objects like [`Platform::watch`], with the given timing instead of the configured
+    /// one.
     pub fn watch_with<S>(
         &self,
         resource: Resource,
@@ -249,7 +258,7 @@
     where
         S: DeserializeOwned + Send + 'static,
     {
-        // A watch has a way of its own to try again, which is shared with the other watches.
+        // A watch retries through `Reconnects`, which it shares with the other watches.
         let once = self.with_timeouts(Timeouts {
             max_attempts: 1,
             ..self.timeouts
@@ -273,7 +282,7 @@
         &self.config().namespace
     }
 
-    /// Opens a watch from a version on.
+    /// Opens a watch for changes after the version `from`.
     pub(crate) async fn open_watch(
         &self,
         resource: Resource,
@@ -286,7 +295,7 @@
         self.shared.exchange.open(&call, self.timeouts).await
     }
 
-    /// Lists objects page by page, each read from its JSON by `read`.
+    /// Lists objects page by page and parses the JSON of each with `read`.
     pub(crate) async fn list_items<T>(
         &self,
         resource: Resource,
@@ -303,7 +312,7 @@
             .await
     }
 
-    /// Reads the pages of a list as they stood together.
+    /// Reads all pages of a list as one consistent snapshot.
     async fn list_pages<T>(
         &self,
         resource: Resource,
@@ -323,13 +332,14 @@
                     items.clear();
                     continue;
                 }
-                answered => answered?,
+                result => result?,
             };
             let (metadata, page) = read(&call, &body)?;
             items.extend(page);
             if metadata.next.is_empty() {
                 let version = ResourceVersion::parse(&metadata.resource_version);
-                let version = version.ok_or_else(|| call.invalid("the list has no version"))?;
+                let version =
+                    version.ok_or_else(|| call.invalid("the list has no resource version"))?;
                 return Ok((version, items));
             }
             next = metadata.next;
@@ -338,26 +348,26 @@
 
     async fn write(&self, call: &Call) -> Result<ResourceVersion, PlatformError> {
         let body = self.shared.exchange.call(call, self.timeouts).await?;
-        // The write took effect, but at which version can't be told: the caller has to read.
-        let unreadable = || lost(&call.label, call.verb, "its answer is malformed");
+        // The write took effect, but its version is unknown, so the caller has to read the object.
+        let unreadable = || lost(&call.label, call.verb, "the response is malformed");
         let written: MetadataOnly = serde_json::from_slice(&body).map_err(|_err| unreadable())?;
         ResourceVersion::parse(&written.metadata.resource_version).ok_or_else(unreadable)
     }
 }
 
-/// A name with its version.
-type Version = (Arc<str>, ResourceVersion);
+/// An object's name and version.
+type NamedVersion = (Arc<str>, ResourceVersion);
 
 fn read_metadata_page(
     call: &Call,
     body: &[u8],
-) -> Result<(ListMetadata, Vec<Version>), PlatformError> {
+) -> Result<(ListMetadata, Vec<NamedVersion>), PlatformError> {
     let page: RawList<'_> = serde_json::from_slice(body).map_err(|err| call.malformed(&err))?;
     let items = page.items.iter().map(|item| {
         let item = serde_json::from_str(item.get());
         let item: MetadataOnly = item.map_err(|err| call.malformed(&err))?;
         let version = ResourceVersion::parse(&item.metadata.resource_version)
-            .ok_or_else(|| call.invalid("an object has no version"))?;
+            .ok_or_else(|| call.invalid("an object in the list has no resource version"))?;
         Ok((item.metadata.name, version))
     });
     let items = items.collect::<Result<_, _>>()?;
--- a/crates/chervilshunt_platform/src/item.rs
+++ b/crates/chervilshunt_platform/src/item.rs
@@ -1,4 +1,4 @@
-//! Objects as a list or a watch gives them, readable or not.
+//! Objects from a list or a watch, which may be malformed.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use crate::wire::{MetadataOnly, decode};
 use crate::{MalformedObject, Object, Resource, ResourceVersion};
 
-/// An object as it was listed or told.
-pub(crate) enum Item<S> {
+/// An object from a list or a watch event.
+pub(crate) enum ParsedItem<S> {
     Object(Object<S>),
     Malformed {
         object: MalformedObject,
@@ -17,8 +17,8 @@
     },
 }
 
-impl<S: DeserializeOwned> Item<S> {
-    pub(crate) fn read(resource: Resource, text: &str) -> Self {
+impl<S: DeserializeOwned> ParsedItem<S> {
+    pub(crate) fn parse(resource: Resource, text: &str) -> Self {
         let err = match decode(resource, text.as_bytes()) {
             Ok(object) => return Self::Object(object),
             Err(err) => err,
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(crate) fn event(self) -> WatchEvent<S> {
+    pub(crate) fn into_event(self) -> WatchEvent<S> {
         match self {
             Self::Object(object) => WatchEvent::Applied(object),
             Self::Malformed { object, .. } => WatchEvent::Malformed {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads the name and version of an object.
+/// Parses only the name and version of an object.
 pub(crate) fn metadata(object: &str) -> Option<(Arc<str>, ResourceVersion)> {
     let object: MetadataOnly = serde_json::from_str(object).ok()?;
     let version = ResourceVersion::parse(&object.metadata.resource_version)?;
--- a/crates/chervilshunt_platform/src/watch/check.rs
+++ b/crates/chervilshunt_platform/src/watch/check.rs
@@ -1,4 +1,4 @@
-//! The look for events that a watch never told.
+//! Periodic checks for events that a watch did not deliver.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -7,20 +7,23 @@
 
 use crate::{Platform, PlatformError, Resource, Selector, VersionList};
 
-/// The look for events that a watch never told, as far as it has come.
+/// The next step of a check for events that the watch did not deliver.
 ///
-/// It lives beside the watch: begun anew with each line, it would never end on a busy one.
-pub(super) type Check = Pin<Box<dyn Future<Output = Checked> + Send>>;
+/// It is kept across the lines of the watch: if it were restarted with each line, it would never
+/// complete on a busy watch.
+pub(super) type Check = Pin<Box<dyn Future<Output = CheckProgress> + Send>>;
 
-/// How far a check has come.
-pub(super) enum Checked {
-    /// The list was made; events that were on their way may still arrive.
+/// The result of a step of a check.
+pub(super) enum CheckProgress {
+    /// The objects were listed. Events still in transit may yet arrive.
     Listed(VersionList),
+    /// The list call failed.
     Failed(PlatformError),
+    /// Events in transit at the time of the list have had time to arrive.
     Settled(VersionList),
 }
 
-/// Lists names and versions at a time.
+/// Lists names and versions at the time `at`.
 pub(super) fn check_at(
     platform: Platform,
     resource: Resource,
@@ -34,16 +37,16 @@
             async |_outage| {},
         );
         match listed.await {
-            Ok(listed) => Checked::Listed(listed),
-            Err(err) => Checked::Failed(err),
+            Ok(listed) => CheckProgress::Listed(listed),
+            Err(err) => CheckProgress::Failed(err),
         }
     })
 }
 
-/// Waits for events that were on their way when the list was made.
+/// Waits for events that were in transit when the list was made.
 pub(super) fn settle(listed: VersionList, settle: Duration) -> Check {
     Box::pin(async move {
         sleep(settle).await;
-        Checked::Settled(listed)
+        CheckProgress::Settled(listed)
     })
 }
--- a/crates/chervilshunt_platform/src/watch/follow.rs
+++ b/crates/chervilshunt_platform/src/watch/follow.rs
@@ -1,4 +1,4 @@
-//! The task behind a watch: list, watch, and again from where it stood.
+//! The task of a watch: lists the objects, watches for changes, and resumes after interruptions.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::check::{Check, Checked, check_at, settle};
-use super::known::{Difference, Known, OldList};
+use super::check::{Check, CheckProgress, check_at, settle};
+use super::known::{Difference, KnownVersions, OldList};
 use super::lines::Lines;
-use super::reconnects::is_outage;
+use super::reconnects::is_unreachable;
 use super::{StallReason, WatchEvent};
 use crate::accounting::{OpenWatch, count_missed_events};
-use crate::item::{Item, metadata};
+use crate::item::{ParsedItem, metadata};
 use crate::wire::{EventKind, RawEvent, Status};
 use crate::{
     Platform, PlatformError, Resource, ResourceVersion, Selector, VersionList, WatchTiming,
 };
 
-/// How much of an interval is added or taken off at random.
+/// The maximum jitter, as a fraction of an interval, added or subtracted at random.
 const JITTER: f64 = 0.2;
 
-/// Follows objects until the receiver is dropped.
+/// Runs a watch until the receiver is dropped.
 pub(crate) async fn run<S: DeserializeOwned>(
     platform: Platform,
     resource: Resource,
@@ -33,7 +33,7 @@
     timing: WatchTiming,
     tx: mpsc::Sender<WatchEvent<S>>,
 ) {
-    let gone = tx.clone();
+    let receiver = tx.clone();
     let mut follower = Follower {
         backoff: Backoff::new(timing.backoff),
         check_at: Instant::now() + jittered(timing.check_interval(platform.fleet_size())),
@@ -42,32 +42,33 @@
         selector,
         timing,
         tx,
-        known: Known::default(),
+        known: KnownVersions::default(),
         stalled: false,
     };
     tokio::select! {
-        () = gone.closed() => {}
-        _gone = follower.follow() => {}
+        () = receiver.closed() => {}
+        _dropped = follower.follow() => {}
     }
 }
 
-/// The receiver is gone.
-struct Gone;
+/// The error for events that can't be sent because the receiver was dropped.
+struct ReceiverDropped;
 
-/// Why a watch that was open is not any more.
+/// The reason why an open watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    /// It ended or broke, as every watch does some time.
+    /// The platform closed the watch, or the connection broke. Every watch ends this way sooner or
+    /// later.
     Closed {
-        /// Whether it told anything before.
-        told: bool,
+        /// Whether the watch received any line before it ended.
+        received: bool,
     },
-    /// Not even bookmarks came.
-    Silent,
-    /// The version to go on from is too old.
+    /// No line, not even a bookmark, arrived within the time limit.
+    IdleTimeout,
+    /// The version to resume from is no longer in the platform's history.
     Expired,
-    /// A list showed something that the watch never told.
-    Missed,
+    /// A list showed changes that the watch did not deliver.
+    MissedEvents,
 }
 
 struct Follower<S> {
@@ -76,107 +77,111 @@
     selector: Selector,
     timing: WatchTiming,
     tx: mpsc::Sender<WatchEvent<S>>,
-    known: Known,
+    known: KnownVersions,
     backoff: Backoff,
     check_at: Instant,
     stalled: bool,
 }
 
 impl<S: DeserializeOwned> Follower<S> {
-    async fn follow(&mut self) -> Result<(), Gone> {
+    async fn follow(&mut self) -> Result<(), ReceiverDropped> {
         let mut from = self.list().await?;
         loop {
             let lines = match self.open(from).await? {
                 Ok(lines) => lines,
                 Err(PlatformError::Expired { .. }) => {
-                    self.wait().await;
+                    self.back_off().await;
                     from = self.list().await?;
                     continue;
                 }
                 Err(err) => {
-                    self.failed(&err).await?;
+                    self.handle_failure(&err).await?;
                     continue;
                 }
             };
-            self.synced(from).await?;
+            self.report_synced(from).await?;
             let end = self.read(lines).await?;
             from = match end {
-                End::Closed { told } => {
-                    if !told {
-                        self.wait().await;
+                End::Closed { received } => {
+                    if !received {
+                        self.back_off().await;
                     }
                     self.known.resume().unwrap_or(from)
                 }
-                End::Silent => {
-                    self.stall(StallReason::Silence).await?;
-                    self.wait().await;
+                End::IdleTimeout => {
+                    self.report_stalled(StallReason::Silence).await?;
+                    self.back_off().await;
                     self.known.resume().unwrap_or(from)
                 }
                 End::Expired => {
-                    self.wait().await;
+                    self.back_off().await;
                     self.list().await?
                 }
-                End::Missed => self.list().await?,
+                End::MissedEvents => self.list().await?,
             };
         }
     }
 
-    /// Lists until that works, tells the difference, and returns the version to watch from.
-    async fn list(&mut self) -> Result<ResourceVersion, Gone> {
+    /// Lists the objects, retrying until that succeeds, sends the difference to the known versions,
+    /// and returns the version to watch from.
+    async fn list(&mut self) -> Result<ResourceVersion, ReceiverDropped> {
         loop {
             let (platform, resource) = (self.platform.clone(), self.resource);
             let selector = self.selector.clone();
             let listed = self
                 .reconnect(async || {
-                    let read = |item: &str| Item::read(resource, item);
+                    let read = |item: &str| ParsedItem::parse(resource, item);
                     platform.list_items(resource, &selector, read).await
                 })
                 .await?;
             let (version, objects) = match listed {
                 Ok(listed) => listed,
                 Err(err) => {
-                    self.failed(&err).await?;
+                    self.handle_failure(&err).await?;
                     continue;
                 }
             };
-            self.plan_check();
+            self.schedule_check();
             let listed = VersionList {
                 resource_version: version,
-                items: objects.iter().filter_map(Item::version).collect(),
+                items: objects.iter().filter_map(ParsedItem::version).collect(),
             };
             match self.known.relist(&listed) {
                 Ok(difference) => {
-                    self.tell_difference(objects, difference).await?;
+                    self.send_difference(objects, difference).await?;
                     return Ok(version);
                 }
                 Err(OldList) => {
-                    self.stall(StallReason::OldList).await?;
-                    self.wait().await;
+                    self.report_stalled(StallReason::OldList).await?;
+                    self.back_off().await;
                 }
             }
         }
     }
 
-    async fn tell_difference(
+    async fn send_difference(
         &self,
-        objects: Vec<Item<S>>,
+        objects: Vec<ParsedItem<S>>,
         difference: Difference,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), ReceiverDropped> {
         for name in difference.deleted {
-            self.tell(WatchEvent::Deleted { name }).await?;
+            self.send(WatchEvent::Deleted { name }).await?;
         }
-        // Places count the objects that have a version, as the list of versions did.
+        // The indices refer to the `VersionList`, which contains only objects with a version.
         let versioned = objects.into_iter().filter(|item| item.version().is_some());
         let mut versioned: Vec<_> = versioned.map(Some).collect();
-        for place in difference.applied {
-            if let Some(item) = versioned.get_mut(place).and_then(Option::take) {
-                self.tell(item.event()).await?;
+        for index in difference.applied {
+            if let Some(item) = versioned.get_mut(index).and_then(Option::take) {
+                self.send(item.into_event()).await?;
             }
         }
         Ok(())
     }
 
-    async fn open(&mut self, from: ResourceVersion) -> Result<Result<Lines, PlatformError>, Gone> {
+    async fn open(
+        &mut self,
+        from: ResourceVersion,
+    ) -> Result<Result<Lines, PlatformError>, ReceiverDropped> {
         let lifetime = jittered(self.timing.lifetime).as_secs().max(1);
         let (platform, resource) = (self.platform.clone(), self.resource);
         let selector = self.selector.clone();
@@ -190,16 +195,16 @@
         Ok(opened.map(Lines::new))
     }
 
-    /// Reads an open watch to its end.
-    async fn read(&mut self, mut lines: Lines) -> Result<End, Gone> {
+    /// Processes the lines of an open watch until it ends.
+    async fn read(&mut self, mut lines: Lines) -> Result<End, ReceiverDropped> {
         let _open = OpenWatch::new(self.resource.purpose);
-        let mut told = false;
+        let mut received = false;
         let mut check = self.next_check();
         loop {
             let line = tokio::select! {
                 line = timeout(self.timing.silence, lines.next()) => line,
                 checked = &mut check => {
-                    if let Some(end) = self.checked(checked, &mut check).await? {
+                    if let Some(end) = self.advance_check(checked, &mut check).await? {
                         return Ok(end);
                     }
                     continue;
@@ -207,51 +212,55 @@
             };
             let line = match line {
                 Ok(Some(line)) => line,
-                Ok(None) => return Ok(End::Closed { told }),
-                Err(_elapsed) => return Ok(End::Silent),
+                Ok(None) => return Ok(End::Closed { received }),
+                Err(_elapsed) => return Ok(End::IdleTimeout),
             };
-            if let Some(end) = self.take(&line).await? {
+            if let Some(end) = self.handle_line(&line).await? {
                 return Ok(end);
             }
-            told = true;
+            received = true;
             self.backoff.reset();
         }
     }
 
-    /// Moves a check of the watch on; says if the watch ends with it.
-    async fn checked(&mut self, checked: Checked, check: &mut Check) -> Result<Option<End>, Gone> {
+    /// Starts the next step of a check. Returns the reason if the watch has to end.
+    async fn advance_check(
+        &mut self,
+        checked: CheckProgress,
+        check: &mut Check,
+    ) -> Result<Option<End>, ReceiverDropped> {
         let missed = match checked {
-            Checked::Listed(listed) => {
+            CheckProgress::Listed(listed) => {
                 *check = settle(listed, self.timing.settle);
                 return Ok(None);
             }
-            Checked::Settled(listed) => self.known.missed(&listed),
-            Checked::Failed(err) => {
-                if is_outage(&err) {
-                    self.stall(StallReason::Outage).await?;
+            CheckProgress::Settled(listed) => self.known.missed(&listed),
+            CheckProgress::Failed(err) => {
+                if is_unreachable(&err) {
+                    self.report_stalled(StallReason::Outage).await?;
                 }
-                self.plan_check();
+                self.schedule_check();
                 *check = self.next_check();
                 return Ok(None);
             }
         };
-        self.plan_check();
+        self.schedule_check();
         *check = self.next_check();
         if missed > 0 {
             count_missed_events(self.resource.purpose, missed);
-            warn!(self.platform.log(), "watch missed events";
+            warn!(self.platform.log(), "watch did not deliver some events; listing again";
                 "resource" => self.resource.plural, "objects" => missed);
-            return Ok(Some(End::Missed));
+            return Ok(Some(End::MissedEvents));
         }
         if self.stalled
             && let Some(version) = self.known.resume()
         {
-            self.synced(version).await?;
+            self.report_synced(version).await?;
         }
         Ok(None)
     }
 
-    fn plan_check(&mut self) {
+    fn schedule_check(&mut self) {
         let interval = self.timing.check_interval(self.platform.fleet_size());
         self.check_at = Instant::now() + jittered(interval);
     }
@@ -261,14 +270,14 @@
         check_at(platform, self.resource, selector, self.check_at)
     }
 
-    /// Takes one line; says if the watch ends with it.
-    async fn take(&mut self, line: &Bytes) -> Result<Option<End>, Gone> {
+    /// Handles one line. Returns the reason if the watch has to end.
+    async fn handle_line(&mut self, line: &Bytes) -> Result<Option<End>, ReceiverDropped> {
         let event: RawEvent<'_> = match serde_json::from_slice(line) {
             Ok(event) => event,
             Err(err) => {
-                warn!(self.platform.log(), "watch told a malformed line";
+                warn!(self.platform.log(), "watch received a malformed line";
                     "resource" => self.resource.plural, "error" => %err);
-                return Ok(Some(End::Closed { told: false }));
+                return Ok(Some(End::Closed { received: false }));
             }
         };
         let object = event.object.get();
@@ -281,13 +290,13 @@
         match event.kind {
             EventKind::Added | EventKind::Modified => {
                 if self.known.apply(&name, version) {
-                    let event = Item::<S>::read(self.resource, object).event();
-                    self.tell(event).await?;
+                    let event = ParsedItem::<S>::parse(self.resource, object).into_event();
+                    self.send(event).await?;
                 }
             }
             EventKind::Deleted => {
                 if self.known.delete(&name, version) {
-                    self.tell(WatchEvent::Deleted { name }).await?;
+                    self.send(WatchEvent::Deleted { name }).await?;
                 }
             }
             EventKind::Bookmark => self.known.advance(version),
@@ -296,60 +305,61 @@
         Ok(None)
     }
 
-    /// Makes a call in turn with the other watches.
+    /// Makes a call, coordinated with the other watches during an outage.
     async fn reconnect<T>(
         &mut self,
         call: impl AsyncFnOnce() -> Result<T, PlatformError>,
-    ) -> Result<Result<T, PlatformError>, Gone> {
+    ) -> Result<Result<T, PlatformError>, ReceiverDropped> {
         let platform = self.platform.clone();
-        let mut told = Ok(());
+        let mut sent = Ok(());
         let result = platform
             .reconnects()
             .call(call, async |_outage| {
-                told = self.stall(StallReason::Outage).await;
+                sent = self.report_stalled(StallReason::Outage).await;
             })
             .await;
-        told.map(|()| result)
+        sent.map(|()| result)
     }
 
-    /// Takes note of a call that failed; an outage has been waited for already.
-    async fn failed(&mut self, err: &PlatformError) -> Result<(), Gone> {
+    /// Reports and backs off after a failed call. If the platform was unreachable,
+    /// [`Self::reconnect`] has done both already.
+    async fn handle_failure(&mut self, err: &PlatformError) -> Result<(), ReceiverDropped> {
         if !err.is_outage() {
-            warn!(self.platform.log(), "watch refused";
+            warn!(self.platform.log(), "platform refused a list or watch call";
                 "resource" => self.resource.plural, "error" => %err);
-            self.stall(StallReason::Refused).await?;
+            self.report_stalled(StallReason::Refused).await?;
         }
-        if !is_outage(err) {
-            self.wait().await;
+        if !is_unreachable(err) {
+            self.back_off().await;
         }
         Ok(())
     }
 
-    async fn wait(&mut self) {
+    async fn back_off(&mut self) {
         sleep(self.backoff.next_wait(rand::random::<f64>)).await;
     }
 
-    async fn stall(&mut self, reason: StallReason) -> Result<(), Gone> {
+    async fn report_stalled(&mut self, reason: StallReason) -> Result<(), ReceiverDropped> {
         if self.stalled {
             return Ok(());
         }
         self.stalled = true;
         info!(self.platform.log(), "watch stalled";
             "resource" => self.resource.plural, "reason" => ?reason);
-        self.tell(WatchEvent::Stalled { reason }).await
+        self.send(WatchEvent::Stalled { reason }).await
     }
 
-    async fn synced(&mut self, version: ResourceVersion) -> Result<(), Gone> {
+    async fn report_synced(&mut self, version: ResourceVersion) -> Result<(), ReceiverDropped> {
         if self.stalled {
             info!(self.platform.log(), "watch resumed";
                 "resource" => self.resource.plural, "version" => version.get());
         }
         self.stalled = false;
-        self.tell(WatchEvent::Synced { version }).await
+        self.send(WatchEvent::Synced { version }).await
     }
 
-    async fn tell(&self, event: WatchEvent<S>) -> Result<(), Gone> {
-        self.tx.send(event).await.map_err(|_closed| Gone)
+    async fn send(&self, event: WatchEvent<S>) -> Result<(), ReceiverDropped> {
+        self.tx.send(event).await.map_err(|_closed| ReceiverDropped)
     }
 }
 
@@ -358,7 +368,7 @@
     if status.code == StatusCode::GONE.as_u16() || status.reason == "Expired" {
         End::Expired
     } else {
-        End::Closed { told: false }
+        End::Closed { received: false }
     }
 }
 
--- a/crates/chervilshunt_platform/src/watch/known.rs
+++ b/crates/chervilshunt_platform/src/watch/known.rs
@@ -1,42 +1,41 @@
-//! What a watch has told so far, by name and version.
+//! The versions of the objects that a watch has delivered.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
 use crate::{ResourceVersion, VersionList};
 
-/// The versions that a watch has told, and the one that it goes on from.
+/// The versions of the objects that a watch has delivered, and the version to resume from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Known {
+pub(crate) struct KnownVersions {
     versions: HashMap<Arc<str>, ResourceVersion>,
     resume: Option<ResourceVersion>,
 }
 
-/// How a list differs from what was told.
+/// The difference between a new list and the known versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Difference {
-    /// Objects that are new or newer, as places in the list.
+    /// The indices in the list of objects that are new or have a higher version.
     pub(crate) applied: Vec<usize>,
-    /// Objects that are gone.
+    /// The names of objects that are no longer listed, sorted.
     pub(crate) deleted: Vec<Arc<str>>,
 }
 
-/// The list is older than what was told already.
+/// The error for a list that is older than the version reached already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OldList;
 
-impl Known {
-    /// Returns the version to go on from; none before the first list.
+impl KnownVersions {
+    /// Returns the version to resume from, or `None` before the first list.
     pub(crate) const fn resume(&self) -> Option<ResourceVersion> {
         self.resume
     }
 
-    /// Takes over a list and returns how it differs.
+    /// Replaces the known versions with those of a list and returns the difference.
     ///
     /// # Errors
-    /// Fails, and changes nothing, if the list is older than what was told. A cache of the
-    /// platform that lags would otherwise bring back what has been deleted since, or an older
-    /// configuration.
+    /// Fails without changes if the list is older than the version reached already. Otherwise a
+    /// lagging cache of the platform could bring back deleted objects or an older configuration.
     pub(crate) fn relist(&mut self, listed: &VersionList) -> Result<Difference, OldList> {
         if self
             .resume
@@ -45,9 +44,9 @@
             return Err(OldList);
         }
         let mut difference = Difference::default();
-        for (place, (name, version)) in listed.items.iter().enumerate() {
-            if self.is_news(name, *version) {
-                difference.applied.push(place);
+        for (index, (name, version)) in listed.items.iter().enumerate() {
+            if self.is_newer(name, *version) {
+                difference.applied.push(index);
                 self.versions.insert(Arc::clone(name), *version);
             }
         }
@@ -64,35 +63,36 @@
         Ok(difference)
     }
 
-    /// Takes note of a changed object; says whether that is news.
+    /// Records a created or modified object. Returns whether its version had not been seen before.
     pub(crate) fn apply(&mut self, name: &Arc<str>, version: ResourceVersion) -> bool {
-        let news = self.is_after_resume(version) && self.is_news(name, version);
-        if news {
+        let is_new = self.is_after_resume(version) && self.is_newer(name, version);
+        if is_new {
             self.versions.insert(Arc::clone(name), version);
         }
         self.advance(version);
-        news
+        is_new
     }
 
-    /// Takes note of a deleted object; says whether that is news.
+    /// Records a deleted object. Returns whether the object was known and the deletion is new.
     pub(crate) fn delete(&mut self, name: &str, version: ResourceVersion) -> bool {
-        let news = self.is_after_resume(version) && self.versions.remove(name).is_some();
+        let is_new = self.is_after_resume(version) && self.versions.remove(name).is_some();
         self.advance(version);
-        news
+        is_new
     }
 
-    /// Takes note that everything up to a version has been told.
+    /// Records that all events up to a version have been received.
     pub(crate) fn advance(&mut self, version: ResourceVersion) {
         self.resume = self.resume.max(Some(version));
     }
 
-    /// Counts the objects whose last event was never told.
+    /// Counts the objects whose latest event up to the version of `listed` was not received.
     ///
-    /// `listed` may be of some time ago: what was told since then lies above its version.
+    /// `listed` may be some time old. Events received since then have versions above that of the
+    /// list and are not counted as missed.
     pub(crate) fn missed(&self, listed: &VersionList) -> usize {
         let names: HashSet<&Arc<str>> = listed.items.iter().map(|(name, _)| name).collect();
         let changes = listed.items.iter();
-        let changes = changes.filter(|(name, version)| self.is_news(name, *version));
+        let changes = changes.filter(|(name, version)| self.is_newer(name, *version));
         let deletions = self.versions.iter();
         let deletions = deletions.filter(|(name, version)| {
             **version <= listed.resource_version && !names.contains(name)
@@ -100,7 +100,7 @@
         changes.count() + deletions.count()
     }
 
-    fn is_news(&self, name: &Arc<str>, version: ResourceVersion) -> bool {
+    fn is_newer(&self, name: &Arc<str>, version: ResourceVersion) -> bool {
         self.versions.get(name).is_none_or(|known| *known < version)
     }
 
--- a/crates/chervilshunt_platform/src/watch/lines.rs
+++ b/crates/chervilshunt_platform/src/watch/lines.rs
@@ -1,13 +1,14 @@
-//! The lines of a watch, cut out of the frames of its body.
+//! Splits the response body of a watch into lines.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// The longest line that is taken; an object has a megabyte at most.
+/// The maximum amount of buffered data, and so the length of a line. An object has at most a
+/// megabyte.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Reads a body line by line.
+/// Reads a response body line by line.
 #[derive(Debug)]
 pub(crate) struct Lines {
     body: Incoming,
@@ -22,9 +23,10 @@
         }
     }
 
-    /// Returns the next line; none at the end, at a broken connection, or if the line is too long.
+    /// Returns the next line, or `None` at the end of the body, if the connection broke, or if the
+    /// line is too long.
     ///
-    /// It is cancel-safe.
+    /// This method is cancel-safe.
     pub(crate) async fn next(&mut self) -> Option<Bytes> {
         loop {
             if let Some(line) = self.buf.next_line() {
@@ -40,22 +42,22 @@
     }
 }
 
-/// Bytes that have arrived and not been read as lines.
+/// Received bytes that have not been returned as lines yet.
 #[derive(Debug, Default)]
 pub(crate) struct LineBuffer {
     buf: BytesMut,
-    /// How much of the buffer is known to hold no line end.
+    /// The length of the prefix of the buffer that contains no newline, in bytes.
     searched: usize,
 }
 
 impl LineBuffer {
-    /// Adds bytes; says whether they still fit.
+    /// Appends bytes. Returns `false` if the buffer exceeds [`MAX_LINE_BYTES`].
     pub(crate) fn push(&mut self, data: &[u8]) -> bool {
         self.buf.extend_from_slice(data);
         self.buf.len() <= MAX_LINE_BYTES
     }
 
-    /// Takes the next whole line, without its end.
+    /// Removes and returns the next complete line, without its newline.
     pub(crate) fn next_line(&mut self) -> Option<Bytes> {
         let unsearched = self.buf.get(self.searched..)?;
         let Some(end) = unsearched.iter().position(|byte| *byte == b'\n') else {
--- a/crates/chervilshunt_platform/src/watch/mod.rs
+++ b/crates/chervilshunt_platform/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Watches that go on through lost connections, gaps and versions that are too old.
+//! Watches that recover from lost connections, missed events and expired versions.
 
 mod check;
 mod follow;
@@ -17,53 +17,54 @@
 
 pub(crate) use reconnects::Reconnects;
 
-/// What a watch tells.
+/// An event of a watch.
 ///
-/// First comes each object as [`WatchEvent::Applied`], then [`WatchEvent::Synced`], then the
-/// changes. A watch that has to list again tells only how the new list differs from what it told
-/// before. It never goes back: an object is told only at a higher version than before.
+/// A watch first delivers each object as [`WatchEvent::Applied`], then [`WatchEvent::Synced`], then
+/// the changes. When it has to list the objects again, it delivers only the difference between the
+/// new list and the previous events. Versions never decrease: an object is delivered again only at
+/// a higher version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent<S> {
-    /// The object is new or has changed.
+    /// The object was created or modified.
     Applied(Object<S>),
-    /// The object is gone, or the selector takes it no longer.
+    /// The object was deleted or no longer matches the selector.
     Deleted {
-        /// Its name.
+        /// The object's name.
         name: Arc<str>,
     },
-    /// The object is new or has changed, and its content can't be read.
+    /// The object was created or modified, and its content can't be decoded.
     Malformed {
-        /// Its name.
+        /// The object's name.
         name: Arc<str>,
-        /// Why it can't be read.
+        /// The decoding error.
         problem: Arc<str>,
     },
-    /// Everything up to a version has been told, and the watch is open.
+    /// All events up to a version have been delivered, and the watch is open.
     Synced {
         /// The version.
         version: ResourceVersion,
     },
-    /// What was told may be out of date until the next [`WatchEvent::Synced`].
+    /// The delivered state may be out of date until the next [`WatchEvent::Synced`].
     Stalled {
-        /// Why.
+        /// The reason.
         reason: StallReason,
     },
 }
 
-/// Why a watch can't tell changes at present.
+/// The reason why a watch currently can't deliver changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StallReason {
-    /// The platform can't be reached or does not serve.
+    /// The platform is unreachable or unavailable.
     Outage,
-    /// The connection is open, but not even bookmarks came.
+    /// The connection is open, but no line, not even a bookmark, arrived within the time limit.
     Silence,
-    /// The platform shows an older state than it has shown before.
+    /// The platform returned an older state than before.
     OldList,
-    /// The platform refuses the call; an operator has to see to it.
+    /// The platform refuses the call. An operator has to resolve the cause.
     Refused,
 }
 
-/// Starts a watch on a task of its own.
+/// Spawns the task of a watch and returns the receiver of its events.
 pub(crate) fn start_watch<S>(
     platform: Platform,
     resource: Resource,
--- a/crates/chervilshunt_platform/src/watch/tests.rs
+++ b/crates/chervilshunt_platform/src/watch/tests.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use super::known::Known;
+use super::known::KnownVersions;
 use super::lines::LineBuffer;
 use crate::{ResourceVersion, VersionList};
 
@@ -82,7 +82,7 @@
         self.view.insert(Arc::clone(name), version);
     }
 
-    fn relisted(&mut self, known: &mut Known, listed: &VersionList) -> bool {
+    fn relisted(&mut self, known: &mut KnownVersions, listed: &VersionList) -> bool {
         let Ok(difference) = known.relist(listed) else {
             return false;
         };
@@ -103,7 +103,7 @@
     #[test]
     fn a_watch_never_goes_back_and_is_healed(steps in prop::collection::vec(step(), 1..60)) {
         let mut collection = Collection::default();
-        let mut known = Known::default();
+        let mut known = KnownVersions::default();
         let mut receiver = Receiver::default();
         receiver.relisted(&mut known, &collection.listed(0));
         for step in steps {
@@ -148,7 +148,7 @@
 #[test]
 fn an_event_that_a_list_has_overtaken_is_no_news() {
     let name: Arc<str> = "a".into();
-    let mut known = Known::default();
+    let mut known = KnownVersions::default();
     let listed = VersionList {
         resource_version: ResourceVersion::new(9),
         items: Vec::new(),
