--- a/crates/chervilshunt_platform/src/watch/tests.rs
+++ b/crates/chervilshunt_platform/src/watch/tests.rs
@@ -1,4 +1,4 @@
-//! What a watch has told, against a collection that is the oracle, and the cutting of lines.
+//! Tests of the versions known to a watch, against a model collection, and of the line buffer.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,19 +12,19 @@
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// What befalls the collection and the watch.
+/// A change to the collection, or an event at the watch.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Put {
         name: usize,
-        told: bool,
+        received: bool,
     },
     Delete {
         name: usize,
-        told: bool,
+        received: bool,
     },
     Bookmark,
-    /// A list as of so many versions ago.
+    /// The watch lists the collection at the state of `age` versions ago.
     Relist {
         age: u64,
     },
@@ -32,14 +32,14 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..NAMES.len(), any::<bool>()).prop_map(|(name, told)| Step::Put { name, told }),
-        2 => (0..NAMES.len(), any::<bool>()).prop_map(|(name, told)| Step::Delete { name, told }),
+        4 => (0..NAMES.len(), any::<bool>()).prop_map(|(name, received)| Step::Put { name, received }),
+        2 => (0..NAMES.len(), any::<bool>()).prop_map(|(name, received)| Step::Delete { name, received }),
         1 => Just(Step::Bookmark),
         1 => (0_u64..3).prop_map(|age| Step::Relist { age }),
     ]
 }
 
-/// The collection with its past.
+/// The collection with all its past states, by version.
 #[derive(Default)]
 struct Collection {
     states: Vec<BTreeMap<Arc<str>, u64>>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The receiver of a watch, which checks that no object goes back.
+/// The receiver of a watch, which asserts that the version of an object never decreases.
 #[derive(Default)]
 struct Receiver {
     view: BTreeMap<Arc<str>, u64>,
@@ -89,8 +89,8 @@
         for name in difference.deleted {
             assert!(self.view.remove(&name).is_some(), "{name} was not there");
         }
-        for place in difference.applied {
-            let (name, version) = &listed.items[place];
+        for index in difference.applied {
+            let (name, version) = &listed.items[index];
             self.applied(name, version.get());
         }
         true
@@ -98,10 +98,10 @@
 }
 
 proptest! {
-    /// Events go missing, and lists are old. No object ever goes back to an older version, what
-    /// was missed is found if and only if the view is wrong, and a list sets it right.
+    /// Events are lost, and lists are stale. No object returns to an older version, missed events
+    /// are detected if and only if the view is wrong, and a current list corrects the view.
     #[test]
-    fn a_watch_never_goes_back_and_is_healed(steps in prop::collection::vec(step(), 1..60)) {
+    fn versions_never_decrease_and_a_list_corrects_the_view(steps in prop::collection::vec(step(), 1..60)) {
         let mut collection = Collection::default();
         let mut known = KnownVersions::default();
         let mut receiver = Receiver::default();
@@ -111,20 +111,20 @@
             let next = ResourceVersion::new(version + 1);
             let mut state = collection.state(version);
             match step {
-                Step::Put { name, told } => {
+                Step::Put { name, received } => {
                     let name: Arc<str> = NAMES[name].into();
                     state.insert(Arc::clone(&name), next.get());
                     collection.states.push(state);
-                    if told && known.apply(&name, next) {
+                    if received && known.apply(&name, next) {
                         receiver.applied(&name, next.get());
                     }
                 }
-                Step::Delete { name, told } => {
+                Step::Delete { name, received } => {
                     if state.remove(NAMES[name]).is_none() {
                         continue;
                     }
                     collection.states.push(state);
-                    if told && known.delete(NAMES[name], next) {
+                    if received && known.delete(NAMES[name], next) {
                         receiver.view.remove(NAMES[name]);
                     }
                 }
@@ -144,9 +144,9 @@
     }
 }
 
-/// An event that was on its way while a list was made arrives after it, and is no news.
+/// An event that was in transit while a list was made arrives after the list and must be ignored.
 #[test]
-fn an_event_that_a_list_has_overtaken_is_no_news() {
+fn an_event_older_than_the_list_is_ignored() {
     let name: Arc<str> = "a".into();
     let mut known = KnownVersions::default();
     let listed = VersionList {
@@ -163,7 +163,7 @@
 #[case::cut_anywhere(&["{\"a\"", ":1", "}", "\n{", "}\n"], &["{\"a\":1}", "{}"])]
 #[case::many_in_a_frame(&["1\n2\n3\n4"], &["1", "2", "3"])]
 #[case::empty_line(&["\n", "1\n"], &["", "1"])]
-fn lines_are_cut_where_they_end(#[case] frames: &[&str], #[case] lines: &[&str]) {
+fn lines_are_split_at_newlines(#[case] frames: &[&str], #[case] lines: &[&str]) {
     let mut buf = LineBuffer::default();
     let mut read = Vec::new();
     for frame in frames {
@@ -175,11 +175,11 @@
     assert_eq!(read, lines);
 }
 
-/// A platform that never ends its line can't use up the memory.
+/// A response without newlines must not exhaust the memory.
 #[test]
 fn an_endless_line_is_refused() {
     let mut buf = LineBuffer::default();
     let frame = vec![b'x'; 1024 * 1024];
-    let taken = (0..10).take_while(|_| buf.push(&frame)).count();
-    assert_eq!(taken, 4);
+    let accepted = (0..10).take_while(|_| buf.push(&frame)).count();
+    assert_eq!(accepted, 4);
 }
