--- a/crates/chervilshunt_platform/tests/calls.rs
+++ b/crates/chervilshunt_platform/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of each fault, for a read and for a write.
+//! Tests of the errors that calls return for each fault of the platform.
 
 mod support;
 
@@ -63,9 +63,9 @@
     }
 }
 
-/// A read has no effect, so that it may be made again; of a write that was sent nobody can say
-/// whether it took effect, unless the answer says so. Only a refused connection proves that a
-/// write was not applied.
+/// Reads may be retried because they have no effect. The outcome of a write that was sent is
+/// unknown unless the response reports it. Of the faults here, only a refused connection proves
+/// that a write was not applied.
 #[rstest]
 #[case::up(FaultPatch::default(), "ok", "ok")]
 #[case::refused(down(Down::Refuse), "unavailable", "unavailable")]
@@ -76,7 +76,11 @@
 #[case::cut(cut(), "unavailable", "outcome_unknown")]
 #[case::losing_answers(losing_answers(), "ok", "outcome_unknown")]
 #[tokio::test]
-async fn reports(#[case] fault: FaultPatch, #[case] read: &str, #[case] write: &str) {
+async fn reports_the_error_of_each_fault(
+    #[case] fault: FaultPatch,
+    #[case] read: &str,
+    #[case] write: &str,
+) {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let mut object = Object::new("a", Spec { value: 1 });
@@ -101,10 +105,10 @@
     result.as_ref().map_or_else(PlatformError::kind, |_| "ok")
 }
 
-/// The platform turns calls away and says when to come back. Where that lies beyond the caller's
-/// time, the caller learns it at once instead of waiting in vain.
+/// The platform rejects calls with a `Retry-After`. If that lies beyond the call's time limit, the
+/// call fails immediately instead of waiting in vain.
 #[tokio::test]
-async fn says_that_the_platform_takes_no_more_calls() {
+async fn reports_the_platforms_rate_limit() {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let hasty = platform.with_timeouts(Timeouts {
@@ -127,9 +131,10 @@
     );
 }
 
-/// Operators race: both have read the same version, and the second one must learn of it.
+/// Two operators read the same version and both write. The second write must fail with a conflict,
+/// distinct from the errors for existing and missing objects.
 #[tokio::test]
-async fn tells_conflicts_apart() {
+async fn distinguishes_conflicts() {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let mut object = Object::new("a", Spec { value: 1 });
@@ -172,14 +177,15 @@
     assert_eq!(kind(&unreadable), "invalid");
 }
 
-/// A name that is empty or not plain names something else in a path: all objects, or others.
+/// In a path, an empty name or one with special characters would refer to the whole collection or
+/// to a different object. Such names must be rejected before any call is sent.
 #[rstest]
 #[case("")]
 #[case("..")]
 #[case("a/b")]
 #[case("a?x=1")]
 #[tokio::test]
-async fn refuses_names_that_are_none(#[case] name: &str) {
+async fn rejects_invalid_object_names(#[case] name: &str) {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let deleted = platform.delete(CONFIG_HEADS, name, None).await;
@@ -189,10 +195,10 @@
     assert_eq!(standin.stats().total_calls(), 0);
 }
 
-/// Somebody else has written an object that can't be read. The others are listed all the same:
-/// one bad lease must not keep everybody from seeing all leases.
+/// Another client wrote an object that can't be decoded. The others must still be listed: one
+/// malformed lease must not hide all leases from every instance.
 #[tokio::test]
-async fn lists_the_readable_objects_beside_a_malformed_one() {
+async fn lists_other_objects_despite_a_malformed_one() {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let good = Object::new("good", Spec { value: 1 });
@@ -207,8 +213,7 @@
     assert_eq!(malformed, ["bad"]);
 }
 
-/// More objects than fit one page are listed as they stood together: what is written between the
-/// pages does not show.
+/// A list of several pages returns one consistent version of the collection.
 #[tokio::test]
 async fn lists_all_pages_as_of_one_version() {
     let standin = standin().await;
@@ -239,8 +244,8 @@
     );
 }
 
-/// A newcomer reads page after page and uses up the process's rate. The renewal of its lease
-/// passes all the same, as a part of the rate is kept for it.
+/// Reads use up the process's rate limit, as when a new instance reads many pages. A lease write
+/// must still be allowed, because part of the burst is reserved for urgent calls.
 #[tokio::test]
 async fn renews_a_lease_while_reads_use_up_the_rate() {
     let standin = standin().await;
@@ -260,7 +265,7 @@
     assert_eq!(kind(&within(platform.create(LEASES, &lease)).await), "ok");
 }
 
-/// Kubernetes leaves out a `spec` that is empty.
+/// Kubernetes omits an empty `spec`.
 #[tokio::test]
 async fn reads_an_object_without_a_spec() {
     let standin = standin().await;
--- a/crates/chervilshunt_platform/tests/retries.rs
+++ b/crates/chervilshunt_platform/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries stay within their bound, and no write is made twice.
+//! Tests that retries stay within their budget and that no write is sent twice.
 
 mod support;
 
@@ -10,8 +10,8 @@
 const INSTANCE: &str = "i-1";
 const CALLS: u64 = 60;
 
-/// The platform fails every call. Each caller gets its error soon, and the platform sees hardly
-/// more calls than were made: the burst of the budget and a tenth of the calls on top.
+/// The platform fails every call. Each call must return its error, and the retries must stay within
+/// the budget: its burst plus a tenth of the calls.
 #[rstest]
 #[case::unavailable(FaultPatch { down: Some(Down::Unavailable), ..FaultPatch::default() })]
 #[case::failing(FaultPatch { fail_ratio: Some(1.0), ..FaultPatch::default() })]
@@ -36,7 +36,7 @@
     assert!(calls > CALLS, "no call was retried");
 }
 
-/// A tenth of all calls fail. Retries hide nearly all of that from the callers.
+/// A tenth of all calls fail. Retries must hide nearly all failures from the callers.
 #[tokio::test]
 async fn a_flaky_platform_is_hidden_by_retries() {
     let standin = standin().await;
@@ -54,10 +54,10 @@
     assert!(failed <= 2, "{failed} of {CALLS} calls failed");
 }
 
-/// Every write takes effect and its answer is lost. The caller is told that the outcome is
-/// unknown, the platform sees each write exactly once, and reading back settles it.
+/// Every write takes effect, but its response is lost. The call must report an unknown outcome, the
+/// write must be sent exactly once, and reading the object back shows the result.
 #[tokio::test]
-async fn a_lost_answer_never_doubles_a_write() {
+async fn a_lost_response_never_duplicates_a_write() {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let losing = FaultPatch {
@@ -80,11 +80,11 @@
     assert_eq!(stats.calls_of("create"), CALLS);
 }
 
-/// The platform is stopped, and continued after the caller has given up. The write takes effect
-/// only then: not found on the first look does not mean not applied. The conditional update that
-/// follows has to fail, as the version has moved.
+/// The platform freezes and resumes after the call has timed out. Only then does the write take
+/// effect, so an object that looks unchanged at first does not prove that the write was not
+/// applied. A following update with the old version must fail with a conflict.
 #[tokio::test]
-async fn a_write_can_take_effect_after_it_was_given_up() {
+async fn a_write_can_take_effect_after_its_timeout() {
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let mut object = Object::new("a", Spec { value: 1 });
@@ -117,10 +117,10 @@
     );
 }
 
-/// Five watches lose a platform that refuses connections. They try to come back one at a time,
-/// with growing waits, so that the outage does not see five times the calls.
+/// Five watches lose their platform, which becomes unavailable. They must retry one at a time with
+/// a shared backoff, so that the platform does not receive five times the calls.
 #[tokio::test]
-async fn watches_come_back_one_at_a_time() {
+async fn watches_reconnect_one_at_a_time() {
     let standin = standin().await;
     let mut cfg = config(&standin, INSTANCE);
     cfg.watch.backoff.base = std::time::Duration::from_millis(100);
@@ -142,11 +142,12 @@
         ..FaultPatch::default()
     };
     standin.set_faults(unavailable);
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
-    let elapsed = began.elapsed().as_millis() as u64;
+    let elapsed = started.elapsed().as_millis() as u64;
     let calls = standin.stats().total_calls() - before;
-    // Each watch notices the outage by one call of its own; from then on there is one every 100 ms.
+    // Each watch detects the outage with one call of its own. After that there is one call per
+    // backoff of 100 ms.
     let bound = 5 + elapsed / 100 + 1;
     assert!(calls <= bound, "{calls} calls, at most {bound} allowed");
     watches.clear();
--- a/crates/chervilshunt_platform/tests/support/mod.rs
+++ b/crates/chervilshunt_platform/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in and clients of it, with time limits short enough for tests.
+//! Starts a simulated platform and clients with time limits short enough for tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::future::Future;
@@ -12,8 +12,8 @@
 use slog::{Discard, Logger, o};
 use tokio::sync::mpsc;
 
-/// Against a test that hangs.
-const HANGING: Duration = Duration::from_secs(30);
+/// The time limit for each wait, so that a test fails rather than hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Spec {
@@ -67,12 +67,12 @@
 }
 
 pub(crate) async fn within<T>(what: impl Future<Output = T>) -> T {
-    tokio::time::timeout(HANGING, what)
+    tokio::time::timeout(TEST_TIMEOUT, what)
         .await
         .expect("it ends in time")
 }
 
-/// Waits for the first event that `pick` takes, and gives what it makes of it.
+/// Waits for the first event for which `pick` returns a value, and returns that value.
 pub(crate) async fn wait_for<T>(
     rx: &mut mpsc::Receiver<WatchEvent<Spec>>,
     mut pick: impl FnMut(WatchEvent<Spec>) -> Option<T>,
