--- a/crates/chervilshunt_platform/tests/fuzz.rs
+++ b/crates/chervilshunt_platform/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! A watch through random faults, two at a time and more, against the collection as the oracle.
+//! Randomized test of a watch under several simultaneous faults, against a model collection.
 
 mod support;
 
@@ -22,7 +22,7 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const STEPS: usize = 120;
 
-/// The receiver's view, which may never go back.
+/// The receiver's view, in which the version of an object must never decrease.
 #[derive(Default)]
 struct View {
     objects: BTreeMap<Arc<str>, ResourceVersion>,
@@ -31,10 +31,12 @@
 }
 
 impl View {
-    fn take(&mut self, event: WatchEvent<Spec>) {
+    fn apply(&mut self, event: WatchEvent<Spec>) {
         match event {
             WatchEvent::Applied(object) => {
-                let version = object.resource_version.expect("a told object has one");
+                let version = object
+                    .resource_version
+                    .expect("a delivered object has a version");
                 let before = self.highest.insert(Arc::clone(&object.name), version);
                 assert!(before < Some(version), "{} went back", object.name);
                 self.objects.insert(object.name, version);
@@ -49,13 +51,13 @@
     }
 }
 
-/// What the writer has written, which is what there is.
+/// The state of the collection according to the writer.
 #[derive(Default)]
-struct Truth {
+struct ExpectedState {
     objects: BTreeMap<Arc<str>, ResourceVersion>,
 }
 
-impl Truth {
+impl ExpectedState {
     async fn write(&mut self, writer: &Platform, rng: &mut ChaCha8Rng) {
         let name: Arc<str> = (*NAMES.choose(rng).expect("there are names")).into();
         let value = rng.random_range(0..100);
@@ -97,32 +99,33 @@
     patch
 }
 
-/// Faults come and go, several together, while another instance writes. Whatever the watcher is
-/// told never goes back, and once the faults are lifted its view becomes what there is.
+/// Several faults are active at changing times while another instance writes. No event may return
+/// an object to an older version, and after the faults are lifted the watcher's view must converge
+/// to the state of the collection.
 #[rstest]
 #[tokio::test]
-async fn a_watch_survives_faults_together(
+async fn a_watch_recovers_from_simultaneous_faults(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let standin = standin().await;
     let writer = client(&standin, WRITER);
     let mut rx = client(&standin, WATCHER).watch::<Spec>(CONFIG_HEADS, Selector::all());
-    let mut truth = Truth::default();
+    let mut expected = ExpectedState::default();
     let mut view = View::default();
     for _ in 0..STEPS {
         if rng.random_bool(0.3) {
             standin.set_faults(random_fault(&mut rng));
         } else {
-            truth.write(&writer, &mut rng).await;
+            expected.write(&writer, &mut rng).await;
         }
         let pause = Duration::from_millis(rng.random_range(0..30));
         let _paused = tokio::time::timeout(pause, drain(&mut rx, &mut view)).await;
     }
     lift(&standin);
     within(async {
-        while view.objects != truth.objects {
-            view.take(rx.recv().await.expect("the watch goes on"));
+        while view.objects != expected.objects {
+            view.apply(rx.recv().await.expect("the watch goes on"));
         }
     })
     .await;
@@ -130,7 +133,7 @@
 
 async fn drain(rx: &mut mpsc::Receiver<WatchEvent<Spec>>, view: &mut View) {
     while let Some(event) = rx.recv().await {
-        view.take(event);
+        view.apply(event);
     }
 }
 
--- a/crates/chervilshunt_platform/tests/instance_list.rs
+++ b/crates/chervilshunt_platform/tests/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instance list: slices as changes of single instances and targets.
+//! Tests of the instance list: how slices become changes of individual instances and targets.
 
 mod support;
 
@@ -43,7 +43,7 @@
     slice
 }
 
-/// Applies an event and writes each change as one word or two.
+/// Applies an event and formats each resulting change as a short text.
 fn apply(list: &mut InstanceList, event: WatchEvent<EndpointSlice>) -> Vec<String> {
     let changes = list.apply(event).into_iter();
     changes
@@ -76,10 +76,10 @@
     assert_eq!(list.iter().count(), 0);
 }
 
-/// The platform moves an endpoint from one slice to another, and for a while it stands in both
-/// or, told in the other order, in none. It must not seem to leave while it stands in one.
+/// When the platform moves an endpoint from one slice to another, the endpoint may be in both for a
+/// while. It must not be reported as removed while any slice contains it.
 #[test]
-fn an_endpoint_in_two_slices_leaves_with_the_last() {
+fn an_endpoint_in_two_slices_is_removed_with_the_last() {
     let mut list = InstanceList::default();
     let old = WatchEvent::Applied(slice("s-1", 1, vec![endpoint("a", "10.0.0.1")]));
     apply(&mut list, old);
@@ -117,9 +117,10 @@
     assert_eq!(listed.takes_new_work(), takes_new_work);
 }
 
-/// Somebody else writes the slices. What can't be read is said, and spoils nothing else.
+/// Other clients write the slices. A malformed slice or endpoint must be reported and must not
+/// affect the others.
 #[test]
-fn says_what_it_can_not_read() {
+fn reports_malformed_endpoints_and_slices() {
     let mut list = InstanceList::default();
     let nameless = Endpoint {
         target_ref: None,
@@ -130,13 +131,13 @@
         nameless,
         endpoint("c", "c.example"),
     ];
-    let told = apply(&mut list, WatchEvent::Applied(slice("s", 1, endpoints)));
-    assert_eq!(told, ["a joined 10.0.0.1", "NoName", "NoAddress"]);
+    let changes = apply(&mut list, WatchEvent::Applied(slice("s", 1, endpoints)));
+    assert_eq!(changes, ["a joined 10.0.0.1", "NoName", "NoAddress"]);
 
     let mut unlabelled = slice("t", 2, vec![endpoint("d", "10.0.0.5")]);
     unlabelled.labels.clear();
-    let told = apply(&mut list, WatchEvent::Applied(unlabelled));
-    assert_eq!(told, ["NoService"]);
+    let changes = apply(&mut list, WatchEvent::Applied(unlabelled));
+    assert_eq!(changes, ["NoService"]);
 
     let malformed = WatchEvent::Malformed {
         name: "s".into(),
@@ -162,7 +163,7 @@
     assert!(!list.is_current());
 }
 
-/// A slice as Kubernetes' own controller writes it, with fields that don't matter here.
+/// A slice as written by the Kubernetes controller, including fields that the client ignores.
 #[tokio::test]
 async fn reads_slices_as_kubernetes_writes_them() {
     let standin = standin().await;
@@ -201,7 +202,8 @@
     assert_eq!(listed, Some(&expected));
 }
 
-/// The list lags: what was written shows neither to a list nor to a watch until the lag is over.
+/// While the instance list lags, a write is visible neither to a list call nor to a watch. The
+/// watch must deliver it when the lag ends.
 #[tokio::test]
 async fn the_list_lags_behind_writes() {
     let standin = standin().await;
@@ -222,12 +224,15 @@
         .list::<EndpointSlice>(ENDPOINT_SLICES, &Selector::all())
         .await;
     assert_eq!(listed.expect("the platform is up").objects, []);
-    assert!(rx.try_recv().is_err(), "the watch told of it at once");
+    assert!(
+        rx.try_recv().is_err(),
+        "the watch delivered the write despite the lag"
+    );
 
     standin.set_faults(lag(Duration::ZERO));
-    let told = within(rx.recv()).await.expect("the watch goes on");
-    let WatchEvent::Applied(told) = told else {
-        panic!("told {told:?}");
+    let event = within(rx.recv()).await.expect("the watch goes on");
+    let WatchEvent::Applied(event) = event else {
+        panic!("received {event:?}");
     };
-    assert_eq!(told.resource_version, Some(version));
+    assert_eq!(event.resource_version, Some(version));
 }
--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Watches through the faults that a platform has.
+//! Tests of watches under faults of the platform.
 
 mod support;
 
@@ -65,11 +65,12 @@
     .await
 }
 
-/// Instance whose watch the faults hit; another one goes on writing.
+/// The instance whose watch the faults affect.
 const WATCHER: &str = "i-1";
+/// Another instance, which keeps writing without faults.
 const WRITER: &str = "i-2";
 
-/// Longer than any test.
+/// A duration longer than any test.
 const NEVER: Duration = Duration::from_secs(3_600);
 
 fn only_watcher(patch: FaultPatch) -> FaultPatch {
@@ -80,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn tells_what_is_there_then_the_changes() {
+async fn delivers_existing_objects_then_changes() {
     let standin = standin().await;
     let platform = client(&standin, "i-1");
     let mut a = create(&platform, "a", 1).await;
@@ -96,9 +97,9 @@
     assert_eq!(deleted(&mut rx).await, "a");
 }
 
-/// The watcher sees `Stalled`, and after the fault all that was written meanwhile, the deletion
-/// included. Its connection breaks or falls silent first; then others write; then the fault is
-/// lifted. It resumes from the version up to which it was told, so nothing is skipped.
+/// A watch loses its connection, another instance writes and deletes objects, and the fault is
+/// lifted. The watch must report `Stalled` and then deliver all changes table_support meanwhile, including
+/// the deletion, by resuming from the last version it received.
 #[rstest]
 #[case::cut(FaultPatch { cut: Some(vec![WATCHER.into()]), ..FaultPatch::default() })]
 #[case::refused(FaultPatch { down: Some(Down::Refuse), ..FaultPatch::default() })]
@@ -125,10 +126,10 @@
     assert_eq!(deleted(&mut rx).await, "b");
 }
 
-/// The connection stays open and says nothing more, not even bookmarks, as behind a broken switch.
-/// Without a bound on the silence the watcher would hold on to it for ever.
+/// The connection stays open but delivers nothing, not even bookmarks, as behind a faulty switch.
+/// Without an idle time-out the watch would wait forever.
 #[tokio::test]
-async fn resumes_after_silence() {
+async fn resumes_after_idle_timeout() {
     let standin = standin().await;
     let mut cfg = config(&standin, WATCHER);
     cfg.watch.check_min = NEVER;
@@ -149,8 +150,9 @@
     assert_eq!(applied(&mut rx).await, ("a".into(), 2));
 }
 
-/// As above, on a platform whose bookmarks are minutes apart. The check goes unanswered, and the
-/// watcher says within its interval that it may be out of date; the watch itself was never lost.
+/// The platform freezes, and the idle time-out of the watch is too long to notice it. The periodic
+/// check gets no response, so the watch must report that it may be out of date. The connection of
+/// the watch is kept.
 #[tokio::test]
 async fn a_check_notices_a_frozen_platform() {
     let standin = standin().await;
@@ -170,27 +172,28 @@
     assert_eq!(standin.stats().calls_of("watch"), 1);
 }
 
-/// The checks of all instances together stay below their rate, however many instances there are.
+/// The total rate of checks of all instances must stay below its limit for any number of
+/// instances.
 #[rstest]
 #[case(7, Duration::from_millis(1_500))]
 #[case(30, Duration::from_millis(1_500))]
 #[case(370, Duration::from_millis(18_500))]
 #[case(1_000, Duration::from_secs(50))]
-fn checks_get_rarer_as_the_fleet_grows(#[case] fleet_size: usize, #[case] interval: Duration) {
+fn check_interval_grows_with_the_fleet(#[case] fleet_size: usize, #[case] interval: Duration) {
     assert_eq!(WatchTiming::default().check_interval(fleet_size), interval);
 }
 
-/// The watch loses a change without any sign of it, and later events arrive as usual. Listing
-/// versions shows one that was never told, and a full list brings the object. So it does on a
-/// platform whose kinds were defined without a column for the version, or that makes no tables.
+/// The watch silently loses a change and delivers later events as usual. The version list must
+/// reveal the lost change, and a full list must deliver the object. This must also work if the
+/// kind's definition lacks the version column or the platform does not support tables.
 #[rstest]
 #[case::tables(Tables::Full)]
 #[case::no_version_column(Tables::NoVersion)]
 #[case::no_tables(Tables::None)]
 #[tokio::test]
-async fn finds_a_change_that_was_never_told(#[case] tables: Tables) {
+async fn detects_a_missed_change(#[case] tables: Tables) {
     let standin = standin().await;
-    standin.set_faults(made(tables));
+    standin.set_faults(table_support(tables));
     let platform = client(&standin, WATCHER);
     let mut a = create(&platform, "a", 1).await;
     let mut rx = watch(&platform);
@@ -207,15 +210,16 @@
     assert_eq!(applied(&mut rx).await, ("a".into(), 2));
 }
 
-/// As above, with a deletion: nothing else would ever take the object out of the view.
+/// The watch silently loses a deletion. Without the check, the object would stay in the view
+/// forever.
 #[rstest]
 #[case::tables(Tables::Full)]
 #[case::no_version_column(Tables::NoVersion)]
 #[case::no_tables(Tables::None)]
 #[tokio::test]
-async fn finds_a_deletion_that_was_never_told(#[case] tables: Tables) {
+async fn detects_a_missed_deletion(#[case] tables: Tables) {
     let standin = standin().await;
-    standin.set_faults(made(tables));
+    standin.set_faults(table_support(tables));
     let platform = client(&standin, WATCHER);
     create(&platform, "a", 1).await;
     let mut rx = watch(&platform);
@@ -231,7 +235,7 @@
     assert_eq!(deleted(&mut rx).await, "a");
 }
 
-fn made(tables: Tables) -> FaultPatch {
+fn table_support(tables: Tables) -> FaultPatch {
     FaultPatch {
         tables: Some(tables),
         ..FaultPatch::default()
@@ -240,7 +244,7 @@
 
 /// A check of the assignments, 64 objects of a few kilobytes each, is one call and no more bytes
 /// than the fleet's budget was worked out with. Listed in pages as small as whole objects need,
-/// it was 16 calls, and the fleet made 320 lists a second in place of 20.
+/// it was 16 calls, and the fleet table_support 320 lists a second in place of 20.
 #[tokio::test]
 async fn a_check_of_all_assignments_is_one_small_call() {
     const ASSIGNMENT_OBJECTS: usize = 64;
@@ -263,10 +267,10 @@
     assert!(bytes <= CHECK_BYTES, "{bytes} bytes");
 }
 
-/// The platform ends the watch with `Expired` in its stream and refuses to start one from the
-/// known version. Only the difference between the lists is told, not everything once more.
+/// The platform ends the watch with `Expired` in its stream and refuses to open one from the last
+/// known version. The watch must list again and deliver only the difference, not all objects.
 #[tokio::test]
-async fn lists_the_difference_after_the_version_expired() {
+async fn delivers_the_difference_after_the_version_expired() {
     let standin = standin().await;
     let (watcher, writer) = (client(&standin, WATCHER), client(&standin, WRITER));
     let mut a = create(&writer, "a", 1).await;
@@ -291,14 +295,14 @@
     };
     standin.set_faults(reachable);
 
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     loop {
         match within(rx.recv()).await.expect("the watch goes on") {
             WatchEvent::Applied(object) => {
-                told.push(format!("{}={}", object.name, object.spec.value));
+                received.push(format!("{}={}", object.name, object.spec.value));
             }
             WatchEvent::Deleted { name } => {
-                told.push(format!("{name} deleted"));
+                received.push(format!("{name} deleted"));
                 standin.lift_faults();
             }
             WatchEvent::Synced { .. } => break,
@@ -306,10 +310,11 @@
             WatchEvent::Malformed { name, problem } => panic!("{name}: {problem}"),
         }
     }
-    assert_eq!(told, ["b deleted", "a=2"]);
+    assert_eq!(received, ["b deleted", "a=2"]);
 }
 
-/// The platform has forgotten the versions in between while the watcher was cut off.
+/// While the watch is disconnected, its version leaves the platform's history. The watch must list
+/// the objects again.
 #[tokio::test]
 async fn lists_again_when_the_history_is_too_short() {
     let options = PlatformOptions {
@@ -334,11 +339,11 @@
     assert_eq!(applied(&mut rx).await, ("a".into(), 9));
 }
 
-/// The watcher has been told of a deletion and then has to list again, from a cache that still
-/// has the object. It must not bring it back: an older configuration would come into force. It
-/// says that it is stalled, and goes on once the platform shows the present again.
+/// The watch has delivered a deletion and then has to list again, from a stale cache that still has
+/// the object. It must not deliver the object again, as that could put an older configuration into
+/// force. It must report that it is stalled and continue once the platform returns current state.
 #[tokio::test]
-async fn never_goes_back_to_an_older_list() {
+async fn rejects_a_list_older_than_the_known_state() {
     let standin = standin().await;
     let (watcher, writer) = (client(&standin, WATCHER), client(&standin, WRITER));
     create(&writer, "a", 1).await;
@@ -358,13 +363,13 @@
     standin.lift_faults();
     match within(rx.recv()).await.expect("the watch goes on") {
         WatchEvent::Synced { .. } => {}
-        event => panic!("told {event:?} though nothing has changed"),
+        event => panic!("received {event:?} though nothing has changed"),
     }
 }
 
-/// An object that somebody else wrote can't be read. The watch says so and goes on.
+/// An object written by another client can't be decoded. The watch must report it and continue.
 #[tokio::test]
-async fn goes_on_after_a_malformed_object() {
+async fn continues_after_a_malformed_object() {
     let standin = standin().await;
     let platform = client(&standin, WATCHER);
     let bad = Object::new("bad", "no number".to_owned());
@@ -383,7 +388,7 @@
 }
 
 #[tokio::test]
-async fn tells_of_objects_that_enter_and_leave_the_selection() {
+async fn reports_objects_that_enter_and_leave_the_selection() {
     let standin = standin().await;
     let platform = client(&standin, WATCHER);
     let mut rx = platform.watch::<Spec>(ASSIGNMENTS, Selector::label("zone", "esbjerg-a"));
@@ -400,7 +405,7 @@
 }
 
 #[tokio::test]
-async fn closes_the_call_when_the_receiver_is_dropped() {
+async fn closes_the_watch_when_the_receiver_is_dropped() {
     let standin = standin().await;
     let platform = client(&standin, WATCHER);
     let mut rx = watch(&platform);
