--- a/crates/chervilshunt_platform/examples/call_costs.rs
+++ b/crates/chervilshunt_platform/examples/call_costs.rs
@@ -1,9 +1,10 @@
-//! Measures what calls to the platform cost: processor time of the client, bytes on the wire, and
-//! calls a second of many instances.
+//! Measures the cost of calls to the platform: CPU time of the client, bytes on the wire, and the
+//! call rate of many instances.
 //!
-//! `cargo run --release -p chervilshunt_platform --example call_costs`. Each figure is the slope of
-//! a line through four sizes, with the share of the variance that the line explains. The stand-in
-//! runs on a thread of its own; only the client's thread is timed. See `docs/CAPACITY.md`.
+//! Run it with `cargo run --release -p chervilshunt_platform --example call_costs`. Each figure is
+//! the slope of a line fitted to measurements at four sizes, with the coefficient of determination
+//! (R2). The simulated platform runs on its own thread; only the client's thread is measured. See
+//! `docs/CAPACITY.md`.
 
 use std::future::Future;
 use std::time::Duration;
@@ -22,20 +23,20 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::mpsc;
 
-/// Endpoints in one slice, as Kubernetes' controller fills them.
+/// The number of endpoints in one slice, as the Kubernetes controller fills them.
 const SLICE_SIZE: usize = 100;
 
-/// Lists of versions that are made for one sample.
+/// The number of version lists requested for one sample.
 const LISTS: u32 = 100;
 
-/// How much faster than real time many instances are run.
+/// The speed-up over real time in [`Bench::many_instances`].
 const SPEED: u32 = 30;
 
 const RENEWAL: Duration = Duration::from_secs(5);
 const WARM_UP: Duration = Duration::from_secs(2);
 const RUN: Duration = Duration::from_secs(12);
 
-/// What was measured at one size.
+/// The measurements at one size.
 #[derive(Clone, Copy)]
 struct Sample {
     size: f64,
@@ -67,9 +68,9 @@
 }
 
 struct Bench {
-    /// Runs the stand-in and everything that is not to be timed.
+    /// Runs the simulated platform and everything else that is not measured.
     servers: Runtime,
-    /// Runs the client on the thread that is timed.
+    /// Runs the client on the measured thread.
     client: Runtime,
 }
 
@@ -103,7 +104,7 @@
         print_slope("lease read", &samples);
     }
 
-    /// Events of leases, as somebody who watches all of them gets them.
+    /// Measures the events of a watch of all leases.
     fn events(&self) {
         let samples = [500, 1000, 2000, 4000].map(|count| {
             let standin = self.standin();
@@ -119,19 +120,19 @@
             });
             let before = standin.stats().bytes_out;
             let mut sample = self.sample(&standin, count, async |platform| {
-                follow::<Value>(&platform, LEASES, count, &tx).await;
+                watch_objects::<Value>(&platform, LEASES, count, &tx).await;
             });
-            // The writer's answers are of a fixed size, and are taken off.
+            // The responses to the writer have a fixed size and are subtracted.
             let written = standin.stats().bytes_out - before;
-            sample.bytes_received = written as f64 - self.answer_bytes() * count as f64;
+            sample.bytes_received = written as f64 - self.response_bytes() * count as f64;
             sample.bytes_sent = 0.0;
             sample
         });
         print_slope("lease event watched", &samples);
     }
 
-    /// The bytes of the answer to one renewal.
-    fn answer_bytes(&self) -> f64 {
+    /// Returns the size of the response to one renewal, in bytes.
+    fn response_bytes(&self) -> f64 {
         let standin = self.standin();
         let count = 200;
         let sample = self.sample(&standin, count, async |platform| {
@@ -144,7 +145,7 @@
         sample.bytes_received / sample.size
     }
 
-    /// Events of slices of growing size: the slope is per endpoint.
+    /// Measures events of slices of increasing size. The slope is per endpoint.
     fn slice_events(&self) {
         const EVENTS: usize = 200;
         let samples = [10, 25, 50, 100].map(|size| {
@@ -183,7 +184,8 @@
         print_slope("endpoint in a slice event", &samples);
     }
 
-    /// Full lists of the instance list and lists of its metadata: the slope is per endpoint.
+    /// Measures full lists of slices (the slope is per endpoint), and version lists of slices and
+    /// leases (the slope is per object).
     fn lists(&self) {
         let sizes = [200, 400, 800, 1600];
         let full = sizes.map(|size| {
@@ -220,7 +222,7 @@
         print_slope("lease in a list of versions", &versions);
     }
 
-    /// The checks that every instance makes: whole bytes of one check, heads included.
+    /// Measures the checks that every instance makes: total bytes of one check, including headers.
     fn checks(&self) {
         self.check_of(CONFIG_HEADS, "head", &[1]);
         self.check_of(ENDPOINT_SLICES, "regatta-lm-000", &[5, 10, 20, 40]);
@@ -233,7 +235,7 @@
             let standin = self.standin();
             for index in 0..*size {
                 let object = Object::new(format!("{name}-{index:02}"), json!({}));
-                // The label that every slice has takes its bytes in a list of metadata.
+                // Every slice has this label, which adds to the size of a metadata list.
                 let object = match resource {
                     ENDPOINT_SLICES => object.with_label(SERVICE_LABEL, "regatta-lm"),
                     _ => object,
@@ -252,7 +254,7 @@
         sizes.collect()
     }
 
-    /// Lists versions a number of times and gives the cost of one list.
+    /// Requests [`LISTS`] version lists and returns the cost of one.
     fn sample_lists(&self, standin: &PlatformHandle, resource: Resource, size: usize) -> Sample {
         let sample = self.sample(standin, size, async |platform| {
             for _ in 0..LISTS {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Resident bytes of the instance list, per endpoint.
+    /// Measures the resident memory of the instance list per endpoint, in bytes.
     fn instance_list_memory(&self) {
         let samples = [6_400, 12_800, 25_600, 51_200].map(|size| {
             let before = resident_bytes();
@@ -279,7 +281,7 @@
             }
             let used = resident_bytes() - before;
             assert_eq!(list.iter().count(), size);
-            // Leaked, so that the next size does not reuse its memory.
+            // Leak the list so that the next size does not reuse its memory.
             std::mem::forget(list);
             (size as f64, used)
         });
@@ -287,9 +289,9 @@
         println!("instance list: {slope:.0} resident bytes per endpoint, R2 {r2:.4}");
     }
 
-    /// Calls a second of many instances at rest, each with a lease and three watches.
+    /// Measures the calls per second of many idle instances, each with a lease and three watches.
     fn many_instances(&self) {
-        println!("at rest, {SPEED} times as fast as real time, for {RUN:?}:");
+        println!("idle instances, {SPEED} times real time, for {RUN:?}:");
         let samples = [10_usize, 20, 40, 80].map(|instances| {
             let standin = self.standin();
             self.fill_slices(&standin, 400);
@@ -347,7 +349,7 @@
         }
     }
 
-    /// Runs a client on the timed thread.
+    /// Runs `work` with a client on the measured thread and returns its cost.
     fn sample<F: Future<Output = ()>>(
         &self,
         standin: &PlatformHandle,
@@ -369,7 +371,8 @@
     }
 }
 
-/// Renews its lease and watches what every instance watches.
+/// Simulates an idle instance, which renews its lease and keeps the watches that every instance
+/// has.
 async fn idle_instance(platform: Platform, name: String) {
     let timing = chervilshunt_platform::WatchTiming {
         check_min: Duration::ZERO,
@@ -392,9 +395,13 @@
     }
 }
 
-/// Watches until so many objects were told; says when it is ready for them.
-async fn follow<S>(platform: &Platform, resource: Resource, count: usize, ready: &mpsc::Sender<()>)
-where
+/// Watches until `count` objects were received. Sends on `ready` once the watch is open.
+async fn watch_objects<S>(
+    platform: &Platform,
+    resource: Resource,
+    count: usize,
+    ready: &mpsc::Sender<()>,
+) where
     S: for<'de> Deserialize<'de> + Send + 'static,
 {
     let mut rx = platform.watch::<S>(resource, Selector::all());
@@ -430,11 +437,11 @@
 }
 
 fn slice(index: usize, size: usize) -> Object<EndpointSlice> {
-    let endpoints = (0..size).map(|place| Endpoint {
-        addresses: vec![format!("10.{}.{}.{place}", index / 256, index % 256).into()],
+    let endpoints = (0..size).map(|number| Endpoint {
+        addresses: vec![format!("10.{}.{}.{number}", index / 256, index % 256).into()],
         target_ref: Some(TargetRef {
             kind: Some("Pod".into()),
-            name: format!("engine-{index}-{place}").into(),
+            name: format!("engine-{index}-{number}").into(),
         }),
         zone: Some("esbjerg-a".into()),
         ..Endpoint::default()
@@ -476,7 +483,7 @@
     println!("{what:<28}{cpu:>12.2}{sent:>12.1}{received:>12.1}{r2:>8.4}");
 }
 
-/// Fits a line by least squares; returns its slope and the share of the variance it explains.
+/// Fits a line by least squares. Returns its slope and the coefficient of determination (R2).
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
