--- a/crates/chervilshunt_platform/src/config.rs
+++ b/crates/chervilshunt_platform/src/config.rs
@@ -103,7 +103,7 @@
     pub backoff: BackoffConfig,
     /// The time without any line, bookmarks included, after which a watch is considered stalled
     /// and is reopened. It has to be well above the platform's interval between bookmarks.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// The minimum time between two checks for events that the watch did not deliver. Jitter of
     /// up to 20 % is added or subtracted.
     pub check_min: Duration,
@@ -137,7 +137,7 @@
                 base: Duration::from_millis(100),
                 cap: Duration::from_secs(10),
             },
-            silence: Duration::from_secs(150),
+            idle_timeout: Duration::from_secs(150),
             check_min: Duration::from_millis(1500),
             checks_per_second: 20.0,
             settle: Duration::from_millis(500),
--- a/crates/chervilshunt_platform/src/watch/follow.rs
+++ b/crates/chervilshunt_platform/src/watch/follow.rs
@@ -202,7 +202,7 @@
         let mut check = self.next_check();
         loop {
             let line = tokio::select! {
-                line = timeout(self.timing.silence, lines.next()) => line,
+                line = timeout(self.timing.idle_timeout, lines.next()) => line,
                 checked = &mut check => {
                     if let Some(end) = self.advance_check(checked, &mut check).await? {
                         return Ok(end);
--- a/crates/chervilshunt_platform/tests/support/mod.rs
+++ b/crates/chervilshunt_platform/tests/support/mod.rs
@@ -52,7 +52,7 @@
             base: Duration::from_millis(10),
             cap: Duration::from_millis(100),
         },
-        silence: Duration::from_millis(400),
+        idle_timeout: Duration::from_millis(400),
         check_min: Duration::from_millis(300),
         checks_per_second: 1e6,
         settle: Duration::from_millis(50),
--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -157,7 +157,7 @@
 async fn a_check_notices_a_frozen_platform() {
     let standin = standin().await;
     let mut cfg = config(&standin, WATCHER);
-    cfg.watch.silence = NEVER;
+    cfg.watch.idle_timeout = NEVER;
     let watcher = Platform::new(cfg, Logger::root(Discard, o!()));
     let mut rx = watch(&watcher);
     synced(&mut rx).await;
