--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -242,9 +242,9 @@
     }
 }
 
-/// A check of the assignments, 64 objects of a few kilobytes each, is one call and no more bytes
-/// than the fleet's budget was worked out with. Listed in pages as small as whole objects need,
-/// it was 16 calls, and the fleet table_support 320 lists a second in place of 20.
+/// A check of the assignments, 64 objects of a few kilobytes each, must take one call and no more
+/// bytes than assumed for the fleet's budget. When checks used the page size for whole objects, one
+/// took 16 calls, and the fleet made 320 list calls per second instead of 20.
 #[tokio::test]
 async fn a_check_of_all_assignments_is_one_small_call() {
     const ASSIGNMENT_OBJECTS: usize = 64;
