--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -98,7 +98,7 @@
 }
 
 /// A watch loses its connection, another instance writes and deletes objects, and the fault is
-/// lifted. The watch must report `Stalled` and then deliver all changes table_support meanwhile, including
+/// lifted. The watch must report `Stalled` and then deliver all changes made meanwhile, including
 /// the deletion, by resuming from the last version it received.
 #[rstest]
 #[case::cut(FaultPatch { cut: Some(vec![WATCHER.into()]), ..FaultPatch::default() })]
