--- a/crates/chervilshunt_model/src/adapter_map.rs
+++ b/crates/chervilshunt_model/src/adapter_map.rs
@@ -1,4 +1,4 @@
-//! Adapters by name, in pages that copies of a deployment share.
+//! A copy-on-write map of adapters by name, divided into pages.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -11,22 +11,21 @@
 use crate::pages::AdapterPage;
 use crate::{Adapter, AdapterName};
 
-/// Number of pages that adapters are spread over by the hash of their name.
+/// The number of pages over which adapters are distributed by the hash of their name.
 pub(crate) const ADAPTER_PAGES: usize = 256;
 
-/// Adapters by name.
+/// A map of adapters by name, whose clones share unchanged pages.
 ///
-/// Two copies share their pages until one is changed, and then all pages but that one: a change of
-/// one adapter among 170,000 copies some 660. The pages are those in which the platform keeps the
-/// adapters, so that comparing pointers tells which of them have to be written. See
-/// `docs/design/configuration-pages.md`.
+/// A change copies only the page that holds the adapter: about 660 adapters of 170,000. The pages
+/// are the same as those in which the platform stores the adapters, so comparing pointers shows
+/// which pages have to be written. See `docs/design/configuration-pages.md`.
 #[derive(Clone)]
 pub struct AdapterMap {
     pages: Box<[Arc<AdapterPage>]>,
 }
 
 impl AdapterMap {
-    /// Makes a map without adapters.
+    /// Creates an empty map.
     pub fn new() -> Self {
         let empty = Arc::new(AdapterPage::default());
         Self {
@@ -34,22 +33,22 @@
         }
     }
 
-    /// Returns the adapter of that name.
+    /// Returns the adapter with the given name.
     pub fn get(&self, name: &AdapterName) -> Option<&Adapter> {
         self.page(page_of(name)).get(name)
     }
 
-    /// Returns the name as the map holds it, and its adapter.
+    /// Returns the map's own copy of the name, and its adapter.
     pub fn get_key_value(&self, name: &AdapterName) -> Option<(&AdapterName, &Adapter)> {
         self.page(page_of(name)).get_key_value(name)
     }
 
-    /// Returns whether there is an adapter of that name.
+    /// Returns whether the map contains an adapter with the given name.
     pub fn contains_key(&self, name: &AdapterName) -> bool {
         self.get(name).is_some()
     }
 
-    /// Returns the adapter of that name for a change; its page is no longer shared after that.
+    /// Returns a mutable reference to an adapter. If its page is shared, it is copied first.
     pub fn get_mut(&mut self, name: &AdapterName) -> Option<&mut Adapter> {
         if !self.contains_key(name) {
             return None;
@@ -57,12 +56,12 @@
         self.page_mut(page_of(name)).get_mut(name)
     }
 
-    /// Puts an adapter in and returns the one that it replaces.
+    /// Inserts an adapter and returns the one that it replaces, if any.
     pub fn insert(&mut self, name: AdapterName, adapter: Adapter) -> Option<Adapter> {
         self.page_mut(page_of(&name)).insert(name, adapter)
     }
 
-    /// Takes an adapter out.
+    /// Removes an adapter and returns it, if it exists.
     pub fn remove(&mut self, name: &AdapterName) -> Option<Adapter> {
         if !self.contains_key(name) {
             return None;
@@ -75,12 +74,12 @@
         self.pages.iter().map(|page| page.len()).sum()
     }
 
-    /// Returns whether there is no adapter.
+    /// Returns whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.pages.iter().all(|page| page.is_empty())
     }
 
-    /// Returns all adapters, page by page; the names are sorted within a page only.
+    /// Returns all adapters, page by page. They are sorted by name only within each page.
     pub fn iter(&self) -> impl Iterator<Item = (&AdapterName, &Adapter)> {
         self.pages.iter().flat_map(|page| page.iter())
     }
@@ -108,7 +107,8 @@
     }
 }
 
-/// Returns the page of an adapter; the same in every process and release.
+/// Returns the index of the page that holds an adapter. It is the same in every process and
+/// release.
 pub(crate) fn page_of(name: &AdapterName) -> u8 {
     let [page, ..] = xxh3_64(name.as_str().as_bytes()).to_le_bytes();
     page
@@ -159,8 +159,7 @@
     type Output = Adapter;
 
     fn index(&self, name: N) -> &Adapter {
-        self.get(name.borrow())
-            .expect("an index names an adapter that is there")
+        self.get(name.borrow()).expect("the indexed adapter exists")
     }
 }
 
