--- a/crates/chervilshunt_model/src/apply.rs
+++ b/crates/chervilshunt_model/src/apply.rs
@@ -15,14 +15,15 @@
 };
 
 impl Deployment {
-    /// Returns the deployment after a change set, at the next revision.
+    /// Returns the deployment with a change set applied, at the next revision.
     ///
-    /// All changes take effect or none. They are carried out in their order, and references are
-    /// checked at the end, so that the order of objects that refer to each other does not matter.
-    /// The result shares all pages of adapters with this deployment that the changes don't touch.
+    /// Either all changes take effect or none. They are applied in order, and references are
+    /// checked at the end, so objects that refer to each other may be created in any order. The
+    /// result shares the adapter pages that the changes don't touch with this deployment.
     ///
     /// # Errors
-    /// Fails at the first change that can't be carried out, or at the first broken reference.
+    /// Returns the error of the first change that can't be applied, or else of the first failed
+    /// check of the resulting deployment.
     pub fn apply(&self, set: &ChangeSet) -> Result<Self, ChangeError> {
         if let Some(expected) = set.expected {
             let actual = self.revision;
--- a/crates/chervilshunt_model/src/change_error.rs
+++ b/crates/chervilshunt_model/src/change_error.rs
@@ -1,4 +1,4 @@
-//! Why a change is refused.
+//! The errors of refused changes.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use crate::{ObjectKind, ObjectRef, Revision};
 
-/// Why a change set is refused; nothing of it has taken effect.
+/// The reason why a change set is refused. None of its changes has taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum ChangeError {
-    /// The revision in force is not the one that the operator saw.
+    /// The current revision is not the one that the operator saw.
     #[snafu(display(
         "revision {expected} was expected, but {actual} is in force; look at what has changed and \
          try again with it"
@@ -19,19 +19,19 @@
     RevisionMoved {
         /// The revision that the change set expects.
         expected: Revision,
-        /// The revision in force.
+        /// The current revision.
         actual: Revision,
     },
-    /// The change set holds no change.
+    /// The change set is empty.
     #[snafu(display("the change set holds no change; give at least one"))]
     NoChange,
-    /// An object of that name is there already.
+    /// An object with that name already exists.
     #[snafu(display("{object} exists already; choose another name, or set what may change of it"))]
     Exists {
         /// The object.
         object: ObjectRef,
     },
-    /// There is no object of that name.
+    /// No object with that name exists.
     #[snafu(display("{object} does not exist; create it, or look for its name with show"))]
     Missing {
         /// The object.
@@ -43,7 +43,8 @@
         /// The object.
         object: ObjectRef,
     },
-    /// A name holds characters that can't be part of headers, paths or labels.
+    /// A name is empty, too long, or has characters that are not allowed in headers, paths or
+    /// labels.
     #[snafu(display(
         "{object} can't have that name; a name is 1 to {max_len} letters, digits, '-', '_' or '.', \
          and starts with a letter or digit"
@@ -51,10 +52,10 @@
     BadName {
         /// The object.
         object: ObjectRef,
-        /// The longest name, in bytes.
+        /// The maximum length of a name, in bytes.
         max_len: usize,
     },
-    /// A field names an object that does not exist.
+    /// A field refers to an object that does not exist.
     #[snafu(display(
         "{object} names {refers_to} as its {field}, which does not exist; create it in the same \
          change, or name another"
@@ -64,10 +65,10 @@
         object: ObjectRef,
         /// The field.
         field: &'static str,
-        /// What it names.
+        /// The object to which it refers.
         refers_to: ObjectRef,
     },
-    /// An object that others need is to be deleted.
+    /// An object can't be deleted because other objects refer to it.
     #[snafu(display(
         "{object} can't be deleted while {user} needs it; delete or change that first, or in the \
          same change"
@@ -75,10 +76,10 @@
     InUse {
         /// The object.
         object: ObjectRef,
-        /// One of those that need it.
+        /// One of the objects that refer to it.
         user: ObjectRef,
     },
-    /// A field holds a value that is not allowed.
+    /// A field has a value that is not allowed.
     #[snafu(display("{object} can't have {field} = {value}; {allowed}"))]
     BadValue {
         /// The object.
@@ -87,10 +88,10 @@
         field: &'static str,
         /// The value as text.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         allowed: &'static str,
     },
-    /// An adapter belongs to a service that is no engine service.
+    /// An adapter refers to a service that is not an engine service.
     #[snafu(display(
         "{object} can't belong to {service}, whose kind is plain; name a service whose kind is \
          engine"
@@ -111,13 +112,13 @@
         object: ObjectRef,
         /// The address.
         address: SocketAddr,
-        /// The target that has it.
+        /// The other target with the same address.
         other: ObjectRef,
     },
 }
 
 impl ChangeError {
-    /// Returns the kind of the object that the error is about, if it is about one.
+    /// Returns the kind of the object to which the error relates, if any.
     pub fn object_kind(&self) -> Option<ObjectKind> {
         match self {
             Self::RevisionMoved { .. } | Self::NoChange => None,
--- a/crates/chervilshunt_model/src/changes.rs
+++ b/crates/chervilshunt_model/src/changes.rs
@@ -1,4 +1,4 @@
-//! Typed changes of configuration.
+//! Typed changes to the configuration.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,21 +10,21 @@
     WeightStorePatch,
 };
 
-/// Changes that take effect together or not at all.
+/// A set of changes that is applied atomically.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeSet {
-    /// By which a write whose answer was lost is recognised.
+    /// The id that identifies the change set if the response to its write was lost.
     pub id: ChangeId,
-    /// The revision that the operator saw; the change is refused if another is in force.
+    /// The revision that the operator saw. The change set is refused if a different one is current.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected: Option<Revision>,
-    /// The changes, carried out in this order.
+    /// The changes, in the order in which they are applied.
     pub changes: Vec<Change>,
 }
 
 impl ChangeSet {
-    /// Returns the pages that have to be written, sorted and each once.
+    /// Returns the pages that have to be written, sorted and without duplicates.
     pub fn touched_pages(&self) -> Vec<PageId> {
         let mut pages: Vec<_> = self.changes.iter().map(Change::page).collect();
         pages.sort_unstable();
@@ -37,56 +37,56 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A change to an adapter; deleting it deletes its versions.
+    /// A change to an adapter. Deleting an adapter deletes its versions too.
     Adapter {
-        /// The adapter.
+        /// The name of the adapter.
         name: AdapterName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Adapter, AdapterPatch>,
     },
     /// A change to one version of an adapter.
     ///
-    /// A version can't be set: engines that hold its weights would go on answering with the old
-    /// ones under the same name.
+    /// A version can't be modified, because engines that have loaded its weights would continue to
+    /// serve the old ones under the same name.
     Version {
-        /// The version.
+        /// The name of the version.
         name: AdapterVersion,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Version, NoPatch>,
     },
     /// A change to a service.
     Service {
-        /// The service.
+        /// The name of the service.
         name: ServiceName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Service, ServicePatch>,
     },
-    /// A change to a target; draining and resuming set its lifecycle.
+    /// A change to a target. Draining and resuming are changes of its lifecycle.
     Target {
-        /// The target.
+        /// The name of the target.
         name: TargetName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Target, TargetPatch>,
     },
     /// A change to a priority.
     Priority {
-        /// The priority.
+        /// The name of the priority.
         name: PriorityName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Priority, PriorityPatch>,
     },
     /// A change to a site.
     Site {
-        /// The site.
+        /// The name of the site.
         name: SiteName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<Site, SitePatch>,
     },
     /// A change to a weight store.
     Store {
-        /// The weight store.
+        /// The name of the weight store.
         name: StoreName,
-        /// What happens to it.
+        /// The change to apply.
         edit: Edit<WeightStore, WeightStorePatch>,
     },
 }
@@ -119,19 +119,19 @@
     }
 }
 
-/// What happens to an object.
+/// The change to an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit<O, P> {
-    /// It comes into being; refused if there is one of that name.
+    /// Creates the object. Refused if an object with that name exists.
     Create(O),
-    /// The fields that the patch holds change; refused if there is none of that name.
+    /// Sets the fields given in the patch. Refused if no object with that name exists.
     Set(P),
-    /// It goes; refused if there is none of that name, or another object needs it.
+    /// Deletes the object. Refused if it does not exist or if other objects refer to it.
     Delete,
 }
 
-/// The patch of objects that can't be set; there is no value of it.
+/// The patch type of objects that can't be modified. It has no values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoPatch {}
 
