--- a/crates/chervilshunt_model/src/class.rs
+++ b/crates/chervilshunt_model/src/class.rs
@@ -1,23 +1,23 @@
-//! The two classes of work that priorities separate.
+//! The class of a request: live or deferrable.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request has to be prompt or may wait.
+/// Whether a request is latency-sensitive or may wait.
 ///
 /// `Live` sorts before `Deferrable`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Somebody is waiting for the answer.
+    /// A user or program is waiting for the response.
     Live,
-    /// The request waits for spare power and batch room rather than fail.
+    /// The request waits for spare power and batch capacity rather than fail.
     Deferrable,
 }
 
 impl Class {
-    /// Returns the name that settings, headers and logs use.
+    /// Returns the name used in settings, headers and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Live => "live",
--- a/crates/chervilshunt_model/src/clock.rs
+++ b/crates/chervilshunt_model/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that beliefs age by.
+//! The clock for expiry times and the age of observations.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::Moment;
 
-/// Reads the time since the machine was booted, suspension included.
+/// A clock that reads the time since the machine was booted, including time spent suspended.
 ///
-/// `std::time::Instant` stands still while a machine is suspended. A lease that ran out meanwhile
-/// would look alive after it: the process would go on giving orders while its successor gives them
-/// too. The boot clock counts that time, so that whatever was learnt before a suspension is as old
-/// as it really is. The time of day is no substitute, since it jumps.
+/// `std::time::Instant` does not advance while a machine is suspended. A lease that expired during
+/// the suspension would still look valid afterwards, and the process would continue to send orders
+/// while its successor does so too. The boot clock includes the suspension, so observations made
+/// before it get their actual age. The wall clock is not suitable because it can jump.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     read: fn() -> Duration,
@@ -23,12 +23,12 @@
         Self { read: boot_time }
     }
 
-    /// Returns a clock that reads time from `read`, for tests that suspend a machine.
+    /// Returns a clock that reads the time from `read`, for tests that simulate a suspension.
     pub const fn from_reading(read: fn() -> Duration) -> Self {
         Self { read }
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(self) -> Moment {
         Moment::ZERO + (self.read)()
     }
--- a/crates/chervilshunt_model/src/deployment.rs
+++ b/crates/chervilshunt_model/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The objects that operators create, and the deployment that they make up.
+//! The objects that operators create, and the deployment that contains them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
     TargetName, VersionMap, ZoneName,
 };
 
-/// Everything that is in force at one revision.
+/// All objects that are in force at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Deployment {
-    /// The revision at which these objects came into force.
+    /// The revision of the configuration.
     pub revision: Revision,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
@@ -24,14 +24,14 @@
     pub adapters: AdapterMap,
     /// Priorities by name.
     pub priorities: BTreeMap<PriorityName, Priority>,
-    /// Sites, each with its cap on power.
+    /// Sites by name, each with its power cap.
     pub sites: BTreeMap<SiteName, Site>,
-    /// Weight stores, each with the loads that it bears.
+    /// Weight stores by name, each with its load limits.
     pub stores: BTreeMap<StoreName, WeightStore>,
 }
 
 impl Deployment {
-    /// Returns the version object that `model` names, if it exists.
+    /// Returns the version that `model` refers to, if it exists.
     pub fn version(&self, model: &AdapterVersion) -> Option<&Version> {
         self.adapters
             .get(&model.adapter)?
@@ -39,7 +39,7 @@
             .get(&model.version)
     }
 
-    /// Returns the targets of a service that take new work, in name order.
+    /// Returns the targets of a service that accept new work, ordered by name.
     pub fn active_targets<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -50,29 +50,29 @@
     }
 }
 
-/// A group of targets that answer the same calls.
+/// A group of interchangeable targets, which serve the same calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What stands behind the targets.
+    /// The kind of back end.
     pub kind: ServiceKind,
-    /// The priority of requests that name none.
+    /// The default priority, for requests that specify none.
     pub priority: PriorityName,
-    /// Whether a call may be repeated when the request does not say so itself.
+    /// Whether calls may be retried, for requests that don't specify it.
     ///
     /// Completions are idempotent in this sense; finish entries and manifests are not.
     pub idempotent: bool,
-    /// How long a request may take when it does not say so itself, in milliseconds.
+    /// The default deadline, for requests that specify none, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// What stands behind the targets of a service.
+/// The kind of back end of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines that hold adapters of this base model in their slots.
+    /// LLM engines that hold adapters of one base model in their slots.
     Engine {
-        /// The name by which the engines know the base model.
+        /// The name of the base model in the engines.
         base_model: Arc<str>,
     },
     /// Plain HTTP services.
@@ -83,47 +83,47 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The service that it is a replica of.
+    /// The service of which it is a replica.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// The site whose power it draws.
+    /// The site that supplies its power.
     pub site: SiteName,
-    /// The weight store that it loads adapters from.
+    /// The weight store from which it loads adapters.
     pub store: StoreName,
-    /// The adapters that it can hold at a time; 0 for plain services.
+    /// The number of adapters that it can hold at a time. 0 for plain services.
     pub slots: u32,
-    /// The sequences, or calls of a plain service, that it can run at a time.
+    /// The number of sequences, or calls of a plain service, that it can run concurrently.
     pub max_batch: u32,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub fencing: Fencing,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub lifecycle: Lifecycle,
-    /// Power of a step that runs no sequence, in watts.
+    /// The power draw of a step that runs no sequence, in watts.
     pub idle_watts: f64,
-    /// Power that each running sequence adds, in watts.
+    /// The additional power draw of each running sequence, in watts.
     pub watts_per_sequence: f64,
 }
 
-/// Whether a target checks who gives it an order.
+/// Whether a target checks the fencing numbers of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// It refuses an order whose fencing number is lower than one it has seen.
+    /// The target refuses orders with a fencing number lower than the highest it has seen.
     Checks,
-    /// It carries out any order.
+    /// The target executes orders regardless of their fencing number.
     Ignores,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// It takes new work.
+    /// The target accepts new work.
     Active,
-    /// It finishes what it has and takes nothing new.
+    /// The target completes its running work and accepts no new work.
     Draining,
 }
 
@@ -131,12 +131,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// The service whose engines serve it.
+    /// The service whose engines serve the adapter.
     pub service: ServiceName,
-    /// The priority of its requests, in place of the service's.
+    /// The default priority of its requests, overriding that of the service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<PriorityName>,
-    /// Its versions by name.
+    /// The versions by name.
     #[serde(default, skip_serializing_if = "VersionMap::is_empty")]
     pub versions: VersionMap,
 }
@@ -145,25 +145,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// Where the weight store keeps its weights.
+    /// The location of the weights in the weight store.
     pub source: Arc<str>,
 }
 
-/// What separates live work from work that can wait.
+/// A priority level of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Priority {
     /// The class of requests with this priority.
     pub class: Class,
-    /// Share among requests of the same class, at least 1.
+    /// The relative share among requests of the same class, at least 1.
     pub weight: u32,
 }
 
-/// A site with its cap on electric power.
+/// A site with its power cap.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// The power that all its targets together may draw, in watts.
+    /// The maximum power draw of all targets of the site together, in watts.
     pub cap_watts: f64,
 }
 
@@ -171,8 +171,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightStore {
-    /// Loads that run at full speed side by side.
+    /// The number of loads that can run concurrently at full speed.
     pub concurrency: u32,
-    /// Loads a second that it gives in all.
+    /// The total rate limit, in loads per second.
     pub loads_per_second: f64,
 }
