--- a/crates/chervilshunt_model/src/lib.rs
+++ b/crates/chervilshunt_model/src/lib.rs
@@ -1,8 +1,9 @@
-//! Names, objects and messages that the chervilshunt crates share.
+//! Data types shared by the chervilshunt crates.
 //!
-//! This crate holds data only: identifiers, the objects that operators create, and the clock type
-//! that every deciding function takes as an argument. Nothing here does input or output, so that
-//! the decision crates can be tested without sockets. See `docs/ARCHITECTURE.md`.
+//! This crate contains identifiers, the objects that operators create and their changes, and the
+//! clock and time types. It performs no network or file I/O, so that the decision logic can be
+//! tested without sockets: decision functions take the current time as a [`Moment`] argument. See
+//! `docs/ARCHITECTURE.md`.
 
 mod adapter_map;
 mod apply;
