--- a/crates/chervilshunt_model/src/moment.rs
+++ b/crates/chervilshunt_model/src/moment.rs
@@ -1,4 +1,4 @@
-//! The clock type of every deciding function.
+//! The time type of the decision logic.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -6,11 +6,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one process's monotonic clock, in microseconds since an origin of its own.
+/// A point in time on a process's monotonic clock, in microseconds since the origin of that clock.
 ///
-/// Moments of two processes can't be compared: what crosses the network is a duration. It is a
-/// type of its own rather than `std::time::Instant`, so that tests and the policy bench can make
-/// any point in time.
+/// Moments of different processes can't be compared, so messages between instances contain
+/// durations instead. Unlike `std::time::Instant`, a moment can be created from a number, which
+/// lets tests and the policy benchmark simulate any point in time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,12 +20,12 @@
     /// The origin of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// Returns the point that lies `micros` microseconds after the origin.
+    /// Creates a moment from the number of microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Returns the point that lies `millis` milliseconds after the origin.
+    /// Creates a moment from the number of milliseconds since the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
@@ -40,12 +40,12 @@
         self.0 / 1_000
     }
 
-    /// Returns the time since `earlier`, or zero if `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this moment.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the time from here until `later`, or zero if `later` has passed.
+    /// Returns the time from this moment until `later`, or zero if `later` is in the past.
     pub const fn until(self, later: Self) -> Duration {
         later.since(self)
     }
--- a/crates/chervilshunt_model/src/object.rs
+++ b/crates/chervilshunt_model/src/object.rs
@@ -1,4 +1,4 @@
-//! How an object that operators create is referred to.
+//! References to the objects that operators create.
 
 use std::fmt;
 
@@ -12,20 +12,20 @@
     Adapter,
     /// One version of an adapter.
     Version,
-    /// A group of targets that answer the same calls.
+    /// A group of interchangeable targets.
     Service,
     /// One replica of a service.
     Target,
-    /// What separates live work from work that can wait.
+    /// A priority level of requests.
     Priority,
-    /// A site with its cap on electric power.
+    /// A site with its power cap.
     Site,
     /// A rate-limited weight store.
     Store,
 }
 
 impl ObjectKind {
-    /// All kinds, in the order in which the operators' language lists them.
+    /// All kinds, in the order in which the operator language lists them.
     pub const ALL: [Self; 7] = [
         Self::Adapter,
         Self::Version,
@@ -36,7 +36,7 @@
         Self::Store,
     ];
 
-    /// Returns the name that the operators' language and errors use.
+    /// Returns the name used in the operator language and in error messages.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Adapter => "adapter",
@@ -56,17 +56,17 @@
     }
 }
 
-/// An object's kind and name, as errors and logs give it.
+/// The kind and name of an object, as shown in error messages and logs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectRef {
     /// The kind.
     pub kind: ObjectKind,
-    /// The name; `adapter@version` for a version.
+    /// The name, which has the form `adapter@version` for a version.
     pub name: String,
 }
 
 impl ObjectRef {
-    /// Joins a kind and a name.
+    /// Creates a reference from a kind and a name.
     pub fn new(kind: ObjectKind, name: impl fmt::Display) -> Self {
         Self {
             kind,
