--- a/crates/chervilshunt_model/src/pages.rs
+++ b/crates/chervilshunt_model/src/pages.rs
@@ -1,4 +1,4 @@
-//! The pages in which the platform keeps a deployment.
+//! The pages into which a deployment is divided for storage in the platform.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,13 +17,13 @@
 const COMMON_NAME: &str = "common";
 const ADAPTERS_PREFIX: &str = "adapters-";
 
-/// Which page; its text form is part of the name of the platform's object.
+/// The id of a page. Its text form is part of the name of the platform's object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum PageId {
-    /// The page of everything but adapters.
+    /// The page of all objects other than adapters.
     Common,
-    /// One of 256 pages of adapters, by the hash of their name.
+    /// One of 256 pages of adapters, selected by the hash of the adapter's name.
     Adapters(u8),
 }
 
@@ -33,15 +33,15 @@
         Self::Adapters(page_of(name))
     }
 
-    /// Returns all pages.
+    /// Returns the ids of all pages.
     pub fn all() -> impl Iterator<Item = Self> {
         std::iter::once(Self::Common).chain((0..=u8::MAX).map(Self::Adapters))
     }
 
-    /// Reads the text form.
+    /// Parses the text form.
     ///
     /// # Errors
-    /// Fails if no page has that name.
+    /// Returns [`PageError::NoSuchPage`] if no page has that name.
     pub fn parse(name: &str) -> Result<Self, PageError> {
         let by_name = match name.strip_prefix(ADAPTERS_PREFIX) {
             Some(digits) => u8::from_str_radix(digits, 16).ok().map(Self::Adapters),
@@ -77,17 +77,17 @@
     }
 }
 
-/// The contents of one page.
+/// The content of one page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Page {
-    /// Everything but adapters.
+    /// All objects other than adapters.
     Common(CommonPage),
     /// The adapters of one page.
     Adapters(Arc<AdapterPage>),
 }
 
-/// Everything but adapters: some 1,600 targets at the most, and far fewer of the rest.
+/// All objects other than adapters: at most about 1,600 targets, and far fewer of the other kinds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommonPage {
@@ -109,7 +109,7 @@
 pub struct AdapterPage(LiteMap<AdapterName, Adapter>);
 
 impl AdapterPage {
-    /// Returns the adapters in name order.
+    /// Returns the adapters, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&AdapterName, &Adapter)> {
         self.0.iter()
     }
@@ -119,7 +119,7 @@
         self.0.len()
     }
 
-    /// Returns whether there is no adapter.
+    /// Returns whether the page is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -144,10 +144,11 @@
         self.0.remove(name)
     }
 
-    /// Takes as little memory as the adapters allow.
+    /// Minimizes the memory use of the page.
     ///
-    /// Each name read from a page is an allocation of its own, so the few service and priority
-    /// names are shared with the deployment's, and room that growing left over is given back.
+    /// Each name decoded from a page is a separate allocation. Since there are few service and
+    /// priority names, they are replaced by shared references to those of the deployment. Excess
+    /// capacity is released.
     fn compact(self, deployment: &Deployment) -> Self {
         let mut adapters: Vec<_> = self.0.into_tuple_vec();
         for (_, adapter) in &mut adapters {
@@ -165,7 +166,8 @@
     }
 }
 
-/// Makes an adapter share the names of its service and priority with the deployment.
+/// Replaces the service and priority names of an adapter by shared references to those of the
+/// deployment, to save memory.
 pub(crate) fn share_names(adapter: &mut Adapter, deployment: &Deployment) {
     if let Some((name, _)) = deployment.services.get_key_value(&adapter.service) {
         adapter.service = name.clone();
@@ -179,7 +181,7 @@
 }
 
 impl Deployment {
-    /// Returns the contents of one page.
+    /// Returns the content of one page.
     pub fn page(&self, id: PageId) -> Page {
         match id {
             PageId::Common => Page::Common(CommonPage {
@@ -193,14 +195,14 @@
         }
     }
 
-    /// Returns all pages.
+    /// Returns the ids and contents of all pages.
     pub fn pages(&self) -> impl Iterator<Item = (PageId, Page)> {
         PageId::all().map(|id| (id, self.page(id)))
     }
 
     /// Returns the pages that differ between this deployment and another.
     ///
-    /// Pages that the two share are not looked into.
+    /// Adapter pages shared by both are not compared.
     pub fn differing_pages(&self, other: &Self) -> Vec<PageId> {
         PageId::all()
             .filter(|id| !self.same_page(other, *id))
@@ -223,24 +225,24 @@
         }
     }
 
-    /// Puts a deployment together from its pages; a page that is not given is empty.
+    /// Creates a deployment from its pages. Missing pages are taken as empty.
     ///
     /// # Errors
-    /// Fails if a page does not fit its id.
+    /// Returns an error if the content of a page does not match its id.
     pub fn from_pages(
         revision: Revision,
         pages: impl IntoIterator<Item = (PageId, Page)>,
     ) -> Result<Self, PageError> {
         let mut pages: Vec<_> = pages.into_iter().collect();
-        // The common page comes first, so that the others can share its names.
+        // The common page is applied first so that the adapter pages can share its names.
         pages.sort_by_key(|(id, _)| *id);
         Self::default().with_pages(revision, pages)
     }
 
-    /// Returns the deployment at another revision, in which some pages are replaced.
+    /// Returns a copy of the deployment with another revision and some pages replaced.
     ///
     /// # Errors
-    /// Fails if a page does not fit its id.
+    /// Returns an error if the content of a page does not match its id.
     pub fn with_pages(
         &self,
         revision: Revision,
@@ -278,26 +280,26 @@
     }
 }
 
-/// Why a page can't be taken.
+/// The error for an invalid page or page name.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum PageError {
     /// No page has that name.
-    #[snafu(display("there is no page {name:?}; pages are common and adapters-00 to adapters-ff"))]
+    #[snafu(display("no such page: {name:?}; pages are common and adapters-00 to adapters-ff"))]
     NoSuchPage {
         /// The name.
         name: String,
     },
-    /// The page holds an adapter that belongs to another page.
-    #[snafu(display("page {id} holds adapter {adapter}, which belongs to another page"))]
+    /// The page contains an adapter that belongs to another page.
+    #[snafu(display("page {id} contains adapter {adapter}, which belongs to another page"))]
     Stray {
         /// The adapter.
         adapter: AdapterName,
         /// The page.
         id: PageId,
     },
-    /// The page's contents are of another kind than its id says.
-    #[snafu(display("page {id} holds contents of the other kind of page"))]
+    /// The content is for the other kind of page than the id.
+    #[snafu(display("page {id} contains the other kind of page"))]
     WrongKind {
         /// The page.
         id: PageId,
--- a/crates/chervilshunt_model/src/patches.rs
+++ b/crates/chervilshunt_model/src/patches.rs
@@ -1,7 +1,7 @@
-//! Patches: for each kind of object the fields that may change after its creation.
+//! Patches, which contain the fields of each kind of object that can be modified.
 //!
-//! What is fixed at creation has no field here: the kind of a service, since its adapters fit one
-//! base model only, and the service of a target or an adapter.
+//! Immutable fields have no field in a patch: the kind of a service, because its adapters work with
+//! one base model only, and the service of a target or an adapter.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
     Target, WeightStore, ZoneName,
 };
 
-/// What a patch does to its object.
+/// A partial update of an object.
 pub(crate) trait Patch<O> {
-    /// Sets the fields that the patch holds.
+    /// Sets the fields given in the patch.
     fn apply(&self, object: &mut O);
 
-    /// Returns whether the patch holds no field.
+    /// Returns whether the patch sets no field.
     fn is_empty(&self) -> bool;
 }
 
@@ -55,76 +55,76 @@
 }
 
 patch_type!(
-    /// What may change of a service.
+    /// The modifiable fields of a service.
     ServicePatch of Service {
-        /// The priority of requests that name none.
+        /// The default priority, for requests that specify none.
         priority: PriorityName,
-        /// Whether a call may be repeated when the request does not say so itself.
+        /// Whether calls may be retried, for requests that don't specify it.
         idempotent: bool,
-        /// How long a request may take when it does not say so itself, in milliseconds.
+        /// The default deadline, for requests that specify none, in milliseconds.
         deadline_ms: u64,
     }
 );
 
 patch_type!(
-    /// What may change of a target.
+    /// The modifiable fields of a target.
     TargetPatch of Target {
-        /// Where it listens.
+        /// The address on which it listens.
         address: SocketAddr,
-        /// The availability zone it stands in.
+        /// The availability zone.
         zone: ZoneName,
-        /// The site whose power it draws.
+        /// The site that supplies its power.
         site: SiteName,
-        /// The weight store that it loads adapters from.
+        /// The weight store from which it loads adapters.
         store: StoreName,
-        /// The adapters that it can hold at a time.
+        /// The number of adapters that it can hold at a time.
         slots: u32,
-        /// The sequences that it can run at a time.
+        /// The number of sequences, or calls of a plain service, that it can run concurrently.
         max_batch: u32,
-        /// Whether it refuses orders that carry an old fencing number.
+        /// Whether it refuses orders with an outdated fencing number.
         fencing: Fencing,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         lifecycle: Lifecycle,
-        /// Power of a step that runs no sequence, in watts.
+        /// The power draw of a step that runs no sequence, in watts.
         idle_watts: f64,
-        /// Power that each running sequence adds, in watts.
+        /// The additional power draw of each running sequence, in watts.
         watts_per_sequence: f64,
     }
 );
 
 patch_type!(
-    /// What may change of a priority.
+    /// The modifiable fields of a priority.
     PriorityPatch of Priority {
         /// The class of requests with this priority.
         class: Class,
-        /// Share among requests of the same class.
+        /// The relative share among requests of the same class.
         weight: u32,
     }
 );
 
 patch_type!(
-    /// What may change of a site.
+    /// The modifiable fields of a site.
     SitePatch of Site {
-        /// The power that all its targets together may draw, in watts.
+        /// The maximum power draw of all targets of the site together, in watts.
         cap_watts: f64,
     }
 );
 
 patch_type!(
-    /// What may change of a weight store.
+    /// The modifiable fields of a weight store.
     WeightStorePatch of WeightStore {
-        /// Loads that run at full speed side by side.
+        /// The number of loads that can run concurrently at full speed.
         concurrency: u32,
-        /// Loads a second that it gives in all.
+        /// The total rate limit, in loads per second.
         loads_per_second: f64,
     }
 );
 
-/// What may change of an adapter.
+/// The modifiable fields of an adapter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdapterPatch {
-    /// The priority of its requests.
+    /// The default priority of its requests.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<PriorityChoice>,
 }
@@ -143,12 +143,12 @@
     }
 }
 
-/// Where an adapter's requests take their priority from.
+/// The source of the default priority of an adapter's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityChoice {
-    /// A priority of the adapter's own.
+    /// The adapter has its own priority.
     Own(PriorityName),
-    /// The service's priority.
+    /// The adapter uses the priority of its service.
     OfService,
 }
--- a/crates/chervilshunt_model/src/references.rs
+++ b/crates/chervilshunt_model/src/references.rs
@@ -1,4 +1,6 @@
-//! Checks of a deployment after changes: only what the changes touched can have become wrong.
+//! Validation of the objects affected by changes, and of the references between objects.
+//!
+//! Only the changed objects are checked, as the others were valid before.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -16,16 +18,17 @@
     Version, WeightStore,
 };
 
-/// The longest name, in bytes; names become headers, labels and parts of paths.
+/// The maximum length of a name, in bytes. Names are used in headers, labels and paths.
 const MAX_NAME_LEN: usize = 128;
 
-/// The longest source of a version, in bytes.
+/// The maximum length of a version's source, in bytes.
 const MAX_SOURCE_LEN: usize = 1_024;
 
-/// The longest deadline: a week, in milliseconds.
+/// The maximum deadline: one week.
 const MAX_DEADLINE_MS: u64 = 7 * 24 * 3_600_000;
 
-/// Checks the objects that changes created or set, and that nothing needs what they deleted.
+/// Validates the objects that the changes created or set, and checks that no object refers to those
+/// that the changes deleted.
 pub(crate) fn check(deployment: &Deployment, changes: &[Change]) -> Result<(), ChangeError> {
     let addresses = changes
         .iter()
@@ -44,7 +47,7 @@
     Ok(())
 }
 
-/// Returns the first two targets of each address, in name order.
+/// Returns the targets of each address, ordered by name.
 fn addresses_of(deployment: &Deployment) -> HashMap<SocketAddr, Vec<&TargetName>> {
     let mut addresses: HashMap<_, Vec<_>> = HashMap::with_capacity(deployment.targets.len());
     for (name, target) in &deployment.targets {
@@ -53,7 +56,7 @@
     addresses
 }
 
-/// The checks of one object.
+/// Validates one changed object.
 struct Checks<'a> {
     deployment: &'a Deployment,
     object: ObjectRef,
@@ -124,7 +127,7 @@
         self.value(
             "source",
             source.escape_debug(),
-            is_text(source, MAX_SOURCE_LEN),
+            is_valid_text(source, MAX_SOURCE_LEN),
             "give 1 to 1024 characters without control characters",
         )
     }
@@ -143,11 +146,12 @@
         match &service.kind {
             ServiceKind::Plain => Ok(()),
             ServiceKind::Engine { base_model } => {
-                let fits = is_text(base_model, MAX_NAME_LEN) && !base_model.contains(['@', ' ']);
+                let is_valid =
+                    is_valid_text(base_model, MAX_NAME_LEN) && !base_model.contains(['@', ' ']);
                 self.value(
                     "base_model",
                     base_model.escape_debug(),
-                    fits,
+                    is_valid,
                     "give 1 to 128 characters without '@', spaces and control characters",
                 )
             }
@@ -161,7 +165,7 @@
         self.value(
             "zone",
             zone.as_str().escape_debug(),
-            is_name(zone.as_str()),
+            is_valid_name(zone.as_str()),
             "give 1 to 128 letters, digits, '-', '_' or '.', the first a letter or digit",
         )?;
         let site = self.deployment.sites.contains_key(&target.site);
@@ -195,11 +199,11 @@
     }
 
     fn watts(&self, field: &'static str, watts: f64) -> Result<(), ChangeError> {
-        let fits = watts.is_finite() && watts >= 0.0;
+        let is_valid = watts.is_finite() && watts >= 0.0;
         self.value(
             field,
             watts,
-            fits,
+            is_valid,
             "give a finite number of watts, at least 0",
         )
     }
@@ -216,11 +220,11 @@
 
     fn site(&self, name: &SiteName, site: Site) -> Result<(), ChangeError> {
         self.name(name.as_str())?;
-        let fits = site.cap_watts.is_finite() && site.cap_watts > 0.0;
+        let is_valid = site.cap_watts.is_finite() && site.cap_watts > 0.0;
         self.value(
             "cap_watts",
             site.cap_watts,
-            fits,
+            is_valid,
             "give a finite number of watts above 0",
         )
     }
@@ -234,11 +238,11 @@
             "give at least 1",
         )?;
         let rate = store.loads_per_second;
-        let fits = rate.is_finite() && rate > 0.0;
+        let is_valid = rate.is_finite() && rate > 0.0;
         self.value(
             "loads_per_second",
             rate,
-            fits,
+            is_valid,
             "give a finite number above 0",
         )
     }
@@ -291,19 +295,19 @@
     }
 
     fn priority_exists(&self, name: &PriorityName) -> Result<(), ChangeError> {
-        let there = self.deployment.priorities.contains_key(name);
-        self.reference(there, "priority", ObjectKind::Priority, name)
+        let exists = self.deployment.priorities.contains_key(name);
+        self.reference(exists, "priority", ObjectKind::Priority, name)
     }
 
     fn reference(
         &self,
-        there: bool,
+        exists: bool,
         field: &'static str,
         kind: ObjectKind,
         name: impl fmt::Display,
     ) -> Result<(), ChangeError> {
         ensure!(
-            there,
+            exists,
             DanglingReferenceSnafu {
                 object: self.object.clone(),
                 field,
@@ -321,8 +325,8 @@
         let Some(target) = self.deployment.targets.get(name) else {
             return Ok(());
         };
-        let sharers = addresses.get(&target.address).into_iter().flatten();
-        match sharers.copied().find(|other| *other != name) {
+        let targets = addresses.get(&target.address).into_iter().flatten();
+        match targets.copied().find(|other| *other != name) {
             None => Ok(()),
             Some(other) => AddressTakenSnafu {
                 object: self.object.clone(),
@@ -335,7 +339,7 @@
 
     fn name(&self, name: &str) -> Result<(), ChangeError> {
         ensure!(
-            is_name(name),
+            is_valid_name(name),
             BadNameSnafu {
                 object: self.object.clone(),
                 max_len: MAX_NAME_LEN,
@@ -348,11 +352,11 @@
         &self,
         field: &'static str,
         value: impl fmt::Display,
-        fits: bool,
+        is_valid: bool,
         allowed: &'static str,
     ) -> Result<(), ChangeError> {
         ensure!(
-            fits,
+            is_valid,
             BadValueSnafu {
                 object: self.object.clone(),
                 field,
@@ -364,13 +368,13 @@
     }
 }
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     name.len() <= MAX_NAME_LEN
         && name.starts_with(|c: char| c.is_ascii_alphanumeric())
         && name.chars().all(allowed)
 }
 
-fn is_text(text: &str, max_len: usize) -> bool {
+fn is_valid_text(text: &str, max_len: usize) -> bool {
     !text.is_empty() && text.len() <= max_len && !text.chars().any(char::is_control)
 }
