--- a/crates/chervilshunt_model/src/store_revision.rs
+++ b/crates/chervilshunt_model/src/store_revision.rs
@@ -1,25 +1,26 @@
-//! Points in the history of the platform's object service.
+//! Revisions of the platform's object service.
 
 use serde::{Deserialize, Serialize};
 
-/// A revision of the platform's object service, with the era in which it was given out.
+/// A revision of the platform's object service, qualified by its era.
 ///
-/// A service that is restored from an older copy gives revisions out again, and counts the restore as a
-/// new era. So a revision alone means nothing: compared with one of another era, a new change looks like
-/// one that is known. Eras go first in the order. A service without eras is in era 0 for good.
+/// A service that is restored from a backup assigns the same revision numbers again, and starts a
+/// new era. A number alone is therefore ambiguous: compared with one of another era, a new change
+/// could look like a known one. Revisions are ordered by era first. A service that does not report
+/// eras is always in era 0.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct StoreRevision {
-    /// How often the service has been restored, as it says itself.
+    /// The number of restores, as reported by the service.
     pub era: u64,
-    /// The number of the change within the era.
+    /// The revision number within the era.
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// Names a revision of an era.
+    /// Creates a revision from its era and number.
     pub const fn new(era: u64, number: u64) -> Self {
         Self { era, number }
     }
--- a/crates/chervilshunt_model/src/version_map.rs
+++ b/crates/chervilshunt_model/src/version_map.rs
@@ -1,40 +1,40 @@
-//! The versions of an adapter by name.
+//! A compact map of the versions of an adapter.
 
 use litemap::LiteMap;
 use serde::{Deserialize, Serialize, Serializer};
 
 use crate::{Version, VersionName};
 
-/// The versions of an adapter by name, in name order.
+/// The versions of an adapter, ordered by name.
 ///
-/// Most adapters have one or two: a sorted vector takes a fifth of a B-tree's node, and there is
-/// one for each of 170,000 adapters.
+/// Most adapters have one or two versions. The map is a sorted vector, which takes a fifth of the
+/// memory of a B-tree node. With 170,000 adapters, each of which has a map, this matters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct VersionMap(LiteMap<VersionName, Version>);
 
 impl VersionMap {
-    /// Makes a map without versions.
+    /// Creates an empty map.
     pub fn new() -> Self {
         Self(LiteMap::new())
     }
 
-    /// Returns the version of that name.
+    /// Returns the version with the given name.
     pub fn get(&self, name: &VersionName) -> Option<&Version> {
         self.0.get(name)
     }
 
-    /// Returns whether there is a version of that name.
+    /// Returns whether the map contains a version with the given name.
     pub fn contains_key(&self, name: &VersionName) -> bool {
         self.0.contains_key(name)
     }
 
-    /// Puts a version in and returns the one that it replaces.
+    /// Inserts a version and returns the one that it replaces, if any.
     pub fn insert(&mut self, name: VersionName, version: Version) -> Option<Version> {
         self.0.insert(name, version)
     }
 
-    /// Takes a version out.
+    /// Removes a version and returns it, if it exists.
     pub fn remove(&mut self, name: &VersionName) -> Option<Version> {
         self.0.remove(name)
     }
@@ -44,12 +44,12 @@
         self.0.len()
     }
 
-    /// Returns whether there is no version.
+    /// Returns whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns all versions in name order.
+    /// Returns all versions, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&VersionName, &Version)> {
         self.0.iter()
     }
@@ -59,7 +59,7 @@
         self.0.keys()
     }
 
-    /// Gives back the room that growing left over.
+    /// Releases excess capacity.
     #[must_use]
     pub(crate) fn compact(self) -> Self {
         let mut versions = self.0.into_tuple_vec();
