--- a/crates/chervilshunt_model/src/change_error.rs
+++ b/crates/chervilshunt_model/src/change_error.rs
@@ -13,8 +13,8 @@
 pub enum ChangeError {
     /// The current revision is not the one that the operator saw.
     #[snafu(display(
-        "revision {expected} was expected, but {actual} is in force; look at what has changed and \
-         try again with it"
+        "revision {expected} was expected, but {actual} is in force; review what has changed and \
+         try again with the current revision"
     ))]
     RevisionMoved {
         /// The revision that the change set expects.
@@ -23,10 +23,10 @@
         actual: Revision,
     },
     /// The change set is empty.
-    #[snafu(display("the change set holds no change; give at least one"))]
+    #[snafu(display("the change set is empty; give at least one change"))]
     NoChange,
     /// An object with that name already exists.
-    #[snafu(display("{object} exists already; choose another name, or set what may change of it"))]
+    #[snafu(display("{object} already exists; choose another name, or modify it with set"))]
     Exists {
         /// The object.
         object: ObjectRef,
@@ -38,7 +38,7 @@
         object: ObjectRef,
     },
     /// A patch sets no field.
-    #[snafu(display("{object} is set, but no field is given; give at least one"))]
+    #[snafu(display("{object} can't be set without a field; give at least one"))]
     EmptyPatch {
         /// The object.
         object: ObjectRef,
@@ -70,8 +70,8 @@
     },
     /// An object can't be deleted because other objects refer to it.
     #[snafu(display(
-        "{object} can't be deleted while {user} needs it; delete or change that first, or in the \
-         same change"
+        "{object} can't be deleted while {user} refers to it; delete or change the latter first, \
+         or in the same change"
     ))]
     InUse {
         /// The object.
@@ -104,8 +104,8 @@
     },
     /// Two targets have the same address.
     #[snafu(display(
-        "{object} can't have the address {address}, which {other} has; give each target an \
-         address of its own"
+        "{object} can't have the address {address}, which {other} already uses; give each target \
+         its own address"
     ))]
     AddressTaken {
         /// The target.
--- a/crates/chervilshunt_model/tests/changes.rs
+++ b/crates/chervilshunt_model/tests/changes.rs
@@ -339,7 +339,7 @@
 
 #[rstest]
 #[case::moved(Some(0), first_changes(), "revision 0 was expected, but 1 is in force")]
-#[case::none(Some(1), Vec::new(), "holds no change")]
+#[case::none(Some(1), Vec::new(), "change set is empty")]
 fn refusals_of_the_set(
     #[case] expected: Option<u64>,
     #[case] changes: Vec<Change>,
