--- a/crates/chervilshunt_model/src/change_error.rs
+++ b/crates/chervilshunt_model/src/change_error.rs
@@ -96,7 +96,7 @@
         "{object} can't belong to {service}, whose kind is plain; name a service whose kind is \
          engine"
     ))]
-    NoEngine {
+    NotEngineService {
         /// The adapter.
         object: ObjectRef,
         /// The service.
@@ -129,7 +129,7 @@
             | Self::DanglingReference { object, .. }
             | Self::InUse { object, .. }
             | Self::BadValue { object, .. }
-            | Self::NoEngine { object, .. }
+            | Self::NotEngineService { object, .. }
             | Self::AddressTaken { object, .. } => Some(object.kind),
         }
     }
--- a/crates/chervilshunt_model/src/references.rs
+++ b/crates/chervilshunt_model/src/references.rs
@@ -10,7 +10,7 @@
 
 use crate::change_error::{
     AddressTakenSnafu, BadNameSnafu, BadValueSnafu, DanglingReferenceSnafu, InUseSnafu,
-    NoEngineSnafu,
+    NotEngineServiceSnafu,
 };
 use crate::{
     Adapter, AdapterVersion, Change, ChangeError, Deployment, ObjectKind, ObjectRef, Priority,
@@ -102,7 +102,7 @@
         let service = self.service_of("service", &adapter.service)?;
         ensure!(
             service.kind != ServiceKind::Plain,
-            NoEngineSnafu {
+            NotEngineServiceSnafu {
                 object: self.object.clone(),
                 service: ObjectRef::new(ObjectKind::Service, &adapter.service),
             }
