--- a/crates/chervilshunt_model/tests/changes.rs
+++ b/crates/chervilshunt_model/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What changes do to a deployment, and why they are refused.
+//! Tests of the effects of changes on a deployment, and of their refusals.
 
 use chervilshunt_model::{
     Adapter, AdapterPatch, AdapterVersion, Change, ChangeId, ChangeSet, Class, Deployment, Edit,
@@ -98,7 +98,8 @@
     }
 }
 
-/// The changes stand in an order in which each refers to objects further down.
+/// Returns changes that create a deployment, in an order in which they refer to objects created
+/// later.
 fn first_changes() -> Vec<Change> {
     vec![
         create_adapter("flat-1", adapter(Some("night"))),
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn changes_take_effect_in_any_order_of_references() {
+fn changes_may_refer_to_objects_created_later() {
     let deployment = deployment();
     assert_eq!(deployment.revision, Revision::new(1));
     assert_eq!(deployment.adapters.len(), 2);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn set_changes_only_the_fields_that_are_given() {
+fn set_changes_only_the_given_fields() {
     let before = deployment();
     let after = before
         .apply(&set([
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn refused_set_changes_nothing() {
+fn refused_change_set_changes_nothing() {
     let before = deployment();
     let copy = before.clone();
     let error = before.apply(&set([
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn address_can_be_handed_over_within_one_set() {
+fn targets_can_swap_addresses_in_one_change_set() {
     let swapped = deployment()
         .apply(&set([
             set_target(
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn whole_service_can_be_deleted_in_one_set() {
+fn whole_service_can_be_deleted_in_one_change_set() {
     let deletions = [
         Change::Service {
             name: "pack-assistant".into(),
@@ -270,7 +271,7 @@
 }
 
 #[test]
-fn untouched_pages_are_shared_and_touched_ones_listed() {
+fn only_touched_pages_differ() {
     let before = deployment();
     let change = set([create_version(
         AdapterVersion::new("flat-2", "v2"),
@@ -340,7 +341,7 @@
 #[rstest]
 #[case::moved(Some(0), first_changes(), "revision 0 was expected, but 1 is in force")]
 #[case::none(Some(1), Vec::new(), "change set is empty")]
-fn refusals_of_the_set(
+fn refusals_of_the_whole_change_set(
     #[case] expected: Option<u64>,
     #[case] changes: Vec<Change>,
     #[case] message: &str,
@@ -364,7 +365,7 @@
 }
 
 #[test]
-fn change_sets_survive_cbor_and_json() {
+fn change_sets_round_trip_through_cbor_and_json() {
     let set = ChangeSet {
         expected: Some(Revision::new(7)),
         ..set(first_changes())
--- a/crates/chervilshunt_model/tests/clock.rs
+++ b/crates/chervilshunt_model/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that beliefs age by, over a suspension of the machine.
+//! Tests of the boot clock across a suspension of the machine.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use chervilshunt_model::Clock;
 
 thread_local! {
-    /// What the boot clock reads.
+    /// The simulated reading of the boot clock.
     static BOOT: Cell<Duration> = const { Cell::new(Duration::from_secs(100)) };
 }
 
@@ -14,23 +14,23 @@
     BOOT.get()
 }
 
-/// The machine is suspended for ten seconds. The steady clock stands still meanwhile, so that a
-/// lease of three seconds would look as new as before; by the boot clock it is long over.
+/// The machine is suspended for ten seconds. `Instant` does not advance meanwhile, so a lease of
+/// three seconds would still look valid. By the boot clock it must have expired.
 #[test]
-fn a_belief_ages_while_the_steady_clock_stands_still() {
+fn a_lease_expires_during_a_suspension() {
     let clock = Clock::from_reading(boot);
-    let steady = Instant::now();
+    let instant = Instant::now();
     let valid_until = clock.now() + Duration::from_secs(3);
     BOOT.set(BOOT.get() + Duration::from_secs(10));
     assert!(
-        steady.elapsed() < Duration::from_secs(3),
-        "the steady clock"
+        instant.elapsed() < Duration::from_secs(3),
+        "the monotonic clock"
     );
     assert!(clock.now() >= valid_until, "the boot clock");
 }
 
 #[test]
-fn the_boot_clock_goes_on() {
+fn the_boot_clock_advances() {
     let clock = Clock::boot();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(5));
--- a/crates/chervilshunt_model/tests/pages.rs
+++ b/crates/chervilshunt_model/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages in which the platform keeps a deployment.
+//! Tests of the pages into which a deployment is divided for storage.
 
 use chervilshunt_model::{
     Adapter, Deployment, Page, PageError, PageId, Priority, Revision, Service, ServiceKind,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn pages_put_the_deployment_together_again() {
+fn deployment_round_trips_through_pages() {
     let deployment = deployment();
     let texts: Vec<_> = deployment
         .pages()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn read_adapters_share_the_names_of_service_and_priority() {
+fn decoded_adapters_share_the_names_of_service_and_priority() {
     let text: Vec<_> = deployment()
         .pages()
         .map(|(id, page)| (id, serde_json::to_string(&page).expect("it can be written")))
@@ -88,14 +88,15 @@
 }
 
 #[test]
-fn whole_deployment_survives_json() {
+fn deployment_round_trips_through_json() {
     let deployment = deployment();
     let text = serde_json::to_string(&deployment).expect("a deployment can be written");
     let read: Deployment = serde_json::from_str(&text).expect("a deployment can be read");
     assert_eq!(read, deployment);
 }
 
-/// The platform holds adapters in these pages: another hash would make them unreadable.
+/// The platform stores adapters in these pages. With a different hash, stored pages could not be
+/// read.
 #[rstest]
 #[case("flat-1", "adapters-2b")]
 #[case("club-1999", "adapters-3b")]
@@ -110,8 +111,8 @@
 #[case("adapters-100")]
 #[case("commons")]
 #[case("")]
-fn other_names_are_no_pages(#[case] name: &str) {
-    let error = PageId::parse(name).expect_err("it is no page");
+fn invalid_page_names_are_refused(#[case] name: &str) {
+    let error = PageId::parse(name).expect_err("the name is invalid");
     assert!(matches!(error, PageError::NoSuchPage { .. }));
 }
 
--- a/crates/chervilshunt_model/tests/random_changes.rs
+++ b/crates/chervilshunt_model/tests/random_changes.rs
@@ -1,4 +1,5 @@
-//! Random change sets against a plain model: what is accepted is whole, what is refused does nothing.
+//! Randomized test of change sets against a simple model: accepted sets leave a valid deployment,
+//! and refused sets have no effect.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 
 const SEED: u64 = 11;
 
-/// So few names that changes hit each other's objects.
+/// Few names, so that changes often affect the same objects.
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 fn name() -> impl Strategy<Value = &'static str> {
@@ -111,8 +112,8 @@
     })
 }
 
-/// Priorities, sites and stores refer to nothing: creating and deleting them is what matters.
-fn referred() -> impl Strategy<Value = Change> {
+/// Creates or deletes priorities, sites and stores, which have no references of their own.
+fn referenced_object() -> impl Strategy<Value = Change> {
     let kind = select(vec![
         ObjectKind::Priority,
         ObjectKind::Site,
@@ -158,12 +159,12 @@
         2 => version(),
         1 => service(),
         2 => target(),
-        2 => referred(),
+        2 => referenced_object(),
     ];
     vec(vec(change, 1..4), 1..60)
 }
 
-/// Some of everything that others refer to, so that not every set is refused.
+/// Returns a deployment with objects to refer to, so that not every change set is refused.
 fn first_deployment() -> Deployment {
     let mut deployment = Deployment::default();
     for name in ["a", "b"] {
@@ -192,8 +193,8 @@
     deployment
 }
 
-/// Every reference of the whole deployment leads somewhere; the long way round.
-fn assert_whole(deployment: &Deployment) {
+/// Asserts that every reference in the deployment is valid, by checking all objects.
+fn assert_valid(deployment: &Deployment) {
     for service in deployment.services.values() {
         assert!(deployment.priorities.contains_key(&service.priority));
     }
@@ -215,16 +216,16 @@
     }
 }
 
-/// The versions that there should be, kept apart from the deployment.
-fn expected_versions(known: &mut BTreeMap<String, Vec<String>>, change: &Change) {
+/// Applies a change to the expected versions, which are tracked separately from the deployment.
+fn update_expected_versions(expected: &mut BTreeMap<String, Vec<String>>, change: &Change) {
     match change {
         Change::Adapter { name, edit } => match edit {
-            Edit::Create(_) => drop(known.insert(name.to_string(), Vec::new())),
+            Edit::Create(_) => drop(expected.insert(name.to_string(), Vec::new())),
             Edit::Set(_) => {}
-            Edit::Delete => drop(known.remove(name.as_str())),
+            Edit::Delete => drop(expected.remove(name.as_str())),
         },
         Change::Version { name, edit } => {
-            let versions = known.get_mut(name.adapter.as_str());
+            let versions = expected.get_mut(name.adapter.as_str());
             let versions = versions.expect("the set was accepted");
             match edit {
                 Edit::Create(_) => versions.push(name.version.to_string()),
@@ -242,7 +243,7 @@
 
 fn run(sets: Vec<Vec<Change>>, accepted: &mut usize) -> Result<(), TestCaseError> {
     let mut deployment = first_deployment();
-    let mut known = BTreeMap::new();
+    let mut expected = BTreeMap::new();
     for changes in sets {
         let before = deployment.clone();
         let set = ChangeSet {
@@ -253,14 +254,14 @@
         match deployment.apply(&set) {
             Ok(after) => {
                 *accepted += 1;
-                assert_whole(&after);
+                assert_valid(&after);
                 prop_assert_eq!(after.revision, before.revision.next());
                 let touched = set.touched_pages();
                 let differing = before.differing_pages(&after);
                 prop_assert!(differing.iter().all(|page| touched.contains(page)));
                 set.changes
                     .iter()
-                    .for_each(|change| expected_versions(&mut known, change));
+                    .for_each(|change| update_expected_versions(&mut expected, change));
                 deployment = after;
             }
             Err(error) => {
@@ -269,7 +270,7 @@
                 prop_assert!(!error.to_string().is_empty());
             }
         }
-        check_versions(&deployment, &known)?;
+        check_versions(&deployment, &expected)?;
     }
     let read = Deployment::from_pages(deployment.revision, deployment.pages());
     prop_assert_eq!(read, Ok(deployment));
@@ -278,10 +279,10 @@
 
 fn check_versions(
     deployment: &Deployment,
-    known: &BTreeMap<String, Vec<String>>,
+    expected: &BTreeMap<String, Vec<String>>,
 ) -> Result<(), TestCaseError> {
-    prop_assert_eq!(deployment.adapters.len(), known.len());
-    for (adapter, versions) in known {
+    prop_assert_eq!(deployment.adapters.len(), expected.len());
+    for (adapter, versions) in expected {
         let found = deployment.adapters.get(&adapter.as_str().into());
         let found = found.expect("the adapter was created");
         prop_assert_eq!(found.versions.len(), versions.len());
@@ -293,11 +294,11 @@
     Ok(())
 }
 
-/// An operator's change sets come one after another, most of them refused for what others did.
-/// After each, the deployment is whole, at the expected revision, and as a plain list of versions
-/// says; pages that a set does not touch are the same as before.
+/// Random change sets are applied one after another, and many are refused because of earlier ones.
+/// After each, all references must be valid, the revision must be the expected one, the versions
+/// must match the model, and pages that the change set does not touch must be unchanged.
 #[test]
-fn deployment_stays_whole_under_random_changes() {
+fn deployment_stays_valid_under_random_changes() {
     let config = ProptestConfig {
         cases: 256,
         failure_persistence: None,
