--- a/crates/chervilshunt_model/examples/size.rs
+++ b/crates/chervilshunt_model/examples/size.rs
@@ -1,4 +1,5 @@
-//! Measures what a deployment costs by its number of adapters: memory, page size and time to apply.
+//! Measures the cost of a deployment by its number of adapters: memory, page size, and the time to
+//! apply a change and to encode and decode a page.
 //!
 //! Run it with `cargo run --release -p chervilshunt_model --example size`. The figures are in
 //! `docs/design/configuration-pages.md`.
@@ -28,7 +29,7 @@
 }
 
 fn measure(count: usize) {
-    let pages = written_pages(count);
+    let pages = encoded_pages(count);
     let before = ALLOC.current_usage();
     let read = pages.iter().map(|(id, text)| {
         (
@@ -98,8 +99,8 @@
     }
 }
 
-/// Writes the pages of a deployment with one version an adapter and three services.
-fn written_pages(count: usize) -> Vec<(PageId, String)> {
+/// Encodes the pages of a deployment with three services and one version per adapter.
+fn encoded_pages(count: usize) -> Vec<(PageId, String)> {
     let mut deployment = Deployment::default();
     for service in 0..3 {
         deployment.services.insert(
