--- a/crates/chervilshunt_model/src/pages.rs
+++ b/crates/chervilshunt_model/src/pages.rs
@@ -266,10 +266,10 @@
                 self.stores = common.stores;
             }
             (PageId::Adapters(index), Page::Adapters(adapters)) => {
-                let stray = adapters.iter().find(|(name, _)| page_of(name) != index);
-                if let Some((name, _)) = stray {
+                let misplaced = adapters.iter().find(|(name, _)| page_of(name) != index);
+                if let Some((name, _)) = misplaced {
                     let adapter = name.clone();
-                    return StraySnafu { adapter, id }.fail();
+                    return MisplacedAdapterSnafu { adapter, id }.fail();
                 }
                 let adapters = Arc::unwrap_or_clone(adapters).compact(self);
                 self.adapters.set_page(index, Arc::new(adapters));
@@ -292,7 +292,7 @@
     },
     /// The page contains an adapter that belongs to another page.
     #[snafu(display("page {id} contains adapter {adapter}, which belongs to another page"))]
-    Stray {
+    MisplacedAdapter {
         /// The adapter.
         adapter: AdapterName,
         /// The page.
--- a/crates/chervilshunt_model/tests/pages.rs
+++ b/crates/chervilshunt_model/tests/pages.rs
@@ -120,11 +120,11 @@
 fn page_under_a_wrong_id_is_refused() {
     let deployment = deployment();
     let here = PageId::Adapters(0);
-    let stray = deployment.with_pages(
+    let misplaced = deployment.with_pages(
         Revision::new(42),
         [(here, deployment.page(PageId::Adapters(1)))],
     );
-    assert!(matches!(stray, Err(PageError::Stray { .. })));
+    assert!(matches!(misplaced, Err(PageError::MisplacedAdapter { .. })));
     let other_kind =
         deployment.with_pages(Revision::new(42), [(here, deployment.page(PageId::Common))]);
     assert_eq!(other_kind, Err(PageError::WrongKind { id: here }));
