--- a/crates/chervilshunt_platform/src/watch/follow.rs
+++ b/crates/chervilshunt_platform/src/watch/follow.rs
@@ -34,7 +34,7 @@
     tx: mpsc::Sender<WatchEvent<S>>,
 ) {
     let receiver = tx.clone();
-    let mut follower = Follower {
+    let mut task = WatchTask {
         backoff: Backoff::new(timing.backoff),
         check_at: Instant::now() + jittered(timing.check_interval(platform.fleet_size())),
         platform,
@@ -47,7 +47,7 @@
     };
     tokio::select! {
         () = receiver.closed() => {}
-        _dropped = follower.follow() => {}
+        _dropped = task.run_until_dropped() => {}
     }
 }
 
@@ -56,7 +56,7 @@
 
 /// The reason why an open watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum WatchEnd {
     /// The platform closed the watch, or the connection broke. Every watch ends this way sooner or
     /// later.
     Closed {
@@ -71,7 +71,7 @@
     MissedEvents,
 }
 
-struct Follower<S> {
+struct WatchTask<S> {
     platform: Platform,
     resource: Resource,
     selector: Selector,
@@ -83,8 +83,8 @@
     stalled: bool,
 }
 
-impl<S: DeserializeOwned> Follower<S> {
-    async fn follow(&mut self) -> Result<(), ReceiverDropped> {
+impl<S: DeserializeOwned> WatchTask<S> {
+    async fn run_until_dropped(&mut self) -> Result<(), ReceiverDropped> {
         let mut from = self.list().await?;
         loop {
             let lines = match self.open(from).await? {
@@ -102,22 +102,22 @@
             self.report_synced(from).await?;
             let end = self.read(lines).await?;
             from = match end {
-                End::Closed { received } => {
+                WatchEnd::Closed { received } => {
                     if !received {
                         self.back_off().await;
                     }
                     self.known.resume().unwrap_or(from)
                 }
-                End::IdleTimeout => {
+                WatchEnd::IdleTimeout => {
                     self.report_stalled(StallReason::Silence).await?;
                     self.back_off().await;
                     self.known.resume().unwrap_or(from)
                 }
-                End::Expired => {
+                WatchEnd::Expired => {
                     self.back_off().await;
                     self.list().await?
                 }
-                End::MissedEvents => self.list().await?,
+                WatchEnd::MissedEvents => self.list().await?,
             };
         }
     }
@@ -196,7 +196,7 @@
     }
 
     /// Processes the lines of an open watch until it ends.
-    async fn read(&mut self, mut lines: Lines) -> Result<End, ReceiverDropped> {
+    async fn read(&mut self, mut lines: Lines) -> Result<WatchEnd, ReceiverDropped> {
         let _open = OpenWatch::new(self.resource.purpose);
         let mut received = false;
         let mut check = self.next_check();
@@ -212,8 +212,8 @@
             };
             let line = match line {
                 Ok(Some(line)) => line,
-                Ok(None) => return Ok(End::Closed { received }),
-                Err(_elapsed) => return Ok(End::IdleTimeout),
+                Ok(None) => return Ok(WatchEnd::Closed { received }),
+                Err(_elapsed) => return Ok(WatchEnd::IdleTimeout),
             };
             if let Some(end) = self.handle_line(&line).await? {
                 return Ok(end);
@@ -228,7 +228,7 @@
         &mut self,
         checked: CheckProgress,
         check: &mut Check,
-    ) -> Result<Option<End>, ReceiverDropped> {
+    ) -> Result<Option<WatchEnd>, ReceiverDropped> {
         let missed = match checked {
             CheckProgress::Listed(listed) => {
                 *check = settle(listed, self.timing.settle);
@@ -250,7 +250,7 @@
             count_missed_events(self.resource.purpose, missed);
             warn!(self.platform.log(), "watch did not deliver some events; listing again";
                 "resource" => self.resource.plural, "objects" => missed);
-            return Ok(Some(End::MissedEvents));
+            return Ok(Some(WatchEnd::MissedEvents));
         }
         if self.stalled
             && let Some(version) = self.known.resume()
@@ -271,13 +271,13 @@
     }
 
     /// Handles one line. Returns the reason if the watch has to end.
-    async fn handle_line(&mut self, line: &Bytes) -> Result<Option<End>, ReceiverDropped> {
+    async fn handle_line(&mut self, line: &Bytes) -> Result<Option<WatchEnd>, ReceiverDropped> {
         let event: RawEvent<'_> = match serde_json::from_slice(line) {
             Ok(event) => event,
             Err(err) => {
                 warn!(self.platform.log(), "watch received a malformed line";
                     "resource" => self.resource.plural, "error" => %err);
-                return Ok(Some(End::Closed { received: false }));
+                return Ok(Some(WatchEnd::Closed { received: false }));
             }
         };
         let object = event.object.get();
@@ -363,12 +363,12 @@
     }
 }
 
-fn end_of_error(status: &str) -> End {
+fn end_of_error(status: &str) -> WatchEnd {
     let status: Status = serde_json::from_str(status).unwrap_or_default();
     if status.code == StatusCode::GONE.as_u16() || status.reason == "Expired" {
-        End::Expired
+        WatchEnd::Expired
     } else {
-        End::Closed { received: false }
+        WatchEnd::Closed { received: false }
     }
 }
 
