--- a/crates/chervilshunt_gateway/src/store.rs
+++ b/crates/chervilshunt_gateway/src/store.rs
@@ -28,7 +28,7 @@
         max_attempts: 1,
         ..exchange.config().timeouts
     };
-    let answer = exchange.call_for_answer(call, timeouts).await?;
+    let answer = exchange.call_for_response(call, timeouts).await?;
     Ok(StoreAnswer {
         era: (dialect.era)(answer.headers()),
         body: answer.into_body(),
--- a/crates/chervilshunt_platform/src/exchange.rs
+++ b/crates/chervilshunt_platform/src/exchange.rs
@@ -59,7 +59,7 @@
     /// `Unavailable`, `Timeout` or `OutcomeUnknown` if there is no response; and `RateLimited` if
     /// this process's rate limit leaves no time before the deadline.
     pub async fn call(&self, call: &Call, timeouts: Timeouts) -> Result<Bytes, PlatformError> {
-        let response = self.call_for_answer(call, timeouts).await?;
+        let response = self.call_for_response(call, timeouts).await?;
         Ok(response.into_body())
     }
 
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// Returns the same errors as [`Exchange::call`].
-    pub async fn call_for_answer(
+    pub async fn call_for_response(
         &self,
         call: &Call,
         timeouts: Timeouts,
