--- a/crates/chervilshunt_platform/examples/call_costs.rs
+++ b/crates/chervilshunt_platform/examples/call_costs.rs
@@ -375,7 +375,7 @@
 /// has.
 async fn idle_instance(platform: Platform, name: String) {
     let timing = chervilshunt_platform::WatchTiming {
-        check_min: Duration::ZERO,
+        min_check_interval: Duration::ZERO,
         checks_per_second: platform.config().watch.checks_per_second * f64::from(SPEED),
         settle: platform.config().watch.settle / SPEED,
         lifetime: platform.config().watch.lifetime / SPEED,
--- a/crates/chervilshunt_platform/src/config.rs
+++ b/crates/chervilshunt_platform/src/config.rs
@@ -106,7 +106,7 @@
     pub idle_timeout: Duration,
     /// The minimum time between two checks for events that the watch did not deliver. Jitter of
     /// up to 20 % is added or subtracted.
-    pub check_min: Duration,
+    pub min_check_interval: Duration,
     /// The rate, in checks per second, at which all instances together check one kind of object.
     pub checks_per_second: f64,
     /// How long a check waits, after it has listed the objects, for events still in transit.
@@ -126,7 +126,7 @@
     pub fn check_interval(&self, fleet_size: usize) -> Duration {
         let spread = fleet_size as f64 / self.checks_per_second;
         let spread = Duration::try_from_secs_f64(spread).unwrap_or(Duration::MAX);
-        spread.max(self.check_min)
+        spread.max(self.min_check_interval)
     }
 }
 
@@ -138,7 +138,7 @@
                 cap: Duration::from_secs(10),
             },
             idle_timeout: Duration::from_secs(150),
-            check_min: Duration::from_millis(1500),
+            min_check_interval: Duration::from_millis(1500),
             checks_per_second: 20.0,
             settle: Duration::from_millis(500),
             lifetime: Duration::from_secs(300),
--- a/crates/chervilshunt_platform/tests/support/mod.rs
+++ b/crates/chervilshunt_platform/tests/support/mod.rs
@@ -53,7 +53,7 @@
             cap: Duration::from_millis(100),
         },
         idle_timeout: Duration::from_millis(400),
-        check_min: Duration::from_millis(300),
+        min_check_interval: Duration::from_millis(300),
         checks_per_second: 1e6,
         settle: Duration::from_millis(50),
         lifetime: Duration::from_secs(20),
--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -132,7 +132,7 @@
 async fn resumes_after_idle_timeout() {
     let standin = standin().await;
     let mut cfg = config(&standin, WATCHER);
-    cfg.watch.check_min = NEVER;
+    cfg.watch.min_check_interval = NEVER;
     let watcher = Platform::new(cfg, Logger::root(Discard, o!()));
     let writer = client(&standin, WRITER);
     let mut a = create(&writer, "a", 1).await;
