--- a/crates/chervilshunt_platform/src/call.rs
+++ b/crates/chervilshunt_platform/src/call.rs
@@ -199,7 +199,7 @@
 fn list_query(resource: Resource, selector: &Selector, part: ListedPart, next: &str) -> String {
     let mut query = form_urlencoded::Serializer::new(String::new());
     let limit = match part {
-        ListedPart::Whole => resource.page,
+        ListedPart::Whole => resource.page_size,
         ListedPart::Metadata | ListedPart::Table => VERSIONS_PAGE,
     };
     query.append_pair("limit", &limit.to_string());
--- a/crates/chervilshunt_platform/src/resource.rs
+++ b/crates/chervilshunt_platform/src/resource.rs
@@ -26,7 +26,7 @@
     pub purpose: &'static str,
     /// The number of objects in one page of a list, chosen to keep a response within a few
     /// megabytes.
-    pub page: u32,
+    pub page_size: u32,
     /// The printer column that holds an object's version, if the kind's definition has one.
     pub version_column: Option<&'static str>,
     /// Whether writes may use the part of the burst reserved for urgent calls.
@@ -66,7 +66,7 @@
     plural: &'static str,
     kind: &'static str,
     purpose: &'static str,
-    page: u32,
+    page_size: u32,
 ) -> Resource {
     Resource {
         group: OWN_GROUP,
@@ -75,7 +75,7 @@
         kind,
         layout: Layout::Spec,
         purpose,
-        page,
+        page_size,
         version_column: None,
         urgent_writes: false,
     }
@@ -90,7 +90,7 @@
     kind: "Lease",
     layout: Layout::Spec,
     purpose: "leases",
-    page: SMALL_OBJECTS_PAGE,
+    page_size: SMALL_OBJECTS_PAGE,
     version_column: None,
     urgent_writes: true,
 };
@@ -103,7 +103,7 @@
     kind: "EndpointSlice",
     layout: Layout::Flat,
     purpose: "instance_list",
-    page: MEDIUM_OBJECTS_PAGE,
+    page_size: MEDIUM_OBJECTS_PAGE,
     version_column: None,
     urgent_writes: false,
 };
--- a/crates/chervilshunt_platform/tests/calls.rs
+++ b/crates/chervilshunt_platform/tests/calls.rs
@@ -219,7 +219,7 @@
     let standin = standin().await;
     let platform = client(&standin, INSTANCE);
     let small_pages = chervilshunt_platform::Resource {
-        page: 3,
+        page_size: 3,
         ..CONFIG_HEADS
     };
     for value in 0..10 {
