--- a/crates/chervilshunt_platform/src/pacer.rs
+++ b/crates/chervilshunt_platform/src/pacer.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// Fails if the call can't be allowed before `deadline`. Returns the time until it would be
-    /// allowed, if known: it is `None` if the deadline passes while the call is queued.
+    /// allowed, or `None` if that is unknown, as when the deadline passes while the call is queued.
     pub(crate) async fn acquire(
         &self,
         urgency: Urgency,
--- a/crates/chervilshunt_platform/src/transport.rs
+++ b/crates/chervilshunt_platform/src/transport.rs
@@ -22,7 +22,8 @@
 /// servers, because a write on a connection that is being closed has an unknown outcome.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Idle time after which the kernel starts to probe a connection.
+/// The idle time after which the kernel starts to probe a connection, and the interval between the
+/// probes.
 ///
 /// A connection interrupted by a network partition is not reset. Without probes, a watch on it
 /// would receive nothing until its idle time-out, which would delay the changes it should deliver.
--- a/crates/chervilshunt_platform/src/watch/follow.rs
+++ b/crates/chervilshunt_platform/src/watch/follow.rs
@@ -60,7 +60,8 @@
     /// The platform closed the watch, or the connection broke. Every watch ends this way sooner or
     /// later.
     Closed {
-        /// Whether the watch received any line before it ended.
+        /// Whether the watch received lines and did not end with an error or a malformed line.
+        /// Otherwise, the task backs off before it reopens the watch.
         received: bool,
     },
     /// No line, not even a bookmark, arrived within the time limit.
