--- a/crates/chervilshunt_coord/src/lib.rs
+++ b/crates/chervilshunt_coord/src/lib.rs
@@ -11,7 +11,7 @@
 //! | purpose | types | example |
 //! | --- | --- | --- |
 //! | one lease with fencing between a few processes | [`LeaseKeeper`], [`LeaseObserver`] | `lease.rs` |
-//! | one duty with one holder, for targets that check no fencing token | [`SoleKeeper`] | |
+//! | one duty with one holder, for targets that check no fencing token | [`ExclusiveLeaseKeeper`] | |
 //! | roles, each with one holder, over many instances | [`Coordinator`] with [`no_configuration`] | `roles.rs` |
 //! | a configuration that takes effect on all instances or on none | [`Coordinator`] with a [`ConfigModel`] | `configuration.rs` |
 //! | idempotency keys that are claimed once | [`ClaimKeeper`], under a role of its own | |
