--- a/crates/chervilshunt_mesh/src/backoff.rs
+++ b/crates/chervilshunt_mesh/src/backoff.rs
@@ -1,12 +1,14 @@
-//! The pause after a failure to connect.
+//! Exponential backoff with jitter between connection attempts.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Doubles the pause with each failure in a row, and draws it from the upper half of that.
+/// Returns the delay before the next connection attempt.
 ///
-/// Without the draw, all instances would knock at a restarted peer at the same moment.
+/// The delay doubles with each consecutive failure, up to `max`, and is then drawn at random from
+/// the upper half of that range. Without jitter, all instances would reconnect to a restarted peer
+/// at the same moment.
 pub(crate) fn pause(min: Duration, max: Duration, failures: u32, rng: &mut impl Rng) -> Duration {
     let doublings = failures.saturating_sub(1).min(16);
     let longest = min.saturating_mul(1 << doublings).min(max);
--- a/crates/chervilshunt_mesh/src/config.rs
+++ b/crates/chervilshunt_mesh/src/config.rs
@@ -1,55 +1,54 @@
-//! What a mesh has to be told, and how peers are named.
+//! The configuration of a mesh and the address of a peer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use chervilshunt_model::InstanceId;
 
-/// Where to find a peer, and who is meant to answer there.
+/// The identity and address of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// The instance that is meant; another one at the same address refuses the connection.
+    /// The expected instance; a different instance at the same address refuses the connection.
     pub instance: InstanceId,
-    /// Where it listens for peers.
+    /// The address on which it accepts connections from peers.
     pub address: SocketAddr,
 }
 
 /// Settings of a mesh.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MeshConfig {
-    /// Who we are.
+    /// The id of this instance.
     pub instance: InstanceId,
-    /// Where we listen for peers.
+    /// The address on which this instance accepts connections from peers.
     pub listen: SocketAddr,
-    /// The longest message that is sent or taken in, in bytes of CBOR.
+    /// The maximum size of a message that is sent or received, in bytes of CBOR.
     pub max_message_bytes: usize,
-    /// The time that opening or closing a connection may take, handshake included.
+    /// The time limit for opening a connection, including the handshake, and for closing one.
     pub connect_timeout: Duration,
-    /// The time after which a connection that carries nothing is closed.
+    /// The time without messages after which a connection is closed.
     ///
-    /// An idle connection costs memory only, and opening one as much as two requests; see
+    /// An idle connection costs only memory, and opening one costs as much as two requests; see
     /// `docs/design/mesh.md`.
     pub idle_timeout: Duration,
-    /// The most connections that may be open at a time, in both directions together.
+    /// The maximum number of open connections, inbound and outbound together.
     pub max_connections: usize,
-    /// The most messages that may wait to be written to one peer, and that may wait for
-    /// the application to take them.
+    /// The capacity, in messages, of each peer's outgoing queue and of the inbound queue that the
+    /// application reads.
     pub queue_messages: usize,
-    /// The most requests of one peer that may wait for the application's answer.
+    /// The maximum number of requests from one peer that may wait for the application's answer.
     pub max_unanswered: usize,
-    /// The silence, while requests wait, after which a peer is pinged.
+    /// The time without received data, while requests await answers, after which a peer is pinged.
     pub ping_after: Duration,
-    /// The time that a peer has to show any sign of life after a ping, or to take in what
-    /// is written to it.
+    /// The time limit for a peer to send anything after a ping, and for a write to it to complete.
     pub ping_timeout: Duration,
-    /// The pause after the first failure to connect; it doubles with each further one.
+    /// The backoff after the first failure to connect; it doubles with each further failure.
     pub backoff_min: Duration,
-    /// The longest pause between failures to connect.
+    /// The maximum backoff between attempts to connect.
     pub backoff_max: Duration,
 }
 
 impl MeshConfig {
-    /// Returns the settings that serve most deployments.
+    /// Returns the default settings.
     pub fn new(instance: InstanceId, listen: SocketAddr) -> Self {
         Self {
             instance,
