--- a/crates/chervilshunt_mesh/src/connection.rs
+++ b/crates/chervilshunt_mesh/src/connection.rs
@@ -1,4 +1,4 @@
-//! One open connection: its shared state, and the loops that read and write it.
+//! An open connection: its shared state and its read and write loops.
 
 mod read;
 mod run;
--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -1,4 +1,4 @@
-//! Takes in what a peer sends.
+//! The read loop of a connection.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use crate::outgoing::REFUSAL;
 use crate::shared::Shared;
 
-/// Reads until the connection ends, and says how it did.
+/// Reads frames until the connection ends and returns the reason.
 pub(crate) async fn read_loop<M, S>(
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
@@ -45,7 +45,7 @@
             Ok(_) => connection.heard(false, Instant::now()),
             Err(error) => {
                 if end == End::Broken {
-                    warn!(shared.log, "connection broke";
+                    warn!(shared.log, "connection failed while reading";
                         "peer" => %connection.identity.peer, "error" => %error);
                 }
                 break;
@@ -99,10 +99,10 @@
     }
 }
 
-/// Hands a request to the application, or turns it away at once.
+/// Passes a request to the application, or rejects it immediately.
 ///
-/// It never waits for room: a full queue would keep this connection's answers and pongs from being
-/// read, and peers would take an overloaded instance for a dead one.
+/// It never waits for space in the inbound queue: waiting would keep answers and pongs on this
+/// connection from being read, and peers would consider an overloaded instance dead.
 fn take_request<M>(
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
--- a/crates/chervilshunt_mesh/src/connection/run.rs
+++ b/crates/chervilshunt_mesh/src/connection/run.rs
@@ -1,4 +1,4 @@
-//! The life of one connection from its handshake to its end.
+//! Runs a connection from the completed handshake to its end.
 
 use std::sync::Arc;
 
@@ -19,22 +19,23 @@
 use crate::shared::Shared;
 use crate::socket::CountedStream;
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
-    /// It was closed because it was idle: whatever is unanswered was not handled.
+    /// It was closed because it was idle; the peer did not handle any request that is unanswered.
     Idle,
-    /// It was never open on our side: nothing was written or read.
+    /// The handshake did not complete on this side; nothing was written or read.
     Unopened,
-    /// It broke, or one side shut down: whatever is unanswered may have been handled.
+    /// It failed, or one side shut down; the peer may have handled unanswered requests.
     Broken,
 }
 
-/// Serves a connection until it ends.
+/// Runs a connection until it ends.
 ///
-/// `stale` are the earlier connections with the peer: nothing is delivered before they are done,
-/// so that the loss of one never comes after the first messages of the next. An owner would
-/// drop the new requests of an instance with the lost ones otherwise.
+/// `stale` holds the earlier connections with the peer. No message is delivered until they are
+/// done, so that the application never sees the loss of an earlier connection after the first
+/// messages of this one. Otherwise an owner would drop an instance's new requests together with
+/// the lost ones.
 pub(crate) async fn run<M>(
     shared: Arc<Shared<M>>,
     connection: Arc<Connection<M>>,
@@ -69,10 +70,10 @@
     let (sink, stream) = socket.split();
     let writer = async {
         match write_loop(shared, connection, rx, sink).await {
-            // The reader sees how the connection ends, but not for ever.
+            // The reader finds out why the connection ended; the time for that is bounded.
             Ok(()) | Err(WriteError::Socket) => sleep(shared.cfg.connect_timeout).await,
             Err(error) => {
-                warn!(shared.log, "connection given up";
+                warn!(shared.log, "connection aborted";
                     "peer" => %connection.identity.peer, "reason" => ?error);
             }
         }
@@ -84,7 +85,7 @@
     }
 }
 
-/// Takes the connection out of the table and settles what was under way on it.
+/// Removes the connection from the table and resolves its unfinished requests and messages.
 pub(crate) async fn finish<M>(
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -1,4 +1,4 @@
-//! What is known of an open connection.
+//! The shared state of an open connection.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
@@ -15,24 +15,24 @@
 use crate::liveness::{Activity, Liveness, Step};
 use crate::outgoing::{Outgoing, OutgoingRequest, REFUSAL};
 
-/// Which connection this is, and who is at the other end.
+/// The identity of a connection and of the peer at its other end.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
-    /// Our number for it, unique in this process and rising.
+    /// This process's serial number for the connection, unique and increasing.
     pub(crate) serial: u64,
-    /// The instance at the other end.
+    /// The peer's instance id.
     pub(crate) peer: InstanceId,
-    /// The process at the other end; it changes when the instance restarts.
+    /// The peer's process id; it changes when the instance restarts.
     pub(crate) peer_process: ProcessId,
-    /// The peer's number for it; known only for connections that we opened.
+    /// The peer's serial number for the connection; known only if this side opened it, 0 otherwise.
     pub(crate) peer_serial: u64,
-    /// Whether we opened it.
+    /// Whether this side opened the connection.
     pub(crate) dialled: bool,
 }
 
-/// The connections with one peer that live and break together.
+/// A group of connections with one peer that fail together.
 ///
-/// There is more than one only after both sides opened one at the same moment.
+/// It has more than one connection only if both sides opened one at the same time.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
     broken: AtomicBool,
@@ -53,13 +53,13 @@
 pub(crate) struct Connection<M> {
     pub(crate) identity: Identity,
     pub(crate) session: Arc<Session>,
-    /// Breaks the connection off.
+    /// Cancelled to abort the connection.
     pub(crate) kill: CancellationToken,
-    /// Tells the writer that the other side has closed.
+    /// Cancelled when the peer has closed the connection, which stops the writer.
     pub(crate) stop: CancellationToken,
-    /// Set once nothing more comes from this connection.
+    /// Cancelled once the connection delivers nothing more.
     pub(crate) done: CancellationToken,
-    /// Tells the writer to close the connection.
+    /// Notifies the writer to close the connection.
     pub(crate) close_begun: Notify,
     tx: mpsc::UnboundedSender<Outgoing<M>>,
     state: Mutex<State<M>>,
@@ -67,13 +67,13 @@
 
 #[derive(Debug)]
 struct State<M> {
-    /// Whether the closing handshake has begun, on either side.
+    /// Whether either side has begun the closing handshake.
     closing: bool,
-    /// Messages that wait to be written.
+    /// The number of messages that wait to be written.
     queued: usize,
-    /// Requests of the peer that the application has not answered.
+    /// The number of the peer's requests that the application has not answered.
     unanswered: usize,
-    /// Requests of ours that were written and wait for an answer.
+    /// This side's requests that were written and await an answer, by request number.
     pending: HashMap<u64, OutgoingRequest<M>>,
     next_id: u64,
     heard: Instant,
@@ -82,14 +82,14 @@
     waiting_since: Option<Instant>,
 }
 
-/// What becomes of a request that a peer sends.
+/// Whether a request from a peer is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It may be handed to the application.
+    /// It may be passed to the application.
     Accepted,
-    /// Too many wait already.
+    /// It is rejected, as too many requests of this peer are unanswered.
     Busy,
-    /// The peer sends it again on another connection, as this one is being closed.
+    /// It is ignored: this connection is closing, and the peer sends it again on another one.
     Ignored,
 }
 
@@ -123,7 +123,7 @@
         (Arc::new(connection), rx)
     }
 
-    /// Returns whether messages may be given to it.
+    /// Returns whether messages may be queued on the connection.
     pub(crate) fn is_usable(&self) -> bool {
         !self.kill.is_cancelled() && !self.lock().closing
     }
@@ -132,14 +132,14 @@
         self.done.is_cancelled()
     }
 
-    /// Returns when it was last used if nothing is under way on it.
+    /// Returns the time of the last message if the connection is idle and not closing.
     pub(crate) fn idle_since(&self) -> Option<Instant> {
         let mut state = self.lock();
         state.forget_abandoned();
         (!state.closing && state.is_idle()).then_some(state.used)
     }
 
-    /// Queues a message; gives it back if too many are queued or the connection is closing.
+    /// Queues a message; returns it as the error if the queue is full or the connection is closing.
     pub(crate) fn enqueue(&self, out: Outgoing<M>, limit: usize) -> Result<(), Outgoing<M>> {
         let mut state = self.lock();
         if state.closing || state.queued >= limit {
@@ -150,9 +150,10 @@
         Ok(())
     }
 
-    /// Queues the answer to a peer's request, which frees the request's place.
+    /// Queues the answer to a peer's request, which then no longer counts as unanswered.
     ///
-    /// Answers aren't bounded by the queue: they are by the number of accepted requests.
+    /// Returns whether it was queued. Answers aren't limited by the queue's capacity, as their
+    /// number is bounded by the number of admitted requests.
     pub(crate) fn enqueue_answer(&self, out: Outgoing<M>) -> bool {
         let mut state = self.lock();
         state.unanswered = state.unanswered.saturating_sub(1);
@@ -161,7 +162,7 @@
         sent
     }
 
-    /// Tells the peer that its request gets no answer.
+    /// Queues a refusal, which informs the peer that its request gets no answer.
     pub(crate) fn give_up(&self, head: Head) {
         self.enqueue_answer(Outgoing::Answer {
             head,
@@ -170,7 +171,7 @@
         });
     }
 
-    /// Takes a request of the peer into account.
+    /// Counts a request of the peer as unanswered and returns whether it is admitted.
     pub(crate) fn admit(&self, limit: usize) -> Admission {
         let mut state = self.lock();
         if state.closing {
@@ -184,7 +185,9 @@
         }
     }
 
-    /// Numbers a request that is about to be written; gives none if its sender gave up on it.
+    /// Assigns a number to a request that is about to be written.
+    ///
+    /// Returns `None` if its sender has abandoned it.
     pub(crate) fn begin(&self, req: OutgoingRequest<M>, now: Instant) -> Option<u64> {
         if !req.stage.claim() {
             return None;
@@ -199,7 +202,7 @@
         Some(id)
     }
 
-    /// Ends a request with its result.
+    /// Completes a request with its result; does nothing if it is no longer pending.
     pub(crate) fn end(&self, id: u64, result: Result<M, RequestError>) {
         let mut state = self.lock();
         let req = state.pending.remove(&id);
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Notes that messages were written.
+    /// Records that `count` queued messages were written or skipped.
     pub(crate) fn wrote(&self, count: usize, now: Instant) {
         let mut state = self.lock();
         state.queued = state.queued.saturating_sub(count);
@@ -223,7 +226,7 @@
         self.lock().pinged = Some(now);
     }
 
-    /// Notes that something arrived; pongs are no use of the connection.
+    /// Records that data arrived; only messages, not pongs, count as use of the connection.
     pub(crate) fn heard(&self, is_message: bool, now: Instant) {
         let mut state = self.lock();
         state.heard = now;
@@ -245,10 +248,10 @@
         liveness.step(&activity, now)
     }
 
-    /// Begins the closing handshake unless something is under way.
+    /// Begins the closing handshake if the connection is idle, and returns whether it did.
     ///
-    /// From here on requests of the peer are ignored, which makes it safe for the peer to send
-    /// those again that it finds unanswered when our close arrives.
+    /// From then on, requests of the peer are ignored. The peer can therefore safely resend the
+    /// requests that are unanswered when it receives the close frame.
     pub(crate) fn close_if_idle(&self) -> bool {
         let mut state = self.lock();
         state.forget_abandoned();
@@ -260,12 +263,12 @@
         true
     }
 
-    /// Notes that the closing handshake has begun, whatever is under way.
+    /// Records that the closing handshake has begun, even if the connection is in use.
     pub(crate) fn mark_closing(&self) {
         self.lock().closing = true;
     }
 
-    /// Takes out the requests that have no answer, oldest first.
+    /// Removes and returns the requests that have no answer, oldest first.
     pub(crate) fn take_pending(&self) -> Vec<OutgoingRequest<M>> {
         let mut state = self.lock();
         state.closing = true;
@@ -285,7 +288,7 @@
         self.queued == 0 && self.unanswered == 0 && self.pending.is_empty()
     }
 
-    /// Drops requests whose sender no longer waits, so that they keep nothing open.
+    /// Removes requests whose sender no longer waits, so that they don't keep the connection open.
     fn forget_abandoned(&mut self) {
         self.pending.retain(|_, req| !req.is_abandoned());
         if self.pending.is_empty() {
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -1,4 +1,4 @@
-//! Writes what waits for a peer, and watches over the connection's life.
+//! The write loop of a connection, which also checks that the peer is responsive.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::outgoing::Outgoing;
 use crate::shared::Shared;
 
-/// The most messages written before they are flushed.
+/// The maximum number of messages written before a flush.
 const BATCH: usize = 64;
 
 /// Why a message could not be written.
 #[derive(Debug)]
 pub(crate) enum WriteError {
-    /// The closing handshake has begun, or the socket failed: the reader will see which.
+    /// The closing handshake has begun, or the socket failed; the reader finds out which.
     Socket,
-    /// The peer takes nothing in.
+    /// The peer did not read what was written within the ping timeout.
     Stalled,
-    /// The peer gave no sign of life when asked for one.
+    /// The peer sent nothing within the ping timeout after a ping.
     Silent,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes until the connection is closed, by us or by the peer.
+/// Writes until either side closes the connection.
 pub(crate) async fn write_loop<M, S>(
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
@@ -80,7 +80,7 @@
                 }
                 Step::GiveUp => return Err(WriteError::Silent),
                 Step::CloseIdle => {
-                    // Unless something came up meanwhile, the branch above is next.
+                    // If the connection is still idle, the `close_begun` branch runs next.
                     connection.close_if_idle();
                     timer.as_mut().reset(Instant::now() + shared.liveness.idle_timeout);
                 }
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-/// Bounds the time for which a peer may refuse to take anything in.
+/// Awaits a write, and fails if the peer does not read within the ping timeout.
 async fn write_in_time<M>(
     shared: &Shared<M>,
     write: impl Future<Output = Result<(), WsError>>,
