--- a/crates/chervilshunt_mesh/src/counters.rs
+++ b/crates/chervilshunt_mesh/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the mesh has sent and taken in, by purpose.
+//! Counters of connections, messages and bytes, by purpose.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -8,52 +8,52 @@
 
 /// Messages and bytes in both directions.
 ///
-/// Bytes include the WebSocket frame, not TCP and IP.
+/// Bytes include the WebSocket frame header, but not TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Messages sent.
     pub messages_out: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Messages taken in.
+    /// Messages received.
     pub messages_in: u64,
-    /// Bytes taken in.
+    /// Bytes received.
     pub bytes_in: u64,
 }
 
-/// A snapshot of what a mesh has counted since it started.
+/// A snapshot of the counters of a mesh since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MeshCounters {
     /// Traffic of the application's messages by purpose.
     pub by_purpose: BTreeMap<&'static str, Traffic>,
-    /// Bytes written to sockets: messages, handshakes, pings and closes.
+    /// Bytes written to sockets, including handshakes, pings and close frames.
     pub socket_bytes_out: u64,
     /// Bytes read from sockets.
     pub socket_bytes_in: u64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub open: u64,
-    /// Connections opened by us.
+    /// Connections opened by this instance.
     pub dialled: u64,
     /// Connections opened by peers.
     pub accepted: u64,
-    /// Connections that peers wanted and we refused.
+    /// Connection requests of peers that this instance refused.
     pub refused: u64,
-    /// Tries to open a connection that failed.
+    /// Failed attempts to open a connection.
     pub dial_failures: u64,
-    /// Connections that broke.
+    /// Connections that failed or were shut down.
     pub lost: u64,
     /// Connections that were closed because they were idle.
     pub closed_idle: u64,
-    /// Requests of peers that were turned away because too many waited.
+    /// Requests of peers that were rejected because too many were waiting.
     pub busy: u64,
-    /// Messages of peers that could not be decoded.
+    /// Messages from peers that could not be decoded.
     pub unreadable: u64,
-    /// One-way messages that were dropped before they were written.
+    /// One-way messages that were dropped before they were written to a socket.
     pub dropped: u64,
 }
 
 impl MeshCounters {
-    /// Returns the bytes sent and taken in that belong to no message.
+    /// Returns the bytes sent and received that belong to no message, such as handshakes and pings.
     pub fn connection_bytes(&self) -> u64 {
         let messages: u64 = self
             .by_purpose
@@ -64,7 +64,7 @@
     }
 }
 
-/// One number, kept for snapshots and published as a metric.
+/// A counter that is readable for snapshots and published as a metric.
 #[derive(Debug)]
 pub(crate) struct Tally {
     value: AtomicU64,
--- a/crates/chervilshunt_mesh/src/socket.rs
+++ b/crates/chervilshunt_mesh/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what passes through it.
+//! A TCP stream that counts the bytes it transfers.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 
 use crate::counters::Counters;
 
-/// Counts every byte of the connection, handshake, pings and closes included.
+/// A TCP stream that counts all bytes, including handshakes, pings and close frames.
 #[derive(Debug)]
 pub(crate) struct CountedStream {
     inner: TcpStream,
