--- a/crates/chervilshunt_mesh/src/dial.rs
+++ b/crates/chervilshunt_mesh/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opens connections to peers, and takes in those that peers open.
+//! Opens connections to peers and accepts connections from them.
 
 use std::sync::Arc;
 
@@ -22,15 +22,15 @@
 use crate::socket::CountedStream;
 use crate::table::{Dial, PeerHello, Registered, Table};
 
-/// Handshakes of peers that may be under way at a time.
+/// The maximum number of inbound handshakes in progress.
 const MAX_HANDSHAKES: usize = 64;
 
-/// The pause after the system could not accept a connection, for want of descriptors mostly.
+/// The delay after a failed `accept`, which is mostly due to a lack of file descriptors.
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
 
 type Socket = WebSocketStream<CountedStream>;
 
-/// Begins to open a connection; what waits for the peer is sent or fails with it.
+/// Spawns a task that opens a connection; the messages that wait for it are sent or fail with it.
 pub(crate) fn spawn_dial<M>(shared: &Arc<Shared<M>>, table: &mut Table<M>, peer: Peer)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
@@ -117,7 +117,7 @@
     let failures = table.end_dial(&peer.instance, false);
     let link = table.link(&peer.instance);
     if !link.connections.is_empty() {
-        // The peer opened one meanwhile.
+        // The peer opened a connection in the meantime.
         shared.settle_waiting(&mut table, &peer.instance);
         return;
     }
@@ -127,7 +127,7 @@
         failures,
         &mut rand::rng(),
     );
-    warn!(shared.log, "peer can't be reached"; "peer" => %peer.instance,
+    warn!(shared.log, "cannot connect to peer"; "peer" => %peer.instance,
         "address" => %peer.address, "error" => %error, "failures" => failures,
         "pause_ms" => u64::try_from(pause.as_millis()).unwrap_or(u64::MAX));
     link.dial = Dial::Backoff {
@@ -140,7 +140,7 @@
     shared.fail(waiting, &error);
 }
 
-/// Takes in connections until the mesh is shut down.
+/// Accepts connections until the mesh is shut down.
 pub(crate) async fn accept_loop<M>(shared: Arc<Shared<M>>, listener: TcpListener)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
@@ -154,7 +154,7 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(shared.log, "can't accept a connection"; "error" => %error);
+                warn!(shared.log, "cannot accept a connection"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -183,7 +183,7 @@
     let mut registered = None;
     #[expect(
         clippy::result_large_err,
-        reason = "the callback's type is the library's"
+        reason = "the library defines the type of the callback"
     )]
     let callback = |request: &server::Request, mut response: server::Response| match take_request(
         shared,
@@ -211,10 +211,10 @@
     None
 }
 
-/// Checks a peer's request and enters its connection.
+/// Validates a peer's upgrade request and registers its connection.
 ///
-/// It is entered before the answer goes out: the number that the answer carries tells the peer
-/// that we know of the connection.
+/// The connection is registered before the response is sent, because the serial number in the
+/// response states that this side has registered it.
 fn take_request<M>(
     shared: &Arc<Shared<M>>,
     request: &server::Request,
