--- a/crates/chervilshunt_mesh/src/error.rs
+++ b/crates/chervilshunt_mesh/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong, told apart by whether the message may have been handled.
+//! Errors, separated by whether the peer may have handled the message.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum MeshError {
-    /// The address for peers can't be listened on.
-    #[snafu(display("can't listen for peers on {address}: {source}"))]
+    /// The listening address for peers cannot be bound.
+    #[snafu(display("cannot listen for peers on {address}: {source}"))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The instance id does not fit into a header.
+    /// The instance id cannot be used as a header value.
     #[snafu(display("the instance id {instance} has characters other than visible ASCII"))]
     BadInstance {
         /// The id.
@@ -26,57 +26,57 @@
     },
 }
 
-/// Why a message did not leave this process.
+/// Why a message was not sent.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum SendError {
-    /// Too many messages wait for the same peer.
-    #[snafu(display("{limit} messages already wait for {instance}"))]
+    /// The queue of messages for the peer is full.
+    #[snafu(display("the queue for {instance} is full ({limit} messages)"))]
     QueueFull {
         /// The peer.
         instance: InstanceId,
-        /// The bound.
+        /// The capacity of the queue, in messages.
         limit: usize,
     },
-    /// The message is longer than the limit.
-    #[snafu(display("the message takes {bytes} bytes, more than the limit of {limit}"))]
+    /// The message exceeds the size limit.
+    #[snafu(display("the message has {bytes} bytes, more than the limit of {limit}"))]
     TooLarge {
-        /// Its length.
+        /// The size of the message, in bytes of CBOR.
         bytes: usize,
-        /// The limit.
+        /// The limit, in bytes.
         limit: usize,
     },
-    /// The message can't be written as CBOR.
-    #[snafu(display("the message can't be encoded: {reason}"))]
+    /// The message cannot be encoded as CBOR.
+    #[snafu(display("cannot encode the message: {reason}"))]
     Encode {
-        /// What the codec said.
+        /// The encoder's error.
         reason: String,
     },
-    /// No connection can be opened now.
-    #[snafu(display("{instance} at {address} can't be reached: {reason}"))]
+    /// No connection could be opened, or the backoff after a failed attempt has not ended.
+    #[snafu(display("cannot connect to {instance} at {address}: {reason}"))]
     Unreachable {
         /// The peer.
         instance: InstanceId,
-        /// Where it was looked for.
+        /// The address that was tried.
         address: SocketAddr,
-        /// What happened, the last time it was tried.
+        /// The error of the last attempt.
         reason: String,
     },
-    /// Another instance listens at the address, or one of another protocol version.
+    /// A different instance, or one with a different protocol version, listens at the address.
     #[snafu(display("{address} does not answer as {instance}: {reason}"))]
     WrongPeer {
-        /// The peer that was meant.
+        /// The expected peer.
         instance: InstanceId,
-        /// Where it was looked for.
+        /// The address that was tried.
         address: SocketAddr,
-        /// What the other side said.
+        /// The reason that the other side gave, or why its handshake was invalid.
         reason: String,
     },
-    /// All connections are in use, and there may be no more of them.
+    /// The limit of open connections is reached, and none of them is idle.
     #[snafu(display("all {limit} connections are in use"))]
     TooManyConnections {
-        /// The bound.
+        /// The maximum number of connections.
         limit: usize,
     },
     /// The connection ended before the message was written.
@@ -85,8 +85,8 @@
         /// The peer.
         instance: InstanceId,
     },
-    /// The time for an answer ran out before the message was written.
-    #[snafu(display("the message to {instance} was not written in time"))]
+    /// The request timed out before it was written.
+    #[snafu(display("the request to {instance} timed out before it was written"))]
     Late {
         /// The peer.
         instance: InstanceId,
@@ -96,33 +96,33 @@
     ShutDown,
 }
 
-/// Why a request has no answer.
+/// Why a request got no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum RequestError {
-    /// The request never left this process.
+    /// The request was not sent.
     #[snafu(display("not sent: {source}"))]
     NotSent {
-        /// Why not.
+        /// The reason.
         source: SendError,
     },
-    /// The peer had too many messages waiting, and did not look at this one.
+    /// The peer had too many waiting messages and rejected the request without handling it.
     #[snafu(display("the peer is overloaded and did not handle the request"))]
     Busy,
-    /// The connection was lost after the request may have left: it may have been handled.
+    /// The connection was lost after the request may have been sent; it may have been handled.
     #[snafu(display("the connection was lost before the answer"))]
     Lost,
-    /// No answer came in time: the request may have been or may yet be handled.
-    #[snafu(display("no answer in time"))]
+    /// No answer arrived in time; the request may have been handled, or may still be.
+    #[snafu(display("timed out waiting for an answer"))]
     Timeout,
-    /// The peer took the request and gave up on it without an answer.
-    #[snafu(display("the peer gave no answer"))]
+    /// The peer received the request and dropped it without an answer; it may have been handled.
+    #[snafu(display("the peer dropped the request without an answer"))]
     Unanswered,
 }
 
 impl RequestError {
-    /// Returns whether the peer's application has certainly not seen the request.
+    /// Returns whether it is certain that the peer's application has not received the request.
     pub const fn is_unhandled(&self) -> bool {
         match self {
             Self::NotSent { .. } | Self::Busy => true,
