--- a/crates/chervilshunt_mesh/src/frame.rs
+++ b/crates/chervilshunt_mesh/src/frame.rs
@@ -1,8 +1,8 @@
-//! The layout of a message: a head of one integer, then the CBOR of the message itself.
+//! The frame layout: a header of one integer, followed by the message in CBOR.
 //!
-//! Both are items of a CBOR sequence (RFC 8742). The head holds the kind in its low bits and the
-//! request's number above them, so that it takes one byte for a one-way message and one to
-//! three for the requests of a connection's usual life.
+//! Both are items of a CBOR sequence (RFC 8742). The header holds the frame kind in its low bits
+//! and the request number above them. It takes one byte for a one-way message and one to three
+//! bytes for the request numbers that a connection usually reaches.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -11,7 +11,7 @@
 
 use crate::error::{SendError, TooLargeSnafu};
 
-/// Bits of the head that hold the kind.
+/// The number of low bits of the header that hold the frame kind.
 const KIND_BITS: u32 = 3;
 const KIND_MASK: u64 = (1 << KIND_BITS) - 1;
 
@@ -21,21 +21,21 @@
 const KIND_BUSY: u64 = 3;
 const KIND_DROPPED: u64 = 4;
 
-/// The longest head: a CBOR integer of eight bytes after its type.
+/// The maximum size of a header: a CBOR type byte and an integer of eight bytes.
 const MAX_HEAD_BYTES: usize = 9;
 
-/// What a message is to the connection.
+/// The header of a frame: its kind and, except for one-way messages, the request number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Head {
-    /// Nobody waits for an answer.
+    /// A message without an answer.
     OneWay,
-    /// The sender waits for an answer with this number.
+    /// A request; its answer carries the same number.
     Request(u64),
     /// The answer to the request with this number.
     Answer(u64),
-    /// The request with this number was not looked at.
+    /// The request with this number was rejected without being handled.
     Busy(u64),
-    /// The request with this number gets no answer.
+    /// The request with this number gets no answer; it may have been handled.
     Dropped(u64),
 }
 
@@ -64,20 +64,23 @@
     }
 }
 
-/// Why a received frame makes no sense.
+/// Why a received frame could not be decoded.
 #[derive(Debug, Snafu)]
 pub(crate) enum FrameError {
-    /// The head is no integer, or of no known kind.
-    #[snafu(display("the frame has no valid head"))]
+    /// The header is not an integer, or its kind is unknown.
+    #[snafu(display("the frame has no valid header"))]
     BadHead,
     /// The message is not of the expected type.
-    #[snafu(display("the message can't be decoded: {source}"))]
+    #[snafu(display("cannot decode the message: {source}"))]
     BadMessage {
         source: ciborium::de::Error<std::io::Error>,
     },
 }
 
-/// Writes a message as CBOR.
+/// Encodes a message as CBOR.
+///
+/// # Errors
+/// Fails if the message cannot be encoded or has more than `limit` bytes.
 pub(crate) fn encode_message<M: Serialize>(message: &M, limit: usize) -> Result<Bytes, SendError> {
     let mut buf = Vec::with_capacity(128);
     ciborium::into_writer(message, &mut buf).map_err(|error| SendError::Encode {
@@ -88,19 +91,19 @@
     Ok(buf.into())
 }
 
-/// Puts the head before an encoded message; `None` for heads that carry none.
+/// Assembles a frame from its header and, for kinds that carry one, an encoded message.
 pub(crate) fn assemble(head: Head, message: Option<&Bytes>) -> Bytes {
     let len = message.map_or(0, Bytes::len);
     let mut buf = Vec::with_capacity(MAX_HEAD_BYTES + len);
     ciborium::into_writer(&head.to_integer(), &mut buf)
-        .expect("writing an integer to memory can't fail");
+        .expect("writing an integer to memory cannot fail");
     if let Some(message) = message {
         buf.extend_from_slice(message);
     }
     buf.into()
 }
 
-/// Splits a frame into its head and the bytes of its message.
+/// Splits a frame into its header and the bytes of its message.
 pub(crate) fn split(frame: &[u8]) -> Result<(Head, &[u8]), FrameError> {
     let mut rest = frame;
     let value: u64 = ciborium::from_reader(&mut rest).map_err(|_malformed| BadHeadSnafu.build())?;
@@ -108,15 +111,15 @@
     Ok((head, rest))
 }
 
-/// Reads a message.
+/// Decodes a message.
 pub(crate) fn decode_message<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, FrameError> {
     ciborium::from_reader(bytes).context(BadMessageSnafu)
 }
 
-/// The most that a frame adds to the longest message.
+/// The maximum number of bytes that a frame adds to its message.
 pub(crate) const MAX_FRAME_OVERHEAD: usize = MAX_HEAD_BYTES;
 
-/// Returns the bytes that a WebSocket frame takes on the connection (RFC 6455, section 5.2).
+/// Returns the size in bytes of a WebSocket frame with the given payload (RFC 6455, section 5.2).
 pub(crate) const fn wire_bytes(payload: usize, masked: bool) -> u64 {
     let length = match payload {
         0..=125 => 0,
--- a/crates/chervilshunt_mesh/src/handshake.rs
+++ b/crates/chervilshunt_mesh/src/handshake.rs
@@ -1,4 +1,5 @@
-//! Who is at each end: agreed in the WebSocket upgrade itself, so that it costs no round trip.
+//! The identities of both ends, exchanged in the headers of the WebSocket upgrade, so that no
+//! additional round trip is needed.
 
 use std::fmt;
 
@@ -15,11 +16,13 @@
 use crate::frame::MAX_FRAME_OVERHEAD;
 use crate::table::PeerHello;
 
-/// Names the protocol and its version; it changes with the layout of frames, and with messages that
-/// an earlier version could not read.
+/// The name and version of the protocol.
+///
+/// The version changes with the frame layout and with messages that an earlier version could not
+/// decode.
 const PROTOCOL: &str = "chervilshunt-mesh.2";
 
-/// The standard header in which the protocol is agreed.
+/// The standard header that negotiates the protocol.
 const PROTOCOL_HEADER: &str = "sec-websocket-protocol";
 
 const FROM: &str = "x-mesh-from";
@@ -27,11 +30,11 @@
 const PROCESS: &str = "x-mesh-process";
 const SERIAL: &str = "x-mesh-serial";
 
-/// Buffers of a connection, in bytes; small, as there are many and messages are short.
+/// Buffer sizes per connection; small, as there are many connections and messages are short.
 const READ_BUFFER_BYTES: usize = 4 << 10;
 const WRITE_BUFFER_BYTES: usize = 8 << 10;
 
-/// A number that each process draws when it starts, so that a restart is noticed.
+/// A random id that each process generates at startup, so that peers detect a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ProcessId(Uuid);
 
@@ -51,19 +54,19 @@
     }
 }
 
-/// Why the other side's half of the handshake is not acceptable.
+/// Why a handshake was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub(crate) enum Refusal {
-    /// It speaks another protocol, or another version of ours.
-    #[snafu(display("the protocol spoken here is {PROTOCOL}"))]
+    /// The peer uses a different protocol or protocol version.
+    #[snafu(display("this instance uses the protocol {PROTOCOL}"))]
     Protocol,
-    /// It means another instance than us.
-    #[snafu(display("this is {us}"))]
+    /// The request is meant for a different instance.
+    #[snafu(display("this is the instance {us}"))]
     Misdirected { us: InstanceId },
     /// A header is missing or malformed.
     #[snafu(display("header {name} is missing or malformed"))]
     Header { name: &'static str },
-    /// There is no room for one more connection.
+    /// The limit of open connections is reached, and none of them is idle.
     #[snafu(display("all connections are in use"))]
     Full,
 }
@@ -85,12 +88,15 @@
     }
 }
 
-/// Returns whether an instance id can stand in a header.
+/// Returns whether an instance id can be used as a header value.
 pub(crate) fn is_header_safe(instance: &InstanceId) -> bool {
     !instance.as_str().is_empty() && HeaderValue::from_str(instance.as_str()).is_ok()
 }
 
-/// Makes the request that opens a connection; `ended` is the number of our last connection.
+/// Builds the upgrade request that opens a connection.
+///
+/// `ended` is this side's last serial number: all of its connections with the peer up to it have
+/// ended.
 pub(crate) fn request(
     peer: &Peer,
     us: &InstanceId,
@@ -109,7 +115,7 @@
     Ok(request)
 }
 
-/// Reads a peer's request to open a connection.
+/// Validates a peer's upgrade request and returns its identity.
 pub(crate) fn read_request(headers: &HeaderMap, us: &InstanceId) -> Result<PeerHello, Refusal> {
     if text(headers, PROTOCOL_HEADER)? != PROTOCOL {
         return Err(Refusal::Protocol);
@@ -124,7 +130,7 @@
     })
 }
 
-/// Adds our half to the answer to a peer's request; `serial` is our number for the connection.
+/// Adds this side's headers to the upgrade response; `serial` is its number for the connection.
 pub(crate) fn complete_response(
     response: &mut server::Response,
     process: ProcessId,
@@ -137,7 +143,7 @@
     Ok(())
 }
 
-/// Reads a peer's answer to our request.
+/// Returns the peer's identity from its upgrade response.
 pub(crate) fn read_response(response: &Response, peer: &Peer) -> Result<PeerHello, Refusal> {
     Ok(PeerHello {
         instance: peer.instance.clone(),
@@ -146,7 +152,7 @@
     })
 }
 
-/// Returns the limits of a connection.
+/// Returns the WebSocket buffer sizes and message limits.
 pub(crate) fn socket_config(cfg: &MeshConfig) -> WebSocketConfig {
     let longest = cfg.max_message_bytes + MAX_FRAME_OVERHEAD;
     WebSocketConfig::default()
@@ -156,7 +162,7 @@
         .max_frame_size(Some(longest))
 }
 
-/// Returns whether a refusal says that somebody else than the wanted peer listens there.
+/// Returns whether a response status means that the server is not the expected peer.
 pub(crate) fn is_wrong_peer(status: StatusCode) -> bool {
     status == StatusCode::MISDIRECTED_REQUEST || status == StatusCode::UPGRADE_REQUIRED
 }
