--- a/crates/chervilshunt_mesh/src/liveness.rs
+++ b/crates/chervilshunt_mesh/src/liveness.rs
@@ -1,14 +1,13 @@
-//! Decides when a connection is pinged, given up or closed.
+//! Decides when a connection is pinged, aborted or closed.
 //!
-//! There is no timer towards peers that owe nothing: only a connection on which requests wait is
-//! watched, since only there does somebody suffer from a peer that is frozen while its TCP
-//! connection stays up.
+//! Only connections with pending requests are checked for liveness, because only those requests
+//! suffer if a peer is frozen while its TCP connection stays up. Other peers are not pinged.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The bounds on silence.
+/// The time limits for an unresponsive or idle connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Liveness {
     pub(crate) ping_after: Duration,
@@ -16,36 +15,36 @@
     pub(crate) idle_timeout: Duration,
 }
 
-/// What has happened on a connection so far.
+/// The recent activity of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Activity {
-    /// When anything was last received, pongs included.
+    /// When data was last received, including pongs.
     pub(crate) heard: Instant,
-    /// When a message last passed in either direction.
+    /// When a message was last sent or received.
     pub(crate) used: Instant,
-    /// When the last ping went out.
+    /// When the last ping was sent.
     pub(crate) pinged: Option<Instant>,
-    /// Since when there has always been a request of ours waiting for its answer.
+    /// Since when at least one of this side's requests has been awaiting an answer.
     pub(crate) waiting_since: Option<Instant>,
-    /// Whether messages wait to be written, or requests of the peer to be answered.
+    /// Whether messages wait to be written, or requests of the peer wait to be answered.
     pub(crate) busy: bool,
 }
 
-/// What is to be done about a connection.
+/// The next liveness action on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Nothing until this moment.
+    /// Check again at this time.
     Wait(Instant),
     /// Send a ping.
     Ping,
-    /// Give the connection up as lost.
+    /// Abort the connection, as the peer did not respond to a ping.
     GiveUp,
-    /// Close the connection: nobody needs it.
+    /// Close the connection, as it is idle.
     CloseIdle,
 }
 
 impl Liveness {
-    /// Says what is to be done now.
+    /// Returns the action that is due now.
     pub(crate) fn step(&self, activity: &Activity, now: Instant) -> Step {
         let Some(waiting_since) = activity.waiting_since else {
             return self.idle_step(activity, now);
