--- a/crates/chervilshunt_mesh/src/lib.rs
+++ b/crates/chervilshunt_mesh/src/lib.rs
@@ -1,11 +1,11 @@
 //! Messages between instances: WebSocket connections that carry CBOR.
 //!
-//! A [`Mesh`] sends one-way messages and requests to peers named by instance and address. It opens
-//! connections at need, closes them when idle and bounds their number, so that nobody keeps a full
-//! mesh. It knows nothing of what the messages mean: it is generic over the message type, which
-//! has to say the [`Purpose`] of each message so that control traffic stays attributable.
+//! A [`Mesh`] sends one-way messages and requests to peers, which are identified by instance and
+//! address. It opens connections on demand, closes idle ones and limits their number, so that
+//! instances don't hold connections to all others permanently. It is generic over the message
+//! type, which must state the [`Purpose`] of each message so that control traffic can be attributed.
 //!
-//! What was weighed, and what the measurements say, is in `docs/design/mesh.md`.
+//! The design alternatives and measurements are in `docs/design/mesh.md`.
 
 mod backoff;
 mod config;
--- a/crates/chervilshunt_mesh/src/mesh.rs
+++ b/crates/chervilshunt_mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The entry point: starts a mesh, sends messages and requests.
+//! The public handle of a mesh, which sends messages and requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,9 +22,9 @@
 use crate::outgoing::{Outgoing, OutgoingRequest, Stage};
 use crate::shared::Shared;
 
-/// Sends messages to peers and takes theirs in.
+/// Sends messages to peers and receives theirs.
 ///
-/// Clones share one mesh; it ends when the last one is dropped.
+/// Clones share one mesh, which shuts down when the last clone is dropped.
 #[derive(Debug)]
 pub struct Mesh<M> {
     shared: Arc<Shared<M>>,
@@ -46,13 +46,13 @@
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
-    /// Listens for peers.
+    /// Starts a mesh that listens for peers, and returns it with the queue of inbound messages.
     ///
-    /// Whoever takes the inbound messages must not wait for requests of its own in between: a full
-    /// inbound queue turns requests of peers away and holds back their one-way messages.
+    /// The task that reads the inbound queue must not await its own requests to peers: if the
+    /// queue fills up, requests of peers are rejected and their one-way messages are delayed.
     ///
     /// # Errors
-    /// Fails if the address can't be listened on or the instance id can't stand in a header.
+    /// Fails if the address cannot be bound or the instance id cannot be used as a header value.
     pub async fn bind(
         cfg: MeshConfig,
         log: Logger,
@@ -81,25 +81,25 @@
         Ok((mesh, rx))
     }
 
-    /// Returns where peers find us.
+    /// Returns the address on which this instance accepts connections from peers.
     pub const fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what has been counted so far.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> MeshCounters {
         self.shared.counters.snapshot()
     }
 
-    /// Queues a message that has no answer; it never blocks.
+    /// Queues a one-way message without blocking.
     ///
-    /// `Ok` says only that it was queued. If it gets lost with its connection, the application
-    /// sees [`Inbound::Lost`] for the peer; if no connection can be opened, it is dropped and
-    /// the next call fails.
+    /// `Ok` means only that it was queued. If it is lost with its connection, the application
+    /// receives [`Inbound::Lost`] for the peer. If no connection can be opened, the message is
+    /// dropped and the next call fails.
     ///
     /// # Errors
-    /// Fails if the message is too long, too many wait already, or the peer was found unreachable
-    /// so lately that it is not tried again yet.
+    /// Fails if the message is too large, the queue is full, all connections are in use, the mesh
+    /// is shut down, or the backoff after a failed connection attempt to the peer has not ended.
     pub fn send(&self, peer: &Peer, message: M) -> Result<(), SendError> {
         if peer.instance == self.shared.cfg.instance {
             return self
@@ -111,13 +111,13 @@
         self.shared.post(peer, Outgoing::OneWay { body, purpose })
     }
 
-    /// Sends a message and waits for its answer.
+    /// Sends a request and waits for its answer, at most for the time `within`.
     ///
-    /// It fails as soon as the connection breaks, without waiting for the timeout. Dropping the
-    /// future withdraws the request if it was not written yet.
+    /// It fails as soon as the connection fails, without waiting for the timeout. Dropping the
+    /// future cancels the request if it has not been written yet.
     ///
     /// # Errors
-    /// See [`RequestError`], which tells whether the peer may have handled the request.
+    /// See [`RequestError`], which shows whether the peer may have handled the request.
     pub async fn request(
         &self,
         peer: &Peer,
@@ -144,8 +144,10 @@
         }
     }
 
-    /// Stops taking connections, writes what is queued, closes all connections and waits for
-    /// their end, at most for the time that closing a connection may take.
+    /// Shuts down the mesh gracefully.
+    ///
+    /// It stops accepting connections, writes the queued messages, closes all connections and
+    /// waits until they have ended, at most for the `connect_timeout`.
     pub async fn shutdown(&self) {
         self.shared.shutdown.cancel();
         self.shared.tasks.close();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Hands a message to ourselves, without a connection.
+    /// Delivers a message from this instance to itself, without a connection.
     fn deliver_locally(
         &self,
         message: M,
@@ -188,7 +190,7 @@
     }
 }
 
-/// Withdraws a request whose sender stops to wait.
+/// Marks a request as abandoned when its sender stops waiting.
 struct Withdrawal(Arc<Stage>);
 
 impl Drop for Withdrawal {
--- a/crates/chervilshunt_mesh/src/message.rs
+++ b/crates/chervilshunt_mesh/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages as the application sees them.
+//! The message types that the application uses.
 
 use std::sync::Arc;
 
@@ -12,41 +12,41 @@
 use crate::frame::Head;
 use crate::shared::Shared;
 
-/// Says what a message is for, so that its bytes can be attributed.
+/// The purpose of a message, to which its bytes are attributed in metrics.
 pub trait Purpose {
     /// Returns a short name that is the same for all messages of a kind.
     fn purpose(&self) -> &'static str;
 }
 
-/// What comes in from peers.
+/// An event from a peer.
 #[derive(Debug)]
 pub enum Inbound<M> {
     /// A peer sent a message.
     Message(InboundMessage<M>),
-    /// The connection to a peer broke: whatever was under way in either direction is lost.
+    /// The connection to a peer failed; messages in flight in either direction may be lost.
     ///
-    /// It comes after the last message of the broken connection and before the first one of
-    /// the next. A connection that was closed because it was idle is not reported: nothing
-    /// was under way. Requests that waited for the peer have failed already.
+    /// This event follows the last message of the failed connection and precedes the first one of
+    /// the next connection. The closing of an idle connection is not reported, as no message was
+    /// in flight. Pending requests to the peer have already failed.
     Lost(InstanceId),
 }
 
-/// A message of a peer.
+/// A message from a peer.
 #[derive(Debug)]
 pub struct InboundMessage<M> {
     /// The instance that sent it.
     pub from: InstanceId,
-    /// What it says.
+    /// The message.
     pub message: M,
-    /// When it was read from its connection; it may wait long for an application that is overloaded.
+    /// When it was read from its connection; an overloaded application may take it much later.
     pub received_at: Instant,
-    /// Where the answer goes; none for a one-way message.
+    /// The handle for the answer; `None` for a one-way message.
     pub reply: Option<Reply<M>>,
 }
 
-/// Where the answer to a request goes.
+/// The handle that answers a request.
 ///
-/// Dropping it tells the peer at once that there will be no answer.
+/// Dropping it notifies the peer immediately that there will be no answer.
 #[derive(Debug)]
 pub struct Reply<M> {
     way: Option<Way<M>>,
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Returns whether nobody waits for the answer any more, as the connection is gone.
+    /// Returns whether the answer can no longer be delivered, as the connection has ended or a
+    /// local sender no longer waits.
     pub fn is_closed(&self) -> bool {
         match &self.way {
             Some(Way::Remote { connection, .. }) => connection.is_done(),
@@ -93,8 +94,8 @@
     /// Sends the answer.
     ///
     /// # Errors
-    /// Fails if the peer can't get it any more, or if it is too long. The peer learns so by itself:
-    /// its request fails with the connection, or right away.
+    /// Fails if the connection has ended, or if the answer is too large or cannot be encoded. The
+    /// peer needs no further notification: its request fails with the connection, or immediately.
     pub fn send(mut self, message: M) -> Result<(), SendError> {
         match self.way.take() {
             Some(Way::Remote {
--- a/crates/chervilshunt_mesh/src/outgoing.rs
+++ b/crates/chervilshunt_mesh/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to a peer.
+//! Messages that wait to be written to a peer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering::SeqCst};
@@ -9,7 +9,7 @@
 use crate::error::{RequestError, SendError};
 use crate::frame::Head;
 
-/// Purpose under which refusals of requests are counted.
+/// The purpose under which refusals of requests are counted.
 pub(crate) const REFUSAL: &str = "refusal";
 
 /// A message that waits to be written.
@@ -28,9 +28,9 @@
 }
 
 impl<M> Outgoing<M> {
-    /// Ends it for a reason that rules out that it was ever written.
+    /// Fails a message that was certainly not written.
     ///
-    /// Returns whether a message was dropped without anybody being told.
+    /// Returns whether it was dropped without notifying a sender.
     pub(crate) fn fail(self, source: SendError) -> bool {
         match self {
             Self::OneWay { .. } | Self::Answer { .. } => true,
@@ -66,7 +66,7 @@
         (req, rx)
     }
 
-    /// Hands the result to whoever waits; if nobody does any more, it is not wanted.
+    /// Sends the result to the waiting sender, or discards it if the sender no longer waits.
     pub(crate) fn end(self, result: Result<M, RequestError>) {
         drop(self.answer.send(result));
     }
@@ -80,11 +80,10 @@
 const WRITTEN: u8 = 1;
 const ABANDONED: u8 = 2;
 
-/// Whether a request may have left this process, agreed between its sender and the writer.
+/// Whether a request may have been written, shared between its sender and the writer.
 ///
-/// Without one place for both to agree on, a sender whose time ran out could call a request
-/// unsent in the moment in which the writer sends it, and the caller would be told a "not run"
-/// that is false.
+/// The state is a single atomic. Otherwise a sender that times out could report a request as not
+/// sent at the moment the writer sends it, and the caller would receive a false "not run".
 #[derive(Debug)]
 pub(crate) struct Stage(AtomicU8);
 
@@ -93,19 +92,19 @@
         Self(AtomicU8::new(QUEUED))
     }
 
-    /// Claims the request for writing; fails if its sender has given up on it.
+    /// Claims the request for writing; returns false if its sender has abandoned it.
     pub(crate) fn claim(&self) -> bool {
         self.0
             .compare_exchange(QUEUED, WRITTEN, SeqCst, SeqCst)
             .is_ok()
     }
 
-    /// Takes it back into the queue, as the peer has certainly not handled it.
+    /// Marks a written request as queued again, as the peer has certainly not handled it.
     pub(crate) fn requeue(&self) {
         let _ = self.0.compare_exchange(WRITTEN, QUEUED, SeqCst, SeqCst);
     }
 
-    /// Gives up on the request; returns whether it has not been written and never will be.
+    /// Abandons the request; returns whether it has not been written and never will be.
     pub(crate) fn abandon(&self) -> bool {
         self.0
             .compare_exchange(QUEUED, ABANDONED, SeqCst, SeqCst)
