--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of a mesh share.
+//! The state that all connections of a mesh share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -62,10 +62,10 @@
 
     pub(crate) fn unreadable(&self, peer: &InstanceId, error: &FrameError) {
         self.counters.unreadable.add(1);
-        warn!(self.log, "message can't be read"; "peer" => %peer, "error" => %error);
+        warn!(self.log, "cannot decode message"; "peer" => %peer, "error" => %error);
     }
 
-    /// Ends messages that were never written.
+    /// Fails messages that were never written, and counts those that had no waiting sender.
     pub(crate) fn fail(&self, messages: impl IntoIterator<Item = Outgoing<M>>, error: &SendError) {
         for out in messages {
             if out.fail(error.clone()) {
@@ -111,7 +111,7 @@
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
-    /// Queues a message for a peer, and opens a connection if there is none.
+    /// Queues a message for a peer, and opens a connection if necessary.
     pub(crate) fn post(self: &Arc<Self>, peer: &Peer, out: Outgoing<M>) -> Result<(), SendError> {
         if self.shutdown.is_cancelled() {
             return Err(SendError::ShutDown);
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Opens a connection if something waits and nothing else will bring one.
+    /// Opens a connection if messages wait and no connection exists or is being opened.
     pub(crate) fn dial_if_needed(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
         let link = table.link(instance);
         if link.waiting.is_empty() || !link.needs_dial() {
@@ -168,10 +168,10 @@
         spawn_dial(self, table, peer);
     }
 
-    /// Takes an ended connection out of the table and settles what was under way on it.
+    /// Removes an ended connection from the table and resolves its unfinished requests and messages.
     ///
-    /// Returns whether the peer's loss has to be reported, which the last connection of
-    /// a broken session does.
+    /// Returns whether the loss of the peer must be reported, which is so for the last connection
+    /// of a failed session.
     pub(crate) fn deregister(
         self: &Arc<Self>,
         connection: &Arc<Connection<M>>,
@@ -192,7 +192,8 @@
         });
         match end {
             End::Idle => {
-                // The peer ignored requests that arrived after it began to close.
+                // The peer ignores requests that arrive after it has begun to close, so these
+                // were not handled.
                 pending.iter().for_each(|req| req.stage.requeue());
                 link.waiting
                     .extend(pending.into_iter().map(Outgoing::Request));
@@ -222,7 +223,7 @@
         lost
     }
 
-    /// Gives what waits to a connection that has come up, or opens one.
+    /// Moves waiting messages to a usable connection, or opens one if necessary.
     pub(crate) fn settle_waiting(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
         let link = table.link(instance);
         let Some(connection) = link.preferred(&self.cfg.instance).cloned() else {
@@ -242,7 +243,7 @@
         self.connections.is_empty() && !matches!(self.dial, Dial::Dialling { .. })
     }
 
-    /// Breaks off the connections that live and break with this one.
+    /// Aborts all connections of the same session.
     fn break_session(&self, connection: &Connection<M>) {
         for other in &self.connections {
             if Arc::ptr_eq(&other.session, &connection.session) {
--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -1,4 +1,4 @@
-//! The connections with every peer, and what waits for one.
+//! The table of peers, with their connections and waiting messages.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::handshake::ProcessId;
 use crate::outgoing::Outgoing;
 
-/// All that is open, being opened or waiting.
+/// The connections and waiting messages of all peers.
 #[derive(Debug)]
 pub(crate) struct Table<M> {
     links: HashMap<InstanceId, Link<M>>,
@@ -23,7 +23,7 @@
     dialling: usize,
 }
 
-/// What there is with one peer.
+/// The connections with one peer and the messages that wait for a connection.
 #[derive(Debug)]
 pub(crate) struct Link<M> {
     pub(crate) address: Option<SocketAddr>,
@@ -32,14 +32,14 @@
     pub(crate) waiting: VecDeque<Outgoing<M>>,
 }
 
-/// Whether a connection is being opened.
+/// The state of connection attempts to a peer.
 #[derive(Clone, Debug)]
 pub(crate) enum Dial {
-    /// None is, and the last try, if any, succeeded.
+    /// No attempt is in progress, and no backoff applies.
     Idle,
-    /// One is being opened.
+    /// An attempt is in progress, after this many consecutive failures.
     Dialling { failures: u32 },
-    /// The last tries failed; there is no other one before `until`.
+    /// The last attempts failed; none is made before `until`, unless the peer's address changes.
     Backoff {
         until: Instant,
         failures: u32,
@@ -47,22 +47,22 @@
     },
 }
 
-/// A connection that was just entered into the table.
+/// A connection that was just added to the table.
 #[derive(Debug)]
 pub(crate) struct Registered<M> {
     pub(crate) connection: Arc<Connection<M>>,
     pub(crate) rx: mpsc::UnboundedReceiver<Outgoing<M>>,
-    /// The connections that it replaces; they have to be done before it delivers anything.
+    /// The connections that it replaces; they must be done before it delivers any message.
     pub(crate) stale: Vec<CancellationToken>,
 }
 
-/// What a peer said when it opened a connection, or answered to ours.
+/// The identity that a peer sent in its upgrade request or response.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerHello {
     pub(crate) instance: InstanceId,
     pub(crate) process: ProcessId,
-    /// For a connection that the peer opened: all connections up to this number of its own
-    /// have ended. For one of ours: the peer's number for it.
+    /// For a connection that the peer opened: the peer's last serial number; its connections with
+    /// this instance up to that number have ended. Otherwise: the peer's number for the connection.
     pub(crate) serial: u64,
 }
 
@@ -84,12 +84,14 @@
         })
     }
 
-    /// Returns the number of the last connection that was entered.
+    /// Returns the serial number of the connection that was added last.
     pub(crate) const fn last_serial(&self) -> u64 {
         self.last_serial
     }
 
-    /// Makes room for one more connection; the least recently used idle one goes first.
+    /// Ensures that one more connection may be opened, and returns whether it may.
+    ///
+    /// At the limit, the least recently used idle connection is closed.
     pub(crate) fn make_room(&self, limit: usize) -> bool {
         let usable: Vec<_> = self
             .links
@@ -117,7 +119,7 @@
         link.dial = Dial::Dialling { failures };
     }
 
-    /// Ends a try to open a connection; returns how many have now failed in a row.
+    /// Ends an attempt to open a connection; returns the number of consecutive failures.
     pub(crate) fn end_dial(&mut self, instance: &InstanceId, succeeded: bool) -> u32 {
         self.dialling -= 1;
         let link = self.link(instance);
@@ -129,7 +131,7 @@
         failures
     }
 
-    /// Enters a connection, and breaks off those that it shows to be over.
+    /// Adds a connection, and aborts the earlier ones that it supersedes.
     pub(crate) fn register(
         &mut self,
         hello: &PeerHello,
@@ -168,7 +170,9 @@
         }
     }
 
-    /// Drops what is known of peers that nothing is under way with.
+    /// Removes peers without connections, waiting messages or a recent backoff.
+    ///
+    /// A backoff is kept for the time `keep` after its end.
     pub(crate) fn prune(&mut self, now: Instant, keep: Duration) {
         self.links.retain(|_, link| {
             let forgotten = match &link.dial {
@@ -184,7 +188,7 @@
         self.links.len()
     }
 
-    /// Takes out everything that waits for a connection.
+    /// Removes and returns all messages that wait for a connection.
     pub(crate) fn take_all_waiting(&mut self) -> Vec<Outgoing<M>> {
         self.links
             .values_mut()
@@ -193,11 +197,12 @@
     }
 }
 
-/// Returns whether a new connection with a peer shows an earlier one to be over.
+/// Returns whether a new connection with a peer shows that an earlier one has ended.
 ///
-/// A peer opens a connection only when it has none with us. So those that it opened before are
-/// over, and those of ours that it had entered before it began; one of ours that it did not know
-/// of yet when it began lives on beside the new one.
+/// A peer opens a connection only when it has none with this instance. Therefore all connections
+/// that it opened earlier have ended, and so have those opened by this side that the peer had
+/// registered before it began to dial. A connection from this side that the peer had not yet
+/// registered at that time stays open beside the new one.
 fn is_over(earlier: &Identity, hello: &PeerHello, dialled: bool) -> bool {
     let restarted = earlier.peer_process != hello.process;
     let ended_by_peer = !dialled && (!earlier.dialled || earlier.peer_serial <= hello.serial);
@@ -207,8 +212,8 @@
 impl<M> Link<M> {
     /// Returns the connection to write to.
     ///
-    /// After both sides have opened one, both take the one that the instance with the smaller id
-    /// opened, and the other one is closed when it is idle.
+    /// If both sides have opened one, both use the one that the instance with the smaller id opened;
+    /// the other one is closed once it is idle.
     pub(crate) fn preferred(&self, us: &InstanceId) -> Option<&Arc<Connection<M>>> {
         self.connections
             .iter()
