--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, handed on only as far as it has been checked.
+//! The body of an answer, which yields only data that has been validated.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,22 +12,22 @@
 use super::{AnswerSummary, SseScanner};
 use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu};
 
-/// The largest event of a stream, in bytes: it is held back until it has been checked.
+/// The maximum size of a stream event, which is buffered until it has been validated.
 const MAX_EVENT: usize = 1024 * 1024;
 
 /// The body of an answer. Dropping it cancels the call.
 ///
-/// Of a stream it hands on whole events only, each after its check, so that what is added after a
-/// broken stream stands on a line of its own.
+/// For a stream, it yields only complete and validated events. Text that is appended to a truncated
+/// stream therefore starts on a new line.
 pub struct AnswerBody {
     source: Source,
-    /// Pieces that have been checked.
+    /// Validated chunks that have not been yielded.
     ready: VecDeque<Bytes>,
     summary: AnswerSummary,
 }
 
 enum Source {
-    /// All of it is in `ready`.
+    /// The complete body is in `ready`.
     Whole,
     Plain(Box<BodyReader>),
     Stream(Box<CheckedStream>),
@@ -36,10 +36,10 @@
 struct CheckedStream {
     reader: BodyReader,
     scanner: SseScanner,
-    /// The start of an event that is not whole so far.
+    /// The chunks of an event that is not complete yet.
     held: VecDeque<Bytes>,
     held_bytes: usize,
-    /// What is wrong with the event after those that have passed.
+    /// The error in the event that follows the validated ones.
     failure: Option<EngineError>,
 }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns what is known of the answer so far.
+    /// Returns a summary of the answer so far.
     pub fn summary(&self) -> AnswerSummary {
         match &self.source {
             Source::Whole => self.summary,
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Waits until the first piece has been checked, and keeps it to be read.
+    /// Waits until the first chunk has been validated, and buffers it.
     ///
-    /// Until then nothing has been handed on, so that a failure can still be an answer of its own,
-    /// or an idempotent call be tried elsewhere.
+    /// Nothing has been passed on to the caller by then, so that a failure can still be answered
+    /// with an error status, or an idempotent call can be retried on another target.
     ///
     /// # Errors
-    /// Fails as reading the body would.
+    /// Returns the error that reading the first chunk of the body gives.
     pub async fn first_piece(&mut self) -> Result<(), EngineError> {
         if !self.ready.is_empty() {
             return Ok(());
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Checks a piece, and moves what belongs to whole events to `ready`.
+    /// Scans a chunk and moves the data of complete events to `ready`.
     fn take(&mut self, mut piece: Bytes, ready: &mut VecDeque<Bytes>) {
         let scanned = self.scanner.scan(&piece);
         self.failure = scanned.failure;
@@ -223,8 +223,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        // Pieces that were looked at ahead count as left: a hint without them makes hyper take the
-        // body for an empty one, and the caller gets a head with a length and nothing after it.
+        // Buffered chunks are part of the remaining body. Without them, hyper may treat the body as
+        // empty, and the caller would receive headers with a content length but no body.
         let ready: usize = self.ready.iter().map(Bytes::len).sum();
         let ready = ready as u64;
         match &self.source {
--- a/crates/chervilshunt_engine/src/answer/json_watch.rs
+++ b/crates/chervilshunt_engine/src/answer/json_watch.rs
@@ -1,8 +1,9 @@
-//! Watches the JSON of one stream event go by for the few members that are checked.
+//! An incremental scanner for the few members of a stream event's JSON that are validated.
 //!
-//! A parser would need the whole event in one piece and read members that nobody asks for. This
-//! reads bytes as they come, split anywhere, and forwards none: it tracks strings and nesting, so
-//! that a `"model"` inside a prompt, a tool call or another member is not taken for the event's.
+//! A parser would need the complete event in one buffer and would read members that are not needed.
+//! This scanner reads bytes as they arrive, split at any position. It tracks strings and nesting,
+//! so that a `"model"` inside a prompt, a tool call or another member is not mistaken for the
+//! event's own.
 
 use std::sync::Arc;
 
@@ -10,21 +11,21 @@
 
 use super::Usage;
 
-/// The longest key or value that is kept, in bytes.
+/// The maximum length of a buffered key or value.
 const MAX_KEPT: usize = 1024;
 
-/// Watches one JSON object.
+/// Scans one JSON object.
 #[derive(Debug, Default)]
 pub(crate) struct JsonWatch {
     depth: u32,
     lex: Lex,
-    /// The next string at a watched depth is a key.
+    /// Whether the next string at a scanned depth is a key.
     at_key: bool,
-    /// The next byte is the first one of a value.
+    /// Whether the next byte is the first one of a value.
     at_value: bool,
-    /// The member of the outer object that is being read.
+    /// The current member of the top-level object.
     member: Member,
-    /// The member of `usage` or `error` that is being read.
+    /// The current member of `usage` or `error`.
     inner: InnerMember,
     kept: Vec<u8>,
     overflown: bool,
@@ -33,22 +34,22 @@
     pub(crate) found: Found,
 }
 
-/// What the object said.
+/// The members found in an object.
 #[derive(Debug, Default)]
 pub(crate) struct Found {
     /// The value of `model`.
     pub(crate) model: Option<ModelSeen>,
     pub(crate) usage: Option<Usage>,
-    /// Whether there is an `error` that isn't null.
+    /// Whether there is an `error` that is not null.
     pub(crate) has_error: bool,
     pub(crate) error_message: String,
     /// Whether the object has ended.
     pub(crate) ended: bool,
-    /// Whether there is something else than one object.
+    /// Whether the input is anything but a single object.
     pub(crate) malformed: bool,
 }
 
-/// The model that an event names.
+/// The value of an event's `model`, compared with the model that the call named.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ModelSeen {
     Named,
@@ -59,10 +60,10 @@
 enum Lex {
     #[default]
     Between,
-    /// In a string of which nothing is kept.
+    /// In a string that is not buffered.
     Skipped,
     SkippedEscape,
-    /// In a string that is kept.
+    /// In a string that is buffered.
     Kept,
     KeptEscape,
 }
@@ -86,7 +87,7 @@
 }
 
 impl JsonWatch {
-    /// Makes it ready for the next object.
+    /// Resets the scanner for the next object, and keeps the allocated buffer.
     pub(crate) fn reset(&mut self) {
         let kept = std::mem::take(&mut self.kept);
         *self = Self {
@@ -96,7 +97,7 @@
         self.kept.clear();
     }
 
-    /// Reads the next bytes; `named` is the model that the call named.
+    /// Scans the next bytes; `named` is the model that the call named.
     pub(crate) fn feed(&mut self, mut bytes: &[u8], named: &str) {
         while let Some((&byte, rest)) = bytes.split_first() {
             match self.lex {
@@ -172,7 +173,7 @@
         self.inner = InnerMember::Other;
         let object = byte == b'{';
         if self.depth == 2 && !object {
-            // An array in the place of `usage` or `error` has no members to be read.
+            // An array as `usage` or `error` has no members to scan.
             self.member = Member::Other;
         }
         self.at_key = object && (self.depth == 1 || self.in_watched_section());
@@ -264,7 +265,7 @@
         }
     }
 
-    /// A second `model` can't undo a first one that was wrong.
+    /// Records the value of `model`; a wrong model is kept even if a second `model` member matches.
     fn end_model(&mut self, named: &str) {
         let same = !self.overflown && !self.escaped && self.kept == named.as_bytes();
         if same || (self.escaped && !self.overflown && self.unescaped() == named) {
--- a/crates/chervilshunt_engine/src/answer/mod.rs
+++ b/crates/chervilshunt_engine/src/answer/mod.rs
@@ -1,4 +1,4 @@
-//! The answer to a call, and the checks that it passes before it is handed on.
+//! The answer to a call, and its validation before it is passed on.
 
 mod body;
 mod json_watch;
@@ -20,37 +20,37 @@
 use crate::error::{AdapterMissingSnafu, EngineError, MalformedSnafu, RefusedSnafu};
 use crate::headers::retry_after;
 
-/// The most of a refusal's body that is read, in bytes.
+/// The maximum size of an error response's body that is read.
 const MAX_REFUSAL: usize = 64 * 1024;
-/// The most of a refusal's body that an error keeps, in bytes.
+/// The maximum length of an error response's body that an error keeps.
 const MAX_MESSAGE: usize = 2 * 1024;
-/// The largest whole answer of an engine, in bytes: it is held in memory to be checked.
+/// The maximum size of an engine's non-streaming answer, which is buffered for validation.
 const MAX_WHOLE: usize = 16 * 1024 * 1024;
 
 /// The answer to a call.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers without those that concern one connection.
+    /// The headers without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: AnswerBody,
 }
 
-/// What is known of an answer by the time it ends.
+/// A summary of an answer, as far as it has been read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerSummary {
-    /// Whether the whole answer has been read, and passed its checks.
+    /// Whether the complete answer has been read and is valid.
     pub complete: bool,
-    /// Events of a stream with content; without a usage an estimate of the tokens.
+    /// The number of stream events with content, which estimates the tokens if there is no usage.
     pub events: u32,
-    /// What the engine counted itself.
+    /// The token counts that the engine reported.
     pub usage: Option<Usage>,
 }
 
 impl AnswerSummary {
-    /// Returns the number of tokens generated, as well as it is known.
+    /// Returns the number of generated tokens, or an estimate if the engine reported no usage.
     pub fn tokens(&self) -> u32 {
         self.usage
             .map_or(self.events, |usage| usage.completion_tokens)
@@ -60,16 +60,16 @@
 /// The `usage` of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// The number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u32,
 }
 
 impl Answer {
-    /// Takes an answer as it is; a cut one is still told from a whole one.
+    /// Returns an answer whose content is not validated; truncation is still detected.
     pub(crate) fn unchecked(head: Parts, reader: BodyReader) -> Self {
         Self {
             status: head.status,
@@ -78,7 +78,9 @@
         }
     }
 
-    /// Takes an answer of an engine that `model` alone may have served.
+    /// Returns an engine's answer, validated to be from `model` only.
+    ///
+    /// A non-streaming answer is read and validated before this returns.
     pub(crate) async fn checked(
         head: Parts,
         reader: BodyReader,
@@ -90,7 +92,7 @@
         }
         if head.headers.contains_key(header::CONTENT_ENCODING) {
             return MalformedSnafu {
-                problem: "it is encoded",
+                problem: "the answer has a content encoding",
             }
             .fail();
         }
@@ -102,7 +104,7 @@
                 AnswerBody::whole(whole, summary)
             }
             other => {
-                let problem = format!("its content type is {other:?}");
+                let problem = format!("the answer's content type is {other:?}");
                 return MalformedSnafu { problem }.fail();
             }
         };
@@ -114,7 +116,7 @@
     }
 }
 
-/// Refuses an answer of which a cut one would look like a whole one.
+/// Returns an error for an answer without framing, since its truncation could not be detected.
 pub(crate) fn require_delimited(head: &Parts) -> Result<(), EngineError> {
     let bodyless = matches!(
         head.status,
@@ -126,12 +128,12 @@
         return Ok(());
     }
     MalformedSnafu {
-        problem: "it has neither a length nor chunks",
+        problem: "the answer has neither a content length nor a transfer encoding",
     }
     .fail()
 }
 
-/// Turns an answer that is no success into the error that it stands for.
+/// Converts an unsuccessful answer into an error.
 pub(crate) fn refusal(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> EngineError {
     let kept = &body[..body.len().min(MAX_MESSAGE)];
     let message: Arc<str> = String::from_utf8_lossy(kept).into();
@@ -146,7 +148,7 @@
     .build()
 }
 
-/// An error in either of the two forms that vLLM has had.
+/// An error body in either of the two formats that vLLM has used.
 #[derive(Deserialize)]
 struct ErrorBody {
     #[serde(default)]
@@ -161,7 +163,7 @@
     kind: String,
 }
 
-/// Tells a model that isn't there from a path that isn't there.
+/// Returns whether a 404 body reports a missing model rather than an unknown path.
 fn names_missing_model(body: &Bytes) -> bool {
     const KIND: &str = "NotFoundError";
     serde_json::from_slice::<ErrorBody>(body)
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an answer's body from the connection that it comes on.
+//! Reads the body of an answer from its connection.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
@@ -14,12 +14,12 @@
 use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu, Stage, TimeoutSnafu};
 use crate::pool::Pool;
 
-/// Reads an answer's body, and gives the connection back when all of it has come.
+/// Reads the body of an answer, and returns the connection to the pool at its end.
 ///
-/// It reads only when it is polled, so that a slow caller holds back the target.
+/// It reads only when polled, so that a slow caller applies backpressure to the target.
 pub struct BodyReader {
     incoming: Incoming,
-    /// None once the body has ended or failed.
+    /// `None` once the body has ended or failed.
     connection: Option<Connection>,
     pool: Pool,
     idle: IdleTimer,
@@ -48,13 +48,13 @@
         reader
     }
 
-    /// Returns whether the whole body has come.
+    /// Returns whether the complete body has been received.
     pub(crate) fn is_finished(&self) -> bool {
         self.connection.is_none() && self.incoming.is_end_stream()
     }
 
-    /// Gives the connection back right after the last piece of a body of known length: a server
-    /// that has written that many bytes doesn't ask for the end.
+    /// Returns the connection to the pool right after the last chunk of a body of known length, as
+    /// an HTTP server that forwards the body does not poll again after that many bytes.
     fn finish_if_ended(&mut self) {
         if self.incoming.is_end_stream()
             && let Some(connection) = self.connection.take()
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Returns how long the body is, as far as its head says.
+    /// Returns the remaining size of the body, as far as the headers state it.
     pub fn size_hint(&self) -> SizeHint {
         self.incoming.size_hint()
     }
 
-    /// Returns whether the whole body has been read.
+    /// Returns whether the end of the body has been read.
     pub fn is_end_stream(&self) -> bool {
         self.incoming.is_end_stream()
     }
 
-    /// Returns the next piece; none when the whole body has come.
+    /// Polls for the next chunk; yields `None` after the end of the body or an error.
     pub fn poll_piece(
         &mut self,
         cx: &mut Context<'_>,
@@ -81,8 +81,8 @@
         let Some(connection) = &mut self.connection else {
             return Poll::Ready(None);
         };
-        // Pieces come only while `drive` runs below, so that no other wake-up than the
-        // connection's is needed; a second one would poll each piece's reader twice.
+        // Chunks arrive only while `drive` runs below, so that the connection's wake-up is
+        // sufficient; a second one would poll the reader twice per chunk.
         let mut quiet = Context::from_waker(Waker::noop());
         let mut polled = Pin::new(&mut self.incoming).poll_frame(&mut quiet);
         if polled.is_pending() {
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Reads the whole body into memory.
+    /// Reads the complete body into memory.
     ///
     /// # Errors
-    /// Fails if it breaks off, stalls or is longer than `max` bytes.
+    /// Fails if the body is truncated, stalls for longer than the idle limit or exceeds `max` bytes.
     pub async fn read_whole(mut self, max: usize) -> Result<Bytes, EngineError> {
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
@@ -122,7 +122,7 @@
             };
             if joined.len() + first.as_ref().map_or(0, Bytes::len) + data.len() > max {
                 return MalformedSnafu {
-                    problem: format!("it is longer than {max} bytes"),
+                    problem: format!("the answer's body exceeds {max} bytes"),
                 }
                 .fail();
             }
@@ -160,13 +160,13 @@
     }
 }
 
-/// Fires when nothing has come for a while.
+/// A timer that expires when no chunk has been received within the limit.
 ///
-/// The timer is not moved at each piece, which would cost more than reading it; when it fires it is
-/// set anew for what is left since the last piece.
+/// The timer is not reset at each chunk, as that would cost more than reading the chunk. When it
+/// fires, it is set again for the time that remains since the last chunk.
 struct IdleTimer {
-    /// The limit in force: until the first piece that of the head, since an engine may send the
-    /// head of a stream at once and let the sequence wait.
+    /// The current limit. Until the first chunk it is at least the limit for the headers, since an
+    /// engine may send the headers of a stream immediately while the sequence is still queued.
     limit: Duration,
     later_limit: Duration,
     last: Instant,
--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -1,4 +1,4 @@
-//! Checks an engine's SSE stream as it passes, however its bytes are split.
+//! Validates an engine's SSE stream incrementally, split at any position.
 
 use std::sync::Arc;
 
@@ -8,19 +8,20 @@
 use super::json_watch::{JsonWatch, ModelSeen};
 use crate::error::{EngineError, FailedMidwaySnafu, MalformedSnafu, WrongModelSnafu};
 
-/// The field of an event that carries its data.
+/// The field name of an event's data, with its colon.
 const DATA_FIELD: &[u8] = b"data:";
-/// The data of the last event.
+/// The data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Checks that every event of a stream names one model, and that the stream ends as it should.
+/// Validates that every event of a stream names the expected model, and that nothing follows the
+/// final `[DONE]` event.
 #[derive(Debug)]
 pub struct SseScanner {
     named: Arc<str>,
     line: Line,
-    /// The last byte was a CR that ended a line; an LF belongs to it.
+    /// Whether the last byte was a CR that ended a line, so that a following LF belongs to it.
     after_cr: bool,
-    /// The last byte ended an event.
+    /// Whether the last byte ended an event.
     after_event: bool,
     data: Data,
     json: JsonWatch,
@@ -30,40 +31,39 @@
     failed: bool,
 }
 
-/// What came of a piece of a stream.
+/// The result of scanning a chunk of a stream.
 #[derive(Debug, Default)]
 pub struct Scanned {
-    /// The bytes of the piece, counted from its start, that belong to events that are whole and
-    /// have passed.
+    /// The number of bytes at the start of the chunk that belong to complete, valid events.
     pub checked: usize,
-    /// What is wrong with the event that follows them.
+    /// The error in the event that follows them.
     pub failure: Option<EngineError>,
 }
 
-/// Where in a line the next byte stands.
+/// The position of the next byte within its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Line {
-    /// So many bytes of [`DATA_FIELD`] have matched.
+    /// At the start, after this many matching bytes of [`DATA_FIELD`].
     Start(usize),
-    /// Right after the field's colon, where one space doesn't count.
+    /// Directly after the field's colon, where one space is skipped.
     DataStart,
     Data,
-    /// In a field or comment that is of no interest.
+    /// In another field or a comment, which is ignored.
     Other,
 }
 
-/// What the data of the present event looks like so far.
+/// The kind of the current event's data, as far as it has been scanned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Data {
     None,
     Json,
-    /// So many bytes of [`DONE`] have matched.
+    /// This many bytes of [`DONE`] have matched.
     Done(usize),
     Neither,
 }
 
 impl SseScanner {
-    /// Makes a scanner for the stream of a call that named this model.
+    /// Creates a scanner for the stream of a call that named this model.
     pub fn new(named: Arc<str>) -> Self {
         Self {
             named,
@@ -84,23 +84,23 @@
         self.events
     }
 
-    /// Returns the last usage that an event told.
+    /// Returns the most recent usage that an event reported.
     pub const fn usage(&self) -> Option<Usage> {
         self.usage
     }
 
-    /// Returns whether the event that ends the stream has come.
+    /// Returns whether the final `[DONE]` event has been scanned.
     pub const fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Reads the next piece of the stream. After a failure nothing passes any more.
+    /// Scans the next chunk of the stream. After a failure, no further bytes are accepted.
     pub fn scan(&mut self, piece: &[u8]) -> Scanned {
         let mut scanned = Scanned::default();
         let mut at = 0;
         while at < piece.len() && !self.failed {
             if self.swallow_lf(piece[at]) {
-                // The second half of a line end belongs to the event that the first half ended.
+                // The LF of a CRLF belongs to the event that the CR ended.
                 scanned.checked += usize::from(self.after_event);
                 at += 1;
                 continue;
@@ -126,7 +126,7 @@
         std::mem::take(&mut self.after_cr) && byte == b'\n'
     }
 
-    /// Reads from `at` on; returns where to go on, and whether a blank line ended an event.
+    /// Scans from `at`; returns the next position and whether a blank line ended an event.
     fn step(&mut self, piece: &[u8], at: usize) -> (usize, bool) {
         let byte = piece[at];
         match self.line {
@@ -228,7 +228,7 @@
         let found = &mut self.json.found;
         if found.malformed || !found.ended {
             return MalformedSnafu {
-                problem: "an event is no JSON object",
+                problem: "an event is not a JSON object",
             }
             .fail();
         }
--- a/crates/chervilshunt_engine/src/answer/whole.rs
+++ b/crates/chervilshunt_engine/src/answer/whole.rs
@@ -1,4 +1,4 @@
-//! The check of a whole answer.
+//! Validates a non-streaming answer.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use super::{AnswerSummary, Usage};
 use crate::error::{EngineError, MalformedSnafu, WrongModelSnafu};
 
-/// The members of a completion or a chat that are checked.
+/// The members of a completion or chat completion that are validated.
 #[derive(Deserialize)]
 struct WholeAnswer<'a> {
     #[serde(borrow)]
@@ -16,7 +16,7 @@
     usage: Option<Usage>,
 }
 
-/// Checks that `model` alone served a whole answer.
+/// Validates that a non-streaming answer names `model`, and returns its summary.
 pub(crate) fn check(body: &[u8], model: &Arc<str>) -> Result<AnswerSummary, EngineError> {
     let answer: WholeAnswer<'_> = match serde_json::from_slice(body) {
         Ok(answer) => answer,
