--- a/crates/chervilshunt_engine/src/call.rs
+++ b/crates/chervilshunt_engine/src/call.rs
@@ -1,4 +1,4 @@
-//! What is sent to a target.
+//! A call to a target.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,50 +8,50 @@
 use http::uri::PathAndQuery;
 use http::{HeaderMap, Method};
 
-/// One try of a request, ready to be sent.
+/// One attempt of a request, ready to be sent.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
     pub method: Method,
-    /// The path and query at the target.
+    /// The path and query.
     pub path: PathAndQuery,
-    /// Headers to pass on; those that concern only a connection are left out by the client.
+    /// The headers to pass on; the client removes hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The request that this is a try of.
+    /// The request of which this call is an attempt.
     pub request: RequestId,
-    /// The try; an answer that carries another id is not handed on.
+    /// The id of the attempt; an answer with a different id is rejected.
     pub attempt: AttemptId,
-    /// What the answer has to be like.
+    /// The kind of answer that is accepted.
     pub expect: Expect,
     /// Whether the call may run twice without harm.
     ///
-    /// A call that may not gets a connection of its own: on one that was used before, the target
-    /// may close it for idleness just as the call leaves, and whether it ran is unknown for
-    /// nothing.
+    /// A call that is not idempotent gets a new connection. The target may close a reused one as
+    /// idle at the moment the call is sent, which would needlessly make its outcome unknown.
     pub idempotent: bool,
-    /// How long each stage may take.
+    /// The time limits of the call.
     pub limits: Limits,
 }
 
-/// What an answer has to be like.
+/// The kind of answer that a call accepts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Expect {
-    /// An answer of an engine, served by this model alone.
+    /// An engine's answer that was served by this model only.
     Model(Arc<str>),
-    /// Any whole answer, whatever its status.
+    /// Any complete answer, with any status.
     Anything,
 }
 
-/// How long each stage of a call may take.
+/// The time limits for the stages of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Until the connection stands.
+    /// The limit for establishing the connection.
     pub connect: Duration,
-    /// From then until the answer's head has come, and from there until its first piece.
+    /// The limit from there to the headers of the answer, and then, unless `idle` is longer, from
+    /// the headers to the first chunk of its body.
     pub head: Duration,
-    /// Between any two pieces of the answer's body.
+    /// The limit between two chunks of the answer's body.
     pub idle: Duration,
 }
 
--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -21,10 +21,10 @@
 use crate::headers::{ATTEMPT_ID, FENCING_TOKEN, REQUEST_ID, strip_hop_by_hop};
 use crate::pool::Pool;
 
-/// The client of one target; clones share its connections.
+/// The client of one target; clones share its connection pool.
 ///
-/// It never sends a request twice. One that found its connection closed before the first byte was
-/// written goes out on another, which is no second sending.
+/// It never sends a request twice. If a connection turns out to be closed before the first byte of
+/// a request is written, the request is sent on another connection instead.
 #[derive(Clone)]
 pub struct EngineClient {
     pool: Pool,
@@ -39,7 +39,7 @@
 }
 
 impl EngineClient {
-    /// Makes a client; it connects when it is first used.
+    /// Creates a client, which connects on first use.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             pool: Pool::new(address),
@@ -51,13 +51,14 @@
         self.pool.address
     }
 
-    /// Sends a call and returns its answer once the head has come.
+    /// Sends a call and returns its answer once the headers have been received.
     ///
-    /// A whole answer of an engine is read and checked before this returns; a stream is checked
-    /// event by event as it is read. Dropping the future or the answer's body cancels the call.
+    /// A non-streaming answer of an engine is read and validated before this returns; a stream is
+    /// validated event by event as it is read. Dropping the future or the answer's body cancels the
+    /// call.
     ///
     /// # Errors
-    /// [`EngineError::outcome`] says of each error whether the call can have run.
+    /// [`EngineError::outcome`] returns for each error whether the call may have run.
     pub async fn open(&self, call: Call) -> Result<Answer, EngineError> {
         let (idempotent, limits, attempt) = (call.idempotent, call.limits, call.attempt);
         let expect = call.expect.clone();
@@ -79,14 +80,14 @@
         }
     }
 
-    /// Sends a request as it stands and returns the head of its answer, with the body unread.
+    /// Sends a request unmodified and returns the headers of its answer, with the body unread.
     ///
-    /// Nothing is checked or changed: whoever passes an answer on judges head and body. `reuse` says
-    /// whether a connection that was used before may carry it. Dropping the future or the body
-    /// closes the connection and so cancels the request.
+    /// Nothing is validated or changed, so the code that passes the answer on must validate it.
+    /// `reuse` permits the use of a pooled connection. Dropping the future or the body closes the
+    /// connection and thereby cancels the request.
     ///
     /// # Errors
-    /// [`EngineError::outcome`] says of each error whether the request can have run.
+    /// [`EngineError::outcome`] returns for each error whether the request may have run.
     pub async fn forward(
         &self,
         req: Request<Full<Bytes>>,
@@ -100,9 +101,10 @@
         Ok((head, reader))
     }
 
-    /// Says whether the target's address refuses connections: its process has ended.
+    /// Returns whether the target's address refuses connections, which shows that its process has
+    /// ended.
     ///
-    /// No answer within the limit says nothing, and neither does any other failure.
+    /// A timeout or any other failure proves nothing and returns false.
     pub async fn is_refused(&self, limit: Duration) -> bool {
         let connecting = tokio::net::TcpStream::connect(self.address());
         match tokio::time::timeout(limit, connecting).await {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Sends a request of this client's own and returns status, headers and the whole body.
+    /// Sends one of this system's own requests, and returns the answer with its complete body.
     pub(crate) async fn fetch(
         &self,
         req: Request<Full<Bytes>>,
@@ -190,23 +192,23 @@
     }
 }
 
-/// What came of giving a request to a connection.
+/// The result of sending a request on a connection.
 enum Sent {
     Answered(Response<Incoming>),
-    /// The connection had ended before it took the request.
+    /// The connection ended before it wrote any of the request.
     Returned(Box<Request<Full<Bytes>>>),
 }
 
 fn into_request(call: Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, EngineError> {
     let mut headers = call.headers;
     strip_hop_by_hop(&mut headers);
-    // The length is that of `body`, and the target must not wait to be told to go on.
+    // The length is set from `body`, and the target must not wait for a `100 Continue` exchange.
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    // Orders are given by owners of targets, never by callers.
+    // Only owners of targets may give orders, so a caller's fencing token is dropped.
     headers.remove(FENCING_TOKEN);
     if matches!(call.expect, Expect::Model(_)) {
-        // A compressed answer could not be checked.
+        // A compressed answer could not be validated.
         headers.remove(header::ACCEPT_ENCODING);
     }
     insert(&mut headers, REQUEST_ID, call.request.as_str())?;
@@ -225,7 +227,8 @@
     value: &str,
 ) -> Result<(), EngineError> {
     let Ok(value) = HeaderValue::from_str(value) else {
-        let problem: Arc<str> = format!("{name} can't hold {value:?}").into();
+        let problem: Arc<str> =
+            format!("{value:?} is not a valid value of the header {name}").into();
         return MalformedSnafu { problem }.fail();
     };
     headers.insert(name, value);
--- a/crates/chervilshunt_engine/src/engines.rs
+++ b/crates/chervilshunt_engine/src/engines.rs
@@ -1,4 +1,4 @@
-//! One client for each target address, shared by control and traffic threads.
+//! The registry of engine clients, shared by control and traffic threads.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 
 use crate::client::EngineClient;
 
-/// The clients by address; their connection pools outlive roles and requests.
+/// The clients by target address; their connection pools outlive roles and requests.
 #[derive(Clone, Debug, Default)]
 pub struct Engines(Arc<Mutex<HashMap<SocketAddr, EngineClient>>>);
 
 impl Engines {
-    /// Returns the client of the target at `address`.
+    /// Returns the client of the target at `address`, which is created on first use.
     pub fn client(&self, address: SocketAddr) -> EngineClient {
         let mut clients = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         clients
@@ -20,7 +20,7 @@
             .clone()
     }
 
-    /// Forgets clients whose targets are gone, with their idle connections.
+    /// Removes the clients of targets that no longer exist, with their idle connections.
     pub fn retain(&self, is_kept: impl Fn(&SocketAddr) -> bool) {
         let mut clients = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         clients.retain(|address, _| is_kept(address));
