--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 connection, driven by whoever waits for its answer.
+//! An HTTP/1.1 connection that is driven by the reader of its answer.
 //!
-//! The usual way is a task for each connection that passes each piece of a body to the reader.
-//! Here the reader polls the connection itself: a piece of a stream then costs one wake-up in place
-//! of two, and dropping the reader closes the connection and so cancels the call.
+//! The usual design is a task per connection that passes each body chunk to the reader. Here the
+//! reader polls the connection itself. A chunk then costs one wake-up instead of two, and dropping
+//! the reader closes the connection and thereby cancels the call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,54 +22,59 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// The most that is read ahead of a reader, in bytes; also the most that an answer's head takes.
+/// The maximum size of the read buffer, and therefore of an answer's headers.
 ///
-/// It is the library's smallest. A larger one is reached by each stream whose caller does not read,
-/// since there is always more to take, and a stream has up to three of them.
+/// It is the minimum that hyper accepts. Every stream whose caller does not read fills this buffer,
+/// as more data always follows, and a stream can hold up to three of these buffers.
 const READ_BUFFER: usize = 8 * 1024;
 
-/// The most that the system holds of an answer that is not read, in bytes.
+/// The socket's receive buffer, in bytes.
 ///
-/// By itself it lets this grow to megabytes. The target would then go on with tens of thousands of
-/// tokens for a caller that does not read. It still allows 60 MB/s at a round trip of a millisecond.
+/// By default the operating system lets it grow to megabytes, and the target would generate tens of
+/// thousands of tokens for a caller that does not read. This size still allows 60 MB/s at a
+/// round-trip time of 1 ms.
 const RECEIVE_BUFFER: u32 = 256 * 1024;
 
-/// How long a connection stays for reuse if the target says nothing else. Uvicorn, which vLLM runs
-/// on, closes idle connections after 5 s; a call that leaves just then has an unknown outcome.
+/// The maximum time that an idle connection stays in the pool.
+///
+/// Uvicorn, on which vLLM runs, closes idle connections after 5 s, and a call that is sent at that
+/// moment has an unknown outcome.
 const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// What is taken off the time for which a target says that it keeps an idle connection: it counts
-/// whole seconds from when it wrote, and the next request takes time to reach it.
+/// The margin subtracted from the keep-alive timeout that a target announces.
+///
+/// The target counts whole seconds from its last write, and the next request takes time to arrive.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Silence on a connection after which the system probes it, and the pause between probes.
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
 ///
-/// A connection may go silent without a reset, and one whose answer is being generated carries
-/// nothing for seconds. The probes find within 3 s that nobody is there.
+/// A host can disappear without a reset, and a connection legitimately carries no data for seconds
+/// while an answer is being generated. The probes detect a dead peer within 3 s.
 const KEEPALIVE: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long sent bytes may go unacknowledged before the connection is given up. A request sent to a
-/// target that has lost power would otherwise wait until its deadline.
+/// The time that sent data may stay unacknowledged before the connection fails.
+///
+/// A request sent to a target that has lost power would otherwise wait until its deadline.
 const UNACKNOWLEDGED_LIMIT_MS: u32 = 1_500;
 
 /// A connection to a target.
 pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
-    /// None once it has ended.
+    /// `None` once the connection has ended.
     driver: Option<http1::Connection<TokioIo<TcpStream>, Full<Bytes>>>,
-    /// The runtime whose thread learns of what the socket can do.
+    /// The runtime whose I/O driver polls the socket.
     pub(crate) runtime: runtime::Id,
-    /// When it was last put aside for reuse.
+    /// When the connection was last returned to the pool.
     pub(crate) idle_since: Instant,
-    /// How long the target keeps it without use, as far as it says.
+    /// How long it may be idle and still be reused.
     pub(crate) idle_limit: Duration,
 }
 
-/// Why a request got no answer.
+/// Why a request got no answer on a connection.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// The connection had ended before it took the request, which comes back.
+    /// The connection ended before it wrote any of the request, which is returned.
     NotSent(Box<Request<Full<Bytes>>>),
-    /// The request, or a part of it, may have left.
+    /// The request, or a part of it, may have been sent.
     MaySent(hyper::Error),
 }
 
@@ -89,7 +94,8 @@
         };
         socket.set_recv_buffer_size(RECEIVE_BUFFER)?;
         let stream = socket.connect(address).await?;
-        // Tokens are small; with Nagle's algorithm each would wait for the one before.
+        // Writes are small; with Nagle's algorithm each would wait for the previous one's
+        // acknowledgement.
         stream.set_nodelay(true)?;
         notice_silence(&stream)?;
         let (sender, driver) = http1::Builder::new()
@@ -106,23 +112,23 @@
         })
     }
 
-    /// Looks whether an idle connection has ended or shows bytes that nobody asked for.
+    /// Polls an idle connection, and returns whether it is open and has received no unexpected data.
     ///
-    /// A second answer to an earlier request would otherwise be read as the answer to the next one.
+    /// Otherwise a second answer to an earlier request would be read as the answer to the next one.
     pub(crate) fn is_quiet(&mut self) -> bool {
         self.drive(&mut Context::from_waker(Waker::noop()));
         self.is_usable()
     }
 
-    /// Says whether a connection can take a request, as far as was known when it was last polled.
+    /// Returns whether the connection could take a request when it was last polled.
     ///
-    /// Nothing polls an idle one: that the target has closed it shows at the next request, which
-    /// then comes back unwritten.
+    /// Idle connections are not polled. If the target has closed one, the next request detects this
+    /// and is returned unwritten.
     pub(crate) fn is_usable(&self) -> bool {
         self.driver.is_some() && self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the headers of its answer.
     ///
     /// Dropping the future closes the connection.
     pub(crate) async fn send(
@@ -136,13 +142,13 @@
             response.as_mut().poll(cx)
         });
         answered.await.map_err(|mut err| match err.take_message() {
-            // The library gives the request back only if it never began to write it.
+            // hyper returns the request only if it never began to write it.
             Some(req) => SendError::NotSent(Box::new(req)),
             None => SendError::MaySent(err.into_error()),
         })
     }
 
-    /// Lets the connection read and write. Its own errors reach the reader through the answer.
+    /// Polls the connection's I/O; its errors reach the reader through the answer.
     pub(crate) fn drive(&mut self, cx: &mut Context<'_>) {
         let Some(driver) = &mut self.driver else {
             return;
@@ -152,7 +158,7 @@
         }
     }
 
-    /// Takes note of how long the target keeps the connection, as its answer says.
+    /// Applies the keep-alive timeout that the target announces in its answer.
     pub(crate) fn note_keep_alive(&mut self, headers: &HeaderMap) {
         if let Some(seconds) = keep_alive_seconds(headers) {
             let kept = Duration::from_secs(seconds);
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Says whether it was put aside so lately that the target keeps it still.
+    /// Returns whether it has been idle for so short a time that the target still keeps it open.
     pub(crate) fn is_fresh(&self) -> bool {
         self.idle_since.elapsed() < self.idle_limit
     }
@@ -180,7 +186,7 @@
     Ok(())
 }
 
-/// Returns the seconds of `Keep-Alive: timeout=N`.
+/// Returns the seconds of a `Keep-Alive: timeout=N` header.
 fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
--- a/crates/chervilshunt_engine/src/pool.rs
+++ b/crates/chervilshunt_engine/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one target, for reuse.
+//! The pool of idle connections to one target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,12 +9,12 @@
 
 use crate::connection::Connection;
 
-/// How often connections that have been idle for too long are closed.
+/// The interval at which connections that have been idle for too long are closed.
 const SWEEP_EVERY: Duration = Duration::from_secs(4);
-/// The most idle connections to one target.
+/// The maximum number of idle connections to one target.
 const MAX_IDLE: usize = 64;
 
-/// Idle connections to one target.
+/// The pool of idle connections to one target; clones share it.
 #[derive(Clone)]
 pub(crate) struct Pool {
     pub(crate) address: SocketAddr,
@@ -23,7 +23,8 @@
 
 #[derive(Default)]
 struct Idle {
-    /// The one used last comes last, so that the others grow old and go.
+    /// The idle connections. The most recently used one is last and is reused first, so that the
+    /// others reach their idle limit.
     connections: Vec<Connection>,
     sweeping: bool,
 }
@@ -36,10 +37,11 @@
         }
     }
 
-    /// Returns an idle connection on which nothing has come; the target may be closing it.
+    /// Removes and returns a usable idle connection; the target may be closing it.
     ///
-    /// It was made on the present runtime: on another one a stream would get its wake-ups from that
-    /// one's thread, and those of callers would wait behind the control state's work.
+    /// Only connections opened on the current runtime are returned. Otherwise another runtime's
+    /// thread would deliver a stream's wake-ups, and callers' streams would wait behind the work of
+    /// the control thread.
     pub(crate) fn take(&self) -> Option<Connection> {
         let here = Handle::current().id();
         let mut idle = self.lock();
@@ -54,9 +56,9 @@
         None
     }
 
-    /// Puts a connection aside whose answer has been read to its end.
+    /// Returns a connection whose answer has been read completely to the pool.
     pub(crate) fn put(&self, mut connection: Connection) {
-        // The library frees a connection for the next request only when it is driven once more
+        // hyper makes a connection ready for the next request only when it is polled once more
         // after the last byte.
         if !connection.is_quiet() {
             return;
@@ -81,7 +83,7 @@
 
 /// Closes connections that have been idle for too long, until none is left.
 ///
-/// Without it, an instance that once called each of many targets would keep their sockets.
+/// Without it, an instance that once called many targets would keep a socket to each of them.
 async fn sweep(idle: std::sync::Weak<Mutex<Idle>>) {
     loop {
         tokio::time::sleep(SWEEP_EVERY).await;
