--- a/crates/chervilshunt_engine/src/error.rs
+++ b/crates/chervilshunt_engine/src/error.rs
@@ -1,4 +1,4 @@
-//! How a call to a target fails, and what each failure says about whether the call ran.
+//! The failures of a call to a target, and whether the call may have run.
 
 use std::fmt;
 use std::io;
@@ -10,25 +10,25 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Whether a call that failed can have run.
+/// Whether a failed call may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// It did not run and never will.
     NotRun,
     /// It may have run, may be running, or may still run.
     Unknown,
-    /// It ran, and part of its answer may have been handed on.
+    /// It ran, and part of its answer may have been passed on.
     CutShort,
 }
 
-/// How far a call had come.
+/// The stage of a call at which it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// No byte of it can have left.
+    /// Connecting; no byte of the request can have been sent.
     Connect,
-    /// The request may have left; the answer's head has not come.
+    /// The request may have been sent; the headers of the answer have not been received.
     Head,
-    /// The answer's body is on its way.
+    /// The headers of the answer have been received, its body not completely.
     Body,
 }
 
@@ -36,7 +36,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Connect => "connecting",
-            Self::Head => "waiting for the answer's head",
+            Self::Head => "waiting for the answer's headers",
             Self::Body => "reading the answer's body",
         })
     }
@@ -47,101 +47,101 @@
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum EngineError {
-    /// The target could not be connected to: nothing left this process.
-    #[snafu(display("can't connect to {address}: {source}"))]
+    /// The connection to the target failed before anything was sent.
+    #[snafu(display("cannot connect to {address}: {source}"))]
     NotSent {
         /// The target's address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The connection failed when the request may have left and no answer had come.
+    /// The connection failed without an answer after the request may have been sent.
     #[snafu(display("{address} closed the connection without an answer: {source}"))]
     OutcomeUnknown {
         /// The target's address.
         address: SocketAddr,
-        /// What the HTTP library said.
+        /// The error from the HTTP library.
         source: hyper::Error,
     },
-    /// The target took too long.
-    #[snafu(display("{address} took more than {limit:?} while {stage}"))]
+    /// A time limit of the call was exceeded.
+    #[snafu(display("{address} timed out after {limit:?} while {stage}"))]
     Timeout {
         /// The target's address.
         address: SocketAddr,
-        /// How far the call had come.
+        /// The stage of the call.
         stage: Stage,
-        /// The time that was allowed.
+        /// The time limit of the stage.
         limit: Duration,
     },
-    /// The target answered that it won't, or that it failed.
+    /// The target answered with an error status.
     #[snafu(display("the target answered {status}: {message}"))]
     Refused {
-        /// The status of its answer.
+        /// The status of the answer.
         status: StatusCode,
-        /// When asking again is worth it, if it said so.
+        /// The delay from the `Retry-After` header, if there is one.
         retry_after: Option<Duration>,
-        /// The start of its answer's body.
+        /// The start of the answer's body.
         message: Arc<str>,
     },
-    /// The target refused the order's fencing number: it has seen a higher one.
-    #[snafu(display("the target refused the fencing number: {message}"))]
+    /// The target rejected the order's fencing token, as it has seen a higher one.
+    #[snafu(display("the target rejected the fencing token: {message}"))]
     Fenced {
-        /// The start of its answer's body.
+        /// The start of the answer's body.
         message: Arc<str>,
     },
     /// The engine does not hold the adapter version that the call named.
     #[snafu(display("the engine does not hold the adapter: {message}"))]
     AdapterMissing {
-        /// The start of its answer's body.
+        /// The start of the answer's body.
         message: Arc<str>,
     },
-    /// Another model served the call than the one it named; nothing that it served is handed on.
-    #[snafu(display("the call named {named} but {served} served it"))]
+    /// A different model than the requested one served the call; its output is not passed on.
+    #[snafu(display("{served} served a call for {named}"))]
     WrongModel {
         /// The model that the call named.
         named: Arc<str>,
         /// The model that the answer names.
         served: Arc<str>,
     },
-    /// The answer belongs to another call.
-    #[snafu(display("the answer to attempt {attempt} carries the id {received}"))]
+    /// The answer belongs to a different call.
+    #[snafu(display("the answer to attempt {attempt} has the attempt id {received}"))]
     Crossed {
         /// The attempt that was sent.
         attempt: AttemptId,
         /// The id that the answer carries.
         received: Arc<str>,
     },
-    /// The answer is not of a form in which it can be checked.
-    #[snafu(display("the answer can't be checked: {problem}"))]
+    /// The request or its answer has an invalid or unsupported format.
+    #[snafu(display("invalid request or answer: {problem}"))]
     Malformed {
-        /// What is wrong with it.
+        /// The reason.
         problem: Arc<str>,
     },
-    /// The engine reported an error inside a stream that it had begun.
+    /// The engine reported an error within a stream.
     #[snafu(display("the engine failed during the answer: {message}"))]
     FailedMidway {
-        /// The event that says so.
+        /// The message of the error event.
         message: Arc<str>,
     },
-    /// The answer ended before it was whole.
-    #[snafu(display("the answer broke off: {problem}"))]
+    /// The answer ended before it was complete.
+    #[snafu(display("the answer was truncated: {problem}"))]
     BrokenOff {
-        /// What was missing.
+        /// How the end was detected.
         problem: Arc<str>,
     },
 }
 
 impl EngineError {
-    /// Returns whether the connection was refused, because nothing listens on the target's address.
+    /// Returns whether the connection was refused because nothing listens on the target's address.
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, Self::NotSent { source, .. }
             if source.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Returns whether the call can have run.
+    /// Returns whether the call may have run.
     ///
-    /// Whoever turns an error into an answer to a caller has to go by this and not by the variant:
-    /// "not run" is promised to be true.
+    /// Code that converts an error into an answer to a caller must use this, not the variant,
+    /// because the system guarantees that "not run" is true.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::NotSent { .. } | Self::Fenced { .. } | Self::AdapterMissing { .. } => {
@@ -166,8 +166,11 @@
     }
 }
 
-/// A client error is found before a call runs. So is overload, if the target says when to come
-/// back; a bare 503 may as well come from an engine that died under the call.
+/// Returns whether a call may have run that was answered with an error status.
+///
+/// A client error is detected before a call runs, and so is overload if the answer has a
+/// `Retry-After` header. A 503 without one may also come from an engine that crashed during the
+/// call.
 fn refusal_outcome(status: StatusCode, retry_after: Option<Duration>) -> Outcome {
     let overloaded = status == StatusCode::SERVICE_UNAVAILABLE && retry_after.is_some();
     if status.is_client_error() || overloaded {
--- a/crates/chervilshunt_engine/src/headers.rs
+++ b/crates/chervilshunt_engine/src/headers.rs
@@ -1,17 +1,17 @@
-//! Headers that concern one connection only, and those that the client adds.
+//! Hop-by-hop headers, and the headers that the client adds.
 
 use std::time::Duration;
 
 use http::header::{self, HeaderMap, HeaderName};
 
-/// Carries the id of a request.
+/// The id of a request.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Carries the id of one try of a request.
+/// The id of one attempt of a request.
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// Carries the epoch of whoever gives an order.
+/// The epoch of the owner that gives an order.
 pub(crate) const FENCING_TOKEN: HeaderName = HeaderName::from_static("x-fencing-token");
 
-/// Headers that RFC 9110 (7.6.1) binds to one connection, and the framing of a body.
+/// The hop-by-hop headers of RFC 9110 (7.6.1), including the framing of a body.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::TE,
@@ -24,9 +24,9 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` names included.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 ///
-/// A header left in would be a request of the caller to this system's own connections.
+/// Otherwise a caller's header would apply to this system's own connections.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the seconds of a `Retry-After`; a date is left aside.
+/// Returns the delay of a `Retry-After` header in seconds; the date form is ignored.
 pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
