--- a/crates/chervilshunt_engine/src/orders.rs
+++ b/crates/chervilshunt_engine/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, and the question what it holds.
+//! Orders to an engine, and the query for the adapters that it holds.
 
 use std::time::Duration;
 
@@ -15,24 +15,25 @@
 use crate::error::{EngineError, FencedSnafu, MalformedSnafu};
 use crate::headers::FENCING_TOKEN;
 
-/// How long an order or a question may take.
+/// The time limits of an order.
 ///
-/// A load waits for the weight store, and an order that is given up on may still be carried out.
+/// They are long because a load waits for the weight store, and an order that times out may still
+/// be executed.
 const ORDER_LIMITS: Limits = Limits {
     connect: Duration::from_secs(1),
     head: Duration::from_secs(60),
     idle: Duration::from_secs(5),
 };
-/// How long a question may take.
+/// The time limits of a query.
 const QUESTION_LIMITS: Limits = Limits {
     connect: Duration::from_secs(1),
     head: Duration::from_secs(2),
     idle: Duration::from_secs(2),
 };
-/// The largest answer to an order or a question, in bytes.
+/// The maximum size of an answer to an order or a query.
 const MAX_ANSWER: usize = 4 * 1024 * 1024;
 
-/// What vLLM says to a load of an adapter that it holds.
+/// The text in vLLM's answer to a load of an adapter that it already holds.
 const ALREADY_LOADED: &str = "already been loaded";
 
 #[derive(Serialize)]
@@ -54,15 +55,15 @@
 #[derive(Deserialize)]
 struct ModelEntry {
     id: String,
-    /// The base model; adapters have one.
+    /// The base model; only adapters have one.
     parent: Option<String>,
 }
 
 impl EngineClient {
     /// Orders the engine to load an adapter version.
     ///
-    /// An adapter that is there already counts as loaded, so that an order whose answer was lost
-    /// can be given again.
+    /// If the adapter is loaded already, this succeeds, so that an order whose answer was lost can
+    /// be repeated.
     ///
     /// # Errors
     /// [`EngineError::Fenced`] if a higher epoch has given orders; see [`EngineError::outcome`].
@@ -90,8 +91,8 @@
 
     /// Orders the engine to unload an adapter version.
     ///
-    /// An adapter that isn't there counts as unloaded, so that an order whose answer was lost can
-    /// be given again.
+    /// If the adapter is not loaded, this succeeds, so that an order whose answer was lost can be
+    /// repeated.
     ///
     /// # Errors
     /// [`EngineError::Fenced`] if a higher epoch has given orders; see [`EngineError::outcome`].
@@ -110,10 +111,10 @@
         }
     }
 
-    /// Asks the engine which adapter versions it holds.
+    /// Returns the adapter versions that the engine holds.
     ///
     /// # Errors
-    /// Fails if it can't be reached or its answer can't be read.
+    /// Fails if the engine is unreachable or its answer is invalid.
     pub async fn inventory(&self) -> Result<Vec<AdapterVersion>, EngineError> {
         let body = self.question("/v1/models").await?;
         let list: ModelList = match serde_json::from_slice(&body) {
@@ -126,7 +127,7 @@
             }
         };
         let adapters = list.data.into_iter().filter(|entry| entry.parent.is_some());
-        // A name without a version is no adapter of this system; it can't be asked for.
+        // A name without a version is not an adapter of this system and cannot be requested.
         Ok(adapters
             .filter_map(|entry| AdapterVersion::parse(&entry.id).ok())
             .collect())
@@ -155,7 +156,7 @@
         self.fetch(req, ORDER_LIMITS, MAX_ANSWER).await
     }
 
-    /// Asks for a page that only reads.
+    /// Sends a read-only GET request and returns the body of the answer.
     pub(crate) async fn question(&self, path: &str) -> Result<Bytes, EngineError> {
         let req = self.request(Method::GET, path, Bytes::new());
         let answer = self.fetch(req, QUESTION_LIMITS, MAX_ANSWER).await?;
--- a/crates/chervilshunt_engine/src/prometheus.rs
+++ b/crates/chervilshunt_engine/src/prometheus.rs
@@ -1,7 +1,7 @@
-//! Reads the samples of a page in Prometheus' text format.
+//! Parses samples in the Prometheus text format.
 //!
-//! Two parser crates were tried: one takes no colon in a name and no comma in a label's value, and
-//! vLLM uses both; the other refuses pages with `HELP` before `TYPE`. See
+//! Of the two parser crates that were tried, one accepts neither colons in metric names nor commas
+//! in label values, both of which vLLM uses. The other rejects pages with `HELP` before `TYPE`. See
 //! `docs/design/engine-client.md`.
 
 #[cfg(test)]
@@ -9,7 +9,7 @@
 
 use std::borrow::Cow;
 
-/// One sample.
+/// A sample of a metric.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Sample<'a> {
     pub(crate) name: &'a str,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns every sample of a page; comments and lines that can't be read are left out.
+/// Returns all samples of a page; comments and invalid lines are skipped.
 pub(crate) fn samples(page: &str) -> Vec<Sample<'_>> {
     page.lines()
         .filter_map(|line| sample(line.trim()))
--- a/crates/chervilshunt_engine/src/reports.rs
+++ b/crates/chervilshunt_engine/src/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine tells of its load and its prefix cache. Both come late.
+//! An engine's reports of its load and its prefix cache, both of which are delayed.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -11,43 +11,43 @@
 const RUNNING: &str = "vllm:num_requests_running";
 const WAITING: &str = "vllm:num_requests_waiting";
 const CACHE_USAGE: &str = "vllm:kv_cache_usage_perc";
-/// Its value is the time at which the report was taken, in seconds since 1970.
+/// The value of this metric is the time of the report, in seconds since 1970.
 const ADAPTERS: &str = "vllm:lora_requests_info";
 const RUNNING_ADAPTERS: &str = "running_lora_adapters";
 
 /// An engine's report of its load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Sequences running.
+    /// The number of running sequences.
     pub running: u32,
-    /// Sequences waiting inside the engine.
+    /// The number of sequences that wait in the engine.
     pub waiting: u32,
-    /// Share of the memory for KV cache that is in use, 0 to 1.
+    /// The fraction of the KV cache memory that is in use, from 0 to 1.
     pub cache_usage: f64,
-    /// Adapters that serve a sequence.
+    /// The adapters that serve at least one sequence.
     pub running_adapters: Vec<String>,
-    /// How old the report was when it was read; none if it doesn't say.
+    /// The age of the report when it was received; `None` if it has no timestamp.
     pub age: Option<Duration>,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; a jump is a gap.
+    /// The sequence number; a jump means that events are missing.
     pub sequence: u64,
-    /// What happened.
+    /// The kind of change.
     pub kind: CacheEventKind,
-    /// The hash of the prompt's start, as [`chervilshunt_model::prefix_hash`] makes it.
+    /// The hash of the prompt's prefix, as computed by [`chervilshunt_model::prefix_hash`].
     pub prefix: u64,
 }
 
-/// What happened to a prefix.
+/// The kind of change to a cached prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEventKind {
-    /// It is cached now.
+    /// The prefix was added to the cache.
     Stored,
-    /// It is no longer cached.
+    /// The prefix was removed from the cache.
     Removed,
 }
 
@@ -57,22 +57,22 @@
 }
 
 impl EngineClient {
-    /// Asks the engine for its report of its load.
+    /// Requests the engine's load report.
     ///
     /// # Errors
-    /// Fails if it can't be reached, or its answer lacks the number of running sequences.
+    /// Fails if the engine is unreachable or its answer lacks the number of running sequences.
     pub async fn report(&self) -> Result<LoadReport, EngineError> {
         let body = self.question("/metrics").await?;
         let text = String::from_utf8_lossy(&body);
         read_report(&prometheus::samples(&text), SystemTime::now())
     }
 
-    /// Asks the engine for the changes of its prefix cache after number `after`.
+    /// Requests the changes of the engine's prefix cache after the sequence number `after`.
     ///
-    /// Events come late and some are missing, so that they may serve as hints only.
+    /// Events are delayed and some may be missing, so they are only hints.
     ///
     /// # Errors
-    /// Fails if it can't be reached or its answer can't be read.
+    /// Fails if the engine is unreachable or its answer is invalid.
     pub async fn cache_events(&self, after: u64) -> Result<Vec<CacheEvent>, EngineError> {
         let body = self
             .question(&format!("/v1/cache_events?after={after}"))
@@ -94,7 +94,7 @@
         }
         .fail();
     };
-    // vLLM leaves a sample behind for each set of labels; the newest one is in force.
+    // vLLM keeps one sample per set of label values; the newest one is current.
     let adapters = samples
         .iter()
         .filter(|sample| sample.name == ADAPTERS)
@@ -108,7 +108,7 @@
     })
 }
 
-/// Adds up a metric over the engine's ranks; none if it isn't there.
+/// Returns the sum of a metric over the engine's ranks, or `None` if the metric is missing.
 fn sum(samples: &[Sample<'_>], name: &str) -> Option<f64> {
     let mut values = samples.iter().filter(|sample| sample.name == name);
     let first = values.next()?.value;
