--- a/crates/chervilshunt_mesh/examples/rounds/churn.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/churn.rs
@@ -1,4 +1,4 @@
-//! What the bound on connections costs when there are more peers than connections.
+//! Measures the cost of the connection limit when there are more peers than connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const REQUESTS: usize = 5_000;
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// A text of the length of a permit request, or of its answer.
+/// A text with the length of a permit request or of its answer.
 #[derive(Debug, Serialize, Deserialize)]
 struct Text(String);
 
@@ -23,9 +23,9 @@
     }
 }
 
-/// Prints connections opened and bytes for each request at each bound.
+/// Prints the connections opened and the connection bytes per request at each limit.
 pub(crate) fn print() {
-    println!("| bound | peers | opened a request | connection bytes a request |");
+    println!("| limit | peers | opened per request | connection bytes per request |");
     println!("| ---: | ---: | ---: | ---: |");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/chervilshunt_mesh/examples/rounds/connections.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/connections.rs
@@ -1,4 +1,4 @@
-//! Bytes that a connection takes beside its messages.
+//! Measures the bytes that a connection transfers in addition to its messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Prints the bytes of opening, pinging and closing a connection, both directions together.
+/// Prints the bytes for opening, pinging and closing a connection, in both directions together.
 pub(crate) fn print() {
     println!("| opening | ping and pong | closing |");
     println!("| ---: | ---: | ---: |");
@@ -48,7 +48,7 @@
     let Some(Inbound::Message(request)) = inbound.recv().await else {
         panic!("the request arrives");
     };
-    // Requests wait until the first pings have passed.
+    // The request stays unanswered until the first pings have been exchanged.
     let pinged = until(&entry, |counters| counters.connection_bytes() > opened).await;
     sleep(PING_AFTER / 2).await;
     request
--- a/crates/chervilshunt_mesh/examples/rounds/encodings.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/encodings.rs
@@ -1,4 +1,4 @@
-//! The same permit round in the ways that CBOR can write it.
+//! Compares the sizes of a permit round in different CBOR encodings.
 
 use chervilshunt_core::{
     CompactAnswer, CompactRequest, Permit, PermitAnswer, PermitRequest, ReleaseOutcome,
@@ -8,22 +8,22 @@
 use ciborium::{Value, cbor};
 use serde::Serialize;
 
-/// What TCP and IP add to a segment: two headers of 20 bytes and 12 bytes of timestamps.
+/// The TCP and IP overhead of a segment: two headers of 20 bytes and 12 bytes of timestamps.
 const SEGMENT_BYTES: usize = 52;
 
-/// The segments of a round that has no company on its connection: three messages, and
-/// acknowledgements of the request, which the answer often takes along, and of the release.
+/// The segments of a round on an otherwise idle connection: three messages, the acknowledgement of
+/// the request, which is often part of the answer's segment, and that of the release.
 const SEGMENTS: usize = 5;
 
-/// The head of a message in front of its CBOR, for a connection that has seen some thousand
-/// requests; see `frame.rs`.
+/// The size of the frame header on a connection that has carried some thousand requests; see
+/// `frame.rs`.
 const REQUEST_HEAD_BYTES: usize = 3;
 const ONE_WAY_HEAD_BYTES: usize = 1;
 
-/// The mask of a WebSocket frame that the opener of the connection sends.
+/// The size of the mask in WebSocket frames from the side that opened the connection.
 const MASK_BYTES: usize = 4;
 
-/// A name of a Kubernetes pod, and names that the brief's deployments suggest.
+/// The name of a Kubernetes pod, and names like those in the specified deployments.
 const ENTRY: &str = "chervilshunt-7d9f8b6c5-x2x4z";
 const TARGET: &str = "regatta-lm-17";
 const OTHER_TARGET: &str = "regatta-lm-03";
@@ -33,7 +33,7 @@
 const ATTEMPT: u128 = u128::MAX / 3;
 const PREFIX: u64 = u64::MAX / 3;
 
-/// The messages that make up a round.
+/// The messages of a permit round.
 #[derive(Debug)]
 struct Round {
     request: Value,
@@ -41,7 +41,7 @@
     release: Value,
 }
 
-/// Prints the bytes of a round in each encoding.
+/// Prints the size of a round in each encoding.
 pub(crate) fn print() {
     println!("| encoding | request | answer | release | round | with TCP/IP |");
     println!("| --- | ---: | ---: | ---: | ---: | ---: |");
@@ -61,7 +61,8 @@
     println!("| {label} | {request} | {answer} | {release} | {sum} | {with_tcp} |");
 }
 
-/// Adds the head and the WebSocket frame; the mask is there in one direction of two.
+/// Returns the size with frame header and WebSocket frame; half of the mask is counted, as only one
+/// of the two directions has it.
 fn framed(message: &Value, head: usize) -> usize {
     let mut buf = Vec::new();
     ciborium::into_writer(message, &mut buf).expect("memory takes it");
@@ -94,7 +95,7 @@
     }
 }
 
-/// Drops every key but those of variants.
+/// Replaces maps by arrays of their values; only keys of variants are kept, as one letter.
 fn positions(value: &Value) -> Value {
     match value {
         Value::Map(members) if is_variant(members) => one_letter_key(members),
@@ -150,7 +151,7 @@
     }
 }
 
-/// The round in the types that instances truly send.
+/// Returns the round in the types that instances send.
 fn sent() -> Round {
     let attempt = AttemptId::from_u128(ATTEMPT);
     let model = Some(AdapterVersion::new(ADAPTER, VERSION));
@@ -200,7 +201,7 @@
     }
 }
 
-/// Writes a message as the variant of an enum that the daemon sends it as.
+/// Encodes a message as a variant of the enum that the daemon sends.
 fn variant(name: &str, message: &impl Serialize) -> Value {
     let message = Value::serialized(message).expect("it is CBOR");
     Value::Map(vec![(Value::Text(name.to_owned()), message)])
--- a/crates/chervilshunt_mesh/examples/rounds/memory.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of idle connections.
+//! Measures the memory of idle connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-/// Idle connections; each has both of its ends in this process.
+/// The numbers of idle connections; both ends of each are in this process.
 const COUNTS: [usize; 5] = [0, 100, 200, 400, 800];
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -19,9 +19,9 @@
     }
 }
 
-/// Prints the memory at each number of connections.
+/// Prints the resident memory at each number of connections.
 pub(crate) fn print() {
-    println!("| connections | resident KiB | KiB a connection and end |");
+    println!("| connections | resident KiB | KiB per connection end |");
     println!("| ---: | ---: | ---: |");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -33,7 +33,7 @@
     let (hub, mut hub_inbound) = mesh(0).await;
     let mut spokes = Vec::new();
     let mut base = None;
-    // All meshes come before the first measurement, so that only connections are counted.
+    // All meshes are created before the first measurement, so that it compares connections only.
     for number in 1..=COUNTS[COUNTS.len() - 1] {
         spokes.push(mesh(number).await);
     }
--- a/crates/chervilshunt_mesh/examples/rounds/throughput.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/throughput.rs
@@ -1,4 +1,4 @@
-//! Permit rounds through one connection, each end on a thread of its own.
+//! Measures permit rounds on one connection, with each end on its own thread.
 
 use std::net::SocketAddr;
 use std::sync::mpsc as std_mpsc;
@@ -14,7 +14,7 @@
 const ROUNDS: usize = 100_000;
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Bytes of text in the request; the answer and the release have a third of them.
+/// The text sizes of requests, in bytes; answers and releases have a third of that.
 const SIZES: [usize; 4] = [50, 200, 800, 3_200];
 const IN_FLIGHT: [usize; 2] = [1, 64];
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one end spent.
+/// The time, CPU time and bytes that one end used.
 #[derive(Clone, Copy, Debug)]
 struct Spent {
     wall: Duration,
@@ -46,7 +46,7 @@
     bytes: u64,
 }
 
-/// Prints rounds a second, processor time and bytes at each size.
+/// Prints rounds per second, CPU time and bytes at each size.
 pub(crate) fn print() {
     println!("| text | in flight | rounds/s | entry µs/round | owner µs/round | bytes/round |");
     println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
@@ -153,7 +153,7 @@
     "x".repeat(size)
 }
 
-/// Returns the processor time of this thread.
+/// Returns the CPU time of this thread.
 fn thread_cpu() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
     let nanos = text
