--- a/crates/chervilshunt_mesh/src/liveness/tests.rs
+++ b/crates/chervilshunt_mesh/src/liveness/tests.rs
@@ -1,4 +1,4 @@
-//! When a connection is pinged, given up or closed.
+//! Tests of when a connection is pinged, aborted or closed.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     idle_timeout: Duration::from_secs(60),
 };
 
-/// What is to be done, with the moment to wait for in seconds.
+/// The expected action, with the time to wait for in seconds.
 #[derive(Debug, PartialEq)]
 enum Told {
     Wait(u64),
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of messages under way when their connection ends.
+//! Tests of unfinished messages and requests when their connection ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,12 +27,13 @@
     }
 }
 
-/// No test waits longer than this for anything that has to happen.
+/// The time limit for any expected event.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 type Answer = oneshot::Receiver<Result<Number, RequestError>>;
 
-/// A connection on which 1 is written and unanswered, and 2 and 3 wait to be written.
+/// A connection on which request 1 is written and unanswered, and request 2 and message 3 wait to
+/// be written.
 struct Scene {
     shared: Arc<Shared<Number>>,
     connection: Arc<Connection<Number>>,
@@ -99,8 +100,9 @@
     (mesh, inbound, peer)
 }
 
-/// The peer closes an idle connection while messages are on their way to it. It has ignored what
-/// arrived after it began to close, so all of it goes over a new connection, in order.
+/// Guards against losing messages that are in flight when the peer closes an idle connection. The
+/// peer ignores what arrives after it has begun to close, so everything must be resent in order on
+/// a new connection.
 #[tokio::test]
 async fn what_crosses_an_idle_close_is_sent_again() {
     let (_mesh, mut inbound, peer) = peer().await;
@@ -129,7 +131,8 @@
     assert_eq!(unwritten.await, Ok(Ok(Number(20))));
 }
 
-/// The connection breaks. What was written may have been handled, what was not can't have been.
+/// Guards against reporting requests wrongly when the connection fails: a written request may have
+/// been handled, an unwritten one cannot have been.
 #[tokio::test]
 async fn a_break_tells_written_requests_from_unwritten_ones() {
     let (_mesh, _inbound, peer) = peer().await;
@@ -153,8 +156,8 @@
     assert_eq!(shared.counters.snapshot().dropped, 1);
 }
 
-/// The sender gives up in the moment in which the connection takes its request. Only one of both
-/// gets it: a request called unsent is never written.
+/// Guards against writing a request that was reported as not sent. The race occurs if the sender
+/// abandons the request while the connection claims it; only one of them may succeed.
 #[tokio::test]
 async fn a_request_that_was_given_up_is_not_written() {
     let (_mesh, _inbound, peer) = peer().await;
--- a/crates/chervilshunt_mesh/src/table/tests.rs
+++ b/crates/chervilshunt_mesh/src/table/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections a new one with the same peer shows to be over.
+//! Tests of which connections a new one with the same peer supersedes.
 
 use rstest::rstest;
 
