--- a/crates/chervilshunt_mesh/tests/mesh/bounds.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/bounds.rs
@@ -1,4 +1,4 @@
-//! Limits on sizes and queues, and what is counted.
+//! Limits of message sizes and queues, and the byte counters.
 
 use chervilshunt_mesh::{MeshCounters, RequestError, SendError};
 
@@ -20,8 +20,8 @@
     assert_eq!(b.message().await.message, note(&"x".repeat(80)));
 }
 
-/// A peer with a higher limit sends more than we take. The connection breaks before the message
-/// is in memory, and the peer is told that its request is lost.
+/// Guards against buffering an oversized message from a peer with a higher limit. The connection
+/// must fail first, and the sender's request must be reported as lost.
 #[tokio::test]
 async fn a_message_above_our_limit_is_not_taken_in() {
     let a = node("a").await;
@@ -34,8 +34,8 @@
     assert_eq!(b.lost().await, "a");
 }
 
-/// A peer takes nothing in. Messages queue up to the bound, then the sender is told at once; in the
-/// end the connection is given up.
+/// Guards against unbounded queueing for a peer that does not read. Once the queue is full, sending
+/// must fail immediately, and the connection must be aborted eventually.
 #[tokio::test]
 async fn a_full_queue_refuses_at_once() {
     let mut cfg = config("a");
@@ -58,8 +58,8 @@
     assert_eq!(a.lost().await, "b");
 }
 
-/// The application takes nothing in. Requests are turned away, so that the peer can go elsewhere,
-/// and are truly not handled.
+/// Guards against handling a request that was rejected as busy. The application does not read its
+/// inbound queue, so that further requests are rejected and the peer can retry on another instance.
 #[tokio::test]
 async fn requests_to_an_overloaded_peer_are_turned_away() {
     let a = node("a").await;
@@ -88,8 +88,8 @@
     assert!(b.inbound.try_recv().is_err());
 }
 
-/// Messages are attributed to their purpose to the last byte: what is on the socket beyond them
-/// is the handshake, which does not grow with messages.
+/// Guards against unattributed message bytes: the remaining bytes on the socket are those of the
+/// handshake, which do not grow with the messages.
 #[tokio::test]
 async fn every_byte_of_messages_is_attributed() {
     let a = node("a").await;
--- a/crates/chervilshunt_mesh/tests/mesh/common.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/common.rs
@@ -1,4 +1,4 @@
-//! Two meshes on loopback, and a message type to send between them.
+//! Helpers: meshes on loopback, and a message type to send between them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// No test waits longer than this for anything that has to happen.
+/// The time limit for any expected event.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     Text::Note(text.to_owned())
 }
 
-/// One instance with what has come in for it.
+/// An instance with its inbound queue.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) mesh: Mesh<Text>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Waits until the mesh's counters are as wanted.
+    /// Waits until the mesh's counters satisfy a condition.
     pub(crate) async fn until(&self, wanted: impl Fn(&chervilshunt_mesh::MeshCounters) -> bool) {
         let reached = async {
             while !wanted(&self.mesh.counters()) {
--- a/crates/chervilshunt_mesh/tests/mesh/cut.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/cut.rs
@@ -1,4 +1,4 @@
-//! Connections that are cut between the peers, also on one side only.
+//! Connections that are cut on one side, or closed as idle while requests are sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,8 @@
 
 use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
 
-/// Passes connections on to an address; each notice cuts the opener's side of the oldest one.
+/// Starts a TCP proxy to an address; each notification cuts the opener's side of the oldest
+/// connection.
 async fn passage(to: SocketAddr) -> (SocketAddr, Arc<Notify>) {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
@@ -32,7 +33,7 @@
                     () = cut.notified() => {}
                 }
                 drop((near_in, near_out));
-                // The far side sees nothing of it.
+                // The far side stays connected.
                 tokio::time::sleep(PATIENCE).await;
                 drop((far_in, far_out));
             });
@@ -41,9 +42,9 @@
     (address, cut)
 }
 
-/// A connection is cut, and only the entry instance notices. It connects anew and asks again. The
-/// owner has to learn of the loss before it gets the new request: it takes what it holds for the
-/// instance out of its queue then, and would take out the new request too.
+/// Guards against an owner dropping a new request. A connection is cut on the entry instance's side
+/// only, which reconnects and sends another request. On the loss, the owner drops all queued
+/// requests of that instance, so the loss must be reported before the new request is delivered.
 #[tokio::test]
 async fn a_loss_is_reported_before_anything_of_the_next_connection() {
     let mut a = node("a").await;
@@ -71,9 +72,9 @@
     assert_eq!(a.lost().await, "b");
 }
 
-/// Both sides close idle connections after almost no time, while requests keep coming. A request
-/// that crosses the close is sent again on another connection: none is lost, and none arrives
-/// twice.
+/// Guards against requests that are lost or delivered twice when an idle connection is closed. Both
+/// sides have a very short idle timeout while requests are sent; a request that is in flight during
+/// the close must be resent on another connection.
 #[tokio::test]
 async fn closing_idle_connections_loses_and_doubles_nothing() {
     const ROUNDS: u64 = 400;
--- a/crates/chervilshunt_mesh/tests/mesh/frozen.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/frozen.rs
@@ -1,4 +1,4 @@
-//! Peers whose connection stays up while nobody is there.
+//! Peers that are frozen while their TCP connection stays up.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     ("x-mesh-serial", "1"),
 ];
 
-/// Accepts connections as `name` and does nothing more with them, as a stopped process does.
+/// Accepts connections as `name` and then neither reads nor writes, like a stopped process.
 pub(crate) async fn frozen_peer(name: &str) -> Peer {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
@@ -27,7 +27,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             #[expect(
                 clippy::result_large_err,
-                reason = "the callback's type is the library's"
+                reason = "the library defines the type of the callback"
             )]
             let agree = |_: &Request, mut response: Response| {
                 for (name, value) in HEADERS {
@@ -53,9 +53,9 @@
     cfg
 }
 
-/// An owner's process is stopped (SIGSTOP) while a request waits for it. Its kernel keeps the
-/// connection up, so only the unanswered ping shows it. The request is given up long before its
-/// own timeout.
+/// Guards against waiting for the full timeout of a request to a frozen owner. Its process is
+/// stopped (SIGSTOP) while its kernel keeps the connection up, so only the unanswered ping shows
+/// the failure.
 #[tokio::test]
 async fn a_frozen_owner_is_noticed_while_a_request_waits() {
     let mut a = node_with(watchful("a")).await;
@@ -69,8 +69,8 @@
     assert_eq!(a.lost().await, "b");
 }
 
-/// A request waits long in the queue of an owner that is well: pings are answered, so it is not
-/// given up.
+/// Guards against aborting the connection to a healthy owner on which a request waits for a long
+/// time: the owner answers the pings.
 #[tokio::test]
 async fn a_slow_owner_is_not_taken_for_a_frozen_one() {
     let a = node_with(watchful("a")).await;
@@ -86,8 +86,8 @@
     assert_eq!(a.mesh.counters().lost, 0);
 }
 
-/// Nothing waits for an answer: no ping goes out, as a timer towards everyone would cost each node
-/// its budget of control traffic.
+/// Guards against pings on connections without pending requests, as pinging all peers would exceed
+/// the budget of control traffic of each node.
 #[tokio::test]
 async fn a_peer_that_owes_nothing_is_not_pinged() {
     let a = node_with(watchful("a")).await;
--- a/crates/chervilshunt_mesh/tests/mesh/idle.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/idle.rs
@@ -1,4 +1,4 @@
-//! Connections are opened at need, closed when idle and bounded in number.
+//! Connections are opened on demand, closed when idle and limited in number.
 
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
     assert_eq!((a.mesh.counters().lost, b.mesh.counters().lost), (0, 0));
 }
 
-/// The bound on connections is reached. The least recently used idle one makes room; one on which
-/// a request waits does not, as closing it would lose the request.
+/// Guards against losing a request when the connection limit is reached: the least recently used
+/// idle connection is closed, never one with a pending request.
 #[tokio::test]
 async fn the_least_recently_used_idle_connection_makes_room() {
     let mut cfg = config("a");
--- a/crates/chervilshunt_mesh/tests/mesh/loss.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/loss.rs
@@ -1,13 +1,13 @@
-//! What callers and owners see when a peer dies, restarts or is somebody else.
+//! The effects on callers and owners when a peer dies, restarts or is a different instance.
 
 use std::time::Duration;
 
 use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
 use chervilshunt_mesh::{Inbound, Peer, RequestError, SendError};
 
-/// An owner dies while a request waits in its queue. The entry instance's request fails at once,
-/// without waiting for its timeout, so that the caller's request moves on; it is reported as lost
-/// and not as unsent, as the owner may have seen it.
+/// Guards against a caller's request being stuck after the owner dies with the request in its
+/// queue. The entry instance's request must fail immediately, not at its timeout. It is reported as
+/// lost, not as unsent, because the owner may have handled it.
 #[tokio::test]
 async fn requests_fail_at_once_when_the_owner_dies() {
     let mut a = node("a").await;
@@ -23,8 +23,8 @@
     assert!(got.reply.unwrap().is_closed());
 }
 
-/// An entry instance dies while the owner holds its request. The owner learns it by an event, so
-/// that it can take the request out of its queue.
+/// Guards against an owner keeping requests of an entry instance that has died: the loss must be
+/// reported as an event, on which the owner removes them from its queue.
 #[tokio::test]
 async fn an_owner_learns_that_an_entry_instance_is_gone() {
     let a = node("a").await;
@@ -35,8 +35,8 @@
     assert_eq!(b.lost().await, "a");
 }
 
-/// An instance dies and another one gets its address. A message for the first is refused, as
-/// the second one may own nothing of what the message is about.
+/// Guards against delivering a message to the wrong instance. An instance dies and another one gets
+/// its address, which may not own the target that the message concerns.
 #[tokio::test]
 async fn a_message_for_somebody_else_is_refused() {
     let a = node("a").await;
@@ -60,8 +60,8 @@
     assert_eq!(c.message().await.message, note("for c"));
 }
 
-/// A peer restarts under its id and address. What is sent next reaches the new process over a new
-/// connection, after the loss of the old one was reported.
+/// Guards against sending to the old process of a restarted peer with the same id and address.
+/// Messages must reach the new process, after the loss of the old connection has been reported.
 #[tokio::test]
 async fn a_restarted_peer_is_reached_again() {
     let mut a = node("a").await;
@@ -83,8 +83,8 @@
     assert_eq!(again.message().await.message, note("second"));
 }
 
-/// Nobody listens at the address: the request is reported as unsent, and the next one fails
-/// without another try until the pause is over.
+/// Guards against reconnecting to an unreachable peer on every message. The request is reported as
+/// unsent, and the next one fails without another attempt until the backoff ends.
 #[tokio::test]
 async fn an_unreachable_peer_is_not_tried_again_at_once() {
     let mut cfg = config("a");
@@ -106,7 +106,7 @@
     assert_eq!(a.mesh.counters().dial_failures, 1);
 }
 
-/// An owner gives up on a request without an answer. The entry instance learns that at once.
+/// Guards against waiting for the timeout when an owner drops a request without an answer.
 #[tokio::test]
 async fn a_dropped_reply_ends_the_request() {
     let a = node("a").await;
@@ -117,8 +117,8 @@
     assert_eq!(asked.await.unwrap(), Err(RequestError::Unanswered));
 }
 
-/// Both sides open a connection at the same moment. No message is lost, whichever connection it
-/// was given to.
+/// Guards against losing messages when both sides open a connection at the same time, on whichever
+/// of the two they are sent.
 #[tokio::test]
 async fn a_doubled_connection_loses_nothing() {
     let mut doubled = 0;
--- a/crates/chervilshunt_mesh/tests/mesh/main.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/main.rs
@@ -1,4 +1,4 @@
-//! Meshes that talk over loopback.
+//! Tests of meshes that are connected over loopback.
 
 mod bounds;
 mod common;
--- a/crates/chervilshunt_mesh/tests/mesh/messages.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/messages.rs
@@ -1,4 +1,4 @@
-//! Messages, requests and answers between peers that are well.
+//! Messages, requests and answers between healthy peers.
 
 use crate::common::{PATIENCE, answer, node, note, question};
 
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -1,4 +1,4 @@
-//! The messages of a permit round come through unchanged, and stay within their budget of bytes.
+//! The messages of a permit round survive encoding unchanged and stay within their size budget.
 
 use chervilshunt_core::{
     CompactAnswer, CompactRequest, MismatchedAnswer, Permit, PermitAnswer, PermitRequest,
@@ -9,9 +9,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Bytes of the three messages of a round with names of usual length, with their variant in the
-/// daemon's enum but without frames. The bound of 600 bytes a request also has to carry the frames
-/// (about 25), the acknowledgement of the release and a share of all other control traffic.
+/// The size limit of the three messages of a round with names of typical length, including their
+/// variant in the daemon's enum but without frames. The budget of 600 bytes per request must also
+/// cover the frames (about 25), the acknowledgement of the release and a share of all other control
+/// traffic.
 const ROUND_BYTES: usize = 230;
 
 fn request() -> PermitRequest {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Sends an answer to `asked` and joins it with `req`.
+/// Encodes an answer to `asked`, decodes it and joins it with `req`.
 fn joined(
     answer: PermitAnswer,
     asked: &PermitRequest,
@@ -132,10 +133,11 @@
     assert_eq!(joined(answer.clone(), &request, &request), Ok(answer));
 }
 
-/// The caller would get an answer from an adapter that another request has pinned, or its adapter
-/// would be evicted under it. An answer comes late or crossed, after its request was withdrawn and
-/// another one sent: of another attempt, to the next target, or with another version or class. The
-/// check in the answer is that of what it was given for, so that it is not taken.
+/// Guards against accepting an answer that belongs to another request. An answer arrives late, after
+/// its request was withdrawn and another one sent: for another attempt or target, or with another
+/// version or class. The caller would then be served by an adapter that a different request has
+/// pinned, or its own adapter would be evicted during use. The checksum in the answer is that of
+/// the original request, so that the answer is rejected.
 #[rstest]
 fn an_answer_to_another_request_is_not_taken(
     #[values(granted(), redirect(), refused())] answer: PermitAnswer,
@@ -158,7 +160,7 @@
     assert_eq!(joined(answer, &request(), &other), Err(MismatchedAnswer));
 }
 
-/// An owner that granted something else than was asked for is found out as well.
+/// Guards against an owner that grants something else than was requested.
 #[test]
 fn a_permit_for_something_else_is_not_taken() {
     let asked = PermitRequest {
