--- a/crates/chervilshunt_engine/examples/read_streams.rs
+++ b/crates/chervilshunt_engine/examples/read_streams.rs
@@ -1,9 +1,9 @@
-//! Reads many streams of an engine stand-in at once and prints how many events a second came.
+//! Reads many streams of an engine stand-in concurrently and prints the events per second.
 //!
 //! `cargo run --release -p chervilshunt_standin -- engine --step-ms 0 --max-batch 1000` prints an
 //! address; then `cargo run --release -p chervilshunt_engine --example read_streams -- IP:PORT`.
-//! With `batch` as a second argument the events come in steps of the batch, one event of each
-//! stream at a time; otherwise each stream comes as fast as it is read.
+//! With `batch` as a second argument, the events arrive in steps of the batch, one event of each
+//! stream per step; otherwise each stream arrives as fast as it is read.
 
 use std::time::{Duration, Instant};
 
@@ -47,7 +47,7 @@
     println!("{result}");
 }
 
-/// Returns the events and the pieces of one stream.
+/// Returns the numbers of events and body chunks of one stream.
 async fn read(client: EngineClient, number: usize, batch: bool) -> (u32, u32) {
     let body = json!({
         "model": "base", "prompt": "one two", "max_tokens": TOKENS, "stream": true,
@@ -81,11 +81,12 @@
     (summary.events, pieces)
 }
 
-/// Returns the processor time of this process so far, from `/proc`.
+/// Returns the CPU time of this process so far, from `/proc`.
 fn cpu_seconds() -> f64 {
     const TICKS_PER_SECOND: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The fields after the process's name, which may hold spaces; 11 and 12 are user and system.
+    // The fields after the process's name, which may contain spaces; 11 and 12 are the user and
+    // system time.
     let fields = stat.rsplit_once(") ").map_or("", |(_, fields)| fields);
     let ticks = fields.split(' ').skip(11).take(2);
     ticks
--- a/crates/chervilshunt_engine/examples/scan.rs
+++ b/crates/chervilshunt_engine/examples/scan.rs
@@ -1,7 +1,7 @@
 //! Measures the scanner of SSE streams: `cargo run --release -p chervilshunt_engine --example scan`.
 //!
-//! Prints one JSON line for each way of cutting the stream into pieces, with the median of several
-//! rounds on one thread.
+//! Prints one JSON line for each way of splitting the stream into chunks, with the median of
+//! several rounds on one thread.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -43,7 +43,7 @@
     }
 }
 
-/// An event as vLLM writes it.
+/// Returns an event in vLLM's format.
 fn event(number: usize) -> String {
     let choice = json!({
         "index": 0, "text": format!(" word{number}"), "logprobs": null, "finish_reason": null,
