--- a/crates/chervilshunt_engine/src/prometheus/tests.rs
+++ b/crates/chervilshunt_engine/src/prometheus/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of Prometheus' text format that engines write, and some that they don't.
+//! Tests with valid and invalid lines of the Prometheus text format.
 
 use rstest::rstest;
 
--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that go well: checked, counted, passed on at the caller's pace, and cancelled with it.
+//! Successful answers: validation, token counts, backpressure and cancellation.
 
 mod common;
 
@@ -71,7 +71,7 @@
     assert_eq!(read(answer).await.expect("whole").1.tokens(), 3);
 }
 
-/// The first piece may be awaited before the caller gets a head; nothing of the stream is lost.
+/// Guards against losing the first chunk when it is awaited before the caller gets the headers.
 #[tokio::test]
 async fn first_piece_is_kept() {
     let (_engine, client) = engine_with_adapter(1).await;
@@ -88,8 +88,9 @@
     assert_eq!((summary.events, text.matches("data:").count()), (3, 4));
 }
 
-/// The engine sends the head at once and lets the sequence wait: until the first token the call has
-/// as long as for its head, and from then on the shorter time between two pieces.
+/// Guards against a timeout while a sequence is queued in an engine that sends the headers of a
+/// stream immediately. The limit until the first token is that of the headers; the shorter one
+/// between chunks applies only afterwards.
 #[tokio::test]
 async fn first_token_may_take_as_long_as_the_head() {
     let pieces = chunked(&[&event(MODEL, "x"), "data: [DONE]\n\n"], true);
@@ -107,7 +108,8 @@
     assert!(read(answer).await.expect("whole").1.complete);
 }
 
-/// The caller goes away in the middle of a stream: its sequence leaves the engine's batch.
+/// Guards against a sequence that stays in the engine's batch after the caller disconnects during
+/// the stream.
 #[tokio::test]
 async fn dropped_answer_cancels_the_call() {
     let (engine, client) = engine_with_adapter(2).await;
@@ -123,7 +125,8 @@
     until(async || engine.stats().running == 0).await;
 }
 
-/// The call is dropped while it waits for its head, as when the caller goes away early.
+/// Guards against a sequence that stays in the engine's queue after the caller disconnects before
+/// the headers.
 #[tokio::test]
 async fn dropped_call_leaves_the_engines_queue() {
     let (engine, client) = engine_with_adapter(2).await;
@@ -137,7 +140,8 @@
     until(async || engine.stats().running + engine.stats().waiting == 0).await;
 }
 
-/// The caller stops reading: the target can send only what the sockets between them hold.
+/// Guards against unbounded buffering for a caller that stops reading: the target can send only
+/// what the socket buffers hold.
 #[tokio::test]
 async fn slow_caller_holds_back_the_target() {
     const TOTAL: usize = 64 * 1024 * 1024;
@@ -170,7 +174,7 @@
     assert_eq!((text.len(), summary.complete), (TOTAL, true));
 }
 
-/// Headers that concern the caller's own connection don't reach the target; the others do.
+/// Guards against forwarding the caller's hop-by-hop headers to the target, or dropping others.
 #[tokio::test]
 async fn plain_call_passes_on_what_is_the_callers() {
     let target = ScriptedTarget::start(vec![Step::Answer(response("200 OK", "", "done"))]).await;
@@ -210,8 +214,8 @@
     assert_eq!(lines, expected);
 }
 
-/// A connection is back for reuse by the time that an answer of known length has been read, even
-/// if nobody asks for its end.
+/// Guards against losing a connection for reuse if nobody polls for the end of an answer of known
+/// length after its last byte.
 #[tokio::test]
 async fn answer_of_known_length_is_complete_at_its_last_byte() {
     let service = start_plain(PlainStandinConfig::default())
@@ -223,8 +227,8 @@
     assert!(answer.body.summary().complete);
 }
 
-/// Control state and traffic have a runtime each and share a client. A stream must not depend on
-/// the control thread for its wake-ups, so that neither uses the other's connections.
+/// Guards against streams that depend on the control thread for their wake-ups. Control and traffic
+/// have separate runtimes and share a client, so neither may use the other's connections.
 #[test]
 fn runtimes_do_not_share_connections() {
     let runtime = || {
@@ -275,7 +279,7 @@
     );
 }
 
-/// Two owners give orders: the engine refuses the one whose epoch is older, whatever the order.
+/// Guards against orders from a former owner: the engine rejects the older epoch.
 #[tokio::test]
 async fn old_epoch_is_fenced() {
     let (engine, client) = engine_with_adapter(1).await;
@@ -297,7 +301,7 @@
     assert_eq!(engine.stats().loaded.len(), 2);
 }
 
-/// Reports and cache events come late; by then they say what happened.
+/// Load reports and cache events are delayed, and correct once they arrive.
 #[tokio::test]
 async fn reports_tell_the_load_late() {
     let (_engine, client) = engine_with_adapter(2).await;
@@ -334,7 +338,7 @@
     );
 }
 
-/// Many streams at once over one client: no answer reaches another call.
+/// Guards against answers that reach another call when many calls share one client.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn answers_do_not_cross() {
     let (engine, client) = engine_with_adapter(1).await;
@@ -374,9 +378,9 @@
     );
 }
 
-/// A caller of a plain service gets a head that announces a length and no body after it. The
-/// daemon looks at the first piece before it answers, hyper then asks how much is left, and a body
-/// that forgets the piece it keeps says "nothing", so that nothing is written.
+/// Guards against an empty response with a content length. The daemon buffers the first chunk
+/// before it answers, and hyper then asks for the size hint. If the hint does not include the
+/// buffered chunk, hyper writes no body.
 #[tokio::test]
 async fn piece_that_was_looked_at_still_counts_as_left() {
     let target = start_plain(PlainStandinConfig::default())
--- a/crates/chervilshunt_engine/tests/at_most_once.rs
+++ b/crates/chervilshunt_engine/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! No call is sent twice, and "not run" is said only of a call that no target has seen.
+//! No call is sent twice, and only calls that no target has received are reported as "not run".
 
 mod common;
 
@@ -17,12 +17,12 @@
 
 const ID_HEADER: &str = "x-request-id: ";
 
-/// Requests by id, with how often any byte of them was read.
+/// The number of times that a request was received, at least partly, by request id.
 type Sightings = Arc<Mutex<HashMap<String, u32>>>;
 
-/// The target closes connections between calls, in the middle of a request and after it, at random
-/// and with random delays, so that it often closes one just as the client reuses it. Whatever the
-/// client then says of a call, the target's own record has to bear it out.
+/// Guards against duplicate calls and a false "not run". The target closes connections at random
+/// times: between calls, during a request and after it, so often just as the client reuses one.
+/// The outcome that the client reports must agree with the target's record.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn not_run_is_true_and_nothing_runs_twice(#[values(1, 2, 3, 4)] seed: u64) {
@@ -63,7 +63,7 @@
     );
 }
 
-/// Returns what the client said of each call; none if it was answered.
+/// Returns the outcome that the client reported for each call; `None` if it was answered.
 async fn call_often(
     client: EngineClient,
     caller: u64,
@@ -93,7 +93,7 @@
     address
 }
 
-/// Serves a connection until it is closed on purpose at one of the stages.
+/// Serves a connection until it is closed deliberately at one of the stages.
 async fn serve_unreliably(mut stream: TcpStream, mut rng: ChaCha8Rng, sightings: Sightings) {
     loop {
         let close_before = rng.random_bool(0.2);
@@ -120,7 +120,7 @@
     }
 }
 
-/// Reads a request, and notes its id as soon as it has come.
+/// Reads a request, and records its id as soon as it has been received.
 async fn read_one(stream: &mut TcpStream, sightings: &Sightings) -> Option<()> {
     let mut buf = Vec::new();
     let mut noted = false;
@@ -140,8 +140,8 @@
     }
 }
 
-/// The target closes an idle connection between two calls. The second call goes out on a new one:
-/// no byte of it went to the closed one, so that this is no second sending.
+/// Guards against a call that fails because the target has closed the idle connection. No byte of
+/// it was written there, so it is sent on a new connection.
 #[rstest]
 #[case::at_once(Step::AnswerAndClose(response("200 OK", "", "own")))]
 #[case::later(Step::AnswerAndGoOn(response("200 OK", "", "own"), String::new()))]
@@ -161,8 +161,9 @@
     );
 }
 
-/// The target closes the reused connection once it has read the second call. Whether that ran is
-/// unknown; it must not go out again, idempotent or not, since only the caller may decide that.
+/// Guards against sending a call twice. The target closes the reused connection after it has read
+/// the second call, whose outcome is then unknown. Only the caller may decide to retry it, even if
+/// it is idempotent.
 #[tokio::test]
 async fn call_lost_on_reused_connection_is_not_sent_again() {
     let done = response("200 OK", "", "done");
@@ -186,7 +187,7 @@
     );
 }
 
-/// Idempotent calls share a connection; each other call has one that no call used before.
+/// Guards against sending a call that is not idempotent on a reused connection.
 #[rstest]
 #[case::idempotent(true, 1)]
 #[case::not_idempotent(false, 3)]
@@ -206,8 +207,7 @@
     assert_eq!(target.seen().connections, connections);
 }
 
-/// A target that sends more than one answer spoils its connection: the surplus one must not become
-/// the answer to the next call.
+/// Guards against returning a surplus answer of one call as the answer to the next one.
 #[rstest]
 #[case::at_once(Step::Answer(
     response("200 OK", "", "own") + &response("200 OK", "", "stray")
--- a/crates/chervilshunt_engine/tests/common/mod.rs
+++ b/crates/chervilshunt_engine/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the client have in common: calls, and a target that follows a script.
+//! Helpers for the tests of the client: calls and a scripted target.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -15,25 +15,25 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The model that calls name unless a test says otherwise.
+/// The default model of calls.
 pub(crate) const MODEL: &str = "a@1";
 
-/// Short limits, so that a test of a timeout is short.
+/// Short limits, so that tests of timeouts are fast.
 pub(crate) const LIMITS: Limits = Limits {
     connect: Duration::from_millis(500),
     head: Duration::from_millis(500),
     idle: Duration::from_millis(500),
 };
 
-/// When a target goes on that has answered.
+/// The delay before a target continues after its answer.
 pub(crate) const GO_ON_AFTER: Duration = Duration::from_millis(20);
 
-/// A completion for [`MODEL`].
+/// Returns a completion call for [`MODEL`].
 pub(crate) fn completion(request: &str, tokens: u32, stream: bool) -> Call {
     completion_for(MODEL, request, tokens, stream)
 }
 
-/// A completion for any model.
+/// Returns a completion call for a model.
 pub(crate) fn completion_for(model: &str, request: &str, tokens: u32, stream: bool) -> Call {
     let body = format!(
         r#"{{"model":"{model}","prompt":"one two","max_tokens":{tokens},"stream":{stream}}}"#
@@ -46,7 +46,7 @@
     }
 }
 
-/// A call of a plain service.
+/// Returns a call to a plain service.
 pub(crate) fn plain(request: &str, idempotent: bool) -> Call {
     Call {
         method: Method::POST,
@@ -78,7 +78,7 @@
     Ok((into_text(text), answer.body.summary()))
 }
 
-/// A body that failed, and what was read of it before.
+/// The failure of a body, with the text that was read before.
 #[derive(Debug)]
 pub(crate) struct Failed {
     pub(crate) error: EngineError,
@@ -89,7 +89,7 @@
     String::from_utf8(bytes).expect("UTF-8")
 }
 
-/// Waits until something holds; the limit only keeps a test that fails from hanging.
+/// Waits until a condition holds; the limit only keeps a failing test from hanging.
 pub(crate) async fn until(mut holds: impl AsyncFnMut() -> bool) {
     let waited = async {
         while !holds().await {
@@ -111,22 +111,22 @@
         .map_err(|failed| failed.error)
 }
 
-/// What a scripted target does once it has read a request.
+/// A step of a scripted target, for one request.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// Closes the connection before it reads.
+    /// Closes the connection without reading.
     CloseUnread,
-    /// Reads a request, writes this, and goes on.
+    /// Reads a request, writes the text, and keeps the connection open.
     Answer(String),
-    /// Reads a request, writes this, and closes.
+    /// Reads a request, writes the text, and closes the connection.
     AnswerAndClose(String),
-    /// Reads a request, writes the first, and a little later the second, and closes.
+    /// Reads a request, writes the first text, after a delay the second, and closes the connection.
     AnswerAndGoOn(String, String),
-    /// Reads a request and says nothing.
+    /// Reads a request and never answers.
     Hang,
 }
 
-/// A target that follows a script, one step for each request, over all connections.
+/// A target that executes scripted steps, one per request, across all connections.
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedTarget {
     pub(crate) address: SocketAddr,
@@ -200,7 +200,7 @@
     close
 }
 
-/// Reads a request with a `Content-Length`; none if the connection ends before it.
+/// Reads a request with a `Content-Length`; returns `None` if the connection ends first.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut buf = Vec::new();
     loop {
@@ -219,13 +219,13 @@
     }
 }
 
-/// A response with a length.
+/// Returns a response with a content length.
 pub(crate) fn response(status: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\ncontent-length: {length}\r\n{headers}\r\n{body}")
 }
 
-/// A stream of events in chunks, each chunk as given; ended only if `ended`.
+/// Returns a stream response with the given chunks; the final empty chunk is added only if `ended`.
 pub(crate) fn chunked(chunks: &[&str], ended: bool) -> String {
     let mut text =
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -239,7 +239,7 @@
     text
 }
 
-/// An event of a stream served by `model`.
+/// Returns a stream event served by `model`.
 pub(crate) fn event(model: &str, text: &str) -> String {
     format!("data: {{\"choices\":[{{\"text\":\"{text}\"}}],\"model\":\"{model}\"}}\n\n")
 }
--- a/crates/chervilshunt_engine/tests/failures.rs
+++ b/crates/chervilshunt_engine/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Which error each failure at each stage gives, and what it says of whether the call ran.
+//! The error and the outcome for each failure at each stage of a call.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use rstest::rstest;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Names the variant, so that a table can hold it.
+/// Returns a name for the error's variant.
 fn kind(error: &EngineError) -> &'static str {
     match error {
         EngineError::NotSent { .. } => "not sent",
@@ -42,8 +42,8 @@
     }
 }
 
-/// The caller is told "not run" only if no byte of the call can have been read. The target closes,
-/// hangs or answers at each stage in turn; what it does next decides what can be known.
+/// Guards against a false "not run", which is reported only if the call cannot have run. The target
+/// closes, hangs or answers at each stage of the call.
 #[rstest]
 #[case::closed_before_reading(Step::CloseUnread, "outcome unknown", Outcome::Unknown)]
 #[case::closed_after_reading(
@@ -174,7 +174,7 @@
     assert!(target.seen().requests.len() <= 1, "the call was sent twice");
 }
 
-/// Nothing listens: connecting is refused, so that "not run" is true.
+/// If nothing listens, the connection is refused and the call is reported as "not run".
 #[tokio::test]
 async fn refused_connection_is_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -191,7 +191,8 @@
     );
 }
 
-/// The target's machine does not answer the handshake: no byte of the call has left.
+/// If the target's machine does not answer the TCP handshake, no byte of the call was sent, and it
+/// is reported as "not run".
 #[tokio::test]
 async fn handshake_timeout_is_not_run() {
     let socket = TcpSocket::new_v4().expect("socket");
@@ -200,7 +201,7 @@
         .expect("bind");
     let listener = socket.listen(1).expect("listen");
     let address = listener.local_addr().expect("address");
-    // Nobody accepts; once the queue is full the kernel drops further handshakes.
+    // Nothing accepts connections; once the backlog is full, the kernel drops further handshakes.
     let mut queued = Vec::new();
     for _ in 0..8 {
         let connecting = TcpStream::connect(address);
@@ -220,8 +221,8 @@
     );
 }
 
-/// A plain service runs the call and its answer is lost. The caller must not be told "not run", and
-/// the call must not be sent again.
+/// Guards against reporting "not run" or sending the call again when a plain service may have run it
+/// and its answer is lost.
 #[rstest]
 #[case::answer_lost(PlainFaultChange { lose_answers: Some(1), ..PlainFaultChange::default() }, 1)]
 #[case::cut_before_run(
@@ -253,7 +254,7 @@
     assert_eq!((service.runs("r").runs, service.stats().calls), (runs, 2));
 }
 
-/// A plain service's refusals are its own answers, whatever their status.
+/// Guards against converting a plain service's error status into an error of the client.
 #[tokio::test]
 async fn plain_service_answers_with_any_status() {
     let service = start_plain(PlainStandinConfig::default())
@@ -272,7 +273,7 @@
     assert_eq!(read(answer).await.expect("whole").0, "busy");
 }
 
-/// The answer of a plain service ends before its length: a cut one is told from a whole one.
+/// Guards against accepting a truncated answer of a plain service as complete.
 #[tokio::test]
 async fn short_answer_of_plain_service_is_broken_off() {
     let service = start_plain(PlainStandinConfig::default())
@@ -293,8 +294,8 @@
     assert!(!failed.read.is_empty());
 }
 
-/// The engine dies after three tokens. The caller keeps three whole events and no part of a fourth,
-/// so that the problem document that follows stands on a line of its own.
+/// Guards against passing on a partial event. The engine dies after three tokens; the caller gets
+/// three complete events, so that the problem document that follows starts on a new line.
 #[rstest]
 #[case::between_events(vec![event(MODEL, "x"), event(MODEL, "y"), event(MODEL, "z")])]
 #[case::inside_an_event(vec![
@@ -319,8 +320,8 @@
     assert_eq!(failed.read, whole);
 }
 
-/// Another adapter takes over in the middle of a stream: its first event is not handed on, not even
-/// the part of it that precedes the model's name.
+/// Guards against passing on output of another adapter that takes over during a stream, including
+/// the part of its first event that precedes the model name.
 #[tokio::test]
 async fn event_of_other_model_is_not_handed_on() {
     let wrong = event("b@1", "secret");
@@ -336,7 +337,7 @@
     assert_eq!(failed.read, event(MODEL, "x"));
 }
 
-/// Faults of an engine stand-in, each with the error that the caller's side sees.
+/// Each fault of an engine stand-in gives its error.
 #[rstest]
 #[case::down(EngineFaultChange { down: Some(true), ..EngineFaultChange::default() }, "not sent")]
 #[case::frozen(
@@ -376,7 +377,7 @@
         until(async || TcpStream::connect(engine.address).await.is_err()).await;
     }
 
-    // A new client has no connection that the fault may be cutting just now.
+    // A new client has no pooled connection that the fault may be closing at this moment.
     let client = EngineClient::new(engine.address);
     let error = run(&client, completion("r", 4, stream))
         .await
@@ -386,7 +387,7 @@
     assert!(engine.runs("r").runs <= 1);
 }
 
-/// The limits that the table above waits for are the ones that were asked for.
+/// A timeout error contains the limit of the call.
 #[tokio::test]
 async fn timeout_says_its_limit() {
     let target = ScriptedTarget::start(vec![Step::Hang]).await;
--- a/crates/chervilshunt_engine/tests/scanner.rs
+++ b/crates/chervilshunt_engine/tests/scanner.rs
@@ -1,4 +1,4 @@
-//! The scanner's verdict does not depend on how the bytes of a stream are split.
+//! The result of the scanner does not depend on how the bytes of a stream are split.
 
 use chervilshunt_engine::{EngineError, SseScanner, Usage};
 use proptest::prelude::*;
@@ -6,10 +6,10 @@
 
 const MODEL: &str = "a@1";
 
-/// What a scanner made of a whole stream.
+/// The result of scanning a complete stream.
 #[derive(Debug, PartialEq, Eq)]
 struct Verdict {
-    /// The bytes that passed.
+    /// The text of the valid events.
     passed: String,
     failure: Option<String>,
     done: bool,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Splits `text` at these places, taken modulo its length.
+/// Splits `text` at the given positions, taken modulo its length plus one.
 fn split<'a>(text: &'a [u8], places: &[usize]) -> Vec<&'a [u8]> {
     let mut places: Vec<usize> = places
         .iter()
@@ -70,8 +70,8 @@
     pieces
 }
 
-/// A value of the kinds that a chunk of a completion can hold, with keys that look like those that
-/// are watched.
+/// Generates JSON values that a completion chunk can contain, including nested keys that equal the
+/// scanned ones.
 fn value() -> impl Strategy<Value = serde_json::Value> {
     let leaf = prop_oneof![
         Just(serde_json::Value::Null),
@@ -96,7 +96,7 @@
     })
 }
 
-/// A chunk: members in any order, the model's right or wrong, with or without usage or error.
+/// Generates completion chunks with a right, wrong or missing model, with or without usage or error.
 fn chunk() -> impl Strategy<Value = serde_json::Value> {
     let model = prop_oneof![
         8 => Just(Some(MODEL.to_owned())),
@@ -131,7 +131,7 @@
     })
 }
 
-/// What a scanner has to say of whole events, by a parser that reads each one as a whole.
+/// Returns the expected verdict on complete events, from a parser that reads each one as a whole.
 fn oracle(chunks: &[serde_json::Value], ending: &str, done: bool) -> Verdict {
     let mut verdict = Verdict {
         passed: String::new(),
