--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -15,7 +15,7 @@
 use super::run::End;
 use super::state::{Admission, Connection};
 use crate::error::RequestError;
-use crate::frame::{Head, decode_message, split, wire_bytes};
+use crate::frame::{FrameHeader, decode_message, split, wire_bytes};
 use crate::message::{Inbound, InboundMessage, Purpose, Reply};
 use crate::outgoing::REFUSAL;
 use crate::shared::Shared;
@@ -68,7 +68,7 @@
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
-    let (head, body) = match split(frame) {
+    let (header, body) = match split(frame) {
         Ok(parts) => parts,
         Err(error) => {
             shared.unreadable(&connection.identity.peer, &error);
@@ -76,23 +76,23 @@
         }
     };
     let bytes = wire_bytes(frame.len(), !connection.identity.dialled);
-    match head {
-        Head::OneWay => {
+    match header {
+        FrameHeader::OneWay => {
             if let Some(message) = decode(shared, connection, body, bytes) {
                 let inbound = inbound(connection, message, None);
                 drop(shared.inbound.send(inbound).await);
             }
         }
-        Head::Request(id) => take_request(shared, connection, id, body, bytes),
-        Head::Answer(id) => {
+        FrameHeader::Request(id) => take_request(shared, connection, id, body, bytes),
+        FrameHeader::Answer(id) => {
             let answer = decode(shared, connection, body, bytes);
             connection.end(id, answer.ok_or(RequestError::Unanswered));
         }
-        Head::Busy(id) => {
+        FrameHeader::Busy(id) => {
             shared.counters.message_in(REFUSAL, bytes);
             connection.end(id, Err(RequestError::Busy));
         }
-        Head::Dropped(id) => {
+        FrameHeader::Dropped(id) => {
             shared.counters.message_in(REFUSAL, bytes);
             connection.end(id, Err(RequestError::Unanswered));
         }
@@ -118,13 +118,13 @@
         return;
     }
     let Some(message) = message else {
-        connection.give_up(Head::Dropped(id));
+        connection.give_up(FrameHeader::Dropped(id));
         return;
     };
     let room = shared.inbound.try_reserve();
     let (Admission::Accepted, Ok(room)) = (admission, room) else {
         shared.counters.busy.add(1);
-        connection.give_up(Head::Busy(id));
+        connection.give_up(FrameHeader::Busy(id));
         return;
     };
     let reply = Reply::remote(Arc::clone(shared), Arc::clone(connection), id);
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::RequestError;
-use crate::frame::Head;
+use crate::frame::FrameHeader;
 use crate::handshake::ProcessId;
 use crate::liveness::{Activity, Liveness, Step};
 use crate::outgoing::{Outgoing, OutgoingRequest, REFUSAL};
@@ -163,9 +163,9 @@
     }
 
     /// Queues a refusal, which informs the peer that its request gets no answer.
-    pub(crate) fn give_up(&self, head: Head) {
+    pub(crate) fn give_up(&self, header: FrameHeader) {
         self.enqueue_answer(Outgoing::Answer {
-            head,
+            header,
             body: None,
             purpose: REFUSAL,
         });
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -12,7 +12,7 @@
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
 use super::state::Connection;
-use crate::frame::{Head, assemble, wire_bytes};
+use crate::frame::{FrameHeader, assemble, wire_bytes};
 use crate::liveness::Step;
 use crate::outgoing::Outgoing;
 use crate::shared::Shared;
@@ -132,17 +132,19 @@
 
 fn prepare<M>(connection: &Connection<M>, out: Outgoing<M>) -> Option<(Bytes, &'static str)> {
     match out {
-        Outgoing::OneWay { body, purpose } => Some((assemble(Head::OneWay, Some(&body)), purpose)),
+        Outgoing::OneWay { body, purpose } => {
+            Some((assemble(FrameHeader::OneWay, Some(&body)), purpose))
+        }
         Outgoing::Answer {
-            head,
+            header,
             body,
             purpose,
-        } => Some((assemble(head, body.as_ref()), purpose)),
+        } => Some((assemble(header, body.as_ref()), purpose)),
         Outgoing::Request(req) => {
             let body = req.body.clone();
             let purpose = req.purpose;
             let id = connection.begin(req, Instant::now())?;
-            Some((assemble(Head::Request(id), Some(&body)), purpose))
+            Some((assemble(FrameHeader::Request(id), Some(&body)), purpose))
         }
     }
 }
--- a/crates/chervilshunt_mesh/src/frame.rs
+++ b/crates/chervilshunt_mesh/src/frame.rs
@@ -22,11 +22,11 @@
 const KIND_DROPPED: u64 = 4;
 
 /// The maximum size of a header: a CBOR type byte and an integer of eight bytes.
-const MAX_HEAD_BYTES: usize = 9;
+const MAX_HEADER_BYTES: usize = 9;
 
 /// The header of a frame: its kind and, except for one-way messages, the request number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Head {
+pub(crate) enum FrameHeader {
     /// A message without an answer.
     OneWay,
     /// A request; its answer carries the same number.
@@ -39,7 +39,7 @@
     Dropped(u64),
 }
 
-impl Head {
+impl FrameHeader {
     const fn to_integer(self) -> u64 {
         let (kind, id) = match self {
             Self::OneWay => (KIND_ONE_WAY, 0),
@@ -69,7 +69,7 @@
 pub(crate) enum FrameError {
     /// The header is not an integer, or its kind is unknown.
     #[snafu(display("the frame has no valid header"))]
-    BadHead,
+    BadHeader,
     /// The message is not of the expected type.
     #[snafu(display("cannot decode the message: {source}"))]
     BadMessage {
@@ -92,10 +92,10 @@
 }
 
 /// Assembles a frame from its header and, for kinds that carry one, an encoded message.
-pub(crate) fn assemble(head: Head, message: Option<&Bytes>) -> Bytes {
+pub(crate) fn assemble(header: FrameHeader, message: Option<&Bytes>) -> Bytes {
     let len = message.map_or(0, Bytes::len);
-    let mut buf = Vec::with_capacity(MAX_HEAD_BYTES + len);
-    ciborium::into_writer(&head.to_integer(), &mut buf)
+    let mut buf = Vec::with_capacity(MAX_HEADER_BYTES + len);
+    ciborium::into_writer(&header.to_integer(), &mut buf)
         .expect("writing an integer to memory cannot fail");
     if let Some(message) = message {
         buf.extend_from_slice(message);
@@ -104,11 +104,12 @@
 }
 
 /// Splits a frame into its header and the bytes of its message.
-pub(crate) fn split(frame: &[u8]) -> Result<(Head, &[u8]), FrameError> {
+pub(crate) fn split(frame: &[u8]) -> Result<(FrameHeader, &[u8]), FrameError> {
     let mut rest = frame;
-    let value: u64 = ciborium::from_reader(&mut rest).map_err(|_malformed| BadHeadSnafu.build())?;
-    let head = Head::from_integer(value).ok_or_else(|| BadHeadSnafu.build())?;
-    Ok((head, rest))
+    let value: u64 =
+        ciborium::from_reader(&mut rest).map_err(|_malformed| BadHeaderSnafu.build())?;
+    let header = FrameHeader::from_integer(value).ok_or_else(|| BadHeaderSnafu.build())?;
+    Ok((header, rest))
 }
 
 /// Decodes a message.
@@ -117,7 +118,7 @@
 }
 
 /// The maximum number of bytes that a frame adds to its message.
-pub(crate) const MAX_FRAME_OVERHEAD: usize = MAX_HEAD_BYTES;
+pub(crate) const MAX_FRAME_OVERHEAD: usize = MAX_HEADER_BYTES;
 
 /// Returns the size in bytes of a WebSocket frame with the given payload (RFC 6455, section 5.2).
 pub(crate) const fn wire_bytes(payload: usize, masked: bool) -> u64 {
--- a/crates/chervilshunt_mesh/src/message.rs
+++ b/crates/chervilshunt_mesh/src/message.rs
@@ -9,7 +9,7 @@
 
 use crate::connection::Connection;
 use crate::error::{RequestError, SendError};
-use crate::frame::Head;
+use crate::frame::FrameHeader;
 use crate::shared::Shared;
 
 /// The purpose of a message, to which its bytes are attributed in metrics.
@@ -112,7 +112,9 @@
 impl<M> Drop for Reply<M> {
     fn drop(&mut self) {
         match self.way.take() {
-            Some(Way::Remote { connection, id, .. }) => connection.give_up(Head::Dropped(id)),
+            Some(Way::Remote { connection, id, .. }) => {
+                connection.give_up(FrameHeader::Dropped(id))
+            }
             Some(Way::Local(tx)) => {
                 drop(tx.send(Err(RequestError::Unanswered)));
             }
--- a/crates/chervilshunt_mesh/src/outgoing.rs
+++ b/crates/chervilshunt_mesh/src/outgoing.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 use crate::error::{RequestError, SendError};
-use crate::frame::Head;
+use crate::frame::FrameHeader;
 
 /// The purpose under which refusals of requests are counted.
 pub(crate) const REFUSAL: &str = "refusal";
@@ -21,7 +21,7 @@
     Request(OutgoingRequest<M>),
     /// An answer to a peer's request, or the refusal of one.
     Answer {
-        head: Head,
+        header: FrameHeader,
         body: Option<Bytes>,
         purpose: &'static str,
     },
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -17,7 +17,7 @@
 use crate::counters::Counters;
 use crate::dial::spawn_dial;
 use crate::error::{RequestError, SendError};
-use crate::frame::{FrameError, Head, encode_message};
+use crate::frame::{FrameError, FrameHeader, encode_message};
 use crate::handshake::ProcessId;
 use crate::liveness::Liveness;
 use crate::message::{Inbound, Purpose};
@@ -89,12 +89,12 @@
         let body = match self.encode(message) {
             Ok(body) => body,
             Err(error) => {
-                connection.give_up(Head::Dropped(id));
+                connection.give_up(FrameHeader::Dropped(id));
                 return Err(error);
             }
         };
         let sent = connection.enqueue_answer(Outgoing::Answer {
-            head: Head::Answer(id),
+            header: FrameHeader::Answer(id),
             body: Some(body),
             purpose: message.purpose(),
         });
