--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -34,7 +34,7 @@
     while let Some(received) = stream.next().await {
         match received {
             Ok(WsMessage::Binary(frame)) => {
-                connection.heard(true, Instant::now());
+                connection.record_received(true, Instant::now());
                 deliver(shared, connection, &frame).await;
             }
             Ok(WsMessage::Close(close)) => {
@@ -42,7 +42,7 @@
                 connection.stop.cancel();
                 end = End::of_close(close.as_ref());
             }
-            Ok(_) => connection.heard(false, Instant::now()),
+            Ok(_) => connection.record_received(false, Instant::now()),
             Err(error) => {
                 if end == End::Broken {
                     warn!(shared.log, "connection failed while reading";
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -76,7 +76,7 @@
     /// This side's requests that were written and await an answer, by request number.
     pending: HashMap<u64, OutgoingRequest<M>>,
     next_id: u64,
-    heard: Instant,
+    last_received: Instant,
     used: Instant,
     pinged: Option<Instant>,
     waiting_since: Option<Instant>,
@@ -114,7 +114,7 @@
                 unanswered: 0,
                 pending: HashMap::new(),
                 next_id: 0,
-                heard: now,
+                last_received: now,
                 used: now,
                 pinged: None,
                 waiting_since: None,
@@ -227,9 +227,9 @@
     }
 
     /// Records that data arrived; only messages, not pongs, count as use of the connection.
-    pub(crate) fn heard(&self, is_message: bool, now: Instant) {
+    pub(crate) fn record_received(&self, is_message: bool, now: Instant) {
         let mut state = self.lock();
-        state.heard = now;
+        state.last_received = now;
         if is_message {
             state.used = now;
         }
@@ -239,7 +239,7 @@
         let mut state = self.lock();
         state.forget_abandoned();
         let activity = Activity {
-            heard: state.heard,
+            last_received: state.last_received,
             used: state.used,
             pinged: state.pinged,
             waiting_since: state.waiting_since,
--- a/crates/chervilshunt_mesh/src/liveness.rs
+++ b/crates/chervilshunt_mesh/src/liveness.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Activity {
     /// When data was last received, including pongs.
-    pub(crate) heard: Instant,
+    pub(crate) last_received: Instant,
     /// When a message was last sent or received.
     pub(crate) used: Instant,
     /// When the last ping was sent.
@@ -49,7 +49,9 @@
         let Some(waiting_since) = activity.waiting_since else {
             return self.idle_step(activity, now);
         };
-        let unanswered = activity.pinged.filter(|pinged| *pinged > activity.heard);
+        let unanswered = activity
+            .pinged
+            .filter(|pinged| *pinged > activity.last_received);
         if let Some(pinged) = unanswered {
             let bound = pinged + self.ping_timeout;
             return if now >= bound {
@@ -58,7 +60,7 @@
                 Step::Wait(bound)
             };
         }
-        let quiet_until = activity.heard.max(waiting_since) + self.ping_after;
+        let quiet_until = activity.last_received.max(waiting_since) + self.ping_after;
         if now >= quiet_until {
             Step::Ping
         } else {
--- a/crates/chervilshunt_mesh/src/liveness/tests.rs
+++ b/crates/chervilshunt_mesh/src/liveness/tests.rs
@@ -34,7 +34,7 @@
 #[case::ping_answered(13, Some(10), Some(12), false, 15, Told::Ping)]
 #[case::an_old_ping_is_no_matter(13, None, Some(12), false, 20, Told::Wait(73))]
 fn steps(
-    #[case] heard: u64,
+    #[case] last_received: u64,
     #[case] waiting_since: Option<u64>,
     #[case] pinged: Option<u64>,
     #[case] busy: bool,
@@ -44,8 +44,8 @@
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
     let activity = Activity {
-        heard: at(heard),
-        used: at(heard),
+        last_received: at(last_received),
+        used: at(last_received),
         pinged: pinged.map(at),
         waiting_since: waiting_since.map(at),
         busy,
