--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -77,8 +77,8 @@
     pending: HashMap<u64, OutgoingRequest<M>>,
     next_id: u64,
     last_received: Instant,
-    used: Instant,
-    pinged: Option<Instant>,
+    last_used: Instant,
+    last_ping: Option<Instant>,
     waiting_since: Option<Instant>,
 }
 
@@ -115,8 +115,8 @@
                 pending: HashMap::new(),
                 next_id: 0,
                 last_received: now,
-                used: now,
-                pinged: None,
+                last_used: now,
+                last_ping: None,
                 waiting_since: None,
             }),
         };
@@ -136,7 +136,7 @@
     pub(crate) fn idle_since(&self) -> Option<Instant> {
         let mut state = self.lock();
         state.forget_abandoned();
-        (!state.closing && state.is_idle()).then_some(state.used)
+        (!state.closing && state.is_idle()).then_some(state.last_used)
     }
 
     /// Queues a message; returns it as the error if the queue is full or the connection is closing.
@@ -216,14 +216,14 @@
     }
 
     /// Records that `count` queued messages were written or skipped.
-    pub(crate) fn wrote(&self, count: usize, now: Instant) {
+    pub(crate) fn record_written(&self, count: usize, now: Instant) {
         let mut state = self.lock();
         state.queued = state.queued.saturating_sub(count);
-        state.used = now;
+        state.last_used = now;
     }
 
-    pub(crate) fn pinged(&self, now: Instant) {
-        self.lock().pinged = Some(now);
+    pub(crate) fn record_ping(&self, now: Instant) {
+        self.lock().last_ping = Some(now);
     }
 
     /// Records that data arrived; only messages, not pongs, count as use of the connection.
@@ -231,7 +231,7 @@
         let mut state = self.lock();
         state.last_received = now;
         if is_message {
-            state.used = now;
+            state.last_used = now;
         }
     }
 
@@ -240,8 +240,8 @@
         state.forget_abandoned();
         let activity = Activity {
             last_received: state.last_received,
-            used: state.used,
-            pinged: state.pinged,
+            last_used: state.last_used,
+            last_ping: state.last_ping,
             waiting_since: state.waiting_since,
             busy: state.queued > 0 || state.unanswered > 0,
         };
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -74,7 +74,7 @@
                 Step::Wait(until) => timer.as_mut().reset(until),
                 Step::Ping => {
                     let now = Instant::now();
-                    connection.pinged(now);
+                    connection.record_ping(now);
                     timer.as_mut().reset(now + shared.liveness.ping_timeout);
                     write_in_time(shared, sink.send(WsMessage::Ping(Bytes::new()))).await?;
                 }
@@ -115,7 +115,7 @@
         };
     }
     write_in_time(shared, sink.flush()).await?;
-    connection.wrote(count, Instant::now());
+    connection.record_written(count, Instant::now());
     Ok(())
 }
 
--- a/crates/chervilshunt_mesh/src/liveness.rs
+++ b/crates/chervilshunt_mesh/src/liveness.rs
@@ -21,9 +21,9 @@
     /// When data was last received, including pongs.
     pub(crate) last_received: Instant,
     /// When a message was last sent or received.
-    pub(crate) used: Instant,
+    pub(crate) last_used: Instant,
     /// When the last ping was sent.
-    pub(crate) pinged: Option<Instant>,
+    pub(crate) last_ping: Option<Instant>,
     /// Since when at least one of this side's requests has been awaiting an answer.
     pub(crate) waiting_since: Option<Instant>,
     /// Whether messages wait to be written, or requests of the peer wait to be answered.
@@ -50,7 +50,7 @@
             return self.idle_step(activity, now);
         };
         let unanswered = activity
-            .pinged
+            .last_ping
             .filter(|pinged| *pinged > activity.last_received);
         if let Some(pinged) = unanswered {
             let bound = pinged + self.ping_timeout;
@@ -72,7 +72,7 @@
         if activity.busy {
             return Step::Wait(now + self.idle_timeout);
         }
-        let bound = activity.used + self.idle_timeout;
+        let bound = activity.last_used + self.idle_timeout;
         if now >= bound {
             Step::CloseIdle
         } else {
--- a/crates/chervilshunt_mesh/src/liveness/tests.rs
+++ b/crates/chervilshunt_mesh/src/liveness/tests.rs
@@ -36,7 +36,7 @@
 fn steps(
     #[case] last_received: u64,
     #[case] waiting_since: Option<u64>,
-    #[case] pinged: Option<u64>,
+    #[case] last_ping: Option<u64>,
     #[case] busy: bool,
     #[case] now: u64,
     #[case] told: Told,
@@ -45,8 +45,8 @@
     let at = |seconds| start + Duration::from_secs(seconds);
     let activity = Activity {
         last_received: at(last_received),
-        used: at(last_received),
-        pinged: pinged.map(at),
+        last_used: at(last_received),
+        last_ping: last_ping.map(at),
         waiting_since: waiting_since.map(at),
         busy,
     };
