--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -12,7 +12,7 @@
 use crate::error::RequestError;
 use crate::frame::FrameHeader;
 use crate::handshake::ProcessId;
-use crate::liveness::{Activity, Liveness, Step};
+use crate::liveness::{Activity, Liveness, LivenessAction};
 use crate::outgoing::{Outgoing, OutgoingRequest, REFUSAL};
 
 /// The identity of a connection and of the peer at its other end.
@@ -235,7 +235,7 @@
         }
     }
 
-    pub(crate) fn step(&self, liveness: &Liveness, now: Instant) -> Step {
+    pub(crate) fn next_action(&self, liveness: &Liveness, now: Instant) -> LivenessAction {
         let mut state = self.lock();
         state.forget_abandoned();
         let activity = Activity {
@@ -245,7 +245,7 @@
             waiting_since: state.waiting_since,
             busy: state.queued > 0 || state.unanswered > 0,
         };
-        liveness.step(&activity, now)
+        liveness.next_action(&activity, now)
     }
 
     /// Begins the closing handshake if the connection is idle, and returns whether it did.
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -13,7 +13,7 @@
 
 use super::state::Connection;
 use crate::frame::{FrameHeader, assemble, wire_bytes};
-use crate::liveness::Step;
+use crate::liveness::LivenessAction;
 use crate::outgoing::Outgoing;
 use crate::shared::Shared;
 
@@ -70,16 +70,16 @@
                     timer.as_mut().reset(watch_from);
                 }
             }
-            () = &mut timer => match connection.step(&shared.liveness, Instant::now()) {
-                Step::Wait(until) => timer.as_mut().reset(until),
-                Step::Ping => {
+            () = &mut timer => match connection.next_action(&shared.liveness, Instant::now()) {
+                LivenessAction::Wait(until) => timer.as_mut().reset(until),
+                LivenessAction::Ping => {
                     let now = Instant::now();
                     connection.record_ping(now);
                     timer.as_mut().reset(now + shared.liveness.ping_timeout);
                     write_in_time(shared, sink.send(WsMessage::Ping(Bytes::new()))).await?;
                 }
-                Step::GiveUp => return Err(WriteError::Silent),
-                Step::CloseIdle => {
+                LivenessAction::GiveUp => return Err(WriteError::Silent),
+                LivenessAction::CloseIdle => {
                     // If the connection is still idle, the `close_begun` branch runs next.
                     connection.close_if_idle();
                     timer.as_mut().reset(Instant::now() + shared.liveness.idle_timeout);
--- a/crates/chervilshunt_mesh/src/liveness.rs
+++ b/crates/chervilshunt_mesh/src/liveness.rs
@@ -32,7 +32,7 @@
 
 /// The next liveness action on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
+pub(crate) enum LivenessAction {
     /// Check again at this time.
     Wait(Instant),
     /// Send a ping.
@@ -45,9 +45,9 @@
 
 impl Liveness {
     /// Returns the action that is due now.
-    pub(crate) fn step(&self, activity: &Activity, now: Instant) -> Step {
+    pub(crate) fn next_action(&self, activity: &Activity, now: Instant) -> LivenessAction {
         let Some(waiting_since) = activity.waiting_since else {
-            return self.idle_step(activity, now);
+            return self.idle_action(activity, now);
         };
         let unanswered = activity
             .last_ping
@@ -55,28 +55,28 @@
         if let Some(pinged) = unanswered {
             let bound = pinged + self.ping_timeout;
             return if now >= bound {
-                Step::GiveUp
+                LivenessAction::GiveUp
             } else {
-                Step::Wait(bound)
+                LivenessAction::Wait(bound)
             };
         }
-        let quiet_until = activity.last_received.max(waiting_since) + self.ping_after;
-        if now >= quiet_until {
-            Step::Ping
+        let ping_due = activity.last_received.max(waiting_since) + self.ping_after;
+        if now >= ping_due {
+            LivenessAction::Ping
         } else {
-            Step::Wait(quiet_until)
+            LivenessAction::Wait(ping_due)
         }
     }
 
-    fn idle_step(&self, activity: &Activity, now: Instant) -> Step {
+    fn idle_action(&self, activity: &Activity, now: Instant) -> LivenessAction {
         if activity.busy {
-            return Step::Wait(now + self.idle_timeout);
+            return LivenessAction::Wait(now + self.idle_timeout);
         }
         let bound = activity.last_used + self.idle_timeout;
         if now >= bound {
-            Step::CloseIdle
+            LivenessAction::CloseIdle
         } else {
-            Step::Wait(bound)
+            LivenessAction::Wait(bound)
         }
     }
 }
--- a/crates/chervilshunt_mesh/src/liveness/tests.rs
+++ b/crates/chervilshunt_mesh/src/liveness/tests.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use super::{Activity, Liveness, Step};
+use super::{Activity, Liveness, LivenessAction};
 
 const LIVENESS: Liveness = Liveness {
     ping_after: Duration::from_secs(2),
@@ -15,7 +15,7 @@
 
 /// The expected action, with the time to wait for in seconds.
 #[derive(Debug, PartialEq)]
-enum Told {
+enum ExpectedAction {
     Wait(u64),
     Ping,
     GiveUp,
@@ -23,23 +23,23 @@
 }
 
 #[rstest]
-#[case::quiet_with_nothing_waiting(0, None, None, false, 59, Told::Wait(60))]
-#[case::idle(0, None, None, false, 60, Told::CloseIdle)]
-#[case::idle_but_busy(0, None, None, true, 100, Told::Wait(160))]
-#[case::waits_briefly(0, Some(10), None, false, 11, Told::Wait(12))]
-#[case::waits_long(0, Some(10), None, false, 12, Told::Ping)]
-#[case::heard_meanwhile(11, Some(10), None, false, 12, Told::Wait(13))]
-#[case::pinged(0, Some(10), Some(12), false, 14, Told::Wait(15))]
-#[case::ping_unanswered(0, Some(10), Some(12), false, 15, Told::GiveUp)]
-#[case::ping_answered(13, Some(10), Some(12), false, 15, Told::Ping)]
-#[case::an_old_ping_is_no_matter(13, None, Some(12), false, 20, Told::Wait(73))]
-fn steps(
+#[case::quiet_with_nothing_waiting(0, None, None, false, 59, ExpectedAction::Wait(60))]
+#[case::idle(0, None, None, false, 60, ExpectedAction::CloseIdle)]
+#[case::idle_but_busy(0, None, None, true, 100, ExpectedAction::Wait(160))]
+#[case::waits_briefly(0, Some(10), None, false, 11, ExpectedAction::Wait(12))]
+#[case::waits_long(0, Some(10), None, false, 12, ExpectedAction::Ping)]
+#[case::heard_meanwhile(11, Some(10), None, false, 12, ExpectedAction::Wait(13))]
+#[case::pinged(0, Some(10), Some(12), false, 14, ExpectedAction::Wait(15))]
+#[case::ping_unanswered(0, Some(10), Some(12), false, 15, ExpectedAction::GiveUp)]
+#[case::ping_answered(13, Some(10), Some(12), false, 15, ExpectedAction::Ping)]
+#[case::an_old_ping_is_no_matter(13, None, Some(12), false, 20, ExpectedAction::Wait(73))]
+fn next_action_is_due(
     #[case] last_received: u64,
     #[case] waiting_since: Option<u64>,
     #[case] last_ping: Option<u64>,
     #[case] busy: bool,
     #[case] now: u64,
-    #[case] told: Told,
+    #[case] expected: ExpectedAction,
 ) {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
@@ -50,11 +50,11 @@
         waiting_since: waiting_since.map(at),
         busy,
     };
-    let step = match LIVENESS.step(&activity, at(now)) {
-        Step::Wait(until) => Told::Wait((until - start).as_secs()),
-        Step::Ping => Told::Ping,
-        Step::GiveUp => Told::GiveUp,
-        Step::CloseIdle => Told::CloseIdle,
+    let action = match LIVENESS.next_action(&activity, at(now)) {
+        LivenessAction::Wait(until) => ExpectedAction::Wait((until - start).as_secs()),
+        LivenessAction::Ping => ExpectedAction::Ping,
+        LivenessAction::GiveUp => ExpectedAction::GiveUp,
+        LivenessAction::CloseIdle => ExpectedAction::CloseIdle,
     };
-    assert_eq!(step, told);
+    assert_eq!(action, expected);
 }
