--- a/crates/chervilshunt_mesh/src/message.rs
+++ b/crates/chervilshunt_mesh/src/message.rs
@@ -40,7 +40,7 @@
     pub message: M,
     /// When it was read from its connection; an overloaded application may take it much later.
     pub received_at: Instant,
-    /// The handle for the answer; `None` for a one-way message.
+    /// The handle for the answer; `None` for a one-channel message.
     pub reply: Option<Reply<M>>,
 }
 
@@ -49,11 +49,11 @@
 /// Dropping it notifies the peer immediately that there will be no answer.
 #[derive(Debug)]
 pub struct Reply<M> {
-    way: Option<Way<M>>,
+    channel: Option<ReplyChannel<M>>,
 }
 
 #[derive(Debug)]
-enum Way<M> {
+enum ReplyChannel<M> {
     Remote {
         shared: Arc<Shared<M>>,
         connection: Arc<Connection<M>>,
@@ -65,7 +65,7 @@
 impl<M> Reply<M> {
     pub(crate) fn remote(shared: Arc<Shared<M>>, connection: Arc<Connection<M>>, id: u64) -> Self {
         Self {
-            way: Some(Way::Remote {
+            channel: Some(ReplyChannel::Remote {
                 shared,
                 connection,
                 id,
@@ -75,16 +75,16 @@
 
     pub(crate) fn local(tx: oneshot::Sender<Result<M, RequestError>>) -> Self {
         Self {
-            way: Some(Way::Local(tx)),
+            channel: Some(ReplyChannel::Local(tx)),
         }
     }
 
     /// Returns whether the answer can no longer be delivered, as the connection has ended or a
     /// local sender no longer waits.
     pub fn is_closed(&self) -> bool {
-        match &self.way {
-            Some(Way::Remote { connection, .. }) => connection.is_done(),
-            Some(Way::Local(tx)) => tx.is_closed(),
+        match &self.channel {
+            Some(ReplyChannel::Remote { connection, .. }) => connection.is_done(),
+            Some(ReplyChannel::Local(tx)) => tx.is_closed(),
             None => true,
         }
     }
@@ -97,13 +97,15 @@
     /// Fails if the connection has ended, or if the answer is too large or cannot be encoded. The
     /// peer needs no further notification: its request fails with the connection, or immediately.
     pub fn send(mut self, message: M) -> Result<(), SendError> {
-        match self.way.take() {
-            Some(Way::Remote {
+        match self.channel.take() {
+            Some(ReplyChannel::Remote {
                 shared,
                 connection,
                 id,
             }) => shared.answer(&connection, id, &message),
-            Some(Way::Local(tx)) => tx.send(Ok(message)).map_err(|_answer| SendError::ShutDown),
+            Some(ReplyChannel::Local(tx)) => {
+                tx.send(Ok(message)).map_err(|_answer| SendError::ShutDown)
+            }
             None => Ok(()),
         }
     }
@@ -111,11 +113,11 @@
 
 impl<M> Drop for Reply<M> {
     fn drop(&mut self) {
-        match self.way.take() {
-            Some(Way::Remote { connection, id, .. }) => {
+        match self.channel.take() {
+            Some(ReplyChannel::Remote { connection, id, .. }) => {
                 connection.give_up(FrameHeader::Dropped(id))
             }
-            Some(Way::Local(tx)) => {
+            Some(ReplyChannel::Local(tx)) => {
                 drop(tx.send(Err(RequestError::Unanswered)));
             }
             None => {}
