--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -143,7 +143,7 @@
         let link = self.link(&hello.instance);
         let mut stale = Vec::new();
         for earlier in &link.connections {
-            if is_over(&earlier.identity, hello, dialled) {
+            if is_superseded(&earlier.identity, hello, dialled) {
                 earlier.kill.cancel();
                 stale.push(earlier.done.clone());
             }
@@ -152,7 +152,7 @@
             .connections
             .iter()
             .find(|connection| connection.is_usable())
-            .map(|twin| Arc::clone(&twin.session))
+            .map(|other| Arc::clone(&other.session))
             .unwrap_or_default();
         let identity = Identity {
             serial,
@@ -203,7 +203,7 @@
 /// that it opened earlier have ended, and so have those opened by this side that the peer had
 /// registered before it began to dial. A connection from this side that the peer had not yet
 /// registered at that time stays open beside the new one.
-fn is_over(earlier: &Identity, hello: &PeerHello, dialled: bool) -> bool {
+fn is_superseded(earlier: &Identity, hello: &PeerHello, dialled: bool) -> bool {
     let restarted = earlier.peer_process != hello.process;
     let ended_by_peer = !dialled && (!earlier.dialled || earlier.peer_serial <= hello.serial);
     restarted || ended_by_peer
--- a/crates/chervilshunt_mesh/src/table/tests.rs
+++ b/crates/chervilshunt_mesh/src/table/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{Identity, PeerHello, is_over};
+use super::{Identity, PeerHello, is_superseded};
 use crate::handshake::ProcessId;
 
 #[rstest]
@@ -18,7 +18,7 @@
     #[case] new_dialled: bool,
     #[case] same_process: bool,
     #[case] hello_serial: u64,
-    #[case] over: bool,
+    #[case] superseded: bool,
 ) {
     let process = ProcessId::random();
     let earlier = Identity {
@@ -37,5 +37,5 @@
         },
         serial: hello_serial,
     };
-    assert_eq!(is_over(&earlier, &hello, new_dialled), over);
+    assert_eq!(is_superseded(&earlier, &hello, new_dialled), superseded);
 }
