--- a/crates/chervilshunt_mesh/src/connection.rs
+++ b/crates/chervilshunt_mesh/src/connection.rs
@@ -5,5 +5,5 @@
 mod state;
 mod write;
 
-pub(crate) use run::{End, finish, run};
+pub(crate) use run::{EndReason, finish, run};
 pub(crate) use state::{Connection, Identity, Session};
--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -12,7 +12,7 @@
 use tokio_tungstenite::tungstenite::protocol::frame::coding::CloseCode;
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
-use super::run::End;
+use super::run::EndReason;
 use super::state::{Admission, Connection};
 use crate::error::RequestError;
 use crate::frame::{FrameHeader, decode_message, split, wire_bytes};
@@ -25,12 +25,12 @@
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
     mut stream: S,
-) -> End
+) -> EndReason
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
     S: Stream<Item = Result<WsMessage, WsError>> + Unpin,
 {
-    let mut end = End::Broken;
+    let mut end = EndReason::Broken;
     while let Some(received) = stream.next().await {
         match received {
             Ok(WsMessage::Binary(frame)) => {
@@ -40,11 +40,11 @@
             Ok(WsMessage::Close(close)) => {
                 connection.mark_closing();
                 connection.stop.cancel();
-                end = End::of_close(close.as_ref());
+                end = EndReason::of_close(close.as_ref());
             }
             Ok(_) => connection.record_received(false, Instant::now()),
             Err(error) => {
-                if end == End::Broken {
+                if end == EndReason::Broken {
                     warn!(shared.log, "connection failed while reading";
                         "peer" => %connection.identity.peer, "error" => %error);
                 }
@@ -55,7 +55,7 @@
     end
 }
 
-impl End {
+impl EndReason {
     fn of_close(close: Option<&CloseFrame>) -> Self {
         match close {
             Some(frame) if frame.code == CloseCode::Normal => Self::Idle,
--- a/crates/chervilshunt_mesh/src/connection/run.rs
+++ b/crates/chervilshunt_mesh/src/connection/run.rs
@@ -21,7 +21,7 @@
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum EndReason {
     /// It was closed because it was idle; the peer did not handle any request that is unanswered.
     Idle,
     /// The handshake did not complete on this side; nothing was written or read.
@@ -52,7 +52,7 @@
         "peer" => %connection.identity.peer, "dialled" => connection.identity.dialled);
     let end = tokio::select! {
         biased;
-        () = connection.kill.cancelled() => End::Broken,
+        () = connection.kill.cancelled() => EndReason::Broken,
         end = drive(&shared, &connection, &mut rx, socket) => end,
     };
     finish(&shared, &connection, rx, end).await;
@@ -63,7 +63,7 @@
     connection: &Arc<Connection<M>>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     socket: WebSocketStream<CountedStream>,
-) -> End
+) -> EndReason
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
@@ -81,7 +81,7 @@
     tokio::select! {
         biased;
         end = read_loop(shared, connection, stream) => end,
-        () = writer => End::Broken,
+        () = writer => EndReason::Broken,
     }
 }
 
@@ -90,7 +90,7 @@
     shared: &Arc<Shared<M>>,
     connection: &Arc<Connection<M>>,
     rx: mpsc::UnboundedReceiver<Outgoing<M>>,
-    end: End,
+    end: EndReason,
 ) where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
--- a/crates/chervilshunt_mesh/src/dial.rs
+++ b/crates/chervilshunt_mesh/src/dial.rs
@@ -14,7 +14,7 @@
 
 use crate::backoff;
 use crate::config::Peer;
-use crate::connection::{End, finish, run};
+use crate::connection::{EndReason, finish, run};
 use crate::error::SendError;
 use crate::handshake::{self, Refusal};
 use crate::message::Purpose;
@@ -207,7 +207,13 @@
         shared.counters.accepted.add(1);
         return Some((registered, socket));
     }
-    finish(shared, &registered.connection, registered.rx, End::Unopened).await;
+    finish(
+        shared,
+        &registered.connection,
+        registered.rx,
+        EndReason::Unopened,
+    )
+    .await;
     None
 }
 
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, End};
+use crate::connection::{Connection, EndReason};
 use crate::counters::Counters;
 use crate::dial::spawn_dial;
 use crate::error::{RequestError, SendError};
@@ -176,7 +176,7 @@
         self: &Arc<Self>,
         connection: &Arc<Connection<M>>,
         mut rx: mpsc::UnboundedReceiver<Outgoing<M>>,
-        end: End,
+        end: EndReason,
         now: Instant,
     ) -> bool {
         let peer = &connection.identity.peer;
@@ -191,7 +191,7 @@
             Outgoing::Answer { .. } => false,
         });
         match end {
-            End::Idle => {
+            EndReason::Idle => {
                 // The peer ignores requests that arrive after it has begun to close, so these
                 // were not handled.
                 pending.iter().for_each(|req| req.stage.requeue());
@@ -200,8 +200,8 @@
                 link.waiting.extend(unsent);
                 self.counters.closed_idle.add(1);
             }
-            End::Unopened => link.waiting.extend(unsent),
-            End::Broken => {
+            EndReason::Unopened => link.waiting.extend(unsent),
+            EndReason::Broken => {
                 connection.session.mark_broken();
                 link.break_session(connection);
                 for req in pending {
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -9,7 +9,7 @@
 
 use super::Shared;
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, End};
+use crate::connection::{Connection, EndReason};
 use crate::error::{RequestError, SendError};
 use crate::frame::encode_message;
 use crate::handshake::ProcessId;
@@ -114,7 +114,7 @@
         unwritten,
         ..
     } = scene(&peer);
-    assert!(!shared.deregister(&connection, rx, End::Idle, Instant::now()));
+    assert!(!shared.deregister(&connection, rx, EndReason::Idle, Instant::now()));
     for number in 1..=3 {
         let next = timeout(PATIENCE, inbound.recv()).await;
         let Ok(Some(Inbound::Message(got))) = next else {
@@ -144,7 +144,7 @@
         unwritten,
         ..
     } = scene(&peer);
-    assert!(shared.deregister(&connection, rx, End::Broken, Instant::now()));
+    assert!(shared.deregister(&connection, rx, EndReason::Broken, Instant::now()));
     assert_eq!(written.await, Ok(Err(RequestError::Lost)));
     let ended = SendError::ConnectionEnded {
         instance: peer.instance,
