--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -86,15 +86,15 @@
         FrameHeader::Request(id) => take_request(shared, connection, id, body, bytes),
         FrameHeader::Answer(id) => {
             let answer = decode(shared, connection, body, bytes);
-            connection.end(id, answer.ok_or(RequestError::Unanswered));
+            connection.complete_request(id, answer.ok_or(RequestError::Unanswered));
         }
         FrameHeader::Busy(id) => {
             shared.counters.message_in(REFUSAL, bytes);
-            connection.end(id, Err(RequestError::Busy));
+            connection.complete_request(id, Err(RequestError::Busy));
         }
         FrameHeader::Dropped(id) => {
             shared.counters.message_in(REFUSAL, bytes);
-            connection.end(id, Err(RequestError::Unanswered));
+            connection.complete_request(id, Err(RequestError::Unanswered));
         }
     }
 }
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -188,7 +188,7 @@
     /// Assigns a number to a request that is about to be written.
     ///
     /// Returns `None` if its sender has abandoned it.
-    pub(crate) fn begin(&self, req: OutgoingRequest<M>, now: Instant) -> Option<u64> {
+    pub(crate) fn start_request(&self, req: OutgoingRequest<M>, now: Instant) -> Option<u64> {
         if !req.stage.claim() {
             return None;
         }
@@ -203,7 +203,7 @@
     }
 
     /// Completes a request with its result; does nothing if it is no longer pending.
-    pub(crate) fn end(&self, id: u64, result: Result<M, RequestError>) {
+    pub(crate) fn complete_request(&self, id: u64, result: Result<M, RequestError>) {
         let mut state = self.lock();
         let req = state.pending.remove(&id);
         if state.pending.is_empty() {
@@ -211,7 +211,7 @@
         }
         drop(state);
         if let Some(req) = req {
-            req.end(result);
+            req.complete(result);
         }
     }
 
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -143,7 +143,7 @@
         Outgoing::Request(req) => {
             let body = req.body.clone();
             let purpose = req.purpose;
-            let id = connection.begin(req, Instant::now())?;
+            let id = connection.start_request(req, Instant::now())?;
             Some((assemble(FrameHeader::Request(id), Some(&body)), purpose))
         }
     }
--- a/crates/chervilshunt_mesh/src/outgoing.rs
+++ b/crates/chervilshunt_mesh/src/outgoing.rs
@@ -35,7 +35,7 @@
         match self {
             Self::OneWay { .. } | Self::Answer { .. } => true,
             Self::Request(req) => {
-                req.end(Err(RequestError::NotSent { source }));
+                req.complete(Err(RequestError::NotSent { source }));
                 false
             }
         }
@@ -67,7 +67,7 @@
     }
 
     /// Sends the result to the waiting sender, or discards it if the sender no longer waits.
-    pub(crate) fn end(self, result: Result<M, RequestError>) {
+    pub(crate) fn complete(self, result: Result<M, RequestError>) {
         drop(self.answer.send(result));
     }
 
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -205,7 +205,7 @@
                 connection.session.mark_broken();
                 link.break_session(connection);
                 for req in pending {
-                    req.end(Err(RequestError::Lost));
+                    req.complete(Err(RequestError::Lost));
                 }
                 let error = SendError::ConnectionEnded {
                     instance: peer.clone(),
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -58,7 +58,7 @@
     drop(table);
     let connection = registered.connection;
     let (first, written) = request(1);
-    assert_eq!(connection.begin(first, Instant::now()), Some(0));
+    assert_eq!(connection.start_request(first, Instant::now()), Some(0));
     let (second, unwritten) = request(2);
     connection
         .enqueue(Outgoing::Request(second), 10)
@@ -164,9 +164,14 @@
     let scene = scene(&peer);
     let (late, _answer) = request(4);
     assert!(late.stage.abandon());
-    assert_eq!(scene.connection.begin(late, Instant::now()), None);
+    assert_eq!(scene.connection.start_request(late, Instant::now()), None);
     let (claimed, _answer) = request(5);
     let stage = Arc::clone(&claimed.stage);
-    assert!(scene.connection.begin(claimed, Instant::now()).is_some());
+    assert!(
+        scene
+            .connection
+            .start_request(claimed, Instant::now())
+            .is_some()
+    );
     assert!(!stage.abandon());
 }
