--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -118,13 +118,13 @@
         return;
     }
     let Some(message) = message else {
-        connection.give_up(FrameHeader::Dropped(id));
+        connection.enqueue_refusal(FrameHeader::Dropped(id));
         return;
     };
     let room = shared.inbound.try_reserve();
     let (Admission::Accepted, Ok(room)) = (admission, room) else {
         shared.counters.busy.add(1);
-        connection.give_up(FrameHeader::Busy(id));
+        connection.enqueue_refusal(FrameHeader::Busy(id));
         return;
     };
     let reply = Reply::remote(Arc::clone(shared), Arc::clone(connection), id);
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -163,7 +163,7 @@
     }
 
     /// Queues a refusal, which informs the peer that its request gets no answer.
-    pub(crate) fn give_up(&self, header: FrameHeader) {
+    pub(crate) fn enqueue_refusal(&self, header: FrameHeader) {
         self.enqueue_answer(Outgoing::Answer {
             header,
             body: None,
--- a/crates/chervilshunt_mesh/src/message.rs
+++ b/crates/chervilshunt_mesh/src/message.rs
@@ -115,7 +115,7 @@
     fn drop(&mut self) {
         match self.channel.take() {
             Some(ReplyChannel::Remote { connection, id, .. }) => {
-                connection.give_up(FrameHeader::Dropped(id))
+                connection.enqueue_refusal(FrameHeader::Dropped(id))
             }
             Some(ReplyChannel::Local(tx)) => {
                 drop(tx.send(Err(RequestError::Unanswered)));
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -89,7 +89,7 @@
         let body = match self.encode(message) {
             Ok(body) => body,
             Err(error) => {
-                connection.give_up(FrameHeader::Dropped(id));
+                connection.enqueue_refusal(FrameHeader::Dropped(id));
                 return Err(error);
             }
         };
