--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -71,7 +71,7 @@
     let (header, body) = match split(frame) {
         Ok(parts) => parts,
         Err(error) => {
-            shared.unreadable(&connection.identity.peer, &error);
+            shared.record_undecodable(&connection.identity.peer, &error);
             return;
         }
     };
@@ -141,7 +141,7 @@
             Some(message)
         }
         Err(error) => {
-            shared.unreadable(&connection.identity.peer, &error);
+            shared.record_undecodable(&connection.identity.peer, &error);
             None
         }
     }
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -60,7 +60,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn unreadable(&self, peer: &InstanceId, error: &FrameError) {
+    pub(crate) fn record_undecodable(&self, peer: &InstanceId, error: &FrameError) {
         self.counters.unreadable.add(1);
         warn!(self.log, "cannot decode message"; "peer" => %peer, "error" => %error);
     }
