--- a/crates/chervilshunt_mesh/src/dial.rs
+++ b/crates/chervilshunt_mesh/src/dial.rs
@@ -103,7 +103,7 @@
     table.end_dial(&hello.instance, true);
     let registered = table.register(hello, true, Instant::now());
     shared.counters.connection_opened();
-    shared.settle_waiting(&mut table, &hello.instance);
+    shared.dispatch_waiting(&mut table, &hello.instance);
     shared.counters.dialled.add(1);
     registered
 }
@@ -118,7 +118,7 @@
     let link = table.link(&peer.instance);
     if !link.connections.is_empty() {
         // The peer opened a connection in the meantime.
-        shared.settle_waiting(&mut table, &peer.instance);
+        shared.dispatch_waiting(&mut table, &peer.instance);
         return;
     }
     let pause = backoff::pause(
@@ -238,7 +238,7 @@
     handshake::complete_response(response, shared.process, serial)?;
     let registered = table.register(&hello, false, Instant::now());
     shared.counters.connection_opened();
-    shared.settle_waiting(&mut table, &hello.instance);
+    shared.dispatch_waiting(&mut table, &hello.instance);
     Ok(registered)
 }
 
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -215,7 +215,7 @@
             }
         }
         let lost = connection.session.is_broken() && !link.has_session(&connection.session);
-        self.settle_waiting(&mut table, peer);
+        self.dispatch_waiting(&mut table, peer);
         if table.links() > 2 * self.cfg.max_connections {
             table.prune(now, self.cfg.backoff_max);
         }
@@ -224,7 +224,7 @@
     }
 
     /// Moves waiting messages to a usable connection, or opens one if necessary.
-    pub(crate) fn settle_waiting(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
+    pub(crate) fn dispatch_waiting(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
         let link = table.link(instance);
         let Some(connection) = link.preferred(&self.cfg.instance).cloned() else {
             self.dial_if_needed(table, instance);
