--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -135,7 +135,7 @@
     /// Returns the time of the last message if the connection is idle and not closing.
     pub(crate) fn idle_since(&self) -> Option<Instant> {
         let mut state = self.lock();
-        state.forget_abandoned();
+        state.remove_abandoned();
         (!state.closing && state.is_idle()).then_some(state.last_used)
     }
 
@@ -237,7 +237,7 @@
 
     pub(crate) fn next_action(&self, liveness: &Liveness, now: Instant) -> LivenessAction {
         let mut state = self.lock();
-        state.forget_abandoned();
+        state.remove_abandoned();
         let activity = Activity {
             last_received: state.last_received,
             last_used: state.last_used,
@@ -254,7 +254,7 @@
     /// requests that are unanswered when it receives the close frame.
     pub(crate) fn close_if_idle(&self) -> bool {
         let mut state = self.lock();
-        state.forget_abandoned();
+        state.remove_abandoned();
         if state.closing || !state.is_idle() {
             return false;
         }
@@ -289,7 +289,7 @@
     }
 
     /// Removes requests whose sender no longer waits, so that they don't keep the connection open.
-    fn forget_abandoned(&mut self) {
+    fn remove_abandoned(&mut self) {
         self.pending.retain(|_, req| !req.is_abandoned());
         if self.pending.is_empty() {
             self.waiting_since = None;
--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -175,12 +175,12 @@
     /// A backoff is kept for the time `keep` after its end.
     pub(crate) fn prune(&mut self, now: Instant, keep: Duration) {
         self.links.retain(|_, link| {
-            let forgotten = match &link.dial {
+            let expired = match &link.dial {
                 Dial::Idle => true,
                 Dial::Dialling { .. } => false,
                 Dial::Backoff { until, .. } => *until + keep < now,
             };
-            !(forgotten && link.connections.is_empty() && link.waiting.is_empty())
+            !(expired && link.connections.is_empty() && link.waiting.is_empty())
         });
     }
 
