--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -39,7 +39,7 @@
             }
             Ok(WsMessage::Close(close)) => {
                 connection.mark_closing();
-                connection.stop.cancel();
+                connection.peer_closed.cancel();
                 end = EndReason::of_close(close.as_ref());
             }
             Ok(_) => connection.record_received(false, Instant::now()),
--- a/crates/chervilshunt_mesh/src/connection/run.rs
+++ b/crates/chervilshunt_mesh/src/connection/run.rs
@@ -52,7 +52,7 @@
         "peer" => %connection.identity.peer, "dialled" => connection.identity.dialled);
     let end = tokio::select! {
         biased;
-        () = connection.kill.cancelled() => EndReason::Broken,
+        () = connection.abort.cancelled() => EndReason::Broken,
         end = drive(&shared, &connection, &mut rx, socket) => end,
     };
     finish(&shared, &connection, rx, end).await;
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -54,9 +54,9 @@
     pub(crate) identity: Identity,
     pub(crate) session: Arc<Session>,
     /// Cancelled to abort the connection.
-    pub(crate) kill: CancellationToken,
+    pub(crate) abort: CancellationToken,
     /// Cancelled when the peer has closed the connection, which stops the writer.
-    pub(crate) stop: CancellationToken,
+    pub(crate) peer_closed: CancellationToken,
     /// Cancelled once the connection delivers nothing more.
     pub(crate) done: CancellationToken,
     /// Notifies the writer to close the connection.
@@ -103,8 +103,8 @@
         let connection = Self {
             identity,
             session,
-            kill: CancellationToken::new(),
-            stop: CancellationToken::new(),
+            abort: CancellationToken::new(),
+            peer_closed: CancellationToken::new(),
             done: CancellationToken::new(),
             close_begun: Notify::new(),
             tx,
@@ -125,7 +125,7 @@
 
     /// Returns whether messages may be queued on the connection.
     pub(crate) fn is_usable(&self) -> bool {
-        !self.kill.is_cancelled() && !self.lock().closing
+        !self.abort.is_cancelled() && !self.lock().closing
     }
 
     pub(crate) fn is_done(&self) -> bool {
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -52,7 +52,7 @@
     loop {
         tokio::select! {
             biased;
-            () = connection.stop.cancelled() => return Ok(()),
+            () = connection.peer_closed.cancelled() => return Ok(()),
             () = shared.shutdown.cancelled() => {
                 connection.mark_closing();
                 while let Ok(first) = rx.try_recv() {
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -203,7 +203,7 @@
             EndReason::Unopened => link.waiting.extend(unsent),
             EndReason::Broken => {
                 connection.session.mark_broken();
-                link.break_session(connection);
+                link.abort_session(connection);
                 for req in pending {
                     req.complete(Err(RequestError::Lost));
                 }
@@ -244,10 +244,10 @@
     }
 
     /// Aborts all connections of the same session.
-    fn break_session(&self, connection: &Connection<M>) {
+    fn abort_session(&self, connection: &Connection<M>) {
         for other in &self.connections {
             if Arc::ptr_eq(&other.session, &connection.session) {
-                other.kill.cancel();
+                other.abort.cancel();
             }
         }
     }
--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -144,7 +144,7 @@
         let mut stale = Vec::new();
         for earlier in &link.connections {
             if is_superseded(&earlier.identity, hello, dialled) {
-                earlier.kill.cancel();
+                earlier.abort.cancel();
                 stale.push(earlier.done.clone());
             }
         }
