--- a/crates/chervilshunt_mesh/src/counters.rs
+++ b/crates/chervilshunt_mesh/src/counters.rs
@@ -66,12 +66,12 @@
 
 /// A counter that is readable for snapshots and published as a metric.
 #[derive(Debug)]
-pub(crate) struct Tally {
+pub(crate) struct MetricCounter {
     value: AtomicU64,
     metric: Counter,
 }
 
-impl Tally {
+impl MetricCounter {
     const fn new(metric: Counter) -> Self {
         Self {
             value: AtomicU64::new(0),
@@ -90,26 +90,26 @@
 }
 
 #[derive(Debug)]
-struct PurposeTally {
-    messages_out: Tally,
-    bytes_out: Tally,
-    messages_in: Tally,
-    bytes_in: Tally,
+struct PurposeCounters {
+    messages_out: MetricCounter,
+    bytes_out: MetricCounter,
+    messages_in: MetricCounter,
+    bytes_in: MetricCounter,
 }
 
-impl PurposeTally {
+impl PurposeCounters {
     fn new(purpose: &'static str) -> Self {
         Self {
-            messages_out: Tally::new(
+            messages_out: MetricCounter::new(
                 counter!("mesh_messages_total", "purpose" => purpose, "direction" => "out"),
             ),
-            bytes_out: Tally::new(
+            bytes_out: MetricCounter::new(
                 counter!("mesh_message_bytes_total", "purpose" => purpose, "direction" => "out"),
             ),
-            messages_in: Tally::new(
+            messages_in: MetricCounter::new(
                 counter!("mesh_messages_total", "purpose" => purpose, "direction" => "in"),
             ),
-            bytes_in: Tally::new(
+            bytes_in: MetricCounter::new(
                 counter!("mesh_message_bytes_total", "purpose" => purpose, "direction" => "in"),
             ),
         }
@@ -128,39 +128,41 @@
 /// The counters of one mesh.
 #[derive(Debug)]
 pub(crate) struct Counters {
-    by_purpose: Mutex<BTreeMap<&'static str, Arc<PurposeTally>>>,
-    socket_out: Tally,
-    socket_in: Tally,
+    by_purpose: Mutex<BTreeMap<&'static str, Arc<PurposeCounters>>>,
+    socket_out: MetricCounter,
+    socket_in: MetricCounter,
     open: AtomicU64,
     open_gauge: Gauge,
-    pub(crate) dialled: Tally,
-    pub(crate) accepted: Tally,
-    pub(crate) refused: Tally,
-    pub(crate) dial_failures: Tally,
-    pub(crate) lost: Tally,
-    pub(crate) closed_idle: Tally,
-    pub(crate) busy: Tally,
-    pub(crate) unreadable: Tally,
-    pub(crate) dropped: Tally,
+    pub(crate) dialled: MetricCounter,
+    pub(crate) accepted: MetricCounter,
+    pub(crate) refused: MetricCounter,
+    pub(crate) dial_failures: MetricCounter,
+    pub(crate) lost: MetricCounter,
+    pub(crate) closed_idle: MetricCounter,
+    pub(crate) busy: MetricCounter,
+    pub(crate) unreadable: MetricCounter,
+    pub(crate) dropped: MetricCounter,
 }
 
 impl Counters {
     pub(crate) fn new() -> Self {
         Self {
             by_purpose: Mutex::new(BTreeMap::new()),
-            socket_out: Tally::new(counter!("mesh_socket_bytes_total", "direction" => "out")),
-            socket_in: Tally::new(counter!("mesh_socket_bytes_total", "direction" => "in")),
+            socket_out: MetricCounter::new(
+                counter!("mesh_socket_bytes_total", "direction" => "out"),
+            ),
+            socket_in: MetricCounter::new(counter!("mesh_socket_bytes_total", "direction" => "in")),
             open: AtomicU64::new(0),
             open_gauge: gauge!("mesh_connections"),
-            dialled: Tally::new(counter!("mesh_connections_opened_total", "by" => "us")),
-            accepted: Tally::new(counter!("mesh_connections_opened_total", "by" => "peer")),
-            refused: Tally::new(counter!("mesh_connections_refused_total")),
-            dial_failures: Tally::new(counter!("mesh_dial_failures_total")),
-            lost: Tally::new(counter!("mesh_connections_lost_total")),
-            closed_idle: Tally::new(counter!("mesh_connections_closed_idle_total")),
-            busy: Tally::new(counter!("mesh_requests_busy_total")),
-            unreadable: Tally::new(counter!("mesh_messages_unreadable_total")),
-            dropped: Tally::new(counter!("mesh_messages_dropped_total")),
+            dialled: MetricCounter::new(counter!("mesh_connections_opened_total", "by" => "us")),
+            accepted: MetricCounter::new(counter!("mesh_connections_opened_total", "by" => "peer")),
+            refused: MetricCounter::new(counter!("mesh_connections_refused_total")),
+            dial_failures: MetricCounter::new(counter!("mesh_dial_failures_total")),
+            lost: MetricCounter::new(counter!("mesh_connections_lost_total")),
+            closed_idle: MetricCounter::new(counter!("mesh_connections_closed_idle_total")),
+            busy: MetricCounter::new(counter!("mesh_requests_busy_total")),
+            unreadable: MetricCounter::new(counter!("mesh_messages_unreadable_total")),
+            dropped: MetricCounter::new(counter!("mesh_messages_dropped_total")),
         }
     }
 
@@ -173,15 +175,15 @@
     }
 
     pub(crate) fn message_out(&self, purpose: &'static str, bytes: u64) {
-        let tally = self.purpose(purpose);
-        tally.messages_out.add(1);
-        tally.bytes_out.add(bytes);
+        let counters = self.purpose(purpose);
+        counters.messages_out.add(1);
+        counters.bytes_out.add(bytes);
     }
 
     pub(crate) fn message_in(&self, purpose: &'static str, bytes: u64) {
-        let tally = self.purpose(purpose);
-        tally.messages_in.add(1);
-        tally.bytes_in.add(bytes);
+        let counters = self.purpose(purpose);
+        counters.messages_in.add(1);
+        counters.bytes_in.add(bytes);
     }
 
     pub(crate) fn connection_opened(&self) {
@@ -202,7 +204,7 @@
         MeshCounters {
             by_purpose: by_purpose
                 .iter()
-                .map(|(purpose, tally)| (*purpose, tally.traffic()))
+                .map(|(purpose, counters)| (*purpose, counters.traffic()))
                 .collect(),
             socket_bytes_out: self.socket_out.get(),
             socket_bytes_in: self.socket_in.get(),
@@ -219,14 +221,14 @@
         }
     }
 
-    fn purpose(&self, purpose: &'static str) -> Arc<PurposeTally> {
+    fn purpose(&self, purpose: &'static str) -> Arc<PurposeCounters> {
         let mut by_purpose = self
             .by_purpose
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let tally = by_purpose
+        let counters = by_purpose
             .entry(purpose)
-            .or_insert_with(|| Arc::new(PurposeTally::new(purpose)));
-        Arc::clone(tally)
+            .or_insert_with(|| Arc::new(PurposeCounters::new(purpose)));
+        Arc::clone(counters)
     }
 }
