--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -189,7 +189,7 @@
     ///
     /// Returns `None` if its sender has abandoned it.
     pub(crate) fn start_request(&self, req: OutgoingRequest<M>, now: Instant) -> Option<u64> {
-        if !req.stage.claim() {
+        if !req.state.claim() {
             return None;
         }
         let mut state = self.lock();
--- a/crates/chervilshunt_mesh/src/mesh.rs
+++ b/crates/chervilshunt_mesh/src/mesh.rs
@@ -19,7 +19,7 @@
 use crate::error::{BadInstanceSnafu, BindSnafu, MeshError, RequestError, SendError};
 use crate::handshake::is_header_safe;
 use crate::message::{Inbound, InboundMessage, Purpose, Reply};
-use crate::outgoing::{Outgoing, OutgoingRequest, Stage};
+use crate::outgoing::{Outgoing, OutgoingRequest, RequestState};
 use crate::shared::Shared;
 
 /// Sends messages to peers and receives theirs.
@@ -130,7 +130,7 @@
         let not_sent = |source| RequestError::NotSent { source };
         let body = self.shared.encode(&message).map_err(not_sent)?;
         let (req, answer) = OutgoingRequest::new(body, message.purpose());
-        let withdrawal = Withdrawal(Arc::clone(&req.stage));
+        let withdrawal = Withdrawal(Arc::clone(&req.state));
         self.shared
             .post(peer, Outgoing::Request(req))
             .map_err(not_sent)?;
@@ -191,7 +191,7 @@
 }
 
 /// Marks a request as abandoned when its sender stops waiting.
-struct Withdrawal(Arc<Stage>);
+struct Withdrawal(Arc<RequestState>);
 
 impl Drop for Withdrawal {
     fn drop(&mut self) {
--- a/crates/chervilshunt_mesh/src/outgoing.rs
+++ b/crates/chervilshunt_mesh/src/outgoing.rs
@@ -47,7 +47,7 @@
 pub(crate) struct OutgoingRequest<M> {
     pub(crate) body: Bytes,
     pub(crate) purpose: &'static str,
-    pub(crate) stage: Arc<Stage>,
+    pub(crate) state: Arc<RequestState>,
     answer: oneshot::Sender<Result<M, RequestError>>,
 }
 
@@ -60,7 +60,7 @@
         let req = Self {
             body,
             purpose,
-            stage: Arc::new(Stage::new()),
+            state: Arc::new(RequestState::new()),
             answer: tx,
         };
         (req, rx)
@@ -85,9 +85,9 @@
 /// The state is a single atomic. Otherwise a sender that times out could report a request as not
 /// sent at the moment the writer sends it, and the caller would receive a false "not run".
 #[derive(Debug)]
-pub(crate) struct Stage(AtomicU8);
+pub(crate) struct RequestState(AtomicU8);
 
-impl Stage {
+impl RequestState {
     const fn new() -> Self {
         Self(AtomicU8::new(QUEUED))
     }
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -194,7 +194,7 @@
             EndReason::Idle => {
                 // The peer ignores requests that arrive after it has begun to close, so these
                 // were not handled.
-                pending.iter().for_each(|req| req.stage.requeue());
+                pending.iter().for_each(|req| req.state.requeue());
                 link.waiting
                     .extend(pending.into_iter().map(Outgoing::Request));
                 link.waiting.extend(unsent);
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -163,15 +163,15 @@
     let (_mesh, _inbound, peer) = peer().await;
     let scene = scene(&peer);
     let (late, _answer) = request(4);
-    assert!(late.stage.abandon());
+    assert!(late.state.abandon());
     assert_eq!(scene.connection.start_request(late, Instant::now()), None);
     let (claimed, _answer) = request(5);
-    let stage = Arc::clone(&claimed.stage);
+    let state = Arc::clone(&claimed.state);
     assert!(
         scene
             .connection
             .start_request(claimed, Instant::now())
             .is_some()
     );
-    assert!(!stage.abandon());
+    assert!(!state.abandon());
 }
