--- a/crates/chervilshunt_mesh/src/mesh.rs
+++ b/crates/chervilshunt_mesh/src/mesh.rs
@@ -130,14 +130,14 @@
         let not_sent = |source| RequestError::NotSent { source };
         let body = self.shared.encode(&message).map_err(not_sent)?;
         let (req, answer) = OutgoingRequest::new(body, message.purpose());
-        let withdrawal = Withdrawal(Arc::clone(&req.state));
+        let guard = AbandonOnDrop(Arc::clone(&req.state));
         self.shared
             .post(peer, Outgoing::Request(req))
             .map_err(not_sent)?;
         match timeout(within, answer).await {
             Ok(Ok(result)) => result,
             Ok(Err(_)) => Err(RequestError::Lost),
-            Err(_) if withdrawal.0.abandon() => Err(not_sent(SendError::Late {
+            Err(_) if guard.0.abandon() => Err(not_sent(SendError::Late {
                 instance: peer.instance.clone(),
             })),
             Err(_) => Err(RequestError::Timeout),
@@ -191,9 +191,9 @@
 }
 
 /// Marks a request as abandoned when its sender stops waiting.
-struct Withdrawal(Arc<RequestState>);
+struct AbandonOnDrop(Arc<RequestState>);
 
-impl Drop for Withdrawal {
+impl Drop for AbandonOnDrop {
     fn drop(&mut self) {
         self.0.abandon();
     }
