--- a/crates/chervilshunt_mesh/src/connection.rs
+++ b/crates/chervilshunt_mesh/src/connection.rs
@@ -6,4 +6,4 @@
 mod write;
 
 pub(crate) use run::{EndReason, finish, run};
-pub(crate) use state::{Connection, Identity, Session};
+pub(crate) use state::{Identity, PeerConnection, Session};
--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -13,7 +13,7 @@
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
 use super::run::EndReason;
-use super::state::{Admission, Connection};
+use super::state::{Admission, PeerConnection};
 use crate::error::RequestError;
 use crate::frame::{FrameHeader, decode_message, split, wire_bytes};
 use crate::message::{Inbound, InboundMessage, Purpose, Reply};
@@ -23,7 +23,7 @@
 /// Reads frames until the connection ends and returns the reason.
 pub(crate) async fn read_loop<M, S>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     mut stream: S,
 ) -> EndReason
 where
@@ -64,7 +64,7 @@
     }
 }
 
-async fn deliver<M>(shared: &Arc<Shared<M>>, connection: &Arc<Connection<M>>, frame: &Bytes)
+async fn deliver<M>(shared: &Arc<Shared<M>>, connection: &Arc<PeerConnection<M>>, frame: &Bytes)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
@@ -105,7 +105,7 @@
 /// connection from being read, and peers would consider an overloaded instance dead.
 fn take_request<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     id: u64,
     body: &[u8],
     bytes: u64,
@@ -131,7 +131,12 @@
     room.send(inbound(connection, message, Some(reply)));
 }
 
-fn decode<M>(shared: &Shared<M>, connection: &Connection<M>, body: &[u8], bytes: u64) -> Option<M>
+fn decode<M>(
+    shared: &Shared<M>,
+    connection: &PeerConnection<M>,
+    body: &[u8],
+    bytes: u64,
+) -> Option<M>
 where
     M: DeserializeOwned + Purpose,
 {
@@ -147,7 +152,7 @@
     }
 }
 
-fn inbound<M>(connection: &Connection<M>, message: M, reply: Option<Reply<M>>) -> Inbound<M> {
+fn inbound<M>(connection: &PeerConnection<M>, message: M, reply: Option<Reply<M>>) -> Inbound<M> {
     Inbound::Message(InboundMessage {
         from: connection.identity.peer.clone(),
         message,
--- a/crates/chervilshunt_mesh/src/connection/run.rs
+++ b/crates/chervilshunt_mesh/src/connection/run.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::read::read_loop;
-use super::state::Connection;
+use super::state::PeerConnection;
 use super::write::{WriteError, write_loop};
 use crate::message::{Inbound, Purpose};
 use crate::outgoing::Outgoing;
@@ -38,7 +38,7 @@
 /// the lost ones.
 pub(crate) async fn run<M>(
     shared: Arc<Shared<M>>,
-    connection: Arc<Connection<M>>,
+    connection: Arc<PeerConnection<M>>,
     mut rx: mpsc::UnboundedReceiver<Outgoing<M>>,
     socket: WebSocketStream<CountedStream>,
     stale: Vec<CancellationToken>,
@@ -60,7 +60,7 @@
 
 async fn drive<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     socket: WebSocketStream<CountedStream>,
 ) -> EndReason
@@ -88,7 +88,7 @@
 /// Removes the connection from the table and resolves its unfinished requests and messages.
 pub(crate) async fn finish<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: mpsc::UnboundedReceiver<Outgoing<M>>,
     end: EndReason,
 ) where
--- a/crates/chervilshunt_mesh/src/connection/state.rs
+++ b/crates/chervilshunt_mesh/src/connection/state.rs
@@ -50,7 +50,7 @@
 
 /// One open connection.
 #[derive(Debug)]
-pub(crate) struct Connection<M> {
+pub(crate) struct PeerConnection<M> {
     pub(crate) identity: Identity,
     pub(crate) session: Arc<Session>,
     /// Cancelled to abort the connection.
@@ -93,7 +93,7 @@
     Ignored,
 }
 
-impl<M> Connection<M> {
+impl<M> PeerConnection<M> {
     pub(crate) fn new(
         identity: Identity,
         session: Arc<Session>,
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -11,7 +11,7 @@
 use tokio_tungstenite::tungstenite::protocol::frame::coding::CloseCode;
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
-use super::state::Connection;
+use super::state::PeerConnection;
 use crate::frame::{FrameHeader, assemble, wire_bytes};
 use crate::liveness::LivenessAction;
 use crate::outgoing::Outgoing;
@@ -40,7 +40,7 @@
 /// Writes until either side closes the connection.
 pub(crate) async fn write_loop<M, S>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     mut sink: S,
 ) -> Result<(), WriteError>
@@ -91,7 +91,7 @@
 
 async fn write_batch<M, S>(
     shared: &Shared<M>,
-    connection: &Connection<M>,
+    connection: &PeerConnection<M>,
     first: Outgoing<M>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     sink: &mut S,
@@ -130,7 +130,7 @@
     }
 }
 
-fn prepare<M>(connection: &Connection<M>, out: Outgoing<M>) -> Option<(Bytes, &'static str)> {
+fn prepare<M>(connection: &PeerConnection<M>, out: Outgoing<M>) -> Option<(Bytes, &'static str)> {
     match out {
         Outgoing::OneWay { body, purpose } => {
             Some((assemble(FrameHeader::OneWay, Some(&body)), purpose))
--- a/crates/chervilshunt_mesh/src/message.rs
+++ b/crates/chervilshunt_mesh/src/message.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::connection::Connection;
+use crate::connection::PeerConnection;
 use crate::error::{RequestError, SendError};
 use crate::frame::FrameHeader;
 use crate::shared::Shared;
@@ -56,14 +56,18 @@
 enum ReplyChannel<M> {
     Remote {
         shared: Arc<Shared<M>>,
-        connection: Arc<Connection<M>>,
+        connection: Arc<PeerConnection<M>>,
         id: u64,
     },
     Local(oneshot::Sender<Result<M, RequestError>>),
 }
 
 impl<M> Reply<M> {
-    pub(crate) fn remote(shared: Arc<Shared<M>>, connection: Arc<Connection<M>>, id: u64) -> Self {
+    pub(crate) fn remote(
+        shared: Arc<Shared<M>>,
+        connection: Arc<PeerConnection<M>>,
+        id: u64,
+    ) -> Self {
         Self {
             channel: Some(ReplyChannel::Remote {
                 shared,
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -13,7 +13,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, EndReason};
+use crate::connection::{EndReason, PeerConnection};
 use crate::counters::Counters;
 use crate::dial::spawn_dial;
 use crate::error::{RequestError, SendError};
@@ -82,7 +82,7 @@
 
     pub(crate) fn answer(
         &self,
-        connection: &Connection<M>,
+        connection: &PeerConnection<M>,
         id: u64,
         message: &M,
     ) -> Result<(), SendError> {
@@ -174,7 +174,7 @@
     /// of a failed session.
     pub(crate) fn deregister(
         self: &Arc<Self>,
-        connection: &Arc<Connection<M>>,
+        connection: &Arc<PeerConnection<M>>,
         mut rx: mpsc::UnboundedReceiver<Outgoing<M>>,
         end: EndReason,
         now: Instant,
@@ -244,7 +244,7 @@
     }
 
     /// Aborts all connections of the same session.
-    fn abort_session(&self, connection: &Connection<M>) {
+    fn abort_session(&self, connection: &PeerConnection<M>) {
         for other in &self.connections {
             if Arc::ptr_eq(&other.session, &connection.session) {
                 other.abort.cancel();
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -9,7 +9,7 @@
 
 use super::Shared;
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, EndReason};
+use crate::connection::{EndReason, PeerConnection};
 use crate::error::{RequestError, SendError};
 use crate::frame::encode_message;
 use crate::handshake::ProcessId;
@@ -36,7 +36,7 @@
 /// be written.
 struct Scene {
     shared: Arc<Shared<Number>>,
-    connection: Arc<Connection<Number>>,
+    connection: Arc<PeerConnection<Number>>,
     rx: mpsc::UnboundedReceiver<Outgoing<Number>>,
     written: Answer,
     unwritten: Answer,
--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::connection::{Connection, Identity};
+use crate::connection::{Identity, PeerConnection};
 use crate::error::SendError;
 use crate::handshake::ProcessId;
 use crate::outgoing::Outgoing;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct Link<M> {
     pub(crate) address: Option<SocketAddr>,
-    pub(crate) connections: Vec<Arc<Connection<M>>>,
+    pub(crate) connections: Vec<Arc<PeerConnection<M>>>,
     pub(crate) dial: Dial,
     pub(crate) waiting: VecDeque<Outgoing<M>>,
 }
@@ -50,7 +50,7 @@
 /// A connection that was just added to the table.
 #[derive(Debug)]
 pub(crate) struct Registered<M> {
-    pub(crate) connection: Arc<Connection<M>>,
+    pub(crate) connection: Arc<PeerConnection<M>>,
     pub(crate) rx: mpsc::UnboundedReceiver<Outgoing<M>>,
     /// The connections that it replaces; they must be done before it delivers any message.
     pub(crate) stale: Vec<CancellationToken>,
@@ -161,7 +161,7 @@
             peer_serial: if dialled { hello.serial } else { 0 },
             dialled,
         };
-        let (connection, rx) = Connection::new(identity, session, now);
+        let (connection, rx) = PeerConnection::new(identity, session, now);
         link.connections.push(Arc::clone(&connection));
         Registered {
             connection,
@@ -214,7 +214,7 @@
     ///
     /// If both sides have opened one, both use the one that the instance with the smaller id opened;
     /// the other one is closed once it is idle.
-    pub(crate) fn preferred(&self, us: &InstanceId) -> Option<&Arc<Connection<M>>> {
+    pub(crate) fn preferred(&self, us: &InstanceId) -> Option<&Arc<PeerConnection<M>>> {
         self.connections
             .iter()
             .filter(|connection| connection.is_usable())
