--- a/crates/chervilshunt_mesh/examples/rounds/churn.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/churn.rs
@@ -11,7 +11,7 @@
 const PEERS: usize = 64;
 const BOUNDS: [usize; 4] = [8, 16, 32, 64];
 const REQUESTS: usize = 5_000;
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A text with the length of a permit request or of its answer.
 #[derive(Debug, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     for _ in 0..REQUESTS {
         let peer = &peers[rng.random_range(0..peers.len())];
         let asked = Text("x".repeat(130));
-        mesh.request(peer, asked, PATIENCE)
+        mesh.request(peer, asked, REQUEST_TIMEOUT)
             .await
             .expect("the owner answers");
     }
--- a/crates/chervilshunt_mesh/examples/rounds/connections.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/connections.rs
@@ -42,8 +42,8 @@
     let opened = entry.counters().connection_bytes();
     let (asking, asked_peer) = (entry.clone(), peer.clone());
     let asked = tokio::spawn(async move {
-        let patience = Duration::from_secs(10);
-        asking.request(&asked_peer, Hello(2), patience).await
+        let timeout = Duration::from_secs(10);
+        asking.request(&asked_peer, Hello(2), timeout).await
     });
     let Some(Inbound::Message(request)) = inbound.recv().await else {
         panic!("the request arrives");
--- a/crates/chervilshunt_mesh/examples/rounds/throughput.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/throughput.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 const ROUNDS: usize = 100_000;
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The text sizes of requests, in bytes; answers and releases have a third of that.
 const SIZES: [usize; 4] = [50, 200, 800, 3_200];
@@ -124,7 +124,7 @@
     stream::iter(0..rounds)
         .for_each_concurrent(in_flight, async |_| {
             let asked = Message::Asked(text(size));
-            mesh.request(&peer, asked, PATIENCE)
+            mesh.request(&peer, asked, REQUEST_TIMEOUT)
                 .await
                 .expect("the owner answers");
             mesh.send(&peer, Message::Released(text(size / 3)))
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -28,7 +28,7 @@
 }
 
 /// The time limit for any expected event.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Answer = oneshot::Receiver<Result<Number, RequestError>>;
 
@@ -116,7 +116,7 @@
     } = scene(&peer);
     assert!(!shared.deregister(&connection, rx, EndReason::Idle, Instant::now()));
     for number in 1..=3 {
-        let next = timeout(PATIENCE, inbound.recv()).await;
+        let next = timeout(TEST_TIMEOUT, inbound.recv()).await;
         let Ok(Some(Inbound::Message(got))) = next else {
             panic!("{number} was lost");
         };
--- a/crates/chervilshunt_mesh/tests/mesh/bounds.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/bounds.rs
@@ -2,7 +2,7 @@
 
 use chervilshunt_mesh::{MeshCounters, RequestError, SendError};
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 use crate::frozen::frozen_peer;
 
 #[tokio::test]
@@ -29,7 +29,11 @@
     cfg.max_message_bytes = 100;
     let mut b = node_with(cfg).await;
     let long = question(&"x".repeat(10_000));
-    let error = a.mesh.request(&b.peer, long, PATIENCE).await.unwrap_err();
+    let error = a
+        .mesh
+        .request(&b.peer, long, TEST_TIMEOUT)
+        .await
+        .unwrap_err();
     assert_eq!(error, RequestError::Lost);
     assert_eq!(b.lost().await, "a");
 }
@@ -68,7 +72,7 @@
     let mut b = node_with(cfg).await;
     let ask = |text: &'static str| {
         let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
-        tokio::spawn(async move { mesh.request(&peer, question(text), PATIENCE).await })
+        tokio::spawn(async move { mesh.request(&peer, question(text), TEST_TIMEOUT).await })
     };
     let asked = [ask("1"), ask("2"), ask("3")];
     b.until(|counters| counters.busy == 1).await;
@@ -99,7 +103,7 @@
         let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
         let text = "x".repeat(size);
         let asked =
-            tokio::spawn(async move { mesh.request(&peer, question(&text), PATIENCE).await });
+            tokio::spawn(async move { mesh.request(&peer, question(&text), TEST_TIMEOUT).await });
         b.message().await.reply.unwrap().send(answer("!")).unwrap();
         asked.await.unwrap().unwrap();
         b.until(|counters| counters.socket_bytes_in == a.mesh.counters().socket_bytes_out)
--- a/crates/chervilshunt_mesh/tests/mesh/common.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/common.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// The time limit for any expected event.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Text {
@@ -50,7 +50,7 @@
 
 impl Node {
     pub(crate) async fn next(&mut self) -> Inbound<Text> {
-        timeout(PATIENCE, self.inbound.recv())
+        timeout(TEST_TIMEOUT, self.inbound.recv())
             .await
             .expect("nothing came in")
             .expect("the mesh ended")
@@ -77,7 +77,7 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        let waited = timeout(PATIENCE, reached).await;
+        let waited = timeout(TEST_TIMEOUT, reached).await;
         assert!(waited.is_ok(), "still {:?}", self.mesh.counters());
     }
 }
--- a/crates/chervilshunt_mesh/tests/mesh/cut.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/cut.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 
 /// Starts a TCP proxy to an address; each notification cuts the opener's side of the oldest
 /// connection.
@@ -34,7 +34,7 @@
                 }
                 drop((near_in, near_out));
                 // The far side stays connected.
-                tokio::time::sleep(PATIENCE).await;
+                tokio::time::sleep(TEST_TIMEOUT).await;
                 drop((far_in, far_out));
             });
         }
@@ -56,7 +56,7 @@
     };
     let ask = |text: &'static str| {
         let (mesh, peer) = (a.mesh.clone(), peer.clone());
-        tokio::spawn(async move { mesh.request(&peer, question(text), PATIENCE).await })
+        tokio::spawn(async move { mesh.request(&peer, question(text), TEST_TIMEOUT).await })
     };
     let first = ask("first");
     let held = b.message().await;
@@ -82,7 +82,7 @@
         let mut cfg = config(name);
         cfg.idle_timeout = Duration::from_micros(500);
         cfg.ping_after = Duration::from_millis(1);
-        cfg.ping_timeout = PATIENCE;
+        cfg.ping_timeout = TEST_TIMEOUT;
         cfg
     };
     let a = node_with(eager("a")).await;
@@ -91,7 +91,7 @@
     let asking = tokio::spawn(async move {
         for round in 0..ROUNDS {
             tokio::time::sleep(Duration::from_micros(round * 37 % 4_000)).await;
-            let result = mesh.request(&peer, question("?"), PATIENCE).await;
+            let result = mesh.request(&peer, question("?"), TEST_TIMEOUT).await;
             assert_eq!(result, Ok(answer("!")), "round {round}");
             mesh.send(&peer, note("done")).unwrap();
         }
--- a/crates/chervilshunt_mesh/tests/mesh/frozen.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/frozen.rs
@@ -8,7 +8,7 @@
 use tokio_tungstenite::tungstenite::handshake::server::{Request, Response};
 use tokio_tungstenite::tungstenite::http::HeaderValue;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 
 const HEADERS: [(&str, &str); 3] = [
     ("sec-websocket-protocol", "chervilshunt-mesh.2"),
@@ -62,7 +62,7 @@
     let peer = frozen_peer("b").await;
     let hour = Duration::from_secs(3_600);
     let asked = a.mesh.request(&peer, question("?"), hour);
-    let result = tokio::time::timeout(PATIENCE, asked)
+    let result = tokio::time::timeout(TEST_TIMEOUT, asked)
         .await
         .expect("it is given up");
     assert_eq!(result, Err(RequestError::Lost));
@@ -76,7 +76,7 @@
     let a = node_with(watchful("a")).await;
     let mut b = node("b").await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
-    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     let reply = b.message().await.reply.unwrap();
     let before = a.mesh.counters().socket_bytes_in;
     a.until(|counters| counters.socket_bytes_in > before + 8)
--- a/crates/chervilshunt_mesh/tests/mesh/idle.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/idle.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_mesh::SendError;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 
 #[tokio::test]
 async fn an_idle_connection_is_closed_and_opened_again_at_need() {
@@ -35,12 +35,13 @@
     let mut idle = node("idle").await;
     let mut third = node("third").await;
     let (mesh, peer) = (a.mesh.clone(), busy.peer.clone());
-    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     let got = busy.message().await;
     a.mesh.send(&idle.peer, note("hello")).unwrap();
     idle.message().await;
     let (mesh, peer) = (a.mesh.clone(), third.peer.clone());
-    let second = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let second =
+        tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     let waiting = third.message().await;
     idle.until(|counters| counters.closed_idle == 1).await;
     let refused = a.mesh.send(&idle.peer, note("no room")).unwrap_err();
--- a/crates/chervilshunt_mesh/tests/mesh/loss.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/loss.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 use chervilshunt_mesh::{Inbound, Peer, RequestError, SendError};
 
 /// Guards against a caller's request being stuck after the owner dies with the request in its
@@ -17,7 +17,7 @@
     let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), long).await });
     let got = b.message().await;
     b.mesh.shutdown().await;
-    let result = tokio::time::timeout(PATIENCE, asked).await.unwrap();
+    let result = tokio::time::timeout(TEST_TIMEOUT, asked).await.unwrap();
     assert_eq!(result.unwrap(), Err(RequestError::Lost));
     assert_eq!(a.lost().await, "b");
     assert!(got.reply.unwrap().is_closed());
@@ -47,7 +47,7 @@
     };
     let error = a
         .mesh
-        .request(&peer, question("?"), PATIENCE)
+        .request(&peer, question("?"), TEST_TIMEOUT)
         .await
         .unwrap_err();
     let RequestError::NotSent { source } = &error else {
@@ -88,8 +88,8 @@
 #[tokio::test]
 async fn an_unreachable_peer_is_not_tried_again_at_once() {
     let mut cfg = config("a");
-    cfg.backoff_min = PATIENCE;
-    cfg.backoff_max = PATIENCE;
+    cfg.backoff_min = TEST_TIMEOUT;
+    cfg.backoff_max = TEST_TIMEOUT;
     let a = node_with(cfg).await;
     let gone = node("b").await;
     let peer = gone.peer.clone();
@@ -97,7 +97,7 @@
     drop(gone);
     let error = a
         .mesh
-        .request(&peer, question("?"), PATIENCE)
+        .request(&peer, question("?"), TEST_TIMEOUT)
         .await
         .unwrap_err();
     assert!(error.is_unhandled(), "{error}");
@@ -112,7 +112,7 @@
     let a = node("a").await;
     let mut b = node("b").await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
-    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     drop(b.message().await.reply);
     assert_eq!(asked.await.unwrap(), Err(RequestError::Unanswered));
 }
@@ -129,8 +129,8 @@
         let (mesh_a, mesh_b) = (a.mesh.clone(), b.mesh.clone());
         let asked = tokio::spawn(async move {
             tokio::join!(
-                mesh_a.request(&to_b, question("to b"), PATIENCE),
-                mesh_b.request(&to_a, question("to a"), PATIENCE),
+                mesh_a.request(&to_b, question("to b"), TEST_TIMEOUT),
+                mesh_b.request(&to_a, question("to a"), TEST_TIMEOUT),
             )
         });
         a.message()
--- a/crates/chervilshunt_mesh/tests/mesh/messages.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/messages.rs
@@ -1,6 +1,6 @@
 //! Messages, requests and answers between healthy peers.
 
-use crate::common::{PATIENCE, answer, node, note, question};
+use crate::common::{TEST_TIMEOUT, answer, node, note, question};
 
 #[tokio::test]
 async fn one_way_messages_arrive_in_order() {
@@ -24,7 +24,7 @@
     let ask = |text: &'static str| {
         let mesh = a.mesh.clone();
         let peer = b.peer.clone();
-        tokio::spawn(async move { mesh.request(&peer, question(text), PATIENCE).await })
+        tokio::spawn(async move { mesh.request(&peer, question(text), TEST_TIMEOUT).await })
     };
     let asked = [ask("x"), ask("y"), ask("z")];
     let mut taken = Vec::new();
@@ -58,7 +58,7 @@
     a.mesh.send(&a.peer, note("to myself")).unwrap();
     assert_eq!(a.message().await.message, note("to myself"));
     let (mesh, peer) = (a.mesh.clone(), a.peer.clone());
-    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     a.message().await.reply.unwrap().send(answer("!")).unwrap();
     assert_eq!(asked.await.unwrap(), Ok(answer("!")));
     assert_eq!(a.mesh.counters().socket_bytes_out, 0);
