--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -34,7 +34,7 @@
 
 /// A connection on which request 1 is written and unanswered, and request 2 and message 3 wait to
 /// be written.
-struct Scene {
+struct Fixture {
     shared: Arc<Shared<Number>>,
     connection: Arc<PeerConnection<Number>>,
     rx: mpsc::UnboundedReceiver<Outgoing<Number>>,
@@ -43,7 +43,7 @@
     _inbound: mpsc::Receiver<Inbound<Number>>,
 }
 
-fn scene(peer: &Peer) -> Scene {
+fn fixture(peer: &Peer) -> Fixture {
     let (tx, inbound) = mpsc::channel(16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let shared = Arc::new(Shared::new(cfg("a"), log, tx));
@@ -68,7 +68,7 @@
         purpose: "number",
     };
     connection.enqueue(note, 10).expect("there is room");
-    Scene {
+    Fixture {
         shared,
         connection,
         rx: registered.rx,
@@ -106,14 +106,14 @@
 #[tokio::test]
 async fn what_crosses_an_idle_close_is_sent_again() {
     let (_mesh, mut inbound, peer) = peer().await;
-    let Scene {
+    let Fixture {
         shared,
         connection,
         rx,
         written,
         unwritten,
         ..
-    } = scene(&peer);
+    } = fixture(&peer);
     assert!(!shared.deregister(&connection, rx, EndReason::Idle, Instant::now()));
     for number in 1..=3 {
         let next = timeout(TEST_TIMEOUT, inbound.recv()).await;
@@ -136,14 +136,14 @@
 #[tokio::test]
 async fn a_break_tells_written_requests_from_unwritten_ones() {
     let (_mesh, _inbound, peer) = peer().await;
-    let Scene {
+    let Fixture {
         shared,
         connection,
         rx,
         written,
         unwritten,
         ..
-    } = scene(&peer);
+    } = fixture(&peer);
     assert!(shared.deregister(&connection, rx, EndReason::Broken, Instant::now()));
     assert_eq!(written.await, Ok(Err(RequestError::Lost)));
     let ended = SendError::ConnectionEnded {
@@ -161,14 +161,14 @@
 #[tokio::test]
 async fn a_request_that_was_given_up_is_not_written() {
     let (_mesh, _inbound, peer) = peer().await;
-    let scene = scene(&peer);
+    let fixture = fixture(&peer);
     let (late, _answer) = request(4);
     assert!(late.state.abandon());
-    assert_eq!(scene.connection.start_request(late, Instant::now()), None);
+    assert_eq!(fixture.connection.start_request(late, Instant::now()), None);
     let (claimed, _answer) = request(5);
     let state = Arc::clone(&claimed.state);
     assert!(
-        scene
+        fixture
             .connection
             .start_request(claimed, Instant::now())
             .is_some()
