--- a/crates/chervilshunt_mesh/tests/mesh/cut.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/cut.rs
@@ -13,7 +13,7 @@
 
 /// Starts a TCP proxy to an address; each notification cuts the opener's side of the oldest
 /// connection.
-async fn passage(to: SocketAddr) -> (SocketAddr, Arc<Notify>) {
+async fn cuttable_proxy(to: SocketAddr) -> (SocketAddr, Arc<Notify>) {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a free port");
@@ -49,7 +49,7 @@
 async fn a_loss_is_reported_before_anything_of_the_next_connection() {
     let mut a = node("a").await;
     let mut b = node("b").await;
-    let (address, cut) = passage(b.peer.address).await;
+    let (address, cut) = cuttable_proxy(b.peer.address).await;
     let peer = Peer {
         instance: "b".into(),
         address,
@@ -78,15 +78,15 @@
 #[tokio::test]
 async fn closing_idle_connections_loses_and_doubles_nothing() {
     const ROUNDS: u64 = 400;
-    let eager = |name| {
+    let fast_idle_config = |name| {
         let mut cfg = config(name);
         cfg.idle_timeout = Duration::from_micros(500);
         cfg.ping_after = Duration::from_millis(1);
         cfg.ping_timeout = TEST_TIMEOUT;
         cfg
     };
-    let a = node_with(eager("a")).await;
-    let mut b = node_with(eager("b")).await;
+    let a = node_with(fast_idle_config("a")).await;
+    let mut b = node_with(fast_idle_config("b")).await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
     let asking = tokio::spawn(async move {
         for round in 0..ROUNDS {
--- a/crates/chervilshunt_mesh/tests/mesh/frozen.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/frozen.rs
@@ -46,7 +46,7 @@
     }
 }
 
-fn watchful(name: &str) -> chervilshunt_mesh::MeshConfig {
+fn fast_ping_config(name: &str) -> chervilshunt_mesh::MeshConfig {
     let mut cfg = config(name);
     cfg.ping_after = Duration::from_millis(20);
     cfg.ping_timeout = Duration::from_millis(200);
@@ -58,7 +58,7 @@
 /// the failure.
 #[tokio::test]
 async fn a_frozen_owner_is_noticed_while_a_request_waits() {
-    let mut a = node_with(watchful("a")).await;
+    let mut a = node_with(fast_ping_config("a")).await;
     let peer = frozen_peer("b").await;
     let hour = Duration::from_secs(3_600);
     let asked = a.mesh.request(&peer, question("?"), hour);
@@ -73,7 +73,7 @@
 /// time: the owner answers the pings.
 #[tokio::test]
 async fn a_slow_owner_is_not_taken_for_a_frozen_one() {
-    let a = node_with(watchful("a")).await;
+    let a = node_with(fast_ping_config("a")).await;
     let mut b = node("b").await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
     let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
@@ -90,7 +90,7 @@
 /// the budget of control traffic of each node.
 #[tokio::test]
 async fn a_peer_that_owes_nothing_is_not_pinged() {
-    let a = node_with(watchful("a")).await;
+    let a = node_with(fast_ping_config("a")).await;
     let mut b = node("b").await;
     a.mesh.send(&b.peer, note("hello")).unwrap();
     b.message().await;
