--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -121,14 +121,14 @@
         connection.enqueue_refusal(FrameHeader::Dropped(id));
         return;
     };
-    let room = shared.inbound.try_reserve();
-    let (Admission::Accepted, Ok(room)) = (admission, room) else {
+    let permit = shared.inbound.try_reserve();
+    let (Admission::Accepted, Ok(permit)) = (admission, permit) else {
         shared.counters.busy.add(1);
         connection.enqueue_refusal(FrameHeader::Busy(id));
         return;
     };
     let reply = Reply::remote(Arc::clone(shared), Arc::clone(connection), id);
-    room.send(inbound(connection, message, Some(reply)));
+    permit.send(inbound(connection, message, Some(reply)));
 }
 
 fn decode<M>(
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -65,9 +65,9 @@
             }
             Some(first) = rx.recv() => {
                 write_batch(shared, connection, first, rx, &mut sink).await?;
-                let watch_from = Instant::now() + shared.liveness.ping_after;
-                if watch_from < timer.deadline() {
-                    timer.as_mut().reset(watch_from);
+                let next_check = Instant::now() + shared.liveness.ping_after;
+                if next_check < timer.deadline() {
+                    timer.as_mut().reset(next_check);
                 }
             }
             () = &mut timer => match connection.next_action(&shared.liveness, Instant::now()) {
--- a/crates/chervilshunt_mesh/src/dial.rs
+++ b/crates/chervilshunt_mesh/src/dial.rs
@@ -36,11 +36,14 @@
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
     table.begin_dial(&peer.instance);
-    let ended = table.last_serial();
+    let last_serial = table.last_serial();
     let shared_by_task = Arc::clone(shared);
     shared.tasks.spawn(async move {
         let shared = shared_by_task;
-        let opening = timeout(shared.cfg.connect_timeout, open(&shared, &peer, ended));
+        let opening = timeout(
+            shared.cfg.connect_timeout,
+            open(&shared, &peer, last_serial),
+        );
         let result = tokio::select! {
             () = shared.shutdown.cancelled() => Err(SendError::ShutDown),
             result = opening => result.unwrap_or_else(|_| Err(unreachable(&peer, "timed out"))),
@@ -58,14 +61,14 @@
 async fn open<M>(
     shared: &Shared<M>,
     peer: &Peer,
-    ended: u64,
+    last_serial: u64,
 ) -> Result<(Socket, PeerHello), SendError> {
     let wrong = |reason: &dyn std::fmt::Display| SendError::WrongPeer {
         instance: peer.instance.clone(),
         address: peer.address,
         reason: reason.to_string(),
     };
-    let request = handshake::request(peer, &shared.cfg.instance, shared.process, ended)
+    let request = handshake::request(peer, &shared.cfg.instance, shared.process, last_serial)
         .map_err(|refusal| wrong(&refusal))?;
     let stream = TcpStream::connect(peer.address)
         .await
@@ -159,13 +162,13 @@
                 continue;
             }
         };
-        let Ok(turn) = Arc::clone(&handshakes).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&handshakes).acquire_owned().await else {
             return;
         };
         let shared_by_task = Arc::clone(&shared);
         shared.tasks.spawn(async move {
             let accepted = accept(&shared_by_task, stream).await;
-            drop(turn);
+            drop(permit);
             if let Some((registered, socket)) = accepted {
                 serve(shared_by_task, registered, socket).await;
             }
--- a/crates/chervilshunt_mesh/src/handshake.rs
+++ b/crates/chervilshunt_mesh/src/handshake.rs
@@ -95,13 +95,13 @@
 
 /// Builds the upgrade request that opens a connection.
 ///
-/// `ended` is this side's last serial number: all of its connections with the peer up to it have
+/// `last_serial` is this side's last serial number: all of its connections with the peer up to it have
 /// ended.
 pub(crate) fn request(
     peer: &Peer,
     us: &InstanceId,
     process: ProcessId,
-    ended: u64,
+    last_serial: u64,
 ) -> Result<Request, Refusal> {
     let mut request = format!("ws://{}/", peer.address)
         .into_client_request()
@@ -111,7 +111,7 @@
     headers.insert(FROM, value(FROM, us)?);
     headers.insert(TO, value(TO, &peer.instance)?);
     headers.insert(PROCESS, value(PROCESS, &process)?);
-    headers.insert(SERIAL, value(SERIAL, &ended)?);
+    headers.insert(SERIAL, value(SERIAL, &last_serial)?);
     Ok(request)
 }
 
