--- a/crates/chervilshunt_mesh/examples/rounds/throughput.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/throughput.rs
@@ -40,7 +40,7 @@
 
 /// The time, CPU time and bytes that one end used.
 #[derive(Clone, Copy, Debug)]
-struct Spent {
+struct ResourceUsage {
     wall: Duration,
     cpu: Duration,
     bytes: u64,
@@ -68,7 +68,7 @@
     }
 }
 
-fn run(size: usize, in_flight: usize, rounds: usize) -> (Spent, Duration) {
+fn run(size: usize, in_flight: usize, rounds: usize) -> (ResourceUsage, Duration) {
     let (address_tx, address_rx) = std_mpsc::channel();
     let stop = CancellationToken::new();
     let stopped = stop.clone();
@@ -110,7 +110,7 @@
     }
 }
 
-async fn ask(address: SocketAddr, size: usize, in_flight: usize, rounds: usize) -> Spent {
+async fn ask(address: SocketAddr, size: usize, in_flight: usize, rounds: usize) -> ResourceUsage {
     let (mesh, _inbound) = mesh("entry").await;
     let peer = Peer {
         instance: "owner".into(),
@@ -131,7 +131,7 @@
                 .expect("there is room");
         })
         .await;
-    Spent {
+    ResourceUsage {
         wall: start.elapsed(),
         cpu: thread_cpu().saturating_sub(before),
         bytes: socket_bytes(&mesh) - bytes_before,
