--- a/crates/chervilshunt_mesh/examples/rounds/encodings.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/encodings.rs
@@ -49,7 +49,7 @@
     row("field names", &named);
     row("one-letter names", &named.map(one_letter));
     row("positions", &named.map(positions));
-    row("in the compact form, as instances send it", &sent());
+    row("in the compact form, as instances send it", &compact());
 }
 
 fn row(label: &str, round: &Round) {
@@ -152,7 +152,7 @@
 }
 
 /// Returns the round in the types that instances send.
-fn sent() -> Round {
+fn compact() -> Round {
     let attempt = AttemptId::from_u128(ATTEMPT);
     let model = Some(AdapterVersion::new(ADAPTER, VERSION));
     let request = PermitRequest {
