--- a/crates/chervilshunt_mesh/src/handshake.rs
+++ b/crates/chervilshunt_mesh/src/handshake.rs
@@ -95,8 +95,8 @@
 
 /// Builds the upgrade request that opens a connection.
 ///
-/// `last_serial` is this side's last serial number: all of its connections with the peer up to it have
-/// ended.
+/// `last_serial` is the serial number of the connection that this side registered last. All of its
+/// connections with the peer up to that number have ended.
 pub(crate) fn request(
     peer: &Peer,
     us: &InstanceId,
