--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -12,7 +12,7 @@
 use crate::routing::SharedRouting;
 use crate::traffic::HeldPermits;
 use crate::wire::PeerMessage;
-use chervilshunt_engine::Engines;
+use chervilshunt_engine::EngineClients;
 use chervilshunt_model::Clock;
 
 /// Tries to have a message taken; together they last longer than a lease, so that the receiver is
@@ -35,7 +35,7 @@
     /// Messages to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
     /// Calls to targets.
-    pub(crate) engines: Engines,
+    pub(crate) engines: EngineClients,
     /// Calls to the platform.
     pub(crate) platform: Platform,
     /// What the traffic threads see.
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -25,7 +25,7 @@
 use crate::shutdown::{Shutdown, ShutdownError, Signals};
 use crate::traffic::{Claims, HeldPermits, Links, Permits, Traffic, serve_callers};
 use crate::wire::PeerMessage;
-use chervilshunt_engine::Engines;
+use chervilshunt_engine::EngineClients;
 use chervilshunt_model::Clock;
 
 /// Messages that may wait for the control actor before senders wait too.
@@ -117,7 +117,7 @@
         log: log.clone(),
         clock,
         mesh: mesh.clone(),
-        engines: Engines::default(),
+        engines: EngineClients::default(),
         platform: Platform::new(platform_config(&settings), log.clone()),
         routing: routing.clone(),
         held: held.clone(),
--- a/crates/chervilshunt_daemon/src/traffic/serve.rs
+++ b/crates/chervilshunt_daemon/src/traffic/serve.rs
@@ -24,7 +24,7 @@
 use super::permits::Permits;
 use super::problem::{Problem, Reason};
 use crate::routing::SharedRouting;
-use chervilshunt_engine::Engines;
+use chervilshunt_engine::EngineClients;
 use chervilshunt_model::Clock;
 
 /// When a caller should come back to an instance that may not take new work.
@@ -64,7 +64,7 @@
     pub(super) routing: SharedRouting,
     pub(super) permits: Permits,
     pub(super) claims: Claims,
-    pub(super) engines: Engines,
+    pub(super) engines: EngineClients,
     pub(super) open: Arc<Semaphore>,
     pub(super) retries: Mutex<RetryBudget>,
 }
@@ -88,7 +88,7 @@
         retries: RetryBudget,
     ) -> Self {
         let open = Arc::new(Semaphore::new(settings.limits.open_requests));
-        let engines = Engines::default();
+        let engines = EngineClients::default();
         let retries = Mutex::new(retries);
         Self {
             parts: Arc::new(Parts {
--- a/crates/chervilshunt_engine/src/engines.rs
+++ b/crates/chervilshunt_engine/src/engines.rs
@@ -8,9 +8,9 @@
 
 /// The clients by target address; their connection pools outlive roles and requests.
 #[derive(Clone, Debug, Default)]
-pub struct Engines(Arc<Mutex<HashMap<SocketAddr, EngineClient>>>);
+pub struct EngineClients(Arc<Mutex<HashMap<SocketAddr, EngineClient>>>);
 
-impl Engines {
+impl EngineClients {
     /// Returns the client of the target at `address`, which is created on first use.
     pub fn client(&self, address: SocketAddr) -> EngineClient {
         let mut clients = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -19,7 +19,7 @@
 pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, Scanned, SseScanner, Usage};
 pub use call::{Call, Expect, Limits};
 pub use client::EngineClient;
-pub use engines::Engines;
+pub use engines::EngineClients;
 pub use error::{EngineError, Outcome, Stage};
 pub use headers::strip_hop_by_hop;
 pub use reports::{CacheEvent, CacheEventKind, LoadReport};
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwapOption;
 use chervilshunt_core::{Dispatch, Quarantine, QuarantineConfig, RouteTable, ServiceBudgets};
-use chervilshunt_engine::Engines;
+use chervilshunt_engine::EngineClients;
 use chervilshunt_mesh::{Mesh, Peer};
 use chervilshunt_model::{Clock, Moment};
 use slog::Logger;
@@ -39,7 +39,7 @@
     pub(crate) clock: Clock,
     pub(crate) log: Logger,
     pub(crate) mesh: Mesh<PeerMessage>,
-    pub(crate) engines: Engines,
+    pub(crate) engines: EngineClients,
     pub(crate) grants: GrantBook,
     pub(crate) crash_signs: CrashSigns,
     /// The configuration in force here; none until one has been read.
@@ -108,7 +108,7 @@
             clock: Clock::boot(),
             log,
             mesh,
-            engines: Engines::default(),
+            engines: EngineClients::default(),
             grants: GrantBook::default(),
             crash_signs,
             routes: ArcSwapOption::empty(),
