--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_core::ReleaseOutcome;
 use chervilshunt_engine::{
-    Answer, Call, EngineError, Expect, Limits as CallLimits, Outcome as Ran, Stage,
+    Answer, Call, EngineError, ExpectedAnswer, Limits as CallLimits, Outcome as Ran, Stage,
 };
 use chervilshunt_model::{Moment, TargetName};
 use http::Response;
@@ -175,8 +175,8 @@
 
     fn call(&self, permit: &HeldPermit) -> Call {
         let expect = match &self.req.engine_model {
-            Some(model) => Expect::Model(model.as_str().into()),
-            None => Expect::Anything,
+            Some(model) => ExpectedAnswer::Model(model.as_str().into()),
+            None => ExpectedAnswer::Any,
         };
         let head = self.req.left(now());
         Call {
--- a/crates/chervilshunt_engine/examples/read_streams.rs
+++ b/crates/chervilshunt_engine/examples/read_streams.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use chervilshunt_engine::{Call, EngineClient, Expect, Limits};
+use chervilshunt_engine::{Call, EngineClient, ExpectedAnswer, Limits};
 use chervilshunt_model::{AttemptId, RequestId};
 use http::{HeaderMap, HeaderValue, Method};
 use http_body_util::BodyExt as _;
@@ -63,7 +63,7 @@
         body: Bytes::from(body.to_string()),
         request: RequestId::new(format!("r{number}")),
         attempt: AttemptId::random(),
-        expect: Expect::Model("base".into()),
+        expect: ExpectedAnswer::Model("base".into()),
         idempotent: true,
         limits: Limits {
             connect: Duration::from_secs(5),
--- a/crates/chervilshunt_engine/src/call.rs
+++ b/crates/chervilshunt_engine/src/call.rs
@@ -24,7 +24,7 @@
     /// The id of the attempt; an answer with a different id is rejected.
     pub attempt: AttemptId,
     /// The kind of answer that is accepted.
-    pub expect: Expect,
+    pub expect: ExpectedAnswer,
     /// Whether the call may run twice without harm.
     ///
     /// A call that is not idempotent gets a new connection. The target may close a reused one as
@@ -36,11 +36,11 @@
 
 /// The kind of answer that a call accepts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Expect {
+pub enum ExpectedAnswer {
     /// An engine's answer that was served by this model only.
     Model(Arc<str>),
     /// Any complete answer, with any status.
-    Anything,
+    Any,
 }
 
 /// The time limits for the stages of a call.
--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -12,7 +12,7 @@
 use snafu::ResultExt as _;
 
 use crate::answer::{self, Answer, BodyReader};
-use crate::call::{Call, Expect, Limits};
+use crate::call::{Call, ExpectedAnswer, Limits};
 use crate::connection::{Connection, SendError};
 use crate::error::{
     CrossedSnafu, EngineError, MalformedSnafu, NotSentSnafu, OutcomeUnknownSnafu, Stage,
@@ -75,8 +75,8 @@
         answer::require_delimited(&head)?;
         strip_hop_by_hop(&mut head.headers);
         match expect {
-            Expect::Anything => Ok(Answer::unchecked(head, reader)),
-            Expect::Model(model) => Answer::checked(head, reader, model).await,
+            ExpectedAnswer::Any => Ok(Answer::unchecked(head, reader)),
+            ExpectedAnswer::Model(model) => Answer::checked(head, reader, model).await,
         }
     }
 
@@ -207,7 +207,7 @@
     headers.remove(header::EXPECT);
     // Only owners of targets may give orders, so a caller's fencing token is dropped.
     headers.remove(FENCING_TOKEN);
-    if matches!(call.expect, Expect::Model(_)) {
+    if matches!(call.expect, ExpectedAnswer::Model(_)) {
         // A compressed answer could not be validated.
         headers.remove(header::ACCEPT_ENCODING);
     }
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -17,7 +17,7 @@
 mod reports;
 
 pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, Scanned, SseScanner, Usage};
-pub use call::{Call, Expect, Limits};
+pub use call::{Call, ExpectedAnswer, Limits};
 pub use client::EngineClient;
 pub use engines::EngineClients;
 pub use error::{EngineError, Outcome, Stage};
--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use chervilshunt_engine::{EngineClient, Expect, Usage};
+use chervilshunt_engine::{EngineClient, ExpectedAnswer, Usage};
 use chervilshunt_model::{AdapterVersion, Epoch};
 use chervilshunt_standin::engine::{EngineStandin, EngineStandinConfig, start_engine};
 use chervilshunt_standin::plain::{PlainStandinConfig, start_plain};
@@ -347,7 +347,7 @@
         tokio::spawn(async move {
             let id = format!("r{number}");
             let call = completion(&id, 2 + number % 7, number % 2 == 0);
-            assert_eq!(call.expect, Expect::Model(MODEL.into()));
+            assert_eq!(call.expect, ExpectedAnswer::Model(MODEL.into()));
             let call = chervilshunt_engine::Call {
                 limits: chervilshunt_engine::Limits {
                     head: LIMITS.head * 20,
--- a/crates/chervilshunt_engine/tests/common/mod.rs
+++ b/crates/chervilshunt_engine/tests/common/mod.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_engine::{Answer, AnswerSummary, Call, EngineClient, EngineError, Expect, Limits};
+use chervilshunt_engine::{
+    Answer, AnswerSummary, Call, EngineClient, EngineError, ExpectedAnswer, Limits,
+};
 use chervilshunt_model::{AttemptId, RequestId};
 use http::{HeaderMap, Method};
 use http_body_util::BodyExt as _;
@@ -41,7 +43,7 @@
     Call {
         path: "/v1/completions".parse().expect("path"),
         body: body.into(),
-        expect: Expect::Model(model.into()),
+        expect: ExpectedAnswer::Model(model.into()),
         ..plain(request, true)
     }
 }
@@ -55,7 +57,7 @@
         body: Bytes::from_static(b"entry"),
         request: RequestId::new(request),
         attempt: AttemptId::random(),
-        expect: Expect::Anything,
+        expect: ExpectedAnswer::Any,
         idempotent,
         limits: LIMITS,
     }
--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_engine::{Answer, Call, EngineClient, EngineError, Expect, Limits};
+use chervilshunt_engine::{Answer, Call, EngineClient, EngineError, ExpectedAnswer, Limits};
 use chervilshunt_model::{AdapterVersion, AttemptId, Epoch, RequestId};
 use chervilshunt_standin::engine::{
     EngineFaultChange, EngineStandin, EngineStandinConfig, PowerChange, highest_power_together,
@@ -40,7 +40,7 @@
         body: Bytes::from(body.to_string()),
         request: RequestId::new(request),
         attempt: AttemptId::random(),
-        expect: Expect::Model(model.into()),
+        expect: ExpectedAnswer::Model(model.into()),
         idempotent: true,
         limits: Limits::default(),
     }
@@ -366,7 +366,7 @@
     let faults = |text: &'static str| Call {
         path: "/standin/faults".parse().expect("path"),
         body: Bytes::from_static(text.as_bytes()),
-        expect: Expect::Anything,
+        expect: ExpectedAnswer::Any,
         ..call("base", "c", 1, 0)
     };
 
