--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_core::ReleaseOutcome;
 use chervilshunt_engine::{
-    Answer, Call, EngineError, ExpectedAnswer, Limits as CallLimits, Outcome as Ran, Stage,
+    Answer, Call, CallStage, EngineError, ExpectedAnswer, Limits as CallLimits, Outcome as Ran,
 };
 use chervilshunt_model::{Moment, TargetName};
 use http::Response;
@@ -236,7 +236,7 @@
     let reason = match error {
         EngineError::NotSent { .. }
         | EngineError::Timeout {
-            stage: Stage::Connect,
+            stage: CallStage::Connect,
             ..
         } => Reason::NoTarget,
         EngineError::Timeout { .. } => Reason::TargetTimeout,
@@ -281,7 +281,7 @@
             ReleaseOutcome::Cancelled
         }
         EngineError::Timeout {
-            stage: Stage::Connect,
+            stage: CallStage::Connect,
             ..
         } => ReleaseOutcome::TargetFailed,
         EngineError::Timeout { .. } => ReleaseOutcome::TimedOut,
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -11,7 +11,7 @@
 
 use crate::call::Limits;
 use crate::connection::Connection;
-use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu, Stage, TimeoutSnafu};
+use crate::error::{BrokenOffSnafu, CallStage, EngineError, MalformedSnafu, TimeoutSnafu};
 use crate::pool::Pool;
 
 /// Reads the body of an answer, and returns the connection to the pool at its end.
@@ -152,7 +152,7 @@
         Poll::Ready(Some(
             TimeoutSnafu {
                 address,
-                stage: Stage::Body,
+                stage: CallStage::Body,
                 limit,
             }
             .fail(),
--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -15,7 +15,7 @@
 use crate::call::{Call, ExpectedAnswer, Limits};
 use crate::connection::{Connection, SendError};
 use crate::error::{
-    CrossedSnafu, EngineError, MalformedSnafu, NotSentSnafu, OutcomeUnknownSnafu, Stage,
+    CallStage, CrossedSnafu, EngineError, MalformedSnafu, NotSentSnafu, OutcomeUnknownSnafu,
     TimeoutSnafu,
 };
 use crate::headers::{ATTEMPT_ID, FENCING_TOKEN, REQUEST_ID, strip_hop_by_hop};
@@ -161,7 +161,7 @@
             .ok_or_else(|| {
                 TimeoutSnafu {
                     address,
-                    stage: Stage::Connect,
+                    stage: CallStage::Connect,
                     limit,
                 }
                 .build()
@@ -179,7 +179,7 @@
         let Ok(sent) = tokio::time::timeout(limit, connection.send(req)).await else {
             return TimeoutSnafu {
                 address,
-                stage: Stage::Head,
+                stage: CallStage::Head,
                 limit,
             }
             .fail();
--- a/crates/chervilshunt_engine/src/error.rs
+++ b/crates/chervilshunt_engine/src/error.rs
@@ -23,7 +23,7 @@
 
 /// The stage of a call at which it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum CallStage {
     /// Connecting; no byte of the request can have been sent.
     Connect,
     /// The request may have been sent; the headers of the answer have not been received.
@@ -32,7 +32,7 @@
     Body,
 }
 
-impl fmt::Display for Stage {
+impl fmt::Display for CallStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Connect => "connecting",
@@ -69,7 +69,7 @@
         /// The target's address.
         address: SocketAddr,
         /// The stage of the call.
-        stage: Stage,
+        stage: CallStage,
         /// The time limit of the stage.
         limit: Duration,
     },
@@ -148,9 +148,9 @@
                 Outcome::NotRun
             }
             Self::Timeout { stage, .. } => match stage {
-                Stage::Connect => Outcome::NotRun,
-                Stage::Head => Outcome::Unknown,
-                Stage::Body => Outcome::CutShort,
+                CallStage::Connect => Outcome::NotRun,
+                CallStage::Head => Outcome::Unknown,
+                CallStage::Body => Outcome::CutShort,
             },
             Self::Refused {
                 status,
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -20,6 +20,6 @@
 pub use call::{Call, ExpectedAnswer, Limits};
 pub use client::EngineClient;
 pub use engines::EngineClients;
-pub use error::{EngineError, Outcome, Stage};
+pub use error::{CallStage, EngineError, Outcome};
 pub use headers::strip_hop_by_hop;
 pub use reports::{CacheEvent, CacheEventKind, LoadReport};
--- a/crates/chervilshunt_engine/tests/failures.rs
+++ b/crates/chervilshunt_engine/tests/failures.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use chervilshunt_engine::{EngineClient, EngineError, Outcome, Stage};
+use chervilshunt_engine::{CallStage, EngineClient, EngineError, Outcome};
 use chervilshunt_standin::engine::{EngineFaultChange, EngineStandinConfig, start_engine};
 use chervilshunt_standin::plain::{PlainFaultChange, PlainStandinConfig, start_plain};
 use common::{
@@ -21,14 +21,16 @@
         EngineError::NotSent { .. } => "not sent",
         EngineError::OutcomeUnknown { .. } => "outcome unknown",
         EngineError::Timeout {
-            stage: Stage::Connect,
+            stage: CallStage::Connect,
             ..
         } => "timeout connecting",
         EngineError::Timeout {
-            stage: Stage::Head, ..
+            stage: CallStage::Head,
+            ..
         } => "timeout at head",
         EngineError::Timeout {
-            stage: Stage::Body, ..
+            stage: CallStage::Body,
+            ..
         } => "timeout in body",
         EngineError::Refused { .. } => "refused",
         EngineError::Fenced { .. } => "fenced",
