--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -242,7 +242,7 @@
         EngineError::Timeout { .. } => Reason::TargetTimeout,
         EngineError::Refused { .. } | EngineError::Fenced { .. } => Reason::TargetRefused,
         EngineError::WrongModel { .. } => Reason::WrongModel,
-        EngineError::BrokenOff { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
+        EngineError::Truncated { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
         _ => Reason::TargetFailed,
     };
     let (problem, again) = match error.outcome() {
--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -10,7 +10,7 @@
 
 use super::reader::BodyReader;
 use super::{AnswerSummary, SseScanner};
-use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu};
+use crate::error::{EngineError, MalformedSnafu, TruncatedSnafu};
 
 /// The maximum size of a stream event, which is buffered until it has been validated.
 const MAX_EVENT: usize = 1024 * 1024;
@@ -191,7 +191,7 @@
     fn end(&mut self, ready: &mut VecDeque<Bytes>) -> Option<Result<Frame<Bytes>, EngineError>> {
         if !self.scanner.is_done() {
             return Some(
-                BrokenOffSnafu {
+                TruncatedSnafu {
                     problem: "the stream ended without [DONE]",
                 }
                 .fail(),
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -11,7 +11,7 @@
 
 use crate::call::Limits;
 use crate::connection::Connection;
-use crate::error::{BrokenOffSnafu, CallStage, EngineError, MalformedSnafu, TimeoutSnafu};
+use crate::error::{CallStage, EngineError, MalformedSnafu, TimeoutSnafu, TruncatedSnafu};
 use crate::pool::Pool;
 
 /// Reads the body of an answer, and returns the connection to the pool at its end.
@@ -95,7 +95,7 @@
                 self.finish_if_ended();
                 Poll::Ready(Some(Ok(frame)))
             }
-            Poll::Ready(Some(Err(err))) => self.break_off(err.to_string()),
+            Poll::Ready(Some(Err(err))) => self.fail_truncated(err.to_string()),
             Poll::Ready(None) => {
                 if let Some(connection) = self.connection.take() {
                     self.pool.put(connection);
@@ -103,7 +103,7 @@
                 Poll::Ready(None)
             }
             Poll::Pending if connection.has_ended() => {
-                self.break_off("the connection was closed".to_owned())
+                self.fail_truncated("the connection was closed".to_owned())
             }
             Poll::Pending => self.poll_idle(cx),
         }
@@ -138,9 +138,9 @@
         Ok(first.unwrap_or_else(|| joined.freeze()))
     }
 
-    fn break_off<T>(&mut self, problem: String) -> Poll<Option<Result<T, EngineError>>> {
+    fn fail_truncated<T>(&mut self, problem: String) -> Poll<Option<Result<T, EngineError>>> {
         self.connection = None;
-        Poll::Ready(Some(BrokenOffSnafu { problem }.fail()))
+        Poll::Ready(Some(TruncatedSnafu { problem }.fail()))
     }
 
     fn poll_idle<T>(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<T, EngineError>>> {
--- a/crates/chervilshunt_engine/src/error.rs
+++ b/crates/chervilshunt_engine/src/error.rs
@@ -125,7 +125,7 @@
     },
     /// The answer ended before it was complete.
     #[snafu(display("the answer was truncated: {problem}"))]
-    BrokenOff {
+    Truncated {
         /// How the end was detected.
         problem: Arc<str>,
     },
@@ -161,7 +161,7 @@
             Self::WrongModel { .. }
             | Self::Malformed { .. }
             | Self::FailedMidway { .. }
-            | Self::BrokenOff { .. } => Outcome::CutShort,
+            | Self::Truncated { .. } => Outcome::CutShort,
         }
     }
 }
--- a/crates/chervilshunt_engine/tests/failures.rs
+++ b/crates/chervilshunt_engine/tests/failures.rs
@@ -39,7 +39,7 @@
         EngineError::Crossed { .. } => "crossed",
         EngineError::Malformed { .. } => "malformed",
         EngineError::FailedMidway { .. } => "failed midway",
-        EngineError::BrokenOff { .. } => "broken off",
+        EngineError::Truncated { .. } => "truncated",
         _ => "unheard of",
     }
 }
@@ -137,16 +137,16 @@
     Step::AnswerAndClose(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 99\r\n\r\n{".into()
     ),
-    "broken off", Outcome::CutShort
+    "truncated", Outcome::CutShort
 )]
 #[case::stream_by_other_model(
     Step::Answer(chunked(&[&event("b@1", "x")], true)), "wrong model", Outcome::CutShort
 )]
 #[case::stream_cut(
-    Step::AnswerAndClose(chunked(&[&event(MODEL, "x")], false)), "broken off", Outcome::CutShort
+    Step::AnswerAndClose(chunked(&[&event(MODEL, "x")], false)), "truncated", Outcome::CutShort
 )]
 #[case::stream_ended_without_done(
-    Step::Answer(chunked(&[&event(MODEL, "x")], true)), "broken off", Outcome::CutShort
+    Step::Answer(chunked(&[&event(MODEL, "x")], true)), "truncated", Outcome::CutShort
 )]
 #[case::stream_stalls(
     Step::Answer(chunked(&[&event(MODEL, "x")], false)), "timeout in body", Outcome::CutShort
@@ -277,7 +277,7 @@
 
 /// Guards against accepting a truncated answer of a plain service as complete.
 #[tokio::test]
-async fn short_answer_of_plain_service_is_broken_off() {
+async fn short_answer_of_plain_service_is_truncated() {
     let service = start_plain(PlainStandinConfig::default())
         .await
         .expect("start");
@@ -292,7 +292,7 @@
 
     let failed = read(answer).await.expect_err("fails");
 
-    assert_eq!(kind(&failed.error), "broken off");
+    assert_eq!(kind(&failed.error), "truncated");
     assert!(!failed.read.is_empty());
 }
 
@@ -317,7 +317,7 @@
 
     let failed = read(answer).await.expect_err("fails");
 
-    assert_eq!(kind(&failed.error), "broken off");
+    assert_eq!(kind(&failed.error), "truncated");
     let whole = event(MODEL, "x") + &event(MODEL, "y") + &event(MODEL, "z");
     assert_eq!(failed.read, whole);
 }
@@ -351,7 +351,7 @@
 )]
 #[case::cut_midway(
     EngineFaultChange { cut_after_tokens: Some(2), ..EngineFaultChange::default() },
-    "broken off"
+    "truncated"
 )]
 #[case::wrong_model(
     EngineFaultChange { wrong_model: Some(true), ..EngineFaultChange::default() }, "wrong model"
--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -343,7 +343,7 @@
 
     assert!(matches!(
         finish(answer).await,
-        Err(EngineError::BrokenOff { .. })
+        Err(EngineError::Truncated { .. })
     ));
     late.await.expect("task").expect_err("is cut");
     until(|| engine.stats().count.failed_loads == 1).await;
