--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -15,8 +15,8 @@
 use crate::call::{Call, ExpectedAnswer, Limits};
 use crate::connection::{Connection, SendError};
 use crate::error::{
-    CallStage, CrossedSnafu, EngineError, MalformedSnafu, NotSentSnafu, OutcomeUnknownSnafu,
-    TimeoutSnafu,
+    AttemptMismatchSnafu, CallStage, EngineError, MalformedSnafu, NotSentSnafu,
+    OutcomeUnknownSnafu, TimeoutSnafu,
 };
 use crate::headers::{ATTEMPT_ID, FENCING_TOKEN, REQUEST_ID, strip_hop_by_hop};
 use crate::pool::Pool;
@@ -70,7 +70,7 @@
             && received.as_bytes() != attempt.to_string().as_bytes()
         {
             let received = String::from_utf8_lossy(received.as_bytes());
-            return CrossedSnafu { attempt, received }.fail();
+            return AttemptMismatchSnafu { attempt, received }.fail();
         }
         answer::require_delimited(&head)?;
         strip_hop_by_hop(&mut head.headers);
--- a/crates/chervilshunt_engine/src/error.rs
+++ b/crates/chervilshunt_engine/src/error.rs
@@ -105,7 +105,7 @@
     },
     /// The answer belongs to a different call.
     #[snafu(display("the answer to attempt {attempt} has the attempt id {received}"))]
-    Crossed {
+    AttemptMismatch {
         /// The attempt that was sent.
         attempt: AttemptId,
         /// The id that the answer carries.
@@ -157,7 +157,7 @@
                 retry_after,
                 ..
             } => refusal_outcome(*status, *retry_after),
-            Self::OutcomeUnknown { .. } | Self::Crossed { .. } => Outcome::Unknown,
+            Self::OutcomeUnknown { .. } | Self::AttemptMismatch { .. } => Outcome::Unknown,
             Self::WrongModel { .. }
             | Self::Malformed { .. }
             | Self::FailedMidway { .. }
