--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -147,7 +147,7 @@
         }
         let opened = now();
         let result = match client.open(self.call(&permit)).await {
-            Ok(mut answer) => answer.body.first_piece().await.map(|()| answer),
+            Ok(mut answer) => answer.body.buffer_first_chunk().await.map(|()| answer),
             Err(error) => Err(error),
         };
         match result {
--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// Returns the error that reading the first chunk of the body gives.
-    pub async fn first_piece(&mut self) -> Result<(), EngineError> {
+    pub async fn buffer_first_chunk(&mut self) -> Result<(), EngineError> {
         if !self.ready.is_empty() {
             return Ok(());
         }
--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -73,12 +73,16 @@
 
 /// Guards against losing the first chunk when it is awaited before the caller gets the headers.
 #[tokio::test]
-async fn first_piece_is_kept() {
+async fn first_chunk_is_kept() {
     let (_engine, client) = engine_with_adapter(1).await;
     let mut answer = client.open(completion("r", 3, true)).await.expect("opens");
 
-    answer.body.first_piece().await.expect("comes");
-    answer.body.first_piece().await.expect("is still there");
+    answer.body.buffer_first_chunk().await.expect("comes");
+    answer
+        .body
+        .buffer_first_chunk()
+        .await
+        .expect("is still there");
 
     let (text, summary) = read(answer).await.expect("whole");
     assert!(
@@ -382,14 +386,14 @@
 /// before it answers, and hyper then asks for the size hint. If the hint does not include the
 /// buffered chunk, hyper writes no body.
 #[tokio::test]
-async fn piece_that_was_looked_at_still_counts_as_left() {
+async fn size_hint_includes_buffered_chunk() {
     let target = start_plain(PlainStandinConfig::default())
         .await
         .expect("start");
     let client = EngineClient::new(target.address);
 
     let mut answer = client.open(plain("r", true)).await.expect("opens");
-    answer.body.first_piece().await.expect("first piece");
+    answer.body.buffer_first_chunk().await.expect("first piece");
     let announced = http_body::Body::size_hint(&answer.body).exact();
     let body = answer.body.collect().await.expect("whole").to_bytes();
 
--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -179,7 +179,7 @@
         .open(call("a@1", "r", 1_000_000, 0))
         .await
         .expect("opens");
-    answer.body.first_piece().await.expect("comes");
+    answer.body.buffer_first_chunk().await.expect("comes");
 
     client.unload(&model("a@1"), EPOCH).await.expect("unloads");
 
@@ -325,7 +325,7 @@
         .open(call("a@1", "r", 1_000_000, 0))
         .await
         .expect("opens");
-    answer.body.first_piece().await.expect("comes");
+    answer.body.buffer_first_chunk().await.expect("comes");
     engine.set_faults(&EngineFaultChange {
         load_slow_ms: Some(40),
         ..EngineFaultChange::default()
