--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -126,12 +126,12 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
-        if let Some(piece) = self.ready.pop_front() {
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if let Some(chunk) = self.ready.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         let polled = match &mut self.source {
             Source::Whole => Poll::Ready(None),
-            Source::Plain(reader) => reader.poll_piece(cx),
+            Source::Plain(reader) => reader.poll_chunk(cx),
             Source::Stream(stream) => stream.poll_events(&mut self.ready, cx),
         };
         if matches!(polled, Poll::Ready(None)) {
@@ -148,15 +148,15 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
         loop {
-            if let Some(piece) = ready.pop_front() {
-                return Poll::Ready(Some(Ok(Frame::data(piece))));
+            if let Some(chunk) = ready.pop_front() {
+                return Poll::Ready(Some(Ok(Frame::data(chunk))));
             }
             if let Some(err) = self.failure.take() {
                 return Poll::Ready(Some(Err(err)));
             }
-            match self.reader.poll_piece(cx) {
+            match self.reader.poll_chunk(cx) {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(piece) => self.take(piece, ready),
+                    Ok(chunk) => self.take(chunk, ready),
                     Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                 },
                 Poll::Ready(None) => return Poll::Ready(self.end(ready)),
@@ -166,17 +166,17 @@
     }
 
     /// Scans a chunk and moves the data of complete events to `ready`.
-    fn take(&mut self, mut piece: Bytes, ready: &mut VecDeque<Bytes>) {
-        let scanned = self.scanner.scan(&piece);
+    fn take(&mut self, mut chunk: Bytes, ready: &mut VecDeque<Bytes>) {
+        let scanned = self.scanner.scan(&chunk);
         self.failure = scanned.failure;
         if scanned.checked > 0 {
             ready.append(&mut self.held);
             self.held_bytes = 0;
-            ready.push_back(piece.split_to(scanned.checked));
+            ready.push_back(chunk.split_to(scanned.checked));
         }
-        if !piece.is_empty() {
-            self.held_bytes += piece.len();
-            self.held.push_back(piece);
+        if !chunk.is_empty() {
+            self.held_bytes += chunk.len();
+            self.held.push_back(chunk);
         }
         if self.held_bytes > MAX_EVENT && self.failure.is_none() {
             self.failure = Some(
@@ -198,7 +198,7 @@
             );
         }
         ready.append(&mut self.held);
-        ready.pop_front().map(|piece| Ok(Frame::data(piece)))
+        ready.pop_front().map(|chunk| Ok(Frame::data(chunk)))
     }
 }
 
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -74,7 +74,7 @@
     }
 
     /// Polls for the next chunk; yields `None` after the end of the body or an error.
-    pub fn poll_piece(
+    pub fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
@@ -116,8 +116,8 @@
     pub async fn read_whole(mut self, max: usize) -> Result<Bytes, EngineError> {
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
-        while let Some(piece) = std::future::poll_fn(|cx| self.poll_piece(cx)).await {
-            let Ok(data) = piece?.into_data() else {
+        while let Some(chunk) = std::future::poll_fn(|cx| self.poll_chunk(cx)).await {
+            let Ok(data) = chunk?.into_data() else {
                 continue;
             };
             if joined.len() + first.as_ref().map_or(0, Bytes::len) + data.len() > max {
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -108,7 +108,7 @@
             if self.resuming.is_some() {
                 ready!(self.poll_resuming(cx))?;
             }
-            let polled = self.body.poll_piece(cx);
+            let polled = self.body.poll_chunk(cx);
             if polled.is_pending() {
                 if self.deadline.as_mut().poll(cx).is_ready() {
                     return Poll::Ready(Some(self.cut("deadline")));
