--- a/crates/chervilshunt_engine/examples/scan.rs
+++ b/crates/chervilshunt_engine/examples/scan.rs
@@ -18,18 +18,18 @@
     let bytes = text.as_bytes();
     let event_length = bytes.len() / EVENTS;
     let event_ends: Vec<usize> = text.match_indices("\n\n").map(|(at, _)| at + 2).collect();
-    let by_event = pieces_at(bytes, &event_ends);
+    let by_event = chunks_at(bytes, &event_ends);
     let by_eight: Vec<usize> = event_ends.iter().copied().skip(7).step_by(8).collect();
     let ways = [
         ("one event a piece", by_event),
-        ("eight events a piece", pieces_at(bytes, &by_eight)),
+        ("eight events a piece", chunks_at(bytes, &by_eight)),
         (
             "two pieces an event",
             bytes.chunks(event_length / 2).collect(),
         ),
     ];
-    for (name, pieces) in ways {
-        let mut times: Vec<Duration> = (0..ROUNDS).map(|_| measure(&pieces)).collect();
+    for (name, chunks) in ways {
+        let mut times: Vec<Duration> = (0..ROUNDS).map(|_| measure(&chunks)).collect();
         times.sort_unstable();
         let median = times[ROUNDS / 2].as_secs_f64();
         let result = json!({
@@ -55,7 +55,7 @@
     )
 }
 
-fn pieces_at<'a>(bytes: &'a [u8], ends: &[usize]) -> Vec<&'a [u8]> {
+fn chunks_at<'a>(bytes: &'a [u8], ends: &[usize]) -> Vec<&'a [u8]> {
     let starts = std::iter::once(&0).chain(ends);
     starts
         .zip(ends)
@@ -63,13 +63,13 @@
         .collect()
 }
 
-fn measure(pieces: &[&[u8]]) -> Duration {
+fn measure(chunks: &[&[u8]]) -> Duration {
     let mut scanner = SseScanner::new(MODEL.into());
     let begun = Instant::now();
-    for piece in pieces {
-        let scanned = scanner.scan(black_box(piece));
+    for chunk in chunks {
+        let scanned = scanner.scan(black_box(chunk));
         assert!(scanned.failure.is_none());
-        black_box(scanned.checked);
+        black_box(scanned.valid_bytes);
     }
     let took = begun.elapsed();
     assert!(scanner.events() as usize >= EVENTS - 8);
--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -169,10 +169,10 @@
     fn take(&mut self, mut chunk: Bytes, ready: &mut VecDeque<Bytes>) {
         let scanned = self.scanner.scan(&chunk);
         self.failure = scanned.failure;
-        if scanned.checked > 0 {
+        if scanned.valid_bytes > 0 {
             ready.append(&mut self.held);
             self.held_bytes = 0;
-            ready.push_back(chunk.split_to(scanned.checked));
+            ready.push_back(chunk.split_to(scanned.valid_bytes));
         }
         if !chunk.is_empty() {
             self.held_bytes += chunk.len();
--- a/crates/chervilshunt_engine/src/answer/mod.rs
+++ b/crates/chervilshunt_engine/src/answer/mod.rs
@@ -15,7 +15,7 @@
 
 pub use body::AnswerBody;
 pub use reader::BodyReader;
-pub use sse::{Scanned, SseScanner};
+pub use sse::{ScanResult, SseScanner};
 
 use crate::error::{AdapterMissingSnafu, EngineError, MalformedSnafu, RefusedSnafu};
 use crate::headers::retry_after;
--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -33,9 +33,9 @@
 
 /// The result of scanning a chunk of a stream.
 #[derive(Debug, Default)]
-pub struct Scanned {
+pub struct ScanResult {
     /// The number of bytes at the start of the chunk that belong to complete, valid events.
-    pub checked: usize,
+    pub valid_bytes: usize,
     /// The error in the event that follows them.
     pub failure: Option<EngineError>,
 }
@@ -95,24 +95,24 @@
     }
 
     /// Scans the next chunk of the stream. After a failure, no further bytes are accepted.
-    pub fn scan(&mut self, piece: &[u8]) -> Scanned {
-        let mut scanned = Scanned::default();
+    pub fn scan(&mut self, chunk: &[u8]) -> ScanResult {
+        let mut scanned = ScanResult::default();
         let mut at = 0;
-        while at < piece.len() && !self.failed {
-            if self.swallow_lf(piece[at]) {
+        while at < chunk.len() && !self.failed {
+            if self.swallow_lf(chunk[at]) {
                 // The LF of a CRLF belongs to the event that the CR ended.
-                scanned.checked += usize::from(self.after_event);
+                scanned.valid_bytes += usize::from(self.after_event);
                 at += 1;
                 continue;
             }
-            let (next, event_ended) = self.step(piece, at);
+            let (next, event_ended) = self.step(chunk, at);
             at = next;
             self.after_event = event_ended;
             if !event_ended {
                 continue;
             }
             match self.end_event() {
-                Ok(()) => scanned.checked = at,
+                Ok(()) => scanned.valid_bytes = at,
                 Err(err) => {
                     self.failed = true;
                     scanned.failure = Some(err);
@@ -127,8 +127,8 @@
     }
 
     /// Scans from `at`; returns the next position and whether a blank line ended an event.
-    fn step(&mut self, piece: &[u8], at: usize) -> (usize, bool) {
-        let byte = piece[at];
+    fn step(&mut self, chunk: &[u8], at: usize) -> (usize, bool) {
+        let byte = chunk[at];
         match self.line {
             Line::Start(matched) if matches!(byte, b'\n' | b'\r') => {
                 self.end_line(byte);
@@ -152,13 +152,13 @@
                 (at + usize::from(byte == b' '), false)
             }
             Line::Data | Line::Other => {
-                let rest = &piece[at..];
+                let rest = &chunk[at..];
                 let length = memchr2(b'\n', b'\r', rest).unwrap_or(rest.len());
                 if self.line == Line::Data {
                     self.take_data(&rest[..length]);
                 }
                 let Some(end) = rest.get(length) else {
-                    return (piece.len(), false);
+                    return (chunk.len(), false);
                 };
                 self.end_line(*end);
                 (at + length + 1, false)
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -16,7 +16,7 @@
 mod prometheus;
 mod reports;
 
-pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, Scanned, SseScanner, Usage};
+pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, ScanResult, SseScanner, Usage};
 pub use call::{Call, ExpectedAnswer, Limits};
 pub use client::EngineClient;
 pub use engines::EngineClients;
--- a/crates/chervilshunt_engine/tests/scanner.rs
+++ b/crates/chervilshunt_engine/tests/scanner.rs
@@ -17,18 +17,18 @@
     usage: Option<Usage>,
 }
 
-fn scan(pieces: &[&[u8]]) -> Verdict {
+fn scan(chunks: &[&[u8]]) -> Verdict {
     let mut scanner = SseScanner::new(MODEL.into());
     let mut all = Vec::new();
     let mut passed = 0;
     let mut failure = None;
-    for piece in pieces {
+    for chunk in chunks {
         let start = all.len();
-        all.extend_from_slice(piece);
-        let scanned = scanner.scan(piece);
-        assert!(scanned.checked <= piece.len());
-        if scanned.checked > 0 {
-            passed = start + scanned.checked;
+        all.extend_from_slice(chunk);
+        let scanned = scanner.scan(chunk);
+        assert!(scanned.valid_bytes <= chunk.len());
+        if scanned.valid_bytes > 0 {
+            passed = start + scanned.valid_bytes;
         }
         if let Some(error) = scanned.failure {
             failure = Some(name(&error));
@@ -60,14 +60,14 @@
         .map(|place| place % (text.len() + 1))
         .collect();
     places.sort_unstable();
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     let mut start = 0;
     for place in places {
-        pieces.push(&text[start..place]);
+        chunks.push(&text[start..place]);
         start = place;
     }
-    pieces.push(&text[start..]);
-    pieces
+    chunks.push(&text[start..]);
+    chunks
 }
 
 /// Generates JSON values that a completion chunk can contain, including nested keys that equal the
@@ -191,12 +191,12 @@
         let expected = oracle(&chunks, ending, done);
 
         let whole = scan(&[text.as_bytes()]);
-        let pieces = scan(&split(text.as_bytes(), &places));
+        let in_chunks = scan(&split(text.as_bytes(), &places));
         let bytes: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
         let single = scan(&bytes);
 
         prop_assert_eq!(&whole, &expected);
-        prop_assert_eq!(&pieces, &expected);
+        prop_assert_eq!(&in_chunks, &expected);
         prop_assert_eq!(&single, &expected);
     }
 
@@ -208,8 +208,8 @@
         places in prop::collection::vec(any::<usize>(), 0..24),
     ) {
         let whole = scan(&[&text]);
-        let pieces = scan(&split(&text, &places));
-        prop_assert_eq!(whole, pieces);
+        let in_chunks = scan(&split(&text, &places));
+        prop_assert_eq!(whole, in_chunks);
     }
 }
 
