--- a/crates/chervilshunt_daemon/src/control/watch_engine.rs
+++ b/crates/chervilshunt_daemon/src/control/watch_engine.rs
@@ -84,7 +84,7 @@
     epoch: Epoch,
     prefixes: &mut SeenPrefixes,
 ) -> Option<EngineNews> {
-    let Ok(report) = client.report().await else {
+    let Ok(report) = client.load_report().await else {
         let answers = client.inventory().await.is_ok();
         return (!answers).then_some(EngineNews::Unreachable);
     };
--- a/crates/chervilshunt_engine/src/reports.rs
+++ b/crates/chervilshunt_engine/src/reports.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Fails if the engine is unreachable or its answer lacks the number of running sequences.
-    pub async fn report(&self) -> Result<LoadReport, EngineError> {
+    pub async fn load_report(&self) -> Result<LoadReport, EngineError> {
         let body = self.question("/metrics").await?;
         let text = String::from_utf8_lossy(&body);
         read_report(&prometheus::samples(&text), SystemTime::now())
--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -307,17 +307,17 @@
 
 /// Load reports and cache events are delayed, and correct once they arrive.
 #[tokio::test]
-async fn reports_tell_the_load_late() {
+async fn load_reports_are_delayed() {
     let (_engine, client) = engine_with_adapter(2).await;
     let answer = client
         .open(completion("r", 1_000_000, true))
         .await
         .expect("opens");
-    assert_eq!(client.report().await.expect("reports").running, 0);
+    assert_eq!(client.load_report().await.expect("reports").running, 0);
     assert_eq!(client.cache_events(0).await.expect("lists"), []);
 
-    until(async || client.report().await.expect("reports").running > 0).await;
-    let report = client.report().await.expect("reports");
+    until(async || client.load_report().await.expect("reports").running > 0).await;
+    let report = client.load_report().await.expect("reports");
     let prefix = chervilshunt_model::prefix_hash(MODEL, b"one two");
     let events = client.cache_events(0).await.expect("lists");
     drop(answer);
