--- a/crates/chervilshunt_engine/src/orders.rs
+++ b/crates/chervilshunt_engine/src/orders.rs
@@ -25,13 +25,13 @@
     idle: Duration::from_secs(5),
 };
 /// The time limits of a query.
-const QUESTION_LIMITS: Limits = Limits {
+const QUERY_LIMITS: Limits = Limits {
     connect: Duration::from_secs(1),
     head: Duration::from_secs(2),
     idle: Duration::from_secs(2),
 };
 /// The maximum size of an answer to an order or a query.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// The text in vLLM's answer to a load of an adapter that it already holds.
 const ALREADY_LOADED: &str = "already been loaded";
@@ -116,7 +116,7 @@
     /// # Errors
     /// Fails if the engine is unreachable or its answer is invalid.
     pub async fn inventory(&self) -> Result<Vec<AdapterVersion>, EngineError> {
-        let body = self.question("/v1/models").await?;
+        let body = self.get("/v1/models").await?;
         let list: ModelList = match serde_json::from_slice(&body) {
             Ok(list) => list,
             Err(err) => {
@@ -153,13 +153,13 @@
         req.headers_mut().insert(CONTENT_TYPE, json);
         req.headers_mut()
             .insert(FENCING_TOKEN, HeaderValue::from(epoch.get()));
-        self.fetch(req, ORDER_LIMITS, MAX_ANSWER).await
+        self.fetch(req, ORDER_LIMITS, MAX_ANSWER_BYTES).await
     }
 
     /// Sends a read-only GET request and returns the body of the answer.
-    pub(crate) async fn question(&self, path: &str) -> Result<Bytes, EngineError> {
+    pub(crate) async fn get(&self, path: &str) -> Result<Bytes, EngineError> {
         let req = self.request(Method::GET, path, Bytes::new());
-        let answer = self.fetch(req, QUESTION_LIMITS, MAX_ANSWER).await?;
+        let answer = self.fetch(req, QUERY_LIMITS, MAX_ANSWER_BYTES).await?;
         check_order(&answer)?;
         Ok(answer.into_body())
     }
--- a/crates/chervilshunt_engine/src/reports.rs
+++ b/crates/chervilshunt_engine/src/reports.rs
@@ -62,7 +62,7 @@
     /// # Errors
     /// Fails if the engine is unreachable or its answer lacks the number of running sequences.
     pub async fn load_report(&self) -> Result<LoadReport, EngineError> {
-        let body = self.question("/metrics").await?;
+        let body = self.get("/metrics").await?;
         let text = String::from_utf8_lossy(&body);
         read_report(&prometheus::samples(&text), SystemTime::now())
     }
@@ -74,9 +74,7 @@
     /// # Errors
     /// Fails if the engine is unreachable or its answer is invalid.
     pub async fn cache_events(&self, after: u64) -> Result<Vec<CacheEvent>, EngineError> {
-        let body = self
-            .question(&format!("/v1/cache_events?after={after}"))
-            .await?;
+        let body = self.get(&format!("/v1/cache_events?after={after}")).await?;
         match serde_json::from_slice::<CacheEvents>(&body) {
             Ok(answer) => Ok(answer.events),
             Err(err) => MalformedSnafu {
