--- a/crates/chervilshunt_engine/src/answer/json_watch.rs
+++ b/crates/chervilshunt_engine/src/answer/json_scanner.rs
@@ -12,13 +12,13 @@
 use super::Usage;
 
 /// The maximum length of a buffered key or value.
-const MAX_KEPT: usize = 1024;
+const MAX_BUFFERED_BYTES: usize = 1024;
 
 /// Scans one JSON object.
 #[derive(Debug, Default)]
-pub(crate) struct JsonWatch {
+pub(crate) struct JsonScanner {
     depth: u32,
-    lex: Lex,
+    state: LexState,
     /// Whether the next string at a scanned depth is a key.
     at_key: bool,
     /// Whether the next byte is the first one of a value.
@@ -27,18 +27,18 @@
     member: Member,
     /// The current member of `usage` or `error`.
     inner: InnerMember,
-    kept: Vec<u8>,
-    overflown: bool,
+    buffer: Vec<u8>,
+    overflowed: bool,
     escaped: bool,
     number: Option<u32>,
-    pub(crate) found: Found,
+    pub(crate) members: ScannedMembers,
 }
 
 /// The members found in an object.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct ScannedMembers {
     /// The value of `model`.
-    pub(crate) model: Option<ModelSeen>,
+    pub(crate) model: Option<ModelMatch>,
     pub(crate) usage: Option<Usage>,
     /// Whether there is an `error` that is not null.
     pub(crate) has_error: bool,
@@ -51,21 +51,21 @@
 
 /// The value of an event's `model`, compared with the model that the call named.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ModelSeen {
-    Named,
+pub(crate) enum ModelMatch {
+    Expected,
     Other(Arc<str>),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Lex {
+enum LexState {
     #[default]
-    Between,
+    OutsideString,
     /// In a string that is not buffered.
-    Skipped,
-    SkippedEscape,
+    SkippedString,
+    SkippedStringEscape,
     /// In a string that is buffered.
-    Kept,
-    KeptEscape,
+    BufferedString,
+    BufferedStringEscape,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -86,56 +86,56 @@
     Message,
 }
 
-impl JsonWatch {
+impl JsonScanner {
     /// Resets the scanner for the next object, and keeps the allocated buffer.
     pub(crate) fn reset(&mut self) {
-        let kept = std::mem::take(&mut self.kept);
+        let buffer = std::mem::take(&mut self.buffer);
         *self = Self {
-            kept,
+            buffer,
             ..Self::default()
         };
-        self.kept.clear();
+        self.buffer.clear();
     }
 
     /// Scans the next bytes; `named` is the model that the call named.
     pub(crate) fn feed(&mut self, mut bytes: &[u8], named: &str) {
         while let Some((&byte, rest)) = bytes.split_first() {
-            match self.lex {
-                Lex::Between => {
-                    self.between(byte);
+            match self.state {
+                LexState::OutsideString => {
+                    self.outside_string(byte);
                     bytes = rest;
                 }
-                Lex::Skipped => bytes = self.skip_string(bytes),
-                Lex::SkippedEscape => {
-                    self.lex = Lex::Skipped;
+                LexState::SkippedString => bytes = self.skip_string(bytes),
+                LexState::SkippedStringEscape => {
+                    self.state = LexState::SkippedString;
                     bytes = rest;
                 }
-                Lex::Kept => bytes = self.keep_string(bytes, named),
-                Lex::KeptEscape => {
-                    self.keep(&[byte]);
-                    self.lex = Lex::Kept;
+                LexState::BufferedString => bytes = self.buffer_string(bytes, named),
+                LexState::BufferedStringEscape => {
+                    self.buffer_bytes(&[byte]);
+                    self.state = LexState::BufferedString;
                     bytes = rest;
                 }
             }
         }
     }
 
-    fn between(&mut self, byte: u8) {
+    fn outside_string(&mut self, byte: u8) {
         match byte {
             b' ' | b'\t' | b'\r' | b'\n' => return,
-            b'0'..=b'9' if self.in_watched_section() && !self.at_key => {
+            b'0'..=b'9' if self.in_scanned_section() && !self.at_key => {
                 self.digit(byte);
                 return;
             }
             _ => {}
         }
-        if self.found.ended || (self.depth == 0 && byte != b'{') {
-            self.found.malformed = true;
+        if self.members.ended || (self.depth == 0 && byte != b'{') {
+            self.members.malformed = true;
             return;
         }
         let begins_value = std::mem::take(&mut self.at_value);
         if begins_value && self.depth == 1 && self.member == Member::Error && byte != b'n' {
-            self.found.has_error = true;
+            self.members.has_error = true;
         }
         match byte {
             b'"' => self.begin_string(),
@@ -143,7 +143,7 @@
             b'}' | b']' => self.close(),
             b',' => {
                 self.end_number();
-                self.at_key = self.depth == 1 || self.in_watched_section();
+                self.at_key = self.depth == 1 || self.in_scanned_section();
             }
             b':' => {
                 self.at_key = false;
@@ -158,13 +158,17 @@
         let wanted = match (self.depth, self.at_key) {
             (1, true) => true,
             (1, false) => self.member == Member::Model,
-            (2, true) => self.in_watched_section(),
-            (2, false) => self.in_watched_section() && self.inner == InnerMember::Message,
+            (2, true) => self.in_scanned_section(),
+            (2, false) => self.in_scanned_section() && self.inner == InnerMember::Message,
             _ => false,
         };
-        self.lex = if wanted { Lex::Kept } else { Lex::Skipped };
-        self.kept.clear();
-        self.overflown = false;
+        self.state = if wanted {
+            LexState::BufferedString
+        } else {
+            LexState::SkippedString
+        };
+        self.buffer.clear();
+        self.overflowed = false;
         self.escaped = false;
     }
 
@@ -176,9 +180,9 @@
             // An array as `usage` or `error` has no members to scan.
             self.member = Member::Other;
         }
-        self.at_key = object && (self.depth == 1 || self.in_watched_section());
+        self.at_key = object && (self.depth == 1 || self.in_scanned_section());
         if self.depth == 2 && self.member == Member::Usage {
-            self.found.usage = Some(Usage::default());
+            self.members.usage = Some(Usage::default());
         }
     }
 
@@ -186,10 +190,10 @@
         self.end_number();
         self.depth -= 1;
         self.at_key = false;
-        self.found.ended = self.depth == 0;
+        self.members.ended = self.depth == 0;
     }
 
-    fn in_watched_section(&self) -> bool {
+    fn in_scanned_section(&self) -> bool {
         self.depth == 2 && matches!(self.member, Member::Usage | Member::Error)
     }
 
@@ -197,45 +201,45 @@
         let Some(end) = memchr2(b'"', b'\\', bytes) else {
             return &[];
         };
-        self.lex = if bytes[end] == b'"' {
-            Lex::Between
+        self.state = if bytes[end] == b'"' {
+            LexState::OutsideString
         } else {
-            Lex::SkippedEscape
+            LexState::SkippedStringEscape
         };
         &bytes[end + 1..]
     }
 
-    fn keep_string<'a>(&mut self, bytes: &'a [u8], named: &str) -> &'a [u8] {
+    fn buffer_string<'a>(&mut self, bytes: &'a [u8], named: &str) -> &'a [u8] {
         let Some(end) = memchr2(b'"', b'\\', bytes) else {
-            self.keep(bytes);
+            self.buffer_bytes(bytes);
             return &[];
         };
-        self.keep(&bytes[..end]);
+        self.buffer_bytes(&bytes[..end]);
         if bytes[end] == b'"' {
-            self.lex = Lex::Between;
-            self.end_kept(named);
+            self.state = LexState::OutsideString;
+            self.end_buffered(named);
         } else {
             self.escaped = true;
-            self.keep(b"\\");
-            self.lex = Lex::KeptEscape;
+            self.buffer_bytes(b"\\");
+            self.state = LexState::BufferedStringEscape;
         }
         &bytes[end + 1..]
     }
 
-    fn keep(&mut self, bytes: &[u8]) {
-        if self.kept.len() + bytes.len() > MAX_KEPT {
-            self.overflown = true;
+    fn buffer_bytes(&mut self, bytes: &[u8]) {
+        if self.buffer.len() + bytes.len() > MAX_BUFFERED_BYTES {
+            self.overflowed = true;
             return;
         }
-        self.kept.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    fn end_kept(&mut self, named: &str) {
+    fn end_buffered(&mut self, named: &str) {
         match (self.depth, self.at_key) {
             (1, true) => self.member = self.outer_member(),
             (1, false) => self.end_model(named),
             (_, true) => self.inner = self.inner_member(),
-            (_, false) => self.found.error_message = self.unescaped(),
+            (_, false) => self.members.error_message = self.unescaped(),
         }
     }
 
@@ -261,22 +265,22 @@
         if self.escaped {
             self.unescaped().into_bytes().into()
         } else {
-            self.kept.as_slice().into()
+            self.buffer.as_slice().into()
         }
     }
 
     /// Records the value of `model`; a wrong model is kept even if a second `model` member matches.
     fn end_model(&mut self, named: &str) {
-        let same = !self.overflown && !self.escaped && self.kept == named.as_bytes();
-        if same || (self.escaped && !self.overflown && self.unescaped() == named) {
-            self.found.model.get_or_insert(ModelSeen::Named);
-        } else if !matches!(self.found.model, Some(ModelSeen::Other(_))) {
-            self.found.model = Some(ModelSeen::Other(self.unescaped().into()));
+        let same = !self.overflowed && !self.escaped && self.buffer == named.as_bytes();
+        if same || (self.escaped && !self.overflowed && self.unescaped() == named) {
+            self.members.model.get_or_insert(ModelMatch::Expected);
+        } else if !matches!(self.members.model, Some(ModelMatch::Other(_))) {
+            self.members.model = Some(ModelMatch::Other(self.unescaped().into()));
         }
     }
 
     fn unescaped(&self) -> String {
-        let text = String::from_utf8_lossy(&self.kept);
+        let text = String::from_utf8_lossy(&self.buffer);
         if !self.escaped {
             return text.into_owned();
         }
@@ -296,7 +300,7 @@
         let Some(number) = self.number.take() else {
             return;
         };
-        let Some(usage) = &mut self.found.usage else {
+        let Some(usage) = &mut self.members.usage else {
             return;
         };
         match self.inner {
--- a/crates/chervilshunt_engine/src/answer/mod.rs
+++ b/crates/chervilshunt_engine/src/answer/mod.rs
@@ -1,7 +1,7 @@
 //! The answer to a call, and its validation before it is passed on.
 
 mod body;
-mod json_watch;
+mod json_scanner;
 mod reader;
 mod sse;
 mod whole;
--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -5,7 +5,7 @@
 use memchr::memchr2;
 
 use super::Usage;
-use super::json_watch::{JsonWatch, ModelSeen};
+use super::json_scanner::{JsonScanner, ModelMatch};
 use crate::error::{EngineError, FailedMidwaySnafu, MalformedSnafu, WrongModelSnafu};
 
 /// The field name of an event's data, with its colon.
@@ -24,7 +24,7 @@
     /// Whether the last byte ended an event.
     after_event: bool,
     data: Data,
-    json: JsonWatch,
+    json: JsonScanner,
     events: u32,
     usage: Option<Usage>,
     done: bool,
@@ -71,7 +71,7 @@
             after_cr: false,
             after_event: false,
             data: Data::None,
-            json: JsonWatch::default(),
+            json: JsonScanner::default(),
             events: 0,
             usage: None,
             done: false,
@@ -225,24 +225,24 @@
     }
 
     fn check_json(&mut self) -> Result<(), EngineError> {
-        let found = &mut self.json.found;
-        if found.malformed || !found.ended {
+        let members = &mut self.json.members;
+        if members.malformed || !members.ended {
             return MalformedSnafu {
                 problem: "an event is not a JSON object",
             }
             .fail();
         }
-        if found.has_error {
-            let message = std::mem::take(&mut found.error_message);
+        if members.has_error {
+            let message = std::mem::take(&mut members.error_message);
             return FailedMidwaySnafu { message }.fail();
         }
-        match found.model.take() {
-            Some(ModelSeen::Named) => {
+        match members.model.take() {
+            Some(ModelMatch::Expected) => {
                 self.events += 1;
-                self.usage = found.usage.or(self.usage);
+                self.usage = members.usage.or(self.usage);
                 Ok(())
             }
-            Some(ModelSeen::Other(served)) => WrongModelSnafu {
+            Some(ModelMatch::Other(served)) => WrongModelSnafu {
                 named: Arc::clone(&self.named),
                 served,
             }
