--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -18,12 +18,12 @@
 #[derive(Debug)]
 pub struct SseScanner {
     named: Arc<str>,
-    line: Line,
+    line: LineState,
     /// Whether the last byte was a CR that ended a line, so that a following LF belongs to it.
     after_cr: bool,
     /// Whether the last byte ended an event.
     after_event: bool,
-    data: Data,
+    data: EventData,
     json: JsonScanner,
     events: u32,
     usage: Option<Usage>,
@@ -42,7 +42,7 @@
 
 /// The position of the next byte within its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Line {
+enum LineState {
     /// At the start, after this many matching bytes of [`DATA_FIELD`].
     Start(usize),
     /// Directly after the field's colon, where one space is skipped.
@@ -54,7 +54,7 @@
 
 /// The kind of the current event's data, as far as it has been scanned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Data {
+enum EventData {
     None,
     Json,
     /// This many bytes of [`DONE`] have matched.
@@ -67,10 +67,10 @@
     pub fn new(named: Arc<str>) -> Self {
         Self {
             named,
-            line: Line::Start(0),
+            line: LineState::Start(0),
             after_cr: false,
             after_event: false,
-            data: Data::None,
+            data: EventData::None,
             json: JsonScanner::default(),
             events: 0,
             usage: None,
@@ -130,31 +130,31 @@
     fn step(&mut self, chunk: &[u8], at: usize) -> (usize, bool) {
         let byte = chunk[at];
         match self.line {
-            Line::Start(matched) if matches!(byte, b'\n' | b'\r') => {
+            LineState::Start(matched) if matches!(byte, b'\n' | b'\r') => {
                 self.end_line(byte);
                 (at + 1, matched == 0)
             }
-            Line::Start(matched) if byte == DATA_FIELD[matched] => {
+            LineState::Start(matched) if byte == DATA_FIELD[matched] => {
                 let whole = matched + 1 == DATA_FIELD.len();
                 self.line = if whole {
-                    Line::DataStart
+                    LineState::DataStart
                 } else {
-                    Line::Start(matched + 1)
+                    LineState::Start(matched + 1)
                 };
                 (at + 1, false)
             }
-            Line::Start(_) => {
-                self.line = Line::Other;
+            LineState::Start(_) => {
+                self.line = LineState::Other;
                 (at, false)
             }
-            Line::DataStart => {
-                self.line = Line::Data;
+            LineState::DataStart => {
+                self.line = LineState::Data;
                 (at + usize::from(byte == b' '), false)
             }
-            Line::Data | Line::Other => {
+            LineState::Data | LineState::Other => {
                 let rest = &chunk[at..];
                 let length = memchr2(b'\n', b'\r', rest).unwrap_or(rest.len());
-                if self.line == Line::Data {
+                if self.line == LineState::Data {
                     self.take_data(&rest[..length]);
                 }
                 let Some(end) = rest.get(length) else {
@@ -168,37 +168,37 @@
 
     fn end_line(&mut self, byte: u8) {
         self.after_cr = byte == b'\r';
-        self.line = Line::Start(0);
+        self.line = LineState::Start(0);
     }
 
     fn take_data(&mut self, bytes: &[u8]) {
-        if self.data == Data::None {
+        if self.data == EventData::None {
             let Some(first) = bytes.first() else {
                 return;
             };
             self.data = if *first == DONE[0] {
-                Data::Done(0)
+                EventData::Done(0)
             } else {
-                Data::Json
+                EventData::Json
             };
         }
         match self.data {
-            Data::Json => self.json.feed(bytes, &self.named),
-            Data::Done(matched) => {
+            EventData::Json => self.json.feed(bytes, &self.named),
+            EventData::Done(matched) => {
                 let goes_on = DONE[matched..].starts_with(bytes);
                 self.data = if goes_on {
-                    Data::Done(matched + bytes.len())
+                    EventData::Done(matched + bytes.len())
                 } else {
-                    Data::Neither
+                    EventData::Neither
                 };
             }
-            Data::None | Data::Neither => {}
+            EventData::None | EventData::Neither => {}
         }
     }
 
     fn end_event(&mut self) -> Result<(), EngineError> {
-        let data = std::mem::replace(&mut self.data, Data::None);
-        if data == Data::None {
+        let data = std::mem::replace(&mut self.data, EventData::None);
+        if data == EventData::None {
             return Ok(());
         }
         if self.done {
@@ -208,16 +208,16 @@
             .fail();
         }
         match data {
-            Data::Done(matched) if matched == DONE.len() => {
+            EventData::Done(matched) if matched == DONE.len() => {
                 self.done = true;
                 Ok(())
             }
-            Data::Json => {
+            EventData::Json => {
                 let checked = self.check_json();
                 self.json.reset();
                 checked
             }
-            Data::None | Data::Done(_) | Data::Neither => MalformedSnafu {
+            EventData::None | EventData::Done(_) | EventData::Neither => MalformedSnafu {
                 problem: "an event is neither JSON nor [DONE]",
             }
             .fail(),
