--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -99,13 +99,13 @@
         let mut scanned = ScanResult::default();
         let mut at = 0;
         while at < chunk.len() && !self.failed {
-            if self.swallow_lf(chunk[at]) {
+            if self.skip_lf(chunk[at]) {
                 // The LF of a CRLF belongs to the event that the CR ended.
                 scanned.valid_bytes += usize::from(self.after_event);
                 at += 1;
                 continue;
             }
-            let (next, event_ended) = self.step(chunk, at);
+            let (next, event_ended) = self.scan_line(chunk, at);
             at = next;
             self.after_event = event_ended;
             if !event_ended {
@@ -122,12 +122,12 @@
         scanned
     }
 
-    fn swallow_lf(&mut self, byte: u8) -> bool {
+    fn skip_lf(&mut self, byte: u8) -> bool {
         std::mem::take(&mut self.after_cr) && byte == b'\n'
     }
 
     /// Scans from `at`; returns the next position and whether a blank line ended an event.
-    fn step(&mut self, chunk: &[u8], at: usize) -> (usize, bool) {
+    fn scan_line(&mut self, chunk: &[u8], at: usize) -> (usize, bool) {
         let byte = chunk[at];
         match self.line {
             LineState::Start(matched) if matches!(byte, b'\n' | b'\r') => {
@@ -155,7 +155,7 @@
                 let rest = &chunk[at..];
                 let length = memchr2(b'\n', b'\r', rest).unwrap_or(rest.len());
                 if self.line == LineState::Data {
-                    self.take_data(&rest[..length]);
+                    self.scan_data(&rest[..length]);
                 }
                 let Some(end) = rest.get(length) else {
                     return (chunk.len(), false);
@@ -171,7 +171,7 @@
         self.line = LineState::Start(0);
     }
 
-    fn take_data(&mut self, bytes: &[u8]) {
+    fn scan_data(&mut self, bytes: &[u8]) {
         if self.data == EventData::None {
             let Some(first) = bytes.first() else {
                 return;
