--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -13,7 +13,7 @@
 
 use crate::answer::{self, Answer, BodyReader};
 use crate::call::{Call, ExpectedAnswer, Limits};
-use crate::connection::{Connection, SendError};
+use crate::connection::{Connection, TransmitError};
 use crate::error::{
     AttemptMismatchSnafu, CallStage, EngineError, MalformedSnafu, NotSentSnafu,
     OutcomeUnknownSnafu, TimeoutSnafu,
@@ -186,8 +186,10 @@
         };
         match sent {
             Ok(response) => Ok(Sent::Answered(response)),
-            Err(SendError::NotSent(req)) => Ok(Sent::Returned(req)),
-            Err(SendError::MaySent(source)) => Err(source).context(OutcomeUnknownSnafu { address }),
+            Err(TransmitError::NotSent(req)) => Ok(Sent::Returned(req)),
+            Err(TransmitError::MaybeSent(source)) => {
+                Err(source).context(OutcomeUnknownSnafu { address })
+            }
         }
     }
 }
--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -71,11 +71,11 @@
 
 /// Why a request got no answer on a connection.
 #[derive(Debug)]
-pub(crate) enum SendError {
+pub(crate) enum TransmitError {
     /// The connection ended before it wrote any of the request, which is returned.
     NotSent(Box<Request<Full<Bytes>>>),
     /// The request, or a part of it, may have been sent.
-    MaySent(hyper::Error),
+    MaybeSent(hyper::Error),
 }
 
 impl Connection {
@@ -134,7 +134,7 @@
     pub(crate) async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, SendError> {
+    ) -> Result<Response<Incoming>, TransmitError> {
         let response = self.sender.try_send_request(req);
         tokio::pin!(response);
         let answered = std::future::poll_fn(|cx| {
@@ -143,8 +143,8 @@
         });
         answered.await.map_err(|mut err| match err.take_message() {
             // hyper returns the request only if it never began to write it.
-            Some(req) => SendError::NotSent(Box::new(req)),
-            None => SendError::MaySent(err.into_error()),
+            Some(req) => TransmitError::NotSent(Box::new(req)),
+            None => TransmitError::MaybeSent(err.into_error()),
         })
     }
 
