--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, Sleep};
 
 use crate::call::Limits;
-use crate::connection::Connection;
+use crate::connection::TargetConnection;
 use crate::error::{CallStage, EngineError, MalformedSnafu, TimeoutSnafu, TruncatedSnafu};
 use crate::pool::Pool;
 
@@ -20,7 +20,7 @@
 pub struct BodyReader {
     incoming: Incoming,
     /// `None` once the body has ended or failed.
-    connection: Option<Connection>,
+    connection: Option<TargetConnection>,
     pool: Pool,
     idle: IdleTimer,
 }
@@ -34,7 +34,7 @@
 impl BodyReader {
     pub(crate) fn new(
         incoming: Incoming,
-        connection: Connection,
+        connection: TargetConnection,
         pool: Pool,
         limits: Limits,
     ) -> Self {
--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -13,7 +13,7 @@
 
 use crate::answer::{self, Answer, BodyReader};
 use crate::call::{Call, ExpectedAnswer, Limits};
-use crate::connection::{Connection, TransmitError};
+use crate::connection::{TargetConnection, TransmitError};
 use crate::error::{
     AttemptMismatchSnafu, CallStage, EngineError, MalformedSnafu, NotSentSnafu,
     OutcomeUnknownSnafu, TimeoutSnafu,
@@ -133,7 +133,7 @@
         mut req: Request<Full<Bytes>>,
         reuse: bool,
         limits: Limits,
-    ) -> Result<(Response<Incoming>, Connection), EngineError> {
+    ) -> Result<(Response<Incoming>, TargetConnection), EngineError> {
         if reuse && let Some(mut connection) = self.pool.take() {
             match self.send(&mut connection, req, limits.head).await? {
                 Sent::Answered(response) => return Ok((response, connection)),
@@ -153,9 +153,9 @@
         }
     }
 
-    async fn connect(&self, limit: Duration) -> Result<Connection, EngineError> {
+    async fn connect(&self, limit: Duration) -> Result<TargetConnection, EngineError> {
         let address = self.address();
-        Connection::open(address, limit)
+        TargetConnection::open(address, limit)
             .await
             .ok()
             .ok_or_else(|| {
@@ -171,7 +171,7 @@
 
     async fn send(
         &self,
-        connection: &mut Connection,
+        connection: &mut TargetConnection,
         req: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<Sent, EngineError> {
--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -57,7 +57,7 @@
 const UNACKNOWLEDGED_LIMIT_MS: u32 = 1_500;
 
 /// A connection to a target.
-pub(crate) struct Connection {
+pub(crate) struct TargetConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     /// `None` once the connection has ended.
     driver: Option<http1::Connection<TokioIo<TcpStream>, Full<Bytes>>>,
@@ -78,7 +78,7 @@
     MaybeSent(hyper::Error),
 }
 
-impl Connection {
+impl TargetConnection {
     /// Connects within `limit`; the outer error is the timeout.
     pub(crate) async fn open(
         address: SocketAddr,
--- a/crates/chervilshunt_engine/src/pool.rs
+++ b/crates/chervilshunt_engine/src/pool.rs
@@ -7,7 +7,7 @@
 use tokio::runtime::Handle;
 use tokio::time::Instant;
 
-use crate::connection::Connection;
+use crate::connection::TargetConnection;
 
 /// The interval at which connections that have been idle for too long are closed.
 const SWEEP_EVERY: Duration = Duration::from_secs(4);
@@ -25,7 +25,7 @@
 struct Idle {
     /// The idle connections. The most recently used one is last and is reused first, so that the
     /// others reach their idle limit.
-    connections: Vec<Connection>,
+    connections: Vec<TargetConnection>,
     sweeping: bool,
 }
 
@@ -42,11 +42,11 @@
     /// Only connections opened on the current runtime are returned. Otherwise another runtime's
     /// thread would deliver a stream's wake-ups, and callers' streams would wait behind the work of
     /// the control thread.
-    pub(crate) fn take(&self) -> Option<Connection> {
+    pub(crate) fn take(&self) -> Option<TargetConnection> {
         let here = Handle::current().id();
         let mut idle = self.lock();
         let connections = &mut idle.connections;
-        connections.retain(Connection::is_fresh);
+        connections.retain(TargetConnection::is_fresh);
         while let Some(last) = connections.iter().rposition(|it| it.runtime == here) {
             let mut connection = connections.remove(last);
             if connection.is_quiet() {
@@ -57,7 +57,7 @@
     }
 
     /// Returns a connection whose answer has been read completely to the pool.
-    pub(crate) fn put(&self, mut connection: Connection) {
+    pub(crate) fn put(&self, mut connection: TargetConnection) {
         // hyper makes a connection ready for the next request only when it is polled once more
         // after the last byte.
         if !connection.is_quiet() {
@@ -91,7 +91,7 @@
             return;
         };
         let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.connections.retain(Connection::is_fresh);
+        idle.connections.retain(TargetConnection::is_fresh);
         if idle.connections.is_empty() {
             idle.sweeping = false;
             return;
