--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -83,11 +83,11 @@
         };
         // Chunks arrive only while `drive` runs below, so that the connection's wake-up is
         // sufficient; a second one would poll the reader twice per chunk.
-        let mut quiet = Context::from_waker(Waker::noop());
-        let mut polled = Pin::new(&mut self.incoming).poll_frame(&mut quiet);
+        let mut noop_cx = Context::from_waker(Waker::noop());
+        let mut polled = Pin::new(&mut self.incoming).poll_frame(&mut noop_cx);
         if polled.is_pending() {
             connection.drive(cx);
-            polled = Pin::new(&mut self.incoming).poll_frame(&mut quiet);
+            polled = Pin::new(&mut self.incoming).poll_frame(&mut noop_cx);
         }
         match polled {
             Poll::Ready(Some(Ok(frame))) => {
--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -115,7 +115,7 @@
     /// Polls an idle connection, and returns whether it is open and has received no unexpected data.
     ///
     /// Otherwise a second answer to an earlier request would be read as the answer to the next one.
-    pub(crate) fn is_quiet(&mut self) -> bool {
+    pub(crate) fn poll_usable(&mut self) -> bool {
         self.drive(&mut Context::from_waker(Waker::noop()));
         self.is_usable()
     }
@@ -167,7 +167,7 @@
     }
 
     /// Returns whether it has been idle for so short a time that the target still keeps it open.
-    pub(crate) fn is_fresh(&self) -> bool {
+    pub(crate) fn is_reusable(&self) -> bool {
         self.idle_since.elapsed() < self.idle_limit
     }
 
--- a/crates/chervilshunt_engine/src/pool.rs
+++ b/crates/chervilshunt_engine/src/pool.rs
@@ -43,13 +43,16 @@
     /// thread would deliver a stream's wake-ups, and callers' streams would wait behind the work of
     /// the control thread.
     pub(crate) fn take(&self) -> Option<TargetConnection> {
-        let here = Handle::current().id();
+        let current_runtime = Handle::current().id();
         let mut idle = self.lock();
         let connections = &mut idle.connections;
-        connections.retain(TargetConnection::is_fresh);
-        while let Some(last) = connections.iter().rposition(|it| it.runtime == here) {
+        connections.retain(TargetConnection::is_reusable);
+        while let Some(last) = connections
+            .iter()
+            .rposition(|it| it.runtime == current_runtime)
+        {
             let mut connection = connections.remove(last);
-            if connection.is_quiet() {
+            if connection.poll_usable() {
                 return Some(connection);
             }
         }
@@ -60,7 +63,7 @@
     pub(crate) fn put(&self, mut connection: TargetConnection) {
         // hyper makes a connection ready for the next request only when it is polled once more
         // after the last byte.
-        if !connection.is_quiet() {
+        if !connection.poll_usable() {
             return;
         }
         connection.idle_since = Instant::now();
@@ -91,7 +94,7 @@
             return;
         };
         let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.connections.retain(TargetConnection::is_fresh);
+        idle.connections.retain(TargetConnection::is_reusable);
         if idle.connections.is_empty() {
             idle.sweeping = false;
             return;
