--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -96,7 +96,7 @@
     ) -> Result<(response::Parts, BodyReader), EngineError> {
         let (response, mut connection) = self.exchange(req, reuse, limits).await?;
         let (head, incoming) = response.into_parts();
-        connection.note_keep_alive(&head.headers);
+        connection.apply_keep_alive(&head.headers);
         let reader = BodyReader::new(incoming, connection, self.pool.clone(), limits);
         Ok((head, reader))
     }
--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -26,14 +26,14 @@
 ///
 /// It is the minimum that hyper accepts. Every stream whose caller does not read fills this buffer,
 /// as more data always follows, and a stream can hold up to three of these buffers.
-const READ_BUFFER: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
 /// The socket's receive buffer, in bytes.
 ///
 /// By default the operating system lets it grow to megabytes, and the target would generate tens of
 /// thousands of tokens for a caller that does not read. This size still allows 60 MB/s at a
 /// round-trip time of 1 ms.
-const RECEIVE_BUFFER: u32 = 256 * 1024;
+const RECEIVE_BUFFER_BYTES: u32 = 256 * 1024;
 
 /// The maximum time that an idle connection stays in the pool.
 ///
@@ -49,12 +49,12 @@
 ///
 /// A host can disappear without a reset, and a connection legitimately carries no data for seconds
 /// while an answer is being generated. The probes detect a dead peer within 3 s.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
 /// The time that sent data may stay unacknowledged before the connection fails.
 ///
 /// A request sent to a target that has lost power would otherwise wait until its deadline.
-const UNACKNOWLEDGED_LIMIT_MS: u32 = 1_500;
+const TCP_USER_TIMEOUT_MS: u32 = 1_500;
 
 /// A connection to a target.
 pub(crate) struct TargetConnection {
@@ -92,14 +92,14 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        socket.set_recv_buffer_size(RECEIVE_BUFFER)?;
+        socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
         let stream = socket.connect(address).await?;
         // Writes are small; with Nagle's algorithm each would wait for the previous one's
         // acknowledgement.
         stream.set_nodelay(true)?;
-        notice_silence(&stream)?;
+        enable_keepalive(&stream)?;
         let (sender, driver) = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
@@ -159,7 +159,7 @@
     }
 
     /// Applies the keep-alive timeout that the target announces in its answer.
-    pub(crate) fn note_keep_alive(&mut self, headers: &HeaderMap) {
+    pub(crate) fn apply_keep_alive(&mut self, headers: &HeaderMap) {
         if let Some(seconds) = keep_alive_seconds(headers) {
             let kept = Duration::from_secs(seconds);
             self.idle_limit = IDLE_LIMIT.min(kept.saturating_sub(IDLE_MARGIN));
@@ -176,13 +176,13 @@
     }
 }
 
-fn notice_silence(stream: &TcpStream) -> io::Result<()> {
+fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     use rustix::net::sockopt;
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, KEEPALIVE)?;
-    sockopt::set_tcp_keepintvl(stream, KEEPALIVE)?;
+    sockopt::set_tcp_keepidle(stream, KEEPALIVE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL)?;
     sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
-    sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_LIMIT_MS)?;
+    sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT_MS)?;
     Ok(())
 }
 
