--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -136,14 +136,14 @@
     ) -> Result<(Response<Incoming>, TargetConnection), EngineError> {
         if reuse && let Some(mut connection) = self.pool.take() {
             match self.send(&mut connection, req, limits.head).await? {
-                Sent::Answered(response) => return Ok((response, connection)),
-                Sent::Returned(unsent) => req = *unsent,
+                SendOutcome::Answered(response) => return Ok((response, connection)),
+                SendOutcome::Unsent(unsent) => req = *unsent,
             }
         }
         let mut connection = self.connect(limits.connect).await?;
         match self.send(&mut connection, req, limits.head).await? {
-            Sent::Answered(response) => Ok((response, connection)),
-            Sent::Returned(_) => {
+            SendOutcome::Answered(response) => Ok((response, connection)),
+            SendOutcome::Unsent(_) => {
                 let source = std::io::ErrorKind::ConnectionAborted.into();
                 Err(EngineError::NotSent {
                     address: self.address(),
@@ -174,7 +174,7 @@
         connection: &mut TargetConnection,
         req: Request<Full<Bytes>>,
         limit: Duration,
-    ) -> Result<Sent, EngineError> {
+    ) -> Result<SendOutcome, EngineError> {
         let address = self.address();
         let Ok(sent) = tokio::time::timeout(limit, connection.send(req)).await else {
             return TimeoutSnafu {
@@ -185,8 +185,8 @@
             .fail();
         };
         match sent {
-            Ok(response) => Ok(Sent::Answered(response)),
-            Err(TransmitError::NotSent(req)) => Ok(Sent::Returned(req)),
+            Ok(response) => Ok(SendOutcome::Answered(response)),
+            Err(TransmitError::NotSent(req)) => Ok(SendOutcome::Unsent(req)),
             Err(TransmitError::MaybeSent(source)) => {
                 Err(source).context(OutcomeUnknownSnafu { address })
             }
@@ -195,10 +195,10 @@
 }
 
 /// The result of sending a request on a connection.
-enum Sent {
+enum SendOutcome {
     Answered(Response<Incoming>),
     /// The connection ended before it wrote any of the request.
-    Returned(Box<Request<Full<Bytes>>>),
+    Unsent(Box<Request<Full<Bytes>>>),
 }
 
 fn into_request(call: Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, EngineError> {
