--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -13,7 +13,7 @@
 use crate::error::{EngineError, MalformedSnafu, TruncatedSnafu};
 
 /// The maximum size of a stream event, which is buffered until it has been validated.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// The body of an answer. Dropping it cancels the call.
 ///
@@ -178,7 +178,7 @@
             self.held_bytes += chunk.len();
             self.held.push_back(chunk);
         }
-        if self.held_bytes > MAX_EVENT && self.failure.is_none() {
+        if self.held_bytes > MAX_EVENT_BYTES && self.failure.is_none() {
             self.failure = Some(
                 MalformedSnafu {
                     problem: "an event is too long",
--- a/crates/chervilshunt_engine/src/answer/mod.rs
+++ b/crates/chervilshunt_engine/src/answer/mod.rs
@@ -21,11 +21,11 @@
 use crate::headers::retry_after;
 
 /// The maximum size of an error response's body that is read.
-const MAX_REFUSAL: usize = 64 * 1024;
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 /// The maximum length of an error response's body that an error keeps.
-const MAX_MESSAGE: usize = 2 * 1024;
+const MAX_ERROR_MESSAGE_BYTES: usize = 2 * 1024;
 /// The maximum size of an engine's non-streaming answer, which is buffered for validation.
-const MAX_WHOLE: usize = 16 * 1024 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// The answer to a call.
 #[derive(Debug)]
@@ -87,8 +87,11 @@
         model: Arc<str>,
     ) -> Result<Self, EngineError> {
         if !head.status.is_success() {
-            let body = reader.read_whole(MAX_REFUSAL).await.unwrap_or_default();
-            return Err(refusal(head.status, &head.headers, &body));
+            let body = reader
+                .read_whole(MAX_ERROR_BODY_BYTES)
+                .await
+                .unwrap_or_default();
+            return Err(error_from_response(head.status, &head.headers, &body));
         }
         if head.headers.contains_key(header::CONTENT_ENCODING) {
             return MalformedSnafu {
@@ -99,7 +102,7 @@
         let body = match media_type(&head.headers) {
             "text/event-stream" => AnswerBody::stream(reader, SseScanner::new(model)),
             "application/json" => {
-                let whole = reader.read_whole(MAX_WHOLE).await?;
+                let whole = reader.read_whole(MAX_BUFFERED_ANSWER_BYTES).await?;
                 let summary = whole::check(&whole, &model)?;
                 AnswerBody::whole(whole, summary)
             }
@@ -134,8 +137,12 @@
 }
 
 /// Converts an unsuccessful answer into an error.
-pub(crate) fn refusal(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> EngineError {
-    let kept = &body[..body.len().min(MAX_MESSAGE)];
+pub(crate) fn error_from_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: &Bytes,
+) -> EngineError {
+    let kept = &body[..body.len().min(MAX_ERROR_MESSAGE_BYTES)];
     let message: Arc<str> = String::from_utf8_lossy(kept).into();
     if status == StatusCode::NOT_FOUND && names_missing_model(body) {
         return AdapterMissingSnafu { message }.build();
--- a/crates/chervilshunt_engine/src/orders.rs
+++ b/crates/chervilshunt_engine/src/orders.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::EngineClient;
-use crate::answer::refusal;
+use crate::answer::error_from_response;
 use crate::call::Limits;
 use crate::error::{EngineError, FencedSnafu, MalformedSnafu};
 use crate::headers::FENCING_TOKEN;
@@ -179,7 +179,7 @@
     if answer.status().is_success() {
         return Ok(());
     }
-    let err = refusal(answer.status(), answer.headers(), answer.body());
+    let err = error_from_response(answer.status(), answer.headers(), answer.body());
     match err {
         EngineError::Refused {
             status: StatusCode::PRECONDITION_FAILED,
