--- a/crates/chervilshunt_mesh/src/liveness/tests.rs
+++ b/crates/chervilshunt_mesh/src/liveness/tests.rs
@@ -23,16 +23,16 @@
 }
 
 #[rstest]
-#[case::quiet_with_nothing_waiting(0, None, None, false, 59, ExpectedAction::Wait(60))]
+#[case::idle_timeout_pending(0, None, None, false, 59, ExpectedAction::Wait(60))]
 #[case::idle(0, None, None, false, 60, ExpectedAction::CloseIdle)]
 #[case::idle_but_busy(0, None, None, true, 100, ExpectedAction::Wait(160))]
 #[case::waits_briefly(0, Some(10), None, false, 11, ExpectedAction::Wait(12))]
 #[case::waits_long(0, Some(10), None, false, 12, ExpectedAction::Ping)]
-#[case::heard_meanwhile(11, Some(10), None, false, 12, ExpectedAction::Wait(13))]
+#[case::data_received_meanwhile(11, Some(10), None, false, 12, ExpectedAction::Wait(13))]
 #[case::pinged(0, Some(10), Some(12), false, 14, ExpectedAction::Wait(15))]
 #[case::ping_unanswered(0, Some(10), Some(12), false, 15, ExpectedAction::GiveUp)]
 #[case::ping_answered(13, Some(10), Some(12), false, 15, ExpectedAction::Ping)]
-#[case::an_old_ping_is_no_matter(13, None, Some(12), false, 20, ExpectedAction::Wait(73))]
+#[case::old_ping_is_ignored(13, None, Some(12), false, 20, ExpectedAction::Wait(73))]
 fn next_action_is_due(
     #[case] last_received: u64,
     #[case] waiting_since: Option<u64>,
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -104,7 +104,7 @@
 /// peer ignores what arrives after it has begun to close, so everything must be resent in order on
 /// a new connection.
 #[tokio::test]
-async fn what_crosses_an_idle_close_is_sent_again() {
+async fn messages_in_flight_during_an_idle_close_are_resent() {
     let (_mesh, mut inbound, peer) = peer().await;
     let Fixture {
         shared,
@@ -134,7 +134,7 @@
 /// Guards against reporting requests wrongly when the connection fails: a written request may have
 /// been handled, an unwritten one cannot have been.
 #[tokio::test]
-async fn a_break_tells_written_requests_from_unwritten_ones() {
+async fn a_failure_distinguishes_written_and_unwritten_requests() {
     let (_mesh, _inbound, peer) = peer().await;
     let Fixture {
         shared,
@@ -159,7 +159,7 @@
 /// Guards against writing a request that was reported as not sent. The race occurs if the sender
 /// abandons the request while the connection claims it; only one of them may succeed.
 #[tokio::test]
-async fn a_request_that_was_given_up_is_not_written() {
+async fn an_abandoned_request_is_not_written() {
     let (_mesh, _inbound, peer) = peer().await;
     let fixture = fixture(&peer);
     let (late, _answer) = request(4);
--- a/crates/chervilshunt_mesh/tests/mesh/bounds.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/bounds.rs
@@ -23,7 +23,7 @@
 /// Guards against buffering an oversized message from a peer with a higher limit. The connection
 /// must fail first, and the sender's request must be reported as lost.
 #[tokio::test]
-async fn a_message_above_our_limit_is_not_taken_in() {
+async fn a_message_above_the_receivers_limit_is_not_received() {
     let a = node("a").await;
     let mut cfg = config("b");
     cfg.max_message_bytes = 100;
@@ -41,7 +41,7 @@
 /// Guards against unbounded queueing for a peer that does not read. Once the queue is full, sending
 /// must fail immediately, and the connection must be aborted eventually.
 #[tokio::test]
-async fn a_full_queue_refuses_at_once() {
+async fn a_full_queue_rejects_messages_immediately() {
     let mut cfg = config("a");
     cfg.queue_messages = 3;
     let mut a = node_with(cfg).await;
@@ -65,7 +65,7 @@
 /// Guards against handling a request that was rejected as busy. The application does not read its
 /// inbound queue, so that further requests are rejected and the peer can retry on another instance.
 #[tokio::test]
-async fn requests_to_an_overloaded_peer_are_turned_away() {
+async fn requests_to_an_overloaded_peer_are_rejected() {
     let a = node("a").await;
     let mut cfg = config("b");
     cfg.queue_messages = 2;
--- a/crates/chervilshunt_mesh/tests/mesh/cut.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/cut.rs
@@ -46,7 +46,7 @@
 /// only, which reconnects and sends another request. On the loss, the owner drops all queued
 /// requests of that instance, so the loss must be reported before the new request is delivered.
 #[tokio::test]
-async fn a_loss_is_reported_before_anything_of_the_next_connection() {
+async fn a_loss_is_reported_before_messages_of_the_next_connection() {
     let mut a = node("a").await;
     let mut b = node("b").await;
     let (address, cut) = cuttable_proxy(b.peer.address).await;
@@ -76,7 +76,7 @@
 /// sides have a very short idle timeout while requests are sent; a request that is in flight during
 /// the close must be resent on another connection.
 #[tokio::test]
-async fn closing_idle_connections_loses_and_doubles_nothing() {
+async fn closing_idle_connections_neither_loses_nor_duplicates() {
     const ROUNDS: u64 = 400;
     let fast_idle_config = |name| {
         let mut cfg = config(name);
--- a/crates/chervilshunt_mesh/tests/mesh/frozen.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/frozen.rs
@@ -57,7 +57,7 @@
 /// stopped (SIGSTOP) while its kernel keeps the connection up, so only the unanswered ping shows
 /// the failure.
 #[tokio::test]
-async fn a_frozen_owner_is_noticed_while_a_request_waits() {
+async fn a_frozen_owner_is_detected_while_a_request_waits() {
     let mut a = node_with(fast_ping_config("a")).await;
     let peer = frozen_peer("b").await;
     let hour = Duration::from_secs(3_600);
@@ -72,7 +72,7 @@
 /// Guards against aborting the connection to a healthy owner on which a request waits for a long
 /// time: the owner answers the pings.
 #[tokio::test]
-async fn a_slow_owner_is_not_taken_for_a_frozen_one() {
+async fn a_slow_owner_is_not_considered_frozen() {
     let a = node_with(fast_ping_config("a")).await;
     let mut b = node("b").await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
@@ -89,7 +89,7 @@
 /// Guards against pings on connections without pending requests, as pinging all peers would exceed
 /// the budget of control traffic of each node.
 #[tokio::test]
-async fn a_peer_that_owes_nothing_is_not_pinged() {
+async fn a_peer_without_pending_requests_is_not_pinged() {
     let a = node_with(fast_ping_config("a")).await;
     let mut b = node("b").await;
     a.mesh.send(&b.peer, note("hello")).unwrap();
--- a/crates/chervilshunt_mesh/tests/mesh/idle.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/idle.rs
@@ -7,7 +7,7 @@
 use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 
 #[tokio::test]
-async fn an_idle_connection_is_closed_and_opened_again_at_need() {
+async fn an_idle_connection_is_closed_and_reopened_on_demand() {
     let mut cfg = config("a");
     cfg.idle_timeout = Duration::from_millis(20);
     cfg.ping_after = Duration::from_millis(10);
@@ -27,7 +27,7 @@
 /// Guards against losing a request when the connection limit is reached: the least recently used
 /// idle connection is closed, never one with a pending request.
 #[tokio::test]
-async fn the_least_recently_used_idle_connection_makes_room() {
+async fn the_least_recently_used_idle_connection_is_closed_at_the_limit() {
     let mut cfg = config("a");
     cfg.max_connections = 2;
     let a = node_with(cfg).await;
--- a/crates/chervilshunt_mesh/tests/mesh/loss.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/loss.rs
@@ -26,7 +26,7 @@
 /// Guards against an owner keeping requests of an entry instance that has died: the loss must be
 /// reported as an event, on which the owner removes them from its queue.
 #[tokio::test]
-async fn an_owner_learns_that_an_entry_instance_is_gone() {
+async fn an_owner_is_notified_of_a_dead_entry_instance() {
     let a = node("a").await;
     let mut b = node("b").await;
     a.mesh.send(&b.peer, note("hello")).unwrap();
@@ -38,7 +38,7 @@
 /// Guards against delivering a message to the wrong instance. An instance dies and another one gets
 /// its address, which may not own the target that the message concerns.
 #[tokio::test]
-async fn a_message_for_somebody_else_is_refused() {
+async fn a_message_for_another_instance_is_refused() {
     let a = node("a").await;
     let mut c = node("c").await;
     let peer = Peer {
@@ -86,7 +86,7 @@
 /// Guards against reconnecting to an unreachable peer on every message. The request is reported as
 /// unsent, and the next one fails without another attempt until the backoff ends.
 #[tokio::test]
-async fn an_unreachable_peer_is_not_tried_again_at_once() {
+async fn an_unreachable_peer_is_not_dialled_during_backoff() {
     let mut cfg = config("a");
     cfg.backoff_min = TEST_TIMEOUT;
     cfg.backoff_max = TEST_TIMEOUT;
@@ -120,7 +120,7 @@
 /// Guards against losing messages when both sides open a connection at the same time, on whichever
 /// of the two they are sent.
 #[tokio::test]
-async fn a_doubled_connection_loses_nothing() {
+async fn simultaneous_connections_lose_no_message() {
     let mut doubled = 0;
     for _ in 0..50 {
         let mut a = node("a").await;
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -79,7 +79,7 @@
 #[case::failed(released(ReleaseOutcome::TargetFailed))]
 #[case::timed_out(released(ReleaseOutcome::TimedOut))]
 #[case::missing(released(ReleaseOutcome::AdapterMissing))]
-fn messages_come_through<M>(#[case] message: M)
+fn messages_round_trip<M>(#[case] message: M)
 where
     M: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
@@ -91,7 +91,7 @@
 #[case::named(request())]
 #[case::plain(PermitRequest { model: None, ..request() })]
 #[case::retried(PermitRequest { avoid: ["t1".into()].into_iter().collect(), ..request() })]
-fn a_request_comes_through(#[case] request: PermitRequest) {
+fn a_request_round_trips(#[case] request: PermitRequest) {
     let sent = encode(&CompactRequest::of(&request));
     let read: CompactRequest = ciborium::from_reader(&*sent).expect("it was written so");
     assert_eq!(read.sent_by(request.entry.clone()), request);
@@ -128,7 +128,7 @@
 #[case::granted(granted())]
 #[case::redirect(redirect())]
 #[case::refused(refused())]
-fn an_answer_comes_through(#[case] answer: PermitAnswer) {
+fn an_answer_round_trips(#[case] answer: PermitAnswer) {
     let request = request();
     assert_eq!(joined(answer.clone(), &request, &request), Ok(answer));
 }
@@ -139,7 +139,7 @@
 /// pinned, or its own adapter would be evicted during use. The checksum in the answer is that of
 /// the original request, so that the answer is rejected.
 #[rstest]
-fn an_answer_to_another_request_is_not_taken(
+fn an_answer_to_another_request_is_rejected(
     #[values(granted(), redirect(), refused())] answer: PermitAnswer,
     #[values(
         PermitRequest { attempt: AttemptId::from_u128(7), ..request() },
@@ -162,7 +162,7 @@
 
 /// Guards against an owner that grants something else than was requested.
 #[test]
-fn a_permit_for_something_else_is_not_taken() {
+fn a_permit_for_another_request_is_rejected() {
     let asked = PermitRequest {
         attempt: AttemptId::from_u128(7),
         ..request()
