--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -11,8 +11,8 @@
 use chervilshunt_standin::engine::{EngineStandin, EngineStandinConfig, start_engine};
 use chervilshunt_standin::plain::{PlainStandinConfig, start_plain};
 use common::{
-    GO_ON_AFTER, LIMITS, MODEL, ScriptedTarget, Step, chunked, completion, completion_for, event,
-    plain, read, response, run, until,
+    LIMITS, MODEL, SECOND_PART_DELAY, ScriptedTarget, Step, chunked, completion, completion_for,
+    event, plain, read, response, run, until,
 };
 use http_body_util::BodyExt as _;
 use rstest::rstest;
@@ -36,7 +36,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn answer_is_whole_and_counted(#[values(false, true)] stream: bool) {
+async fn answer_is_complete_and_counted(#[values(false, true)] stream: bool) {
     let (engine, client) = engine_with_adapter(1).await;
 
     let answer = client
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn base_model_answers_too() {
+async fn base_model_answers() {
     let (_engine, client) = engine_with_adapter(1).await;
     let answer = client
         .open(completion_for("base", "r", 3, true))
@@ -96,13 +96,13 @@
 /// stream immediately. The limit until the first token is that of the headers; the shorter one
 /// between chunks applies only afterwards.
 #[tokio::test]
-async fn first_token_may_take_as_long_as_the_head() {
+async fn first_token_has_the_limit_of_the_headers() {
     let pieces = chunked(&[&event(MODEL, "x"), "data: [DONE]\n\n"], true);
     let (head, events) = pieces.split_at(pieces.find("\r\n\r\n").expect("head") + 4);
-    let step = Step::AnswerAndGoOn(head.to_owned(), events.to_owned());
+    let step = Step::AnswerInTwoParts(head.to_owned(), events.to_owned());
     let target = ScriptedTarget::start(vec![step]).await;
     let mut call = completion("r", 1, true);
-    call.limits.idle = GO_ON_AFTER / 4;
+    call.limits.idle = SECOND_PART_DELAY / 4;
 
     let answer = EngineClient::new(target.address)
         .open(call)
@@ -147,7 +147,7 @@
 /// Guards against unbounded buffering for a caller that stops reading: the target can send only
 /// what the socket buffers hold.
 #[tokio::test]
-async fn slow_caller_holds_back_the_target() {
+async fn slow_caller_applies_backpressure_to_the_target() {
     const TOTAL: usize = 64 * 1024 * 1024;
     const PIECE: usize = 64 * 1024;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -180,7 +180,7 @@
 
 /// Guards against forwarding the caller's hop-by-hop headers to the target, or dropping others.
 #[tokio::test]
-async fn plain_call_passes_on_what_is_the_callers() {
+async fn plain_call_forwards_end_to_end_headers() {
     let target = ScriptedTarget::start(vec![Step::Answer(response("200 OK", "", "done"))]).await;
     let mut call = plain("r", false);
     call.path = "/finish?boat=7".parse().expect("path");
@@ -202,7 +202,7 @@
         .expect("opens");
     read(answer).await.expect("whole");
 
-    let request = &target.seen().requests[0];
+    let request = &target.recorded().requests[0];
     let mut lines: Vec<&str> = request.lines().collect();
     lines.sort_unstable();
     let expected = [
@@ -254,13 +254,16 @@
     }
 
     assert_eq!(
-        (target.seen().connections, target.seen().requests.len()),
+        (
+            target.recorded().connections,
+            target.recorded().requests.len()
+        ),
         (2, 4)
     );
 }
 
 #[tokio::test]
-async fn orders_can_be_given_again() {
+async fn orders_can_be_repeated() {
     let (engine, client) = engine_with_adapter(1).await;
     let model = AdapterVersion::parse(MODEL).expect("model");
     let epoch = Epoch::new(1);
@@ -344,7 +347,7 @@
 
 /// Guards against answers that reach another call when many calls share one client.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_do_not_cross() {
+async fn answers_reach_their_own_calls() {
     let (engine, client) = engine_with_adapter(1).await;
     let calls = (0..60u32).map(|number| {
         let client = client.clone();
--- a/crates/chervilshunt_engine/tests/at_most_once.rs
+++ b/crates/chervilshunt_engine/tests/at_most_once.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use chervilshunt_engine::{EngineClient, Outcome};
-use common::{GO_ON_AFTER, ScriptedTarget, Step, plain, response, run};
+use common::{SECOND_PART_DELAY, ScriptedTarget, Step, plain, response, run};
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 const ID_HEADER: &str = "x-request-id: ";
 
 /// The number of times that a request was received, at least partly, by request id.
-type Sightings = Arc<Mutex<HashMap<String, u32>>>;
+type ReceiveCounts = Arc<Mutex<HashMap<String, u32>>>;
 
 /// Guards against duplicate calls and a false "not run". The target closes connections at random
 /// times: between calls, during a request and after it, so often just as the client reuses one.
@@ -28,8 +28,8 @@
 async fn not_run_is_true_and_nothing_runs_twice(#[values(1, 2, 3, 4)] seed: u64) {
     const CALLERS: u64 = 6;
     const CALLS: u64 = 120;
-    let sightings = Sightings::default();
-    let address = start_unreliable(seed, Arc::clone(&sightings)).await;
+    let receive_counts = ReceiveCounts::default();
+    let address = start_unreliable(seed, Arc::clone(&receive_counts)).await;
     let client = EngineClient::new(address);
 
     let callers =
@@ -39,9 +39,9 @@
         outcomes.extend(caller.await.expect("caller"));
     }
 
-    let sightings = sightings.lock().expect("lock").clone();
+    let receive_counts = receive_counts.lock().expect("lock").clone();
     for (id, outcome) in &outcomes {
-        let seen = sightings.get(id).copied().unwrap_or(0);
+        let seen = receive_counts.get(id).copied().unwrap_or(0);
         assert!(seen <= 1, "{id} was sent {seen} times");
         match outcome {
             None => assert_eq!(seen, 1, "{id} was answered but not seen"),
@@ -80,28 +80,32 @@
     outcomes
 }
 
-async fn start_unreliable(seed: u64, sightings: Sightings) -> SocketAddr {
+async fn start_unreliable(seed: u64, receive_counts: ReceiveCounts) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     tokio::spawn(async move {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         while let Ok((stream, _)) = listener.accept().await {
             let rng = ChaCha8Rng::seed_from_u64(rng.random());
-            tokio::spawn(serve_unreliably(stream, rng, Arc::clone(&sightings)));
+            tokio::spawn(serve_unreliably(stream, rng, Arc::clone(&receive_counts)));
         }
     });
     address
 }
 
 /// Serves a connection until it is closed deliberately at one of the stages.
-async fn serve_unreliably(mut stream: TcpStream, mut rng: ChaCha8Rng, sightings: Sightings) {
+async fn serve_unreliably(
+    mut stream: TcpStream,
+    mut rng: ChaCha8Rng,
+    receive_counts: ReceiveCounts,
+) {
     loop {
         let close_before = rng.random_bool(0.2);
         let wait = Duration::from_micros(rng.random_range(0..800));
         if close_before && tokio::time::timeout(wait, stream.readable()).await.is_err() {
             return;
         }
-        let Some(()) = read_one(&mut stream, &sightings).await else {
+        let Some(()) = read_one(&mut stream, &receive_counts).await else {
             return;
         };
         if rng.random_bool(0.1) {
@@ -121,7 +125,7 @@
 }
 
 /// Reads a request, and records its id as soon as it has been received.
-async fn read_one(stream: &mut TcpStream, sightings: &Sightings) -> Option<()> {
+async fn read_one(stream: &mut TcpStream, receive_counts: &ReceiveCounts) -> Option<()> {
     let mut buf = Vec::new();
     let mut noted = false;
     loop {
@@ -131,7 +135,7 @@
         let text = String::from_utf8_lossy(&buf);
         if !noted && let Some((_, rest)) = text.split_once(ID_HEADER) {
             let id = rest.split_once("\r\n")?.0.to_owned();
-            *sightings.lock().expect("lock").entry(id).or_default() += 1;
+            *receive_counts.lock().expect("lock").entry(id).or_default() += 1;
             noted = true;
         }
         if text.ends_with("entry") {
@@ -144,7 +148,7 @@
 /// it was written there, so it is sent on a new connection.
 #[rstest]
 #[case::at_once(Step::AnswerAndClose(response("200 OK", "", "own")))]
-#[case::later(Step::AnswerAndGoOn(response("200 OK", "", "own"), String::new()))]
+#[case::later(Step::AnswerInTwoParts(response("200 OK", "", "own"), String::new()))]
 #[tokio::test]
 async fn closed_idle_connection_is_not_used(#[case] first: Step) {
     let second = Step::Answer(response("200 OK", "", "own"));
@@ -152,11 +156,14 @@
     let client = EngineClient::new(target.address);
 
     run(&client, plain("first", true)).await.expect("answers");
-    tokio::time::sleep(GO_ON_AFTER * 3).await;
+    tokio::time::sleep(SECOND_PART_DELAY * 3).await;
     run(&client, plain("second", true)).await.expect("answers");
 
     assert_eq!(
-        (target.seen().connections, target.seen().requests.len()),
+        (
+            target.recorded().connections,
+            target.recorded().requests.len()
+        ),
         (2, 2)
     );
 }
@@ -165,7 +172,7 @@
 /// the second call, whose outcome is then unknown. Only the caller may decide to retry it, even if
 /// it is idempotent.
 #[tokio::test]
-async fn call_lost_on_reused_connection_is_not_sent_again() {
+async fn call_lost_on_reused_connection_is_not_resent() {
     let done = response("200 OK", "", "done");
     let steps = vec![
         Step::Answer(done.clone()),
@@ -182,7 +189,10 @@
 
     assert_eq!(error.outcome(), Outcome::Unknown);
     assert_eq!(
-        (target.seen().connections, target.seen().requests.len()),
+        (
+            target.recorded().connections,
+            target.recorded().requests.len()
+        ),
         (1, 2)
     );
 }
@@ -204,7 +214,7 @@
         run(&client, plain(id, idempotent)).await.expect("answers");
     }
 
-    assert_eq!(target.seen().connections, connections);
+    assert_eq!(target.recorded().connections, connections);
 }
 
 /// Guards against returning a surplus answer of one call as the answer to the next one.
@@ -212,9 +222,12 @@
 #[case::at_once(Step::Answer(
     response("200 OK", "", "own") + &response("200 OK", "", "stray")
 ))]
-#[case::later(Step::AnswerAndGoOn(response("200 OK", "", "own"), response("200 OK", "", "stray")))]
+#[case::later(Step::AnswerInTwoParts(
+    response("200 OK", "", "own"),
+    response("200 OK", "", "stray")
+))]
 #[tokio::test]
-async fn surplus_answer_is_not_given_to_the_next_call(#[case] first: Step) {
+async fn surplus_answer_is_not_used_for_the_next_call(#[case] first: Step) {
     let second = Step::Answer(response("200 OK", "", "own"));
     let target = ScriptedTarget::start(vec![first, second]).await;
     let client = EngineClient::new(target.address);
@@ -223,7 +236,7 @@
         run(&client, plain("first", true)).await.expect("answers"),
         "own"
     );
-    tokio::time::sleep(GO_ON_AFTER * 3).await;
+    tokio::time::sleep(SECOND_PART_DELAY * 3).await;
     assert_eq!(
         run(&client, plain("second", true)).await.expect("answers"),
         "own"
--- a/crates/chervilshunt_engine/tests/common/mod.rs
+++ b/crates/chervilshunt_engine/tests/common/mod.rs
@@ -28,7 +28,7 @@
 };
 
 /// The delay before a target continues after its answer.
-pub(crate) const GO_ON_AFTER: Duration = Duration::from_millis(20);
+pub(crate) const SECOND_PART_DELAY: Duration = Duration::from_millis(20);
 
 /// Returns a completion call for [`MODEL`].
 pub(crate) fn completion(request: &str, tokens: u32, stream: bool) -> Call {
@@ -123,7 +123,7 @@
     /// Reads a request, writes the text, and closes the connection.
     AnswerAndClose(String),
     /// Reads a request, writes the first text, after a delay the second, and closes the connection.
-    AnswerAndGoOn(String, String),
+    AnswerInTwoParts(String, String),
     /// Reads a request and never answers.
     Hang,
 }
@@ -132,11 +132,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ScriptedTarget {
     pub(crate) address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    recorded: Arc<Mutex<Recorded>>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Recorded {
     pub(crate) connections: usize,
     pub(crate) requests: Vec<String>,
 }
@@ -145,35 +145,43 @@
     pub(crate) async fn start(steps: Vec<Step>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let recorded = Arc::new(Mutex::new(Recorded::default()));
         let steps = Arc::new(Mutex::new(VecDeque::from(steps)));
         let target = Self {
             address,
-            seen: Arc::clone(&seen),
+            recorded: Arc::clone(&recorded),
         };
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                seen.lock().expect("lock").connections += 1;
-                tokio::spawn(follow(stream, Arc::clone(&steps), Arc::clone(&seen)));
+                recorded.lock().expect("lock").connections += 1;
+                tokio::spawn(run_script(
+                    stream,
+                    Arc::clone(&steps),
+                    Arc::clone(&recorded),
+                ));
             }
         });
         target
     }
 
-    pub(crate) fn seen(&self) -> Seen {
-        self.seen.lock().expect("lock").clone()
+    pub(crate) fn recorded(&self) -> Recorded {
+        self.recorded.lock().expect("lock").clone()
     }
 }
 
-async fn follow(mut stream: TcpStream, steps: Arc<Mutex<VecDeque<Step>>>, seen: Arc<Mutex<Seen>>) {
+async fn run_script(
+    mut stream: TcpStream,
+    steps: Arc<Mutex<VecDeque<Step>>>,
+    recorded: Arc<Mutex<Recorded>>,
+) {
     loop {
-        if take_close(&steps) {
+        if take_close_step(&steps) {
             return;
         }
         let Some(request) = read_request(&mut stream).await else {
             return;
         };
-        seen.lock().expect("lock").requests.push(request);
+        recorded.lock().expect("lock").requests.push(request);
         let next = steps.lock().expect("lock").pop_front();
         match next {
             None | Some(Step::CloseUnread) => return,
@@ -182,9 +190,9 @@
                 drop(stream.write_all(text.as_bytes()).await);
                 return;
             }
-            Some(Step::AnswerAndGoOn(text, later)) => {
+            Some(Step::AnswerInTwoParts(text, later)) => {
                 drop(stream.write_all(text.as_bytes()).await);
-                tokio::time::sleep(GO_ON_AFTER).await;
+                tokio::time::sleep(SECOND_PART_DELAY).await;
                 drop(stream.write_all(later.as_bytes()).await);
                 return;
             }
@@ -193,7 +201,7 @@
     }
 }
 
-fn take_close(steps: &Mutex<VecDeque<Step>>) -> bool {
+fn take_close_step(steps: &Mutex<VecDeque<Step>>) -> bool {
     let mut steps = steps.lock().expect("lock");
     let close = matches!(steps.front(), Some(Step::CloseUnread));
     if close {
--- a/crates/chervilshunt_engine/tests/failures.rs
+++ b/crates/chervilshunt_engine/tests/failures.rs
@@ -40,7 +40,7 @@
         EngineError::Malformed { .. } => "malformed",
         EngineError::FailedMidway { .. } => "failed midway",
         EngineError::Truncated { .. } => "truncated",
-        _ => "unheard of",
+        _ => "unknown",
     }
 }
 
@@ -105,7 +105,7 @@
     "attempt mismatch",
     Outcome::Unknown
 )]
-#[case::neither_length_nor_chunks(
+#[case::no_framing(
     Step::AnswerAndClose("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{}".into()),
     "malformed", Outcome::CutShort
 )]
@@ -173,7 +173,10 @@
         (expected, outcome),
         "{error}"
     );
-    assert!(target.seen().requests.len() <= 1, "the call was sent twice");
+    assert!(
+        target.recorded().requests.len() <= 1,
+        "the call was sent twice"
+    );
 }
 
 /// If nothing listens, the connection is refused and the call is reported as "not run".
@@ -309,7 +312,7 @@
     ": {\"choi".to_owned(),
 ])]
 #[tokio::test]
-async fn cut_stream_gives_whole_events_only(#[case] chunks: Vec<String>) {
+async fn truncated_stream_yields_complete_events_only(#[case] chunks: Vec<String>) {
     let chunks: Vec<&str> = chunks.iter().map(String::as_str).collect();
     let target = ScriptedTarget::start(vec![Step::AnswerAndClose(chunked(&chunks, false))]).await;
     let client = EngineClient::new(target.address);
@@ -325,7 +328,7 @@
 /// Guards against passing on output of another adapter that takes over during a stream, including
 /// the part of its first event that precedes the model name.
 #[tokio::test]
-async fn event_of_other_model_is_not_handed_on() {
+async fn event_of_other_model_is_not_passed_on() {
     let wrong = event("b@1", "secret");
     let (start, rest) = wrong.split_at(30);
     let chunks = [&*event(MODEL, "x"), start, rest];
@@ -391,7 +394,7 @@
 
 /// A timeout error contains the limit of the call.
 #[tokio::test]
-async fn timeout_says_its_limit() {
+async fn timeout_contains_its_limit() {
     let target = ScriptedTarget::start(vec![Step::Hang]).await;
     let error = run(&EngineClient::new(target.address), plain("r", false))
         .await
--- a/crates/chervilshunt_engine/tests/scanner.rs
+++ b/crates/chervilshunt_engine/tests/scanner.rs
@@ -235,7 +235,7 @@
 #[case::event_after_done("data: [DONE]\n\ndata: {\"model\":\"a@1\"}\n\n", Some("malformed"), 0)]
 #[case::almost_done("data: [DONE\n\n", Some("malformed"), 0)]
 #[case::unfinished_event("data: {\"model\":\"b@1\"}\n", None, 0)]
-fn scanner_judges(#[case] text: &str, #[case] failure: Option<&str>, #[case] events: u32) {
+fn scanner_verdict(#[case] text: &str, #[case] failure: Option<&str>, #[case] events: u32) {
     let verdict = scan(&[text.as_bytes()]);
     assert_eq!(
         (verdict.failure.as_deref(), verdict.events),
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn unfinished_event_does_not_pass() {
+fn unfinished_event_is_not_valid() {
     let text = "data: {\"model\":\"a@1\"}\n\ndata: {\"model\":\"a@1\"}\n";
     assert_eq!(
         scan(&[text.as_bytes()]).passed,
