--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -37,8 +37,8 @@
     reader: BodyReader,
     scanner: SseScanner,
     /// The chunks of an event that is not complete yet.
-    held: VecDeque<Bytes>,
-    held_bytes: usize,
+    buffered: VecDeque<Bytes>,
+    buffered_bytes: usize,
     /// The error in the event that follows the validated ones.
     failure: Option<EngineError>,
 }
@@ -72,8 +72,8 @@
         let stream = CheckedStream {
             reader,
             scanner,
-            held: VecDeque::new(),
-            held_bytes: 0,
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
             failure: None,
         };
         Self {
@@ -170,15 +170,15 @@
         let scanned = self.scanner.scan(&chunk);
         self.failure = scanned.failure;
         if scanned.valid_bytes > 0 {
-            ready.append(&mut self.held);
-            self.held_bytes = 0;
+            ready.append(&mut self.buffered);
+            self.buffered_bytes = 0;
             ready.push_back(chunk.split_to(scanned.valid_bytes));
         }
         if !chunk.is_empty() {
-            self.held_bytes += chunk.len();
-            self.held.push_back(chunk);
+            self.buffered_bytes += chunk.len();
+            self.buffered.push_back(chunk);
         }
-        if self.held_bytes > MAX_EVENT_BYTES && self.failure.is_none() {
+        if self.buffered_bytes > MAX_EVENT_BYTES && self.failure.is_none() {
             self.failure = Some(
                 MalformedSnafu {
                     problem: "an event is too long",
@@ -197,7 +197,7 @@
                 .fail(),
             );
         }
-        ready.append(&mut self.held);
+        ready.append(&mut self.buffered);
         ready.pop_front().map(|chunk| Ok(Frame::data(chunk)))
     }
 }
--- a/crates/chervilshunt_engine/src/pool.rs
+++ b/crates/chervilshunt_engine/src/pool.rs
@@ -10,7 +10,7 @@
 use crate::connection::TargetConnection;
 
 /// The interval at which connections that have been idle for too long are closed.
-const SWEEP_EVERY: Duration = Duration::from_secs(4);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 /// The maximum number of idle connections to one target.
 const MAX_IDLE: usize = 64;
 
@@ -89,7 +89,7 @@
 /// Without it, an instance that once called many targets would keep a socket to each of them.
 async fn sweep(idle: std::sync::Weak<Mutex<Idle>>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let Some(idle) = idle.upgrade() else {
             return;
         };
