--- a/crates/chervilshunt_mesh/src/frame.rs
+++ b/crates/chervilshunt_mesh/src/frame.rs
@@ -22,7 +22,7 @@
 const KIND_DROPPED: u64 = 4;
 
 /// The maximum size of a header: a CBOR type byte and an integer of eight bytes.
-const MAX_HEADER_BYTES: usize = 9;
+const FRAME_HEADER_MAX_BYTES: usize = 9;
 
 /// The header of a frame: its kind and, except for one-way messages, the request number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,7 +94,7 @@
 /// Assembles a frame from its header and, for kinds that carry one, an encoded message.
 pub(crate) fn assemble(header: FrameHeader, message: Option<&Bytes>) -> Bytes {
     let len = message.map_or(0, Bytes::len);
-    let mut buf = Vec::with_capacity(MAX_HEADER_BYTES + len);
+    let mut buf = Vec::with_capacity(FRAME_HEADER_MAX_BYTES + len);
     ciborium::into_writer(&header.to_integer(), &mut buf)
         .expect("writing an integer to memory cannot fail");
     if let Some(message) = message {
@@ -118,7 +118,7 @@
 }
 
 /// The maximum number of bytes that a frame adds to its message.
-pub(crate) const MAX_FRAME_OVERHEAD: usize = MAX_HEADER_BYTES;
+pub(crate) const MAX_FRAME_OVERHEAD: usize = FRAME_HEADER_MAX_BYTES;
 
 /// Returns the size in bytes of a WebSocket frame with the given payload (RFC 6455, section 5.2).
 pub(crate) const fn wire_bytes(payload: usize, masked: bool) -> u64 {
