--- a/crates/chervilshunt_engine/examples/scan.rs
+++ b/crates/chervilshunt_engine/examples/scan.rs
@@ -1,4 +1,4 @@
-//! Measures the scanner of SSE streams: `cargo run --release -p chervilshunt_engine --example scan`.
+//! Measures the SSE scanner: `cargo run --release -p chervilshunt_engine --example scan`.
 //!
 //! Prints one JSON line for each way of splitting the stream into chunks, with the median of
 //! several rounds on one thread.
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -112,7 +112,7 @@
     /// Reads the complete body into memory.
     ///
     /// # Errors
-    /// Fails if the body is truncated, stalls for longer than the idle limit or exceeds `max` bytes.
+    /// Fails if the body is truncated, stalls beyond the idle limit or exceeds `max` bytes.
     pub async fn read_whole(mut self, max: usize) -> Result<Bytes, EngineError> {
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
--- a/crates/chervilshunt_engine/src/connection.rs
+++ b/crates/chervilshunt_engine/src/connection.rs
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Polls an idle connection, and returns whether it is open and has received no unexpected data.
+    /// Polls an idle connection; returns whether it is open and has received no unexpected data.
     ///
     /// Otherwise a second answer to an earlier request would be read as the answer to the next one.
     pub(crate) fn poll_usable(&mut self) -> bool {
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of model engines and plain services.
 //!
-//! Each call is sent at most once, and each failure states whether the call may have run. Answers of
-//! engines are validated for the model that served them before a caller receives them. See
+//! Each call is sent at most once, and each failure states whether the call may have run. Engines'
+//! answers are validated for the model that served them before a caller receives them. See
 //! `docs/design/engine-client.md` and `docs/operators/targets.md`.
 
 mod answer;
--- a/crates/chervilshunt_engine/tests/failures.rs
+++ b/crates/chervilshunt_engine/tests/failures.rs
@@ -226,8 +226,8 @@
     );
 }
 
-/// Guards against reporting "not run" or sending the call again when a plain service may have run it
-/// and its answer is lost.
+/// Guards against reporting "not run" or sending the call again when a plain service may have run
+/// it and its answer is lost.
 #[rstest]
 #[case::answer_lost(PlainFaultChange { lose_answers: Some(1), ..PlainFaultChange::default() }, 1)]
 #[case::cut_before_run(
--- a/crates/chervilshunt_engine/tests/scanner.rs
+++ b/crates/chervilshunt_engine/tests/scanner.rs
@@ -96,7 +96,7 @@
     })
 }
 
-/// Generates completion chunks with a right, wrong or missing model, with or without usage or error.
+/// Generates completion chunks with a right, wrong or missing model, and optional usage and error.
 fn chunk() -> impl Strategy<Value = serde_json::Value> {
     let model = prop_oneof![
         8 => Just(Some(MODEL.to_owned())),
--- a/crates/chervilshunt_mesh/src/lib.rs
+++ b/crates/chervilshunt_mesh/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Mesh`] sends one-way messages and requests to peers, which are identified by instance and
 //! address. It opens connections on demand, closes idle ones and limits their number, so that
-//! instances don't hold connections to all others permanently. It is generic over the message
-//! type, which must state the [`Purpose`] of each message so that control traffic can be attributed.
+//! instances don't hold connections to all others permanently. It is generic over the message type,
+//! which must state the [`Purpose`] of each message so that control traffic can be attributed.
 //!
 //! The design alternatives and measurements are in `docs/design/mesh.md`.
 
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -168,7 +168,7 @@
         spawn_dial(self, table, peer);
     }
 
-    /// Removes an ended connection from the table and resolves its unfinished requests and messages.
+    /// Removes an ended connection from the table and resolves its unfinished messages.
     ///
     /// Returns whether the loss of the peer must be reported, which is so for the last connection
     /// of a failed session.
--- a/crates/chervilshunt_mesh/src/table.rs
+++ b/crates/chervilshunt_mesh/src/table.rs
@@ -212,8 +212,8 @@
 impl<M> Link<M> {
     /// Returns the connection to write to.
     ///
-    /// If both sides have opened one, both use the one that the instance with the smaller id opened;
-    /// the other one is closed once it is idle.
+    /// If both sides have opened one, both use the one that the instance with the smaller id
+    /// opened; the other one is closed once it is idle.
     pub(crate) fn preferred(&self, us: &InstanceId) -> Option<&Arc<PeerConnection<M>>> {
         self.connections
             .iter()
--- a/crates/chervilshunt_mesh/tests/mesh/permits.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/permits.rs
@@ -133,11 +133,11 @@
     assert_eq!(joined(answer.clone(), &request, &request), Ok(answer));
 }
 
-/// Guards against accepting an answer that belongs to another request. An answer arrives late, after
-/// its request was withdrawn and another one sent: for another attempt or target, or with another
-/// version or class. The caller would then be served by an adapter that a different request has
-/// pinned, or its own adapter would be evicted during use. The checksum in the answer is that of
-/// the original request, so that the answer is rejected.
+/// Guards against accepting an answer that belongs to another request. An answer arrives late,
+/// after its request was withdrawn and another one sent: for another attempt or target, or with
+/// another version or class. The caller would then be served by an adapter that a different request
+/// has pinned, or its own adapter would be evicted during use. The checksum in the answer is that
+/// of the original request, so that the answer is rejected.
 #[rstest]
 fn an_answer_to_another_request_is_rejected(
     #[values(granted(), redirect(), refused())] answer: PermitAnswer,
