--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_core::ReleaseOutcome;
 use chervilshunt_engine::{
-    Answer, Call, EngineError, Expect, Limits as CallLimits, Outcome as Ran, Stage,
+    Answer, Call, CallStage, EngineError, ExpectedAnswer, Limits as CallLimits, Outcome as Ran,
 };
 use chervilshunt_model::{Moment, TargetName};
 use http::Response;
@@ -147,7 +147,7 @@
         }
         let opened = now();
         let result = match client.open(self.call(&permit)).await {
-            Ok(mut answer) => answer.body.first_piece().await.map(|()| answer),
+            Ok(mut answer) => answer.body.buffer_first_chunk().await.map(|()| answer),
             Err(error) => Err(error),
         };
         match result {
@@ -175,8 +175,8 @@
 
     fn call(&self, permit: &HeldPermit) -> Call {
         let expect = match &self.req.engine_model {
-            Some(model) => Expect::Model(model.as_str().into()),
-            None => Expect::Anything,
+            Some(model) => ExpectedAnswer::Model(model.as_str().into()),
+            None => ExpectedAnswer::Any,
         };
         let head = self.req.left(now());
         Call {
@@ -236,13 +236,13 @@
     let reason = match error {
         EngineError::NotSent { .. }
         | EngineError::Timeout {
-            stage: Stage::Connect,
+            stage: CallStage::Connect,
             ..
         } => Reason::NoTarget,
         EngineError::Timeout { .. } => Reason::TargetTimeout,
         EngineError::Refused { .. } | EngineError::Fenced { .. } => Reason::TargetRefused,
         EngineError::WrongModel { .. } => Reason::WrongModel,
-        EngineError::BrokenOff { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
+        EngineError::Truncated { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
         _ => Reason::TargetFailed,
     };
     let (problem, again) = match error.outcome() {
@@ -281,7 +281,7 @@
             ReleaseOutcome::Cancelled
         }
         EngineError::Timeout {
-            stage: Stage::Connect,
+            stage: CallStage::Connect,
             ..
         } => ReleaseOutcome::TargetFailed,
         EngineError::Timeout { .. } => ReleaseOutcome::TimedOut,
--- a/crates/chervilshunt_engine/src/answer/body.rs
+++ b/crates/chervilshunt_engine/src/answer/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, handed on only as far as it has been checked.
+//! The body of an answer, which yields only data that has been validated.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,24 +10,24 @@
 
 use super::reader::BodyReader;
 use super::{AnswerSummary, SseScanner};
-use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu};
+use crate::error::{EngineError, MalformedSnafu, TruncatedSnafu};
 
-/// The largest event of a stream, in bytes: it is held back until it has been checked.
-const MAX_EVENT: usize = 1024 * 1024;
+/// The maximum size of a stream event, which is buffered until it has been validated.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// The body of an answer. Dropping it cancels the call.
 ///
-/// Of a stream it hands on whole events only, each after its check, so that what is added after a
-/// broken stream stands on a line of its own.
+/// For a stream, it yields only complete and validated events. Text that is appended to a truncated
+/// stream therefore starts on a new line.
 pub struct AnswerBody {
     source: Source,
-    /// Pieces that have been checked.
+    /// Validated chunks that have not been yielded.
     ready: VecDeque<Bytes>,
     summary: AnswerSummary,
 }
 
 enum Source {
-    /// All of it is in `ready`.
+    /// The complete body is in `ready`.
     Whole,
     Plain(Box<BodyReader>),
     Stream(Box<CheckedStream>),
@@ -36,10 +36,10 @@
 struct CheckedStream {
     reader: BodyReader,
     scanner: SseScanner,
-    /// The start of an event that is not whole so far.
-    held: VecDeque<Bytes>,
-    held_bytes: usize,
-    /// What is wrong with the event after those that have passed.
+    /// The chunks of an event that is not complete yet.
+    buffered: VecDeque<Bytes>,
+    buffered_bytes: usize,
+    /// The error in the event that follows the validated ones.
     failure: Option<EngineError>,
 }
 
@@ -72,8 +72,8 @@
         let stream = CheckedStream {
             reader,
             scanner,
-            held: VecDeque::new(),
-            held_bytes: 0,
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
             failure: None,
         };
         Self {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns what is known of the answer so far.
+    /// Returns a summary of the answer so far.
     pub fn summary(&self) -> AnswerSummary {
         match &self.source {
             Source::Whole => self.summary,
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Waits until the first piece has been checked, and keeps it to be read.
+    /// Waits until the first chunk has been validated, and buffers it.
     ///
-    /// Until then nothing has been handed on, so that a failure can still be an answer of its own,
-    /// or an idempotent call be tried elsewhere.
+    /// Nothing has been passed on to the caller by then, so that a failure can still be answered
+    /// with an error status, or an idempotent call can be retried on another target.
     ///
     /// # Errors
-    /// Fails as reading the body would.
-    pub async fn first_piece(&mut self) -> Result<(), EngineError> {
+    /// Returns the error that reading the first chunk of the body gives.
+    pub async fn buffer_first_chunk(&mut self) -> Result<(), EngineError> {
         if !self.ready.is_empty() {
             return Ok(());
         }
@@ -126,12 +126,12 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
-        if let Some(piece) = self.ready.pop_front() {
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if let Some(chunk) = self.ready.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         let polled = match &mut self.source {
             Source::Whole => Poll::Ready(None),
-            Source::Plain(reader) => reader.poll_piece(cx),
+            Source::Plain(reader) => reader.poll_chunk(cx),
             Source::Stream(stream) => stream.poll_events(&mut self.ready, cx),
         };
         if matches!(polled, Poll::Ready(None)) {
@@ -148,15 +148,15 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
         loop {
-            if let Some(piece) = ready.pop_front() {
-                return Poll::Ready(Some(Ok(Frame::data(piece))));
+            if let Some(chunk) = ready.pop_front() {
+                return Poll::Ready(Some(Ok(Frame::data(chunk))));
             }
             if let Some(err) = self.failure.take() {
                 return Poll::Ready(Some(Err(err)));
             }
-            match self.reader.poll_piece(cx) {
+            match self.reader.poll_chunk(cx) {
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(piece) => self.take(piece, ready),
+                    Ok(chunk) => self.take(chunk, ready),
                     Err(trailers) => return Poll::Ready(Some(Ok(trailers))),
                 },
                 Poll::Ready(None) => return Poll::Ready(self.end(ready)),
@@ -165,20 +165,20 @@
         }
     }
 
-    /// Checks a piece, and moves what belongs to whole events to `ready`.
-    fn take(&mut self, mut piece: Bytes, ready: &mut VecDeque<Bytes>) {
-        let scanned = self.scanner.scan(&piece);
+    /// Scans a chunk and moves the data of complete events to `ready`.
+    fn take(&mut self, mut chunk: Bytes, ready: &mut VecDeque<Bytes>) {
+        let scanned = self.scanner.scan(&chunk);
         self.failure = scanned.failure;
-        if scanned.checked > 0 {
-            ready.append(&mut self.held);
-            self.held_bytes = 0;
-            ready.push_back(piece.split_to(scanned.checked));
+        if scanned.valid_bytes > 0 {
+            ready.append(&mut self.buffered);
+            self.buffered_bytes = 0;
+            ready.push_back(chunk.split_to(scanned.valid_bytes));
         }
-        if !piece.is_empty() {
-            self.held_bytes += piece.len();
-            self.held.push_back(piece);
+        if !chunk.is_empty() {
+            self.buffered_bytes += chunk.len();
+            self.buffered.push_back(chunk);
         }
-        if self.held_bytes > MAX_EVENT && self.failure.is_none() {
+        if self.buffered_bytes > MAX_EVENT_BYTES && self.failure.is_none() {
             self.failure = Some(
                 MalformedSnafu {
                     problem: "an event is too long",
@@ -191,14 +191,14 @@
     fn end(&mut self, ready: &mut VecDeque<Bytes>) -> Option<Result<Frame<Bytes>, EngineError>> {
         if !self.scanner.is_done() {
             return Some(
-                BrokenOffSnafu {
+                TruncatedSnafu {
                     problem: "the stream ended without [DONE]",
                 }
                 .fail(),
             );
         }
-        ready.append(&mut self.held);
-        ready.pop_front().map(|piece| Ok(Frame::data(piece)))
+        ready.append(&mut self.buffered);
+        ready.pop_front().map(|chunk| Ok(Frame::data(chunk)))
     }
 }
 
@@ -223,8 +223,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        // Pieces that were looked at ahead count as left: a hint without them makes hyper take the
-        // body for an empty one, and the caller gets a head with a length and nothing after it.
+        // Buffered chunks are part of the remaining body. Without them, hyper may treat the body as
+        // empty, and the caller would receive headers with a content length but no body.
         let ready: usize = self.ready.iter().map(Bytes::len).sum();
         let ready = ready as u64;
         match &self.source {
--- a/crates/chervilshunt_engine/src/answer/reader.rs
+++ b/crates/chervilshunt_engine/src/answer/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an answer's body from the connection that it comes on.
+//! Reads the body of an answer from its connection.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
@@ -10,17 +10,17 @@
 use tokio::time::{Instant, Sleep};
 
 use crate::call::Limits;
-use crate::connection::Connection;
-use crate::error::{BrokenOffSnafu, EngineError, MalformedSnafu, Stage, TimeoutSnafu};
+use crate::connection::TargetConnection;
+use crate::error::{CallStage, EngineError, MalformedSnafu, TimeoutSnafu, TruncatedSnafu};
 use crate::pool::Pool;
 
-/// Reads an answer's body, and gives the connection back when all of it has come.
+/// Reads the body of an answer, and returns the connection to the pool at its end.
 ///
-/// It reads only when it is polled, so that a slow caller holds back the target.
+/// It reads only when polled, so that a slow caller applies backpressure to the target.
 pub struct BodyReader {
     incoming: Incoming,
-    /// None once the body has ended or failed.
-    connection: Option<Connection>,
+    /// `None` once the body has ended or failed.
+    connection: Option<TargetConnection>,
     pool: Pool,
     idle: IdleTimer,
 }
@@ -34,7 +34,7 @@
 impl BodyReader {
     pub(crate) fn new(
         incoming: Incoming,
-        connection: Connection,
+        connection: TargetConnection,
         pool: Pool,
         limits: Limits,
     ) -> Self {
@@ -48,13 +48,13 @@
         reader
     }
 
-    /// Returns whether the whole body has come.
+    /// Returns whether the complete body has been received.
     pub(crate) fn is_finished(&self) -> bool {
         self.connection.is_none() && self.incoming.is_end_stream()
     }
 
-    /// Gives the connection back right after the last piece of a body of known length: a server
-    /// that has written that many bytes doesn't ask for the end.
+    /// Returns the connection to the pool right after the last chunk of a body of known length, as
+    /// an HTTP server that forwards the body does not poll again after that many bytes.
     fn finish_if_ended(&mut self) {
         if self.incoming.is_end_stream()
             && let Some(connection) = self.connection.take()
@@ -63,31 +63,31 @@
         }
     }
 
-    /// Returns how long the body is, as far as its head says.
+    /// Returns the remaining size of the body, as far as the headers state it.
     pub fn size_hint(&self) -> SizeHint {
         self.incoming.size_hint()
     }
 
-    /// Returns whether the whole body has been read.
+    /// Returns whether the end of the body has been read.
     pub fn is_end_stream(&self) -> bool {
         self.incoming.is_end_stream()
     }
 
-    /// Returns the next piece; none when the whole body has come.
-    pub fn poll_piece(
+    /// Polls for the next chunk; yields `None` after the end of the body or an error.
+    pub fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, EngineError>>> {
         let Some(connection) = &mut self.connection else {
             return Poll::Ready(None);
         };
-        // Pieces come only while `drive` runs below, so that no other wake-up than the
-        // connection's is needed; a second one would poll each piece's reader twice.
-        let mut quiet = Context::from_waker(Waker::noop());
-        let mut polled = Pin::new(&mut self.incoming).poll_frame(&mut quiet);
+        // Chunks arrive only while `drive` runs below, so that the connection's wake-up is
+        // sufficient; a second one would poll the reader twice per chunk.
+        let mut noop_cx = Context::from_waker(Waker::noop());
+        let mut polled = Pin::new(&mut self.incoming).poll_frame(&mut noop_cx);
         if polled.is_pending() {
             connection.drive(cx);
-            polled = Pin::new(&mut self.incoming).poll_frame(&mut quiet);
+            polled = Pin::new(&mut self.incoming).poll_frame(&mut noop_cx);
         }
         match polled {
             Poll::Ready(Some(Ok(frame))) => {
@@ -95,7 +95,7 @@
                 self.finish_if_ended();
                 Poll::Ready(Some(Ok(frame)))
             }
-            Poll::Ready(Some(Err(err))) => self.break_off(err.to_string()),
+            Poll::Ready(Some(Err(err))) => self.fail_truncated(err.to_string()),
             Poll::Ready(None) => {
                 if let Some(connection) = self.connection.take() {
                     self.pool.put(connection);
@@ -103,26 +103,26 @@
                 Poll::Ready(None)
             }
             Poll::Pending if connection.has_ended() => {
-                self.break_off("the connection was closed".to_owned())
+                self.fail_truncated("the connection was closed".to_owned())
             }
             Poll::Pending => self.poll_idle(cx),
         }
     }
 
-    /// Reads the whole body into memory.
+    /// Reads the complete body into memory.
     ///
     /// # Errors
-    /// Fails if it breaks off, stalls or is longer than `max` bytes.
+    /// Fails if the body is truncated, stalls beyond the idle limit or exceeds `max` bytes.
     pub async fn read_whole(mut self, max: usize) -> Result<Bytes, EngineError> {
         let mut first: Option<Bytes> = None;
         let mut joined = BytesMut::new();
-        while let Some(piece) = std::future::poll_fn(|cx| self.poll_piece(cx)).await {
-            let Ok(data) = piece?.into_data() else {
+        while let Some(chunk) = std::future::poll_fn(|cx| self.poll_chunk(cx)).await {
+            let Ok(data) = chunk?.into_data() else {
                 continue;
             };
             if joined.len() + first.as_ref().map_or(0, Bytes::len) + data.len() > max {
                 return MalformedSnafu {
-                    problem: format!("it is longer than {max} bytes"),
+                    problem: format!("the answer's body exceeds {max} bytes"),
                 }
                 .fail();
             }
@@ -138,9 +138,9 @@
         Ok(first.unwrap_or_else(|| joined.freeze()))
     }
 
-    fn break_off<T>(&mut self, problem: String) -> Poll<Option<Result<T, EngineError>>> {
+    fn fail_truncated<T>(&mut self, problem: String) -> Poll<Option<Result<T, EngineError>>> {
         self.connection = None;
-        Poll::Ready(Some(BrokenOffSnafu { problem }.fail()))
+        Poll::Ready(Some(TruncatedSnafu { problem }.fail()))
     }
 
     fn poll_idle<T>(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<T, EngineError>>> {
@@ -152,7 +152,7 @@
         Poll::Ready(Some(
             TimeoutSnafu {
                 address,
-                stage: Stage::Body,
+                stage: CallStage::Body,
                 limit,
             }
             .fail(),
@@ -160,13 +160,13 @@
     }
 }
 
-/// Fires when nothing has come for a while.
+/// A timer that expires when no chunk has been received within the limit.
 ///
-/// The timer is not moved at each piece, which would cost more than reading it; when it fires it is
-/// set anew for what is left since the last piece.
+/// The timer is not reset at each chunk, as that would cost more than reading the chunk. When it
+/// fires, it is set again for the time that remains since the last chunk.
 struct IdleTimer {
-    /// The limit in force: until the first piece that of the head, since an engine may send the
-    /// head of a stream at once and let the sequence wait.
+    /// The current limit. Until the first chunk it is at least the limit for the headers, since an
+    /// engine may send the headers of a stream immediately while the sequence is still queued.
     limit: Duration,
     later_limit: Duration,
     last: Instant,
--- a/crates/chervilshunt_engine/src/answer/sse.rs
+++ b/crates/chervilshunt_engine/src/answer/sse.rs
@@ -1,77 +1,77 @@
-//! Checks an engine's SSE stream as it passes, however its bytes are split.
+//! Validates an engine's SSE stream incrementally, split at any position.
 
 use std::sync::Arc;
 
 use memchr::memchr2;
 
 use super::Usage;
-use super::json_watch::{JsonWatch, ModelSeen};
+use super::json_scanner::{JsonScanner, ModelMatch};
 use crate::error::{EngineError, FailedMidwaySnafu, MalformedSnafu, WrongModelSnafu};
 
-/// The field of an event that carries its data.
+/// The field name of an event's data, with its colon.
 const DATA_FIELD: &[u8] = b"data:";
-/// The data of the last event.
+/// The data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Checks that every event of a stream names one model, and that the stream ends as it should.
+/// Validates that every event of a stream names the expected model, and that nothing follows the
+/// final `[DONE]` event.
 #[derive(Debug)]
 pub struct SseScanner {
     named: Arc<str>,
-    line: Line,
-    /// The last byte was a CR that ended a line; an LF belongs to it.
+    line: LineState,
+    /// Whether the last byte was a CR that ended a line, so that a following LF belongs to it.
     after_cr: bool,
-    /// The last byte ended an event.
+    /// Whether the last byte ended an event.
     after_event: bool,
-    data: Data,
-    json: JsonWatch,
+    data: EventData,
+    json: JsonScanner,
     events: u32,
     usage: Option<Usage>,
     done: bool,
     failed: bool,
 }
 
-/// What came of a piece of a stream.
+/// The result of scanning a chunk of a stream.
 #[derive(Debug, Default)]
-pub struct Scanned {
-    /// The bytes of the piece, counted from its start, that belong to events that are whole and
-    /// have passed.
-    pub checked: usize,
-    /// What is wrong with the event that follows them.
+pub struct ScanResult {
+    /// The number of bytes at the start of the chunk that belong to complete, valid events.
+    pub valid_bytes: usize,
+    /// The error in the event that follows them.
     pub failure: Option<EngineError>,
 }
 
-/// Where in a line the next byte stands.
+/// The position of the next byte within its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Line {
-    /// So many bytes of [`DATA_FIELD`] have matched.
+enum LineState {
+    /// At the start, after this many matching bytes of [`DATA_FIELD`].
     Start(usize),
-    /// Right after the field's colon, where one space doesn't count.
+    /// Directly after the field's colon, where one space is skipped.
     DataStart,
     Data,
-    /// In a field or comment that is of no interest.
+    /// In another field or a comment, which is ignored.
     Other,
 }
 
-/// What the data of the present event looks like so far.
+/// The kind of the current event's data, as far as it has been scanned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Data {
+enum EventData {
     None,
     Json,
-    /// So many bytes of [`DONE`] have matched.
+    /// This many bytes of [`DONE`] have matched.
     Done(usize),
     Neither,
 }
 
 impl SseScanner {
-    /// Makes a scanner for the stream of a call that named this model.
+    /// Creates a scanner for the stream of a call that named this model.
     pub fn new(named: Arc<str>) -> Self {
         Self {
             named,
-            line: Line::Start(0),
+            line: LineState::Start(0),
             after_cr: false,
             after_event: false,
-            data: Data::None,
-            json: JsonWatch::default(),
+            data: EventData::None,
+            json: JsonScanner::default(),
             events: 0,
             usage: None,
             done: false,
@@ -84,35 +84,35 @@
         self.events
     }
 
-    /// Returns the last usage that an event told.
+    /// Returns the most recent usage that an event reported.
     pub const fn usage(&self) -> Option<Usage> {
         self.usage
     }
 
-    /// Returns whether the event that ends the stream has come.
+    /// Returns whether the final `[DONE]` event has been scanned.
     pub const fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Reads the next piece of the stream. After a failure nothing passes any more.
-    pub fn scan(&mut self, piece: &[u8]) -> Scanned {
-        let mut scanned = Scanned::default();
+    /// Scans the next chunk of the stream. After a failure, no further bytes are accepted.
+    pub fn scan(&mut self, chunk: &[u8]) -> ScanResult {
+        let mut scanned = ScanResult::default();
         let mut at = 0;
-        while at < piece.len() && !self.failed {
-            if self.swallow_lf(piece[at]) {
-                // The second half of a line end belongs to the event that the first half ended.
-                scanned.checked += usize::from(self.after_event);
+        while at < chunk.len() && !self.failed {
+            if self.skip_lf(chunk[at]) {
+                // The LF of a CRLF belongs to the event that the CR ended.
+                scanned.valid_bytes += usize::from(self.after_event);
                 at += 1;
                 continue;
             }
-            let (next, event_ended) = self.step(piece, at);
+            let (next, event_ended) = self.scan_line(chunk, at);
             at = next;
             self.after_event = event_ended;
             if !event_ended {
                 continue;
             }
             match self.end_event() {
-                Ok(()) => scanned.checked = at,
+                Ok(()) => scanned.valid_bytes = at,
                 Err(err) => {
                     self.failed = true;
                     scanned.failure = Some(err);
@@ -122,43 +122,43 @@
         scanned
     }
 
-    fn swallow_lf(&mut self, byte: u8) -> bool {
+    fn skip_lf(&mut self, byte: u8) -> bool {
         std::mem::take(&mut self.after_cr) && byte == b'\n'
     }
 
-    /// Reads from `at` on; returns where to go on, and whether a blank line ended an event.
-    fn step(&mut self, piece: &[u8], at: usize) -> (usize, bool) {
-        let byte = piece[at];
+    /// Scans from `at`; returns the next position and whether a blank line ended an event.
+    fn scan_line(&mut self, chunk: &[u8], at: usize) -> (usize, bool) {
+        let byte = chunk[at];
         match self.line {
-            Line::Start(matched) if matches!(byte, b'\n' | b'\r') => {
+            LineState::Start(matched) if matches!(byte, b'\n' | b'\r') => {
                 self.end_line(byte);
                 (at + 1, matched == 0)
             }
-            Line::Start(matched) if byte == DATA_FIELD[matched] => {
+            LineState::Start(matched) if byte == DATA_FIELD[matched] => {
                 let whole = matched + 1 == DATA_FIELD.len();
                 self.line = if whole {
-                    Line::DataStart
+                    LineState::DataStart
                 } else {
-                    Line::Start(matched + 1)
+                    LineState::Start(matched + 1)
                 };
                 (at + 1, false)
             }
-            Line::Start(_) => {
-                self.line = Line::Other;
+            LineState::Start(_) => {
+                self.line = LineState::Other;
                 (at, false)
             }
-            Line::DataStart => {
-                self.line = Line::Data;
+            LineState::DataStart => {
+                self.line = LineState::Data;
                 (at + usize::from(byte == b' '), false)
             }
-            Line::Data | Line::Other => {
-                let rest = &piece[at..];
+            LineState::Data | LineState::Other => {
+                let rest = &chunk[at..];
                 let length = memchr2(b'\n', b'\r', rest).unwrap_or(rest.len());
-                if self.line == Line::Data {
-                    self.take_data(&rest[..length]);
+                if self.line == LineState::Data {
+                    self.scan_data(&rest[..length]);
                 }
                 let Some(end) = rest.get(length) else {
-                    return (piece.len(), false);
+                    return (chunk.len(), false);
                 };
                 self.end_line(*end);
                 (at + length + 1, false)
@@ -168,37 +168,37 @@
 
     fn end_line(&mut self, byte: u8) {
         self.after_cr = byte == b'\r';
-        self.line = Line::Start(0);
+        self.line = LineState::Start(0);
     }
 
-    fn take_data(&mut self, bytes: &[u8]) {
-        if self.data == Data::None {
+    fn scan_data(&mut self, bytes: &[u8]) {
+        if self.data == EventData::None {
             let Some(first) = bytes.first() else {
                 return;
             };
             self.data = if *first == DONE[0] {
-                Data::Done(0)
+                EventData::Done(0)
             } else {
-                Data::Json
+                EventData::Json
             };
         }
         match self.data {
-            Data::Json => self.json.feed(bytes, &self.named),
-            Data::Done(matched) => {
+            EventData::Json => self.json.feed(bytes, &self.named),
+            EventData::Done(matched) => {
                 let goes_on = DONE[matched..].starts_with(bytes);
                 self.data = if goes_on {
-                    Data::Done(matched + bytes.len())
+                    EventData::Done(matched + bytes.len())
                 } else {
-                    Data::Neither
+                    EventData::Neither
                 };
             }
-            Data::None | Data::Neither => {}
+            EventData::None | EventData::Neither => {}
         }
     }
 
     fn end_event(&mut self) -> Result<(), EngineError> {
-        let data = std::mem::replace(&mut self.data, Data::None);
-        if data == Data::None {
+        let data = std::mem::replace(&mut self.data, EventData::None);
+        if data == EventData::None {
             return Ok(());
         }
         if self.done {
@@ -208,16 +208,16 @@
             .fail();
         }
         match data {
-            Data::Done(matched) if matched == DONE.len() => {
+            EventData::Done(matched) if matched == DONE.len() => {
                 self.done = true;
                 Ok(())
             }
-            Data::Json => {
+            EventData::Json => {
                 let checked = self.check_json();
                 self.json.reset();
                 checked
             }
-            Data::None | Data::Done(_) | Data::Neither => MalformedSnafu {
+            EventData::None | EventData::Done(_) | EventData::Neither => MalformedSnafu {
                 problem: "an event is neither JSON nor [DONE]",
             }
             .fail(),
@@ -225,24 +225,24 @@
     }
 
     fn check_json(&mut self) -> Result<(), EngineError> {
-        let found = &mut self.json.found;
-        if found.malformed || !found.ended {
+        let members = &mut self.json.members;
+        if members.malformed || !members.ended {
             return MalformedSnafu {
-                problem: "an event is no JSON object",
+                problem: "an event is not a JSON object",
             }
             .fail();
         }
-        if found.has_error {
-            let message = std::mem::take(&mut found.error_message);
+        if members.has_error {
+            let message = std::mem::take(&mut members.error_message);
             return FailedMidwaySnafu { message }.fail();
         }
-        match found.model.take() {
-            Some(ModelSeen::Named) => {
+        match members.model.take() {
+            Some(ModelMatch::Expected) => {
                 self.events += 1;
-                self.usage = found.usage.or(self.usage);
+                self.usage = members.usage.or(self.usage);
                 Ok(())
             }
-            Some(ModelSeen::Other(served)) => WrongModelSnafu {
+            Some(ModelMatch::Other(served)) => WrongModelSnafu {
                 named: Arc::clone(&self.named),
                 served,
             }
--- a/crates/chervilshunt_engine/src/client.rs
+++ b/crates/chervilshunt_engine/src/client.rs
@@ -12,19 +12,19 @@
 use snafu::ResultExt as _;
 
 use crate::answer::{self, Answer, BodyReader};
-use crate::call::{Call, Expect, Limits};
-use crate::connection::{Connection, SendError};
+use crate::call::{Call, ExpectedAnswer, Limits};
+use crate::connection::{TargetConnection, TransmitError};
 use crate::error::{
-    CrossedSnafu, EngineError, MalformedSnafu, NotSentSnafu, OutcomeUnknownSnafu, Stage,
-    TimeoutSnafu,
+    AttemptMismatchSnafu, CallStage, EngineError, MalformedSnafu, NotSentSnafu,
+    OutcomeUnknownSnafu, TimeoutSnafu,
 };
 use crate::headers::{ATTEMPT_ID, FENCING_TOKEN, REQUEST_ID, strip_hop_by_hop};
 use crate::pool::Pool;
 
-/// The client of one target; clones share its connections.
+/// The client of one target; clones share its connection pool.
 ///
-/// It never sends a request twice. One that found its connection closed before the first byte was
-/// written goes out on another, which is no second sending.
+/// It never sends a request twice. If a connection turns out to be closed before the first byte of
+/// a request is written, the request is sent on another connection instead.
 #[derive(Clone)]
 pub struct EngineClient {
     pool: Pool,
@@ -39,7 +39,7 @@
 }
 
 impl EngineClient {
-    /// Makes a client; it connects when it is first used.
+    /// Creates a client, which connects on first use.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             pool: Pool::new(address),
@@ -51,13 +51,14 @@
         self.pool.address
     }
 
-    /// Sends a call and returns its answer once the head has come.
+    /// Sends a call and returns its answer once the headers have been received.
     ///
-    /// A whole answer of an engine is read and checked before this returns; a stream is checked
-    /// event by event as it is read. Dropping the future or the answer's body cancels the call.
+    /// A non-streaming answer of an engine is read and validated before this returns; a stream is
+    /// validated event by event as it is read. Dropping the future or the answer's body cancels the
+    /// call.
     ///
     /// # Errors
-    /// [`EngineError::outcome`] says of each error whether the call can have run.
+    /// [`EngineError::outcome`] returns for each error whether the call may have run.
     pub async fn open(&self, call: Call) -> Result<Answer, EngineError> {
         let (idempotent, limits, attempt) = (call.idempotent, call.limits, call.attempt);
         let expect = call.expect.clone();
@@ -69,24 +70,24 @@
             && received.as_bytes() != attempt.to_string().as_bytes()
         {
             let received = String::from_utf8_lossy(received.as_bytes());
-            return CrossedSnafu { attempt, received }.fail();
+            return AttemptMismatchSnafu { attempt, received }.fail();
         }
         answer::require_delimited(&head)?;
         strip_hop_by_hop(&mut head.headers);
         match expect {
-            Expect::Anything => Ok(Answer::unchecked(head, reader)),
-            Expect::Model(model) => Answer::checked(head, reader, model).await,
+            ExpectedAnswer::Any => Ok(Answer::unchecked(head, reader)),
+            ExpectedAnswer::Model(model) => Answer::checked(head, reader, model).await,
         }
     }
 
-    /// Sends a request as it stands and returns the head of its answer, with the body unread.
+    /// Sends a request unmodified and returns the headers of its answer, with the body unread.
     ///
-    /// Nothing is checked or changed: whoever passes an answer on judges head and body. `reuse` says
-    /// whether a connection that was used before may carry it. Dropping the future or the body
-    /// closes the connection and so cancels the request.
+    /// Nothing is validated or changed, so the code that passes the answer on must validate it.
+    /// `reuse` permits the use of a pooled connection. Dropping the future or the body closes the
+    /// connection and thereby cancels the request.
     ///
     /// # Errors
-    /// [`EngineError::outcome`] says of each error whether the request can have run.
+    /// [`EngineError::outcome`] returns for each error whether the request may have run.
     pub async fn forward(
         &self,
         req: Request<Full<Bytes>>,
@@ -95,14 +96,15 @@
     ) -> Result<(response::Parts, BodyReader), EngineError> {
         let (response, mut connection) = self.exchange(req, reuse, limits).await?;
         let (head, incoming) = response.into_parts();
-        connection.note_keep_alive(&head.headers);
+        connection.apply_keep_alive(&head.headers);
         let reader = BodyReader::new(incoming, connection, self.pool.clone(), limits);
         Ok((head, reader))
     }
 
-    /// Says whether the target's address refuses connections: its process has ended.
+    /// Returns whether the target's address refuses connections, which shows that its process has
+    /// ended.
     ///
-    /// No answer within the limit says nothing, and neither does any other failure.
+    /// A timeout or any other failure proves nothing and returns false.
     pub async fn is_refused(&self, limit: Duration) -> bool {
         let connecting = tokio::net::TcpStream::connect(self.address());
         match tokio::time::timeout(limit, connecting).await {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Sends a request of this client's own and returns status, headers and the whole body.
+    /// Sends one of this system's own requests, and returns the answer with its complete body.
     pub(crate) async fn fetch(
         &self,
         req: Request<Full<Bytes>>,
@@ -131,17 +133,17 @@
         mut req: Request<Full<Bytes>>,
         reuse: bool,
         limits: Limits,
-    ) -> Result<(Response<Incoming>, Connection), EngineError> {
+    ) -> Result<(Response<Incoming>, TargetConnection), EngineError> {
         if reuse && let Some(mut connection) = self.pool.take() {
             match self.send(&mut connection, req, limits.head).await? {
-                Sent::Answered(response) => return Ok((response, connection)),
-                Sent::Returned(unsent) => req = *unsent,
+                SendOutcome::Answered(response) => return Ok((response, connection)),
+                SendOutcome::Unsent(unsent) => req = *unsent,
             }
         }
         let mut connection = self.connect(limits.connect).await?;
         match self.send(&mut connection, req, limits.head).await? {
-            Sent::Answered(response) => Ok((response, connection)),
-            Sent::Returned(_) => {
+            SendOutcome::Answered(response) => Ok((response, connection)),
+            SendOutcome::Unsent(_) => {
                 let source = std::io::ErrorKind::ConnectionAborted.into();
                 Err(EngineError::NotSent {
                     address: self.address(),
@@ -151,15 +153,15 @@
         }
     }
 
-    async fn connect(&self, limit: Duration) -> Result<Connection, EngineError> {
+    async fn connect(&self, limit: Duration) -> Result<TargetConnection, EngineError> {
         let address = self.address();
-        Connection::open(address, limit)
+        TargetConnection::open(address, limit)
             .await
             .ok()
             .ok_or_else(|| {
                 TimeoutSnafu {
                     address,
-                    stage: Stage::Connect,
+                    stage: CallStage::Connect,
                     limit,
                 }
                 .build()
@@ -169,44 +171,46 @@
 
     async fn send(
         &self,
-        connection: &mut Connection,
+        connection: &mut TargetConnection,
         req: Request<Full<Bytes>>,
         limit: Duration,
-    ) -> Result<Sent, EngineError> {
+    ) -> Result<SendOutcome, EngineError> {
         let address = self.address();
         let Ok(sent) = tokio::time::timeout(limit, connection.send(req)).await else {
             return TimeoutSnafu {
                 address,
-                stage: Stage::Head,
+                stage: CallStage::Head,
                 limit,
             }
             .fail();
         };
         match sent {
-            Ok(response) => Ok(Sent::Answered(response)),
-            Err(SendError::NotSent(req)) => Ok(Sent::Returned(req)),
-            Err(SendError::MaySent(source)) => Err(source).context(OutcomeUnknownSnafu { address }),
+            Ok(response) => Ok(SendOutcome::Answered(response)),
+            Err(TransmitError::NotSent(req)) => Ok(SendOutcome::Unsent(req)),
+            Err(TransmitError::MaybeSent(source)) => {
+                Err(source).context(OutcomeUnknownSnafu { address })
+            }
         }
     }
 }
 
-/// What came of giving a request to a connection.
-enum Sent {
+/// The result of sending a request on a connection.
+enum SendOutcome {
     Answered(Response<Incoming>),
-    /// The connection had ended before it took the request.
-    Returned(Box<Request<Full<Bytes>>>),
+    /// The connection ended before it wrote any of the request.
+    Unsent(Box<Request<Full<Bytes>>>),
 }
 
 fn into_request(call: Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, EngineError> {
     let mut headers = call.headers;
     strip_hop_by_hop(&mut headers);
-    // The length is that of `body`, and the target must not wait to be told to go on.
+    // The length is set from `body`, and the target must not wait for a `100 Continue` exchange.
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    // Orders are given by owners of targets, never by callers.
+    // Only owners of targets may give orders, so a caller's fencing token is dropped.
     headers.remove(FENCING_TOKEN);
-    if matches!(call.expect, Expect::Model(_)) {
-        // A compressed answer could not be checked.
+    if matches!(call.expect, ExpectedAnswer::Model(_)) {
+        // A compressed answer could not be validated.
         headers.remove(header::ACCEPT_ENCODING);
     }
     insert(&mut headers, REQUEST_ID, call.request.as_str())?;
@@ -225,7 +229,8 @@
     value: &str,
 ) -> Result<(), EngineError> {
     let Ok(value) = HeaderValue::from_str(value) else {
-        let problem: Arc<str> = format!("{name} can't hold {value:?}").into();
+        let problem: Arc<str> =
+            format!("{value:?} is not a valid value of the header {name}").into();
         return MalformedSnafu { problem }.fail();
     };
     headers.insert(name, value);
--- a/crates/chervilshunt_engine/src/lib.rs
+++ b/crates/chervilshunt_engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of model engines and plain services.
 //!
-//! Each call is sent at most once, and each failure says whether the call can have run. Answers of
-//! engines are checked for the model that served them before a caller sees them. See
+//! Each call is sent at most once, and each failure states whether the call may have run. Engines'
+//! answers are validated for the model that served them before a caller receives them. See
 //! `docs/design/engine-client.md` and `docs/operators/targets.md`.
 
 mod answer;
@@ -16,10 +16,10 @@
 mod prometheus;
 mod reports;
 
-pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, Scanned, SseScanner, Usage};
-pub use call::{Call, Expect, Limits};
+pub use answer::{Answer, AnswerBody, AnswerSummary, BodyReader, ScanResult, SseScanner, Usage};
+pub use call::{Call, ExpectedAnswer, Limits};
 pub use client::EngineClient;
-pub use engines::Engines;
-pub use error::{EngineError, Outcome, Stage};
+pub use engines::EngineClients;
+pub use error::{CallStage, EngineError, Outcome};
 pub use headers::strip_hop_by_hop;
 pub use reports::{CacheEvent, CacheEventKind, LoadReport};
--- a/crates/chervilshunt_engine/src/pool.rs
+++ b/crates/chervilshunt_engine/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one target, for reuse.
+//! The pool of idle connections to one target.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,14 +7,14 @@
 use tokio::runtime::Handle;
 use tokio::time::Instant;
 
-use crate::connection::Connection;
+use crate::connection::TargetConnection;
 
-/// How often connections that have been idle for too long are closed.
-const SWEEP_EVERY: Duration = Duration::from_secs(4);
-/// The most idle connections to one target.
+/// The interval at which connections that have been idle for too long are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
+/// The maximum number of idle connections to one target.
 const MAX_IDLE: usize = 64;
 
-/// Idle connections to one target.
+/// The pool of idle connections to one target; clones share it.
 #[derive(Clone)]
 pub(crate) struct Pool {
     pub(crate) address: SocketAddr,
@@ -23,8 +23,9 @@
 
 #[derive(Default)]
 struct Idle {
-    /// The one used last comes last, so that the others grow old and go.
-    connections: Vec<Connection>,
+    /// The idle connections. The most recently used one is last and is reused first, so that the
+    /// others reach their idle limit.
+    connections: Vec<TargetConnection>,
     sweeping: bool,
 }
 
@@ -36,29 +37,33 @@
         }
     }
 
-    /// Returns an idle connection on which nothing has come; the target may be closing it.
+    /// Removes and returns a usable idle connection; the target may be closing it.
     ///
-    /// It was made on the present runtime: on another one a stream would get its wake-ups from that
-    /// one's thread, and those of callers would wait behind the control state's work.
-    pub(crate) fn take(&self) -> Option<Connection> {
-        let here = Handle::current().id();
+    /// Only connections opened on the current runtime are returned. Otherwise another runtime's
+    /// thread would deliver a stream's wake-ups, and callers' streams would wait behind the work of
+    /// the control thread.
+    pub(crate) fn take(&self) -> Option<TargetConnection> {
+        let current_runtime = Handle::current().id();
         let mut idle = self.lock();
         let connections = &mut idle.connections;
-        connections.retain(Connection::is_fresh);
-        while let Some(last) = connections.iter().rposition(|it| it.runtime == here) {
+        connections.retain(TargetConnection::is_reusable);
+        while let Some(last) = connections
+            .iter()
+            .rposition(|it| it.runtime == current_runtime)
+        {
             let mut connection = connections.remove(last);
-            if connection.is_quiet() {
+            if connection.poll_usable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Puts a connection aside whose answer has been read to its end.
-    pub(crate) fn put(&self, mut connection: Connection) {
-        // The library frees a connection for the next request only when it is driven once more
+    /// Returns a connection whose answer has been read completely to the pool.
+    pub(crate) fn put(&self, mut connection: TargetConnection) {
+        // hyper makes a connection ready for the next request only when it is polled once more
         // after the last byte.
-        if !connection.is_quiet() {
+        if !connection.poll_usable() {
             return;
         }
         connection.idle_since = Instant::now();
@@ -81,15 +86,15 @@
 
 /// Closes connections that have been idle for too long, until none is left.
 ///
-/// Without it, an instance that once called each of many targets would keep their sockets.
+/// Without it, an instance that once called many targets would keep a socket to each of them.
 async fn sweep(idle: std::sync::Weak<Mutex<Idle>>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let Some(idle) = idle.upgrade() else {
             return;
         };
         let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.connections.retain(Connection::is_fresh);
+        idle.connections.retain(TargetConnection::is_reusable);
         if idle.connections.is_empty() {
             idle.sweeping = false;
             return;
--- a/crates/chervilshunt_engine/tests/answers.rs
+++ b/crates/chervilshunt_engine/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that go well: checked, counted, passed on at the caller's pace, and cancelled with it.
+//! Successful answers: validation, token counts, backpressure and cancellation.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use chervilshunt_engine::{EngineClient, Expect, Usage};
+use chervilshunt_engine::{EngineClient, ExpectedAnswer, Usage};
 use chervilshunt_model::{AdapterVersion, Epoch};
 use chervilshunt_standin::engine::{EngineStandin, EngineStandinConfig, start_engine};
 use chervilshunt_standin::plain::{PlainStandinConfig, start_plain};
 use common::{
-    GO_ON_AFTER, LIMITS, MODEL, ScriptedTarget, Step, chunked, completion, completion_for, event,
-    plain, read, response, run, until,
+    LIMITS, MODEL, SECOND_PART_DELAY, ScriptedTarget, Step, chunked, completion, completion_for,
+    event, plain, read, response, run, until,
 };
 use http_body_util::BodyExt as _;
 use rstest::rstest;
@@ -36,7 +36,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn answer_is_whole_and_counted(#[values(false, true)] stream: bool) {
+async fn answer_is_complete_and_counted(#[values(false, true)] stream: bool) {
     let (engine, client) = engine_with_adapter(1).await;
 
     let answer = client
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn base_model_answers_too() {
+async fn base_model_answers() {
     let (_engine, client) = engine_with_adapter(1).await;
     let answer = client
         .open(completion_for("base", "r", 3, true))
@@ -71,14 +71,18 @@
     assert_eq!(read(answer).await.expect("whole").1.tokens(), 3);
 }
 
-/// The first piece may be awaited before the caller gets a head; nothing of the stream is lost.
+/// Guards against losing the first chunk when it is awaited before the caller gets the headers.
 #[tokio::test]
-async fn first_piece_is_kept() {
+async fn first_chunk_is_kept() {
     let (_engine, client) = engine_with_adapter(1).await;
     let mut answer = client.open(completion("r", 3, true)).await.expect("opens");
 
-    answer.body.first_piece().await.expect("comes");
-    answer.body.first_piece().await.expect("is still there");
+    answer.body.buffer_first_chunk().await.expect("comes");
+    answer
+        .body
+        .buffer_first_chunk()
+        .await
+        .expect("is still there");
 
     let (text, summary) = read(answer).await.expect("whole");
     assert!(
@@ -88,16 +92,17 @@
     assert_eq!((summary.events, text.matches("data:").count()), (3, 4));
 }
 
-/// The engine sends the head at once and lets the sequence wait: until the first token the call has
-/// as long as for its head, and from then on the shorter time between two pieces.
+/// Guards against a timeout while a sequence is queued in an engine that sends the headers of a
+/// stream immediately. The limit until the first token is that of the headers; the shorter one
+/// between chunks applies only afterwards.
 #[tokio::test]
-async fn first_token_may_take_as_long_as_the_head() {
+async fn first_token_has_the_limit_of_the_headers() {
     let pieces = chunked(&[&event(MODEL, "x"), "data: [DONE]\n\n"], true);
     let (head, events) = pieces.split_at(pieces.find("\r\n\r\n").expect("head") + 4);
-    let step = Step::AnswerAndGoOn(head.to_owned(), events.to_owned());
+    let step = Step::AnswerInTwoParts(head.to_owned(), events.to_owned());
     let target = ScriptedTarget::start(vec![step]).await;
     let mut call = completion("r", 1, true);
-    call.limits.idle = GO_ON_AFTER / 4;
+    call.limits.idle = SECOND_PART_DELAY / 4;
 
     let answer = EngineClient::new(target.address)
         .open(call)
@@ -107,7 +112,8 @@
     assert!(read(answer).await.expect("whole").1.complete);
 }
 
-/// The caller goes away in the middle of a stream: its sequence leaves the engine's batch.
+/// Guards against a sequence that stays in the engine's batch after the caller disconnects during
+/// the stream.
 #[tokio::test]
 async fn dropped_answer_cancels_the_call() {
     let (engine, client) = engine_with_adapter(2).await;
@@ -123,7 +129,8 @@
     until(async || engine.stats().running == 0).await;
 }
 
-/// The call is dropped while it waits for its head, as when the caller goes away early.
+/// Guards against a sequence that stays in the engine's queue after the caller disconnects before
+/// the headers.
 #[tokio::test]
 async fn dropped_call_leaves_the_engines_queue() {
     let (engine, client) = engine_with_adapter(2).await;
@@ -137,9 +144,10 @@
     until(async || engine.stats().running + engine.stats().waiting == 0).await;
 }
 
-/// The caller stops reading: the target can send only what the sockets between them hold.
+/// Guards against unbounded buffering for a caller that stops reading: the target can send only
+/// what the socket buffers hold.
 #[tokio::test]
-async fn slow_caller_holds_back_the_target() {
+async fn slow_caller_applies_backpressure_to_the_target() {
     const TOTAL: usize = 64 * 1024 * 1024;
     const PIECE: usize = 64 * 1024;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -170,9 +178,9 @@
     assert_eq!((text.len(), summary.complete), (TOTAL, true));
 }
 
-/// Headers that concern the caller's own connection don't reach the target; the others do.
+/// Guards against forwarding the caller's hop-by-hop headers to the target, or dropping others.
 #[tokio::test]
-async fn plain_call_passes_on_what_is_the_callers() {
+async fn plain_call_forwards_end_to_end_headers() {
     let target = ScriptedTarget::start(vec![Step::Answer(response("200 OK", "", "done"))]).await;
     let mut call = plain("r", false);
     call.path = "/finish?boat=7".parse().expect("path");
@@ -194,7 +202,7 @@
         .expect("opens");
     read(answer).await.expect("whole");
 
-    let request = &target.seen().requests[0];
+    let request = &target.recorded().requests[0];
     let mut lines: Vec<&str> = request.lines().collect();
     lines.sort_unstable();
     let expected = [
@@ -210,8 +218,8 @@
     assert_eq!(lines, expected);
 }
 
-/// A connection is back for reuse by the time that an answer of known length has been read, even
-/// if nobody asks for its end.
+/// Guards against losing a connection for reuse if nobody polls for the end of an answer of known
+/// length after its last byte.
 #[tokio::test]
 async fn answer_of_known_length_is_complete_at_its_last_byte() {
     let service = start_plain(PlainStandinConfig::default())
@@ -223,8 +231,8 @@
     assert!(answer.body.summary().complete);
 }
 
-/// Control state and traffic have a runtime each and share a client. A stream must not depend on
-/// the control thread for its wake-ups, so that neither uses the other's connections.
+/// Guards against streams that depend on the control thread for their wake-ups. Control and traffic
+/// have separate runtimes and share a client, so neither may use the other's connections.
 #[test]
 fn runtimes_do_not_share_connections() {
     let runtime = || {
@@ -246,13 +254,16 @@
     }
 
     assert_eq!(
-        (target.seen().connections, target.seen().requests.len()),
+        (
+            target.recorded().connections,
+            target.recorded().requests.len()
+        ),
         (2, 4)
     );
 }
 
 #[tokio::test]
-async fn orders_can_be_given_again() {
+async fn orders_can_be_repeated() {
     let (engine, client) = engine_with_adapter(1).await;
     let model = AdapterVersion::parse(MODEL).expect("model");
     let epoch = Epoch::new(1);
@@ -275,7 +286,7 @@
     );
 }
 
-/// Two owners give orders: the engine refuses the one whose epoch is older, whatever the order.
+/// Guards against orders from a former owner: the engine rejects the older epoch.
 #[tokio::test]
 async fn old_epoch_is_fenced() {
     let (engine, client) = engine_with_adapter(1).await;
@@ -297,19 +308,19 @@
     assert_eq!(engine.stats().loaded.len(), 2);
 }
 
-/// Reports and cache events come late; by then they say what happened.
+/// Load reports and cache events are delayed, and correct once they arrive.
 #[tokio::test]
-async fn reports_tell_the_load_late() {
+async fn load_reports_are_delayed() {
     let (_engine, client) = engine_with_adapter(2).await;
     let answer = client
         .open(completion("r", 1_000_000, true))
         .await
         .expect("opens");
-    assert_eq!(client.report().await.expect("reports").running, 0);
+    assert_eq!(client.load_report().await.expect("reports").running, 0);
     assert_eq!(client.cache_events(0).await.expect("lists"), []);
 
-    until(async || client.report().await.expect("reports").running > 0).await;
-    let report = client.report().await.expect("reports");
+    until(async || client.load_report().await.expect("reports").running > 0).await;
+    let report = client.load_report().await.expect("reports");
     let prefix = chervilshunt_model::prefix_hash(MODEL, b"one two");
     let events = client.cache_events(0).await.expect("lists");
     drop(answer);
@@ -334,16 +345,16 @@
     );
 }
 
-/// Many streams at once over one client: no answer reaches another call.
+/// Guards against answers that reach another call when many calls share one client.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn answers_do_not_cross() {
+async fn answers_reach_their_own_calls() {
     let (engine, client) = engine_with_adapter(1).await;
     let calls = (0..60u32).map(|number| {
         let client = client.clone();
         tokio::spawn(async move {
             let id = format!("r{number}");
             let call = completion(&id, 2 + number % 7, number % 2 == 0);
-            assert_eq!(call.expect, Expect::Model(MODEL.into()));
+            assert_eq!(call.expect, ExpectedAnswer::Model(MODEL.into()));
             let call = chervilshunt_engine::Call {
                 limits: chervilshunt_engine::Limits {
                     head: LIMITS.head * 20,
@@ -374,18 +385,18 @@
     );
 }
 
-/// A caller of a plain service gets a head that announces a length and no body after it. The
-/// daemon looks at the first piece before it answers, hyper then asks how much is left, and a body
-/// that forgets the piece it keeps says "nothing", so that nothing is written.
+/// Guards against an empty response with a content length. The daemon buffers the first chunk
+/// before it answers, and hyper then asks for the size hint. If the hint does not include the
+/// buffered chunk, hyper writes no body.
 #[tokio::test]
-async fn piece_that_was_looked_at_still_counts_as_left() {
+async fn size_hint_includes_buffered_chunk() {
     let target = start_plain(PlainStandinConfig::default())
         .await
         .expect("start");
     let client = EngineClient::new(target.address);
 
     let mut answer = client.open(plain("r", true)).await.expect("opens");
-    answer.body.first_piece().await.expect("first piece");
+    answer.body.buffer_first_chunk().await.expect("first piece");
     let announced = http_body::Body::size_hint(&answer.body).exact();
     let body = answer.body.collect().await.expect("whole").to_bytes();
 
--- a/crates/chervilshunt_engine/tests/scanner.rs
+++ b/crates/chervilshunt_engine/tests/scanner.rs
@@ -1,4 +1,4 @@
-//! The scanner's verdict does not depend on how the bytes of a stream are split.
+//! The result of the scanner does not depend on how the bytes of a stream are split.
 
 use chervilshunt_engine::{EngineError, SseScanner, Usage};
 use proptest::prelude::*;
@@ -6,10 +6,10 @@
 
 const MODEL: &str = "a@1";
 
-/// What a scanner made of a whole stream.
+/// The result of scanning a complete stream.
 #[derive(Debug, PartialEq, Eq)]
 struct Verdict {
-    /// The bytes that passed.
+    /// The text of the valid events.
     passed: String,
     failure: Option<String>,
     done: bool,
@@ -17,18 +17,18 @@
     usage: Option<Usage>,
 }
 
-fn scan(pieces: &[&[u8]]) -> Verdict {
+fn scan(chunks: &[&[u8]]) -> Verdict {
     let mut scanner = SseScanner::new(MODEL.into());
     let mut all = Vec::new();
     let mut passed = 0;
     let mut failure = None;
-    for piece in pieces {
+    for chunk in chunks {
         let start = all.len();
-        all.extend_from_slice(piece);
-        let scanned = scanner.scan(piece);
-        assert!(scanned.checked <= piece.len());
-        if scanned.checked > 0 {
-            passed = start + scanned.checked;
+        all.extend_from_slice(chunk);
+        let scanned = scanner.scan(chunk);
+        assert!(scanned.valid_bytes <= chunk.len());
+        if scanned.valid_bytes > 0 {
+            passed = start + scanned.valid_bytes;
         }
         if let Some(error) = scanned.failure {
             failure = Some(name(&error));
@@ -53,25 +53,25 @@
     }
 }
 
-/// Splits `text` at these places, taken modulo its length.
+/// Splits `text` at the given positions, taken modulo its length plus one.
 fn split<'a>(text: &'a [u8], places: &[usize]) -> Vec<&'a [u8]> {
     let mut places: Vec<usize> = places
         .iter()
         .map(|place| place % (text.len() + 1))
         .collect();
     places.sort_unstable();
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     let mut start = 0;
     for place in places {
-        pieces.push(&text[start..place]);
+        chunks.push(&text[start..place]);
         start = place;
     }
-    pieces.push(&text[start..]);
-    pieces
+    chunks.push(&text[start..]);
+    chunks
 }
 
-/// A value of the kinds that a chunk of a completion can hold, with keys that look like those that
-/// are watched.
+/// Generates JSON values that a completion chunk can contain, including nested keys that equal the
+/// scanned ones.
 fn value() -> impl Strategy<Value = serde_json::Value> {
     let leaf = prop_oneof![
         Just(serde_json::Value::Null),
@@ -96,7 +96,7 @@
     })
 }
 
-/// A chunk: members in any order, the model's right or wrong, with or without usage or error.
+/// Generates completion chunks with a right, wrong or missing model, and optional usage and error.
 fn chunk() -> impl Strategy<Value = serde_json::Value> {
     let model = prop_oneof![
         8 => Just(Some(MODEL.to_owned())),
@@ -131,7 +131,7 @@
     })
 }
 
-/// What a scanner has to say of whole events, by a parser that reads each one as a whole.
+/// Returns the expected verdict on complete events, from a parser that reads each one as a whole.
 fn oracle(chunks: &[serde_json::Value], ending: &str, done: bool) -> Verdict {
     let mut verdict = Verdict {
         passed: String::new(),
@@ -191,12 +191,12 @@
         let expected = oracle(&chunks, ending, done);
 
         let whole = scan(&[text.as_bytes()]);
-        let pieces = scan(&split(text.as_bytes(), &places));
+        let in_chunks = scan(&split(text.as_bytes(), &places));
         let bytes: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
         let single = scan(&bytes);
 
         prop_assert_eq!(&whole, &expected);
-        prop_assert_eq!(&pieces, &expected);
+        prop_assert_eq!(&in_chunks, &expected);
         prop_assert_eq!(&single, &expected);
     }
 
@@ -208,8 +208,8 @@
         places in prop::collection::vec(any::<usize>(), 0..24),
     ) {
         let whole = scan(&[&text]);
-        let pieces = scan(&split(&text, &places));
-        prop_assert_eq!(whole, pieces);
+        let in_chunks = scan(&split(&text, &places));
+        prop_assert_eq!(whole, in_chunks);
     }
 }
 
@@ -235,7 +235,7 @@
 #[case::event_after_done("data: [DONE]\n\ndata: {\"model\":\"a@1\"}\n\n", Some("malformed"), 0)]
 #[case::almost_done("data: [DONE\n\n", Some("malformed"), 0)]
 #[case::unfinished_event("data: {\"model\":\"b@1\"}\n", None, 0)]
-fn scanner_judges(#[case] text: &str, #[case] failure: Option<&str>, #[case] events: u32) {
+fn scanner_verdict(#[case] text: &str, #[case] failure: Option<&str>, #[case] events: u32) {
     let verdict = scan(&[text.as_bytes()]);
     assert_eq!(
         (verdict.failure.as_deref(), verdict.events),
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn unfinished_event_does_not_pass() {
+fn unfinished_event_is_not_valid() {
     let text = "data: {\"model\":\"a@1\"}\n\ndata: {\"model\":\"a@1\"}\n";
     assert_eq!(
         scan(&[text.as_bytes()]).passed,
--- a/crates/chervilshunt_mesh/examples/rounds/connections.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/connections.rs
@@ -1,4 +1,4 @@
-//! Bytes that a connection takes beside its messages.
+//! Measures the bytes that a connection transfers in addition to its messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Prints the bytes of opening, pinging and closing a connection, both directions together.
+/// Prints the bytes for opening, pinging and closing a connection, in both directions together.
 pub(crate) fn print() {
     println!("| opening | ping and pong | closing |");
     println!("| ---: | ---: | ---: |");
@@ -42,13 +42,13 @@
     let opened = entry.counters().connection_bytes();
     let (asking, asked_peer) = (entry.clone(), peer.clone());
     let asked = tokio::spawn(async move {
-        let patience = Duration::from_secs(10);
-        asking.request(&asked_peer, Hello(2), patience).await
+        let timeout = Duration::from_secs(10);
+        asking.request(&asked_peer, Hello(2), timeout).await
     });
     let Some(Inbound::Message(request)) = inbound.recv().await else {
         panic!("the request arrives");
     };
-    // Requests wait until the first pings have passed.
+    // The request stays unanswered until the first pings have been exchanged.
     let pinged = until(&entry, |counters| counters.connection_bytes() > opened).await;
     sleep(PING_AFTER / 2).await;
     request
--- a/crates/chervilshunt_mesh/examples/rounds/throughput.rs
+++ b/crates/chervilshunt_mesh/examples/rounds/throughput.rs
@@ -1,4 +1,4 @@
-//! Permit rounds through one connection, each end on a thread of its own.
+//! Measures permit rounds on one connection, with each end on its own thread.
 
 use std::net::SocketAddr;
 use std::sync::mpsc as std_mpsc;
@@ -12,9 +12,9 @@
 use tokio_util::sync::CancellationToken;
 
 const ROUNDS: usize = 100_000;
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Bytes of text in the request; the answer and the release have a third of them.
+/// The text sizes of requests, in bytes; answers and releases have a third of that.
 const SIZES: [usize; 4] = [50, 200, 800, 3_200];
 const IN_FLIGHT: [usize; 2] = [1, 64];
 
@@ -38,15 +38,15 @@
     }
 }
 
-/// What one end spent.
+/// The time, CPU time and bytes that one end used.
 #[derive(Clone, Copy, Debug)]
-struct Spent {
+struct ResourceUsage {
     wall: Duration,
     cpu: Duration,
     bytes: u64,
 }
 
-/// Prints rounds a second, processor time and bytes at each size.
+/// Prints rounds per second, CPU time and bytes at each size.
 pub(crate) fn print() {
     println!("| text | in flight | rounds/s | entry µs/round | owner µs/round | bytes/round |");
     println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
@@ -68,7 +68,7 @@
     }
 }
 
-fn run(size: usize, in_flight: usize, rounds: usize) -> (Spent, Duration) {
+fn run(size: usize, in_flight: usize, rounds: usize) -> (ResourceUsage, Duration) {
     let (address_tx, address_rx) = std_mpsc::channel();
     let stop = CancellationToken::new();
     let stopped = stop.clone();
@@ -110,7 +110,7 @@
     }
 }
 
-async fn ask(address: SocketAddr, size: usize, in_flight: usize, rounds: usize) -> Spent {
+async fn ask(address: SocketAddr, size: usize, in_flight: usize, rounds: usize) -> ResourceUsage {
     let (mesh, _inbound) = mesh("entry").await;
     let peer = Peer {
         instance: "owner".into(),
@@ -124,14 +124,14 @@
     stream::iter(0..rounds)
         .for_each_concurrent(in_flight, async |_| {
             let asked = Message::Asked(text(size));
-            mesh.request(&peer, asked, PATIENCE)
+            mesh.request(&peer, asked, REQUEST_TIMEOUT)
                 .await
                 .expect("the owner answers");
             mesh.send(&peer, Message::Released(text(size / 3)))
                 .expect("there is room");
         })
         .await;
-    Spent {
+    ResourceUsage {
         wall: start.elapsed(),
         cpu: thread_cpu().saturating_sub(before),
         bytes: socket_bytes(&mesh) - bytes_before,
@@ -153,7 +153,7 @@
     "x".repeat(size)
 }
 
-/// Returns the processor time of this thread.
+/// Returns the CPU time of this thread.
 fn thread_cpu() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("Linux");
     let nanos = text
--- a/crates/chervilshunt_mesh/src/connection.rs
+++ b/crates/chervilshunt_mesh/src/connection.rs
@@ -1,9 +1,9 @@
-//! One open connection: its shared state, and the loops that read and write it.
+//! An open connection: its shared state and its read and write loops.
 
 mod read;
 mod run;
 mod state;
 mod write;
 
-pub(crate) use run::{End, finish, run};
-pub(crate) use state::{Connection, Identity, Session};
+pub(crate) use run::{EndReason, finish, run};
+pub(crate) use state::{Identity, PeerConnection, Session};
--- a/crates/chervilshunt_mesh/src/connection/read.rs
+++ b/crates/chervilshunt_mesh/src/connection/read.rs
@@ -1,4 +1,4 @@
-//! Takes in what a peer sends.
+//! The read loop of a connection.
 
 use std::sync::Arc;
 
@@ -12,40 +12,40 @@
 use tokio_tungstenite::tungstenite::protocol::frame::coding::CloseCode;
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
-use super::run::End;
-use super::state::{Admission, Connection};
+use super::run::EndReason;
+use super::state::{Admission, PeerConnection};
 use crate::error::RequestError;
-use crate::frame::{Head, decode_message, split, wire_bytes};
+use crate::frame::{FrameHeader, decode_message, split, wire_bytes};
 use crate::message::{Inbound, InboundMessage, Purpose, Reply};
 use crate::outgoing::REFUSAL;
 use crate::shared::Shared;
 
-/// Reads until the connection ends, and says how it did.
+/// Reads frames until the connection ends and returns the reason.
 pub(crate) async fn read_loop<M, S>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     mut stream: S,
-) -> End
+) -> EndReason
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
     S: Stream<Item = Result<WsMessage, WsError>> + Unpin,
 {
-    let mut end = End::Broken;
+    let mut end = EndReason::Broken;
     while let Some(received) = stream.next().await {
         match received {
             Ok(WsMessage::Binary(frame)) => {
-                connection.heard(true, Instant::now());
+                connection.record_received(true, Instant::now());
                 deliver(shared, connection, &frame).await;
             }
             Ok(WsMessage::Close(close)) => {
                 connection.mark_closing();
-                connection.stop.cancel();
-                end = End::of_close(close.as_ref());
+                connection.peer_closed.cancel();
+                end = EndReason::of_close(close.as_ref());
             }
-            Ok(_) => connection.heard(false, Instant::now()),
+            Ok(_) => connection.record_received(false, Instant::now()),
             Err(error) => {
-                if end == End::Broken {
-                    warn!(shared.log, "connection broke";
+                if end == EndReason::Broken {
+                    warn!(shared.log, "connection failed while reading";
                         "peer" => %connection.identity.peer, "error" => %error);
                 }
                 break;
@@ -55,7 +55,7 @@
     end
 }
 
-impl End {
+impl EndReason {
     fn of_close(close: Option<&CloseFrame>) -> Self {
         match close {
             Some(frame) if frame.code == CloseCode::Normal => Self::Idle,
@@ -64,48 +64,48 @@
     }
 }
 
-async fn deliver<M>(shared: &Arc<Shared<M>>, connection: &Arc<Connection<M>>, frame: &Bytes)
+async fn deliver<M>(shared: &Arc<Shared<M>>, connection: &Arc<PeerConnection<M>>, frame: &Bytes)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
-    let (head, body) = match split(frame) {
+    let (header, body) = match split(frame) {
         Ok(parts) => parts,
         Err(error) => {
-            shared.unreadable(&connection.identity.peer, &error);
+            shared.record_undecodable(&connection.identity.peer, &error);
             return;
         }
     };
     let bytes = wire_bytes(frame.len(), !connection.identity.dialled);
-    match head {
-        Head::OneWay => {
+    match header {
+        FrameHeader::OneWay => {
             if let Some(message) = decode(shared, connection, body, bytes) {
                 let inbound = inbound(connection, message, None);
                 drop(shared.inbound.send(inbound).await);
             }
         }
-        Head::Request(id) => take_request(shared, connection, id, body, bytes),
-        Head::Answer(id) => {
+        FrameHeader::Request(id) => take_request(shared, connection, id, body, bytes),
+        FrameHeader::Answer(id) => {
             let answer = decode(shared, connection, body, bytes);
-            connection.end(id, answer.ok_or(RequestError::Unanswered));
+            connection.complete_request(id, answer.ok_or(RequestError::Unanswered));
         }
-        Head::Busy(id) => {
+        FrameHeader::Busy(id) => {
             shared.counters.message_in(REFUSAL, bytes);
-            connection.end(id, Err(RequestError::Busy));
+            connection.complete_request(id, Err(RequestError::Busy));
         }
-        Head::Dropped(id) => {
+        FrameHeader::Dropped(id) => {
             shared.counters.message_in(REFUSAL, bytes);
-            connection.end(id, Err(RequestError::Unanswered));
+            connection.complete_request(id, Err(RequestError::Unanswered));
         }
     }
 }
 
-/// Hands a request to the application, or turns it away at once.
+/// Passes a request to the application, or rejects it immediately.
 ///
-/// It never waits for room: a full queue would keep this connection's answers and pongs from being
-/// read, and peers would take an overloaded instance for a dead one.
+/// It never waits for space in the inbound queue: waiting would keep answers and pongs on this
+/// connection from being read, and peers would consider an overloaded instance dead.
 fn take_request<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     id: u64,
     body: &[u8],
     bytes: u64,
@@ -118,20 +118,25 @@
         return;
     }
     let Some(message) = message else {
-        connection.give_up(Head::Dropped(id));
+        connection.enqueue_refusal(FrameHeader::Dropped(id));
         return;
     };
-    let room = shared.inbound.try_reserve();
-    let (Admission::Accepted, Ok(room)) = (admission, room) else {
+    let permit = shared.inbound.try_reserve();
+    let (Admission::Accepted, Ok(permit)) = (admission, permit) else {
         shared.counters.busy.add(1);
-        connection.give_up(Head::Busy(id));
+        connection.enqueue_refusal(FrameHeader::Busy(id));
         return;
     };
     let reply = Reply::remote(Arc::clone(shared), Arc::clone(connection), id);
-    room.send(inbound(connection, message, Some(reply)));
+    permit.send(inbound(connection, message, Some(reply)));
 }
 
-fn decode<M>(shared: &Shared<M>, connection: &Connection<M>, body: &[u8], bytes: u64) -> Option<M>
+fn decode<M>(
+    shared: &Shared<M>,
+    connection: &PeerConnection<M>,
+    body: &[u8],
+    bytes: u64,
+) -> Option<M>
 where
     M: DeserializeOwned + Purpose,
 {
@@ -141,13 +146,13 @@
             Some(message)
         }
         Err(error) => {
-            shared.unreadable(&connection.identity.peer, &error);
+            shared.record_undecodable(&connection.identity.peer, &error);
             None
         }
     }
 }
 
-fn inbound<M>(connection: &Connection<M>, message: M, reply: Option<Reply<M>>) -> Inbound<M> {
+fn inbound<M>(connection: &PeerConnection<M>, message: M, reply: Option<Reply<M>>) -> Inbound<M> {
     Inbound::Message(InboundMessage {
         from: connection.identity.peer.clone(),
         message,
--- a/crates/chervilshunt_mesh/src/connection/run.rs
+++ b/crates/chervilshunt_mesh/src/connection/run.rs
@@ -1,4 +1,4 @@
-//! The life of one connection from its handshake to its end.
+//! Runs a connection from the completed handshake to its end.
 
 use std::sync::Arc;
 
@@ -12,32 +12,33 @@
 use tokio_util::sync::CancellationToken;
 
 use super::read::read_loop;
-use super::state::Connection;
+use super::state::PeerConnection;
 use super::write::{WriteError, write_loop};
 use crate::message::{Inbound, Purpose};
 use crate::outgoing::Outgoing;
 use crate::shared::Shared;
 use crate::socket::CountedStream;
 
-/// How a connection ended.
+/// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// It was closed because it was idle: whatever is unanswered was not handled.
+pub(crate) enum EndReason {
+    /// It was closed because it was idle; the peer did not handle any request that is unanswered.
     Idle,
-    /// It was never open on our side: nothing was written or read.
+    /// The handshake did not complete on this side; nothing was written or read.
     Unopened,
-    /// It broke, or one side shut down: whatever is unanswered may have been handled.
+    /// It failed, or one side shut down; the peer may have handled unanswered requests.
     Broken,
 }
 
-/// Serves a connection until it ends.
+/// Runs a connection until it ends.
 ///
-/// `stale` are the earlier connections with the peer: nothing is delivered before they are done,
-/// so that the loss of one never comes after the first messages of the next. An owner would
-/// drop the new requests of an instance with the lost ones otherwise.
+/// `stale` holds the earlier connections with the peer. No message is delivered until they are
+/// done, so that the application never sees the loss of an earlier connection after the first
+/// messages of this one. Otherwise an owner would drop an instance's new requests together with
+/// the lost ones.
 pub(crate) async fn run<M>(
     shared: Arc<Shared<M>>,
-    connection: Arc<Connection<M>>,
+    connection: Arc<PeerConnection<M>>,
     mut rx: mpsc::UnboundedReceiver<Outgoing<M>>,
     socket: WebSocketStream<CountedStream>,
     stale: Vec<CancellationToken>,
@@ -51,7 +52,7 @@
         "peer" => %connection.identity.peer, "dialled" => connection.identity.dialled);
     let end = tokio::select! {
         biased;
-        () = connection.kill.cancelled() => End::Broken,
+        () = connection.abort.cancelled() => EndReason::Broken,
         end = drive(&shared, &connection, &mut rx, socket) => end,
     };
     finish(&shared, &connection, rx, end).await;
@@ -59,20 +60,20 @@
 
 async fn drive<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     socket: WebSocketStream<CountedStream>,
-) -> End
+) -> EndReason
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
     let (sink, stream) = socket.split();
     let writer = async {
         match write_loop(shared, connection, rx, sink).await {
-            // The reader sees how the connection ends, but not for ever.
+            // The reader finds out why the connection ended; the time for that is bounded.
             Ok(()) | Err(WriteError::Socket) => sleep(shared.cfg.connect_timeout).await,
             Err(error) => {
-                warn!(shared.log, "connection given up";
+                warn!(shared.log, "connection aborted";
                     "peer" => %connection.identity.peer, "reason" => ?error);
             }
         }
@@ -80,16 +81,16 @@
     tokio::select! {
         biased;
         end = read_loop(shared, connection, stream) => end,
-        () = writer => End::Broken,
+        () = writer => EndReason::Broken,
     }
 }
 
-/// Takes the connection out of the table and settles what was under way on it.
+/// Removes the connection from the table and resolves its unfinished requests and messages.
 pub(crate) async fn finish<M>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: mpsc::UnboundedReceiver<Outgoing<M>>,
-    end: End,
+    end: EndReason,
 ) where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
--- a/crates/chervilshunt_mesh/src/connection/write.rs
+++ b/crates/chervilshunt_mesh/src/connection/write.rs
@@ -1,4 +1,4 @@
-//! Writes what waits for a peer, and watches over the connection's life.
+//! The write loop of a connection, which also checks that the peer is responsive.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -11,23 +11,23 @@
 use tokio_tungstenite::tungstenite::protocol::frame::coding::CloseCode;
 use tokio_tungstenite::tungstenite::{Error as WsError, Message as WsMessage};
 
-use super::state::Connection;
-use crate::frame::{Head, assemble, wire_bytes};
-use crate::liveness::Step;
+use super::state::PeerConnection;
+use crate::frame::{FrameHeader, assemble, wire_bytes};
+use crate::liveness::LivenessAction;
 use crate::outgoing::Outgoing;
 use crate::shared::Shared;
 
-/// The most messages written before they are flushed.
+/// The maximum number of messages written before a flush.
 const BATCH: usize = 64;
 
 /// Why a message could not be written.
 #[derive(Debug)]
 pub(crate) enum WriteError {
-    /// The closing handshake has begun, or the socket failed: the reader will see which.
+    /// The closing handshake has begun, or the socket failed; the reader finds out which.
     Socket,
-    /// The peer takes nothing in.
+    /// The peer did not read what was written within the ping timeout.
     Stalled,
-    /// The peer gave no sign of life when asked for one.
+    /// The peer sent nothing within the ping timeout after a ping.
     Silent,
 }
 
@@ -37,10 +37,10 @@
     }
 }
 
-/// Writes until the connection is closed, by us or by the peer.
+/// Writes until either side closes the connection.
 pub(crate) async fn write_loop<M, S>(
     shared: &Arc<Shared<M>>,
-    connection: &Arc<Connection<M>>,
+    connection: &Arc<PeerConnection<M>>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     mut sink: S,
 ) -> Result<(), WriteError>
@@ -52,7 +52,7 @@
     loop {
         tokio::select! {
             biased;
-            () = connection.stop.cancelled() => return Ok(()),
+            () = connection.peer_closed.cancelled() => return Ok(()),
             () = shared.shutdown.cancelled() => {
                 connection.mark_closing();
                 while let Ok(first) = rx.try_recv() {
@@ -65,22 +65,22 @@
             }
             Some(first) = rx.recv() => {
                 write_batch(shared, connection, first, rx, &mut sink).await?;
-                let watch_from = Instant::now() + shared.liveness.ping_after;
-                if watch_from < timer.deadline() {
-                    timer.as_mut().reset(watch_from);
+                let next_check = Instant::now() + shared.liveness.ping_after;
+                if next_check < timer.deadline() {
+                    timer.as_mut().reset(next_check);
                 }
             }
-            () = &mut timer => match connection.step(&shared.liveness, Instant::now()) {
-                Step::Wait(until) => timer.as_mut().reset(until),
-                Step::Ping => {
+            () = &mut timer => match connection.next_action(&shared.liveness, Instant::now()) {
+                LivenessAction::Wait(until) => timer.as_mut().reset(until),
+                LivenessAction::Ping => {
                     let now = Instant::now();
-                    connection.pinged(now);
+                    connection.record_ping(now);
                     timer.as_mut().reset(now + shared.liveness.ping_timeout);
                     write_in_time(shared, sink.send(WsMessage::Ping(Bytes::new()))).await?;
                 }
-                Step::GiveUp => return Err(WriteError::Silent),
-                Step::CloseIdle => {
-                    // Unless something came up meanwhile, the branch above is next.
+                LivenessAction::GiveUp => return Err(WriteError::Silent),
+                LivenessAction::CloseIdle => {
+                    // If the connection is still idle, the `close_begun` branch runs next.
                     connection.close_if_idle();
                     timer.as_mut().reset(Instant::now() + shared.liveness.idle_timeout);
                 }
@@ -91,7 +91,7 @@
 
 async fn write_batch<M, S>(
     shared: &Shared<M>,
-    connection: &Connection<M>,
+    connection: &PeerConnection<M>,
     first: Outgoing<M>,
     rx: &mut mpsc::UnboundedReceiver<Outgoing<M>>,
     sink: &mut S,
@@ -115,11 +115,11 @@
         };
     }
     write_in_time(shared, sink.flush()).await?;
-    connection.wrote(count, Instant::now());
+    connection.record_written(count, Instant::now());
     Ok(())
 }
 
-/// Bounds the time for which a peer may refuse to take anything in.
+/// Awaits a write, and fails if the peer does not read within the ping timeout.
 async fn write_in_time<M>(
     shared: &Shared<M>,
     write: impl Future<Output = Result<(), WsError>>,
@@ -130,19 +130,21 @@
     }
 }
 
-fn prepare<M>(connection: &Connection<M>, out: Outgoing<M>) -> Option<(Bytes, &'static str)> {
+fn prepare<M>(connection: &PeerConnection<M>, out: Outgoing<M>) -> Option<(Bytes, &'static str)> {
     match out {
-        Outgoing::OneWay { body, purpose } => Some((assemble(Head::OneWay, Some(&body)), purpose)),
+        Outgoing::OneWay { body, purpose } => {
+            Some((assemble(FrameHeader::OneWay, Some(&body)), purpose))
+        }
         Outgoing::Answer {
-            head,
+            header,
             body,
             purpose,
-        } => Some((assemble(head, body.as_ref()), purpose)),
+        } => Some((assemble(header, body.as_ref()), purpose)),
         Outgoing::Request(req) => {
             let body = req.body.clone();
             let purpose = req.purpose;
-            let id = connection.begin(req, Instant::now())?;
-            Some((assemble(Head::Request(id), Some(&body)), purpose))
+            let id = connection.start_request(req, Instant::now())?;
+            Some((assemble(FrameHeader::Request(id), Some(&body)), purpose))
         }
     }
 }
--- a/crates/chervilshunt_mesh/src/dial.rs
+++ b/crates/chervilshunt_mesh/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opens connections to peers, and takes in those that peers open.
+//! Opens connections to peers and accepts connections from them.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 use crate::backoff;
 use crate::config::Peer;
-use crate::connection::{End, finish, run};
+use crate::connection::{EndReason, finish, run};
 use crate::error::SendError;
 use crate::handshake::{self, Refusal};
 use crate::message::Purpose;
@@ -22,25 +22,28 @@
 use crate::socket::CountedStream;
 use crate::table::{Dial, PeerHello, Registered, Table};
 
-/// Handshakes of peers that may be under way at a time.
+/// The maximum number of inbound handshakes in progress.
 const MAX_HANDSHAKES: usize = 64;
 
-/// The pause after the system could not accept a connection, for want of descriptors mostly.
+/// The delay after a failed `accept`, which is mostly due to a lack of file descriptors.
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
 
 type Socket = WebSocketStream<CountedStream>;
 
-/// Begins to open a connection; what waits for the peer is sent or fails with it.
+/// Spawns a task that opens a connection; the messages that wait for it are sent or fail with it.
 pub(crate) fn spawn_dial<M>(shared: &Arc<Shared<M>>, table: &mut Table<M>, peer: Peer)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
     table.begin_dial(&peer.instance);
-    let ended = table.last_serial();
+    let last_serial = table.last_serial();
     let shared_by_task = Arc::clone(shared);
     shared.tasks.spawn(async move {
         let shared = shared_by_task;
-        let opening = timeout(shared.cfg.connect_timeout, open(&shared, &peer, ended));
+        let opening = timeout(
+            shared.cfg.connect_timeout,
+            open(&shared, &peer, last_serial),
+        );
         let result = tokio::select! {
             () = shared.shutdown.cancelled() => Err(SendError::ShutDown),
             result = opening => result.unwrap_or_else(|_| Err(unreachable(&peer, "timed out"))),
@@ -58,14 +61,14 @@
 async fn open<M>(
     shared: &Shared<M>,
     peer: &Peer,
-    ended: u64,
+    last_serial: u64,
 ) -> Result<(Socket, PeerHello), SendError> {
     let wrong = |reason: &dyn std::fmt::Display| SendError::WrongPeer {
         instance: peer.instance.clone(),
         address: peer.address,
         reason: reason.to_string(),
     };
-    let request = handshake::request(peer, &shared.cfg.instance, shared.process, ended)
+    let request = handshake::request(peer, &shared.cfg.instance, shared.process, last_serial)
         .map_err(|refusal| wrong(&refusal))?;
     let stream = TcpStream::connect(peer.address)
         .await
@@ -103,7 +106,7 @@
     table.end_dial(&hello.instance, true);
     let registered = table.register(hello, true, Instant::now());
     shared.counters.connection_opened();
-    shared.settle_waiting(&mut table, &hello.instance);
+    shared.dispatch_waiting(&mut table, &hello.instance);
     shared.counters.dialled.add(1);
     registered
 }
@@ -117,8 +120,8 @@
     let failures = table.end_dial(&peer.instance, false);
     let link = table.link(&peer.instance);
     if !link.connections.is_empty() {
-        // The peer opened one meanwhile.
-        shared.settle_waiting(&mut table, &peer.instance);
+        // The peer opened a connection in the meantime.
+        shared.dispatch_waiting(&mut table, &peer.instance);
         return;
     }
     let pause = backoff::pause(
@@ -127,7 +130,7 @@
         failures,
         &mut rand::rng(),
     );
-    warn!(shared.log, "peer can't be reached"; "peer" => %peer.instance,
+    warn!(shared.log, "cannot connect to peer"; "peer" => %peer.instance,
         "address" => %peer.address, "error" => %error, "failures" => failures,
         "pause_ms" => u64::try_from(pause.as_millis()).unwrap_or(u64::MAX));
     link.dial = Dial::Backoff {
@@ -140,7 +143,7 @@
     shared.fail(waiting, &error);
 }
 
-/// Takes in connections until the mesh is shut down.
+/// Accepts connections until the mesh is shut down.
 pub(crate) async fn accept_loop<M>(shared: Arc<Shared<M>>, listener: TcpListener)
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
@@ -154,18 +157,18 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(shared.log, "can't accept a connection"; "error" => %error);
+                warn!(shared.log, "cannot accept a connection"; "error" => %error);
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let Ok(turn) = Arc::clone(&handshakes).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&handshakes).acquire_owned().await else {
             return;
         };
         let shared_by_task = Arc::clone(&shared);
         shared.tasks.spawn(async move {
             let accepted = accept(&shared_by_task, stream).await;
-            drop(turn);
+            drop(permit);
             if let Some((registered, socket)) = accepted {
                 serve(shared_by_task, registered, socket).await;
             }
@@ -183,7 +186,7 @@
     let mut registered = None;
     #[expect(
         clippy::result_large_err,
-        reason = "the callback's type is the library's"
+        reason = "the library defines the type of the callback"
     )]
     let callback = |request: &server::Request, mut response: server::Response| match take_request(
         shared,
@@ -207,14 +210,20 @@
         shared.counters.accepted.add(1);
         return Some((registered, socket));
     }
-    finish(shared, &registered.connection, registered.rx, End::Unopened).await;
+    finish(
+        shared,
+        &registered.connection,
+        registered.rx,
+        EndReason::Unopened,
+    )
+    .await;
     None
 }
 
-/// Checks a peer's request and enters its connection.
+/// Validates a peer's upgrade request and registers its connection.
 ///
-/// It is entered before the answer goes out: the number that the answer carries tells the peer
-/// that we know of the connection.
+/// The connection is registered before the response is sent, because the serial number in the
+/// response states that this side has registered it.
 fn take_request<M>(
     shared: &Arc<Shared<M>>,
     request: &server::Request,
@@ -232,7 +241,7 @@
     handshake::complete_response(response, shared.process, serial)?;
     let registered = table.register(&hello, false, Instant::now());
     shared.counters.connection_opened();
-    shared.settle_waiting(&mut table, &hello.instance);
+    shared.dispatch_waiting(&mut table, &hello.instance);
     Ok(registered)
 }
 
--- a/crates/chervilshunt_mesh/src/outgoing.rs
+++ b/crates/chervilshunt_mesh/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to a peer.
+//! Messages that wait to be written to a peer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering::SeqCst};
@@ -7,9 +7,9 @@
 use tokio::sync::oneshot;
 
 use crate::error::{RequestError, SendError};
-use crate::frame::Head;
+use crate::frame::FrameHeader;
 
-/// Purpose under which refusals of requests are counted.
+/// The purpose under which refusals of requests are counted.
 pub(crate) const REFUSAL: &str = "refusal";
 
 /// A message that waits to be written.
@@ -21,21 +21,21 @@
     Request(OutgoingRequest<M>),
     /// An answer to a peer's request, or the refusal of one.
     Answer {
-        head: Head,
+        header: FrameHeader,
         body: Option<Bytes>,
         purpose: &'static str,
     },
 }
 
 impl<M> Outgoing<M> {
-    /// Ends it for a reason that rules out that it was ever written.
+    /// Fails a message that was certainly not written.
     ///
-    /// Returns whether a message was dropped without anybody being told.
+    /// Returns whether it was dropped without notifying a sender.
     pub(crate) fn fail(self, source: SendError) -> bool {
         match self {
             Self::OneWay { .. } | Self::Answer { .. } => true,
             Self::Request(req) => {
-                req.end(Err(RequestError::NotSent { source }));
+                req.complete(Err(RequestError::NotSent { source }));
                 false
             }
         }
@@ -47,7 +47,7 @@
 pub(crate) struct OutgoingRequest<M> {
     pub(crate) body: Bytes,
     pub(crate) purpose: &'static str,
-    pub(crate) stage: Arc<Stage>,
+    pub(crate) state: Arc<RequestState>,
     answer: oneshot::Sender<Result<M, RequestError>>,
 }
 
@@ -60,14 +60,14 @@
         let req = Self {
             body,
             purpose,
-            stage: Arc::new(Stage::new()),
+            state: Arc::new(RequestState::new()),
             answer: tx,
         };
         (req, rx)
     }
 
-    /// Hands the result to whoever waits; if nobody does any more, it is not wanted.
-    pub(crate) fn end(self, result: Result<M, RequestError>) {
+    /// Sends the result to the waiting sender, or discards it if the sender no longer waits.
+    pub(crate) fn complete(self, result: Result<M, RequestError>) {
         drop(self.answer.send(result));
     }
 
@@ -80,32 +80,31 @@
 const WRITTEN: u8 = 1;
 const ABANDONED: u8 = 2;
 
-/// Whether a request may have left this process, agreed between its sender and the writer.
+/// Whether a request may have been written, shared between its sender and the writer.
 ///
-/// Without one place for both to agree on, a sender whose time ran out could call a request
-/// unsent in the moment in which the writer sends it, and the caller would be told a "not run"
-/// that is false.
+/// The state is a single atomic. Otherwise a sender that times out could report a request as not
+/// sent at the moment the writer sends it, and the caller would receive a false "not run".
 #[derive(Debug)]
-pub(crate) struct Stage(AtomicU8);
+pub(crate) struct RequestState(AtomicU8);
 
-impl Stage {
+impl RequestState {
     const fn new() -> Self {
         Self(AtomicU8::new(QUEUED))
     }
 
-    /// Claims the request for writing; fails if its sender has given up on it.
+    /// Claims the request for writing; returns false if its sender has abandoned it.
     pub(crate) fn claim(&self) -> bool {
         self.0
             .compare_exchange(QUEUED, WRITTEN, SeqCst, SeqCst)
             .is_ok()
     }
 
-    /// Takes it back into the queue, as the peer has certainly not handled it.
+    /// Marks a written request as queued again, as the peer has certainly not handled it.
     pub(crate) fn requeue(&self) {
         let _ = self.0.compare_exchange(WRITTEN, QUEUED, SeqCst, SeqCst);
     }
 
-    /// Gives up on the request; returns whether it has not been written and never will be.
+    /// Abandons the request; returns whether it has not been written and never will be.
     pub(crate) fn abandon(&self) -> bool {
         self.0
             .compare_exchange(QUEUED, ABANDONED, SeqCst, SeqCst)
--- a/crates/chervilshunt_mesh/src/shared.rs
+++ b/crates/chervilshunt_mesh/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all connections of a mesh share.
+//! The state that all connections of a mesh share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,11 +13,11 @@
 use tokio_util::task::TaskTracker;
 
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, End};
+use crate::connection::{EndReason, PeerConnection};
 use crate::counters::Counters;
 use crate::dial::spawn_dial;
 use crate::error::{RequestError, SendError};
-use crate::frame::{FrameError, Head, encode_message};
+use crate::frame::{FrameError, FrameHeader, encode_message};
 use crate::handshake::ProcessId;
 use crate::liveness::Liveness;
 use crate::message::{Inbound, Purpose};
@@ -60,12 +60,12 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn unreadable(&self, peer: &InstanceId, error: &FrameError) {
+    pub(crate) fn record_undecodable(&self, peer: &InstanceId, error: &FrameError) {
         self.counters.unreadable.add(1);
-        warn!(self.log, "message can't be read"; "peer" => %peer, "error" => %error);
+        warn!(self.log, "cannot decode message"; "peer" => %peer, "error" => %error);
     }
 
-    /// Ends messages that were never written.
+    /// Fails messages that were never written, and counts those that had no waiting sender.
     pub(crate) fn fail(&self, messages: impl IntoIterator<Item = Outgoing<M>>, error: &SendError) {
         for out in messages {
             if out.fail(error.clone()) {
@@ -82,19 +82,19 @@
 
     pub(crate) fn answer(
         &self,
-        connection: &Connection<M>,
+        connection: &PeerConnection<M>,
         id: u64,
         message: &M,
     ) -> Result<(), SendError> {
         let body = match self.encode(message) {
             Ok(body) => body,
             Err(error) => {
-                connection.give_up(Head::Dropped(id));
+                connection.enqueue_refusal(FrameHeader::Dropped(id));
                 return Err(error);
             }
         };
         let sent = connection.enqueue_answer(Outgoing::Answer {
-            head: Head::Answer(id),
+            header: FrameHeader::Answer(id),
             body: Some(body),
             purpose: message.purpose(),
         });
@@ -111,7 +111,7 @@
 where
     M: Serialize + DeserializeOwned + Purpose + Send + 'static,
 {
-    /// Queues a message for a peer, and opens a connection if there is none.
+    /// Queues a message for a peer, and opens a connection if necessary.
     pub(crate) fn post(self: &Arc<Self>, peer: &Peer, out: Outgoing<M>) -> Result<(), SendError> {
         if self.shutdown.is_cancelled() {
             return Err(SendError::ShutDown);
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// Opens a connection if something waits and nothing else will bring one.
+    /// Opens a connection if messages wait and no connection exists or is being opened.
     pub(crate) fn dial_if_needed(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
         let link = table.link(instance);
         if link.waiting.is_empty() || !link.needs_dial() {
@@ -168,15 +168,15 @@
         spawn_dial(self, table, peer);
     }
 
-    /// Takes an ended connection out of the table and settles what was under way on it.
+    /// Removes an ended connection from the table and resolves its unfinished messages.
     ///
-    /// Returns whether the peer's loss has to be reported, which the last connection of
-    /// a broken session does.
+    /// Returns whether the loss of the peer must be reported, which is so for the last connection
+    /// of a failed session.
     pub(crate) fn deregister(
         self: &Arc<Self>,
-        connection: &Arc<Connection<M>>,
+        connection: &Arc<PeerConnection<M>>,
         mut rx: mpsc::UnboundedReceiver<Outgoing<M>>,
-        end: End,
+        end: EndReason,
         now: Instant,
     ) -> bool {
         let peer = &connection.identity.peer;
@@ -191,20 +191,21 @@
             Outgoing::Answer { .. } => false,
         });
         match end {
-            End::Idle => {
-                // The peer ignored requests that arrived after it began to close.
-                pending.iter().for_each(|req| req.stage.requeue());
+            EndReason::Idle => {
+                // The peer ignores requests that arrive after it has begun to close, so these
+                // were not handled.
+                pending.iter().for_each(|req| req.state.requeue());
                 link.waiting
                     .extend(pending.into_iter().map(Outgoing::Request));
                 link.waiting.extend(unsent);
                 self.counters.closed_idle.add(1);
             }
-            End::Unopened => link.waiting.extend(unsent),
-            End::Broken => {
+            EndReason::Unopened => link.waiting.extend(unsent),
+            EndReason::Broken => {
                 connection.session.mark_broken();
-                link.break_session(connection);
+                link.abort_session(connection);
                 for req in pending {
-                    req.end(Err(RequestError::Lost));
+                    req.complete(Err(RequestError::Lost));
                 }
                 let error = SendError::ConnectionEnded {
                     instance: peer.clone(),
@@ -214,7 +215,7 @@
             }
         }
         let lost = connection.session.is_broken() && !link.has_session(&connection.session);
-        self.settle_waiting(&mut table, peer);
+        self.dispatch_waiting(&mut table, peer);
         if table.links() > 2 * self.cfg.max_connections {
             table.prune(now, self.cfg.backoff_max);
         }
@@ -222,8 +223,8 @@
         lost
     }
 
-    /// Gives what waits to a connection that has come up, or opens one.
-    pub(crate) fn settle_waiting(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
+    /// Moves waiting messages to a usable connection, or opens one if necessary.
+    pub(crate) fn dispatch_waiting(self: &Arc<Self>, table: &mut Table<M>, instance: &InstanceId) {
         let link = table.link(instance);
         let Some(connection) = link.preferred(&self.cfg.instance).cloned() else {
             self.dial_if_needed(table, instance);
@@ -242,11 +243,11 @@
         self.connections.is_empty() && !matches!(self.dial, Dial::Dialling { .. })
     }
 
-    /// Breaks off the connections that live and break with this one.
-    fn break_session(&self, connection: &Connection<M>) {
+    /// Aborts all connections of the same session.
+    fn abort_session(&self, connection: &PeerConnection<M>) {
         for other in &self.connections {
             if Arc::ptr_eq(&other.session, &connection.session) {
-                other.kill.cancel();
+                other.abort.cancel();
             }
         }
     }
--- a/crates/chervilshunt_mesh/src/shared/tests.rs
+++ b/crates/chervilshunt_mesh/src/shared/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of messages under way when their connection ends.
+//! Tests of unfinished messages and requests when their connection ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::Shared;
 use crate::config::{MeshConfig, Peer};
-use crate::connection::{Connection, End};
+use crate::connection::{EndReason, PeerConnection};
 use crate::error::{RequestError, SendError};
 use crate::frame::encode_message;
 use crate::handshake::ProcessId;
@@ -27,22 +27,23 @@
     }
 }
 
-/// No test waits longer than this for anything that has to happen.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit for any expected event.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Answer = oneshot::Receiver<Result<Number, RequestError>>;
 
-/// A connection on which 1 is written and unanswered, and 2 and 3 wait to be written.
-struct Scene {
+/// A connection on which request 1 is written and unanswered, and request 2 and message 3 wait to
+/// be written.
+struct Fixture {
     shared: Arc<Shared<Number>>,
-    connection: Arc<Connection<Number>>,
+    connection: Arc<PeerConnection<Number>>,
     rx: mpsc::UnboundedReceiver<Outgoing<Number>>,
     written: Answer,
     unwritten: Answer,
     _inbound: mpsc::Receiver<Inbound<Number>>,
 }
 
-fn scene(peer: &Peer) -> Scene {
+fn fixture(peer: &Peer) -> Fixture {
     let (tx, inbound) = mpsc::channel(16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let shared = Arc::new(Shared::new(cfg("a"), log, tx));
@@ -57,7 +58,7 @@
     drop(table);
     let connection = registered.connection;
     let (first, written) = request(1);
-    assert_eq!(connection.begin(first, Instant::now()), Some(0));
+    assert_eq!(connection.start_request(first, Instant::now()), Some(0));
     let (second, unwritten) = request(2);
     connection
         .enqueue(Outgoing::Request(second), 10)
@@ -67,7 +68,7 @@
         purpose: "number",
     };
     connection.enqueue(note, 10).expect("there is room");
-    Scene {
+    Fixture {
         shared,
         connection,
         rx: registered.rx,
@@ -99,22 +100,23 @@
     (mesh, inbound, peer)
 }
 
-/// The peer closes an idle connection while messages are on their way to it. It has ignored what
-/// arrived after it began to close, so all of it goes over a new connection, in order.
+/// Guards against losing messages that are in flight when the peer closes an idle connection. The
+/// peer ignores what arrives after it has begun to close, so everything must be resent in order on
+/// a new connection.
 #[tokio::test]
-async fn what_crosses_an_idle_close_is_sent_again() {
+async fn messages_in_flight_during_an_idle_close_are_resent() {
     let (_mesh, mut inbound, peer) = peer().await;
-    let Scene {
+    let Fixture {
         shared,
         connection,
         rx,
         written,
         unwritten,
         ..
-    } = scene(&peer);
-    assert!(!shared.deregister(&connection, rx, End::Idle, Instant::now()));
+    } = fixture(&peer);
+    assert!(!shared.deregister(&connection, rx, EndReason::Idle, Instant::now()));
     for number in 1..=3 {
-        let next = timeout(PATIENCE, inbound.recv()).await;
+        let next = timeout(TEST_TIMEOUT, inbound.recv()).await;
         let Ok(Some(Inbound::Message(got))) = next else {
             panic!("{number} was lost");
         };
@@ -129,19 +131,20 @@
     assert_eq!(unwritten.await, Ok(Ok(Number(20))));
 }
 
-/// The connection breaks. What was written may have been handled, what was not can't have been.
+/// Guards against reporting requests wrongly when the connection fails: a written request may have
+/// been handled, an unwritten one cannot have been.
 #[tokio::test]
-async fn a_break_tells_written_requests_from_unwritten_ones() {
+async fn a_failure_distinguishes_written_and_unwritten_requests() {
     let (_mesh, _inbound, peer) = peer().await;
-    let Scene {
+    let Fixture {
         shared,
         connection,
         rx,
         written,
         unwritten,
         ..
-    } = scene(&peer);
-    assert!(shared.deregister(&connection, rx, End::Broken, Instant::now()));
+    } = fixture(&peer);
+    assert!(shared.deregister(&connection, rx, EndReason::Broken, Instant::now()));
     assert_eq!(written.await, Ok(Err(RequestError::Lost)));
     let ended = SendError::ConnectionEnded {
         instance: peer.instance,
@@ -153,17 +156,22 @@
     assert_eq!(shared.counters.snapshot().dropped, 1);
 }
 
-/// The sender gives up in the moment in which the connection takes its request. Only one of both
-/// gets it: a request called unsent is never written.
+/// Guards against writing a request that was reported as not sent. The race occurs if the sender
+/// abandons the request while the connection claims it; only one of them may succeed.
 #[tokio::test]
-async fn a_request_that_was_given_up_is_not_written() {
+async fn an_abandoned_request_is_not_written() {
     let (_mesh, _inbound, peer) = peer().await;
-    let scene = scene(&peer);
+    let fixture = fixture(&peer);
     let (late, _answer) = request(4);
-    assert!(late.stage.abandon());
-    assert_eq!(scene.connection.begin(late, Instant::now()), None);
+    assert!(late.state.abandon());
+    assert_eq!(fixture.connection.start_request(late, Instant::now()), None);
     let (claimed, _answer) = request(5);
-    let stage = Arc::clone(&claimed.stage);
-    assert!(scene.connection.begin(claimed, Instant::now()).is_some());
-    assert!(!stage.abandon());
+    let state = Arc::clone(&claimed.state);
+    assert!(
+        fixture
+            .connection
+            .start_request(claimed, Instant::now())
+            .is_some()
+    );
+    assert!(!state.abandon());
 }
--- a/crates/chervilshunt_mesh/tests/mesh/bounds.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/bounds.rs
@@ -1,8 +1,8 @@
-//! Limits on sizes and queues, and what is counted.
+//! Limits of message sizes and queues, and the byte counters.
 
 use chervilshunt_mesh::{MeshCounters, RequestError, SendError};
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 use crate::frozen::frozen_peer;
 
 #[tokio::test]
@@ -20,24 +20,28 @@
     assert_eq!(b.message().await.message, note(&"x".repeat(80)));
 }
 
-/// A peer with a higher limit sends more than we take. The connection breaks before the message
-/// is in memory, and the peer is told that its request is lost.
+/// Guards against buffering an oversized message from a peer with a higher limit. The connection
+/// must fail first, and the sender's request must be reported as lost.
 #[tokio::test]
-async fn a_message_above_our_limit_is_not_taken_in() {
+async fn a_message_above_the_receivers_limit_is_not_received() {
     let a = node("a").await;
     let mut cfg = config("b");
     cfg.max_message_bytes = 100;
     let mut b = node_with(cfg).await;
     let long = question(&"x".repeat(10_000));
-    let error = a.mesh.request(&b.peer, long, PATIENCE).await.unwrap_err();
+    let error = a
+        .mesh
+        .request(&b.peer, long, TEST_TIMEOUT)
+        .await
+        .unwrap_err();
     assert_eq!(error, RequestError::Lost);
     assert_eq!(b.lost().await, "a");
 }
 
-/// A peer takes nothing in. Messages queue up to the bound, then the sender is told at once; in the
-/// end the connection is given up.
+/// Guards against unbounded queueing for a peer that does not read. Once the queue is full, sending
+/// must fail immediately, and the connection must be aborted eventually.
 #[tokio::test]
-async fn a_full_queue_refuses_at_once() {
+async fn a_full_queue_rejects_messages_immediately() {
     let mut cfg = config("a");
     cfg.queue_messages = 3;
     let mut a = node_with(cfg).await;
@@ -58,17 +62,17 @@
     assert_eq!(a.lost().await, "b");
 }
 
-/// The application takes nothing in. Requests are turned away, so that the peer can go elsewhere,
-/// and are truly not handled.
+/// Guards against handling a request that was rejected as busy. The application does not read its
+/// inbound queue, so that further requests are rejected and the peer can retry on another instance.
 #[tokio::test]
-async fn requests_to_an_overloaded_peer_are_turned_away() {
+async fn requests_to_an_overloaded_peer_are_rejected() {
     let a = node("a").await;
     let mut cfg = config("b");
     cfg.queue_messages = 2;
     let mut b = node_with(cfg).await;
     let ask = |text: &'static str| {
         let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
-        tokio::spawn(async move { mesh.request(&peer, question(text), PATIENCE).await })
+        tokio::spawn(async move { mesh.request(&peer, question(text), TEST_TIMEOUT).await })
     };
     let asked = [ask("1"), ask("2"), ask("3")];
     b.until(|counters| counters.busy == 1).await;
@@ -88,8 +92,8 @@
     assert!(b.inbound.try_recv().is_err());
 }
 
-/// Messages are attributed to their purpose to the last byte: what is on the socket beyond them
-/// is the handshake, which does not grow with messages.
+/// Guards against unattributed message bytes: the remaining bytes on the socket are those of the
+/// handshake, which do not grow with the messages.
 #[tokio::test]
 async fn every_byte_of_messages_is_attributed() {
     let a = node("a").await;
@@ -99,7 +103,7 @@
         let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
         let text = "x".repeat(size);
         let asked =
-            tokio::spawn(async move { mesh.request(&peer, question(&text), PATIENCE).await });
+            tokio::spawn(async move { mesh.request(&peer, question(&text), TEST_TIMEOUT).await });
         b.message().await.reply.unwrap().send(answer("!")).unwrap();
         asked.await.unwrap().unwrap();
         b.until(|counters| counters.socket_bytes_in == a.mesh.counters().socket_bytes_out)
--- a/crates/chervilshunt_mesh/tests/mesh/common.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/common.rs
@@ -1,4 +1,4 @@
-//! Two meshes on loopback, and a message type to send between them.
+//! Helpers: meshes on loopback, and a message type to send between them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// No test waits longer than this for anything that has to happen.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit for any expected event.
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Text {
@@ -40,7 +40,7 @@
     Text::Note(text.to_owned())
 }
 
-/// One instance with what has come in for it.
+/// An instance with its inbound queue.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) mesh: Mesh<Text>,
@@ -50,7 +50,7 @@
 
 impl Node {
     pub(crate) async fn next(&mut self) -> Inbound<Text> {
-        timeout(PATIENCE, self.inbound.recv())
+        timeout(TEST_TIMEOUT, self.inbound.recv())
             .await
             .expect("nothing came in")
             .expect("the mesh ended")
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Waits until the mesh's counters are as wanted.
+    /// Waits until the mesh's counters satisfy a condition.
     pub(crate) async fn until(&self, wanted: impl Fn(&chervilshunt_mesh::MeshCounters) -> bool) {
         let reached = async {
             while !wanted(&self.mesh.counters()) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        let waited = timeout(PATIENCE, reached).await;
+        let waited = timeout(TEST_TIMEOUT, reached).await;
         assert!(waited.is_ok(), "still {:?}", self.mesh.counters());
     }
 }
--- a/crates/chervilshunt_mesh/tests/mesh/cut.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/cut.rs
@@ -1,4 +1,4 @@
-//! Connections that are cut between the peers, also on one side only.
+//! Connections that are cut on one side, or closed as idle while requests are sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 
-/// Passes connections on to an address; each notice cuts the opener's side of the oldest one.
-async fn passage(to: SocketAddr) -> (SocketAddr, Arc<Notify>) {
+/// Starts a TCP proxy to an address; each notification cuts the opener's side of the oldest
+/// connection.
+async fn cuttable_proxy(to: SocketAddr) -> (SocketAddr, Arc<Notify>) {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a free port");
@@ -32,8 +33,8 @@
                     () = cut.notified() => {}
                 }
                 drop((near_in, near_out));
-                // The far side sees nothing of it.
-                tokio::time::sleep(PATIENCE).await;
+                // The far side stays connected.
+                tokio::time::sleep(TEST_TIMEOUT).await;
                 drop((far_in, far_out));
             });
         }
@@ -41,21 +42,21 @@
     (address, cut)
 }
 
-/// A connection is cut, and only the entry instance notices. It connects anew and asks again. The
-/// owner has to learn of the loss before it gets the new request: it takes what it holds for the
-/// instance out of its queue then, and would take out the new request too.
+/// Guards against an owner dropping a new request. A connection is cut on the entry instance's side
+/// only, which reconnects and sends another request. On the loss, the owner drops all queued
+/// requests of that instance, so the loss must be reported before the new request is delivered.
 #[tokio::test]
-async fn a_loss_is_reported_before_anything_of_the_next_connection() {
+async fn a_loss_is_reported_before_messages_of_the_next_connection() {
     let mut a = node("a").await;
     let mut b = node("b").await;
-    let (address, cut) = passage(b.peer.address).await;
+    let (address, cut) = cuttable_proxy(b.peer.address).await;
     let peer = Peer {
         instance: "b".into(),
         address,
     };
     let ask = |text: &'static str| {
         let (mesh, peer) = (a.mesh.clone(), peer.clone());
-        tokio::spawn(async move { mesh.request(&peer, question(text), PATIENCE).await })
+        tokio::spawn(async move { mesh.request(&peer, question(text), TEST_TIMEOUT).await })
     };
     let first = ask("first");
     let held = b.message().await;
@@ -71,26 +72,26 @@
     assert_eq!(a.lost().await, "b");
 }
 
-/// Both sides close idle connections after almost no time, while requests keep coming. A request
-/// that crosses the close is sent again on another connection: none is lost, and none arrives
-/// twice.
+/// Guards against requests that are lost or delivered twice when an idle connection is closed. Both
+/// sides have a very short idle timeout while requests are sent; a request that is in flight during
+/// the close must be resent on another connection.
 #[tokio::test]
-async fn closing_idle_connections_loses_and_doubles_nothing() {
+async fn closing_idle_connections_neither_loses_nor_duplicates() {
     const ROUNDS: u64 = 400;
-    let eager = |name| {
+    let fast_idle_config = |name| {
         let mut cfg = config(name);
         cfg.idle_timeout = Duration::from_micros(500);
         cfg.ping_after = Duration::from_millis(1);
-        cfg.ping_timeout = PATIENCE;
+        cfg.ping_timeout = TEST_TIMEOUT;
         cfg
     };
-    let a = node_with(eager("a")).await;
-    let mut b = node_with(eager("b")).await;
+    let a = node_with(fast_idle_config("a")).await;
+    let mut b = node_with(fast_idle_config("b")).await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
     let asking = tokio::spawn(async move {
         for round in 0..ROUNDS {
             tokio::time::sleep(Duration::from_micros(round * 37 % 4_000)).await;
-            let result = mesh.request(&peer, question("?"), PATIENCE).await;
+            let result = mesh.request(&peer, question("?"), TEST_TIMEOUT).await;
             assert_eq!(result, Ok(answer("!")), "round {round}");
             mesh.send(&peer, note("done")).unwrap();
         }
--- a/crates/chervilshunt_mesh/tests/mesh/loss.rs
+++ b/crates/chervilshunt_mesh/tests/mesh/loss.rs
@@ -1,13 +1,13 @@
-//! What callers and owners see when a peer dies, restarts or is somebody else.
+//! The effects on callers and owners when a peer dies, restarts or is a different instance.
 
 use std::time::Duration;
 
-use crate::common::{PATIENCE, answer, config, node, node_with, note, question};
+use crate::common::{TEST_TIMEOUT, answer, config, node, node_with, note, question};
 use chervilshunt_mesh::{Inbound, Peer, RequestError, SendError};
 
-/// An owner dies while a request waits in its queue. The entry instance's request fails at once,
-/// without waiting for its timeout, so that the caller's request moves on; it is reported as lost
-/// and not as unsent, as the owner may have seen it.
+/// Guards against a caller's request being stuck after the owner dies with the request in its
+/// queue. The entry instance's request must fail immediately, not at its timeout. It is reported as
+/// lost, not as unsent, because the owner may have handled it.
 #[tokio::test]
 async fn requests_fail_at_once_when_the_owner_dies() {
     let mut a = node("a").await;
@@ -17,16 +17,16 @@
     let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), long).await });
     let got = b.message().await;
     b.mesh.shutdown().await;
-    let result = tokio::time::timeout(PATIENCE, asked).await.unwrap();
+    let result = tokio::time::timeout(TEST_TIMEOUT, asked).await.unwrap();
     assert_eq!(result.unwrap(), Err(RequestError::Lost));
     assert_eq!(a.lost().await, "b");
     assert!(got.reply.unwrap().is_closed());
 }
 
-/// An entry instance dies while the owner holds its request. The owner learns it by an event, so
-/// that it can take the request out of its queue.
+/// Guards against an owner keeping requests of an entry instance that has died: the loss must be
+/// reported as an event, on which the owner removes them from its queue.
 #[tokio::test]
-async fn an_owner_learns_that_an_entry_instance_is_gone() {
+async fn an_owner_is_notified_of_a_dead_entry_instance() {
     let a = node("a").await;
     let mut b = node("b").await;
     a.mesh.send(&b.peer, note("hello")).unwrap();
@@ -35,10 +35,10 @@
     assert_eq!(b.lost().await, "a");
 }
 
-/// An instance dies and another one gets its address. A message for the first is refused, as
-/// the second one may own nothing of what the message is about.
+/// Guards against delivering a message to the wrong instance. An instance dies and another one gets
+/// its address, which may not own the target that the message concerns.
 #[tokio::test]
-async fn a_message_for_somebody_else_is_refused() {
+async fn a_message_for_another_instance_is_refused() {
     let a = node("a").await;
     let mut c = node("c").await;
     let peer = Peer {
@@ -47,7 +47,7 @@
     };
     let error = a
         .mesh
-        .request(&peer, question("?"), PATIENCE)
+        .request(&peer, question("?"), TEST_TIMEOUT)
         .await
         .unwrap_err();
     let RequestError::NotSent { source } = &error else {
@@ -60,8 +60,8 @@
     assert_eq!(c.message().await.message, note("for c"));
 }
 
-/// A peer restarts under its id and address. What is sent next reaches the new process over a new
-/// connection, after the loss of the old one was reported.
+/// Guards against sending to the old process of a restarted peer with the same id and address.
+/// Messages must reach the new process, after the loss of the old connection has been reported.
 #[tokio::test]
 async fn a_restarted_peer_is_reached_again() {
     let mut a = node("a").await;
@@ -83,13 +83,13 @@
     assert_eq!(again.message().await.message, note("second"));
 }
 
-/// Nobody listens at the address: the request is reported as unsent, and the next one fails
-/// without another try until the pause is over.
+/// Guards against reconnecting to an unreachable peer on every message. The request is reported as
+/// unsent, and the next one fails without another attempt until the backoff ends.
 #[tokio::test]
-async fn an_unreachable_peer_is_not_tried_again_at_once() {
+async fn an_unreachable_peer_is_not_dialled_during_backoff() {
     let mut cfg = config("a");
-    cfg.backoff_min = PATIENCE;
-    cfg.backoff_max = PATIENCE;
+    cfg.backoff_min = TEST_TIMEOUT;
+    cfg.backoff_max = TEST_TIMEOUT;
     let a = node_with(cfg).await;
     let gone = node("b").await;
     let peer = gone.peer.clone();
@@ -97,7 +97,7 @@
     drop(gone);
     let error = a
         .mesh
-        .request(&peer, question("?"), PATIENCE)
+        .request(&peer, question("?"), TEST_TIMEOUT)
         .await
         .unwrap_err();
     assert!(error.is_unhandled(), "{error}");
@@ -106,21 +106,21 @@
     assert_eq!(a.mesh.counters().dial_failures, 1);
 }
 
-/// An owner gives up on a request without an answer. The entry instance learns that at once.
+/// Guards against waiting for the timeout when an owner drops a request without an answer.
 #[tokio::test]
 async fn a_dropped_reply_ends_the_request() {
     let a = node("a").await;
     let mut b = node("b").await;
     let (mesh, peer) = (a.mesh.clone(), b.peer.clone());
-    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), PATIENCE).await });
+    let asked = tokio::spawn(async move { mesh.request(&peer, question("?"), TEST_TIMEOUT).await });
     drop(b.message().await.reply);
     assert_eq!(asked.await.unwrap(), Err(RequestError::Unanswered));
 }
 
-/// Both sides open a connection at the same moment. No message is lost, whichever connection it
-/// was given to.
+/// Guards against losing messages when both sides open a connection at the same time, on whichever
+/// of the two they are sent.
 #[tokio::test]
-async fn a_doubled_connection_loses_nothing() {
+async fn simultaneous_connections_lose_no_message() {
     let mut doubled = 0;
     for _ in 0..50 {
         let mut a = node("a").await;
@@ -129,8 +129,8 @@
         let (mesh_a, mesh_b) = (a.mesh.clone(), b.mesh.clone());
         let asked = tokio::spawn(async move {
             tokio::join!(
-                mesh_a.request(&to_b, question("to b"), PATIENCE),
-                mesh_b.request(&to_a, question("to a"), PATIENCE),
+                mesh_a.request(&to_b, question("to b"), TEST_TIMEOUT),
+                mesh_b.request(&to_a, question("to a"), TEST_TIMEOUT),
             )
         });
         a.message()
--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chervilshunt_engine::{Answer, Call, EngineClient, EngineError, Expect, Limits};
+use chervilshunt_engine::{Answer, Call, EngineClient, EngineError, ExpectedAnswer, Limits};
 use chervilshunt_model::{AdapterVersion, AttemptId, Epoch, RequestId};
 use chervilshunt_standin::engine::{
     EngineFaultChange, EngineStandin, EngineStandinConfig, PowerChange, highest_power_together,
@@ -40,7 +40,7 @@
         body: Bytes::from(body.to_string()),
         request: RequestId::new(request),
         attempt: AttemptId::random(),
-        expect: Expect::Model(model.into()),
+        expect: ExpectedAnswer::Model(model.into()),
         idempotent: true,
         limits: Limits::default(),
     }
@@ -179,7 +179,7 @@
         .open(call("a@1", "r", 1_000_000, 0))
         .await
         .expect("opens");
-    answer.body.first_piece().await.expect("comes");
+    answer.body.buffer_first_chunk().await.expect("comes");
 
     client.unload(&model("a@1"), EPOCH).await.expect("unloads");
 
@@ -325,7 +325,7 @@
         .open(call("a@1", "r", 1_000_000, 0))
         .await
         .expect("opens");
-    answer.body.first_piece().await.expect("comes");
+    answer.body.buffer_first_chunk().await.expect("comes");
     engine.set_faults(&EngineFaultChange {
         load_slow_ms: Some(40),
         ..EngineFaultChange::default()
@@ -343,7 +343,7 @@
 
     assert!(matches!(
         finish(answer).await,
-        Err(EngineError::BrokenOff { .. })
+        Err(EngineError::Truncated { .. })
     ));
     late.await.expect("task").expect_err("is cut");
     until(|| engine.stats().count.failed_loads == 1).await;
@@ -366,7 +366,7 @@
     let faults = |text: &'static str| Call {
         path: "/standin/faults".parse().expect("path"),
         body: Bytes::from_static(text.as_bytes()),
-        expect: Expect::Anything,
+        expect: ExpectedAnswer::Any,
         ..call("base", "c", 1, 0)
     };
 
