--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The control actor: its state and the way of messages through it.
+//! The control actor: its state and message handlers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,25 +25,28 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How often an instance tells the placer what it has under way. What the placer has granted it counts by
-/// itself; a grant whose end was lost is known as late as this.
+/// Interval at which an instance reports its open requests to the placer. The placer counts the
+/// requests it has granted itself; if the message that ends a grant is lost, the placer corrects
+/// its count with the next report.
 const TELL_USE_EVERY: Duration = Duration::from_millis(400);
-/// The longest part of a second by which instances spread their writes for a lapsed lease.
+/// Upper bound of the random delay that spreads the instances' writes after the lease has lapsed.
 const STAGGER: Duration = Duration::from_millis(400);
 
-/// The share of a core below which an instance leaves the placer's lease to others for a while. A placer
-/// of hundreds of targets whose machine has less answers late, and every cold adapter waits.
+/// Share of a processor core below which an instance delays its attempt to acquire the placer's
+/// lease. With less than this, a placer of hundreds of targets answers late, which delays every
+/// request for an adapter that is not loaded.
 const AMPLE_SHARE: f64 = 0.25;
-/// How long an instance with next to no share of a core would leave the lease to others.
+/// Upper bound of that delay, reached as the instance's share of a core approaches zero.
 const LONGEST_YIELDING: Duration = Duration::from_secs(1);
 
-/// Returns how long an instance leaves a lease that can be taken to larger ones.
+/// Returns how long an instance leaves a lease that is free to instances with a larger processor
+/// share.
 fn yields_for(processor_share: f64) -> Duration {
     let lacks = (1.0 - processor_share / AMPLE_SHARE).clamp(0.0, 1.0);
     LONGEST_YIELDING.mul_f64(lacks)
 }
 
-/// The planner with what belongs to it, while this instance is the placer.
+/// The planner and the state that goes with it while this instance is the placer.
 #[derive(Debug)]
 pub(super) struct Placer {
     pub(super) residency: Residency,
@@ -62,31 +65,32 @@
     pub(super) placer: Option<Placer>,
     pub(super) absences: Absences,
     pub(super) paces: Paces,
-    /// Whether the platform answered the last call of a follower.
+    /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
-    /// What placers have learnt by trying.
+    /// Load estimates of this or an earlier placer, passed on to the next one.
     pub(super) learnt: Option<Learnt>,
-    /// The instances that may read the platform's objects for this one, while it is the placer.
+    /// Instances that may read the platform's objects on behalf of this one while it is the placer.
     pub(super) helpers: watch::Sender<Vec<Peer>>,
-    /// What was seen of the platform, as the placer tells it.
+    /// Changes seen at the platform, which the placer broadcasts.
     pub(super) feed: ChangeFeed,
-    /// The newest version of each of the weights that the platform names.
+    /// The newest version of each set of weights that the platform has announced.
     pub(super) versions: HashMap<Weights, u64>,
-    /// The platform's newest era, which its followers raise too.
+    /// The newest known era of the platform; the followers update it too.
     pub(super) era: watch::Sender<u64>,
-    /// The era up to which this state has been brought; none until the platform has answered.
+    /// The era that this state has already handled; `None` until the platform has answered.
     pub(super) known_era: Option<u64>,
     /// The era in which targets were last listed.
     pub(super) listed_era: Option<u64>,
-    /// Targets that a restore has brought back, with the revisions of their entries.
+    /// Targets that a restore of the platform has brought back, with the revisions of their
+    /// entries.
     pub(super) revived: HashMap<TargetName, StoreRevision>,
-    /// When the next wake-up comes, so that there is one timer and not one for each message.
+    /// Time of the next scheduled wake-up. Keeps a single timer rather than one per message.
     wakes_at: Option<Moment>,
 }
 
 impl Control {
-    /// Starts as an observer of the lease.
+    /// Creates the state. The instance starts as an observer of the lease.
     pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
@@ -129,7 +133,7 @@
         self.shared.clock.now()
     }
 
-    /// Carries out what the lease keeper wants.
+    /// Passes an event to the lease keeper and carries out the actions it returns.
     pub(super) fn lease_event(&mut self, event: ExclusiveLeaseEvent) {
         let now = self.now();
         let actions = self.keeper.handle(event, now);
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Does what has become due, and makes sure of being woken for what is due next.
+    /// Runs everything that is due and schedules the next wake-up.
     fn after_message(&mut self) {
         let now = self.now();
         if self.keeper.next_wakeup().is_some_and(|at| at <= now) {
@@ -202,7 +206,7 @@
     }
 }
 
-/// The shortest time between two wake-ups: what is due within it is done together.
+/// Shortest time between two wake-ups; everything that falls due within it is handled together.
 const SHORTEST_SLEEP: Duration = Duration::from_millis(2);
 
 impl Handler<Begin> for Control {
@@ -305,8 +309,8 @@
     type Return = ();
 
     async fn handle(&mut self, _reload: Reload, _cx: &mut xtra::Context<Self>) {
-        // What may change while an instance runs comes from the platform; the file is read so that
-        // a mistake in it shows now and not at the next start.
+        // Everything that may change while an instance runs comes from the platform. The file is
+        // read only to report errors in it now rather than at the next start.
         let path = self.shared.settings_file.clone();
         match Settings::load(&path) {
             Ok(settings) => slog::info!(self.shared.log, "settings read again";
@@ -320,9 +324,12 @@
 impl Handler<Stop> for Control {
     type Return = ();
 
-    /// A placer goes on until the process ends, and its next start at the same place goes on at once:
-    /// given up, the lease rests for 3.3 s, so that each restart that met the placer left callers of
-    /// cold adapters refused for four. Others no longer take the lease.
+    /// Releases the lease unless this instance is the placer.
+    ///
+    /// A placer keeps its lease until the process ends, and its next start on the same address
+    /// continues with it at once. A released lease can't be taken for 3.3 s, so releasing it on
+    /// each restart of the placer caused requests for adapters that were not loaded to be refused
+    /// for 4 s. An instance that is not the placer stops competing for the lease.
     async fn handle(&mut self, _stop: Stop, _cx: &mut xtra::Context<Self>) {
         if self.placer.is_none() {
             self.lease_event(ExclusiveLeaseEvent::Release);
