--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -1,4 +1,4 @@
-//! What the placer sees of the platform, told to all others so that they need not look themselves.
+//! Changes that the placer sees at the platform, broadcast so that other instances need not poll.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use crate::dialect::Kind;
 use crate::peers::{ChangeBatch, KindChanges, PeerMessage, PlatformView};
 
-/// The most entries of targets that are told; where more change at once, instances look themselves
-/// rather than have the placer's link carry all of them to everybody.
+/// Maximum number of changed entries that are broadcast. If more change at once, the instances poll
+/// the platform themselves, because the placer's link can't carry all of them to every instance.
 const MOST_TOLD: usize = 64;
 
-/// How long after one answer about targets' entries the next is overdue: the placer looks each 0.3 s, and
-/// what it tells counts for a second.
+/// Time after one answer about targets' entries at which the next one is overdue. The placer polls
+/// every 0.3 s, and a broadcast view is valid for one second.
 const OVERDUE_AFTER: Duration = Duration::from_millis(500);
 
-/// What an instance has seen of each kind of objects.
+/// What this instance has seen of each kind of objects.
 #[derive(Debug, Default)]
 pub(super) struct ChangeFeed {
-    /// When targets' entries were last seen whole.
+    /// When targets' entries were last seen completely.
     entries_seen_at: Option<Moment>,
     kinds: HashMap<Kind, KindFeed>,
-    /// What has changed since it was last told.
+    /// Changes since the last broadcast.
     untold_targets: Vec<TargetFacts>,
     untold_gone: Vec<TargetName>,
     untold_versions: Vec<(Weights, u64)>,
@@ -32,19 +32,20 @@
     untold_releases: Vec<Fingerprint>,
 }
 
-/// What an instance has seen of one kind.
+/// What this instance has seen of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct KindFeed {
-    /// The service's revision at the last change that concerns every instance.
+    /// The service's revision at the last change that affects every instance.
     changed_at: StoreRevision,
-    /// The same as it was last told.
+    /// The value of `changed_at` at the last broadcast.
     told: StoreRevision,
     /// Whether the last call was answered.
     is_seen: bool,
 }
 
 impl ChangeFeed {
-    /// Takes note that a call about a kind has been answered, and returns whether the answer was overdue.
+    /// Records that a call about a kind was answered and returns whether the answer was overdue.
+    /// Only answers about targets can be overdue.
     pub(super) fn seen(&mut self, kind: Kind, now: Moment) -> bool {
         self.kinds.entry(kind).or_default().is_seen = true;
         if kind != Kind::Targets {
@@ -54,7 +55,7 @@
         before.is_some_and(|at| now.since(at) > OVERDUE_AFTER)
     }
 
-    /// Takes note that a call about a kind has failed.
+    /// Records that a call about a kind has failed.
     pub(super) fn lost(&mut self, kind: Kind) {
         self.kinds.entry(kind).or_default().is_seen = false;
     }
@@ -64,12 +65,12 @@
         feed.changed_at = feed.changed_at.max(revision);
     }
 
-    /// Takes note that the configuration has changed.
+    /// Records that the configuration has changed.
     pub(super) fn configuration_changed(&mut self, revision: StoreRevision) {
         self.changed(Kind::Configuration, revision);
     }
 
-    /// Takes note that a target has changed in what concerns all.
+    /// Records a change of a target that affects every instance.
     pub(super) fn target_changed(&mut self, facts: &TargetFacts, revision: StoreRevision) {
         self.untold_gone.retain(|it| *it != facts.name);
         self.untold_targets.retain(|it| it.name != facts.name);
@@ -77,14 +78,14 @@
         self.changed(Kind::Targets, revision);
     }
 
-    /// Takes note that targets are no longer listed.
+    /// Records that targets are no longer listed.
     pub(super) fn targets_gone(&mut self, names: &[TargetName], revision: StoreRevision) {
         self.untold_targets.retain(|it| !names.contains(&it.name));
         self.untold_gone.extend(names.iter().cloned());
         self.changed(Kind::Targets, revision);
     }
 
-    /// Takes note that a version has been named.
+    /// Records that a version has been announced.
     pub(super) fn version_named(
         &mut self,
         weights: &Weights,
@@ -95,7 +96,7 @@
         self.changed(Kind::Versions, revision);
     }
 
-    /// Takes note that crashes of targets under a request have been recorded.
+    /// Records that a crash record of a request was written.
     pub(super) fn crashes_recorded(&mut self, crashes: &StoredCrashes, revision: StoreRevision) {
         let fingerprint = crashes.fingerprint;
         self.untold_releases.retain(|it| *it != fingerprint);
@@ -105,7 +106,7 @@
         self.changed(Kind::Crashes, revision);
     }
 
-    /// Takes note that records of crashes have been removed.
+    /// Records that crash records were removed.
     pub(super) fn crashes_removed(&mut self, removed: &[Fingerprint], revision: StoreRevision) {
         if removed.is_empty() {
             return;
@@ -116,8 +117,8 @@
         self.changed(Kind::Crashes, revision);
     }
 
-    /// Takes what has changed of a kind since this was last called; none if nothing has, or so much that
-    /// everybody should look.
+    /// Takes the changes of a kind since the last call. Returns `None` if nothing has changed, or
+    /// if so much has that every instance should poll the platform itself.
     fn take_batch(&mut self, kind: Kind) -> Option<ChangeBatch> {
         let what = match kind {
             Kind::Targets => KindChanges::Targets(
@@ -145,7 +146,7 @@
         is_told.then_some(ChangeBatch { after, up_to, what })
     }
 
-    /// Returns what the placer tells regularly.
+    /// Returns the view of the platform that the placer sends at regular intervals.
     pub(super) fn view(&self, now: Moment) -> Option<PlatformView> {
         let seen_at = self.entries_seen_at?;
         let changed_at = |kind| {
@@ -163,7 +164,7 @@
 }
 
 impl Control {
-    /// Tells all other instances what has changed, if this one is the placer.
+    /// Broadcasts recent changes to all other instances if this one is the placer.
     pub(super) fn tell_changes(&mut self) {
         for kind in Kind::ALL {
             let Some(batch) = self.feed.take_batch(kind) else {
@@ -179,11 +180,11 @@
         }
     }
 
-    /// Takes in what the placer sees of the platform.
+    /// Applies the placer's view of the platform.
     ///
-    /// The placer's own trouble in reaching the platform counts for nothing here. While it lasts
-    /// the placer's view grows old, and this instance finds out for itself whether the platform is
-    /// away for all.
+    /// Failures of the placer's own calls are not part of the view. While they last the view ages,
+    /// and this instance polls the platform itself to find out whether it is unavailable to every
+    /// instance.
     pub(super) fn take_view(&mut self, view: PlatformView, now: Moment) {
         self.note_era(view.targets.era);
         let as_of = now - view.age;
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes in what the placer saw change.
+    /// Applies a batch of changes from the placer.
     pub(super) fn take_changed(&mut self, batch: ChangeBatch) {
         let kind = match &batch.what {
             KindChanges::Targets(..) => Kind::Targets,
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -1,4 +1,4 @@
-//! What the placer tells of changes, by cases.
+//! Tests of the changes that the placer broadcasts.
 
 use std::time::Duration;
 
@@ -58,8 +58,9 @@
     assert!(feed.take_batch(Kind::Targets).is_none());
 }
 
-/// Told one by one, so many would take the placer's link; everybody looks at them in one call instead,
-/// as the revision up to which they have to be known shows.
+/// Sending very many changes one by one would saturate the placer's link. Instead the placer sends
+/// only the revision up to which the changes have to be known, and each instance reads them in one
+/// call.
 #[test]
 fn where_very_many_change_at_once_everybody_looks() {
     let mut feed = ChangeFeed::default();
@@ -73,8 +74,8 @@
     assert_eq!(view.age, Duration::from_millis(10));
 }
 
-/// The placer's calls about the configuration fail. Told that it has not changed, the others would miss
-/// what an operator changes meanwhile.
+/// The placer's calls about the configuration fail. If its view still had a revision for the
+/// configuration, other instances would miss changes by an operator meanwhile.
 #[test]
 fn a_kind_that_the_placer_can_not_follow_is_left_out_of_its_view() {
     let mut feed = ChangeFeed::default();
@@ -101,7 +102,7 @@
     assert!(feed.seen(Kind::Targets, at(900)));
 }
 
-/// Guards against instances that list the records of crashes after each call of the placer about them.
+/// Guards against instances that list the crash records after each call of the placer about them.
 #[test]
 fn an_answer_without_removals_is_no_change_of_the_records_of_crashes() {
     let mut feed = ChangeFeed::default();
