--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -1,4 +1,4 @@
-//! The platform's records of requests that crash targets.
+//! The platform's crash records: requests that crash targets.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::crashes::remove;
 
 impl Control {
-    /// Takes in a record as the platform has it.
+    /// Applies a crash record as the platform has it.
     pub(super) fn crashes_recorded(&mut self, crashes: StoredCrashes, revision: StoreRevision) {
         let now = self.now();
         self.feed.crashes_recorded(&crashes, revision);
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Returns the requests of records by the records' names.
+    /// Returns the requests that records are about, taken from the records' names.
     pub(super) fn crashes_named(&self, names: &[Arc<str>]) -> Vec<Fingerprint> {
         let read = self.shared.dialect.store.read_crashes_name;
-        // A record that somebody else wrote under another name tells of no request.
+        // A record under another name was not written by this system and identifies no request.
         names.iter().filter_map(|name| read(name).ok()).collect()
     }
 
-    /// Takes in that the platform no longer has some records.
+    /// Handles the removal of records at the platform.
     pub(super) fn crashes_removed(&mut self, removed: &[Fingerprint], revision: StoreRevision) {
         self.feed.crashes_removed(removed, revision);
         for fingerprint in removed {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in which records the platform has.
+    /// Reconciles the quarantine with the records that the platform lists.
     pub(super) fn crashes_listed(
         &mut self,
         listed: &HashSet<Fingerprint>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Forgets crashes that lie back far enough; the placer removes their records too.
+    /// Drops crashes whose retention time has passed; the placer also removes their records.
     pub(super) fn forget_crashes(&self, now: Moment) {
         let expired = self.shared.quarantine().take_expired(now);
         for fingerprint in expired {
