--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -1,7 +1,7 @@
-//! Following the kinds of objects of the platform's service.
+//! Follows each kind of objects in the platform's object service.
 //!
-//! One list, and then one call after the other that waits for changes. Each call has its price, so
-//! that changes which come in quick succession are gathered by a pause between two calls.
+//! A follower lists the objects once and then makes one call after another that waits for changes.
+//! Calls have a cost, so a pause between two of them gathers changes that come in quick succession.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,62 +23,66 @@
 use crate::peers::StoreRead;
 use crate::shared::Shared;
 
-/// How long a call waits for changes of what changes often. A longer wait would save little, since
-/// most calls end early with a change.
+/// Time that a call waits for changes of frequently changing kinds. A longer wait would save
+/// little, since most calls return early with a change.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// The same for what changes rarely: at 4 s these calls were half of those of a calm day. A connection
-/// that has gone silent is found by its keep-alive probes, in 3 s, and does not wait for this.
+/// Time that a call waits for changes of rarely changing kinds; at 4 s these calls were half of all
+/// calls on a calm day. A dead connection is detected by keep-alive probes within 3 s, independent
+/// of this wait.
 const RARE_WATCH_WAIT: Duration = Duration::from_secs(15);
-/// How often the placer looks at targets' entries. With the other instances' trust in what it tells
-/// this leaves them a second until they look for themselves; shorter, it would be noticed later still
-/// by the interval at which they are told.
+/// Interval at which the placer polls targets' entries. The other instances trust a report for one
+/// second before they poll themselves. A shorter interval would gain little, because the interval
+/// of the reports is added to the delay.
 const GUIDING_EVERY: Duration = Duration::from_millis(300);
-/// How long the placer's calls wait for changes of configuration and versions. The other instances learn
-/// of these changes from the placer, so if an answer is lost, no instance sees the change until the call ends.
+/// Time that the placer's calls wait for changes of configuration and versions. The other instances
+/// get these changes from the placer, so if an answer is lost, no instance sees the change until
+/// the call ends.
 const GUIDING_RARE_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// The time after which the objects are listed rather than their changes asked for: targets change
-/// their entries each second, so that the changes of a longer time are more than the objects.
+/// Time since the last call after which a follower lists the objects again instead of asking for
+/// changes. Targets update their entries every second, so the changes of a longer time are larger
+/// than the list.
 const LIST_AFTER: Duration = Duration::from_secs(3);
-/// The wait of a call that is to be answered at once.
+/// Wait of a call that should be answered at once.
 const AT_ONCE: Duration = Duration::from_millis(1);
-/// How long an instance waits after its first look for a placer that tells it of changes. Where all
-/// instances start together, each would make a waiting call for nothing.
+/// Time that an instance waits after its first call for a report from the placer. Without it,
+/// instances that start together would each make a needless waiting call.
 const FIRST_REST: Duration = Duration::from_secs(1);
-/// The pause after a failed call.
+/// Delay after a failed call; it doubles up to the longest delay.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// The pause after failed calls for each instance of a fleet, so that all of them together ask a service
-/// that is away some hundred times a second.
+/// Longest delay after failed calls, per instance of the fleet. Together the instances make no more
+/// than some hundred calls a second to a service that is unavailable.
 const PAUSE_AN_INSTANCE: Duration = Duration::from_micros(7_500);
-/// The longest pause of the largest fleet: entries of targets that lapsed with the service are missed
-/// two seconds after its return.
+/// Upper bound of the longest delay in a large fleet. Entries of targets that lapsed during an
+/// outage are treated as missing two seconds after the service's return.
 const LONGEST_PAUSE_OF_ALL: Duration = Duration::from_millis(1_500);
-/// How long the followers of other kinds leave it to one to find out that the service is back. It may be
-/// away for their kind alone.
+/// Time that followers of other kinds wait for the probing follower to reach the service. It is
+/// bounded because the service may fail for their kind alone.
 const LEFT_TO_ONE: Duration = Duration::from_secs(2);
-/// The kind whose follower finds out that the service is back.
+/// The kind whose follower probes for the service's return.
 const PROBING: Kind = Kind::Targets;
 
-/// Objects of a kind whose fault is remembered, so that it is logged once. Far more than a fault of
-/// somebody else's program leaves; beyond it some are logged again.
+/// Maximum number of unreadable objects that are remembered so that each fault is logged once. It
+/// is far more than a faulty program leaves; beyond it the memory is cleared and some faults are
+/// logged again.
 const MOST_REPORTED: usize = 1_000;
 
-/// Why following has to begin anew or pause.
+/// Why following has to start over or pause.
 #[derive(Debug)]
 enum Trouble {
-    /// The service no longer has the history from here on.
+    /// The service no longer has the history from the requested revision.
     Expired,
     /// The call failed.
     Failed(PlatformError),
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     Unreadable(Malformed),
     /// A call of another follower failed while this one waited.
     Doubted,
-    /// The service has been restored since the revision from which changes were asked for.
+    /// The service has been restored since the revision from which changes were requested.
     Restored,
-    /// The answer was given before a restore that is known already.
+    /// The answer is from before a restore that is known already.
     Outdated,
-    /// The call waited for longer than calls may from now on.
+    /// The call's wait is longer than the new mode allows.
     PaceChanged,
 }
 
@@ -97,21 +101,21 @@
     dialect: StoreDialect,
     reader: Arc<Reader>,
     control: Address<Control>,
-    /// How fast it goes.
+    /// How the follower polls.
     pace: watch::Receiver<FollowPace>,
     /// Whether the service answered the last call of any kind.
     reached: watch::Sender<bool>,
-    /// The service's newest era, as far as anything here has learnt of it.
+    /// The newest era of the service known to this instance.
     era: watch::Sender<u64>,
-    /// How new the next list has to be.
+    /// How recent the next list has to be.
     freshness: Freshness,
     shared: Arc<Shared>,
-    /// The objects that could not be read, each with what was last wrong with it.
+    /// Objects that could not be decoded, each with its last fault.
     reported: HashMap<Arc<str>, String>,
     log: Logger,
 }
 
-/// Begins to follow all kinds on the present runtime.
+/// Starts the followers of all kinds on the current runtime.
 pub(crate) fn start_followers(
     shared: &Arc<Shared>,
     reader: Reader,
@@ -139,11 +143,11 @@
     }
 }
 
-/// Returns the pause between a change and the next call, in which more changes gather.
+/// Returns the delay between a change and the next call, in which more changes gather.
 ///
-/// The operators' bounds leave seconds to act on a change; only the configuration, whose changes
-/// are rare, is followed at once. The lease changes with each renewal, of which all but the newest
-/// is of no interest; a taker waits for several times the longer pause anyway.
+/// The operators allow seconds to act on a change, so only the kinds whose changes are rare are
+/// followed up at once. The lease changes with each renewal, and only the newest one matters; an
+/// instance that takes it over waits several times the longest delay anyway.
 const fn gather_for(kind: Kind) -> Duration {
     match kind {
         Kind::Configuration | Kind::Versions | Kind::Crashes => Duration::from_millis(100),
@@ -152,10 +156,10 @@
     }
 }
 
-/// Returns how new the first list of a kind has to be.
+/// Returns how recent the first list of a kind has to be.
 ///
-/// Where nothing waits for it, the cheaper one does. A later list must not be old: one from before the
-/// history that the service keeps would be followed by another one, and so on.
+/// If nothing waits for it, a cheaper, possibly stale list is enough. Later lists must be current:
+/// a list older than the history that the service keeps would lead to another list, and so on.
 const fn first_list(kind: Kind) -> Freshness {
     match kind {
         Kind::Crashes => Freshness::MayBeOld,
@@ -192,8 +196,9 @@
             looked_at = Instant::now();
             let result = match from {
                 None => self.list().await,
-                // After a failure the first call does not wait, so that its answer says at once that
-                // the service is back: what is believed of entries that went meanwhile ages from then.
+                // After a failure the first call does not wait for changes, so that its answer
+                // shows at once that the service is back. The grace period of entries that went
+                // missing in the meantime counts from then.
                 Some(revision) if pause != FIRST_PAUSE => self.watch(revision, AT_ONCE).await,
                 Some(revision) => self.watch(revision, wait_for(self.kind, pace)).await,
             };
@@ -228,20 +233,20 @@
         }
     }
 
-    /// Waits until it is this follower's turn to call, and returns how fast it goes and whether it had
-    /// to wait for that.
+    /// Waits until this follower may make its next call. Returns its mode and whether it was
+    /// paused.
     async fn next_turn(&mut self) -> (FollowPace, bool) {
         let rests = |pace: &FollowPace| *pace == FollowPace::Guided(PollMode::Paused);
         let rested = rests(&self.pace.borrow());
         match self.pace.wait_for(|pace| !rests(pace)).await {
             Ok(pace) => (*pace, rested),
-            // The control state has ended, and this runtime with it.
+            // The control actor has ended, and this runtime ends with it.
             Err(_) => (FollowPace::Guided(PollMode::Continuous), rested),
         }
     }
 
-    /// Waits after the first look until there is a placer, for a moment at most. The lease itself shows
-    /// who that is.
+    /// Waits after the first call until the placer has reported, for [`FIRST_REST`] at most. The
+    /// lease's follower doesn't wait, since the lease shows which instance is the placer.
     async fn first_rest(&mut self) {
         if self.kind == Kind::Lease {
             return;
@@ -254,8 +259,8 @@
 
     /// Waits after a failed call.
     ///
-    /// A service that is away is asked by the follower of one kind; the others wait until it has been
-    /// reached. With all of them asking, an outage was most of what a day's calls cost.
+    /// Only one kind's follower probes a service that is unavailable; the others wait until it has
+    /// been reached. When all of them probed, outages caused most of a day's calls.
     async fn rest(&self, pause: Duration) {
         self.reached.send_replace(false);
         tokio::time::sleep(pause).await;
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Takes in the era of an answer.
+    /// Handles the era of an answer.
     fn take_era(&self, era: u64) -> Result<(), Trouble> {
         let mut is_outdated = false;
         self.era.send_if_modified(|known| {
@@ -292,7 +297,7 @@
         }
     }
 
-    /// Waits until this follower's pace is [`FollowPace::Guiding`].
+    /// Waits until this follower's mode is [`FollowPace::Guiding`].
     async fn wait_until_guiding(&self) {
         let mut pace = self.pace.clone();
         let guiding = pace.wait_for(|pace| *pace == FollowPace::Guiding);
@@ -301,10 +306,11 @@
         }
     }
 
-    /// Waits until a call of another follower fails, unless this is the one that finds out for all.
+    /// Waits until a call of another follower fails, unless this is the probing follower.
     ///
-    /// A service that falls silent takes the calls that wait, and answers none of them when it is back. A
-    /// long wait that began just before would keep the configuration from this instance until its end.
+    /// A service that stops responding never answers the calls that were waiting, even after its
+    /// return. Without this, a long wait that began just before an outage would keep configuration
+    /// changes from this instance until the wait ends.
     async fn is_lost_for_another(&self) {
         if self.kind == PROBING {
             return std::future::pending().await;
@@ -326,7 +332,7 @@
         of_all.clamp(LONGEST_PAUSE, LONGEST_PAUSE_OF_ALL)
     }
 
-    /// Reads all objects of the kind and returns the revision to go on from.
+    /// Lists all objects of the kind and returns the revision from which to watch.
     async fn list(&mut self) -> Result<StoreRevision, Trouble> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut after: Option<String> = None;
@@ -339,8 +345,8 @@
             let page = page.map_err(Trouble::Unreadable)?;
             self.report_malformed(&page.malformed);
             entries.extend(page.entries);
-            // Objects may change between two pages: watched from the first page's revision on,
-            // their changes come again.
+            // Objects may change between two pages. Watching from the first page's revision repeats
+            // those changes.
             let revision: StoreRevision = *first_revision.get_or_insert(page.revision);
             if page.revision.era != revision.era {
                 return Err(Trouble::Restored);
@@ -357,7 +363,7 @@
         }
     }
 
-    /// Waits for changes and returns the revision to go on from.
+    /// Waits for changes and returns the revision from which to continue.
     async fn watch(
         &mut self,
         from: StoreRevision,
@@ -374,7 +380,7 @@
         };
         self.take_era(answer.era)?;
         if answer.era != from.era {
-            // What follows the revision now is another history.
+            // The service has a different history after this revision now.
             return Err(Trouble::Restored);
         }
         let changes = (self.dialect.read_changes)(self.kind, answer.era, &answer.body);
@@ -403,13 +409,13 @@
             Trouble::Unreadable(malformed) => malformed.to_string(),
             Trouble::Doubted => "a call about another kind has failed".to_owned(),
         };
-        // One line for the loss of the service; further failures until it is back tell no more.
+        // Only the first failure of an outage is logged.
         if first {
             slog::warn!(self.log, "platform lost"; "kind" => self.kind.as_str(), "reason" => reason);
         }
     }
 
-    /// Logs what can't be read, once for each fault of an object: it is read again with each list.
+    /// Logs objects that can't be decoded, once for each fault: every list reads them again.
     fn report_malformed(&mut self, malformed: &[Malformed]) {
         if self.reported.len() + malformed.len() > MOST_REPORTED {
             self.reported.clear();
