--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! The placer's lease at the platform, and who holds it.
+//! Calls about the placer's lease at the platform, and the record of its holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 use crate::peers::{LeaseAnswer, LeaseCall, PeerMessage};
 use crate::store::call_once;
 
-/// The time for one call about the lease. A renewal that takes longer has no worth: its time counts
-/// from before it was sent.
+/// Timeout of a call about the lease. A slower renewal is useless, because the lease's validity
+/// counts from before the call was sent.
 const LEASE_CALL: Duration = Duration::from_millis(1_500);
-/// The same where another instance can make the call after it. The platform answers in milliseconds,
-/// in a fifth of a second while it is slow; of the 4.3 s that a renewal counts, 0.9 s have passed when
-/// the next one is sent.
+/// Timeout of a call that another instance can repeat. The platform answers within milliseconds, or
+/// 0.2 s while it is slow. A renewal is valid for 4.3 s, and 0.9 s of that have passed when the
+/// next one is sent.
 const FIRST_LEASE_CALL: Duration = Duration::from_millis(300);
-/// The time for another instance to make the call.
+/// Timeout of a call that another instance makes for this one.
 const RELAYED_LEASE_CALL: Duration = Duration::from_millis(350);
-/// Instances that are asked one after the other to make the call. The second one is for an instance
-/// that has just lost the platform too; with it the renewal still ends in time.
+/// Maximum number of instances that are asked, one after another, to make a call. The second one
+/// covers an instance that has just lost the platform too; the renewal is still in time with it.
 pub(super) const RELAYS: usize = 2;
-/// How long it takes from when the lease can be taken until the new placer answers: instances
-/// spread their writes over 400 ms, and the new placer asks each target what it holds.
+/// Time from when the lease can be taken until the new placer answers: instances spread their
+/// writes over 400 ms, and the new placer asks each target what it holds.
 const TAKING: Duration = Duration::from_millis(700);
 
-/// What a call about the lease needs, apart from the actor that wants it.
+/// What a call about the lease needs, independent of the actor.
 #[derive(Clone)]
 struct Caller {
     exchange: Arc<Exchange>,
@@ -41,9 +41,9 @@
 impl Control {
     /// Makes a call about the lease.
     ///
-    /// A placer that is cut off from the platform alone, or is turned away by it, has another
-    /// instance make the call. Otherwise nobody would place for the 6 s that a taker waits, while
-    /// the placer still reaches all targets and instances.
+    /// A placer that can't reach the platform, or whose calls it rejects, has another instance make
+    /// the call. Without this there would be no placer for the 6 s until the lease can be taken,
+    /// although this one still reaches all targets and instances.
     pub(super) fn call_lease(&self, call: LeaseCall) {
         let Some(control) = self.address.clone() else {
             return;
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Makes a call about the lease for the placer.
+    /// Makes a call about the lease on behalf of the placer.
     pub(super) fn call_lease_for(&self, call: LeaseCall, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Lets traffic know when there will be a placer again, if there is none.
+    /// Publishes to traffic when there will be a placer again, if there is none.
     pub(super) fn note_placer(&self, now: Moment) {
         let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
         let back = (!there).then(|| self.keeper.earliest_takeover() + TAKING);
         self.shared.set_placer_back(back);
     }
 
-    /// Lets traffic know whom to ask for placements.
+    /// Publishes to traffic which instance to ask for placements.
     pub(super) fn note_holder(&self) {
         let holder = self.keeper.holder().map(|(instance, address)| Peer {
             instance: instance.clone(),
@@ -125,13 +125,13 @@
     let message = PeerMessage::CallLease(call.clone());
     match mesh.request(peer, message, RELAYED_LEASE_CALL).await {
         Ok(PeerMessage::LeaseCalled(answer)) => answer,
-        // The peer may have made the call all the same.
+        // The peer may have made the call nevertheless.
         Ok(_) | Err(_) => call.without_answer(),
     }
 }
 
 impl LeaseCall {
-    /// Returns what is known if nobody answers: a write may have been carried out.
+    /// Returns the result of a call that nobody answered: a write may have been carried out.
     const fn without_answer(&self) -> LeaseAnswer {
         match self {
             Self::Write(..) => LeaseAnswer::Written(LeaseWriteOutcome::Unknown),
