--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -9,50 +9,50 @@
 use crate::dialect::{Changes, Entry, Kind};
 use crate::peers::PeerMessage;
 
-/// The first message: the actor's own address.
+/// The first message, with the actor's own address.
 #[derive(Debug)]
 pub(crate) struct Begin(pub(crate) Address<Control>);
 
-/// Something a peer sent, or the loss of its connection.
+/// A message from a peer, or the loss of its connection.
 #[derive(Debug)]
 pub(crate) struct FromPeer(pub(crate) Inbound<PeerMessage>);
 
-/// Something the platform shows.
+/// Events from the platform's object service.
 #[derive(Debug)]
 pub(crate) enum FromStore {
-    /// All objects of a kind, and the revision that shows them.
+    /// All objects of a kind, and the revision of the list.
     Listed(Kind, Vec<Entry>, StoreRevision),
-    /// Changes of a kind, which may be none.
+    /// Changes of a kind; there may be none.
     Changed(Kind, Changes),
     /// A call has failed.
     Trouble(Kind),
-    /// A call has been answered after failures.
+    /// A call has succeeded after failures.
     Back(Kind),
 }
 
-/// A target answered an order.
+/// The result of an order to a target.
 #[derive(Debug)]
 pub(crate) struct Ordered(pub(crate) OrderNumber, pub(crate) OrderAnswer);
 
-/// A target said what it holds, or could not be asked.
+/// The report of what a target holds; `None` if the target could not be queried.
 #[derive(Debug)]
 pub(crate) struct Asked(pub(crate) TargetName, pub(crate) Option<TargetReport>);
 
-/// A moment for which the actor wanted to be woken has come.
+/// A scheduled wake-up.
 #[derive(Debug)]
 pub(crate) struct Tick;
 
-/// It is time to tell the placer what this instance has under way.
+/// It is time to report this instance's open requests to the placer.
 #[derive(Debug)]
 pub(crate) struct TellUse {
-    /// When that was.
+    /// When the report was due.
     pub(crate) due_at: tokio::time::Instant,
 }
 
-/// The settings file has changed.
+/// The settings file should be read again.
 #[derive(Debug)]
 pub(crate) struct Reload;
 
-/// The instance stops.
+/// The instance shuts down.
 #[derive(Debug)]
 pub(crate) struct Stop;
--- a/crates/chervilshunt_gateway/src/control/mod.rs
+++ b/crates/chervilshunt_gateway/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! The control state of an instance: one actor on a thread of its own.
 //!
-//! It follows the platform, keeps or watches the placer's lease, and, while it holds it, runs the
-//! planner of `chervilshunt_core` and gives its orders. Traffic threads read what it learns through
-//! [`crate::shared::Shared`].
+//! The actor follows the platform and keeps or watches the placer's lease. While it holds the
+//! lease, it runs the planner of `chervilshunt_core` and sends the planner's orders to targets.
+//! Traffic threads read the actor's results through [`crate::shared::Shared`].
 
 mod actor;
 mod change_feed;
