--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -1,4 +1,4 @@
-//! Whether an instance keeps up with the placer's duty.
+//! Detection of a placer that can't keep up with its load.
 
 use std::time::Duration;
 
@@ -7,23 +7,25 @@
 
 use super::actor::Control;
 
-/// How late the control state may come to what it is told before it counts as behind: most requests wait
-/// for the placer's answer for little more than that.
+/// Delay of the control actor's messages from which it counts as behind. Most requests wait for the
+/// placer's answer little longer than this.
 const BEHIND: Duration = Duration::from_millis(400);
-/// How long it has to be behind all the time before a placer steps down. While another takes over nobody
-/// places for the lease's rest, so that a burst is better sat out.
+/// Time for which a placer has to be behind without interruption before it steps down. During a
+/// handover there is no placer until the lease's handover gap is over, so short bursts are better
+/// endured.
 const BEHIND_FOR: Duration = Duration::from_secs(2);
-/// How much more of a processor another instance must have for a placer to step down.
+/// Factor by which another instance's processor share must exceed this one's before a placer steps
+/// down.
 const MUCH_LARGER: f32 = 2.0;
 
-/// For how long the control state has been behind.
+/// Since when the control actor has been behind.
 #[derive(Debug, Default)]
 pub(super) struct Overload {
     behind_since: Option<Moment>,
 }
 
 impl Overload {
-    /// Takes note of how late a message was taken in, and says whether this has lasted.
+    /// Records the delay of a message and returns whether the actor has been behind for too long.
     fn note(&mut self, late_by: Duration, now: Moment) -> bool {
         if late_by < BEHIND {
             self.behind_since = None;
@@ -40,10 +42,10 @@
         self.shared.settings.instance.processor_share as f32
     }
 
-    /// Steps down as the placer if this instance is overloaded and a much larger one is there.
+    /// Steps down as the placer if this instance is overloaded and a much larger one is available.
     ///
-    /// A placer that falls behind answers nobody in time, so that callers of cold adapters are refused
-    /// for as long as it holds the lease.
+    /// A placer that is behind answers no request in time, so requests for adapters that are not
+    /// loaded are refused for as long as it holds the lease.
     pub(super) fn check_overload(&mut self, late_by: Duration) {
         let now = self.now();
         let lasts = self.overload.note(late_by, now);
--- a/crates/chervilshunt_gateway/src/control/overload/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/overload/tests.rs
@@ -1,4 +1,4 @@
-//! When the control state counts as overloaded.
+//! Tests of when the control actor counts as overloaded.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 
 use super::Overload;
 
-/// Notes lateness at moments, all in milliseconds, and returns whether the last one shows overload.
+/// Records delays at given times, both in milliseconds, and returns whether the last one shows
+/// overload.
 fn noted(notes: &[(u64, u64)]) -> bool {
     let mut overload = Overload::default();
     let mut lasts = false;
