--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -1,4 +1,5 @@
-//! How fast followers go: by themselves, as the placer tells, or for all others as the placer.
+//! Modes of the followers: polling on their own, relying on the placer's reports, or, as the
+//! placer, polling for all instances.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,44 +10,44 @@
 
 use crate::dialect::Kind;
 
-/// How long what the placer tells of the platform counts, from when it saw it. The operators
-/// give two seconds from when a target begins to leave until it gets no more work; an entry that is
-/// gone takes 0.6 s of that.
+/// Time for which the placer's view of the platform is valid, from when the placer saw it. The
+/// operators allow two seconds from when a target starts to leave until it gets no more work; 0.6 s
+/// of that are the grace period of an entry that has gone.
 const VIEW_TRUST: Duration = Duration::from_millis(1_000);
-/// The same for records of requests that crash targets, which may be known seconds later: each moment in
-/// which a placer is not heard would cost a call of every instance.
+/// The same for crash records. They may be known seconds later, since a shorter time would cost a
+/// call by every instance at each short loss of contact with the placer.
 const CRASHES_TRUST: Duration = Duration::from_secs(3);
-/// How long the placer's last message tells that its lease need not be looked at: three of the
-/// intervals at which it sends.
+/// Time after the placer's last message in which its lease need not be polled: three of the
+/// intervals at which it reports.
 const LEASE_TRUST: Duration = Duration::from_millis(1_300);
-/// The longest time without an own look.
+/// Longest time without polling the platform.
 const LONGEST_REST: Duration = Duration::from_secs(60);
 
-/// How a follower goes on.
+/// How a follower polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FollowPace {
-    /// As the guide says.
+    /// As the guide decides from the placer's reports.
     Guided(PollMode),
-    /// Often, so that the other instances can rely on it.
+    /// At short intervals, because the other instances rely on it.
     Guiding,
 }
 
-/// Steers the followers of all kinds of objects.
+/// Sets the modes of the followers of all kinds.
 #[derive(Debug)]
 pub(crate) struct Paces(HashMap<Kind, Steered>);
 
-/// One follower that is steered.
+/// The guide of one follower, and the channel that carries its mode.
 #[derive(Debug)]
 struct Steered {
     guide: PollGuide,
     tx: watch::Sender<FollowPace>,
 }
 
-/// What the followers listen to.
+/// The channels on which the followers receive their modes.
 pub(crate) type PaceReceivers = HashMap<Kind, watch::Receiver<FollowPace>>;
 
 impl Paces {
-    /// Starts with followers that go by themselves.
+    /// Creates the modes; all followers start by polling on their own.
     pub(crate) fn new() -> (Self, PaceReceivers) {
         let mut receivers = HashMap::new();
         let mut steered = HashMap::new();
@@ -59,7 +60,7 @@
         (Self(steered), receivers)
     }
 
-    /// Returns what is known of one kind.
+    /// Returns the guide of one kind.
     pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
         let new = || Steered {
             guide: PollGuide::new(trust(kind), LONGEST_REST),
@@ -68,14 +69,14 @@
         &mut self.0.entry(kind).or_insert_with(new).guide
     }
 
-    /// Takes in that the placer can't be heard any more.
+    /// Records that there is no contact with the placer any more.
     pub(super) fn placer_lost(&mut self) {
         for steered in self.0.values_mut() {
             steered.guide.placer_lost();
         }
     }
 
-    /// Tells the followers how to go on.
+    /// Sends the followers their current modes.
     pub(super) fn steer(&self, is_placer: bool, now: Moment) {
         for (kind, steered) in &self.0 {
             let pace = if is_placer {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns when followers have to be told anew by time alone.
+    /// Returns when a follower's mode next changes by time alone.
     pub(super) fn next_wakeup(&self, now: Moment) -> Option<Moment> {
         let steered = self.0.values();
         steered.filter_map(|it| it.guide.next_wakeup(now)).min()
@@ -105,9 +106,9 @@
 
 /// Returns how the placer follows a kind.
 ///
-/// It looks at targets' entries all the time, which also shows that the platform answers. It reads
-/// configuration and versions often because the other instances rely on it for their changes. Its own
-/// renewals show whether it still holds the lease.
+/// It polls targets' entries continuously, which also shows that the platform answers. It polls
+/// configuration and versions often because the other instances rely on it for their changes. Its
+/// own renewals show whether it still holds the lease.
 const fn guiding_pace(kind: Kind) -> FollowPace {
     match kind {
         Kind::Targets | Kind::Configuration | Kind::Versions => FollowPace::Guiding,
