--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -1,4 +1,4 @@
-//! The placer's part: the planner's events go in here and its actions are carried out.
+//! The placer: passes events to the planner and carries out its actions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,32 +20,32 @@
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
-/// How long a target may take to accept an order, or to say what it holds. It answers within
-/// milliseconds, and the placer reads it a tenth of a second later at most, where its share of the
-/// processor is used up; one that doesn't may carry an order out late. Waited for longer, targets
-/// that leave a third of the orders unanswered stood idle for half of the time.
+/// Timeouts of an order to a target, or of a query for what it holds. A target answers within
+/// milliseconds, and a placer that has used up its processor share reads the answer at most 0.1 s
+/// later; a slower target may carry an order out late. With longer timeouts, targets that left a
+/// third of the orders unanswered were idle half of the time.
 const ORDER_LIMITS: Limits = Limits {
     connect: Duration::from_millis(250),
     head: Duration::from_millis(250),
     idle: Duration::from_millis(250),
 };
-/// Questions are numbered from a placer's term on, in the upper half: they name grants, which instances
-/// may still tell of when there is another placer.
+/// Placement requests are numbered from the placer's term in the upper half of the number on. The
+/// numbers also identify grants, which instances may still report to a later placer.
 const TERM_SHIFT: u32 = 32;
-/// The part of the upper half that tells the platform's era, in whose next one terms start anew.
+/// The part of the upper half that holds the platform's era; terms start over in each era.
 const ERA_SHIFT: u32 = 24;
 
-/// Returns the number of the first question of a term.
+/// Returns the number of the first placement request of a term.
 const fn first_question(term: u64) -> u64 {
     let era = era_of_term(term) << ERA_SHIFT;
     let within_era = term & ((1 << ERA_SHIFT) - 1);
     (era | within_era) << TERM_SHIFT
 }
-/// The longest report that is read, in bytes.
+/// Maximum length of a target's report, in bytes.
 const MAX_REPORT: usize = 1 << 20;
 
 impl Control {
-    /// Starts to place: everything that is known goes into a new planner.
+    /// Becomes the placer: passes everything that is known to a new planner.
     pub(super) fn become_placer(&mut self, term: u64, now: Moment) {
         slog::info!(self.shared.log, "placing begins"; "term" => term,
             "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
@@ -73,8 +73,8 @@
         self.shared.dispatch().placer_heard(now);
     }
 
-    /// Stops placing. Questions that wait end unanswered, and the other instances, which choose by
-    /// themselves from now on, are told what targets hold.
+    /// Stops placing. Pending placement requests end unanswered. The other instances choose targets
+    /// on their own from now on, so they are sent what targets hold.
     pub(super) fn cease_placing(&mut self) {
         slog::info!(self.shared.log, "placing ends");
         if let Some(placer) = self.placer.take() {
@@ -83,7 +83,7 @@
         self.choose_helpers();
     }
 
-    /// Gives the planner an event, if this instance is the placer.
+    /// Passes an event to the planner if this instance is the placer.
     pub(super) fn plan(&mut self, event: ResidencyEvent) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Gives an order, if the lease counts at this moment.
+    /// Sends an order to a target if the lease is valid at this moment.
     fn give_order(&mut self, order: Order, now: Moment) {
         let Some(control) = self.address.clone() else {
             return;
@@ -166,7 +166,7 @@
         self.shared.dispatch().target(target).map(|it| it.address)
     }
 
-    /// Takes in what an instance has under way, and tells it what it needs in turn.
+    /// Handles an instance's report of its open requests and answers with the placer's status.
     pub(super) fn instance_uses(
         &mut self,
         from: &InstanceId,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Returns what the placer tells regularly; none if this instance is not the placer.
+    /// Returns the placer's status message; `None` if this instance is not the placer.
     fn placing(&self, now: Moment) -> Option<PeerMessage> {
         let placer = self.placer.as_ref()?;
         Some(PeerMessage::Placing {
@@ -203,10 +203,10 @@
         })
     }
 
-    /// Tells all other instances at once what the placer tells each of them regularly.
+    /// Sends the placer's status to all other instances at once.
     ///
-    /// After a moment without an answer of the platform, what they were told last is about to count no
-    /// longer, and each of them would look for itself.
+    /// Called when the platform has not answered for a moment: the status sent last is about to
+    /// expire, and each instance would then poll the platform itself.
     pub(super) fn tell_placing(&self, now: Moment) {
         let (Some(placer), Some(placing)) = (&self.placer, self.placing(now)) else {
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Takes in what the placer would tell itself.
+    /// Applies the placer's status on the placer itself.
     pub(super) fn take_own_placing(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
@@ -225,14 +225,14 @@
         }
     }
 
-    /// Takes in that a request wants an adapter.
+    /// Handles a placement request.
     pub(super) fn wanted(
         &mut self,
         wanted: impl FnOnce(u64) -> ResidencyEvent,
         reply: Option<Reply<PeerMessage>>,
     ) {
         let (Some(placer), Some(reply)) = (&mut self.placer, reply) else {
-            // Dropping the reply tells the asker at once that there is no answer.
+            // Dropping the reply tells the requester at once that there is no answer.
             return;
         };
         let question = placer.next_question;
@@ -278,7 +278,7 @@
     (dialect.read_report)(&body).map_err(|error| error.to_string())
 }
 
-/// Returns what an order without an answer may have come to.
+/// Returns the result of an order that got no answer.
 fn unanswered(error: &EngineError) -> OrderAnswer {
     match error.outcome() {
         Outcome::NotRun => OrderAnswer::NotSent,
