--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -1,4 +1,4 @@
-//! The instances that the placer hears of.
+//! The instances that report to the placer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 use chervilshunt_model::{InstanceId, Moment};
 use rand::seq::IteratorRandom as _;
 
-/// The silence after which an instance counts as gone, and its requests with it: several times
-/// the interval at which instances tell what they use.
+/// Time without a report after which an instance counts as gone, together with its requests:
+/// several times the reporting interval.
 const SILENCE: Duration = Duration::from_secs(3);
 
-/// What an instance tells of itself.
+/// What an instance reports about itself.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SignOfLife {
-    /// Where it takes messages.
+    /// Address for messages from peers.
     pub(super) address: SocketAddr,
-    /// Whether the platform answered its last call.
+    /// Whether the platform answered the instance's last call.
     pub(super) reaches_platform: bool,
     /// Its share of a processor core.
     pub(super) processor_share: f32,
 }
 
 impl SignOfLife {
-    /// Returns where to send messages to the instance that gave the sign.
+    /// Returns the given instance as a peer at the reported address.
     pub(super) fn peer(&self, instance: &InstanceId) -> Peer {
         Peer {
             instance: instance.clone(),
@@ -33,45 +33,45 @@
     }
 }
 
-/// The instances that the placer hears of.
+/// The instances that report to the placer.
 #[derive(Debug, Default)]
 pub(super) struct Presence {
     heard: HashMap<InstanceId, (SignOfLife, Moment)>,
 }
 
 impl Presence {
-    /// Takes note of a sign of life.
+    /// Records a report.
     pub(super) fn heard(&mut self, instance: &InstanceId, sign: SignOfLife, now: Moment) {
         self.heard.insert(instance.clone(), (sign, now));
     }
 
-    /// Forgets silent instances and returns them.
+    /// Removes instances that have not reported in time and returns them.
     pub(super) fn forget_silent(&mut self, now: Moment) -> Vec<InstanceId> {
         let silent = self.heard.extract_if(|_, (_, at)| now.since(*at) > SILENCE);
         silent.map(|(instance, _)| instance).collect()
     }
 
-    /// Returns all instances that are there.
+    /// Returns all known instances.
     pub(super) fn peers(&self) -> impl Iterator<Item = Peer> {
         self.heard
             .iter()
             .map(|(instance, (sign, _))| sign.peer(instance))
     }
 
-    /// Returns some of the instances that reach the platform.
+    /// Returns up to `most` random instances that reach the platform.
     pub(super) fn that_reach_platform(&self, most: usize) -> Vec<Peer> {
         let reaching = self.heard.iter().filter(|(_, (it, _))| it.reaches_platform);
         let peers = reaching.map(|(instance, (sign, _))| sign.peer(instance));
         peers.choose_multiple(&mut rand::rng(), most)
     }
 
-    /// Returns the largest share of a processor core that another instance has.
+    /// Returns the largest share of a processor core among the other instances.
     pub(super) fn largest_share(&self) -> f32 {
         let shares = self.heard.values().map(|(sign, _)| sign.processor_share);
         shares.fold(0.0, f32::max)
     }
 
-    /// Returns how many instances are there, the placer's own included.
+    /// Returns the number of instances, including the placer's own.
     pub(super) fn count(&self) -> u32 {
         u32::try_from(self.heard.len() + 1).unwrap_or(u32::MAX)
     }
