--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -1,8 +1,9 @@
-//! Reads of the platform's objects, by this instance itself or through another one.
+//! Reads of the platform's objects, made directly or through another instance.
 //!
-//! All other instances rely on what the placer sees of the platform. One that is cut off from it, or
-//! turned away by it, would leave each of them to look for itself, in hundreds of calls a second; so it
-//! has an instance that reaches the platform make its reads.
+//! All other instances rely on the placer's view of the platform. If a placer is cut off from the
+//! platform, or its calls are rejected, each of them would poll the platform itself, in hundreds of
+//! calls a second. To avoid this, the placer has an instance that reaches the platform make its
+//! reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,18 +20,20 @@
 use crate::shared::Shared;
 use crate::store::{StoreAnswer, call_once};
 
-/// How much later than asked for the answer to a waiting call may come.
+/// Time after its requested wait in which a call may still be answered before it times out.
 const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
-/// How much later than asked for an answer comes while all is well. Later, another instance is asked
-/// beside, while what the placer last told still counts.
+/// Time after its requested wait in which a call is normally answered. After that another instance
+/// is asked in parallel, while the placer's last report is still valid.
 const USUAL_GRACE: Duration = Duration::from_millis(200);
-/// The longest wait for changes through another instance: its own way may be lost meanwhile.
+/// Longest wait for changes in a read through another instance. It is short because this instance's
+/// own connection may have been lost meanwhile.
 const LONGEST_WAIT_THROUGH: Duration = Duration::from_millis(300);
-/// The time for another instance to make a read, beside the wait for changes.
+/// Timeout of a read through another instance, in addition to the wait for changes.
 const THROUGH: Duration = Duration::from_millis(350);
 
-/// How much later than one through another instance an own read counts still. It may have to open a
-/// connection first; dropped each time, it would never show that the way is open again.
+/// Time by which a direct read may finish after one through another instance and still be used. A
+/// direct read may have to open a connection first; if it were dropped each time, it would never
+/// show that the platform can be reached again.
 const OWN_LAG: Duration = Duration::from_millis(50);
 
 /// Makes the reads of all followers of an instance.
@@ -39,15 +42,15 @@
     dialect: StoreDialect,
     exchange: Arc<Exchange>,
     mesh: Mesh<PeerMessage>,
-    /// The instances that can help; none unless this one is the placer.
+    /// The instances that can make reads for this one; empty unless this instance is the placer.
     helpers: watch::Receiver<Vec<Peer>>,
-    /// Whether the last read had no answer in the usual time.
+    /// Whether the last read was not answered in the normal time.
     doubtful: watch::Sender<bool>,
     log: Logger,
 }
 
 impl Reader {
-    /// Makes a reader that is helped as `helpers` says.
+    /// Creates a reader that may use the instances in `helpers`.
     pub(crate) fn new(
         shared: &Shared,
         exchange: Arc<Exchange>,
@@ -84,9 +87,10 @@
         self.read_through(&helpers, read).await.ok_or(failed)
     }
 
-    /// Makes a read through another instance beside an own one that is overdue.
+    /// Makes a read through another instance while the overdue direct read continues.
     ///
-    /// The own one goes on, so that it shows when this instance reaches the platform again.
+    /// The direct read is not cancelled, so that it shows when this instance reaches the platform
+    /// again.
     async fn read_beside(
         &self,
         mut own: impl Future<Output = Result<StoreAnswer, PlatformError>> + Unpin,
@@ -120,8 +124,8 @@
         result
     }
 
-    /// Waits until a read has had the usual time for its answer, or one of another kind has shown that
-    /// answers may not come at all.
+    /// Waits until a read has had the normal time for its answer, or a read of another kind has
+    /// shown that answers may not arrive at all.
     async fn is_overdue(&self, read: &StoreRead) {
         let usual = tokio::time::sleep(read.wait() + USUAL_GRACE);
         let mut doubtful = self.doubtful.subscribe();
@@ -153,7 +157,7 @@
         None
     }
 
-    /// Takes note of whether reads are answered; a change of that gets a line in the log.
+    /// Records whether direct reads are answered, and logs a change.
     fn set_doubtful(&self, doubtful: bool) {
         let changed = self
             .doubtful
@@ -165,19 +169,19 @@
 }
 
 impl Control {
-    /// Returns what tells which instances may read for this one.
+    /// Returns a receiver of the instances that may make reads for this one.
     pub(crate) fn helpers(&self) -> watch::Receiver<Vec<Peer>> {
         self.helpers.subscribe()
     }
 
-    /// Chooses the instances that may read for this one, as long as it is the placer.
+    /// Chooses the instances that may make reads for this one while it is the placer.
     pub(super) fn choose_helpers(&self) {
         let placer = self.placer.as_ref();
         let helpers = placer.map(|it| it.presence.that_reach_platform(RELAYS));
         self.helpers.send_replace(helpers.unwrap_or_default());
     }
 
-    /// Makes a read for the placer.
+    /// Makes a read on behalf of the placer.
     pub(super) fn read_for(&self, read: StoreRead, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
@@ -218,7 +222,7 @@
     call_once(exchange, dialect, &call, read.wait() + grace).await
 }
 
-/// Says whether another instance may have an answer where this one has none.
+/// Returns whether another instance may get an answer although this one got none.
 const fn is_unreached(error: &PlatformError) -> bool {
     matches!(
         error,
