--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -1,4 +1,4 @@
-//! What is done when the platform's service comes back from an older copy.
+//! Handles a restore of the platform's object service from an older copy.
 //!
 //! See `docs/design/store-restored.md`.
 
@@ -13,15 +13,16 @@
 use crate::dialect::{Content, Entry};
 
 impl Control {
-    /// Returns what tells the service's newest era.
+    /// Returns the channel that carries the service's newest era.
     pub(crate) fn era(&self) -> watch::Sender<u64> {
         self.era.clone()
     }
 
-    /// Takes in the era of an answer of the service.
+    /// Handles the era of an answer of the service.
     ///
-    /// Entries of targets may be missing until they are written again, as after an outage. What was seen
-    /// leaving, the newest configuration and versions stay as they are known here.
+    /// After a restore, entries of targets may be missing until they are written again, as after an
+    /// outage. The newest known configuration and versions, and which targets are known to be
+    /// leaving, stay as they are.
     pub(super) fn note_era(&mut self, era: u64) {
         let known = self.known_era;
         if known.is_some_and(|known| era <= known) {
@@ -41,8 +42,8 @@
             "placing" => self.placer.is_some());
     }
 
-    /// Leaves out entries of targets that were gone and that a restore has brought back: their targets
-    /// write them again if they live.
+    /// Removes entries of targets that were gone and that a restore has brought back. If such a
+    /// target is alive, it writes its entry again.
     pub(super) fn without_revived(
         &mut self,
         entries: Vec<Entry>,
@@ -73,7 +74,7 @@
         entries.into_iter().filter(is_written_again).collect()
     }
 
-    /// Records crashes again that a restore has lost, if this instance is the placer.
+    /// Rewrites crash records that a restore has lost, if this instance is the placer.
     pub(super) fn record_lost_crashes(&self) {
         if self.placer.is_none() {
             return;
