--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -1,4 +1,4 @@
-//! What a placer knows, passed on to all instances when its lease ends.
+//! The placer's knowledge of targets, sent to all instances when its lease ends.
 
 use std::net::SocketAddr;
 
@@ -8,11 +8,13 @@
 use super::actor::{Control, Placer};
 use crate::peers::{PeerMessage, Snapshots};
 
-/// Instances to which a placer sends by itself, without one that passes on.
+/// Number of instances up to which the placer sends to each of them directly rather than through
+/// forwarding instances.
 const DIRECT: usize = 16;
 
 impl Control {
-    /// Tells all instances what a placer knew that places no longer, unless there is another by now.
+    /// Sends the knowledge of a placer whose lease has ended to all instances, unless there is
+    /// another placer by now.
     pub(super) fn tell_snapshots(&self, placer: &Placer) {
         let Some((holder, _)) = self.keeper.holder() else {
             return;
@@ -38,9 +40,9 @@
         }
     }
 
-    /// Takes in what a placer knew whose lease has ended, and passes it on.
+    /// Applies and forwards the knowledge of a placer whose lease has ended.
     pub(super) fn take_snapshots(&self, from: &InstanceId, snapshots: Snapshots) {
-        // From a placer that another has followed by now, or that is not known to be one yet.
+        // The sender has a successor by now, or is not known here as the placer yet.
         if self.keeper.term() != Some(snapshots.term) {
             return;
         }
@@ -69,8 +71,9 @@
     }
 }
 
-/// Divides instances into as many groups as each has members, each of which the first member passes on
-/// to. Those of one group have addresses close to each other, and so mostly share an availability zone.
+/// Divides instances into about as many groups as each group has members. The first member of a
+/// group forwards to the others. Members of one group have adjacent addresses and so mostly share
+/// an availability zone.
 fn groups(mut peers: Vec<Peer>) -> Vec<(Peer, Vec<Peer>)> {
     peers.sort_by_key(|it: &Peer| -> SocketAddr { it.address });
     let size = if peers.len() <= DIRECT {
--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -1,4 +1,4 @@
-//! By whom what a placer knew is passed on.
+//! Tests of the groups in which a placer's knowledge is forwarded.
 
 use std::collections::HashSet;
 
