--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! What the platform shows: configuration, targets, versions and the lease.
+//! Applies what the platform reports: configuration, targets, versions and the lease.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,17 +16,19 @@
 use crate::dialect::{Change, Content, Entry, Kind};
 use crate::peers::PeerMessage;
 
-/// How long a target whose entry has gone is used still, in calm times. Entries lapse when the
-/// platform's service was away too shortly for any call of this instance to notice, and are back
-/// soon; a target that leaves without a word serves on for seconds.
+/// Time for which a target whose entry has gone is still used while the platform has had no
+/// failures. Entries lapse during outages of the platform's service that are too short to be
+/// noticed by any call of this instance, and are back soon; a target that leaves without notice
+/// serves on for seconds.
 const CALM_GRACE: Duration = Duration::from_millis(600);
-/// The same after the platform's service was away, counted from the last failed call: the entries
-/// of live targets are back within two seconds.
+/// The same time after an outage of the platform's service, counted from the last failed call: the
+/// entries of live targets are back within two seconds.
 const TROUBLE_GRACE: Duration = Duration::from_millis(2_300);
-/// The share of the targets whose entries go at once that is taken for a lapse.
+/// Share of the targets whose entries disappear together from which this is taken for a lapse of
+/// entries.
 const LAPSE_SHARE: f64 = 0.34;
 
-/// Targets whose entries have gone, and for how long they are used still.
+/// Targets whose entries have gone, and until when they are still used.
 #[derive(Debug, Default)]
 pub(super) struct Absences {
     due: HashMap<TargetName, Moment>,
@@ -34,12 +36,12 @@
 }
 
 impl Absences {
-    /// Returns when the next one is to be forgotten.
+    /// Returns when the next target has to be removed.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         self.due.values().copied().min()
     }
 
-    /// Takes note that entries may have gone which are written again within moments.
+    /// Records an event after which entries may be missing that are written again soon.
     pub(super) fn note_trouble(&mut self, now: Moment) {
         self.last_trouble = Some(now);
     }
@@ -66,7 +68,7 @@
 }
 
 impl Control {
-    /// Takes in something that the platform shows.
+    /// Handles an event from the platform's object service.
     pub(super) fn take_store_event(&mut self, event: FromStore) {
         match event {
             FromStore::Listed(kind, entries, revision) => {
@@ -81,8 +83,8 @@
                 for change in changes.changes {
                     match change {
                         Change::Put(entry) => self.seen(*entry),
-                        // One that can't be read names no target any more, until the target
-                        // itself writes its entry again.
+                        // An entry that can't be decoded counts as removed until its target writes
+                        // it again.
                         Change::Removed(name) | Change::Unreadable(name) => {
                             removed.push(name);
                         }
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Takes note of a failed call, or of the first one after failures. Only those about targets say
-    /// when entries of targets may have lapsed.
+    /// Handles a failed call, or the first successful one after failures. Only calls about targets
+    /// show when entries of targets may have lapsed.
     fn note_trouble(&mut self, kind: Kind) {
         self.reaches_platform = false;
         self.feed.lost(kind);
@@ -120,13 +122,13 @@
                 let now = self.now();
                 self.absences.note_trouble(now);
             }
-            // While the platform is away nobody can become the placer.
+            // No instance can become the placer while the platform is unavailable.
             Kind::Lease => self.shared.set_placer_decided(),
             Kind::Configuration | Kind::Versions | Kind::Crashes => {}
         }
     }
 
-    /// Takes note that everything of a kind is known up to a revision.
+    /// Records that everything of a kind is known up to a revision.
     fn looked(&mut self, kind: Kind, revision: StoreRevision) {
         self.reaches_platform = true;
         let now = self.now();
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Puts a configuration into force unless a newer one is.
+    /// Applies a configuration unless the current one is at least as new.
     fn configuration_seen(&mut self, table: RouteTable, revision: StoreRevision) {
         let known = self.shared.routes.load_full();
         let known = known.map(|known| known.version);
@@ -196,7 +198,7 @@
         self.plan_limits(&table);
     }
 
-    /// Tells the planner what targets may hold.
+    /// Passes the limits of what targets may hold to the planner.
     pub(super) fn plan_limits(&mut self, table: &RouteTable) {
         for spec in table.services.values() {
             if let Some(limits) = &spec.placement {
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Takes in a target's entry as the platform lists it.
+    /// Applies a target's entry from the platform.
     fn target_listed(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
@@ -219,7 +221,7 @@
         });
     }
 
-    /// Takes in what the placer tells of a target's entry.
+    /// Applies a target's entry from the placer.
     pub(super) fn target_told(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
@@ -237,7 +239,8 @@
         let mut dispatch = self.shared.dispatch();
         let before = dispatch.target(&name).cloned();
         let change = take(&mut dispatch, facts);
-        // With what the target itself has said, which its entry may not have yet.
+        // These facts include what the target itself has reported, which its entry may not show
+        // yet.
         let facts = dispatch.target(&name).cloned();
         drop(dispatch);
         if let Some(facts) = facts.filter(|_| change != EntryChange::Outdated) {
@@ -257,8 +260,8 @@
         if was_absent || before.is_none_or(|before| before.concerns_all(&facts)) {
             self.feed.target_changed(&facts, revision);
         }
-        // Of the first list only its length is logged: line by line, thousands of targets are most of the
-        // work of an instance that starts.
+        // Of the first list only the length is logged: one line for each of thousands of targets
+        // would be most of the work of an instance that starts.
         let is_logged = before.is_some() || self.shared.are_targets_known();
         let was_leaving = before.map(|it| it.leaving.is_some());
         if is_logged && was_leaving != Some(facts.leaving.is_some()) {
@@ -279,13 +282,13 @@
         if change == EntryChange::Restarted {
             slog::info!(self.shared.log, "target started again";
                 "target" => facts.name.as_str(), "started" => facts.started.map(|it| it.0));
-            // A connection to the start before is of no use, and may never say so.
+            // A connection to the previous start is useless, and may never report an error.
             self.shared.engines.retain(|it| *it != facts.address);
         }
         self.plan(ResidencyEvent::TargetSeen(facts));
     }
 
-    /// Takes in that another instance, or a request of this one, was told by a target that it leaves.
+    /// Handles a report, by another instance or by a request of this one, that a target is leaving.
     pub(super) fn told_of_leaving(
         &mut self,
         target: &TargetName,
@@ -303,7 +306,8 @@
         let Some(placer) = &self.placer else {
             return;
         };
-        // Those that a request of this instance has learnt of are not new here any more.
+        // A leave that a request of this instance has discovered is recorded already, so it doesn't
+        // count as new.
         if is_new || from == self.me() {
             let peers: Vec<Peer> = placer.presence.peers().collect();
             for peer in peers.iter().filter(|it| it.instance != *from) {
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Takes in the newest version of some weights, unless a newer one is known.
+    /// Applies the newest version of some weights unless a newer one is known.
     pub(super) fn version_seen(&mut self, weights: Weights, version: u64, revision: StoreRevision) {
         let now = self.now();
         let known = self.versions.get(&weights).copied();
@@ -338,7 +342,7 @@
         self.plan(ResidencyEvent::VersionNamed(weights, version));
     }
 
-    /// Takes in that entries of targets have gone.
+    /// Handles the disappearance of targets' entries.
     pub(super) fn absent(&mut self, names: Vec<TargetName>, revision: StoreRevision) {
         if names.is_empty() {
             return;
@@ -357,7 +361,7 @@
         }
     }
 
-    /// Forgets targets that have been absent for long enough.
+    /// Removes targets whose grace period has ended.
     pub(super) fn forget_absent(&mut self, now: Moment) {
         let due = self.absences.take_due(now);
         if due.is_empty() {
