--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -1,4 +1,4 @@
-//! What this instance tells the placer, and how it takes in what the placer tells.
+//! Reports of this instance to the placer, and dispatch of messages from peers.
 
 use chervilshunt_coord::{ExclusiveLeaseEvent, HeldLease};
 use chervilshunt_core::ResidencyEvent;
@@ -11,7 +11,7 @@
 use crate::peers::{PeerMessage, PlatformView};
 
 impl Control {
-    /// Tells the placer what this instance has under way.
+    /// Reports this instance's open requests to the placer.
     pub(super) fn tell_use(&mut self) {
         let uses = self.shared.dispatch().tell_uses();
         let grants = self.shared.grants.open();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes in a message of another instance, or of this one's own traffic.
+    /// Handles a message from another instance, or from this instance's own traffic.
     pub(super) fn take_message(&mut self, message: InboundMessage<PeerMessage>) {
         let InboundMessage {
             from,
@@ -64,8 +64,9 @@
                 self.instance_uses(&from, sign, (uses, grants));
             }
             PeerMessage::Want(want, within) => {
-                // Where it waited here for longer than its request waits for it, the load would be made
-                // for nobody: a placer that falls behind would load ever more in vain, and answer none.
+                // If the message waited here longer than its request waits for an answer, the load
+                // would serve nobody. A placer that is behind would start ever more useless loads
+                // and answer no request.
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
                     return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
                 };
@@ -97,7 +98,7 @@
             PeerMessage::Changed(batch) if self.is_placer(&from) => self.take_changed(batch),
             PeerMessage::CallLease(call) => self.call_lease_for(call, reply),
             PeerMessage::ReadStore(read) => self.read_for(read, reply),
-            // From an instance that was the placer, or is not known to be yet.
+            // The sender is no longer the placer, or is not known as the placer yet.
             PeerMessage::Placing { .. }
             | PeerMessage::Changed(_)
             | PeerMessage::Placed(..)
@@ -106,11 +107,11 @@
         }
     }
 
-    /// Takes in that a connection broke: what the placer told meanwhile is lost.
+    /// Handles the loss of a connection; messages that the placer sent meanwhile are lost.
     pub(super) fn peer_lost(&mut self, peer: &InstanceId) {
         if self.placer.is_some() {
-            // Most likely it has ended, and its requests with it; one that lives tells what it has under
-            // way within half a second.
+            // The instance has most likely ended, and its requests with it. One that is alive
+            // reports its open requests again within half a second.
             self.plan(ResidencyEvent::InstanceGone(peer.clone()));
         }
         if self.is_placer(peer) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Takes in whether the placer places, and how many instances there are.
+    /// Applies whether the placer is placing, and the number of instances.
     pub(super) fn take_placing(&self, knows_targets: bool, instances: u32) {
         let now = self.now();
         self.shared.dispatch().placer_told(knows_targets, now);
@@ -129,7 +130,7 @@
         self.shared.set_instances(instances as usize);
     }
 
-    /// Takes in what the placer tells of its lease, and what it sees of the platform.
+    /// Applies the placer's report of its lease and its view of the platform.
     fn holder_told(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
