--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -1,4 +1,4 @@
-//! What this instance sees of requests that crash targets, and the records that it writes of them.
+//! Detects requests that crash targets, and writes the crash records.
 //!
 //! See `docs/design/quarantine.md`.
 
@@ -13,33 +13,35 @@
 use crate::shared::Shared;
 use crate::store::{StoreAnswer, call_once};
 
-/// Signs that may wait to be looked into; far more than requests are under way at one target.
+/// Capacity of the queue of signals; far more than the requests that are open at one target.
 const MOST_WAITING: usize = 1_024;
-/// How long a connection may take by which it is found out whether a target's process has ended.
+/// Timeout of the connection that checks whether a target's process has ended.
 const CHECK: Duration = Duration::from_millis(250);
-/// The time for one write of a record.
+/// Timeout of one write of a record.
 const WRITE: Duration = Duration::from_millis(500);
-/// The pause after a failed write, and how often a record is written at most: for about half a minute.
+/// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
+/// total.
 const PAUSE: Duration = Duration::from_secs(1);
 const MOST_WRITES: u32 = 30;
-/// The pause after which a record that another instance has written is known here.
+/// Delay after a conflict, by which a record written by another instance is known here.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(150);
 
-/// Something that traffic has seen of a request.
+/// An observation of traffic about a request.
 #[derive(Debug)]
 pub(crate) enum CrashSign {
-    /// A target's connection ended before it had begun to answer; it is called at the address.
+    /// A target's connection ended before the target had begun to answer; the address is the
+    /// target's.
     Broke(Crash, SocketAddr),
-    /// A target has begun to answer it.
+    /// A target has begun to answer the request.
     Served(Fingerprint),
 }
 
-/// Where traffic leaves the signs that it sees.
+/// The sending end of the queue of observations.
 #[derive(Clone, Debug)]
 pub(crate) struct CrashSigns(mpsc::Sender<CrashSign>);
 
 impl CrashSigns {
-    /// Returns both ends.
+    /// Creates the queue and returns both ends.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CrashSign>) {
         let (tx, rx) = mpsc::channel(MOST_WAITING);
         (Self(tx), rx)
@@ -47,7 +49,7 @@
 }
 
 impl Shared {
-    /// Leaves a sign to be looked into.
+    /// Queues an observation.
     pub(crate) fn note_crash_sign(&self, sign: CrashSign) {
         if let Err(error) = self.crash_signs.0.try_send(sign) {
             slog::warn!(self.log, "crash sign dropped"; "reason" => error.to_string());
@@ -55,7 +57,7 @@
     }
 }
 
-/// Looks into signs, for as long as the process runs.
+/// Processes observations for as long as the process runs.
 pub(crate) async fn record_crashes(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
@@ -75,7 +77,7 @@
     }
 }
 
-/// Records crashes again that the platform has lost.
+/// Writes a crash record again that the platform has lost.
 pub(crate) async fn record_again(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
@@ -90,9 +92,9 @@
 }
 
 impl Recorder {
-    /// Records a crash, if the target's process has ended.
+    /// Records a crash if the target's process has ended.
     ///
-    /// Connections also end without an answer where a target resets them, or the network does.
+    /// Connections also end without an answer if a target or the network resets them.
     async fn look_into(&self, crash: Crash, address: SocketAddr) {
         let client = self.shared.engines.client(address);
         if !client.is_refused(CHECK).await {
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Records all that is known of a request's crashes, together with what other instances record.
+    /// Writes everything that is known of a request's crashes, merged with the records of other
+    /// instances.
     async fn record(&self, fingerprint: Fingerprint) {
         let store = &self.shared.dialect.store;
         for _ in 0..MOST_WRITES {
@@ -124,7 +127,8 @@
             slog::info!(self.shared.log, "crashes not recorded";
                 "content" => fingerprint.to_string(), "reason" => error.to_string());
             let pause = match error {
-                // Another instance has recorded a crash; following the records shows it in a moment.
+                // Another instance has written the record; the follower of crash records reports
+                // its version shortly.
                 PlatformError::Conflict { .. }
                 | PlatformError::AlreadyExists { .. }
                 | PlatformError::NotFound { .. } => CONFLICT_PAUSE,
@@ -145,7 +149,8 @@
         }
     }
 
-    /// Releases a request that a target has begun to answer: it has not crashed that target.
+    /// Releases a request that a target has begun to answer, because it has not crashed that
+    /// target.
     async fn release(&self, fingerprint: Fingerprint) {
         if !self.shared.quarantine().release(fingerprint) {
             return;
@@ -156,7 +161,7 @@
     }
 }
 
-/// Removes the record of a request.
+/// Removes the crash record of a request.
 pub(crate) async fn remove(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
     let call = (shared.dialect.store.remove_crashes)(fingerprint);
     match call_once(exchange, &shared.dialect.store, &call, WRITE).await {
