--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How one platform speaks: its names, formats and calls as plain values and functions.
+//! Interface to one platform: its names, formats and calls as plain values and functions.
 //!
-//! Nothing in a dialect decides, waits or repeats; what a message holds is decoded once, into types
-//! whose fields say what they hold.
+//! A dialect makes no decisions, and never waits or retries. It decodes each message once, into
+//! types whose fields name their contents.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A message that can't be read.
+/// A message that can't be decoded.
 #[derive(Clone, Debug, Snafu)]
 #[snafu(display("{what}: {problem}"))]
 #[snafu(visibility(pub))]
 pub struct Malformed {
-    /// What was to be read.
+    /// What was decoded.
     pub what: Arc<str>,
     /// What is wrong with it.
     pub problem: String,
 }
 
-/// How one platform speaks.
+/// Interface to one platform.
 #[derive(Clone, Debug)]
 pub struct Dialect {
     /// Headers of requests and answers.
     pub headers: Headers,
-    /// The path at which the platform asks whether an instance takes callers.
+    /// Path of the platform's readiness probe.
     pub readiness_path: &'static str,
     /// The platform's object service.
     pub store: StoreDialect,
@@ -43,36 +43,36 @@
     pub targets: TargetDialect,
 }
 
-/// Headers by what they hold.
+/// Header names by their contents.
 #[derive(Clone, Debug)]
 pub struct Headers {
-    /// The id of one try of a caller, which a target repeats in its answer.
+    /// The id of one attempt by a caller; a target returns it in its answer.
     pub request_id: HeaderName,
-    /// How long the sender waits, in milliseconds.
+    /// The time that the sender waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// What a target signs its answers with.
+    /// The seal that a target puts on its answers.
     pub seal: HeaderName,
-    /// The target that a request is meant for; any other one refuses it.
+    /// The target that a request is meant for; any other target refuses it.
     pub expected_target: HeaderName,
     /// The target that answers.
     pub target: HeaderName,
     /// The load of the target that answers.
     pub load: HeaderName,
-    /// Says that the target that answers leaves.
+    /// Present if the target that answers is leaving.
     pub leaving: HeaderName,
-    /// Says that the target has not run the request.
+    /// Present if the target has not run the request.
     pub not_run: HeaderName,
-    /// The weights that a request wants.
+    /// The weights that a request needs.
     pub weights: HeaderName,
-    /// How many tokens a request reads and generates.
+    /// The number of tokens that a request reads and generates.
     pub size: HeaderName,
-    /// The urgency of a request among those at a target.
+    /// The priority of a request among those at a target.
     pub urgency: HeaderName,
-    /// The version that the weights have to have.
+    /// The version that the weights must have.
     pub expected_version: HeaderName,
-    /// The last event of a stream that its reader has.
+    /// The last event of a stream that the reader has received.
     pub last_event: HeaderName,
-    /// Headers that only this system may set: a caller's are dropped.
+    /// Headers that only this system may set; they are dropped from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
 
@@ -85,7 +85,7 @@
     Targets,
     /// The newest versions of weights.
     Versions,
-    /// Records of requests that crash targets.
+    /// Crash records: requests that crash targets.
     Crashes,
     /// The placer's lease.
     Lease,
@@ -101,7 +101,7 @@
         Self::Lease,
     ];
 
-    /// Returns the name in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -113,25 +113,25 @@
     }
 }
 
-/// How new a list has to be.
+/// How recent a list has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Freshness {
-    /// As new as the call.
+    /// As recent as the call.
     Latest,
-    /// It may be seconds old, where that is cheaper: the changes since then follow from its revision.
+    /// Possibly seconds old, where that is cheaper; later changes follow from the list's revision.
     MayBeOld,
 }
 
-/// What an object holds.
+/// The contents of an object.
 #[derive(Clone, Debug)]
 pub enum Content {
-    /// A configuration, whole.
+    /// A complete configuration.
     Configuration(RouteTable),
     /// A target.
     Target(TargetFacts),
     /// The newest version of some weights.
     Version(Weights, u64),
-    /// A record of a request that crashes targets.
+    /// A crash record of a request.
     Crashes(StoredCrashes),
     /// The placer's lease.
     Lease(VersionedLeaseRecord),
@@ -144,7 +144,7 @@
     pub name: Arc<str>,
     /// The service's revision at its last change.
     pub revision: StoreRevision,
-    /// What it holds.
+    /// Its contents.
     pub content: Content,
 }
 
@@ -153,9 +153,9 @@
 pub struct Page {
     /// The objects.
     pub entries: Vec<Entry>,
-    /// The objects that can't be read; the others are no worse for them.
+    /// The objects that can't be decoded; the others are not affected by them.
     pub malformed: Vec<Malformed>,
-    /// The name after which the next page begins; none if this is the last one.
+    /// The name after which the next page begins; `None` on the last page.
     pub next_after: Option<String>,
     /// The revision of the service that the page shows.
     pub revision: StoreRevision,
@@ -164,69 +164,69 @@
 /// One change of an object.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// It was made or replaced.
+    /// The object was created or replaced.
     Put(Box<Entry>),
     /// The object of this name was removed.
     Removed(Arc<str>),
-    /// The object of this name was replaced by one that can't be read.
+    /// The object of this name was replaced by one that can't be decoded.
     Unreadable(Arc<str>),
 }
 
-/// Changes of the objects of a kind, in their order.
+/// Changes of the objects of a kind, in order.
 #[derive(Clone, Debug)]
 pub struct Changes {
     /// The changes.
     pub changes: Vec<Change>,
-    /// The changes that can't be read.
+    /// The changes that can't be decoded.
     pub malformed: Vec<Malformed>,
-    /// The revision to go on from.
+    /// The revision from which to continue.
     pub revision: StoreRevision,
 }
 
-/// How the platform's object service is spoken to.
+/// Encodes calls to the platform's object service and decodes their answers.
 #[derive(Clone, Debug)]
 pub struct StoreDialect {
-    /// Makes the call for one page of a kind, after a name if one is given.
+    /// Makes the call for one page of a kind, starting after a name if one is given.
     pub list: fn(Kind, Option<&str>, Freshness) -> Call,
-    /// Makes the call that waits for changes after a revision, at most for a time.
+    /// Makes the call that waits for changes after a revision, for at most the given time.
     pub watch: fn(Kind, StoreRevision, Duration) -> Call,
-    /// Makes the call that writes the lease if it still has a version, or creates it.
+    /// Makes the call that writes the lease if it still has the given version, or creates it.
     pub write_lease: fn(&ExclusiveLeaseRecord, Option<StoreRevision>) -> Call,
     /// Makes the call that reads the lease, linearizably.
     pub read_lease: fn() -> Call,
-    /// Makes the call that writes a record of crashes if it still has its revision, or creates it.
+    /// Makes the call that writes a crash record if it still has its revision, or creates it.
     pub write_crashes: fn(&StoredCrashes) -> Call,
-    /// Makes the call that removes a record of crashes.
+    /// Makes the call that removes a crash record.
     pub remove_crashes: fn(Fingerprint) -> Call,
     /// Reads the era of the service from the headers of any of its answers.
     pub era: fn(&HeaderMap) -> u64,
-    /// Reads a page that was given in an era.
+    /// Decodes a page from an answer given in an era.
     pub read_page: fn(Kind, u64, &[u8]) -> Result<Page, Malformed>,
-    /// Reads changes that were told in an era.
+    /// Decodes changes from an answer given in an era.
     pub read_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
-    /// Reads the lease, as a read or write of it is answered.
+    /// Decodes the lease from the answer to a read or write of it.
     pub read_seen_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
-    /// Reads a record of crashes, as a write of it is answered.
+    /// Decodes a crash record from the answer to a write of it.
     pub read_written_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
-    /// Reads the name of a record of crashes.
+    /// Decodes the name of a crash record.
     pub read_crashes_name: fn(&str) -> Result<Fingerprint, Malformed>,
 }
 
-/// How targets are spoken to beside callers' requests.
+/// Encodes calls to targets other than callers' requests, and decodes what targets answer.
 #[derive(Clone, Debug)]
 pub struct TargetDialect {
-    /// Makes an order of a holder with its fencing token.
+    /// Makes the request for an order, with the lease holder and its fencing token.
     pub order: fn(&Order, &InstanceId, u64) -> Request<Full<Bytes>>,
-    /// Reads the answer to an order that was meant for a target.
+    /// Decodes the answer to an order that was meant for the given target.
     pub read_order_answer: fn(StatusCode, &HeaderMap, &TargetName) -> OrderAnswer,
-    /// Makes the question what a target holds.
+    /// Makes the request for a target's report of what it holds.
     pub ask: fn(&TargetName) -> Request<Full<Bytes>>,
-    /// Reads what a target holds.
+    /// Decodes a target's report of what it holds.
     pub read_report: fn(&[u8]) -> Result<TargetReport, Malformed>,
-    /// Reads the weights that a request names.
+    /// Decodes the weights that a request names.
     pub weights: fn(&str) -> Weights,
-    /// Reads how large a request is.
+    /// Decodes the size of a request.
     pub size: fn(&str) -> Option<RequestSize>,
-    /// Reads a target's load.
+    /// Decodes a target's load.
     pub load: fn(&str) -> Option<LoadReport>,
 }
