--- a/crates/chervilshunt_gateway/src/front.rs
+++ b/crates/chervilshunt_gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! The callers' port: HTTP/1.1 connections within their limits.
+//! The callers' port: HTTP/1.1 connections with their limits.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,14 +12,15 @@
 use crate::shared::Shared;
 use crate::traffic::serve;
 
-/// The pause after a connection could not be accepted, as when file descriptors have run out.
+/// Delay after a connection could not be accepted, for example because file descriptors are
+/// exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The time for a head, and between two requests, until a configuration tells it.
+/// Timeout of a request's head, and of an idle connection, until a configuration is known.
 const IDLE_UNTIL_TOLD: Duration = Duration::from_secs(15);
-/// What is added to the idle time that the configuration gives: a caller that uses a connection
-/// just within that time must not find it closed.
+/// Added to the configured idle time, so that a caller that uses a connection just within that time
+/// does not find it closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// The most that is read ahead, in bytes, until a configuration tells how long heads may be.
+/// Size of the read buffer, in bytes, until a configuration limits the length of heads.
 const MIN_BUFFER: usize = 16 * 1024;
 
 /// Serves callers until connections are to be closed.
@@ -56,19 +57,21 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle + IDLE_MARGIN)
-        // Queued for a vectored write, each small event would pin the buffer that it was read into.
+        // With vectored writes, each small queued event would keep alive the whole buffer it was
+        // read into.
         .writev(false)
         .max_buf_size(buffer)
         .serve_connection(TokioIo::new(stream), service);
     let ended = tokio::select! {
         ended = &mut connection => ended,
         () = shared.close_connections.cancelled() => {
-            // An idle one is closed now; one with a request under way when that is answered.
+            // Closes an idle connection now, and a busy one after the current request is answered.
             Pin::new(&mut connection).graceful_shutdown();
             (&mut connection).await
         }
     };
-    // A failed connection is the caller's affair: each of its requests has cleaned up by drop.
+    // A failed connection needs no handling here: each of its requests cleans up when it is
+    // dropped.
     if let Err(error) = ended {
         slog::debug!(shared.log, "connection failed"; "reason" => error.to_string());
     }
