--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -1,4 +1,4 @@
-//! The grants that this instance has from the placer, and what it tells of them.
+//! The grants that this instance has from the placer, and the reports of their progress.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,8 +10,8 @@
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
-/// How long progress is gathered before it is told: the place of an adapter is free that much later, a
-/// hundredth of the time of a load, and requests that end together are one message.
+/// Time for which progress is gathered into one message. It delays the release of an adapter's slot
+/// by one hundredth of the time of a load, and requests that end together share a message.
 const GATHER: Duration = Duration::from_millis(3);
 
 /// The grants of this instance.
@@ -37,7 +37,7 @@
         self.lock().open.iter().copied().collect()
     }
 
-    /// Counts a stream that has paused for longer than its caller wants.
+    /// Counts a stream whose pause was longer than its caller wants.
     pub(crate) fn note_pause(&self) {
         self.lock().progress.paused += 1;
         self.changed.notify_one();
@@ -48,7 +48,8 @@
     }
 }
 
-/// The placer's leave to send one request to a target; dropping it tells that the request has ended.
+/// The placer's permission to send one request to a target. Dropping it reports that the request
+/// has ended.
 #[derive(Debug)]
 pub(crate) struct Grant {
     shared: Arc<Shared>,
@@ -56,7 +57,7 @@
 }
 
 impl Grant {
-    /// Takes note of a grant.
+    /// Registers a grant.
     pub(crate) fn new(shared: &Arc<Shared>, number: GrantNumber) -> Self {
         shared.grants.lock().open.insert(number);
         Self {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Tells that the target has begun to answer.
+    /// Reports that the target has begun to answer.
     pub(crate) fn begun(&self) {
         let grants = &self.shared.grants;
         grants.lock().progress.begun.push(self.number);
@@ -84,13 +85,13 @@
     }
 }
 
-/// Tells the placer how far the instance has come with its grants, for as long as the process runs.
+/// Reports the progress of this instance's grants to the placer for as long as the process runs.
 pub(crate) async fn tell_progress(shared: Arc<Shared>) {
     loop {
         shared.grants.changed.notified().await;
         tokio::time::sleep(GATHER).await;
         let progress = shared.grants.take_progress();
-        // Without a placer nobody counts them; a new one is told of all that is under way.
+        // Without a placer the progress is not needed: a new placer receives all open requests.
         let Some(placer) = shared.placer.load_full().filter(|_| !progress.is_empty()) else {
             continue;
         };
