--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Targets whose answers say that they leave.
+//! Handles targets whose answers show that they are leaving.
 
 use chervilshunt_core::TargetStart;
 use chervilshunt_model::TargetName;
@@ -8,7 +8,7 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Takes in the head of an answer, which may say that its target leaves.
+    /// Handles the head of an answer, which may show that its target is leaving.
     pub(crate) fn note_leaving(
         &self,
         target: &TargetName,
@@ -24,7 +24,8 @@
         self.tell_placer_it_leaves(target, started);
     }
 
-    /// Tells the placer of a target that leaves: it would go on to choose it, and to load adapters there.
+    /// Reports a leaving target to the placer, which would otherwise continue to choose it and load
+    /// adapters on it.
     pub(crate) fn tell_placer_it_leaves(&self, target: &TargetName, started: Option<TargetStart>) {
         let Some(placer) = self.placer.load_full() else {
             return;
--- a/crates/chervilshunt_gateway/src/lib.rs
+++ b/crates/chervilshunt_gateway/src/lib.rs
@@ -1,9 +1,9 @@
 //! Serving on a platform that keeps configuration, targets and leases in its object service.
 //!
-//! Every instance is alike: it takes callers' requests, follows the platform, chooses targets by
-//! itself (`traffic`), and may be the one that gives orders to targets (`control`). What a platform
-//! calls things, and how it writes them, is told by a [`Dialect`]; nothing else here knows it. See
-//! `docs/design/on-the-platform.md`.
+//! All instances run the same code. An instance serves callers' requests, follows the platform and
+//! chooses targets on its own (`traffic`), and may hold the lease that lets it send orders to
+//! targets (`control`). The platform's names and formats are provided by a [`Dialect`]; no other
+//! part of this crate depends on them. See `docs/design/on-the-platform.md`.
 
 mod control;
 mod crashes;
