--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between instances: all of them go to the placer or come from it.
+//! Messages between instances. The placer is the sender or the receiver of all of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,86 +19,88 @@
 /// A message between instances.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// To the placer: where this instance takes messages, and what it has under way, whole.
+    /// To the placer: the sender's address and all of its open requests.
     #[serde(rename = "u")]
     Using {
-        /// Where the sender takes messages.
+        /// The sender's address for messages from peers.
         #[serde(rename = "a")]
         address: SocketAddr,
         /// Whether the platform answered the sender's last call.
         #[serde(rename = "r")]
         reaches_platform: bool,
-        /// The sender's share of a processor core; instances of before this field leave it out.
+        /// The sender's share of a processor core; instances older than this field omit it.
         #[serde(rename = "p", default)]
         processor_share: f32,
-        /// What it has under way.
+        /// The sender's open requests.
         #[serde(rename = "u")]
         uses: Vec<Use>,
-        /// The grants that are part of it.
+        /// The grants that these requests use.
         #[serde(rename = "g", default, skip_serializing_if = "Vec::is_empty")]
         grants: Vec<GrantNumber>,
     },
-    /// To the placer: a request needs a target, and waits for it for a time. Answered by `Placed`.
+    /// To the placer: a request needs a target and waits for it for the given time. Answered by
+    /// `Placed`.
     #[serde(rename = "w")]
     Want(Want, Duration),
-    /// From the placer: where the request may be sent, as a grant of that number.
+    /// From the placer: where the request may be sent, and the number of its grant.
     #[serde(rename = "p")]
     Placed(Placed, GrantNumber),
-    /// To the placer: how far the sender has come with its grants.
+    /// To the placer: the progress of the sender's grants.
     #[serde(rename = "g")]
     Progress(GrantProgress),
-    /// To the placer: a target said that it does not hold an adapter.
+    /// To the placer: a target reported that it does not hold an adapter.
     #[serde(rename = "n")]
     NotHeld(TargetName, Weights),
-    /// To the placer, and from it to all others: a target's answer said that it leaves.
+    /// To the placer, and from it to all others: a target's answer showed that it is leaving.
     #[serde(rename = "d")]
     Leaving(TargetName, Option<TargetStart>),
-    /// From a placer whose lease has ended, directly or passed on: what targets hold and do.
+    /// From a placer whose lease has ended, directly or forwarded: what targets hold and do.
     #[serde(rename = "h")]
     Snapshots(Snapshots),
-    /// From the placer, regularly: whether it places, and what it sees of the platform. Every instance
-    /// is told, so that it is short: what an instance needs only when there is no placer has no place here.
+    /// From the placer, at regular intervals: whether it is placing, and its view of the platform.
+    /// Every instance receives it, so it is short and omits what an instance needs only when there
+    /// is no placer.
     #[serde(rename = "l")]
     Placing {
-        /// Whether it knows what targets hold, and is to be asked.
+        /// Whether the placer knows what targets hold and answers placement requests.
         #[serde(rename = "k")]
         knows_targets: bool,
-        /// What it has learnt by trying, for the next placer.
+        /// Its load estimates, for the next placer.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
         learnt: Option<Learnt>,
-        /// Instances that the placer hears of.
+        /// Number of instances that report to the placer.
         #[serde(rename = "i")]
         instances: u32,
-        /// What it sees of the platform; none if it has not seen the targets' entries yet.
+        /// Its view of the platform; `None` until it has seen the targets' entries.
         #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
         platform: Option<PlatformView>,
-        /// Its lease; none if it does not hold it any more.
+        /// Its lease; `None` if it does not hold it any more.
         #[serde(rename = "h")]
         lease: Option<HeldLease>,
     },
-    /// From the placer: what has just changed at the platform.
+    /// From the placer: recent changes at the platform.
     #[serde(rename = "e")]
     Changed(ChangeBatch),
-    /// From the placer, which can't reach the platform: a call about its lease to make in its place.
+    /// From a placer that can't reach the platform: a call about its lease to make on its behalf.
     /// Answered by `LeaseCalled`.
     #[serde(rename = "c")]
     CallLease(LeaseCall),
-    /// To the placer: what came of that call.
+    /// To the placer: the result of that call.
     #[serde(rename = "C")]
     LeaseCalled(LeaseAnswer),
-    /// From the placer, which can't reach the platform: a read to make in its place. Answered by
+    /// From a placer that can't reach the platform: a read to make on its behalf. Answered by
     /// `StoreShows`.
     #[serde(rename = "s")]
     ReadStore(StoreRead),
-    /// To the placer: what the platform answered, as text, and in which era.
+    /// To the placer: the platform's answer as text, and its era.
     #[serde(rename = "S")]
     StoreShows(String, u64),
 }
 
 /// What a placer knew of all targets when its lease ended.
 ///
-/// It goes to a few instances, each of which passes it on to some others, so that nobody has to send it
-/// to all: for hundreds of instances it would take a small machine's link for seconds.
+/// It goes to a few instances, each of which forwards it to some others. Sent by one instance to
+/// hundreds of others, it would occupy a small machine's link for seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Snapshots {
     /// The term of the placer.
@@ -107,7 +109,7 @@
     /// The targets.
     #[serde(rename = "p")]
     pub(crate) targets: Vec<TargetSnapshot>,
-    /// The instances to which the receiver passes it on.
+    /// The instances to which the receiver forwards it.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) pass_on: Vec<(InstanceId, SocketAddr)>,
 }
@@ -115,9 +117,10 @@
 /// A read of objects.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum StoreRead {
-    /// One page of a kind, after a name if one is given.
+    /// One page of a kind, starting after a name if one is given.
     List(Kind, Option<String>, Freshness),
-    /// The changes of a kind after a revision; they are waited for at most for a time.
+    /// The changes of a kind after a revision; the platform waits for them at most for the given
+    /// time.
     Watch(Kind, StoreRevision, Duration),
 }
 
@@ -130,14 +133,14 @@
         }
     }
 
-    /// Returns what it is about.
+    /// Returns the kind that is read.
     pub(crate) const fn kind(&self) -> Kind {
         match self {
             Self::List(kind, ..) | Self::Watch(kind, ..) => *kind,
         }
     }
 
-    /// Returns the same read with a bound on its wait.
+    /// Returns the same read with an upper bound on its wait.
     pub(crate) fn waiting_at_most(&self, longest: Duration) -> Self {
         match self {
             Self::List(kind, after, freshness) => Self::List(*kind, after.clone(), *freshness),
@@ -149,26 +152,26 @@
 /// A call about the lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseCall {
-    /// Writes the record if the object still has a version, or creates it.
+    /// Writes the record if the object still has the given version, or creates it.
     Write(ExclusiveLeaseRecord, Option<StoreRevision>),
     /// Reads the record, linearizably.
     Read,
 }
 
-/// What came of a call about the lease.
+/// The result of a call about the lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LeaseAnswer {
     /// A write has ended.
     Written(LeaseWriteOutcome),
-    /// A read has ended; none if there is no object.
+    /// A read has ended; `None` if there is no object.
     Read(Option<VersionedLeaseRecord>),
     /// A read has failed.
     ReadFailed,
 }
 
 impl LeaseAnswer {
-    /// Says whether somebody else may get further with the call: a write is carried out at one
-    /// version of the object only, so that the same write by two does no harm.
+    /// Returns whether another instance may succeed with the same call. A write applies to one
+    /// version of the object only, so it is harmless if two instances make it.
     pub(crate) const fn is_failure(&self) -> bool {
         matches!(
             self,
@@ -178,27 +181,27 @@
     }
 }
 
-/// Up to which of the service's revisions everybody has to know each kind of objects.
+/// The revisions up to which every instance has to know each kind of objects.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct PlatformView {
     /// How long ago the placer saw that nothing has changed since.
     #[serde(rename = "a")]
     pub(crate) age: Duration,
-    /// The last change of a target's entry that concerns every instance.
+    /// The last change of a target's entry that affects every instance.
     #[serde(rename = "t")]
     pub(crate) targets: StoreRevision,
-    /// The last change of the configuration; none if the placer can't follow it now.
+    /// The last change of the configuration; `None` if the placer can't follow it now.
     #[serde(rename = "c")]
     pub(crate) configuration: Option<StoreRevision>,
-    /// The last naming of a version; none if the placer can't follow them now.
+    /// The last announcement of a version; `None` if the placer can't follow them now.
     #[serde(rename = "v")]
     pub(crate) versions: Option<StoreRevision>,
-    /// The last change of a record of crashes; none if the placer can't follow them now.
+    /// The last change of a crash record; `None` if the placer can't follow them now.
     #[serde(rename = "q", default)]
     pub(crate) crashes: Option<StoreRevision>,
 }
 
-/// Changes of one kind of objects, told so that instances need not look for themselves.
+/// Changes of one kind of objects, sent so that instances need not poll for them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ChangeBatch {
     /// The revision of the last change before these.
@@ -207,25 +210,25 @@
     /// The revision of the last of these.
     #[serde(rename = "u")]
     pub(crate) up_to: StoreRevision,
-    /// What has changed.
+    /// The changes.
     #[serde(rename = "w")]
     pub(crate) what: KindChanges,
 }
 
-/// What has changed.
+/// Changes of one kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum KindChanges {
-    /// Targets' entries: those that every instance has to know, and those that are gone.
+    /// Targets' entries: those with changes that affect every instance, and those that are gone.
     #[serde(rename = "t")]
     Targets(Vec<TargetFacts>, Vec<TargetName>),
     /// The newest versions of weights.
     #[serde(rename = "v")]
     Versions(Vec<(Weights, u64)>),
-    /// The configuration, which instances read themselves: it may be far longer than what one instance
-    /// can send to all others in time.
+    /// The configuration. Instances read it themselves, because it may be far longer than what one
+    /// instance can send to all others in time.
     #[serde(rename = "c")]
     Configuration,
-    /// Records of requests that crash targets: those that were written, and those that are gone.
+    /// Crash records: those that were written, and those that are gone.
     #[serde(rename = "q")]
     Crashes(Vec<StoredCrashes>, Vec<Fingerprint>),
 }
