--- a/crates/chervilshunt_gateway/src/ports.rs
+++ b/crates/chervilshunt_gateway/src/ports.rs
@@ -1,4 +1,4 @@
-//! The ports for the platform's question whether the instance is ready, and for metrics.
+//! The ports for the platform's readiness probe and for metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 
 use crate::shared::Shared;
 
-/// The time for a request's head.
+/// Timeout of a request's head.
 const HEAD_TIME: Duration = Duration::from_secs(10);
-/// The pause after a connection could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers the question whether callers should be sent here.
+/// Answers the readiness probe.
 pub(crate) async fn serve_readiness(listener: TcpListener, shared: Arc<Shared>) {
     serve_port(listener, move |path| {
         if path != shared.dialect.readiness_path {
@@ -66,7 +66,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIME)
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever asks sees a failed connection itself, and asks again.
+            // The client sees a failed connection itself and tries again.
             drop(connection.await);
         });
     }
--- a/crates/chervilshunt_gateway/src/store.rs
+++ b/crates/chervilshunt_gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's service, whose answers tell in which era they were given.
+//! Calls to the platform's object service. Each answer carries the era in which it was given.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 
 use crate::dialect::StoreDialect;
 
-/// An answer of the platform's service.
+/// An answer of the platform's object service.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreAnswer {
-    /// The era in which it was given; an answer that was held up may be of an earlier one than another.
+    /// The era in which it was given; a delayed answer may be from an earlier era than other
+    /// answers.
     pub(crate) era: u64,
     pub(crate) body: Bytes,
 }
 
-/// Makes one try of a call, within a time.
+/// Makes one attempt of a call, with a timeout.
 pub(crate) async fn call_once(
     exchange: &Exchange,
     dialect: &StoreDialect,
