--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting an instance: ports, threads, the control actor, and their end.
+//! Startup and shutdown of an instance: ports, threads and the control actor.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -23,19 +23,19 @@
 use crate::settings::{LogLevel, Settings};
 use crate::shared::Shared;
 
-/// Messages that may wait for the control actor before senders wait too.
+/// Capacity of the control actor's mailbox; senders wait while it is full.
 const CONTROL_MAILBOX: usize = 4_096;
-/// How long an instance that stops still takes requests: the platform asks each second and takes it
-/// out of rotation after two answers that it is not ready. A request that it takes later may not
-/// end before the process does.
+/// Time for which an instance that shuts down still accepts requests. The platform probes readiness
+/// every second and takes an instance out of rotation after two negative answers. A request that is
+/// accepted later may not end before the process does.
 const STILL_TAKES_REQUESTS: Duration = Duration::from_millis(2_700);
-/// What is kept of the time for the shutdown, for the process to end by itself.
+/// Part of the shutdown time that is reserved for the process to exit by itself.
 const END_MARGIN: Duration = Duration::from_millis(400);
-/// How often the shutdown looks whether requests are under way.
+/// Interval at which the shutdown checks for open requests.
 const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Calls a second of one instance to the platform's service, and those that may come at once: far
-/// above what following takes, and low enough that a fault of this program can't use up the
-/// service's rate for all.
+/// Limit on one instance's calls per second to the platform's object service, and on bursts. It is
+/// far above what following needs, and low enough that a fault in this program can't exhaust the
+/// service's rate limit for everyone.
 const CALLS: RateLimit = RateLimit {
     per_second: 20.0,
     burst: 40.0,
@@ -46,10 +46,9 @@
     0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0,
 ];
 
-/// Runs an instance until it has been told to stop and has done so.
+/// Runs an instance until a signal stops it and the shutdown is complete.
 ///
-/// # Errors
-/// Fails if a port or thread can't be had.
+/// # Errors Fails if a port can't be bound or a thread can't be started.
 pub fn run(settings: Settings, settings_file: PathBuf, dialect: Dialect) -> Result<(), StartError> {
     let instance = &settings.instance;
     let level = slog_level(settings.log_level);
@@ -112,7 +111,7 @@
     Ok(())
 }
 
-/// Shuts down: callers are sent elsewhere, and open requests are served to their end.
+/// Shuts down: the platform sends callers elsewhere, and open requests are served to their end.
 async fn stop(shared: &Arc<Shared>, control: &Address<Control>, bound: Duration) {
     let began = tokio::time::Instant::now();
     slog::info!(shared.log, "stopping"; "bound_s" => bound.as_secs_f64());
@@ -134,7 +133,7 @@
     }
 }
 
-/// The signals that an instance acts on.
+/// The signals that an instance handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -151,7 +150,7 @@
         })
     }
 
-    /// Waits for the signal to stop; others are acted on meanwhile.
+    /// Waits for a signal to stop, and handles other signals in the meantime.
     async fn until_stop(&mut self, control: &Address<Control>) {
         loop {
             tokio::select! {
@@ -180,7 +179,7 @@
     }
 }
 
-/// Starts the control thread with its actor and all that follows the platform.
+/// Starts the control thread with its actor and the followers of the platform.
 fn start_control(
     shared: &Arc<Shared>,
     exchange: Arc<Exchange>,
