--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What control and traffic threads share.
+//! State that control and traffic threads share.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -20,20 +20,22 @@
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
 
-/// How long readiness waits for a first placer: instances spread their writes over 0.4 s, those on
-/// small machines leave the lease to others for up to 1 s more, and the targets are asked after 0.45 s.
+/// Time for which readiness waits for a first placer. Instances spread their writes over 0.4 s,
+/// those on small machines leave the lease to others for up to 1 s more, and targets are queried
+/// after 0.45 s.
 const FIRST_PLACER_WAIT: Duration = Duration::from_secs(2);
-/// The same where somebody holds the lease or has held it: one that lives answers the first telling, and
-/// one that doesn't is followed after more time than an instance should be out of rotation.
+/// The same if the lease is or was held. A placer that is alive answers the first report, and
+/// replacing one that is not takes longer than an instance should be out of rotation.
 const KNOWN_PLACER_WAIT: Duration = Duration::from_millis(900);
-/// Instances that are taken to share the retry budget until the placer tells how many there are.
+/// Number of instances assumed to share the retry budget until the placer reports how many there
+/// are.
 const INSTANCES_UNTIL_TOLD: usize = 16;
 
-/// What control and traffic threads share.
+/// State that control and traffic threads share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    /// Where the settings were read from.
+    /// The file from which the settings were read.
     pub(crate) settings_file: PathBuf,
     pub(crate) dialect: Dialect,
     pub(crate) clock: Clock,
@@ -42,11 +44,11 @@
     pub(crate) engines: Engines,
     pub(crate) grants: GrantBook,
     pub(crate) crash_signs: CrashSigns,
-    /// The configuration in force here; none until one has been read.
+    /// The current configuration; empty until one has been read.
     pub(crate) routes: ArcSwapOption<RouteTable>,
-    /// The placer, as far as it is known.
+    /// The placer, if it is known.
     pub(crate) placer: ArcSwapOption<Peer>,
-    /// Notifies requests in flight that a new version of some weights has been named.
+    /// Notifies requests in flight that a new version of some weights has been announced.
     pub(crate) version_named: watch::Sender<()>,
     dispatch: Mutex<Dispatch>,
     budgets: Mutex<ServiceBudgets>,
@@ -56,24 +58,25 @@
     placer_back: AtomicU64,
     /// When the targets were first listed, in microseconds of the clock; zero until then.
     targets_known_at: AtomicU64,
-    /// Whether a placer has told what it knows, or the platform can't tell of one.
+    /// Whether a placer has reported that it knows what targets hold, or the platform can't be
+    /// asked for one.
     placer_decided: AtomicBool,
-    /// Whether the lease has ever been held, as far as is known.
+    /// Whether the lease is known to be held or to have been held.
     lease_was_held: AtomicBool,
-    /// Whether callers have been sent here.
+    /// Whether the instance has been ready before.
     was_ready: AtomicBool,
     stopping: AtomicBool,
-    /// Ends connections once their request under way, if there is one, has been answered.
+    /// Closes connections, each after its current request, if any, has been answered.
     pub(crate) close_connections: CancellationToken,
     open_requests: AtomicUsize,
 }
 
-/// A caller's request that is open, from its head to the last byte of its answer.
+/// An open request of a caller, from its head to the last byte of its answer.
 #[derive(Debug)]
 pub(crate) struct OpenRequest(Arc<Shared>);
 
 impl OpenRequest {
-    /// Counts a request.
+    /// Counts a request as open.
     pub(crate) fn begin(shared: &Arc<Shared>) -> Self {
         shared.open_requests.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(shared))
@@ -87,7 +90,7 @@
 }
 
 impl Shared {
-    /// Puts the parts together.
+    /// Creates the shared state.
     pub(crate) fn new(
         settings: Settings,
         settings_file: PathBuf,
@@ -134,7 +137,7 @@
         self.dispatch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks the budgets of repeated sendings.
+    /// Locks the retry budgets.
     pub(crate) fn budgets(&self) -> MutexGuard<'_, ServiceBudgets> {
         self.budgets.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -151,18 +154,18 @@
         self.instances.load(Ordering::Relaxed)
     }
 
-    /// Takes in how many instances there are.
+    /// Sets the number of instances, which is at least 1.
     pub(crate) fn set_instances(&self, instances: usize) {
         self.instances.store(instances.max(1), Ordering::Relaxed);
     }
 
-    /// Returns when there will be a placer again; none while there is one.
+    /// Returns when there will be a placer again; `None` while there is one.
     pub(crate) fn placer_back(&self) -> Option<Moment> {
         let micros = self.placer_back.load(Ordering::Relaxed);
         (micros > 0).then(|| Moment::from_micros(micros))
     }
 
-    /// Takes in when there will be a placer again.
+    /// Sets when there will be a placer again.
     pub(crate) fn set_placer_back(&self, at: Option<Moment>) {
         let micros = at.map_or(0, Moment::as_micros);
         self.placer_back.store(micros, Ordering::Relaxed);
@@ -173,7 +176,7 @@
         self.open_requests.load(Ordering::Relaxed)
     }
 
-    /// Takes note that the targets have been listed.
+    /// Records that the targets have been listed; the first time is logged.
     pub(crate) fn set_targets_known(&self, count: usize) {
         let now = self.clock.now().as_micros().max(1);
         let first =
@@ -184,36 +187,38 @@
         }
     }
 
-    /// Says whether the targets have been listed.
+    /// Returns whether the targets have been listed.
     pub(crate) fn are_targets_known(&self) -> bool {
         self.targets_known_at.load(Ordering::Acquire) > 0
     }
 
-    /// Takes note that a placer has told what it knows, or that none can be expected to come soon.
+    /// Records that a placer has reported that it knows what targets hold, or that none can be
+    /// expected soon.
     pub(crate) fn set_placer_decided(&self) {
         self.placer_decided.store(true, Ordering::Release);
     }
 
-    /// Takes note that the lease is or was held.
+    /// Records that the lease is or was held.
     pub(crate) fn set_lease_was_held(&self) {
         self.lease_was_held.store(true, Ordering::Release);
     }
 
-    /// Begins the shutdown.
+    /// Starts the shutdown.
     pub(crate) fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Says whether the instance is shutting down.
+    /// Returns whether the instance is shutting down.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Says whether callers should be sent here.
+    /// Returns whether callers should be sent here.
     ///
-    /// A new deployment has no placer until the first lease has been written and the targets have been
-    /// asked, and every request for an adapter that no target holds is refused until then. So an instance
-    /// waits for a placer, but not for long, and not if the platform can't tell of one.
+    /// A new deployment has no placer until the first lease has been written and the targets have
+    /// been queried, and until then every request for an adapter that no target holds is refused.
+    /// So an instance waits for a placer for a short time, but not if the platform can't be asked
+    /// for one.
     pub(crate) fn is_ready(&self) -> bool {
         let known_at = self.targets_known_at.load(Ordering::Acquire);
         let targets_known = known_at > 0;
