--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an instance: JSON with comments, resolved in one step from raw to checked.
+//! Settings of an instance: JSON with comments, decoded and then checked in one step.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Why settings can't be used.
+/// Errors in settings.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -17,15 +17,15 @@
     Read {
         /// The file.
         file: String,
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// The text is no JSON with comments, or holds keys or values that don't belong there.
+    /// The text is not JSON with comments, or has unknown keys or invalid values.
     #[snafu(display("{file}: {problem}"))]
     Parse {
         /// The file.
         file: String,
-        /// What is wrong, with line and column.
+        /// The problem, with line and column where they are known.
         problem: String,
     },
     /// A key is missing.
@@ -36,58 +36,58 @@
         /// The key.
         key: &'static str,
     },
-    /// A value lies outside its bounds.
+    /// A value is out of bounds.
     #[snafu(display("{file}: {key} has to {must}"))]
     OutOfBounds {
         /// The file.
         file: String,
         /// The key.
         key: &'static str,
-        /// What is asked of it.
+        /// The condition that the value has to meet.
         must: &'static str,
     },
 }
 
-/// Everything that an instance learns from its settings.
+/// The settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who the instance is and where it stands.
+    /// Identity and location of the instance.
     pub instance: InstanceSettings,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addresses: Addresses,
     /// How it reaches the platform's object service.
     pub platform: PlatformSettings,
-    /// The bounds that the operators set.
+    /// The limits that the operators set.
     pub bounds: Bounds,
-    /// The least level of a line that is logged.
+    /// The lowest level of lines that are logged.
     pub log_level: LogLevel,
 }
 
-/// Who an instance is and where it stands.
+/// Identity and location of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceSettings {
-    /// Its name, unlike that of any other.
+    /// Its name, which is unique.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// The share of a processor core that it has; more than 1 where it has several.
+    /// Its share of a processor core; more than 1 if it has several cores.
     pub processor_share: f64,
     /// Whether the whole deployment starts for the first time.
     pub is_first_start: bool,
 }
 
-/// Where an instance listens.
+/// The addresses on which an instance listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the platform's question whether callers may be sent here.
+    /// For the platform's readiness probe.
     pub readiness: SocketAddr,
     /// For other instances.
     pub peers: SocketAddr,
-    /// For those who read the metrics.
+    /// For metrics.
     pub metrics: SocketAddr,
 }
 
@@ -98,29 +98,29 @@
     pub address: SocketAddr,
 }
 
-/// The bounds that the operators set.
+/// The limits that the operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// How long a shutdown may take before the process is killed.
     pub shutdown: Duration,
-    /// How long nobody may give orders between two holders of the placer's lease.
+    /// Time between two holders of the placer's lease in which no instance may send orders.
     pub lease_rest: Duration,
-    /// The budget of repeated sendings.
+    /// The retry budget.
     pub retries: WindowBudgetConfig,
 }
 
-/// The least level of a line that is logged.
+/// The lowest level of lines that are logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
     /// Failures of the instance itself.
     Error,
-    /// What an operator should look at.
+    /// Conditions that an operator should look at.
     Warning,
-    /// Decisions on requests, and changes of what the instance believes.
+    /// Decisions on requests, and changes of what the instance knows.
     #[default]
     Info,
-    /// Details of single exchanges.
+    /// Details of single calls and messages.
     Debug,
 }
 
@@ -175,30 +175,28 @@
     level: LogLevel,
 }
 
-/// The share of a core that an instance has if the settings give none.
+/// Default share of a processor core.
 const WHOLE_CORE: f64 = 1.0;
-/// The shutdown's bound if the settings give none.
+/// Default limit of the shutdown.
 const SHUTDOWN: Duration = Duration::from_secs(8);
-/// The rest between two placers if the settings give none, and what is added to a given one: an
-/// order may be on its way for as long.
+/// Default time between two placers. [`ORDER_ON_ITS_WAY`] is added to this or to the configured
+/// time, because an order may take that long to arrive.
 const LEASE_REST: Duration = Duration::from_secs(3);
 const ORDER_ON_ITS_WAY: Duration = Duration::from_millis(300);
 
 impl Settings {
     /// Reads and checks the settings file at `path`.
     ///
-    /// # Errors
-    /// Fails if the file can't be read, or says what is wrong with it.
+    /// # Errors Fails if the file can't be read or its settings are invalid.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).context(ReadSnafu { file: &file })?;
         Self::parse(&text, &file)
     }
 
-    /// Checks the text of a settings file; `file` is the name that errors give.
+    /// Checks the text of a settings file; `file` is the name used in errors.
     ///
-    /// # Errors
-    /// Says what is wrong with the text.
+    /// # Errors Fails if the text can't be decoded or a setting is missing or invalid.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsError> {
         let parsed =
             jsonc_parser::parse_to_serde_value(text, &jsonc_parser::ParseOptions::default());
--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of an instance: what is taken, and what an operator is told of a mistake.
+//! Tests of an instance's settings: accepted values and the errors that an operator sees.
 
 use chervilshunt_gateway::Settings;
 use rstest::rstest;
 
-/// Returns settings with more keys of the instance and of the bounds.
+/// Returns settings with additional keys of the instance and of the bounds.
 fn text(instance: &str, bounds: &str) -> String {
     format!(
         r#"{{
@@ -38,7 +38,7 @@
     assert_eq!(settings.bounds.lease_rest.as_millis(), 1_300);
 }
 
-/// A machine with several cores must not keep an instance from starting.
+/// An instance on a machine with several cores has to start.
 #[test]
 fn an_instance_may_have_more_than_a_core() {
     let settings = Settings::parse(&text(r#", "processor_share": 2.0"#, ""), "settings.jsonc");
