--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! A request's sendings: to one target after the other, as long as that can do no harm.
+//! Attempts of a request: it is sent to one target after another as long as that is safe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,45 +23,46 @@
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
-/// The time for a connection. Targets are a millisecond or two away; a packet that was lost is
-/// sent again only after a second.
+/// Timeout of a connection to a target. Targets are 1 ms to 2 ms away, and a lost packet is
+/// retransmitted only after a second.
 const CONNECT: Duration = Duration::from_millis(400);
-/// Sendings of one request, including those that a target rejects but not refused connections.
+/// Maximum number of attempts of one request. Attempts that a target rejects count, refused
+/// connections do not.
 const MAX_SENDINGS: u32 = 4;
-/// What is taken off the time that a target is given, for the way back.
+/// Subtracted from the deadline that a target is given, for the way back.
 const WAY_BACK: Duration = Duration::from_millis(20);
-/// How long a request that may run twice waits for the head of an answer, as a multiple of its
-/// objective, before another target is tried.
+/// Time that a request which may be repeated waits for the head of an answer before another target
+/// is tried, as a multiple of its latency objective.
 const HEAD_PATIENCE: f64 = 2.5;
-/// When a caller should come back whose request was refused by targets.
+/// Delay after which a caller should retry when targets refused its request.
 const REFUSED_RETRY: Duration = Duration::from_millis(600);
 
-/// A request on its way through its sendings.
+/// The attempts of one request.
 pub(crate) struct Run<'a> {
     pub(crate) shared: &'a Arc<Shared>,
     pub(crate) req: &'a CallerRequest,
     /// Targets that are not tried again.
     pub(crate) avoid: Vec<TargetName>,
-    /// The last event of the stream that the caller has, where the stream is resumed.
+    /// The last event that the caller has received, if the stream is being resumed.
     pub(crate) last_event: Option<Arc<str>>,
     sendings: u32,
     runs: u32,
 }
 
-/// A request under way at a target; dropping it ends that.
+/// A request in progress at a target. Dropping it ends it in the target's accounting.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) target: TargetName,
     address: SocketAddr,
-    /// When the target started that it was sent to.
+    /// The start of the target to which it was sent.
     started: Option<TargetStart>,
     weights: Option<Weights>,
-    /// The version that the target was asked for, or else the one that it was known to hold; none if
-    /// neither is known.
+    /// The version that the target was asked for, or else the one that it was known to hold; `None`
+    /// if neither is known.
     version: Option<u64>,
     sent_at: Moment,
-    /// The prompt tokens that the target has not read yet, as far as is known.
+    /// The prompt tokens that the target still has to read, as far as is known.
     reading: u32,
     has_begun: bool,
     grant: Option<Grant>,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes note that the target has begun to answer, and so has read the prompt.
+    /// Records that the target has begun to answer, and so has read the prompt.
     pub(crate) fn begins(&mut self, req: &CallerRequest) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
@@ -106,9 +107,9 @@
 }
 
 impl InFlight {
-    /// Takes note that the target's connection has ended: if it had not begun to answer, it may have
-    /// crashed under the request. An engine writes the head of an answer when it begins to run the
-    /// request; a request without a head has most likely waited there.
+    /// Handles the end of the target's connection. If the target had not begun to answer, it may
+    /// have crashed because of the request. An engine writes the head of an answer when it starts
+    /// to run the request, so a request without a head was most likely still queued.
     pub(crate) fn broke(&self, req: &CallerRequest, head_came: bool) {
         if self.has_begun {
             return;
@@ -122,7 +123,7 @@
         self.shared.note_crash_sign(sign);
     }
 
-    /// Has a request that targets crashed under released, as this one has begun to answer it.
+    /// Has the quarantine of a request released, because this target has begun to answer it.
     fn clear(&self, req: &CallerRequest) {
         let fingerprint = req.fingerprint();
         if self.shared.quarantine().record_served(fingerprint) {
@@ -149,7 +150,7 @@
         self.sent_at
     }
 
-    /// Says whether the target has begun to answer.
+    /// Returns whether the target has begun to answer.
     pub(crate) const fn has_begun(&self) -> bool {
         self.has_begun
     }
@@ -171,17 +172,17 @@
     pub(crate) in_flight: InFlight,
 }
 
-/// What came of one sending.
+/// The result of one attempt.
 pub(super) enum Sent {
     Answered(Box<Answered>),
-    /// It has not run. Another target may be tried.
+    /// The request has not run. Another target may be tried.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(Reason),
 }
 
 impl<'a> Run<'a> {
-    /// Begins the first run of a request.
+    /// Starts the attempts of a new request.
     pub(crate) fn new(shared: &'a Arc<Shared>, req: &'a CallerRequest) -> Self {
         Self {
             shared,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Goes on with a stream that broke off at a target.
+    /// Continues with a stream that broke off at a target.
     pub(crate) fn resumed(
         shared: &'a Arc<Shared>,
         req: &'a CallerRequest,
@@ -266,7 +267,7 @@
         Err(self.truly(refusal))
     }
 
-    /// Turns a refusal that says "not run" into one that doesn't, if the request may have run.
+    /// Replaces a refusal whose status says "not run" if the request may have run.
     fn truly(&self, refusal: Refusal) -> Refusal {
         if self.runs == 0 {
             return refusal;
@@ -274,7 +275,7 @@
         Refusal::new(Reason::AnswerLost)
     }
 
-    /// Says whether the request may be sent once more, and counts it if so.
+    /// Returns whether the request may be sent once more, and counts the attempt if so.
     fn may_send(&mut self) -> bool {
         if self.sendings == 0 {
             self.sendings = 1;
@@ -306,7 +307,8 @@
             idle: left,
         };
         let req = self.outgoing(chosen, left);
-        // From here on it may run: a refusal that comes while it is under way must not deny that.
+        // From here on the request may run; a refusal while it is in progress must not claim
+        // otherwise.
         self.runs += 1;
         let forwarded = tokio::select! {
             biased;
@@ -326,7 +328,7 @@
         }
     }
 
-    /// Says whether another target may run the request, so that a failure need not be passed on.
+    /// Returns whether another target may run the request, so that a failure need not be passed on.
     fn may_run_again(&self) -> bool {
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
@@ -388,7 +390,8 @@
         }
     }
 
-    /// Takes in what a target says of itself with an answer: that it leaves, or wants nothing for a time.
+    /// Handles what a target reports about itself in an answer: that it is leaving, or requests a
+    /// pause.
     fn note_what_it_says(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
         let (shared, target) = (self.shared, &chosen.target);
         shared.note_leaving(target, in_flight.started, &head.headers);
@@ -402,13 +405,13 @@
         }
     }
 
-    /// Takes back that the request may have run at the last target.
+    /// Withdraws the assumption that the request may have run at the last target.
     fn not_run(&mut self) -> Sent {
         self.runs -= 1;
         Sent::NotRun
     }
 
-    /// Reacts to a target that does not hold the adapter.
+    /// Handles a target that does not hold the adapter.
     fn not_held(&mut self, chosen: &Chosen) -> Sent {
         let Some(weights) = &self.req.weights else {
             return self.not_run();
@@ -429,7 +432,7 @@
             "request" => &*self.req.id, "target" => chosen.target.as_str(),
             "content" => self.req.fingerprint().to_string(),
             "reason" => error.to_string());
-        // One that closes a connection is there, whatever became of the answer.
+        // A target that closes a connection is reachable, whatever became of the answer.
         let sign = match error {
             EngineError::NotSent { .. } | EngineError::Timeout { .. } => HealthSignal::Unreachable,
             _ => HealthSignal::Failed,
