--- a/crates/chervilshunt_gateway/src/traffic/body.rs
+++ b/crates/chervilshunt_gateway/src/traffic/body.rs
@@ -10,8 +10,8 @@
 
 use super::relay::Relay;
 
-/// An answer that ends before it is whole. The library then closes the connection, so that the
-/// caller can't take what came for the whole.
+/// An answer that ends before it is complete. The HTTP library then closes the connection, so the
+/// caller can't mistake the partial answer for a complete one.
 #[derive(Debug, Snafu)]
 #[snafu(display("{reason}"))]
 pub(crate) struct CutShort {
@@ -21,9 +21,9 @@
 /// The body of an answer to a caller.
 #[derive(Debug)]
 pub(crate) enum ReplyBody {
-    /// One of this instance's own.
+    /// A body of this instance's own.
     Own(Full<Bytes>),
-    /// A target's, passed on as it comes.
+    /// A target's body, passed on as it arrives.
     Relayed(Box<Relay>),
 }
 
--- a/crates/chervilshunt_gateway/src/traffic/events.rs
+++ b/crates/chervilshunt_gateway/src/traffic/events.rs
@@ -1,13 +1,13 @@
-//! Events of a stream that another target may have to go on with.
+//! Events of a stream that another target may have to continue.
 
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
 
-/// Lets only whole events through, and remembers the last one.
+/// Passes on complete events only, and remembers the id of the last one.
 ///
-/// A target may stop in the middle of an event. Passed on, the piece would be joined with the first
-/// event of the target that goes on.
+/// A target may stop in the middle of an event. If the partial event were passed on, it would be
+/// joined with the first event of the target that continues the stream.
 #[derive(Debug, Default)]
 pub(crate) struct WholeEvents {
     pending: BytesMut,
@@ -15,7 +15,7 @@
 }
 
 impl WholeEvents {
-    /// Adds what has come, and returns the events that are whole now; none if there are none.
+    /// Adds received data and returns the events that are now complete; `None` if there are none.
     pub(crate) fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(data);
         let end = end_of_last_event(&self.pending)?;
@@ -26,23 +26,23 @@
         Some(whole)
     }
 
-    /// Returns what is left when the stream has ended as it should.
+    /// Returns the remaining data when the stream has ended normally.
     pub(crate) fn rest(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Drops the event that the target stopped in.
+    /// Drops the partial event at which the target stopped.
     pub(crate) fn drop_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// Returns the id of the last event that was let through.
+    /// Returns the id of the last event that was passed on.
     pub(crate) fn last_id(&self) -> Option<Arc<str>> {
         self.last_id.clone()
     }
 }
 
-/// Returns where the last whole event ends: after an empty line.
+/// Returns the end of the last complete event, which is after an empty line.
 fn end_of_last_event(data: &[u8]) -> Option<usize> {
     let last = (1..data.len())
         .rev()
--- a/crates/chervilshunt_gateway/src/traffic/intake.rs
+++ b/crates/chervilshunt_gateway/src/traffic/intake.rs
@@ -1,4 +1,4 @@
-//! Taking in a request's body within its limits.
+//! Reads a request's body within its limits.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 
 use super::refusal::{Reason, Refusal};
 
-/// The time in which a body has to arrive: well over what a body of the longest allowed length
-/// takes on the slowest link, and under the time for which callers wait.
+/// Timeout of a body: well above what a body of the longest allowed length takes on the slowest
+/// link, and below the time for which callers wait.
 const BODY_TIME: Duration = Duration::from_secs(5);
 
-/// Reads the whole body, so that it can be sent again.
+/// Reads the whole body, so that it can be sent more than once.
 pub(crate) async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
     let collected = Limited::new(body, limit).collect();
     match tokio::time::timeout(BODY_TIME, collected).await {
--- a/crates/chervilshunt_gateway/src/traffic/mod.rs
+++ b/crates/chervilshunt_gateway/src/traffic/mod.rs
@@ -1,4 +1,4 @@
-//! The way of callers' requests through an instance.
+//! Processing of callers' requests.
 
 mod answer;
 mod attempt;
