--- a/crates/chervilshunt_gateway/src/traffic/outdated.rs
+++ b/crates/chervilshunt_gateway/src/traffic/outdated.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns how much time is left for a request to begin on a version; None if no newer version is
+/// Returns how much time is left for a request to begin on a version; `None` if no newer version is
 /// known.
 fn time_left(shared: &Shared, weights: &Weights, version: u64) -> Option<Duration> {
     let deadline: Moment = shared.dispatch().begin_deadline(weights, version)?;
