--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -1,4 +1,4 @@
-//! Finding a target for a request: among those known, or by asking the placer.
+//! Finds a target for a request, among the known ones or by asking the placer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,40 +13,45 @@
 use crate::grants::Grant;
 use crate::peers::PeerMessage;
 
-/// When a caller should come back for whom there was no target.
+/// Delay after which a caller should retry when there was no target.
 const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
-/// When a caller should come back whose adapter could not be placed: a placer that is replaced
-/// begins after some seconds, and callers wait a third of their time at most.
+/// Delay after which a caller should retry when its adapter could not be placed. A new placer
+/// starts after some seconds, and callers wait at most a third of their remaining time.
 const NOT_PLACED_RETRY: Duration = Duration::from_millis(700);
-/// The time over which callers come back that were asked to come back when there is a placer.
+/// Time over which the retries of callers are spread that were asked to wait for a pause to end or
+/// for a new placer.
 const SPREAD: Duration = Duration::from_millis(600);
-/// Callers wait for this part of the time that they have left at most.
+/// Callers wait at most this fraction (one third) of their remaining time.
 const RETRY_SHARE: u32 = 3;
-/// When a caller should come back for whom there was no room: requests end within a second or two.
+/// Delay after which a caller should retry when there was no room: requests end within a second or
+/// two.
 const FULL_RETRY: Duration = Duration::from_millis(500);
-/// The pause before a request looks for room again.
+/// Interval at which a request checks again for room.
 const ROOM_PAUSE: Duration = Duration::from_millis(15);
-/// The part of its objective for which a request waits for room; beyond it the caller is better
-/// off knowing.
+/// Part of its latency objective for which a request waits for room. After that it is better to
+/// refuse the request, so that the caller can react.
 const ROOM_PATIENCE: f64 = 0.12;
-/// How long a request waits for its adapter, as a multiple of its objective. Beyond that it waits for
-/// a placer that is gone, or behind so many loads that another is better off in its place.
+/// Time that a request waits for its adapter, as a multiple of its latency objective. After that
+/// either the placer is gone, or so many loads are ahead of this one that another request had
+/// better get the slot.
 const PLACE_PATIENCE: f64 = 1.0;
-/// How much longer than a request waits its instance waits for the placer's answer: told that there is no
-/// place, the caller can come back; without an answer nobody knows when.
+/// Time that an instance waits for the placer's answer beyond the request's own wait. If the placer
+/// answers that there is no room, the caller can be told when to retry; without an answer that is
+/// unknown.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
-/// The silence of the placer after which a request that waits for its answer goes by what is known, if
-/// a target is known to hold its adapter: the placer answers at once where no load is needed.
+/// Time without a response from the placer after which a waiting request stops waiting for it, if a
+/// target is known to hold its adapter. The placer answers at once if no load is needed.
 const SUSPECT_AFTER: Duration = Duration::from_millis(250);
-/// The same where no target is known to hold its adapter: the placer has missed two of the tellings that
-/// come each 0.4 s, and the caller is better off told so than held until its patience is over.
+/// The same if no target is known to hold the adapter: the placer has missed two of its reports,
+/// which it sends every 0.4 s, and it is better to refuse the request than to hold it until its
+/// wait ends.
 const GONE_AFTER: Duration = Duration::from_millis(850);
-/// A target is taken to be there, and a connection to it good, if it was heard of within this time.
-/// A request on a connection to a target that has lost power is lost if it may not run twice; on a
-/// new connection it would not leave.
+/// Time since a target's last response within which the target is assumed to be reachable, and
+/// pooled connections to it usable. A request sent on a pooled connection to a target that has lost
+/// power is lost if it may not run twice; a new connection would fail before anything is sent.
 const SURELY_THERE: Duration = Duration::from_millis(250);
 
-/// Where a request is sent.
+/// The target to which a request is sent.
 #[derive(Debug)]
 pub(crate) struct Chosen {
     pub(crate) target: TargetName,
@@ -54,27 +59,28 @@
     pub(crate) expect_version: Option<u64>,
     /// The version that the target is known to hold, if any.
     pub(crate) held_version: Option<u64>,
-    /// Whether a connection that was used before may carry it.
+    /// Whether a pooled connection may be used.
     pub(crate) reuse: bool,
-    /// The placer's leave, if the placer has chosen.
+    /// The placer's grant, if the placer has chosen the target.
     pub(crate) grant: Option<Grant>,
 }
 
-/// What the placer told.
+/// The result of asking the placer.
 enum PlacerAnswer {
-    /// Where the request may be sent.
+    /// The target to which the request may be sent.
     At(Chosen),
-    /// A target that takes nothing from this instance.
+    /// A target that accepts nothing from this instance.
     Closed(TargetName),
-    /// It gave no answer.
+    /// The placer gave no answer.
     Nothing,
 }
 
 impl Run<'_> {
-    /// Finds a target, waiting for room or for a load where that is worth while.
+    /// Finds a target; waits for room or for a load if that is worthwhile.
     ///
-    /// Where an adapter is wanted the placer chooses, which knows what all instances have under way. An
-    /// instance that does not hear it goes by what it knows itself, and asks for what it knows nowhere.
+    /// If the request needs an adapter, the placer chooses, because it knows the open requests of
+    /// all instances. An instance that gets no response from the placer chooses from its own state,
+    /// and asks the placer only for adapters that no known target holds.
     pub(crate) async fn find_target(&mut self) -> Result<Chosen, Refusal> {
         let began = self.shared.clock.now();
         let patience = self.req.route.objective.mul_f64(ROOM_PATIENCE);
@@ -133,7 +139,7 @@
         self.take(choice)
     }
 
-    /// Takes a choice, which gets a line in the log.
+    /// Turns a choice into a target, and logs it.
     fn take(&self, choice: Choice) -> Result<Chosen, WaitReason> {
         match choice {
             Choice::Wait(wait) => Err(wait),
@@ -180,7 +186,8 @@
         self.shared.dispatch().newest_version(weights, now)
     }
 
-    /// Asks the placer for an adapter that is known nowhere, without hearing much of it.
+    /// Asks the placer for an adapter that no known target holds, although the placer has not
+    /// responded lately.
     async fn ask_for_load(&mut self) -> Result<Chosen, Refusal> {
         let Some(weights) = self.req.weights.clone() else {
             return Err(self.not_placed());
@@ -191,7 +198,7 @@
         }
     }
 
-    /// Asks the placer for a target, and waits until that holds the adapter.
+    /// Asks the placer for a target, and waits until the target holds the adapter.
     async fn ask_placer(&self, weights: Weights) -> Result<PlacerAnswer, Refusal> {
         let Some(placer) = self.shared.placer.load_full() else {
             self.report_placement("nobody places", None);
@@ -247,7 +254,7 @@
         }
     }
 
-    /// Takes note that a target holds what this request names.
+    /// Records that a target holds the weights that this request names.
     fn note_holder(&self, target: &TargetName, version: Option<u64>) {
         let (Some(weights), Some(version)) = (&self.req.weights, version) else {
             return;
@@ -267,7 +274,8 @@
         self.shared.dispatch().placer_heard(now);
     }
 
-    /// Waits for the placer's answer; none if the placer falls silent and another way is known.
+    /// Waits for the placer's answer. Returns `None` if the placer has not responded for too long;
+    /// the limit is shorter if a target is known to hold the adapter.
     async fn unless_silent<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
@@ -286,11 +294,11 @@
         }
     }
 
-    /// Refuses a request whose adapter nobody can have loaded now.
+    /// Refuses a request whose adapter can't be loaded now.
     ///
-    /// A caller comes back once and waits a third of its time at most. While there is no placer it
-    /// is asked to come back when there is one again, as far as it would wait so long: earlier it
-    /// would meet the same refusal and be lost.
+    /// A caller retries once and waits at most a third of its remaining time. If there is no
+    /// placer, it is asked to retry when there will be one again, as far as it waits that long: an
+    /// earlier retry would be refused as well and the request lost.
     fn not_placed(&self) -> Refusal {
         let now = self.shared.clock.now();
         let back = self.shared.placer_back().map(|at| now.until(at));
@@ -303,8 +311,8 @@
         )
     }
 
-    /// Logs why this instance itself finds no target, and how many the service has: whether its targets
-    /// are not listed, or none of them is fit.
+    /// Logs why this instance finds no target on its own, with the number of the service's listed
+    /// targets. The number shows whether targets are missing or none of them is suitable.
     fn report_wait(&self, wait: WaitReason) {
         match wait {
             WaitReason::NoTarget | WaitReason::NotHeld => {
@@ -313,7 +321,8 @@
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
             }
-            // Tried again every few milliseconds; a refusal for want of room says so itself.
+            // These are retried every few milliseconds; a refusal for lack of room is logged
+            // separately.
             WaitReason::Full | WaitReason::Paused(_) => {}
         }
     }
@@ -325,7 +334,7 @@
             "target" => target.map(|it| it.as_str().to_owned()));
     }
 
-    /// Sends to a target that the placer named, unless it takes nothing from this instance.
+    /// Sends to the target that the placer chose, unless it accepts nothing from this instance.
     fn at_target(&self, target: TargetName, grant: Grant) -> PlacerAnswer {
         let now = self.shared.clock.now();
         let weights = self.req.weights.as_ref();
@@ -342,7 +351,8 @@
         }
     }
 
-    /// Tells the placer, which has chosen it, that a target leaves: another placer may have been told.
+    /// Reports to the placer that the target it has chosen is leaving; an earlier report may have
+    /// gone to another placer.
     fn remind_of_leaving(&self, target: &TargetName) {
         let dispatch = self.shared.dispatch();
         let known = dispatch.target(target).filter(|it| it.leaving.is_some());
