--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a target's answer on, piece by piece as it comes.
+//! Passes a target's answer on as it arrives.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,27 +20,27 @@
 use super::request::CallerRequest;
 use crate::shared::Shared;
 
-/// How often a stream notes that its target is there: often enough for other requests to use open
-/// connections to it, and a small part of its pieces.
+/// Interval at which a stream records that its target responds: short enough for other requests to
+/// use pooled connections to the target, and for a small part of the stream's pieces only.
 const HEARD_EVERY: Duration = Duration::from_millis(100);
 
 type Resuming = Pin<Box<dyn Future<Output = (Result<Answered, Refusal>, u32)> + Send>>;
 
-/// An answer that is passed on.
+/// An answer that is being passed on.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     req: Arc<CallerRequest>,
     body: BodyReader,
     in_flight: InFlight,
     runs: u32,
-    /// The whole events, where another target may go on with the stream.
+    /// Splits the stream into complete events, if another target may continue it.
     events: Option<WholeEvents>,
     resuming: Option<Resuming>,
     deadline: Pin<Box<Sleep>>,
     status: u16,
     first_byte: Moment,
     last_piece: Moment,
-    /// When the target was last noted to be there.
+    /// When a response of the target was last recorded.
     heard_told: Moment,
     longest_pause: Duration,
     bytes: u64,
@@ -57,7 +57,7 @@
 }
 
 impl Relay {
-    /// Begins to pass on an answer.
+    /// Starts to pass on an answer.
     pub(crate) fn new(
         shared: &Arc<Shared>,
         req: Arc<CallerRequest>,
@@ -185,8 +185,8 @@
             "sent_ms" => now.since(self.in_flight.sent_at()).as_millis() as u64);
     }
 
-    /// Takes note of a pause between two pieces; the first one that is longer than callers want has
-    /// a line of its own, so that it can be found beside what the target did at that time.
+    /// Records the pause between two pieces. The first one that is longer than callers want is
+    /// logged, so that it can be compared with what the target did at that time.
     fn note_pause(&mut self, now: Moment) {
         let pause = now.since(self.last_piece);
         let wanted = self.req.route.longest_pause;
@@ -215,7 +215,7 @@
         Err(CutShort { reason })
     }
 
-    /// Begins to look for a target that goes on with the stream, if one may.
+    /// Starts to look for a target that continues the stream, if that is allowed.
     fn begin_resuming(&mut self) -> bool {
         let Some(events) = &mut self.events else {
             return false;
