--- a/crates/chervilshunt_gateway/src/traffic/request.rs
+++ b/crates/chervilshunt_gateway/src/traffic/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read once.
+//! A caller's request, decoded once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 /// A caller's request.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The id of this try of the caller.
+    /// The id of this attempt by the caller.
     pub(crate) id: Arc<str>,
     pub(crate) method: Method,
     pub(crate) path: PathAndQuery,
-    /// The headers that targets get to see.
+    /// The headers that are sent to targets.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Arc<Route>,
@@ -30,15 +30,15 @@
     pub(crate) weights: Option<Weights>,
     pub(crate) size: RequestSize,
     pub(crate) arrived: Moment,
-    /// When the caller, or the operators, no longer want it waited for.
+    /// The earlier of the caller's deadline and the route's timeout.
     pub(crate) deadline: Moment,
-    /// Keeps it counted as open for as long as anything holds it.
+    /// Keeps the request counted as open while anything holds it.
     pub(crate) _open: OpenRequest,
 }
 
 impl CallerRequest {
-    /// Returns what identifies the request across the tries of its caller, each of which has an id of
-    /// its own.
+    /// Returns what identifies the request across its caller's attempts, each of which has its own
+    /// id.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let header = |name| {
             self.headers
@@ -54,7 +54,7 @@
         ])
     }
 
-    /// Returns the time that is left.
+    /// Returns the time that is left until the deadline.
     pub(crate) fn left(&self, now: Moment) -> Duration {
         now.until(self.deadline)
     }
@@ -77,7 +77,7 @@
     route.cloned().ok_or_else(|| Refusal::new(Reason::NoRoute))
 }
 
-/// Puts together what is known of a request.
+/// Creates the request from its head and body.
 pub(crate) fn read_request(
     dialect: &Dialect,
     id: Arc<str>,
@@ -115,8 +115,8 @@
     })
 }
 
-/// Returns the headers that targets get to see: all but those that concern one connection, those
-/// that only this system may set, and the length, which is set anew.
+/// Returns the headers that are sent to targets: all except hop-by-hop headers, headers that only
+/// this system may set, `Expect`, and the length, which is set again.
 fn forwarded(mut headers: HeaderMap, dialect: &Dialect) -> HeaderMap {
     strip_hop_by_hop(&mut headers);
     for name in &dialect.headers.reserved {
@@ -127,7 +127,7 @@
     headers
 }
 
-/// Sets a header to a text; one that no header can hold is left out.
+/// Sets a header; a value that is not valid in a header is omitted.
 pub(crate) fn set(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its head to the head of its answer.
+//! Serves one request, from its head to the head of its answer.
 
 use std::sync::Arc;
 
@@ -30,7 +30,8 @@
         set(res.headers_mut(), &names.request_id, id);
     }
     if shared.is_stopping() {
-        // The connection ends with this answer, so that the caller takes the next request elsewhere.
+        // The connection closes after this answer, so that the caller sends its next request to
+        // another instance.
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
     }
@@ -62,7 +63,8 @@
     Ok(relayed(shared, &req, answered, runs))
 }
 
-/// A request without an answer yet. If its caller leaves, it is dropped, and that is logged.
+/// A request without an answer yet. If its caller disconnects, it is dropped, and the drop is
+/// logged.
 struct Waiting<'a>(Option<&'a CallerRequest>, &'a Shared);
 
 impl Waiting<'_> {
