--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -29,7 +29,7 @@
         problem: String,
     },
     /// A key is missing.
-    #[snafu(display("{file}: the key {key} is missing"))]
+    #[snafu(display("{file}: missing key {key}"))]
     Missing {
         /// The file.
         file: String,
@@ -37,7 +37,7 @@
         key: &'static str,
     },
     /// A value is out of bounds.
-    #[snafu(display("{file}: {key} has to {must}"))]
+    #[snafu(display("{file}: {key} must {must}"))]
     OutOfBounds {
         /// The file.
         file: String,
@@ -231,7 +231,7 @@
         OutOfBoundsSnafu {
             file,
             key: "instance.id",
-            must: "be a name"
+            must: "not be empty"
         }
     );
     let zone = instance.zone.context(missing("instance.zone"))?;
@@ -242,7 +242,7 @@
         OutOfBoundsSnafu {
             file,
             key: "instance.processor_share",
-            must: "be above 0"
+            must: "be greater than 0"
         }
     );
     Ok(Settings {
@@ -273,7 +273,7 @@
     let defaults = WindowBudgetConfig::default();
     let seconds = |key, value: Option<f64>, default: Duration| {
         let value = value.unwrap_or(default.as_secs_f64());
-        let must = "be a time above zero";
+        let must = "be a duration greater than 0";
         ensure!(value > 0.0, OutOfBoundsSnafu { file, key, must });
         Duration::try_from_secs_f64(value)
             .ok()
