--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -313,9 +313,9 @@
         // read only to report errors in it now rather than at the next start.
         let path = self.shared.settings_file.clone();
         match Settings::load(&path) {
-            Ok(settings) => slog::info!(self.shared.log, "settings read again";
+            Ok(settings) => slog::info!(self.shared.log, "settings file checked";
                 "changed" => settings != self.shared.settings),
-            Err(error) => slog::warn!(self.shared.log, "settings can't be read";
+            Err(error) => slog::warn!(self.shared.log, "settings file can't be used";
                 "reason" => error.to_string()),
         }
     }
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -21,7 +21,7 @@
         let refused_until = quarantine.refused_until(fingerprint, now);
         drop(quarantine);
         if is_new {
-            slog::info!(self.shared.log, "crashes recorded";
+            slog::info!(self.shared.log, "crash record received";
                 "content" => fingerprint.to_string(), "crashes" => count,
                 "refused_for_s" => refused_until.map(|until| now.until(until).as_secs()));
         }
--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -253,7 +253,7 @@
         }
         let told = tokio::time::timeout(FIRST_REST, self.pace.changed());
         if let Ok(Err(closed)) = told.await {
-            slog::debug!(self.log, "the control state has ended"; "reason" => closed.to_string());
+            slog::debug!(self.log, "control actor has stopped"; "reason" => closed.to_string());
         }
     }
 
@@ -270,7 +270,7 @@
         let mut reached = self.reached.subscribe();
         let back = reached.wait_for(|reached| *reached);
         if let Ok(Err(closed)) = tokio::time::timeout(LEFT_TO_ONE, back).await {
-            slog::debug!(self.log, "followers have ended"; "reason" => closed.to_string());
+            slog::debug!(self.log, "followers have stopped"; "reason" => closed.to_string());
         }
     }
 
@@ -397,21 +397,21 @@
 
     async fn tell(&self, event: FromStore) {
         if self.control.send(event).await.is_err() {
-            slog::debug!(self.log, "the control state has ended");
+            slog::debug!(self.log, "control actor has stopped");
         }
     }
 
     fn report(&self, trouble: &Trouble, first: bool) {
         let reason = match trouble {
             Trouble::Expired | Trouble::Restored | Trouble::PaceChanged => return,
-            Trouble::Outdated => "an answer of before a restore".to_owned(),
+            Trouble::Outdated => "answer is from before a restore".to_owned(),
             Trouble::Failed(error) => error.to_string(),
             Trouble::Unreadable(malformed) => malformed.to_string(),
-            Trouble::Doubted => "a call about another kind has failed".to_owned(),
+            Trouble::Doubted => "call about another kind failed".to_owned(),
         };
         // Only the first failure of an outage is logged.
         if first {
-            slog::warn!(self.log, "platform lost"; "kind" => self.kind.as_str(), "reason" => reason);
+            slog::warn!(self.log, "platform unavailable"; "kind" => self.kind.as_str(), "reason" => reason);
         }
     }
 
@@ -427,7 +427,7 @@
             if before.as_ref() == Some(&it.problem) {
                 continue;
             }
-            slog::warn!(self.log, "object can't be read";
+            slog::warn!(self.log, "object can't be decoded";
                 "kind" => self.kind.as_str(), "object" => &*it.what, "problem" => &it.problem);
         }
     }
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -81,7 +81,7 @@
         tokio::spawn(async move {
             let answer = caller.call(&call, FIRST_LEASE_CALL).await;
             if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
-                slog::debug!(caller.log, "asker is gone"; "reason" => error.to_string());
+                slog::debug!(caller.log, "requester is gone"; "reason" => error.to_string());
             }
         });
     }
@@ -114,7 +114,7 @@
         if known.as_deref() == holder.as_ref() {
             return;
         }
-        slog::info!(self.shared.log, "placer";
+        slog::info!(self.shared.log, "placer changed";
             "holder" => holder.as_ref().map(|it| it.instance.as_str().to_owned()));
         self.shared.placer.store(holder.map(Arc::new));
     }
@@ -191,7 +191,7 @@
     }
 
     fn report_malformed(&self, malformed: &Malformed) {
-        slog::warn!(self.log, "lease can't be read"; "problem" => malformed.to_string());
+        slog::warn!(self.log, "lease can't be decoded"; "problem" => malformed.to_string());
     }
 }
 
--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -56,7 +56,7 @@
         if largest < self.processor_share() * MUCH_LARGER {
             return;
         }
-        slog::warn!(self.shared.log, "steps down as the placer";
+        slog::warn!(self.shared.log, "placer overloaded; stepping down";
             "late_by_ms" => late_by.as_millis() as u64,
             "processor_share" => self.processor_share(), "largest_share" => largest);
         self.lease_event(ExclusiveLeaseEvent::StepDown);
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -47,7 +47,7 @@
 impl Control {
     /// Becomes the placer: passes everything that is known to a new planner.
     pub(super) fn become_placer(&mut self, term: u64, now: Moment) {
-        slog::info!(self.shared.log, "placing begins"; "term" => term,
+        slog::info!(self.shared.log, "placing started"; "term" => term,
             "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
         let mut residency = Residency::new(ResidencyConfig::default(), now);
@@ -76,7 +76,7 @@
     /// Stops placing. Pending placement requests end unanswered. The other instances choose targets
     /// on their own from now on, so they are sent what targets hold.
     pub(super) fn cease_placing(&mut self) {
-        slog::info!(self.shared.log, "placing ends");
+        slog::info!(self.shared.log, "placing stopped");
         if let Some(placer) = self.placer.take() {
             self.tell_snapshots(&placer);
         }
@@ -153,7 +153,7 @@
             let report = match ask(&shared, &target).await {
                 Ok(report) => Some(report),
                 Err(reason) => {
-                    slog::info!(shared.log, "target not asked";
+                    slog::info!(shared.log, "target not queried";
                         "target" => target.as_str(), "reason" => reason);
                     None
                 }
@@ -247,13 +247,13 @@
         if let Some(reply) = reply
             && let Err(error) = reply.send(PeerMessage::Placed(placed, GrantNumber(question)))
         {
-            slog::debug!(self.shared.log, "asker is gone"; "reason" => error.to_string());
+            slog::debug!(self.shared.log, "requester is gone"; "reason" => error.to_string());
         }
     }
 
     pub(super) fn send(&self, peer: &Peer, message: PeerMessage) {
         if let Err(error) = self.shared.mesh.send(peer, message) {
-            slog::debug!(self.shared.log, "instance not told";
+            slog::debug!(self.shared.log, "message to instance not sent";
                 "peer" => peer.instance.as_str(), "reason" => error.to_string());
         }
     }
@@ -263,14 +263,14 @@
     let dialect = &shared.dialect.targets;
     let (address, started) = {
         let dispatch = shared.dispatch();
-        let facts = dispatch.target(target).ok_or("the target is gone")?;
+        let facts = dispatch.target(target).ok_or("target is not known")?;
         (facts.address, facts.started)
     };
     let client = shared.engines.client(address);
     let answer = client.forward((dialect.ask)(target), true, ORDER_LIMITS);
     let (head, body) = answer.await.map_err(|error| error.to_string())?;
     if !head.status.is_success() {
-        return Err(format!("it answered {}", head.status));
+        return Err(format!("target answered with status {}", head.status));
     }
     shared.note_leaving(target, started, &head.headers);
     let body = body.read_whole(MAX_REPORT).await;
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -163,7 +163,7 @@
             .doubtful
             .send_if_modified(|known| std::mem::replace(known, doubtful) != doubtful);
         if changed {
-            slog::info!(self.log, "own reads of the platform"; "answered" => !doubtful);
+            slog::info!(self.log, "direct reads of the platform"; "answered" => !doubtful);
         }
     }
 }
@@ -201,7 +201,7 @@
             };
             let body = String::from_utf8_lossy(&answer.body).into_owned();
             if let Err(error) = reply.send(PeerMessage::StoreShows(body, answer.era)) {
-                slog::debug!(log, "asker is gone"; "reason" => error.to_string());
+                slog::debug!(log, "requester is gone"; "reason" => error.to_string());
             }
         });
     }
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -60,7 +60,7 @@
             self.revived = gone.collect();
             drop(dispatch);
             for name in self.revived.keys() {
-                slog::info!(self.shared.log, "target brought back by a restore"; "target" => name.as_str());
+                slog::info!(self.shared.log, "outdated target entry brought back by a restore"; "target" => name.as_str());
             }
         }
         self.listed_era = Some(listed.era);
--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -27,7 +27,7 @@
         }
         let targets = placer.residency.snapshots();
         let groups = groups(placer.presence.peers().collect());
-        slog::info!(self.shared.log, "targets' holds told";
+        slog::info!(self.shared.log, "target snapshots sent";
             "term" => term, "targets" => targets.len(), "by" => groups.len());
         for (first, rest) in groups {
             let pass_on = rest.into_iter().map(|it| (it.instance, it.address));
@@ -46,7 +46,7 @@
         if self.keeper.term() != Some(snapshots.term) {
             return;
         }
-        slog::info!(self.shared.log, "targets' holds learnt";
+        slog::info!(self.shared.log, "target snapshots received";
             "term" => snapshots.term, "from" => from.as_str(), "targets" => snapshots.targets.len(),
             "passed_on" => snapshots.pass_on.len());
         self.pass_on(&snapshots);
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -106,7 +106,7 @@
             FromStore::Trouble(kind) => self.note_trouble(kind),
             FromStore::Back(kind) => {
                 self.note_trouble(kind);
-                slog::info!(self.shared.log, "platform back"; "kind" => kind.as_str());
+                slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
             }
         }
     }
@@ -280,7 +280,7 @@
                 "before" => ?models_before);
         }
         if change == EntryChange::Restarted {
-            slog::info!(self.shared.log, "target started again";
+            slog::info!(self.shared.log, "target restarted";
                 "target" => facts.name.as_str(), "started" => facts.started.map(|it| it.0));
             // A connection to the previous start is useless, and may never report an error.
             self.shared.engines.retain(|it| *it != facts.address);
@@ -300,7 +300,7 @@
         let facts = dispatch.target(target).cloned();
         drop(dispatch);
         if is_new {
-            slog::info!(self.shared.log, "target leaves as told";
+            slog::info!(self.shared.log, "target reported as leaving";
                 "target" => target.as_str(), "by" => from.as_str());
         }
         let Some(placer) = &self.placer else {
@@ -329,7 +329,7 @@
         self.versions.insert(weights.clone(), version);
         if known != Some(version) {
             self.feed.version_named(&weights, version, revision);
-            slog::info!(self.shared.log, "version named";
+            slog::info!(self.shared.log, "version announced";
                 "weights" => weights.to_string(), "version" => version,
                 "previous_version" => known, "revision" => revision.number);
         }
@@ -368,7 +368,7 @@
             return;
         }
         for name in due {
-            slog::info!(self.shared.log, "target gone"; "target" => name.as_str());
+            slog::info!(self.shared.log, "target removed"; "target" => name.as_str());
             self.shared.dispatch().target_gone(&name);
             self.plan(ResidencyEvent::TargetGone(name));
         }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -36,7 +36,7 @@
             grants,
         };
         if let Err(error) = self.shared.mesh.send(&placer, message) {
-            slog::debug!(self.shared.log, "placer not told"; "reason" => error.to_string());
+            slog::debug!(self.shared.log, "message to placer not sent"; "reason" => error.to_string());
         }
     }
 
@@ -68,7 +68,7 @@
                 // would serve nobody. A placer that is behind would start ever more useless loads
                 // and answer no request.
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
-                    return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
+                    return slog::info!(self.shared.log, "placement request arrived too late"; "peer" => from.as_str());
                 };
                 let wanted = |question| ResidencyEvent::Wanted {
                     question,
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -52,7 +52,7 @@
     /// Queues an observation.
     pub(crate) fn note_crash_sign(&self, sign: CrashSign) {
         if let Err(error) = self.crash_signs.0.try_send(sign) {
-            slog::warn!(self.log, "crash sign dropped"; "reason" => error.to_string());
+            slog::warn!(self.log, "crash observation dropped"; "reason" => error.to_string());
         }
     }
 }
@@ -124,7 +124,7 @@
                 Ok(answer) => return self.written(crashes, &answer),
                 Err(error) => error,
             };
-            slog::info!(self.shared.log, "crashes not recorded";
+            slog::info!(self.shared.log, "crash record not written";
                 "content" => fingerprint.to_string(), "reason" => error.to_string());
             let pause = match error {
                 // Another instance has written the record; the follower of crash records reports
@@ -144,7 +144,7 @@
             Ok(stored) => {
                 self.shared.quarantine().merge_stored(stored, now);
             }
-            Err(malformed) => slog::warn!(self.shared.log, "record of crashes can't be read";
+            Err(malformed) => slog::warn!(self.shared.log, "crash record can't be decoded";
                 "content" => crashes.fingerprint.to_string(), "problem" => malformed.to_string()),
         }
     }
@@ -166,7 +166,7 @@
     let call = (shared.dialect.store.remove_crashes)(fingerprint);
     match call_once(exchange, &shared.dialect.store, &call, WRITE).await {
         Ok(_) | Err(PlatformError::NotFound { .. }) => {}
-        Err(error) => slog::info!(shared.log, "record of crashes not removed";
+        Err(error) => slog::info!(shared.log, "crash record not removed";
             "content" => fingerprint.to_string(), "reason" => error.to_string()),
     }
 }
--- a/crates/chervilshunt_gateway/src/front.rs
+++ b/crates/chervilshunt_gateway/src/front.rs
@@ -44,7 +44,7 @@
 
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     if let Err(error) = stream.set_nodelay(true) {
-        slog::debug!(shared.log, "connection gone"; "reason" => error.to_string());
+        slog::debug!(shared.log, "connection closed"; "reason" => error.to_string());
         return;
     }
     let bounds = shared.routes.load_full().map(|routes| routes.bounds);
--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -96,7 +96,7 @@
             continue;
         };
         if let Err(error) = shared.mesh.send(&placer, PeerMessage::Progress(progress)) {
-            slog::debug!(shared.log, "placer not told"; "reason" => error.to_string());
+            slog::debug!(shared.log, "message to placer not sent"; "reason" => error.to_string());
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -20,7 +20,7 @@
         {
             return;
         }
-        slog::info!(self.log, "target says that it leaves"; "target" => target.as_str());
+        slog::info!(self.log, "target announced that it is leaving"; "target" => target.as_str());
         self.tell_placer_it_leaves(target, started);
     }
 
@@ -32,7 +32,7 @@
         };
         let message = PeerMessage::Leaving(target.clone(), started);
         if let Err(error) = self.mesh.send(&placer, message) {
-            slog::debug!(self.log, "placer not told"; "reason" => error.to_string());
+            slog::debug!(self.log, "message to placer not sent"; "reason" => error.to_string());
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -117,7 +117,7 @@
     slog::info!(shared.log, "stopping"; "bound_s" => bound.as_secs_f64());
     shared.set_stopping();
     if control.send(Stop).await.is_err() {
-        slog::warn!(shared.log, "the control state has ended");
+        slog::warn!(shared.log, "control actor has stopped");
     }
     loop {
         let passed = began.elapsed();
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -360,7 +360,7 @@
         let again = self.may_run_again();
         let verdict = judge(names, &self.req.id, &chosen.target, &head, again);
         if verdict != Verdict::PassOn {
-            slog::info!(self.shared.log, "not passed on";
+            slog::info!(self.shared.log, "answer not passed on";
                 "request" => &*self.req.id, "target" => chosen.target.as_str(),
                 "status" => head.status.as_u16(), "verdict" => ?verdict,
                 "retry_after" => head.headers.get(header::RETRY_AFTER).and_then(|it| it.to_str().ok()));
@@ -398,7 +398,7 @@
         let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(pause) = retry_after(&head.headers).filter(|_| turned_away) {
             let now = shared.clock.now();
-            slog::info!(shared.log, "target wants a pause";
+            slog::info!(shared.log, "target requested a pause";
                 "request" => &*self.req.id, "target" => target.as_str(),
                 "pause_ms" => pause.as_millis() as u64);
             shared.dispatch().wants_pause(target, pause, now);
@@ -420,7 +420,7 @@
         if let Some(placer) = self.shared.placer.load_full() {
             let message = PeerMessage::NotHeld(chosen.target.clone(), weights.clone());
             if let Err(error) = self.shared.mesh.send(&placer, message) {
-                slog::debug!(self.shared.log, "placer not told"; "reason" => error.to_string());
+                slog::debug!(self.shared.log, "message to placer not sent"; "reason" => error.to_string());
             }
         }
         self.not_run()
@@ -428,7 +428,7 @@
 
     fn failed(&mut self, chosen: &Chosen, error: &EngineError) -> Sent {
         let now = self.shared.clock.now();
-        slog::info!(self.shared.log, "sending failed";
+        slog::info!(self.shared.log, "attempt failed";
             "request" => &*self.req.id, "target" => chosen.target.as_str(),
             "content" => self.req.fingerprint().to_string(),
             "reason" => error.to_string());
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -242,12 +242,12 @@
             }
             Some(Ok(_)) => Ok(PlacerAnswer::Nothing),
             Some(Err(error)) => {
-                slog::info!(self.shared.log, "placer silent";
+                slog::info!(self.shared.log, "placer did not respond";
                     "request" => &*self.req.id, "reason" => error.to_string());
                 Ok(PlacerAnswer::Nothing)
             }
             None => {
-                slog::info!(self.shared.log, "placer silent";
+                slog::info!(self.shared.log, "placer did not respond";
                     "request" => &*self.req.id, "reason" => "nothing heard of it");
                 Ok(PlacerAnswer::Nothing)
             }
@@ -317,7 +317,7 @@
         match wait {
             WaitReason::NoTarget | WaitReason::NotHeld => {
                 let listed = self.shared.dispatch().listed(&self.req.service);
-                slog::info!(self.shared.log, "no choice";
+                slog::info!(self.shared.log, "no target found";
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
             }
@@ -328,7 +328,7 @@
     }
 
     fn report_placement(&self, outcome: &str, target: Option<&TargetName>) {
-        slog::info!(self.shared.log, "adapter wanted";
+        slog::info!(self.shared.log, "placement result";
             "request" => &*self.req.id, "outcome" => outcome,
             "weights" => self.req.weights.as_ref().map(ToString::to_string),
             "target" => target.map(|it| it.as_str().to_owned()));
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -123,7 +123,7 @@
                 }
                 Some(Err(error)) => {
                     let now = self.shared.clock.now();
-                    slog::info!(self.shared.log, "answer broke off";
+                    slog::info!(self.shared.log, "answer interrupted";
                         "request" => &*self.req.id,
                         "target" => self.in_flight.target.as_str(),
                         "content" => self.req.fingerprint().to_string(),
@@ -192,7 +192,7 @@
         let wanted = self.req.route.longest_pause;
         if wanted.is_some_and(|wanted| pause > wanted && self.longest_pause <= wanted) {
             self.shared.grants.note_pause();
-            slog::info!(self.shared.log, "long pause";
+            slog::info!(self.shared.log, "long pause in answer";
                 "request" => &*self.req.id, "target" => self.in_flight.target.as_str(),
                 "pause_ms" => pause.as_millis() as u64, "bytes" => self.bytes);
         }
--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -79,7 +79,7 @@
             return;
         };
         let waited = shared.clock.now().since(req.arrived);
-        slog::info!(shared.log, "caller left";
+        slog::info!(shared.log, "caller disconnected";
             "request" => &*req.id, "route" => &*req.route.name,
             "waited_ms" => waited.as_millis() as u64);
         metrics::counter!("chervilshunt_abandoned_total").increment(1);
