--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -28,7 +28,7 @@
 /// Interval at which an instance reports its open requests to the placer. The placer counts the
 /// requests it has granted itself; if the message that ends a grant is lost, the placer corrects
 /// its count with the next report.
-const TELL_USE_EVERY: Duration = Duration::from_millis(400);
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Upper bound of the random delay that spreads the instances' writes after the lease has lapsed.
 const STAGGER: Duration = Duration::from_millis(400);
 
@@ -215,7 +215,7 @@
     async fn handle(&mut self, Begin(address): Begin, _cx: &mut xtra::Context<Self>) {
         self.address = Some(address.clone());
         tokio::spawn(async move {
-            let mut every = tokio::time::interval(TELL_USE_EVERY);
+            let mut every = tokio::time::interval(USAGE_REPORT_INTERVAL);
             every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             let mut due_at = tokio::time::Instant::now();
             while address.send(TellUse { due_at }).await.is_ok() {
