--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -30,7 +30,7 @@
 /// its count with the next report.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Upper bound of the random delay that spreads the instances' writes after the lease has lapsed.
-const STAGGER: Duration = Duration::from_millis(400);
+const MAX_WRITE_JITTER: Duration = Duration::from_millis(400);
 
 /// Share of a processor core below which an instance delays its attempt to acquire the placer's
 /// lease. With less than this, a placer of hundreds of targets answers late, which delays every
@@ -104,7 +104,7 @@
             settings.instance.id.clone(),
             rand::random(),
             settings.addresses.peers,
-            STAGGER.mul_f64(rand::random()),
+            MAX_WRITE_JITTER.mul_f64(rand::random()),
             shared.clock.now(),
         );
         Self {
