--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -37,13 +37,13 @@
 /// request for an adapter that is not loaded.
 const SUFFICIENT_SHARE: f64 = 0.25;
 /// Upper bound of that delay, reached as the instance's share of a core approaches zero.
-const LONGEST_YIELDING: Duration = Duration::from_secs(1);
+const MAX_YIELD_DELAY: Duration = Duration::from_secs(1);
 
 /// Returns how long an instance leaves a lease that is free to instances with a larger processor
 /// share.
 fn yields_for(processor_share: f64) -> Duration {
     let lacks = (1.0 - processor_share / SUFFICIENT_SHARE).clamp(0.0, 1.0);
-    LONGEST_YIELDING.mul_f64(lacks)
+    MAX_YIELD_DELAY.mul_f64(lacks)
 }
 
 /// The planner and the state that goes with it while this instance is the placer.
