--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -41,7 +41,7 @@
 
 /// Returns how long an instance leaves a lease that is free to instances with a larger processor
 /// share.
-fn yields_for(processor_share: f64) -> Duration {
+fn yield_delay(processor_share: f64) -> Duration {
     let lacks = (1.0 - processor_share / SUFFICIENT_SHARE).clamp(0.0, 1.0);
     MAX_YIELD_DELAY.mul_f64(lacks)
 }
@@ -95,7 +95,7 @@
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
             handover_gap: settings.bounds.lease_rest,
-            yield_delay: yields_for(settings.instance.processor_share),
+            yield_delay: yield_delay(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
             ..ExclusiveLeaseConfig::default()
         };
