--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -186,7 +186,7 @@
         let Some(next) = next.into_iter().flatten().min() else {
             return;
         };
-        let next = next.max(now + SHORTEST_SLEEP);
+        let next = next.max(now + MIN_WAKEUP_INTERVAL);
         if self.wakes_at.is_some_and(|at| at > now && at <= next) {
             return;
         }
@@ -207,7 +207,7 @@
 }
 
 /// Shortest time between two wake-ups; everything that falls due within it is handled together.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(2);
+const MIN_WAKEUP_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Handler<Begin> for Control {
     type Return = ();
