--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -140,7 +140,7 @@
         for action in actions {
             self.carry_out_lease(action, now);
         }
-        self.note_holder();
+        self.publish_holder();
     }
 
     fn carry_out_lease(&mut self, action: ExclusiveLeaseAction, now: Moment) {
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -102,7 +102,7 @@
     }
 
     /// Publishes to traffic which instance to ask for placements.
-    pub(super) fn note_holder(&self) {
+    pub(super) fn publish_holder(&self) {
         let holder = self.keeper.holder().map(|(instance, address)| Peer {
             instance: instance.clone(),
             address,
