--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -163,7 +163,7 @@
         self.forget_absent(now);
         self.forget_crashes(now);
         self.tell_changes();
-        self.note_placer(now);
+        self.publish_placer_return(now);
         let placer = self.placer.as_ref();
         if placer
             .and_then(|it| it.residency.next_wakeup())
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -95,7 +95,7 @@
     }
 
     /// Publishes to traffic when there will be a placer again, if there is none.
-    pub(super) fn note_placer(&self, now: Moment) {
+    pub(super) fn publish_placer_return(&self, now: Moment) {
         let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
         let back = (!there).then(|| self.keeper.earliest_takeover() + TAKING);
         self.shared.set_placer_back(back);
