--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -150,7 +150,7 @@
             }
             ExclusiveLeaseAction::Read => self.call_lease(LeaseCall::Read),
             ExclusiveLeaseAction::Gained(term) => self.become_placer(term, now),
-            ExclusiveLeaseAction::Lost => self.cease_placing(),
+            ExclusiveLeaseAction::Lost => self.stop_placing(),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -75,7 +75,7 @@
 
     /// Stops placing. Pending placement requests end unanswered. The other instances choose targets
     /// on their own from now on, so they are sent what targets hold.
-    pub(super) fn cease_placing(&mut self) {
+    pub(super) fn stop_placing(&mut self) {
         slog::info!(self.shared.log, "placing stopped");
         if let Some(placer) = self.placer.take() {
             self.tell_snapshots(&placer);
