--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -162,7 +162,7 @@
         }
         self.forget_absent(now);
         self.forget_crashes(now);
-        self.tell_changes();
+        self.broadcast_changes();
         self.publish_placer_return(now);
         let placer = self.placer.as_ref();
         if placer
--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -165,7 +165,7 @@
 
 impl Control {
     /// Broadcasts recent changes to all other instances if this one is the placer.
-    pub(super) fn tell_changes(&mut self) {
+    pub(super) fn broadcast_changes(&mut self) {
         for kind in Kind::ALL {
             let Some(batch) = self.feed.take_batch(kind) else {
                 continue;
