--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -300,7 +300,7 @@
 
     async fn handle(&mut self, due: TellUse, _cx: &mut xtra::Context<Self>) {
         self.check_overload(due.due_at.elapsed());
-        self.tell_use();
+        self.report_usage();
         self.after_message();
     }
 }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -12,7 +12,7 @@
 
 impl Control {
     /// Reports this instance's open requests to the placer.
-    pub(super) fn tell_use(&mut self) {
+    pub(super) fn report_usage(&mut self) {
         let uses = self.shared.dispatch().tell_uses();
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
