--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -16,7 +16,9 @@
 use xtra::prelude::*;
 
 use super::change_feed::ChangeFeed;
-use super::messages::{Asked, Begin, FromPeer, FromStore, Ordered, Reload, Stop, TellUse, Tick};
+use super::messages::{
+    Asked, Begin, FromPeer, FromStore, Ordered, Reload, ReportUsage, Stop, Tick,
+};
 use super::overload::Overload;
 use super::pace::Paces;
 use super::presence::Presence;
@@ -218,7 +220,7 @@
             let mut every = tokio::time::interval(USAGE_REPORT_INTERVAL);
             every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             let mut due_at = tokio::time::Instant::now();
-            while address.send(TellUse { due_at }).await.is_ok() {
+            while address.send(ReportUsage { due_at }).await.is_ok() {
                 every.tick().await;
                 due_at = tokio::time::Instant::now();
             }
@@ -295,10 +297,10 @@
     }
 }
 
-impl Handler<TellUse> for Control {
+impl Handler<ReportUsage> for Control {
     type Return = ();
 
-    async fn handle(&mut self, due: TellUse, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, due: ReportUsage, _cx: &mut xtra::Context<Self>) {
         self.check_overload(due.due_at.elapsed());
         self.report_usage();
         self.after_message();
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -44,7 +44,7 @@
 
 /// It is time to report this instance's open requests to the placer.
 #[derive(Debug)]
-pub(crate) struct TellUse {
+pub(crate) struct ReportUsage {
     /// When the report was due.
     pub(crate) due_at: tokio::time::Instant,
 }
