--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -17,7 +17,7 @@
 
 use super::change_feed::ChangeFeed;
 use super::messages::{
-    Asked, Begin, FromPeer, FromStore, Ordered, Reload, ReportUsage, Stop, Tick,
+    Begin, FromPeer, FromStore, Ordered, Reload, ReportUsage, Stop, TargetQueried, Tick,
 };
 use super::overload::Overload;
 use super::pace::Paces;
@@ -277,10 +277,14 @@
     }
 }
 
-impl Handler<Asked> for Control {
+impl Handler<TargetQueried> for Control {
     type Return = ();
 
-    async fn handle(&mut self, Asked(target, report): Asked, _cx: &mut xtra::Context<Self>) {
+    async fn handle(
+        &mut self,
+        TargetQueried(target, report): TargetQueried,
+        _cx: &mut xtra::Context<Self>,
+    ) {
         self.plan(match report {
             Some(report) => ResidencyEvent::Reported(target, report),
             None => ResidencyEvent::NotReported(target),
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -36,7 +36,7 @@
 
 /// The report of what a target holds; `None` if the target could not be queried.
 #[derive(Debug)]
-pub(crate) struct Asked(pub(crate) TargetName, pub(crate) Option<TargetReport>);
+pub(crate) struct TargetQueried(pub(crate) TargetName, pub(crate) Option<TargetReport>);
 
 /// A scheduled wake-up.
 #[derive(Debug)]
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -15,7 +15,7 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName};
 
 use super::actor::{Control, Placer};
-use super::messages::{Asked, Ordered};
+use super::messages::{Ordered, TargetQueried};
 use super::presence::{Presence, SignOfLife};
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
@@ -158,7 +158,7 @@
                     None
                 }
             };
-            drop(control.send(Asked(target, report)).await);
+            drop(control.send(TargetQueried(target, report)).await);
         });
     }
 
