--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -17,7 +17,7 @@
 
 use super::change_feed::ChangeFeed;
 use super::messages::{
-    Begin, FromPeer, FromStore, Ordered, Reload, ReportUsage, Stop, TargetQueried, Tick,
+    Begin, FromPeer, FromStore, OrderResult, Reload, ReportUsage, Stop, TargetQueried, Tick,
 };
 use super::overload::Overload;
 use super::pace::Paces;
@@ -268,10 +268,14 @@
     }
 }
 
-impl Handler<Ordered> for Control {
+impl Handler<OrderResult> for Control {
     type Return = ();
 
-    async fn handle(&mut self, Ordered(number, answer): Ordered, _cx: &mut xtra::Context<Self>) {
+    async fn handle(
+        &mut self,
+        OrderResult(number, answer): OrderResult,
+        _cx: &mut xtra::Context<Self>,
+    ) {
         self.plan(ResidencyEvent::Answered(number, answer));
         self.after_message();
     }
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -32,7 +32,7 @@
 
 /// The result of an order to a target.
 #[derive(Debug)]
-pub(crate) struct Ordered(pub(crate) OrderNumber, pub(crate) OrderAnswer);
+pub(crate) struct OrderResult(pub(crate) OrderNumber, pub(crate) OrderAnswer);
 
 /// The report of what a target holds; `None` if the target could not be queried.
 #[derive(Debug)]
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -15,7 +15,7 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName};
 
 use super::actor::{Control, Placer};
-use super::messages::{Ordered, TargetQueried};
+use super::messages::{OrderResult, TargetQueried};
 use super::presence::{Presence, SignOfLife};
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
@@ -111,9 +111,13 @@
         let number = order.number;
         let address = self.address_of(&order.target);
         let (Some(term), Some(address)) = (self.keeper.may_order(now), address) else {
-            tokio::spawn(
-                async move { drop(control.send(Ordered(number, OrderAnswer::NotSent)).await) },
-            );
+            tokio::spawn(async move {
+                drop(
+                    control
+                        .send(OrderResult(number, OrderAnswer::NotSent))
+                        .await,
+                )
+            });
             return;
         };
         let req = (self.shared.dialect.targets.order)(&order, self.me(), term);
@@ -139,7 +143,7 @@
                 "accepted_before" => order.accepted_before, "term" => term, "answer" => ?answer);
             metrics::counter!("chervilshunt_orders_total", "answer" => answer_label(answer))
                 .increment(1);
-            drop(control.send(Ordered(number, answer)).await);
+            drop(control.send(OrderResult(number, answer)).await);
         });
     }
 
