--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -22,7 +22,7 @@
 use super::overload::Overload;
 use super::pace::Paces;
 use super::presence::Presence;
-use super::targets::Absences;
+use super::targets::MissingTargets;
 use crate::peers::{LeaseAnswer, LeaseCall, PeerMessage};
 use crate::settings::Settings;
 use crate::shared::Shared;
@@ -65,7 +65,7 @@
     pub(super) address: Option<Address<Self>>,
     pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
-    pub(super) absences: Absences,
+    pub(super) absences: MissingTargets,
     pub(super) paces: Paces,
     /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
@@ -114,7 +114,7 @@
             address: None,
             keeper,
             placer: None,
-            absences: Absences::default(),
+            absences: MissingTargets::default(),
             paces,
             reaches_platform: false,
             overload: Overload::default(),
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -30,12 +30,12 @@
 
 /// Targets whose entries have gone, and until when they are still used.
 #[derive(Debug, Default)]
-pub(super) struct Absences {
+pub(super) struct MissingTargets {
     due: HashMap<TargetName, Moment>,
     last_trouble: Option<Moment>,
 }
 
-impl Absences {
+impl MissingTargets {
     /// Returns when the next target has to be removed.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         self.due.values().copied().min()
