--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -65,7 +65,7 @@
     pub(super) address: Option<Address<Self>>,
     pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
-    pub(super) absences: MissingTargets,
+    pub(super) missing_targets: MissingTargets,
     pub(super) paces: Paces,
     /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
@@ -114,7 +114,7 @@
             address: None,
             keeper,
             placer: None,
-            absences: MissingTargets::default(),
+            missing_targets: MissingTargets::default(),
             paces,
             reaches_platform: false,
             overload: Overload::default(),
@@ -182,7 +182,7 @@
         let next = [
             self.keeper.next_wakeup(),
             placer.and_then(|it| it.residency.next_wakeup()),
-            self.absences.next_wakeup(),
+            self.missing_targets.next_wakeup(),
             self.paces.next_wakeup(now),
         ];
         let Some(next) = next.into_iter().flatten().min() else {
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -120,7 +120,7 @@
         match kind {
             Kind::Targets => {
                 let now = self.now();
-                self.absences.note_trouble(now);
+                self.missing_targets.note_trouble(now);
             }
             // No instance can become the placer while the platform is unavailable.
             Kind::Lease => self.shared.set_placer_decided(),
@@ -255,7 +255,7 @@
         change: EntryChange,
         revision: StoreRevision,
     ) {
-        let was_absent = self.absences.due.remove(&facts.name).is_some();
+        let was_absent = self.missing_targets.due.remove(&facts.name).is_some();
         let before = before.as_ref();
         if was_absent || before.is_none_or(|before| before.concerns_all(&facts)) {
             self.feed.target_changed(&facts, revision);
@@ -351,19 +351,19 @@
         let now = self.now();
         let known = self.shared.dispatch().targets().count();
         let lapsed = names.len() > 1 && names.len() as f64 >= known as f64 * LAPSE_SHARE;
-        let end = self.absences.grace_end(lapsed, now);
+        let end = self.missing_targets.grace_end(lapsed, now);
         for name in names {
             if self.shared.dispatch().target(&name).is_some() {
                 slog::info!(self.shared.log, "target not listed";
                     "target" => name.as_str(), "used_for_ms" => now.until(end).as_millis() as u64);
-                self.absences.due.insert(name, end);
+                self.missing_targets.due.insert(name, end);
             }
         }
     }
 
     /// Removes targets whose grace period has ended.
     pub(super) fn forget_absent(&mut self, now: Moment) {
-        let due = self.absences.take_due(now);
+        let due = self.missing_targets.take_due(now);
         if due.is_empty() {
             return;
         }
