--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -162,7 +162,7 @@
         if self.keeper.next_wakeup().is_some_and(|at| at <= now) {
             self.lease_event(ExclusiveLeaseEvent::Tick);
         }
-        self.forget_absent(now);
+        self.remove_missing_targets(now);
         self.forget_crashes(now);
         self.broadcast_changes();
         self.publish_placer_return(now);
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -362,7 +362,7 @@
     }
 
     /// Removes targets whose grace period has ended.
-    pub(super) fn forget_absent(&mut self, now: Moment) {
+    pub(super) fn remove_missing_targets(&mut self, now: Moment) {
         let due = self.missing_targets.take_due(now);
         if due.is_empty() {
             return;
