--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -220,7 +220,7 @@
                 for facts in seen {
                     self.target_told(facts, batch.up_to);
                 }
-                self.absent(gone, batch.up_to);
+                self.handle_missing_targets(gone, batch.up_to);
             }
             KindChanges::Versions(named) => {
                 for (weights, version) in named {
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -93,7 +93,7 @@
                 match kind {
                     Kind::Targets => {
                         let removed = removed.into_iter().map(TargetName::new);
-                        self.absent(removed.collect(), revision);
+                        self.handle_missing_targets(removed.collect(), revision);
                     }
                     Kind::Crashes => {
                         let removed = self.crashes_named(&removed);
@@ -155,7 +155,7 @@
                 let unlisted = known.targets().filter(|it| !names.contains(&it.name));
                 let unlisted = unlisted.map(|it| it.name.clone()).collect();
                 drop(known);
-                self.absent(unlisted, revision);
+                self.handle_missing_targets(unlisted, revision);
             }
             Kind::Crashes => {
                 let listed = self.crashes_named(&names);
@@ -343,7 +343,11 @@
     }
 
     /// Handles the disappearance of targets' entries.
-    pub(super) fn absent(&mut self, names: Vec<TargetName>, revision: StoreRevision) {
+    pub(super) fn handle_missing_targets(
+        &mut self,
+        names: Vec<TargetName>,
+        revision: StoreRevision,
+    ) {
         if names.is_empty() {
             return;
         }
