--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -163,7 +163,7 @@
             self.lease_event(ExclusiveLeaseEvent::Tick);
         }
         self.remove_missing_targets(now);
-        self.forget_crashes(now);
+        self.expire_crashes(now);
         self.broadcast_changes();
         self.publish_placer_return(now);
         let placer = self.placer.as_ref();
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -61,7 +61,7 @@
     }
 
     /// Drops crashes whose retention time has passed; the placer also removes their records.
-    pub(super) fn forget_crashes(&self, now: Moment) {
+    pub(super) fn expire_crashes(&self, now: Moment) {
         let expired = self.shared.quarantine().take_expired(now);
         for fingerprint in expired {
             self.report_released(fingerprint, "expired");
