--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of changed entries that are broadcast. If more change at once, the instances poll
 /// the platform themselves, because the placer's link can't carry all of them to every instance.
-const MOST_TOLD: usize = 64;
+const MAX_BROADCAST_ENTRIES: usize = 64;
 
 /// Time after one answer about targets' entries at which the next one is overdue. The placer polls
 /// every 0.3 s, and a broadcast view is valid for one second.
@@ -142,7 +142,7 @@
             KindChanges::Configuration => 1,
             KindChanges::Crashes(recorded, released) => recorded.len() + released.len(),
         };
-        let is_told = up_to > after && (1..=MOST_TOLD).contains(&told);
+        let is_told = up_to > after && (1..=MAX_BROADCAST_ENTRIES).contains(&told);
         is_told.then_some(ChangeBatch { after, up_to, what })
     }
 
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -5,7 +5,7 @@
 use chervilshunt_core::{Fingerprint, LoadedAdapter, LoadedModel, TargetFacts, Weights};
 use chervilshunt_model::{Moment, ServiceName, StoreRevision, TargetName, ZoneName};
 
-use super::{ChangeFeed, MOST_TOLD};
+use super::{ChangeFeed, MAX_BROADCAST_ENTRIES};
 use crate::dialect::Kind;
 use crate::peers::KindChanges;
 
@@ -65,12 +65,12 @@
 fn where_very_many_change_at_once_everybody_looks() {
     let mut feed = ChangeFeed::default();
     feed.seen(Kind::Targets, at(0));
-    for number in 0..=MOST_TOLD as u64 {
+    for number in 0..=MAX_BROADCAST_ENTRIES as u64 {
         feed.target_changed(&facts(&format!("t{number}")), rev(number + 1));
     }
     assert!(feed.take_batch(Kind::Targets).is_none());
     let view = feed.view(at(10)).expect("a view");
-    assert_eq!(view.targets, rev(MOST_TOLD as u64 + 1));
+    assert_eq!(view.targets, rev(MAX_BROADCAST_ENTRIES as u64 + 1));
     assert_eq!(view.age, Duration::from_millis(10));
 }
 
