--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -38,7 +38,7 @@
     /// The service's revision at the last change that affects every instance.
     changed_at: StoreRevision,
     /// The value of `changed_at` at the last broadcast.
-    told: StoreRevision,
+    broadcast_up_to: StoreRevision,
     /// Whether the last call was answered.
     is_seen: bool,
 }
@@ -134,8 +134,8 @@
             Kind::Lease => return None,
         };
         let feed = self.kinds.entry(kind).or_default();
-        let (after, up_to) = (feed.told, feed.changed_at);
-        feed.told = up_to;
+        let (after, up_to) = (feed.broadcast_up_to, feed.changed_at);
+        feed.broadcast_up_to = up_to;
         let told = match &what {
             KindChanges::Targets(seen, gone) => seen.len() + gone.len(),
             KindChanges::Versions(named) => named.len(),
