--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -142,8 +142,8 @@
             KindChanges::Configuration => 1,
             KindChanges::Crashes(recorded, released) => recorded.len() + released.len(),
         };
-        let is_told = up_to > after && (1..=MAX_BROADCAST_ENTRIES).contains(&told);
-        is_told.then_some(ChangeBatch { after, up_to, what })
+        let is_broadcast = up_to > after && (1..=MAX_BROADCAST_ENTRIES).contains(&told);
+        is_broadcast.then_some(ChangeBatch { after, up_to, what })
     }
 
     /// Returns the view of the platform that the placer sends at regular intervals.
