--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -25,11 +25,11 @@
     entries_seen_at: Option<Moment>,
     kinds: HashMap<Kind, KindFeed>,
     /// Changes since the last broadcast.
-    untold_targets: Vec<TargetFacts>,
-    untold_gone: Vec<TargetName>,
-    untold_versions: Vec<(Weights, u64)>,
-    untold_crashes: Vec<StoredCrashes>,
-    untold_releases: Vec<Fingerprint>,
+    pending_targets: Vec<TargetFacts>,
+    pending_gone: Vec<TargetName>,
+    pending_versions: Vec<(Weights, u64)>,
+    pending_crashes: Vec<StoredCrashes>,
+    pending_releases: Vec<Fingerprint>,
 }
 
 /// What this instance has seen of one kind.
@@ -72,16 +72,16 @@
 
     /// Records a change of a target that affects every instance.
     pub(super) fn target_changed(&mut self, facts: &TargetFacts, revision: StoreRevision) {
-        self.untold_gone.retain(|it| *it != facts.name);
-        self.untold_targets.retain(|it| it.name != facts.name);
-        self.untold_targets.push(facts.without_adapters());
+        self.pending_gone.retain(|it| *it != facts.name);
+        self.pending_targets.retain(|it| it.name != facts.name);
+        self.pending_targets.push(facts.without_adapters());
         self.changed(Kind::Targets, revision);
     }
 
     /// Records that targets are no longer listed.
     pub(super) fn targets_gone(&mut self, names: &[TargetName], revision: StoreRevision) {
-        self.untold_targets.retain(|it| !names.contains(&it.name));
-        self.untold_gone.extend(names.iter().cloned());
+        self.pending_targets.retain(|it| !names.contains(&it.name));
+        self.pending_gone.extend(names.iter().cloned());
         self.changed(Kind::Targets, revision);
     }
 
@@ -92,17 +92,17 @@
         version: u64,
         revision: StoreRevision,
     ) {
-        self.untold_versions.push((weights.clone(), version));
+        self.pending_versions.push((weights.clone(), version));
         self.changed(Kind::Versions, revision);
     }
 
     /// Records that a crash record of a request was written.
     pub(super) fn crashes_recorded(&mut self, crashes: &StoredCrashes, revision: StoreRevision) {
         let fingerprint = crashes.fingerprint;
-        self.untold_releases.retain(|it| *it != fingerprint);
-        self.untold_crashes
+        self.pending_releases.retain(|it| *it != fingerprint);
+        self.pending_crashes
             .retain(|it| it.fingerprint != fingerprint);
-        self.untold_crashes.push(crashes.clone());
+        self.pending_crashes.push(crashes.clone());
         self.changed(Kind::Crashes, revision);
     }
 
@@ -111,9 +111,9 @@
         if removed.is_empty() {
             return;
         }
-        self.untold_crashes
+        self.pending_crashes
             .retain(|it| !removed.contains(&it.fingerprint));
-        self.untold_releases.extend_from_slice(removed);
+        self.pending_releases.extend_from_slice(removed);
         self.changed(Kind::Crashes, revision);
     }
 
@@ -122,14 +122,14 @@
     fn take_batch(&mut self, kind: Kind) -> Option<ChangeBatch> {
         let what = match kind {
             Kind::Targets => KindChanges::Targets(
-                std::mem::take(&mut self.untold_targets),
-                std::mem::take(&mut self.untold_gone),
+                std::mem::take(&mut self.pending_targets),
+                std::mem::take(&mut self.pending_gone),
             ),
-            Kind::Versions => KindChanges::Versions(std::mem::take(&mut self.untold_versions)),
+            Kind::Versions => KindChanges::Versions(std::mem::take(&mut self.pending_versions)),
             Kind::Configuration => KindChanges::Configuration,
             Kind::Crashes => KindChanges::Crashes(
-                std::mem::take(&mut self.untold_crashes),
-                std::mem::take(&mut self.untold_releases),
+                std::mem::take(&mut self.pending_crashes),
+                std::mem::take(&mut self.pending_releases),
             ),
             Kind::Lease => return None,
         };
