--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -46,7 +46,7 @@
 impl ChangeFeed {
     /// Records that a call about a kind was answered and returns whether the answer was overdue.
     /// Only answers about targets can be overdue.
-    pub(super) fn seen(&mut self, kind: Kind, now: Moment) -> bool {
+    pub(super) fn record_answer(&mut self, kind: Kind, now: Moment) -> bool {
         self.kinds.entry(kind).or_default().is_seen = true;
         if kind != Kind::Targets {
             return false;
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -64,7 +64,7 @@
 #[test]
 fn where_very_many_change_at_once_everybody_looks() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
+    feed.record_answer(Kind::Targets, at(0));
     for number in 0..=MAX_BROADCAST_ENTRIES as u64 {
         feed.target_changed(&facts(&format!("t{number}")), rev(number + 1));
     }
@@ -79,9 +79,9 @@
 #[test]
 fn a_kind_that_the_placer_can_not_follow_is_left_out_of_its_view() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
-    feed.seen(Kind::Configuration, at(0));
-    feed.seen(Kind::Versions, at(0));
+    feed.record_answer(Kind::Targets, at(0));
+    feed.record_answer(Kind::Configuration, at(0));
+    feed.record_answer(Kind::Versions, at(0));
     feed.configuration_changed(rev(3));
     feed.version_named(&Weights::base(&"base".into()), 2, rev(4));
     let view = feed.view(at(0)).expect("a view");
@@ -97,18 +97,18 @@
 #[test]
 fn an_answer_after_a_gap_is_overdue() {
     let mut feed = ChangeFeed::default();
-    assert!(!feed.seen(Kind::Targets, at(0)));
-    assert!(!feed.seen(Kind::Targets, at(310)));
-    assert!(feed.seen(Kind::Targets, at(900)));
+    assert!(!feed.record_answer(Kind::Targets, at(0)));
+    assert!(!feed.record_answer(Kind::Targets, at(310)));
+    assert!(feed.record_answer(Kind::Targets, at(900)));
 }
 
 /// Guards against instances that list the crash records after each call of the placer about them.
 #[test]
 fn an_answer_without_removals_is_no_change_of_the_records_of_crashes() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
+    feed.record_answer(Kind::Targets, at(0));
     feed.target_changed(&facts("t1"), rev(5));
-    feed.seen(Kind::Crashes, at(0));
+    feed.record_answer(Kind::Crashes, at(0));
     feed.crashes_removed(&[], rev(9));
     assert_eq!(feed.view(at(0)).and_then(|it| it.crashes), Some(rev(0)));
     feed.crashes_removed(&[Fingerprint::of([&b"a"[..]])], rev(10));
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -132,7 +132,7 @@
     fn looked(&mut self, kind: Kind, revision: StoreRevision) {
         self.reaches_platform = true;
         let now = self.now();
-        let is_overdue = self.feed.seen(kind, now);
+        let is_overdue = self.feed.record_answer(kind, now);
         self.paces.guide(kind).polled(revision, now);
         if is_overdue {
             self.tell_placing(now);
