--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records that a call about a kind has failed.
-    pub(super) fn lost(&mut self, kind: Kind) {
+    pub(super) fn record_failure(&mut self, kind: Kind) {
         self.kinds.entry(kind).or_default().is_seen = false;
     }
 
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -89,7 +89,7 @@
         (view.configuration, view.versions),
         (Some(rev(3)), Some(rev(4)))
     );
-    feed.lost(Kind::Configuration);
+    feed.record_failure(Kind::Configuration);
     let view = feed.view(at(0)).expect("a view");
     assert_eq!((view.configuration, view.versions), (None, Some(rev(4))));
 }
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -115,7 +115,7 @@
     /// show when entries of targets may have lapsed.
     fn note_trouble(&mut self, kind: Kind) {
         self.reaches_platform = false;
-        self.feed.lost(kind);
+        self.feed.record_failure(kind);
         self.lease_event(ExclusiveLeaseEvent::PlatformLost);
         match kind {
             Kind::Targets => {
