--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -86,7 +86,7 @@
     }
 
     /// Records that a version has been announced.
-    pub(super) fn version_named(
+    pub(super) fn version_announced(
         &mut self,
         weights: &Weights,
         version: u64,
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -83,7 +83,7 @@
     feed.record_answer(Kind::Configuration, at(0));
     feed.record_answer(Kind::Versions, at(0));
     feed.configuration_changed(rev(3));
-    feed.version_named(&Weights::base(&"base".into()), 2, rev(4));
+    feed.version_announced(&Weights::base(&"base".into()), 2, rev(4));
     let view = feed.view(at(0)).expect("a view");
     assert_eq!(
         (view.configuration, view.versions),
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -328,7 +328,7 @@
         }
         self.versions.insert(weights.clone(), version);
         if known != Some(version) {
-            self.feed.version_named(&weights, version, revision);
+            self.feed.version_announced(&weights, version, revision);
             slog::info!(self.shared.log, "version announced";
                 "weights" => weights.to_string(), "version" => version,
                 "previous_version" => known, "revision" => revision.number);
@@ -337,7 +337,7 @@
             .dispatch()
             .version_named(weights.clone(), version, now);
         if known != Some(version) {
-            self.shared.version_named.send_replace(());
+            self.shared.version_announced.send_replace(());
         }
         self.plan(ResidencyEvent::VersionNamed(weights, version));
     }
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -49,7 +49,7 @@
     /// The placer, if it is known.
     pub(crate) placer: ArcSwapOption<Peer>,
     /// Notifies requests in flight that a new version of some weights has been announced.
-    pub(crate) version_named: watch::Sender<()>,
+    pub(crate) version_announced: watch::Sender<()>,
     dispatch: Mutex<Dispatch>,
     budgets: Mutex<ServiceBudgets>,
     quarantine: Mutex<Quarantine>,
@@ -116,7 +116,7 @@
             crash_signs,
             routes: ArcSwapOption::empty(),
             placer: ArcSwapOption::empty(),
-            version_named: watch::Sender::default(),
+            version_announced: watch::Sender::default(),
             dispatch: Mutex::new(dispatch),
             budgets: Mutex::new(budgets),
             quarantine: Mutex::new(Quarantine::new(QuarantineConfig::default())),
--- a/crates/chervilshunt_gateway/src/traffic/outdated.rs
+++ b/crates/chervilshunt_gateway/src/traffic/outdated.rs
@@ -21,7 +21,7 @@
         return std::future::pending().await;
     };
     let shared = in_flight.shared();
-    let mut version_named = shared.version_named.subscribe();
+    let mut version_announced = shared.version_announced.subscribe();
     loop {
         let left = time_left(shared, weights, version);
         if left == Some(Duration::ZERO) {
@@ -35,7 +35,7 @@
         };
         tokio::select! {
             () = deadline_passed => {}
-            changed = version_named.changed() => if changed.is_err() {
+            changed = version_announced.changed() => if changed.is_err() {
                 return std::future::pending().await;
             }
         }
