--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -185,7 +185,7 @@
     /// Failures of the placer's own calls are not part of the view. While they last the view ages,
     /// and this instance polls the platform itself to find out whether it is unavailable to every
     /// instance.
-    pub(super) fn take_view(&mut self, view: PlatformView, now: Moment) {
+    pub(super) fn apply_view(&mut self, view: PlatformView, now: Moment) {
         self.note_era(view.targets.era);
         let as_of = now - view.age;
         let told = [
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -140,7 +140,7 @@
                 .notified(StoreRevision::default(), now);
         }
         if let Some(view) = platform {
-            self.take_view(view, now);
+            self.apply_view(view, now);
         }
     }
 
