--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -202,7 +202,7 @@
     }
 
     /// Applies a batch of changes from the placer.
-    pub(super) fn take_changed(&mut self, batch: ChangeBatch) {
+    pub(super) fn apply_batch(&mut self, batch: ChangeBatch) {
         let kind = match &batch.what {
             KindChanges::Targets(..) => Kind::Targets,
             KindChanges::Versions(_) => Kind::Versions,
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -95,7 +95,7 @@
                 self.holder_told(lease, platform);
                 self.take_placing(knows_targets, instances);
             }
-            PeerMessage::Changed(batch) if self.is_placer(&from) => self.take_changed(batch),
+            PeerMessage::Changed(batch) if self.is_placer(&from) => self.apply_batch(batch),
             PeerMessage::CallLease(call) => self.call_lease_for(call, reply),
             PeerMessage::ReadStore(read) => self.read_for(read, reply),
             // The sender is no longer the placer, or is not known as the placer yet.
