--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -96,7 +96,7 @@
                         self.handle_missing_targets(removed.collect(), revision);
                     }
                     Kind::Crashes => {
-                        let removed = self.crashes_named(&removed);
+                        let removed = self.record_fingerprints(&removed);
                         self.crashes_removed(&removed, revision);
                     }
                     Kind::Configuration | Kind::Versions | Kind::Lease => {}
@@ -158,7 +158,7 @@
                 self.handle_missing_targets(unlisted, revision);
             }
             Kind::Crashes => {
-                let listed = self.crashes_named(&names);
+                let listed = self.record_fingerprints(&names);
                 self.crashes_listed(&listed.into_iter().collect(), revision);
                 self.record_lost_crashes();
             }
