--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -225,7 +225,7 @@
                 }
                 Err(trouble) => {
                     self.report(&trouble, pause == FIRST_PAUSE);
-                    self.tell(FromStore::Trouble(self.kind)).await;
+                    self.tell(FromStore::CallFailed(self.kind)).await;
                     self.rest(pause).await;
                     pause = (pause * 2).min(self.longest_pause());
                 }
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -25,7 +25,7 @@
     /// Changes of a kind; there may be none.
     Changed(Kind, Changes),
     /// A call has failed.
-    Trouble(Kind),
+    CallFailed(Kind),
     /// A call has succeeded after failures.
     Back(Kind),
 }
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -103,7 +103,7 @@
                 }
                 self.looked(kind, revision);
             }
-            FromStore::Trouble(kind) => self.note_trouble(kind),
+            FromStore::CallFailed(kind) => self.note_trouble(kind),
             FromStore::Back(kind) => {
                 self.note_trouble(kind);
                 slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
