--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -206,7 +206,7 @@
                 Ok(revision) => {
                     self.reached.send_replace(true);
                     if pause != FIRST_PAUSE {
-                        self.tell(FromStore::Back(self.kind)).await;
+                        self.tell(FromStore::Recovered(self.kind)).await;
                         pause = FIRST_PAUSE;
                     }
                     if from.replace(revision).is_none() && !has_looked {
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -27,7 +27,7 @@
     /// A call has failed.
     CallFailed(Kind),
     /// A call has succeeded after failures.
-    Back(Kind),
+    Recovered(Kind),
 }
 
 /// The result of an order to a target.
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -104,7 +104,7 @@
                 self.looked(kind, revision);
             }
             FromStore::CallFailed(kind) => self.note_trouble(kind),
-            FromStore::Back(kind) => {
+            FromStore::Recovered(kind) => {
                 self.note_trouble(kind);
                 slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
             }
