--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -17,7 +17,7 @@
 
 use super::change_feed::ChangeFeed;
 use super::messages::{
-    Begin, FromPeer, FromStore, OrderResult, Reload, ReportUsage, Stop, TargetQueried, Tick,
+    Begin, FromPeer, OrderResult, Reload, ReportUsage, Stop, StoreEvent, TargetQueried, Tick,
 };
 use super::overload::Overload;
 use super::pace::Paces;
@@ -228,10 +228,10 @@
     }
 }
 
-impl Handler<FromStore> for Control {
+impl Handler<StoreEvent> for Control {
     type Return = ();
 
-    async fn handle(&mut self, event: FromStore, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, event: StoreEvent, _cx: &mut xtra::Context<Self>) {
         self.take_store_event(event);
         self.after_message();
     }
--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -16,7 +16,7 @@
 use xtra::Address;
 
 use super::actor::Control;
-use super::messages::FromStore;
+use super::messages::StoreEvent;
 use super::pace::{FollowPace, PaceReceivers};
 use super::reading::Reader;
 use crate::dialect::{Changes, Entry, Freshness, Kind, Malformed, StoreDialect};
@@ -206,7 +206,7 @@
                 Ok(revision) => {
                     self.reached.send_replace(true);
                     if pause != FIRST_PAUSE {
-                        self.tell(FromStore::Recovered(self.kind)).await;
+                        self.tell(StoreEvent::Recovered(self.kind)).await;
                         pause = FIRST_PAUSE;
                     }
                     if from.replace(revision).is_none() && !has_looked {
@@ -225,7 +225,7 @@
                 }
                 Err(trouble) => {
                     self.report(&trouble, pause == FIRST_PAUSE);
-                    self.tell(FromStore::CallFailed(self.kind)).await;
+                    self.tell(StoreEvent::CallFailed(self.kind)).await;
                     self.rest(pause).await;
                     pause = (pause * 2).min(self.longest_pause());
                 }
@@ -355,7 +355,7 @@
                 Some(next) => after = Some(next),
                 None => {
                     self.freshness = Freshness::Latest;
-                    self.tell(FromStore::Listed(self.kind, entries, revision))
+                    self.tell(StoreEvent::Listed(self.kind, entries, revision))
                         .await;
                     return Ok(revision);
                 }
@@ -388,14 +388,14 @@
         self.report_malformed(&changes.malformed);
         let revision = changes.revision;
         let changed = !changes.changes.is_empty();
-        self.tell(FromStore::Changed(self.kind, changes)).await;
+        self.tell(StoreEvent::Changed(self.kind, changes)).await;
         if changed && wait >= WATCH_WAIT {
             tokio::time::sleep(gather_for(self.kind)).await;
         }
         Ok(revision)
     }
 
-    async fn tell(&self, event: FromStore) {
+    async fn tell(&self, event: StoreEvent) {
         if self.control.send(event).await.is_err() {
             slog::debug!(self.log, "control actor has stopped");
         }
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -19,7 +19,7 @@
 
 /// Events from the platform's object service.
 #[derive(Debug)]
-pub(crate) enum FromStore {
+pub(crate) enum StoreEvent {
     /// All objects of a kind, and the revision of the list.
     Listed(Kind, Vec<Entry>, StoreRevision),
     /// Changes of a kind; there may be none.
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -12,7 +12,7 @@
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
 
 use super::actor::Control;
-use super::messages::FromStore;
+use super::messages::StoreEvent;
 use crate::dialect::{Change, Content, Entry, Kind};
 use crate::peers::PeerMessage;
 
@@ -69,14 +69,14 @@
 
 impl Control {
     /// Handles an event from the platform's object service.
-    pub(super) fn take_store_event(&mut self, event: FromStore) {
+    pub(super) fn take_store_event(&mut self, event: StoreEvent) {
         match event {
-            FromStore::Listed(kind, entries, revision) => {
+            StoreEvent::Listed(kind, entries, revision) => {
                 self.note_era(revision.era);
                 self.listed(kind, entries, revision);
                 self.looked(kind, revision);
             }
-            FromStore::Changed(kind, changes) => {
+            StoreEvent::Changed(kind, changes) => {
                 let revision = changes.revision;
                 self.note_era(revision.era);
                 let mut removed = Vec::new();
@@ -103,8 +103,8 @@
                 }
                 self.looked(kind, revision);
             }
-            FromStore::CallFailed(kind) => self.note_trouble(kind),
-            FromStore::Recovered(kind) => {
+            StoreEvent::CallFailed(kind) => self.note_trouble(kind),
+            StoreEvent::Recovered(kind) => {
                 self.note_trouble(kind);
                 slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
             }
