--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -232,7 +232,7 @@
     type Return = ();
 
     async fn handle(&mut self, event: StoreEvent, _cx: &mut xtra::Context<Self>) {
-        self.take_store_event(event);
+        self.handle_store_event(event);
         self.after_message();
     }
 }
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -69,7 +69,7 @@
 
 impl Control {
     /// Handles an event from the platform's object service.
-    pub(super) fn take_store_event(&mut self, event: StoreEvent) {
+    pub(super) fn handle_store_event(&mut self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(kind, entries, revision) => {
                 self.note_era(revision.era);
