--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -69,7 +69,7 @@
 
 /// Why following has to start over or pause.
 #[derive(Debug)]
-enum Trouble {
+enum FollowError {
     /// The service no longer has the history from the requested revision.
     Expired,
     /// The call failed.
@@ -86,7 +86,7 @@
     PaceChanged,
 }
 
-impl From<PlatformError> for Trouble {
+impl From<PlatformError> for FollowError {
     fn from(error: PlatformError) -> Self {
         match error {
             PlatformError::Expired { .. } => Self::Expired,
@@ -217,9 +217,9 @@
                         tokio::time::sleep_until(looked_at + GUIDING_EVERY).await;
                     }
                 }
-                Err(Trouble::Restored) => from = None,
-                Err(Trouble::PaceChanged) => {}
-                Err(Trouble::Expired) => {
+                Err(FollowError::Restored) => from = None,
+                Err(FollowError::PaceChanged) => {}
+                Err(FollowError::Expired) => {
                     slog::info!(self.log, "history expired"; "kind" => self.kind.as_str());
                     from = None;
                 }
@@ -275,7 +275,7 @@
     }
 
     /// Handles the era of an answer.
-    fn take_era(&self, era: u64) -> Result<(), Trouble> {
+    fn take_era(&self, era: u64) -> Result<(), FollowError> {
         let mut is_outdated = false;
         self.era.send_if_modified(|known| {
             is_outdated = era < *known;
@@ -284,7 +284,7 @@
             is_new
         });
         if is_outdated {
-            return Err(Trouble::Outdated);
+            return Err(FollowError::Outdated);
         }
         Ok(())
     }
@@ -333,7 +333,7 @@
     }
 
     /// Lists all objects of the kind and returns the revision from which to watch.
-    async fn list(&mut self) -> Result<StoreRevision, Trouble> {
+    async fn list(&mut self) -> Result<StoreRevision, FollowError> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut after: Option<String> = None;
         let mut first_revision = None;
@@ -342,14 +342,14 @@
             let answer = self.reader.read(&read).await?;
             self.take_era(answer.era)?;
             let page = (self.dialect.read_page)(self.kind, answer.era, &answer.body);
-            let page = page.map_err(Trouble::Unreadable)?;
+            let page = page.map_err(FollowError::Unreadable)?;
             self.report_malformed(&page.malformed);
             entries.extend(page.entries);
             // Objects may change between two pages. Watching from the first page's revision repeats
             // those changes.
             let revision: StoreRevision = *first_revision.get_or_insert(page.revision);
             if page.revision.era != revision.era {
-                return Err(Trouble::Restored);
+                return Err(FollowError::Restored);
             }
             match page.next_after {
                 Some(next) => after = Some(next),
@@ -368,23 +368,23 @@
         &mut self,
         from: StoreRevision,
         wait: Duration,
-    ) -> Result<StoreRevision, Trouble> {
+    ) -> Result<StoreRevision, FollowError> {
         let read = StoreRead::Watch(self.kind, from, wait);
         let answer = tokio::select! {
             answer = self.reader.read(&read) => answer?,
-            () = self.is_lost_for_another() => return Err(Trouble::Doubted),
-            () = self.is_restored_after(from.era) => return Err(Trouble::Restored),
+            () = self.is_lost_for_another() => return Err(FollowError::Doubted),
+            () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
             () = self.wait_until_guiding(), if wait > GUIDING_RARE_WATCH_WAIT => {
-                return Err(Trouble::PaceChanged);
+                return Err(FollowError::PaceChanged);
             }
         };
         self.take_era(answer.era)?;
         if answer.era != from.era {
             // The service has a different history after this revision now.
-            return Err(Trouble::Restored);
+            return Err(FollowError::Restored);
         }
         let changes = (self.dialect.read_changes)(self.kind, answer.era, &answer.body);
-        let changes: Changes = changes.map_err(Trouble::Unreadable)?;
+        let changes: Changes = changes.map_err(FollowError::Unreadable)?;
         self.report_malformed(&changes.malformed);
         let revision = changes.revision;
         let changed = !changes.changes.is_empty();
@@ -401,13 +401,13 @@
         }
     }
 
-    fn report(&self, trouble: &Trouble, first: bool) {
+    fn report(&self, trouble: &FollowError, first: bool) {
         let reason = match trouble {
-            Trouble::Expired | Trouble::Restored | Trouble::PaceChanged => return,
-            Trouble::Outdated => "answer is from before a restore".to_owned(),
-            Trouble::Failed(error) => error.to_string(),
-            Trouble::Unreadable(malformed) => malformed.to_string(),
-            Trouble::Doubted => "call about another kind failed".to_owned(),
+            FollowError::Expired | FollowError::Restored | FollowError::PaceChanged => return,
+            FollowError::Outdated => "answer is from before a restore".to_owned(),
+            FollowError::Failed(error) => error.to_string(),
+            FollowError::Unreadable(malformed) => malformed.to_string(),
+            FollowError::Doubted => "call about another kind failed".to_owned(),
         };
         // Only the first failure of an outage is logged.
         if first {
