--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -77,7 +77,7 @@
     /// The answer can't be decoded.
     Unreadable(Malformed),
     /// A call of another follower failed while this one waited.
-    Doubted,
+    OtherKindFailed,
     /// The service has been restored since the revision from which changes were requested.
     Restored,
     /// The answer is from before a restore that is known already.
@@ -372,7 +372,7 @@
         let read = StoreRead::Watch(self.kind, from, wait);
         let answer = tokio::select! {
             answer = self.reader.read(&read) => answer?,
-            () = self.is_lost_for_another() => return Err(FollowError::Doubted),
+            () = self.is_lost_for_another() => return Err(FollowError::OtherKindFailed),
             () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
             () = self.wait_until_guiding(), if wait > GUIDING_RARE_WATCH_WAIT => {
                 return Err(FollowError::PaceChanged);
@@ -407,7 +407,7 @@
             FollowError::Outdated => "answer is from before a restore".to_owned(),
             FollowError::Failed(error) => error.to_string(),
             FollowError::Unreadable(malformed) => malformed.to_string(),
-            FollowError::Doubted => "call about another kind failed".to_owned(),
+            FollowError::OtherKindFailed => "call about another kind failed".to_owned(),
         };
         // Only the first failure of an outage is logged.
         if first {
