--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -83,7 +83,7 @@
     /// The answer is from before a restore that is known already.
     Outdated,
     /// The call's wait is longer than the new mode allows.
-    PaceChanged,
+    ModeChanged,
 }
 
 impl From<PlatformError> for FollowError {
@@ -218,7 +218,7 @@
                     }
                 }
                 Err(FollowError::Restored) => from = None,
-                Err(FollowError::PaceChanged) => {}
+                Err(FollowError::ModeChanged) => {}
                 Err(FollowError::Expired) => {
                     slog::info!(self.log, "history expired"; "kind" => self.kind.as_str());
                     from = None;
@@ -375,7 +375,7 @@
             () = self.is_lost_for_another() => return Err(FollowError::OtherKindFailed),
             () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
             () = self.wait_until_guiding(), if wait > GUIDING_RARE_WATCH_WAIT => {
-                return Err(FollowError::PaceChanged);
+                return Err(FollowError::ModeChanged);
             }
         };
         self.take_era(answer.era)?;
@@ -403,7 +403,7 @@
 
     fn report(&self, trouble: &FollowError, first: bool) {
         let reason = match trouble {
-            FollowError::Expired | FollowError::Restored | FollowError::PaceChanged => return,
+            FollowError::Expired | FollowError::Restored | FollowError::ModeChanged => return,
             FollowError::Outdated => "answer is from before a restore".to_owned(),
             FollowError::Failed(error) => error.to_string(),
             FollowError::Unreadable(malformed) => malformed.to_string(),
