--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -33,7 +33,7 @@
 /// Interval at which the placer polls targets' entries. The other instances trust a report for one
 /// second before they poll themselves. A shorter interval would gain little, because the interval
 /// of the reports is added to the delay.
-const GUIDING_EVERY: Duration = Duration::from_millis(300);
+const PLACER_POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// Time that the placer's calls wait for changes of configuration and versions. The other instances
 /// get these changes from the placer, so if an answer is lost, no instance sees the change until
 /// the call ends.
@@ -177,7 +177,7 @@
         (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
         (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => AT_ONCE,
         (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => GUIDING_RARE_WATCH_WAIT,
-        (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => GUIDING_EVERY,
+        (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
 }
 
@@ -214,7 +214,7 @@
                         self.first_rest().await;
                     }
                     if pace == FollowPace::Guiding {
-                        tokio::time::sleep_until(looked_at + GUIDING_EVERY).await;
+                        tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
                 Err(FollowError::Restored) => from = None,
