--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -37,7 +37,7 @@
 /// Time that the placer's calls wait for changes of configuration and versions. The other instances
 /// get these changes from the placer, so if an answer is lost, no instance sees the change until
 /// the call ends.
-const GUIDING_RARE_WATCH_WAIT: Duration = Duration::from_secs(1);
+const PLACER_RARE_WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Time since the last call after which a follower lists the objects again instead of asking for
 /// changes. Targets update their entries every second, so the changes of a longer time are larger
 /// than the list.
@@ -176,7 +176,7 @@
         ) => RARE_WATCH_WAIT,
         (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
         (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => AT_ONCE,
-        (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => GUIDING_RARE_WATCH_WAIT,
+        (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
         (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
 }
@@ -374,7 +374,7 @@
             answer = self.reader.read(&read) => answer?,
             () = self.is_lost_for_another() => return Err(FollowError::OtherKindFailed),
             () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
-            () = self.wait_until_guiding(), if wait > GUIDING_RARE_WATCH_WAIT => {
+            () = self.wait_until_guiding(), if wait > PLACER_RARE_WATCH_WAIT => {
                 return Err(FollowError::ModeChanged);
             }
         };
