--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -41,7 +41,7 @@
 /// Time since the last call after which a follower lists the objects again instead of asking for
 /// changes. Targets update their entries every second, so the changes of a longer time are larger
 /// than the list.
-const LIST_AFTER: Duration = Duration::from_secs(3);
+const RELIST_AFTER: Duration = Duration::from_secs(3);
 /// Wait of a call that should be answered at once.
 const AT_ONCE: Duration = Duration::from_millis(1);
 /// Time that an instance waits after its first call for a report from the placer. Without it,
@@ -190,7 +190,7 @@
         loop {
             let (pace, rested) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
-            if is_of_another_era || (rested && looked_at.elapsed() > LIST_AFTER) {
+            if is_of_another_era || (rested && looked_at.elapsed() > RELIST_AFTER) {
                 from = None;
             }
             looked_at = Instant::now();
