--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -43,7 +43,7 @@
 /// than the list.
 const RELIST_AFTER: Duration = Duration::from_secs(3);
 /// Wait of a call that should be answered at once.
-const AT_ONCE: Duration = Duration::from_millis(1);
+const NO_WAIT: Duration = Duration::from_millis(1);
 /// Time that an instance waits after its first call for a report from the placer. Without it,
 /// instances that start together would each make a needless waiting call.
 const FIRST_REST: Duration = Duration::from_secs(1);
@@ -175,7 +175,7 @@
             Kind::Configuration | Kind::Versions | Kind::Crashes,
         ) => RARE_WATCH_WAIT,
         (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
-        (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => AT_ONCE,
+        (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => NO_WAIT,
         (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
         (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
@@ -199,7 +199,7 @@
                 // After a failure the first call does not wait for changes, so that its answer
                 // shows at once that the service is back. The grace period of entries that went
                 // missing in the meantime counts from then.
-                Some(revision) if pause != FIRST_PAUSE => self.watch(revision, AT_ONCE).await,
+                Some(revision) if pause != FIRST_PAUSE => self.watch(revision, NO_WAIT).await,
                 Some(revision) => self.watch(revision, wait_for(self.kind, pace)).await,
             };
             match result {
