--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -46,7 +46,7 @@
 const NO_WAIT: Duration = Duration::from_millis(1);
 /// Time that an instance waits after its first call for a report from the placer. Without it,
 /// instances that start together would each make a needless waiting call.
-const FIRST_REST: Duration = Duration::from_secs(1);
+const FIRST_REPORT_WAIT: Duration = Duration::from_secs(1);
 /// Delay after a failed call; it doubles up to the longest delay.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_millis(600);
@@ -245,13 +245,13 @@
         }
     }
 
-    /// Waits after the first call until the placer has reported, for [`FIRST_REST`] at most. The
+    /// Waits after the first call until the placer has reported, for [`FIRST_REPORT_WAIT`] at most. The
     /// lease's follower doesn't wait, since the lease shows which instance is the placer.
     async fn first_rest(&mut self) {
         if self.kind == Kind::Lease {
             return;
         }
-        let told = tokio::time::timeout(FIRST_REST, self.pace.changed());
+        let told = tokio::time::timeout(FIRST_REPORT_WAIT, self.pace.changed());
         if let Ok(Err(closed)) = told.await {
             slog::debug!(self.log, "control actor has stopped"; "reason" => closed.to_string());
         }
