--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -52,7 +52,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(600);
 /// Longest delay after failed calls, per instance of the fleet. Together the instances make no more
 /// than some hundred calls a second to a service that is unavailable.
-const PAUSE_AN_INSTANCE: Duration = Duration::from_micros(7_500);
+const BACKOFF_PER_INSTANCE: Duration = Duration::from_micros(7_500);
 /// Upper bound of the longest delay in a large fleet. Entries of targets that lapsed during an
 /// outage are treated as missing two seconds after the service's return.
 const LONGEST_PAUSE_OF_ALL: Duration = Duration::from_millis(1_500);
@@ -328,7 +328,7 @@
 
     fn longest_pause(&self) -> Duration {
         let instances = u32::try_from(self.shared.instances()).unwrap_or(u32::MAX);
-        let of_all = PAUSE_AN_INSTANCE.saturating_mul(instances);
+        let of_all = BACKOFF_PER_INSTANCE.saturating_mul(instances);
         of_all.clamp(LONGEST_PAUSE, LONGEST_PAUSE_OF_ALL)
     }
 
