--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -55,7 +55,7 @@
 const BACKOFF_PER_INSTANCE: Duration = Duration::from_micros(7_500);
 /// Upper bound of the longest delay in a large fleet. Entries of targets that lapsed during an
 /// outage are treated as missing two seconds after the service's return.
-const LONGEST_PAUSE_OF_ALL: Duration = Duration::from_millis(1_500);
+const MAX_FLEET_BACKOFF: Duration = Duration::from_millis(1_500);
 /// Time that followers of other kinds wait for the probing follower to reach the service. It is
 /// bounded because the service may fail for their kind alone.
 const LEFT_TO_ONE: Duration = Duration::from_secs(2);
@@ -329,7 +329,7 @@
     fn longest_pause(&self) -> Duration {
         let instances = u32::try_from(self.shared.instances()).unwrap_or(u32::MAX);
         let of_all = BACKOFF_PER_INSTANCE.saturating_mul(instances);
-        of_all.clamp(LONGEST_PAUSE, LONGEST_PAUSE_OF_ALL)
+        of_all.clamp(LONGEST_PAUSE, MAX_FLEET_BACKOFF)
     }
 
     /// Lists all objects of the kind and returns the revision from which to watch.
