--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -49,7 +49,7 @@
 const FIRST_REPORT_WAIT: Duration = Duration::from_secs(1);
 /// Delay after a failed call; it doubles up to the longest delay.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
 /// Longest delay after failed calls, per instance of the fleet. Together the instances make no more
 /// than some hundred calls a second to a service that is unavailable.
 const BACKOFF_PER_INSTANCE: Duration = Duration::from_micros(7_500);
@@ -329,7 +329,7 @@
     fn longest_pause(&self) -> Duration {
         let instances = u32::try_from(self.shared.instances()).unwrap_or(u32::MAX);
         let of_all = BACKOFF_PER_INSTANCE.saturating_mul(instances);
-        of_all.clamp(LONGEST_PAUSE, MAX_FLEET_BACKOFF)
+        of_all.clamp(MAX_BACKOFF, MAX_FLEET_BACKOFF)
     }
 
     /// Lists all objects of the kind and returns the revision from which to watch.
