--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -48,7 +48,7 @@
 /// instances that start together would each make a needless waiting call.
 const FIRST_REPORT_WAIT: Duration = Duration::from_secs(1);
 /// Delay after a failed call; it doubles up to the longest delay.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
 /// Longest delay after failed calls, per instance of the fleet. Together the instances make no more
 /// than some hundred calls a second to a service that is unavailable.
@@ -185,7 +185,7 @@
     async fn run(mut self) {
         let mut from: Option<StoreRevision> = None;
         let mut looked_at = Instant::now();
-        let mut pause = FIRST_PAUSE;
+        let mut pause = INITIAL_BACKOFF;
         let mut has_looked = false;
         loop {
             let (pace, rested) = self.next_turn().await;
@@ -199,15 +199,15 @@
                 // After a failure the first call does not wait for changes, so that its answer
                 // shows at once that the service is back. The grace period of entries that went
                 // missing in the meantime counts from then.
-                Some(revision) if pause != FIRST_PAUSE => self.watch(revision, NO_WAIT).await,
+                Some(revision) if pause != INITIAL_BACKOFF => self.watch(revision, NO_WAIT).await,
                 Some(revision) => self.watch(revision, wait_for(self.kind, pace)).await,
             };
             match result {
                 Ok(revision) => {
                     self.reached.send_replace(true);
-                    if pause != FIRST_PAUSE {
+                    if pause != INITIAL_BACKOFF {
                         self.tell(StoreEvent::Recovered(self.kind)).await;
-                        pause = FIRST_PAUSE;
+                        pause = INITIAL_BACKOFF;
                     }
                     if from.replace(revision).is_none() && !has_looked {
                         has_looked = true;
@@ -224,7 +224,7 @@
                     from = None;
                 }
                 Err(trouble) => {
-                    self.report(&trouble, pause == FIRST_PAUSE);
+                    self.report(&trouble, pause == INITIAL_BACKOFF);
                     self.tell(StoreEvent::CallFailed(self.kind)).await;
                     self.rest(pause).await;
                     pause = (pause * 2).min(self.longest_pause());
