--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -227,7 +227,7 @@
                     self.report(&trouble, pause == INITIAL_BACKOFF);
                     self.tell(StoreEvent::CallFailed(self.kind)).await;
                     self.rest(pause).await;
-                    pause = (pause * 2).min(self.longest_pause());
+                    pause = (pause * 2).min(self.max_backoff());
                 }
             }
         }
@@ -326,7 +326,7 @@
         }
     }
 
-    fn longest_pause(&self) -> Duration {
+    fn max_backoff(&self) -> Duration {
         let instances = u32::try_from(self.shared.instances()).unwrap_or(u32::MAX);
         let of_all = BACKOFF_PER_INSTANCE.saturating_mul(instances);
         of_all.clamp(MAX_BACKOFF, MAX_FLEET_BACKOFF)
