--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -58,7 +58,7 @@
 const MAX_FLEET_BACKOFF: Duration = Duration::from_millis(1_500);
 /// Time that followers of other kinds wait for the probing follower to reach the service. It is
 /// bounded because the service may fail for their kind alone.
-const LEFT_TO_ONE: Duration = Duration::from_secs(2);
+const PROBE_WAIT: Duration = Duration::from_secs(2);
 /// The kind whose follower probes for the service's return.
 const PROBING: Kind = Kind::Targets;
 
@@ -269,7 +269,7 @@
         }
         let mut reached = self.reached.subscribe();
         let back = reached.wait_for(|reached| *reached);
-        if let Ok(Err(closed)) = tokio::time::timeout(LEFT_TO_ONE, back).await {
+        if let Ok(Err(closed)) = tokio::time::timeout(PROBE_WAIT, back).await {
             slog::debug!(self.log, "followers have stopped"; "reason" => closed.to_string());
         }
     }
