--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -60,7 +60,7 @@
 /// bounded because the service may fail for their kind alone.
 const PROBE_WAIT: Duration = Duration::from_secs(2);
 /// The kind whose follower probes for the service's return.
-const PROBING: Kind = Kind::Targets;
+const PROBING_KIND: Kind = Kind::Targets;
 
 /// Maximum number of unreadable objects that are remembered so that each fault is logged once. It
 /// is far more than a faulty program leaves; beyond it the memory is cleared and some faults are
@@ -264,7 +264,7 @@
     async fn rest(&self, pause: Duration) {
         self.reached.send_replace(false);
         tokio::time::sleep(pause).await;
-        if self.kind == PROBING {
+        if self.kind == PROBING_KIND {
             return;
         }
         let mut reached = self.reached.subscribe();
@@ -312,7 +312,7 @@
     /// return. Without this, a long wait that began just before an outage would keep configuration
     /// changes from this instance until the wait ends.
     async fn is_lost_for_another(&self) {
-        if self.kind == PROBING {
+        if self.kind == PROBING_KIND {
             return std::future::pending().await;
         }
         let mut reached = self.reached.subscribe();
