--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -65,7 +65,7 @@
 /// Maximum number of unreadable objects that are remembered so that each fault is logged once. It
 /// is far more than a faulty program leaves; beyond it the memory is cleared and some faults are
 /// logged again.
-const MOST_REPORTED: usize = 1_000;
+const MAX_REPORTED_FAULTS: usize = 1_000;
 
 /// Why following has to start over or pause.
 #[derive(Debug)]
@@ -417,7 +417,7 @@
 
     /// Logs objects that can't be decoded, once for each fault: every list reads them again.
     fn report_malformed(&mut self, malformed: &[Malformed]) {
-        if self.reported.len() + malformed.len() > MOST_REPORTED {
+        if self.reported.len() + malformed.len() > MAX_REPORTED_FAULTS {
             self.reported.clear();
         }
         for it in malformed {
