--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -176,8 +176,8 @@
         ) => RARE_WATCH_WAIT,
         (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
         (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => NO_WAIT,
-        (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
-        (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
+        (FollowPace::Placer, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
+        (FollowPace::Placer, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
 }
 
@@ -213,7 +213,7 @@
                         has_looked = true;
                         self.first_rest().await;
                     }
-                    if pace == FollowPace::Guiding {
+                    if pace == FollowPace::Placer {
                         tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
@@ -297,10 +297,10 @@
         }
     }
 
-    /// Waits until this follower's mode is [`FollowPace::Guiding`].
+    /// Waits until this follower's mode is [`FollowPace::Placer`].
     async fn wait_until_guiding(&self) {
         let mut pace = self.pace.clone();
-        let guiding = pace.wait_for(|pace| *pace == FollowPace::Guiding);
+        let guiding = pace.wait_for(|pace| *pace == FollowPace::Placer);
         if guiding.await.is_err() {
             std::future::pending().await
         }
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -29,7 +29,7 @@
     /// As the guide decides from the placer's reports.
     Guided(PollMode),
     /// At short intervals, because the other instances rely on it.
-    Guiding,
+    Placer,
 }
 
 /// Sets the modes of the followers of all kinds.
@@ -111,7 +111,7 @@
 /// own renewals show whether it still holds the lease.
 const fn guiding_pace(kind: Kind) -> FollowPace {
     match kind {
-        Kind::Targets | Kind::Configuration | Kind::Versions => FollowPace::Guiding,
+        Kind::Targets | Kind::Configuration | Kind::Versions => FollowPace::Placer,
         Kind::Crashes => FollowPace::Guided(PollMode::Continuous),
         Kind::Lease => FollowPace::Guided(PollMode::Paused),
     }
