--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -17,7 +17,7 @@
 
 use super::actor::Control;
 use super::messages::StoreEvent;
-use super::pace::{FollowPace, PaceReceivers};
+use super::pace::{FollowMode, PaceReceivers};
 use super::reading::Reader;
 use crate::dialect::{Changes, Entry, Freshness, Kind, Malformed, StoreDialect};
 use crate::peers::StoreRead;
@@ -102,7 +102,7 @@
     reader: Arc<Reader>,
     control: Address<Control>,
     /// How the follower polls.
-    pace: watch::Receiver<FollowPace>,
+    pace: watch::Receiver<FollowMode>,
     /// Whether the service answered the last call of any kind.
     reached: watch::Sender<bool>,
     /// The newest era of the service known to this instance.
@@ -168,16 +168,16 @@
 }
 
 /// Returns how long a call waits for changes.
-const fn wait_for(kind: Kind, pace: FollowPace) -> Duration {
+const fn wait_for(kind: Kind, pace: FollowMode) -> Duration {
     match (pace, kind) {
         (
-            FollowPace::Guided(PollMode::Continuous),
+            FollowMode::Guided(PollMode::Continuous),
             Kind::Configuration | Kind::Versions | Kind::Crashes,
         ) => RARE_WATCH_WAIT,
-        (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
-        (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => NO_WAIT,
-        (FollowPace::Placer, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
-        (FollowPace::Placer, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
+        (FollowMode::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
+        (FollowMode::Guided(PollMode::Once | PollMode::Paused), _) => NO_WAIT,
+        (FollowMode::Placer, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
+        (FollowMode::Placer, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
 }
 
@@ -213,7 +213,7 @@
                         has_looked = true;
                         self.first_rest().await;
                     }
-                    if pace == FollowPace::Placer {
+                    if pace == FollowMode::Placer {
                         tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
@@ -235,13 +235,13 @@
 
     /// Waits until this follower may make its next call. Returns its mode and whether it was
     /// paused.
-    async fn next_turn(&mut self) -> (FollowPace, bool) {
-        let rests = |pace: &FollowPace| *pace == FollowPace::Guided(PollMode::Paused);
+    async fn next_turn(&mut self) -> (FollowMode, bool) {
+        let rests = |pace: &FollowMode| *pace == FollowMode::Guided(PollMode::Paused);
         let rested = rests(&self.pace.borrow());
         match self.pace.wait_for(|pace| !rests(pace)).await {
             Ok(pace) => (*pace, rested),
             // The control actor has ended, and this runtime ends with it.
-            Err(_) => (FollowPace::Guided(PollMode::Continuous), rested),
+            Err(_) => (FollowMode::Guided(PollMode::Continuous), rested),
         }
     }
 
@@ -297,10 +297,10 @@
         }
     }
 
-    /// Waits until this follower's mode is [`FollowPace::Placer`].
+    /// Waits until this follower's mode is [`FollowMode::Placer`].
     async fn wait_until_guiding(&self) {
         let mut pace = self.pace.clone();
-        let guiding = pace.wait_for(|pace| *pace == FollowPace::Placer);
+        let guiding = pace.wait_for(|pace| *pace == FollowMode::Placer);
         if guiding.await.is_err() {
             std::future::pending().await
         }
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -25,7 +25,7 @@
 
 /// How a follower polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FollowPace {
+pub(crate) enum FollowMode {
     /// As the guide decides from the placer's reports.
     Guided(PollMode),
     /// At short intervals, because the other instances rely on it.
@@ -40,11 +40,11 @@
 #[derive(Debug)]
 struct Steered {
     guide: PollGuide,
-    tx: watch::Sender<FollowPace>,
+    tx: watch::Sender<FollowMode>,
 }
 
 /// The channels on which the followers receive their modes.
-pub(crate) type PaceReceivers = HashMap<Kind, watch::Receiver<FollowPace>>;
+pub(crate) type PaceReceivers = HashMap<Kind, watch::Receiver<FollowMode>>;
 
 impl Paces {
     /// Creates the modes; all followers start by polling on their own.
@@ -52,7 +52,7 @@
         let mut receivers = HashMap::new();
         let mut steered = HashMap::new();
         for kind in Kind::ALL {
-            let (tx, rx) = watch::channel(FollowPace::Guided(PollMode::Continuous));
+            let (tx, rx) = watch::channel(FollowMode::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
             let guide = PollGuide::new(trust(kind), LONGEST_REST);
             steered.insert(kind, Steered { guide, tx });
@@ -64,7 +64,7 @@
     pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
         let new = || Steered {
             guide: PollGuide::new(trust(kind), LONGEST_REST),
-            tx: watch::Sender::new(FollowPace::Guided(PollMode::Continuous)),
+            tx: watch::Sender::new(FollowMode::Guided(PollMode::Continuous)),
         };
         &mut self.0.entry(kind).or_insert_with(new).guide
     }
@@ -82,7 +82,7 @@
             let pace = if is_placer {
                 guiding_pace(*kind)
             } else {
-                FollowPace::Guided(steered.guide.mode(now))
+                FollowMode::Guided(steered.guide.mode(now))
             };
             let tx = &steered.tx;
             tx.send_if_modified(|known| std::mem::replace(known, pace) != pace);
@@ -109,10 +109,10 @@
 /// It polls targets' entries continuously, which also shows that the platform answers. It polls
 /// configuration and versions often because the other instances rely on it for their changes. Its
 /// own renewals show whether it still holds the lease.
-const fn guiding_pace(kind: Kind) -> FollowPace {
+const fn guiding_pace(kind: Kind) -> FollowMode {
     match kind {
-        Kind::Targets | Kind::Configuration | Kind::Versions => FollowPace::Placer,
-        Kind::Crashes => FollowPace::Guided(PollMode::Continuous),
-        Kind::Lease => FollowPace::Guided(PollMode::Paused),
+        Kind::Targets | Kind::Configuration | Kind::Versions => FollowMode::Placer,
+        Kind::Crashes => FollowMode::Guided(PollMode::Continuous),
+        Kind::Lease => FollowMode::Guided(PollMode::Paused),
     }
 }
