--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -17,7 +17,7 @@
 
 use super::actor::Control;
 use super::messages::StoreEvent;
-use super::pace::{FollowMode, PaceReceivers};
+use super::pace::{FollowMode, FollowModeReceivers};
 use super::reading::Reader;
 use crate::dialect::{Changes, Entry, Freshness, Kind, Malformed, StoreDialect};
 use crate::peers::StoreRead;
@@ -120,7 +120,7 @@
     shared: &Arc<Shared>,
     reader: Reader,
     control: &Address<Control>,
-    paces: PaceReceivers,
+    paces: FollowModeReceivers,
     era: &watch::Sender<u64>,
 ) {
     let reader = Arc::new(reader);
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -44,11 +44,11 @@
 }
 
 /// The channels on which the followers receive their modes.
-pub(crate) type PaceReceivers = HashMap<Kind, watch::Receiver<FollowMode>>;
+pub(crate) type FollowModeReceivers = HashMap<Kind, watch::Receiver<FollowMode>>;
 
 impl Paces {
     /// Creates the modes; all followers start by polling on their own.
-    pub(crate) fn new() -> (Self, PaceReceivers) {
+    pub(crate) fn new() -> (Self, FollowModeReceivers) {
         let mut receivers = HashMap::new();
         let mut steered = HashMap::new();
         for kind in Kind::ALL {
