--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -20,7 +20,7 @@
     Begin, FromPeer, OrderResult, Reload, ReportUsage, Stop, StoreEvent, TargetQueried, Tick,
 };
 use super::overload::Overload;
-use super::pace::Paces;
+use super::pace::FollowModes;
 use super::presence::Presence;
 use super::targets::MissingTargets;
 use crate::peers::{LeaseAnswer, LeaseCall, PeerMessage};
@@ -66,7 +66,7 @@
     pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
     pub(super) missing_targets: MissingTargets,
-    pub(super) paces: Paces,
+    pub(super) paces: FollowModes,
     /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
@@ -93,7 +93,7 @@
 
 impl Control {
     /// Creates the state. The instance starts as an observer of the lease.
-    pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: FollowModes) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
             handover_gap: settings.bounds.lease_rest,
--- a/crates/chervilshunt_gateway/src/control/mod.rs
+++ b/crates/chervilshunt_gateway/src/control/mod.rs
@@ -23,5 +23,5 @@
 pub(crate) use actor::Control;
 pub(crate) use follow::start_followers;
 pub(crate) use messages::{Begin, FromPeer, Reload, Stop};
-pub(crate) use pace::Paces;
+pub(crate) use pace::FollowModes;
 pub(crate) use reading::Reader;
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -34,7 +34,7 @@
 
 /// Sets the modes of the followers of all kinds.
 #[derive(Debug)]
-pub(crate) struct Paces(HashMap<Kind, Steered>);
+pub(crate) struct FollowModes(HashMap<Kind, Steered>);
 
 /// The guide of one follower, and the channel that carries its mode.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 /// The channels on which the followers receive their modes.
 pub(crate) type FollowModeReceivers = HashMap<Kind, watch::Receiver<FollowMode>>;
 
-impl Paces {
+impl FollowModes {
     /// Creates the modes; all followers start by polling on their own.
     pub(crate) fn new() -> (Self, FollowModeReceivers) {
         let mut receivers = HashMap::new();
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -13,7 +13,9 @@
 use tokio::sync::mpsc;
 use xtra::prelude::*;
 
-use crate::control::{Begin, Control, FromPeer, Paces, Reader, Reload, Stop, start_followers};
+use crate::control::{
+    Begin, Control, FollowModes, FromPeer, Reader, Reload, Stop, start_followers,
+};
 use crate::crashes::{CrashSign, CrashSigns, record_crashes};
 use crate::dialect::Dialect;
 use crate::front::serve_callers;
@@ -189,7 +191,7 @@
     let own = address.clone();
     let shared = Arc::clone(shared);
     on_control_thread(move || async move {
-        let (paces, receivers) = Paces::new();
+        let (paces, receivers) = FollowModes::new();
         let control = Control::new(Arc::clone(&shared), Arc::clone(&exchange), paces);
         let begin = own.clone();
         tokio::spawn(async move { drop(begin.send(Begin(begin.clone())).await) });
