--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -66,7 +66,7 @@
     pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
     pub(super) missing_targets: MissingTargets,
-    pub(super) paces: FollowModes,
+    pub(super) follow_modes: FollowModes,
     /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
@@ -93,7 +93,11 @@
 
 impl Control {
     /// Creates the state. The instance starts as an observer of the lease.
-    pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: FollowModes) -> Self {
+    pub(crate) fn new(
+        shared: Arc<Shared>,
+        exchange: Arc<Exchange>,
+        follow_modes: FollowModes,
+    ) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
             handover_gap: settings.bounds.lease_rest,
@@ -115,7 +119,7 @@
             keeper,
             placer: None,
             missing_targets: MissingTargets::default(),
-            paces,
+            follow_modes,
             reaches_platform: false,
             overload: Overload::default(),
             learnt: None,
@@ -173,7 +177,7 @@
         {
             self.plan(ResidencyEvent::Tick);
         }
-        self.paces.steer(self.placer.is_some(), now);
+        self.follow_modes.steer(self.placer.is_some(), now);
         self.arrange_wakeup(now);
     }
 
@@ -183,7 +187,7 @@
             self.keeper.next_wakeup(),
             placer.and_then(|it| it.residency.next_wakeup()),
             self.missing_targets.next_wakeup(),
-            self.paces.next_wakeup(now),
+            self.follow_modes.next_wakeup(now),
         ];
         let Some(next) = next.into_iter().flatten().min() else {
             return;
--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -196,7 +196,7 @@
         ];
         for (kind, revision) in told {
             if let Some(revision) = revision {
-                self.paces.guide(kind).notified(revision, as_of);
+                self.follow_modes.guide(kind).notified(revision, as_of);
             }
         }
     }
@@ -210,7 +210,7 @@
             KindChanges::Crashes(..) => Kind::Crashes,
         };
         self.note_era(batch.up_to.era);
-        let guide = self.paces.guide(kind);
+        let guide = self.follow_modes.guide(kind);
         guide.changed(batch.up_to);
         if guide.continuity(batch.after, batch.up_to) != Continuity::Next {
             return;
@@ -235,7 +235,7 @@
                 self.crashes_removed(&released, batch.up_to);
             }
         }
-        self.paces.guide(kind).caught_up(batch.up_to);
+        self.follow_modes.guide(kind).caught_up(batch.up_to);
     }
 }
 
--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -120,12 +120,12 @@
     shared: &Arc<Shared>,
     reader: Reader,
     control: &Address<Control>,
-    paces: FollowModeReceivers,
+    follow_modes: FollowModeReceivers,
     era: &watch::Sender<u64>,
 ) {
     let reader = Arc::new(reader);
     let reached = watch::Sender::new(true);
-    for (kind, pace) in paces {
+    for (kind, pace) in follow_modes {
         let follower = Follower {
             kind,
             dialect: shared.dialect.store.clone(),
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -133,7 +133,7 @@
         self.reaches_platform = true;
         let now = self.now();
         let is_overdue = self.feed.record_answer(kind, now);
-        self.paces.guide(kind).polled(revision, now);
+        self.follow_modes.guide(kind).polled(revision, now);
         if is_overdue {
             self.tell_placing(now);
         }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -116,7 +116,7 @@
         }
         if self.is_placer(peer) {
             self.shared.dispatch().placer_lost();
-            self.paces.placer_lost();
+            self.follow_modes.placer_lost();
         }
     }
 
@@ -135,7 +135,7 @@
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
             self.lease_event(ExclusiveLeaseEvent::HolderReported(lease));
-            self.paces
+            self.follow_modes
                 .guide(Kind::Lease)
                 .notified(StoreRevision::default(), now);
         }
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -191,8 +191,8 @@
     let own = address.clone();
     let shared = Arc::clone(shared);
     on_control_thread(move || async move {
-        let (paces, receivers) = FollowModes::new();
-        let control = Control::new(Arc::clone(&shared), Arc::clone(&exchange), paces);
+        let (follow_modes, receivers) = FollowModes::new();
+        let control = Control::new(Arc::clone(&shared), Arc::clone(&exchange), follow_modes);
         let begin = own.clone();
         tokio::spawn(async move { drop(begin.send(Begin(begin.clone())).await) });
         tokio::spawn(record_crashes(
