--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -34,11 +34,11 @@
 
 /// Sets the modes of the followers of all kinds.
 #[derive(Debug)]
-pub(crate) struct FollowModes(HashMap<Kind, Steered>);
+pub(crate) struct FollowModes(HashMap<Kind, FollowerControl>);
 
 /// The guide of one follower, and the channel that carries its mode.
 #[derive(Debug)]
-struct Steered {
+struct FollowerControl {
     guide: PollGuide,
     tx: watch::Sender<FollowMode>,
 }
@@ -55,14 +55,14 @@
             let (tx, rx) = watch::channel(FollowMode::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
             let guide = PollGuide::new(trust(kind), LONGEST_REST);
-            steered.insert(kind, Steered { guide, tx });
+            steered.insert(kind, FollowerControl { guide, tx });
         }
         (Self(steered), receivers)
     }
 
     /// Returns the guide of one kind.
     pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
-        let new = || Steered {
+        let new = || FollowerControl {
             guide: PollGuide::new(trust(kind), LONGEST_REST),
             tx: watch::Sender::new(FollowMode::Guided(PollMode::Continuous)),
         };
