--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -177,7 +177,7 @@
         {
             self.plan(ResidencyEvent::Tick);
         }
-        self.follow_modes.steer(self.placer.is_some(), now);
+        self.follow_modes.update(self.placer.is_some(), now);
         self.arrange_wakeup(now);
     }
 
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -77,7 +77,7 @@
     }
 
     /// Sends the followers their current modes.
-    pub(super) fn steer(&self, is_placer: bool, now: Moment) {
+    pub(super) fn update(&self, is_placer: bool, now: Moment) {
         for (kind, steered) in &self.0 {
             let pace = if is_placer {
                 guiding_pace(*kind)
