--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -298,7 +298,7 @@
     }
 
     /// Waits until this follower's mode is [`FollowMode::Placer`].
-    async fn wait_until_guiding(&self) {
+    async fn wait_until_placer(&self) {
         let mut pace = self.pace.clone();
         let guiding = pace.wait_for(|pace| *pace == FollowMode::Placer);
         if guiding.await.is_err() {
@@ -374,7 +374,7 @@
             answer = self.reader.read(&read) => answer?,
             () = self.is_lost_for_another() => return Err(FollowError::OtherKindFailed),
             () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
-            () = self.wait_until_guiding(), if wait > PLACER_RARE_WATCH_WAIT => {
+            () = self.wait_until_placer(), if wait > PLACER_RARE_WATCH_WAIT => {
                 return Err(FollowError::ModeChanged);
             }
         };
