--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -80,7 +80,7 @@
     pub(super) fn update(&self, is_placer: bool, now: Moment) {
         for (kind, steered) in &self.0 {
             let pace = if is_placer {
-                guiding_pace(*kind)
+                placer_mode(*kind)
             } else {
                 FollowMode::Guided(steered.guide.mode(now))
             };
@@ -109,7 +109,7 @@
 /// It polls targets' entries continuously, which also shows that the platform answers. It polls
 /// configuration and versions often because the other instances rely on it for their changes. Its
 /// own renewals show whether it still holds the lease.
-const fn guiding_pace(kind: Kind) -> FollowMode {
+const fn placer_mode(kind: Kind) -> FollowMode {
     match kind {
         Kind::Targets | Kind::Configuration | Kind::Versions => FollowMode::Placer,
         Kind::Crashes => FollowMode::Guided(PollMode::Continuous),
