--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -102,7 +102,7 @@
     reader: Arc<Reader>,
     control: Address<Control>,
     /// How the follower polls.
-    pace: watch::Receiver<FollowMode>,
+    mode: watch::Receiver<FollowMode>,
     /// Whether the service answered the last call of any kind.
     reached: watch::Sender<bool>,
     /// The newest era of the service known to this instance.
@@ -125,13 +125,13 @@
 ) {
     let reader = Arc::new(reader);
     let reached = watch::Sender::new(true);
-    for (kind, pace) in follow_modes {
+    for (kind, mode) in follow_modes {
         let follower = Follower {
             kind,
             dialect: shared.dialect.store.clone(),
             reader: Arc::clone(&reader),
             control: control.clone(),
-            pace,
+            mode,
             reached: reached.clone(),
             era: era.clone(),
             freshness: first_list(kind),
@@ -168,8 +168,8 @@
 }
 
 /// Returns how long a call waits for changes.
-const fn wait_for(kind: Kind, pace: FollowMode) -> Duration {
-    match (pace, kind) {
+const fn wait_for(kind: Kind, mode: FollowMode) -> Duration {
+    match (mode, kind) {
         (
             FollowMode::Guided(PollMode::Continuous),
             Kind::Configuration | Kind::Versions | Kind::Crashes,
@@ -188,7 +188,7 @@
         let mut pause = INITIAL_BACKOFF;
         let mut has_looked = false;
         loop {
-            let (pace, rested) = self.next_turn().await;
+            let (mode, rested) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
             if is_of_another_era || (rested && looked_at.elapsed() > RELIST_AFTER) {
                 from = None;
@@ -200,7 +200,7 @@
                 // shows at once that the service is back. The grace period of entries that went
                 // missing in the meantime counts from then.
                 Some(revision) if pause != INITIAL_BACKOFF => self.watch(revision, NO_WAIT).await,
-                Some(revision) => self.watch(revision, wait_for(self.kind, pace)).await,
+                Some(revision) => self.watch(revision, wait_for(self.kind, mode)).await,
             };
             match result {
                 Ok(revision) => {
@@ -213,7 +213,7 @@
                         has_looked = true;
                         self.first_rest().await;
                     }
-                    if pace == FollowMode::Placer {
+                    if mode == FollowMode::Placer {
                         tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
@@ -236,10 +236,10 @@
     /// Waits until this follower may make its next call. Returns its mode and whether it was
     /// paused.
     async fn next_turn(&mut self) -> (FollowMode, bool) {
-        let rests = |pace: &FollowMode| *pace == FollowMode::Guided(PollMode::Paused);
-        let rested = rests(&self.pace.borrow());
-        match self.pace.wait_for(|pace| !rests(pace)).await {
-            Ok(pace) => (*pace, rested),
+        let rests = |mode: &FollowMode| *mode == FollowMode::Guided(PollMode::Paused);
+        let rested = rests(&self.mode.borrow());
+        match self.mode.wait_for(|mode| !rests(mode)).await {
+            Ok(mode) => (*mode, rested),
             // The control actor has ended, and this runtime ends with it.
             Err(_) => (FollowMode::Guided(PollMode::Continuous), rested),
         }
@@ -251,7 +251,7 @@
         if self.kind == Kind::Lease {
             return;
         }
-        let told = tokio::time::timeout(FIRST_REPORT_WAIT, self.pace.changed());
+        let told = tokio::time::timeout(FIRST_REPORT_WAIT, self.mode.changed());
         if let Ok(Err(closed)) = told.await {
             slog::debug!(self.log, "control actor has stopped"; "reason" => closed.to_string());
         }
@@ -299,8 +299,8 @@
 
     /// Waits until this follower's mode is [`FollowMode::Placer`].
     async fn wait_until_placer(&self) {
-        let mut pace = self.pace.clone();
-        let guiding = pace.wait_for(|pace| *pace == FollowMode::Placer);
+        let mut mode = self.mode.clone();
+        let guiding = mode.wait_for(|mode| *mode == FollowMode::Placer);
         if guiding.await.is_err() {
             std::future::pending().await
         }
--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -79,13 +79,13 @@
     /// Sends the followers their current modes.
     pub(super) fn update(&self, is_placer: bool, now: Moment) {
         for (kind, steered) in &self.0 {
-            let pace = if is_placer {
+            let mode = if is_placer {
                 placer_mode(*kind)
             } else {
                 FollowMode::Guided(steered.guide.mode(now))
             };
             let tx = &steered.tx;
-            tx.send_if_modified(|known| std::mem::replace(known, pace) != pace);
+            tx.send_if_modified(|known| std::mem::replace(known, mode) != mode);
         }
     }
 
