--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -211,7 +211,7 @@
                     }
                     if from.replace(revision).is_none() && !has_looked {
                         has_looked = true;
-                        self.first_rest().await;
+                        self.wait_for_first_report().await;
                     }
                     if mode == FollowMode::Placer {
                         tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
@@ -247,7 +247,7 @@
 
     /// Waits after the first call until the placer has reported, for [`FIRST_REPORT_WAIT`] at most. The
     /// lease's follower doesn't wait, since the lease shows which instance is the placer.
-    async fn first_rest(&mut self) {
+    async fn wait_for_first_report(&mut self) {
         if self.kind == Kind::Lease {
             return;
         }
