--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -226,7 +226,7 @@
                 Err(trouble) => {
                     self.report(&trouble, pause == INITIAL_BACKOFF);
                     self.tell(StoreEvent::CallFailed(self.kind)).await;
-                    self.rest(pause).await;
+                    self.back_off(pause).await;
                     pause = (pause * 2).min(self.max_backoff());
                 }
             }
@@ -261,7 +261,7 @@
     ///
     /// Only one kind's follower probes a service that is unavailable; the others wait until it has
     /// been reached. When all of them probed, outages caused most of a day's calls.
-    async fn rest(&self, pause: Duration) {
+    async fn back_off(&self, pause: Duration) {
         self.reached.send_replace(false);
         tokio::time::sleep(pause).await;
         if self.kind == PROBING_KIND {
