--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -148,7 +148,7 @@
 /// The operators allow seconds to act on a change, so only the kinds whose changes are rare are
 /// followed up at once. The lease changes with each renewal, and only the newest one matters; an
 /// instance that takes it over waits several times the longest delay anyway.
-const fn gather_for(kind: Kind) -> Duration {
+const fn gather_delay(kind: Kind) -> Duration {
     match kind {
         Kind::Configuration | Kind::Versions | Kind::Crashes => Duration::from_millis(100),
         Kind::Targets => Duration::from_millis(700),
@@ -390,7 +390,7 @@
         let changed = !changes.changes.is_empty();
         self.tell(StoreEvent::Changed(self.kind, changes)).await;
         if changed && wait >= WATCH_WAIT {
-            tokio::time::sleep(gather_for(self.kind)).await;
+            tokio::time::sleep(gather_delay(self.kind)).await;
         }
         Ok(revision)
     }
