--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -134,7 +134,7 @@
             mode,
             reached: reached.clone(),
             era: era.clone(),
-            freshness: first_list(kind),
+            freshness: first_list_freshness(kind),
             reported: HashMap::new(),
             log: shared.log.clone(),
             shared: Arc::clone(shared),
@@ -160,7 +160,7 @@
 ///
 /// If nothing waits for it, a cheaper, possibly stale list is enough. Later lists must be current:
 /// a list older than the history that the service keeps would lead to another list, and so on.
-const fn first_list(kind: Kind) -> Freshness {
+const fn first_list_freshness(kind: Kind) -> Freshness {
     match kind {
         Kind::Crashes => Freshness::MayBeOld,
         Kind::Configuration | Kind::Targets | Kind::Versions | Kind::Lease => Freshness::Latest,
