--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -168,7 +168,7 @@
 }
 
 /// Returns how long a call waits for changes.
-const fn wait_for(kind: Kind, mode: FollowMode) -> Duration {
+const fn watch_wait(kind: Kind, mode: FollowMode) -> Duration {
     match (mode, kind) {
         (
             FollowMode::Guided(PollMode::Continuous),
@@ -200,7 +200,7 @@
                 // shows at once that the service is back. The grace period of entries that went
                 // missing in the meantime counts from then.
                 Some(revision) if pause != INITIAL_BACKOFF => self.watch(revision, NO_WAIT).await,
-                Some(revision) => self.watch(revision, wait_for(self.kind, mode)).await,
+                Some(revision) => self.watch(revision, watch_wait(self.kind, mode)).await,
             };
             match result {
                 Ok(revision) => {
