--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -184,16 +184,16 @@
 impl Follower {
     async fn run(mut self) {
         let mut from: Option<StoreRevision> = None;
-        let mut looked_at = Instant::now();
+        let mut called_at = Instant::now();
         let mut pause = INITIAL_BACKOFF;
         let mut has_looked = false;
         loop {
             let (mode, rested) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
-            if is_of_another_era || (rested && looked_at.elapsed() > RELIST_AFTER) {
+            if is_of_another_era || (rested && called_at.elapsed() > RELIST_AFTER) {
                 from = None;
             }
-            looked_at = Instant::now();
+            called_at = Instant::now();
             let result = match from {
                 None => self.list().await,
                 // After a failure the first call does not wait for changes, so that its answer
@@ -214,7 +214,7 @@
                         self.wait_for_first_report().await;
                     }
                     if mode == FollowMode::Placer {
-                        tokio::time::sleep_until(looked_at + PLACER_POLL_INTERVAL).await;
+                        tokio::time::sleep_until(called_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
                 Err(FollowError::Restored) => from = None,
