--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -186,7 +186,7 @@
         let mut from: Option<StoreRevision> = None;
         let mut called_at = Instant::now();
         let mut pause = INITIAL_BACKOFF;
-        let mut has_looked = false;
+        let mut has_called = false;
         loop {
             let (mode, rested) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
@@ -209,8 +209,8 @@
                         self.tell(StoreEvent::Recovered(self.kind)).await;
                         pause = INITIAL_BACKOFF;
                     }
-                    if from.replace(revision).is_none() && !has_looked {
-                        has_looked = true;
+                    if from.replace(revision).is_none() && !has_called {
+                        has_called = true;
                         self.wait_for_first_report().await;
                     }
                     if mode == FollowMode::Placer {
