--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -311,7 +311,7 @@
     /// A service that stops responding never answers the calls that were waiting, even after its
     /// return. Without this, a long wait that began just before an outage would keep configuration
     /// changes from this instance until the wait ends.
-    async fn is_lost_for_another(&self) {
+    async fn other_call_failed(&self) {
         if self.kind == PROBING_KIND {
             return std::future::pending().await;
         }
@@ -372,7 +372,7 @@
         let read = StoreRead::Watch(self.kind, from, wait);
         let answer = tokio::select! {
             answer = self.reader.read(&read) => answer?,
-            () = self.is_lost_for_another() => return Err(FollowError::OtherKindFailed),
+            () = self.other_call_failed() => return Err(FollowError::OtherKindFailed),
             () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
             () = self.wait_until_placer(), if wait > PLACER_RARE_WATCH_WAIT => {
                 return Err(FollowError::ModeChanged);
