--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -206,7 +206,7 @@
                 Ok(revision) => {
                     self.reached.send_replace(true);
                     if pause != INITIAL_BACKOFF {
-                        self.tell(StoreEvent::Recovered(self.kind)).await;
+                        self.notify(StoreEvent::Recovered(self.kind)).await;
                         pause = INITIAL_BACKOFF;
                     }
                     if from.replace(revision).is_none() && !has_called {
@@ -225,7 +225,7 @@
                 }
                 Err(trouble) => {
                     self.report(&trouble, pause == INITIAL_BACKOFF);
-                    self.tell(StoreEvent::CallFailed(self.kind)).await;
+                    self.notify(StoreEvent::CallFailed(self.kind)).await;
                     self.back_off(pause).await;
                     pause = (pause * 2).min(self.max_backoff());
                 }
@@ -355,7 +355,7 @@
                 Some(next) => after = Some(next),
                 None => {
                     self.freshness = Freshness::Latest;
-                    self.tell(StoreEvent::Listed(self.kind, entries, revision))
+                    self.notify(StoreEvent::Listed(self.kind, entries, revision))
                         .await;
                     return Ok(revision);
                 }
@@ -388,14 +388,14 @@
         self.report_malformed(&changes.malformed);
         let revision = changes.revision;
         let changed = !changes.changes.is_empty();
-        self.tell(StoreEvent::Changed(self.kind, changes)).await;
+        self.notify(StoreEvent::Changed(self.kind, changes)).await;
         if changed && wait >= WATCH_WAIT {
             tokio::time::sleep(gather_delay(self.kind)).await;
         }
         Ok(revision)
     }
 
-    async fn tell(&self, event: StoreEvent) {
+    async fn notify(&self, event: StoreEvent) {
         if self.control.send(event).await.is_err() {
             slog::debug!(self.log, "control actor has stopped");
         }
