--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -13,7 +13,7 @@
 /// Time for which the placer's view of the platform is valid, from when the placer saw it. The
 /// operators allow two seconds from when a target starts to leave until it gets no more work; 0.6 s
 /// of that are the grace period of an entry that has gone.
-const VIEW_TRUST: Duration = Duration::from_millis(1_000);
+const VIEW_MAX_AGE: Duration = Duration::from_millis(1_000);
 /// The same for crash records. They may be known seconds later, since a shorter time would cost a
 /// call by every instance at each short loss of contact with the placer.
 const CRASHES_TRUST: Duration = Duration::from_secs(3);
@@ -98,7 +98,7 @@
 
 const fn trust(kind: Kind) -> Duration {
     match kind {
-        Kind::Configuration | Kind::Targets | Kind::Versions => VIEW_TRUST,
+        Kind::Configuration | Kind::Targets | Kind::Versions => VIEW_MAX_AGE,
         Kind::Crashes => CRASHES_TRUST,
         Kind::Lease => LEASE_TRUST,
     }
