--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -16,7 +16,7 @@
 const VIEW_MAX_AGE: Duration = Duration::from_millis(1_000);
 /// The same for crash records. They may be known seconds later, since a shorter time would cost a
 /// call by every instance at each short loss of contact with the placer.
-const CRASHES_TRUST: Duration = Duration::from_secs(3);
+const CRASHES_MAX_AGE: Duration = Duration::from_secs(3);
 /// Time after the placer's last message in which its lease need not be polled: three of the
 /// intervals at which it reports.
 const LEASE_TRUST: Duration = Duration::from_millis(1_300);
@@ -99,7 +99,7 @@
 const fn trust(kind: Kind) -> Duration {
     match kind {
         Kind::Configuration | Kind::Targets | Kind::Versions => VIEW_MAX_AGE,
-        Kind::Crashes => CRASHES_TRUST,
+        Kind::Crashes => CRASHES_MAX_AGE,
         Kind::Lease => LEASE_TRUST,
     }
 }
