--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -19,7 +19,7 @@
 const CRASHES_MAX_AGE: Duration = Duration::from_secs(3);
 /// Time after the placer's last message in which its lease need not be polled: three of the
 /// intervals at which it reports.
-const LEASE_TRUST: Duration = Duration::from_millis(1_300);
+const LEASE_MAX_AGE: Duration = Duration::from_millis(1_300);
 /// Longest time without polling the platform.
 const LONGEST_REST: Duration = Duration::from_secs(60);
 
@@ -100,7 +100,7 @@
     match kind {
         Kind::Configuration | Kind::Targets | Kind::Versions => VIEW_MAX_AGE,
         Kind::Crashes => CRASHES_MAX_AGE,
-        Kind::Lease => LEASE_TRUST,
+        Kind::Lease => LEASE_MAX_AGE,
     }
 }
 
