--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -54,7 +54,7 @@
         for kind in Kind::ALL {
             let (tx, rx) = watch::channel(FollowMode::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
-            let guide = PollGuide::new(trust(kind), LONGEST_REST);
+            let guide = PollGuide::new(max_age(kind), LONGEST_REST);
             steered.insert(kind, FollowerControl { guide, tx });
         }
         (Self(steered), receivers)
@@ -63,7 +63,7 @@
     /// Returns the guide of one kind.
     pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
         let new = || FollowerControl {
-            guide: PollGuide::new(trust(kind), LONGEST_REST),
+            guide: PollGuide::new(max_age(kind), LONGEST_REST),
             tx: watch::Sender::new(FollowMode::Guided(PollMode::Continuous)),
         };
         &mut self.0.entry(kind).or_insert_with(new).guide
@@ -96,7 +96,7 @@
     }
 }
 
-const fn trust(kind: Kind) -> Duration {
+const fn max_age(kind: Kind) -> Duration {
     match kind {
         Kind::Configuration | Kind::Targets | Kind::Versions => VIEW_MAX_AGE,
         Kind::Crashes => CRASHES_MAX_AGE,
