--- a/crates/chervilshunt_gateway/src/control/pace.rs
+++ b/crates/chervilshunt_gateway/src/control/pace.rs
@@ -21,7 +21,7 @@
 /// intervals at which it reports.
 const LEASE_MAX_AGE: Duration = Duration::from_millis(1_300);
 /// Longest time without polling the platform.
-const LONGEST_REST: Duration = Duration::from_secs(60);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// How a follower polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
         for kind in Kind::ALL {
             let (tx, rx) = watch::channel(FollowMode::Guided(PollMode::Continuous));
             receivers.insert(kind, rx);
-            let guide = PollGuide::new(max_age(kind), LONGEST_REST);
+            let guide = PollGuide::new(max_age(kind), MAX_POLL_INTERVAL);
             steered.insert(kind, FollowerControl { guide, tx });
         }
         (Self(steered), receivers)
@@ -63,7 +63,7 @@
     /// Returns the guide of one kind.
     pub(super) fn guide(&mut self, kind: Kind) -> &mut PollGuide {
         let new = || FollowerControl {
-            guide: PollGuide::new(max_age(kind), LONGEST_REST),
+            guide: PollGuide::new(max_age(kind), MAX_POLL_INTERVAL),
             tx: watch::Sender::new(FollowMode::Guided(PollMode::Continuous)),
         };
         &mut self.0.entry(kind).or_insert_with(new).guide
