--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -16,7 +16,7 @@
 
 /// Timeout of a call about the lease. A slower renewal is useless, because the lease's validity
 /// counts from before the call was sent.
-const LEASE_CALL: Duration = Duration::from_millis(1_500);
+const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of a call that another instance can repeat. The platform answers within milliseconds, or
 /// 0.2 s while it is slow. A renewal is valid for 4.3 s, and 0.9 s of that have passed when the
 /// next one is sent.
@@ -55,7 +55,7 @@
         let mesh = self.shared.mesh.clone();
         tokio::spawn(async move {
             let within = if relays.is_empty() {
-                LEASE_CALL
+                LEASE_CALL_TIMEOUT
             } else {
                 FIRST_LEASE_CALL
             };
