--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -20,7 +20,7 @@
 /// Timeout of a call that another instance can repeat. The platform answers within milliseconds, or
 /// 0.2 s while it is slow. A renewal is valid for 4.3 s, and 0.9 s of that have passed when the
 /// next one is sent.
-const FIRST_LEASE_CALL: Duration = Duration::from_millis(300);
+const DIRECT_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a call that another instance makes for this one.
 const RELAYED_LEASE_CALL: Duration = Duration::from_millis(350);
 /// Maximum number of instances that are asked, one after another, to make a call. The second one
@@ -57,7 +57,7 @@
             let within = if relays.is_empty() {
                 LEASE_CALL_TIMEOUT
             } else {
-                FIRST_LEASE_CALL
+                DIRECT_LEASE_CALL_TIMEOUT
             };
             let mut answer = caller.call(&call, within).await;
             for peer in &relays {
@@ -79,7 +79,7 @@
         };
         let caller = self.lease_caller();
         tokio::spawn(async move {
-            let answer = caller.call(&call, FIRST_LEASE_CALL).await;
+            let answer = caller.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
             if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
                 slog::debug!(caller.log, "requester is gone"; "reason" => error.to_string());
             }
