--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -22,7 +22,7 @@
 /// next one is sent.
 const DIRECT_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a call that another instance makes for this one.
-const RELAYED_LEASE_CALL: Duration = Duration::from_millis(350);
+const RELAYED_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(350);
 /// Maximum number of instances that are asked, one after another, to make a call. The second one
 /// covers an instance that has just lost the platform too; the renewal is still in time with it.
 pub(super) const RELAYS: usize = 2;
@@ -123,7 +123,10 @@
 /// Has another instance make a call.
 async fn relay(mesh: &Mesh<PeerMessage>, peer: &Peer, call: &LeaseCall) -> LeaseAnswer {
     let message = PeerMessage::CallLease(call.clone());
-    match mesh.request(peer, message, RELAYED_LEASE_CALL).await {
+    match mesh
+        .request(peer, message, RELAYED_LEASE_CALL_TIMEOUT)
+        .await
+    {
         Ok(PeerMessage::LeaseCalled(answer)) => answer,
         // The peer may have made the call nevertheless.
         Ok(_) | Err(_) => call.without_answer(),
