--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -25,7 +25,7 @@
 const RELAYED_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(350);
 /// Maximum number of instances that are asked, one after another, to make a call. The second one
 /// covers an instance that has just lost the platform too; the renewal is still in time with it.
-pub(super) const RELAYS: usize = 2;
+pub(super) const MAX_RELAYS: usize = 2;
 /// Time from when the lease can be taken until the new placer answers: instances spread their
 /// writes over 400 ms, and the new placer asks each target what it holds.
 const TAKING: Duration = Duration::from_millis(700);
@@ -50,7 +50,7 @@
         };
         let caller = self.lease_caller();
         let placer = self.placer.as_ref();
-        let relays = placer.map(|it| it.presence.that_reach_platform(RELAYS));
+        let relays = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
         let relays = relays.unwrap_or_default();
         let mesh = self.shared.mesh.clone();
         tokio::spawn(async move {
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::actor::Control;
-use super::lease::RELAYS;
+use super::lease::MAX_RELAYS;
 use crate::dialect::StoreDialect;
 use crate::peers::{PeerMessage, StoreRead};
 use crate::shared::Shared;
@@ -177,7 +177,7 @@
     /// Chooses the instances that may make reads for this one while it is the placer.
     pub(super) fn choose_helpers(&self) {
         let placer = self.placer.as_ref();
-        let helpers = placer.map(|it| it.presence.that_reach_platform(RELAYS));
+        let helpers = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
         self.helpers.send_replace(helpers.unwrap_or_default());
     }
 
