--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -28,7 +28,7 @@
 pub(super) const MAX_RELAYS: usize = 2;
 /// Time from when the lease can be taken until the new placer answers: instances spread their
 /// writes over 400 ms, and the new placer asks each target what it holds.
-const TAKING: Duration = Duration::from_millis(700);
+const TAKEOVER_TIME: Duration = Duration::from_millis(700);
 
 /// What a call about the lease needs, independent of the actor.
 #[derive(Clone)]
@@ -97,7 +97,7 @@
     /// Publishes to traffic when there will be a placer again, if there is none.
     pub(super) fn publish_placer_return(&self, now: Moment) {
         let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
-        let back = (!there).then(|| self.keeper.earliest_takeover() + TAKING);
+        let back = (!there).then(|| self.keeper.earliest_takeover() + TAKEOVER_TIME);
         self.shared.set_placer_back(back);
     }
 
