--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -32,7 +32,7 @@
 
 /// What a call about the lease needs, independent of the actor.
 #[derive(Clone)]
-struct Caller {
+struct LeaseClient {
     exchange: Arc<Exchange>,
     dialect: StoreDialect,
     log: Logger,
@@ -86,8 +86,8 @@
         });
     }
 
-    fn lease_caller(&self) -> Caller {
-        Caller {
+    fn lease_caller(&self) -> LeaseClient {
+        LeaseClient {
             exchange: Arc::clone(&self.exchange),
             dialect: self.shared.dialect.store.clone(),
             log: self.shared.log.clone(),
@@ -143,7 +143,7 @@
     }
 }
 
-impl Caller {
+impl LeaseClient {
     async fn call(&self, call: &LeaseCall, within: Duration) -> LeaseAnswer {
         match call {
             LeaseCall::Write(record, version) => {
