--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -48,7 +48,7 @@
         let Some(control) = self.address.clone() else {
             return;
         };
-        let caller = self.lease_caller();
+        let caller = self.lease_client();
         let placer = self.placer.as_ref();
         let relays = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
         let relays = relays.unwrap_or_default();
@@ -77,7 +77,7 @@
         let Some(reply) = reply else {
             return;
         };
-        let caller = self.lease_caller();
+        let caller = self.lease_client();
         tokio::spawn(async move {
             let answer = caller.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
             if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
@@ -86,7 +86,7 @@
         });
     }
 
-    fn lease_caller(&self) -> LeaseClient {
+    fn lease_client(&self) -> LeaseClient {
         LeaseClient {
             exchange: Arc::clone(&self.exchange),
             dialect: self.shared.dialect.store.clone(),
