--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -48,7 +48,7 @@
         let Some(control) = self.address.clone() else {
             return;
         };
-        let caller = self.lease_client();
+        let client = self.lease_client();
         let placer = self.placer.as_ref();
         let relays = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
         let relays = relays.unwrap_or_default();
@@ -59,13 +59,13 @@
             } else {
                 DIRECT_LEASE_CALL_TIMEOUT
             };
-            let mut answer = caller.call(&call, within).await;
+            let mut answer = client.call(&call, within).await;
             for peer in &relays {
                 if !answer.is_failure() {
                     break;
                 }
                 answer = relay(&mesh, peer, &call).await;
-                slog::info!(caller.log, "lease call relayed";
+                slog::info!(client.log, "lease call relayed";
                     "peer" => peer.instance.as_str(), "failed" => answer.is_failure());
             }
             drop(control.send(answer).await);
@@ -77,11 +77,11 @@
         let Some(reply) = reply else {
             return;
         };
-        let caller = self.lease_client();
+        let client = self.lease_client();
         tokio::spawn(async move {
-            let answer = caller.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
+            let answer = client.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
             if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
-                slog::debug!(caller.log, "requester is gone"; "reason" => error.to_string());
+                slog::debug!(client.log, "requester is gone"; "reason" => error.to_string());
             }
         });
     }
