--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -73,7 +73,7 @@
     }
 
     /// Makes a call about the lease on behalf of the placer.
-    pub(super) fn call_lease_for(&self, call: LeaseCall, reply: Option<Reply<PeerMessage>>) {
+    pub(super) fn call_lease_for_placer(&self, call: LeaseCall, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
         };
