--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -9,7 +9,7 @@
 
 /// Delay of the control actor's messages from which it counts as behind. Most requests wait for the
 /// placer's answer little longer than this.
-const BEHIND: Duration = Duration::from_millis(400);
+const OVERLOAD_DELAY: Duration = Duration::from_millis(400);
 /// Time for which a placer has to be behind without interruption before it steps down. During a
 /// handover there is no placer until the lease's handover gap is over, so short bursts are better
 /// endured.
@@ -27,7 +27,7 @@
 impl Overload {
     /// Records the delay of a message and returns whether the actor has been behind for too long.
     fn note(&mut self, late_by: Duration, now: Moment) -> bool {
-        if late_by < BEHIND {
+        if late_by < OVERLOAD_DELAY {
             self.behind_since = None;
             return false;
         }
