--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -13,7 +13,7 @@
 /// Time for which a placer has to be behind without interruption before it steps down. During a
 /// handover there is no placer until the lease's handover gap is over, so short bursts are better
 /// endured.
-const BEHIND_FOR: Duration = Duration::from_secs(2);
+const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
 /// Factor by which another instance's processor share must exceed this one's before a placer steps
 /// down.
 const MUCH_LARGER: f32 = 2.0;
@@ -32,7 +32,7 @@
             return false;
         }
         let since = *self.behind_since.get_or_insert(now);
-        now.since(since) >= BEHIND_FOR
+        now.since(since) >= OVERLOAD_DURATION
     }
 }
 
