--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -16,7 +16,7 @@
 const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
 /// Factor by which another instance's processor share must exceed this one's before a placer steps
 /// down.
-const MUCH_LARGER: f32 = 2.0;
+const STEP_DOWN_FACTOR: f32 = 2.0;
 
 /// Since when the control actor has been behind.
 #[derive(Debug, Default)]
@@ -53,7 +53,7 @@
             return;
         };
         let largest = placer.presence.largest_share();
-        if largest < self.processor_share() * MUCH_LARGER {
+        if largest < self.processor_share() * STEP_DOWN_FACTOR {
             return;
         }
         slog::warn!(self.shared.log, "placer overloaded; stepping down";
