--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -97,7 +97,7 @@
     fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
         match action {
             ResidencyAction::Order(order) => self.give_order(order, now),
-            ResidencyAction::Ask(target) => self.ask(target),
+            ResidencyAction::Ask(target) => self.query_target(target),
             ResidencyAction::Tell(holding) => self.shared.dispatch().holding_changed(holding),
             ResidencyAction::Answer(question, placed) => self.answer(question, placed),
         }
@@ -148,7 +148,7 @@
     }
 
     /// Asks a target what it holds.
-    fn ask(&self, target: TargetName) {
+    fn query_target(&self, target: TargetName) {
         let Some(control) = self.address.clone() else {
             return;
         };
