--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -154,7 +154,7 @@
         };
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let report = match ask(&shared, &target).await {
+            let report = match fetch_report(&shared, &target).await {
                 Ok(report) => Some(report),
                 Err(reason) => {
                     slog::info!(shared.log, "target not queried";
@@ -263,7 +263,7 @@
     }
 }
 
-async fn ask(shared: &Shared, target: &TargetName) -> Result<TargetReport, String> {
+async fn fetch_report(shared: &Shared, target: &TargetName) -> Result<TargetReport, String> {
     let dialect = &shared.dialect.targets;
     let (address, started) = {
         let dispatch = shared.dispatch();
