--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -96,7 +96,7 @@
 
     fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
         match action {
-            ResidencyAction::Order(order) => self.give_order(order, now),
+            ResidencyAction::Order(order) => self.send_order(order, now),
             ResidencyAction::Ask(target) => self.query_target(target),
             ResidencyAction::Tell(holding) => self.shared.dispatch().holding_changed(holding),
             ResidencyAction::Answer(question, placed) => self.answer(question, placed),
@@ -104,7 +104,7 @@
     }
 
     /// Sends an order to a target if the lease is valid at this moment.
-    fn give_order(&mut self, order: Order, now: Moment) {
+    fn send_order(&mut self, order: Order, now: Moment) {
         let Some(control) = self.address.clone() else {
             return;
         };
