--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(super) struct Placer {
     pub(super) residency: Residency,
-    pub(super) questions: HashMap<u64, Reply<PeerMessage>>,
+    pub(super) pending_requests: HashMap<u64, Reply<PeerMessage>>,
     pub(super) next_question: u64,
     pub(super) presence: Presence,
 }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -56,7 +56,7 @@
         }
         self.placer = Some(Placer {
             residency,
-            questions: HashMap::new(),
+            pending_requests: HashMap::new(),
             next_question: first_question(term),
             presence: Presence::default(),
         });
@@ -241,13 +241,13 @@
         };
         let question = placer.next_question;
         placer.next_question += 1;
-        placer.questions.insert(question, reply);
+        placer.pending_requests.insert(question, reply);
         self.plan(wanted(question));
     }
 
     fn answer(&mut self, question: u64, placed: Placed) {
         let reply = self.placer.as_mut();
-        let reply = reply.and_then(|placer| placer.questions.remove(&question));
+        let reply = reply.and_then(|placer| placer.pending_requests.remove(&question));
         if let Some(reply) = reply
             && let Err(error) = reply.send(PeerMessage::Placed(placed, GrantNumber(question)))
         {
