--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -53,7 +53,7 @@
 pub(super) struct Placer {
     pub(super) residency: Residency,
     pub(super) pending_requests: HashMap<u64, Reply<PeerMessage>>,
-    pub(super) next_question: u64,
+    pub(super) next_request: u64,
     pub(super) presence: Presence,
 }
 
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -57,7 +57,7 @@
         self.placer = Some(Placer {
             residency,
             pending_requests: HashMap::new(),
-            next_question: first_question(term),
+            next_request: first_question(term),
             presence: Presence::default(),
         });
         if let Some(routes) = self.shared.routes.load_full() {
@@ -239,8 +239,8 @@
             // Dropping the reply tells the requester at once that there is no answer.
             return;
         };
-        let question = placer.next_question;
-        placer.next_question += 1;
+        let question = placer.next_request;
+        placer.next_request += 1;
         placer.pending_requests.insert(question, reply);
         self.plan(wanted(question));
     }
