--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -36,7 +36,7 @@
 const ERA_SHIFT: u32 = 24;
 
 /// Returns the number of the first placement request of a term.
-const fn first_question(term: u64) -> u64 {
+const fn first_request_number(term: u64) -> u64 {
     let era = era_of_term(term) << ERA_SHIFT;
     let within_era = term & ((1 << ERA_SHIFT) - 1);
     (era | within_era) << TERM_SHIFT
@@ -57,7 +57,7 @@
         self.placer = Some(Placer {
             residency,
             pending_requests: HashMap::new(),
-            next_request: first_question(term),
+            next_request: first_request_number(term),
             presence: Presence::default(),
         });
         if let Some(routes) = self.shared.routes.load_full() {
