--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -42,7 +42,7 @@
     (era | within_era) << TERM_SHIFT
 }
 /// Maximum length of a target's report, in bytes.
-const MAX_REPORT: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
 impl Control {
     /// Becomes the placer: passes everything that is known to a new planner.
@@ -277,7 +277,7 @@
         return Err(format!("target answered with status {}", head.status));
     }
     shared.note_leaving(target, started, &head.headers);
-    let body = body.read_whole(MAX_REPORT).await;
+    let body = body.read_whole(MAX_REPORT_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
     (dialect.read_report)(&body).map_err(|error| error.to_string())
 }
