--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -171,7 +171,7 @@
     }
 
     /// Handles an instance's report of its open requests and answers with the placer's status.
-    pub(super) fn instance_uses(
+    pub(super) fn handle_usage_report(
         &mut self,
         from: &InstanceId,
         sign: SignOfLife,
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -61,7 +61,7 @@
                     reaches_platform,
                     processor_share,
                 };
-                self.instance_uses(&from, sign, (uses, grants));
+                self.handle_usage_report(&from, sign, (uses, grants));
             }
             PeerMessage::Want(want, within) => {
                 // If the message waited here longer than its request waits for an answer, the load
