--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -182,7 +182,7 @@
             return;
         };
         placer.presence.heard(from, sign, now);
-        if let Some(placing) = self.placing(now) {
+        if let Some(placing) = self.placer_status(now) {
             self.send(&sign.peer(from), placing);
         }
         self.plan(ResidencyEvent::Used(from.clone(), uses, grants));
@@ -196,7 +196,7 @@
     }
 
     /// Returns the placer's status message; `None` if this instance is not the placer.
-    fn placing(&self, now: Moment) -> Option<PeerMessage> {
+    fn placer_status(&self, now: Moment) -> Option<PeerMessage> {
         let placer = self.placer.as_ref()?;
         Some(PeerMessage::Placing {
             knows_targets: placer.residency.knows_targets(),
@@ -212,7 +212,7 @@
     /// Called when the platform has not answered for a moment: the status sent last is about to
     /// expire, and each instance would then poll the platform itself.
     pub(super) fn tell_placing(&self, now: Moment) {
-        let (Some(placer), Some(placing)) = (&self.placer, self.placing(now)) else {
+        let (Some(placer), Some(placing)) = (&self.placer, self.placer_status(now)) else {
             return;
         };
         for peer in placer.presence.peers() {
