--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -211,7 +211,7 @@
     ///
     /// Called when the platform has not answered for a moment: the status sent last is about to
     /// expire, and each instance would then poll the platform itself.
-    pub(super) fn tell_placing(&self, now: Moment) {
+    pub(super) fn broadcast_status(&self, now: Moment) {
         let (Some(placer), Some(placing)) = (&self.placer, self.placer_status(now)) else {
             return;
         };
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -135,7 +135,7 @@
         let is_overdue = self.feed.record_answer(kind, now);
         self.follow_modes.guide(kind).polled(revision, now);
         if is_overdue {
-            self.tell_placing(now);
+            self.broadcast_status(now);
         }
     }
 
