--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -221,7 +221,7 @@
     }
 
     /// Applies the placer's status on the placer itself.
-    pub(super) fn take_own_placing(&mut self) {
+    pub(super) fn apply_own_status(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
             self.learnt = placer.residency.learnt().or(self.learnt);
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -18,7 +18,7 @@
         if self.placer.is_some() {
             let me = self.me().clone();
             self.plan(ResidencyEvent::Used(me, uses, grants));
-            self.take_own_placing();
+            self.apply_own_status();
             self.choose_helpers();
             return;
         }
