--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -225,7 +225,7 @@
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
             self.learnt = placer.residency.learnt().or(self.learnt);
-            self.take_placing(knows_targets, placer.presence.count());
+            self.apply_status(knows_targets, placer.presence.count());
         }
     }
 
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -93,7 +93,7 @@
             } if self.is_placer(&from) => {
                 self.learnt = learnt.or(self.learnt);
                 self.holder_told(lease, platform);
-                self.take_placing(knows_targets, instances);
+                self.apply_status(knows_targets, instances);
             }
             PeerMessage::Changed(batch) if self.is_placer(&from) => self.apply_batch(batch),
             PeerMessage::CallLease(call) => self.call_lease_for_placer(call, reply),
@@ -121,7 +121,7 @@
     }
 
     /// Applies whether the placer is placing, and the number of instances.
-    pub(super) fn take_placing(&self, knows_targets: bool, instances: u32) {
+    pub(super) fn apply_status(&self, knows_targets: bool, instances: u32) {
         let now = self.now();
         self.shared.dispatch().placer_told(knows_targets, now);
         if knows_targets {
