--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -230,7 +230,7 @@
     }
 
     /// Handles a placement request.
-    pub(super) fn wanted(
+    pub(super) fn handle_placement_request(
         &mut self,
         wanted: impl FnOnce(u64) -> ResidencyEvent,
         reply: Option<Reply<PeerMessage>>,
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -76,7 +76,7 @@
                     want,
                     within,
                 };
-                self.wanted(wanted, reply);
+                self.handle_placement_request(wanted, reply);
             }
             PeerMessage::Progress(progress) => self.plan(ResidencyEvent::Progressed(progress)),
             PeerMessage::NotHeld(target, weights) => {
