--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -16,7 +16,7 @@
 
 use super::actor::{Control, Placer};
 use super::messages::{OrderResult, TargetQueried};
-use super::presence::{Presence, SignOfLife};
+use super::presence::{InstanceStatus, Presence};
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
@@ -174,7 +174,7 @@
     pub(super) fn handle_usage_report(
         &mut self,
         from: &InstanceId,
-        sign: SignOfLife,
+        sign: InstanceStatus,
         (uses, grants): (Vec<Use>, Vec<GrantNumber>),
     ) {
         let now = self.now();
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -14,7 +14,7 @@
 
 /// What an instance reports about itself.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SignOfLife {
+pub(super) struct InstanceStatus {
     /// Address for messages from peers.
     pub(super) address: SocketAddr,
     /// Whether the platform answered the instance's last call.
@@ -23,7 +23,7 @@
     pub(super) processor_share: f32,
 }
 
-impl SignOfLife {
+impl InstanceStatus {
     /// Returns the given instance as a peer at the reported address.
     pub(super) fn peer(&self, instance: &InstanceId) -> Peer {
         Peer {
@@ -36,12 +36,12 @@
 /// The instances that report to the placer.
 #[derive(Debug, Default)]
 pub(super) struct Presence {
-    heard: HashMap<InstanceId, (SignOfLife, Moment)>,
+    heard: HashMap<InstanceId, (InstanceStatus, Moment)>,
 }
 
 impl Presence {
     /// Records a report.
-    pub(super) fn heard(&mut self, instance: &InstanceId, sign: SignOfLife, now: Moment) {
+    pub(super) fn heard(&mut self, instance: &InstanceId, sign: InstanceStatus, now: Moment) {
         self.heard.insert(instance.clone(), (sign, now));
     }
 
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -6,7 +6,7 @@
 use chervilshunt_model::{InstanceId, StoreRevision};
 
 use super::actor::Control;
-use super::presence::SignOfLife;
+use super::presence::InstanceStatus;
 use crate::dialect::Kind;
 use crate::peers::{PeerMessage, PlatformView};
 
@@ -56,7 +56,7 @@
                 uses,
                 grants,
             } => {
-                let sign = SignOfLife {
+                let sign = InstanceStatus {
                     address,
                     reaches_platform,
                     processor_share,
