--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -174,16 +174,16 @@
     pub(super) fn handle_usage_report(
         &mut self,
         from: &InstanceId,
-        sign: InstanceStatus,
+        status: InstanceStatus,
         (uses, grants): (Vec<Use>, Vec<GrantNumber>),
     ) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
             return;
         };
-        placer.presence.heard(from, sign, now);
+        placer.presence.heard(from, status, now);
         if let Some(placing) = self.placer_status(now) {
-            self.send(&sign.peer(from), placing);
+            self.send(&status.peer(from), placing);
         }
         self.plan(ResidencyEvent::Used(from.clone(), uses, grants));
         let silent = self
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -41,8 +41,8 @@
 
 impl Presence {
     /// Records a report.
-    pub(super) fn heard(&mut self, instance: &InstanceId, sign: InstanceStatus, now: Moment) {
-        self.heard.insert(instance.clone(), (sign, now));
+    pub(super) fn heard(&mut self, instance: &InstanceId, status: InstanceStatus, now: Moment) {
+        self.heard.insert(instance.clone(), (status, now));
     }
 
     /// Removes instances that have not reported in time and returns them.
@@ -55,19 +55,22 @@
     pub(super) fn peers(&self) -> impl Iterator<Item = Peer> {
         self.heard
             .iter()
-            .map(|(instance, (sign, _))| sign.peer(instance))
+            .map(|(instance, (status, _))| status.peer(instance))
     }
 
     /// Returns up to `most` random instances that reach the platform.
     pub(super) fn that_reach_platform(&self, most: usize) -> Vec<Peer> {
         let reaching = self.heard.iter().filter(|(_, (it, _))| it.reaches_platform);
-        let peers = reaching.map(|(instance, (sign, _))| sign.peer(instance));
+        let peers = reaching.map(|(instance, (status, _))| status.peer(instance));
         peers.choose_multiple(&mut rand::rng(), most)
     }
 
     /// Returns the largest share of a processor core among the other instances.
     pub(super) fn largest_share(&self) -> f32 {
-        let shares = self.heard.values().map(|(sign, _)| sign.processor_share);
+        let shares = self
+            .heard
+            .values()
+            .map(|(status, _)| status.processor_share);
         shares.fold(0.0, f32::max)
     }
 
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -56,12 +56,12 @@
                 uses,
                 grants,
             } => {
-                let sign = InstanceStatus {
+                let status = InstanceStatus {
                     address,
                     reaches_platform,
                     processor_share,
                 };
-                self.handle_usage_report(&from, sign, (uses, grants));
+                self.handle_usage_report(&from, status, (uses, grants));
             }
             PeerMessage::Want(want, within) => {
                 // If the message waited here longer than its request waits for an answer, the load
