--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -36,31 +36,36 @@
 /// The instances that report to the placer.
 #[derive(Debug, Default)]
 pub(super) struct Presence {
-    heard: HashMap<InstanceId, (InstanceStatus, Moment)>,
+    instances: HashMap<InstanceId, (InstanceStatus, Moment)>,
 }
 
 impl Presence {
     /// Records a report.
     pub(super) fn heard(&mut self, instance: &InstanceId, status: InstanceStatus, now: Moment) {
-        self.heard.insert(instance.clone(), (status, now));
+        self.instances.insert(instance.clone(), (status, now));
     }
 
     /// Removes instances that have not reported in time and returns them.
     pub(super) fn forget_silent(&mut self, now: Moment) -> Vec<InstanceId> {
-        let silent = self.heard.extract_if(|_, (_, at)| now.since(*at) > SILENCE);
+        let silent = self
+            .instances
+            .extract_if(|_, (_, at)| now.since(*at) > SILENCE);
         silent.map(|(instance, _)| instance).collect()
     }
 
     /// Returns all known instances.
     pub(super) fn peers(&self) -> impl Iterator<Item = Peer> {
-        self.heard
+        self.instances
             .iter()
             .map(|(instance, (status, _))| status.peer(instance))
     }
 
     /// Returns up to `most` random instances that reach the platform.
     pub(super) fn that_reach_platform(&self, most: usize) -> Vec<Peer> {
-        let reaching = self.heard.iter().filter(|(_, (it, _))| it.reaches_platform);
+        let reaching = self
+            .instances
+            .iter()
+            .filter(|(_, (it, _))| it.reaches_platform);
         let peers = reaching.map(|(instance, (status, _))| status.peer(instance));
         peers.choose_multiple(&mut rand::rng(), most)
     }
@@ -76,6 +81,6 @@
 
     /// Returns the number of instances, including the placer's own.
     pub(super) fn count(&self) -> u32 {
-        u32::try_from(self.heard.len() + 1).unwrap_or(u32::MAX)
+        u32::try_from(self.instances.len() + 1).unwrap_or(u32::MAX)
     }
 }
