--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -181,7 +181,7 @@
         let Some(placer) = &mut self.placer else {
             return;
         };
-        placer.presence.heard(from, status, now);
+        placer.presence.record_report(from, status, now);
         if let Some(placing) = self.placer_status(now) {
             self.send(&status.peer(from), placing);
         }
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -41,7 +41,12 @@
 
 impl Presence {
     /// Records a report.
-    pub(super) fn heard(&mut self, instance: &InstanceId, status: InstanceStatus, now: Moment) {
+    pub(super) fn record_report(
+        &mut self,
+        instance: &InstanceId,
+        status: InstanceStatus,
+        now: Moment,
+    ) {
         self.instances.insert(instance.clone(), (status, now));
     }
 
