--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -189,7 +189,7 @@
         let silent = self
             .placer
             .as_mut()
-            .map(|it| it.presence.forget_silent(now));
+            .map(|it| it.presence.remove_unreachable(now));
         for instance in silent.unwrap_or_default() {
             self.plan(ResidencyEvent::InstanceGone(instance));
         }
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -51,7 +51,7 @@
     }
 
     /// Removes instances that have not reported in time and returns them.
-    pub(super) fn forget_silent(&mut self, now: Moment) -> Vec<InstanceId> {
+    pub(super) fn remove_unreachable(&mut self, now: Moment) -> Vec<InstanceId> {
         let silent = self
             .instances
             .extract_if(|_, (_, at)| now.since(*at) > SILENCE);
