--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -10,7 +10,7 @@
 
 /// Time without a report after which an instance counts as gone, together with its requests:
 /// several times the reporting interval.
-const SILENCE: Duration = Duration::from_secs(3);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What an instance reports about itself.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
     pub(super) fn remove_unreachable(&mut self, now: Moment) -> Vec<InstanceId> {
         let silent = self
             .instances
-            .extract_if(|_, (_, at)| now.since(*at) > SILENCE);
+            .extract_if(|_, (_, at)| now.since(*at) > REPORT_TIMEOUT);
         silent.map(|(instance, _)| instance).collect()
     }
 
