--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -50,7 +50,7 @@
         };
         let client = self.lease_client();
         let placer = self.placer.as_ref();
-        let relays = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
+        let relays = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
         let relays = relays.unwrap_or_default();
         let mesh = self.shared.mesh.clone();
         tokio::spawn(async move {
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns up to `most` random instances that reach the platform.
-    pub(super) fn that_reach_platform(&self, most: usize) -> Vec<Peer> {
+    pub(super) fn with_platform_access(&self, most: usize) -> Vec<Peer> {
         let reaching = self
             .instances
             .iter()
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -177,7 +177,7 @@
     /// Chooses the instances that may make reads for this one while it is the placer.
     pub(super) fn choose_helpers(&self) {
         let placer = self.placer.as_ref();
-        let helpers = placer.map(|it| it.presence.that_reach_platform(MAX_RELAYS));
+        let helpers = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
         self.helpers.send_replace(helpers.unwrap_or_default());
     }
 
