--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -27,7 +27,7 @@
 const USUAL_GRACE: Duration = Duration::from_millis(200);
 /// Longest wait for changes in a read through another instance. It is short because this instance's
 /// own connection may have been lost meanwhile.
-const LONGEST_WAIT_THROUGH: Duration = Duration::from_millis(300);
+const MAX_RELAYED_WAIT: Duration = Duration::from_millis(300);
 /// Timeout of a read through another instance, in addition to the wait for changes.
 const THROUGH: Duration = Duration::from_millis(350);
 
@@ -136,7 +136,7 @@
     }
 
     async fn read_through(&self, helpers: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
-        let read = read.waiting_at_most(LONGEST_WAIT_THROUGH);
+        let read = read.waiting_at_most(MAX_RELAYED_WAIT);
         for peer in helpers {
             let message = PeerMessage::ReadStore(read.clone());
             let answer = self
