--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -29,7 +29,7 @@
 /// own connection may have been lost meanwhile.
 const MAX_RELAYED_WAIT: Duration = Duration::from_millis(300);
 /// Timeout of a read through another instance, in addition to the wait for changes.
-const THROUGH: Duration = Duration::from_millis(350);
+const RELAYED_READ_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Time by which a direct read may finish after one through another instance and still be used. A
 /// direct read may have to open a connection first; if it were dropped each time, it would never
@@ -141,7 +141,7 @@
             let message = PeerMessage::ReadStore(read.clone());
             let answer = self
                 .mesh
-                .request(peer, message, read.wait() + THROUGH)
+                .request(peer, message, read.wait() + RELAYED_READ_TIMEOUT)
                 .await;
             match answer {
                 Ok(PeerMessage::StoreShows(body, era)) => {
