--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -34,7 +34,7 @@
 /// Time by which a direct read may finish after one through another instance and still be used. A
 /// direct read may have to open a connection first; if it were dropped each time, it would never
 /// show that the platform can be reached again.
-const OWN_LAG: Duration = Duration::from_millis(50);
+const MAX_DIRECT_READ_LAG: Duration = Duration::from_millis(50);
 
 /// Makes the reads of all followers of an instance.
 #[derive(Debug)]
@@ -108,7 +108,7 @@
                 let Some(body) = body else {
                     return own.await;
                 };
-                match tokio::time::timeout(OWN_LAG, own).await {
+                match tokio::time::timeout(MAX_DIRECT_READ_LAG, own).await {
                     Ok(Ok(body)) => Ok(body),
                     Ok(Err(_)) | Err(_) => Ok(body),
                 }
