--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -73,7 +73,7 @@
     /// Load estimates of this or an earlier placer, passed on to the next one.
     pub(super) learnt: Option<Learnt>,
     /// Instances that may read the platform's objects on behalf of this one while it is the placer.
-    pub(super) helpers: watch::Sender<Vec<Peer>>,
+    pub(super) relays: watch::Sender<Vec<Peer>>,
     /// Changes seen at the platform, which the placer broadcasts.
     pub(super) feed: ChangeFeed,
     /// The newest version of each set of weights that the platform has announced.
@@ -123,7 +123,7 @@
             reaches_platform: false,
             overload: Overload::default(),
             learnt: None,
-            helpers: watch::Sender::default(),
+            relays: watch::Sender::default(),
             feed: ChangeFeed::default(),
             versions: HashMap::new(),
             era: watch::Sender::default(),
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -43,24 +43,24 @@
     exchange: Arc<Exchange>,
     mesh: Mesh<PeerMessage>,
     /// The instances that can make reads for this one; empty unless this instance is the placer.
-    helpers: watch::Receiver<Vec<Peer>>,
+    relays: watch::Receiver<Vec<Peer>>,
     /// Whether the last read was not answered in the normal time.
     doubtful: watch::Sender<bool>,
     log: Logger,
 }
 
 impl Reader {
-    /// Creates a reader that may use the instances in `helpers`.
+    /// Creates a reader that may use the instances in `relays`.
     pub(crate) fn new(
         shared: &Shared,
         exchange: Arc<Exchange>,
-        helpers: watch::Receiver<Vec<Peer>>,
+        relays: watch::Receiver<Vec<Peer>>,
     ) -> Self {
         Self {
             dialect: shared.dialect.store.clone(),
             exchange,
             mesh: shared.mesh.clone(),
-            helpers,
+            relays,
             doubtful: watch::Sender::new(false),
             log: shared.log.clone(),
         }
@@ -68,9 +68,9 @@
 
     /// Makes a read.
     pub(crate) async fn read(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
-        let helpers = self.helpers.borrow().clone();
+        let relays = self.relays.borrow().clone();
         let own = self.read_itself(read);
-        if helpers.is_empty() {
+        if relays.is_empty() {
             return own.await;
         }
         let mut own = std::pin::pin!(own);
@@ -80,11 +80,11 @@
                 result => return result,
             },
             () = self.is_overdue(read) => {
-                return self.read_beside(own, &helpers, read).await;
+                return self.read_beside(own, &relays, read).await;
             }
         };
         self.set_doubtful(true);
-        self.read_through(&helpers, read).await.ok_or(failed)
+        self.read_through(&relays, read).await.ok_or(failed)
     }
 
     /// Makes a read through another instance while the overdue direct read continues.
@@ -94,11 +94,11 @@
     async fn read_beside(
         &self,
         mut own: impl Future<Output = Result<StoreAnswer, PlatformError>> + Unpin,
-        helpers: &[Peer],
+        relays: &[Peer],
         read: &StoreRead,
     ) -> Result<StoreAnswer, PlatformError> {
         self.set_doubtful(true);
-        let mut through = std::pin::pin!(self.read_through(helpers, read));
+        let mut through = std::pin::pin!(self.read_through(relays, read));
         tokio::select! {
             result = &mut own => match result {
                 Err(error) if is_unreached(&error) => through.await.ok_or(error),
@@ -135,9 +135,9 @@
         }
     }
 
-    async fn read_through(&self, helpers: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
+    async fn read_through(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
         let read = read.waiting_at_most(MAX_RELAYED_WAIT);
-        for peer in helpers {
+        for peer in relays {
             let message = PeerMessage::ReadStore(read.clone());
             let answer = self
                 .mesh
@@ -170,15 +170,15 @@
 
 impl Control {
     /// Returns a receiver of the instances that may make reads for this one.
-    pub(crate) fn helpers(&self) -> watch::Receiver<Vec<Peer>> {
-        self.helpers.subscribe()
+    pub(crate) fn relays(&self) -> watch::Receiver<Vec<Peer>> {
+        self.relays.subscribe()
     }
 
     /// Chooses the instances that may make reads for this one while it is the placer.
     pub(super) fn choose_helpers(&self) {
         let placer = self.placer.as_ref();
-        let helpers = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
-        self.helpers.send_replace(helpers.unwrap_or_default());
+        let relays = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
+        self.relays.send_replace(relays.unwrap_or_default());
     }
 
     /// Makes a read on behalf of the placer.
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -200,7 +200,7 @@
             Arc::clone(&exchange),
             signs,
         ));
-        let reader = Reader::new(&shared, exchange, control.helpers());
+        let reader = Reader::new(&shared, exchange, control.relays());
         start_followers(&shared, reader, &own, receivers, &control.era());
         drop(own);
         xtra::run(mailbox, control).await;
