--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -80,7 +80,7 @@
         if let Some(placer) = self.placer.take() {
             self.tell_snapshots(&placer);
         }
-        self.choose_helpers();
+        self.choose_relays();
     }
 
     /// Passes an event to the planner if this instance is the placer.
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -175,7 +175,7 @@
     }
 
     /// Chooses the instances that may make reads for this one while it is the placer.
-    pub(super) fn choose_helpers(&self) {
+    pub(super) fn choose_relays(&self) {
         let placer = self.placer.as_ref();
         let relays = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
         self.relays.send_replace(relays.unwrap_or_default());
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -19,7 +19,7 @@
             let me = self.me().clone();
             self.plan(ResidencyEvent::Used(me, uses, grants));
             self.apply_own_status();
-            self.choose_helpers();
+            self.choose_relays();
             return;
         }
         let Some(placer) = self.shared.placer.load_full() else {
