--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -45,7 +45,7 @@
     /// The instances that can make reads for this one; empty unless this instance is the placer.
     relays: watch::Receiver<Vec<Peer>>,
     /// Whether the last read was not answered in the normal time.
-    doubtful: watch::Sender<bool>,
+    is_delayed: watch::Sender<bool>,
     log: Logger,
 }
 
@@ -61,7 +61,7 @@
             exchange,
             mesh: shared.mesh.clone(),
             relays,
-            doubtful: watch::Sender::new(false),
+            is_delayed: watch::Sender::new(false),
             log: shared.log.clone(),
         }
     }
@@ -128,10 +128,10 @@
     /// shown that answers may not arrive at all.
     async fn is_overdue(&self, read: &StoreRead) {
         let usual = tokio::time::sleep(read.wait() + USUAL_GRACE);
-        let mut doubtful = self.doubtful.subscribe();
+        let mut is_delayed = self.is_delayed.subscribe();
         tokio::select! {
             () = usual => {}
-            _ = doubtful.wait_for(|doubtful| *doubtful) => {}
+            _ = is_delayed.wait_for(|is_delayed| *is_delayed) => {}
         }
     }
 
@@ -158,12 +158,12 @@
     }
 
     /// Records whether direct reads are answered, and logs a change.
-    fn set_doubtful(&self, doubtful: bool) {
+    fn set_doubtful(&self, is_delayed: bool) {
         let changed = self
-            .doubtful
-            .send_if_modified(|known| std::mem::replace(known, doubtful) != doubtful);
+            .is_delayed
+            .send_if_modified(|known| std::mem::replace(known, is_delayed) != is_delayed);
         if changed {
-            slog::info!(self.log, "direct reads of the platform"; "answered" => !doubtful);
+            slog::info!(self.log, "direct reads of the platform"; "answered" => !is_delayed);
         }
     }
 }
