--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -83,7 +83,7 @@
                 return self.read_beside(own, &relays, read).await;
             }
         };
-        self.set_doubtful(true);
+        self.set_delayed(true);
         self.read_through(&relays, read).await.ok_or(failed)
     }
 
@@ -97,7 +97,7 @@
         relays: &[Peer],
         read: &StoreRead,
     ) -> Result<StoreAnswer, PlatformError> {
-        self.set_doubtful(true);
+        self.set_delayed(true);
         let mut through = std::pin::pin!(self.read_through(relays, read));
         tokio::select! {
             result = &mut own => match result {
@@ -119,7 +119,7 @@
     async fn read_itself(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
         let result = exchange_read(&self.exchange, &self.dialect, read, ANSWER_GRACE).await;
         if result.is_ok() {
-            self.set_doubtful(false);
+            self.set_delayed(false);
         }
         result
     }
@@ -158,7 +158,7 @@
     }
 
     /// Records whether direct reads are answered, and logs a change.
-    fn set_doubtful(&self, is_delayed: bool) {
+    fn set_delayed(&self, is_delayed: bool) {
         let changed = self
             .is_delayed
             .send_if_modified(|known| std::mem::replace(known, is_delayed) != is_delayed);
