--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -69,7 +69,7 @@
     /// Makes a read.
     pub(crate) async fn read(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
         let relays = self.relays.borrow().clone();
-        let own = self.read_itself(read);
+        let own = self.read_directly(read);
         if relays.is_empty() {
             return own.await;
         }
@@ -116,7 +116,7 @@
         }
     }
 
-    async fn read_itself(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
+    async fn read_directly(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
         let result = exchange_read(&self.exchange, &self.dialect, read, ANSWER_GRACE).await;
         if result.is_ok() {
             self.set_delayed(false);
