--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -84,7 +84,7 @@
             }
         };
         self.set_delayed(true);
-        self.read_through(&relays, read).await.ok_or(failed)
+        self.read_relayed(&relays, read).await.ok_or(failed)
     }
 
     /// Makes a read through another instance while the overdue direct read continues.
@@ -98,7 +98,7 @@
         read: &StoreRead,
     ) -> Result<StoreAnswer, PlatformError> {
         self.set_delayed(true);
-        let mut through = std::pin::pin!(self.read_through(relays, read));
+        let mut through = std::pin::pin!(self.read_relayed(relays, read));
         tokio::select! {
             result = &mut own => match result {
                 Err(error) if is_unreached(&error) => through.await.ok_or(error),
@@ -135,7 +135,7 @@
         }
     }
 
-    async fn read_through(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
+    async fn read_relayed(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
         let read = read.waiting_at_most(MAX_RELAYED_WAIT);
         for peer in relays {
             let message = PeerMessage::ReadStore(read.clone());
