--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -80,7 +80,7 @@
                 result => return result,
             },
             () = self.is_overdue(read) => {
-                return self.read_beside(own, &relays, read).await;
+                return self.read_hedged(own, &relays, read).await;
             }
         };
         self.set_delayed(true);
@@ -91,7 +91,7 @@
     ///
     /// The direct read is not cancelled, so that it shows when this instance reaches the platform
     /// again.
-    async fn read_beside(
+    async fn read_hedged(
         &self,
         mut own: impl Future<Output = Result<StoreAnswer, PlatformError>> + Unpin,
         relays: &[Peer],
