--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -182,7 +182,7 @@
     }
 
     /// Makes a read on behalf of the placer.
-    pub(super) fn read_for(&self, read: StoreRead, reply: Option<Reply<PeerMessage>>) {
+    pub(super) fn read_for_placer(&self, read: StoreRead, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
         };
