--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -76,7 +76,7 @@
         let mut own = std::pin::pin!(own);
         let failed = tokio::select! {
             result = &mut own => match result {
-                Err(error) if is_unreached(&error) => error,
+                Err(error) if may_succeed_elsewhere(&error) => error,
                 result => return result,
             },
             () = self.is_overdue(read) => {
@@ -101,7 +101,7 @@
         let mut through = std::pin::pin!(self.read_relayed(relays, read));
         tokio::select! {
             result = &mut own => match result {
-                Err(error) if is_unreached(&error) => through.await.ok_or(error),
+                Err(error) if may_succeed_elsewhere(&error) => through.await.ok_or(error),
                 result => result,
             },
             body = &mut through => {
@@ -223,7 +223,7 @@
 }
 
 /// Returns whether another instance may get an answer although this one got none.
-const fn is_unreached(error: &PlatformError) -> bool {
+const fn may_succeed_elsewhere(error: &PlatformError) -> bool {
     matches!(
         error,
         PlatformError::Unavailable { .. }
