--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -86,7 +86,7 @@
     pub(super) listed_era: Option<u64>,
     /// Targets that a restore of the platform has brought back, with the revisions of their
     /// entries.
-    pub(super) revived: HashMap<TargetName, StoreRevision>,
+    pub(super) restored_targets: HashMap<TargetName, StoreRevision>,
     /// Time of the next scheduled wake-up. Keeps a single timer rather than one per message.
     wakes_at: Option<Moment>,
 }
@@ -129,7 +129,7 @@
             era: watch::Sender::default(),
             known_era: None,
             listed_era: None,
-            revived: HashMap::new(),
+            restored_targets: HashMap::new(),
             wakes_at: None,
             shared,
         }
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -57,17 +57,17 @@
                 }
                 _ => None,
             });
-            self.revived = gone.collect();
+            self.restored_targets = gone.collect();
             drop(dispatch);
-            for name in self.revived.keys() {
+            for name in self.restored_targets.keys() {
                 slog::info!(self.shared.log, "outdated target entry brought back by a restore"; "target" => name.as_str());
             }
         }
         self.listed_era = Some(listed.era);
         let is_written_again = |entry: &Entry| match &entry.content {
             Content::Target(facts) => {
-                let revived = self.revived.get(&facts.name);
-                revived.is_none_or(|revision| entry.revision > *revision)
+                let restored_targets = self.restored_targets.get(&facts.name);
+                restored_targets.is_none_or(|revision| entry.revision > *revision)
             }
             _ => true,
         };
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -172,7 +172,7 @@
         match entry.content {
             Content::Configuration(table) => self.configuration_seen(table, revision),
             Content::Target(facts) => {
-                self.revived.remove(&facts.name);
+                self.restored_targets.remove(&facts.name);
                 self.target_listed(facts, revision);
             }
             Content::Version(weights, version) => self.version_seen(weights, version, revision),
