--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -44,7 +44,7 @@
 
     /// Removes entries of targets that were gone and that a restore has brought back. If such a
     /// target is alive, it writes its entry again.
-    pub(super) fn without_revived(
+    pub(super) fn without_restored_targets(
         &mut self,
         entries: Vec<Entry>,
         listed: StoreRevision,
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -141,7 +141,7 @@
 
     fn listed(&mut self, kind: Kind, mut entries: Vec<Entry>, revision: StoreRevision) {
         if kind == Kind::Targets {
-            entries = self.without_revived(entries, revision);
+            entries = self.without_restored_targets(entries, revision);
         }
         let names: Vec<Arc<str>> = entries.iter().map(|it| Arc::clone(&it.name)).collect();
         for entry in entries {
