--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::actor::Control;
-use crate::crashes::record_again;
+use crate::crashes::rewrite_record;
 use crate::dialect::{Content, Entry};
 
 impl Control {
@@ -82,7 +82,7 @@
         let lacking = self.shared.quarantine().missing_records();
         for fingerprint in lacking {
             let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
-            tokio::spawn(async move { record_again(shared, exchange, fingerprint).await });
+            tokio::spawn(async move { rewrite_record(shared, exchange, fingerprint).await });
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -78,7 +78,7 @@
 }
 
 /// Writes a crash record again that the platform has lost.
-pub(crate) async fn record_again(
+pub(crate) async fn rewrite_record(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
     fingerprint: Fingerprint,
