--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -10,7 +10,7 @@
 
 /// Number of instances up to which the placer sends to each of them directly rather than through
 /// forwarding instances.
-const DIRECT: usize = 16;
+const MAX_DIRECT_RECIPIENTS: usize = 16;
 
 impl Control {
     /// Sends the knowledge of a placer whose lease has ended to all instances, unless there is
@@ -76,7 +76,7 @@
 /// an availability zone.
 fn groups(mut peers: Vec<Peer>) -> Vec<(Peer, Vec<Peer>)> {
     peers.sort_by_key(|it: &Peer| -> SocketAddr { it.address });
-    let size = if peers.len() <= DIRECT {
+    let size = if peers.len() <= MAX_DIRECT_RECIPIENTS {
         1
     } else {
         peers.len().isqrt()
