--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -78,7 +78,7 @@
     pub(super) fn stop_placing(&mut self) {
         slog::info!(self.shared.log, "placing stopped");
         if let Some(placer) = self.placer.take() {
-            self.tell_snapshots(&placer);
+            self.send_snapshots(&placer);
         }
         self.choose_relays();
     }
--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -15,7 +15,7 @@
 impl Control {
     /// Sends the knowledge of a placer whose lease has ended to all instances, unless there is
     /// another placer by now.
-    pub(super) fn tell_snapshots(&self, placer: &Placer) {
+    pub(super) fn send_snapshots(&self, placer: &Placer) {
         let Some((holder, _)) = self.keeper.holder() else {
             return;
         };
