--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -41,7 +41,7 @@
     }
 
     /// Applies and forwards the knowledge of a placer whose lease has ended.
-    pub(super) fn take_snapshots(&self, from: &InstanceId, snapshots: Snapshots) {
+    pub(super) fn handle_snapshots(&self, from: &InstanceId, snapshots: Snapshots) {
         // The sender has a successor by now, or is not known here as the placer yet.
         if self.keeper.term() != Some(snapshots.term) {
             return;
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -83,7 +83,7 @@
                 self.plan(ResidencyEvent::NotHeld(target, weights));
             }
             PeerMessage::Leaving(target, started) => self.told_of_leaving(&target, started, &from),
-            PeerMessage::Snapshots(snapshots) => self.take_snapshots(&from, snapshots),
+            PeerMessage::Snapshots(snapshots) => self.handle_snapshots(&from, snapshots),
             PeerMessage::Placing {
                 knows_targets,
                 learnt,
