--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -30,11 +30,11 @@
         slog::info!(self.shared.log, "target snapshots sent";
             "term" => term, "targets" => targets.len(), "by" => groups.len());
         for (first, rest) in groups {
-            let pass_on = rest.into_iter().map(|it| (it.instance, it.address));
+            let forward_to = rest.into_iter().map(|it| (it.instance, it.address));
             let snapshots = Snapshots {
                 term,
                 targets: targets.clone(),
-                pass_on: pass_on.collect(),
+                forward_to: forward_to.collect(),
             };
             self.send(&first, PeerMessage::Snapshots(snapshots));
         }
@@ -48,7 +48,7 @@
         }
         slog::info!(self.shared.log, "target snapshots received";
             "term" => snapshots.term, "from" => from.as_str(), "targets" => snapshots.targets.len(),
-            "passed_on" => snapshots.pass_on.len());
+            "passed_on" => snapshots.forward_to.len());
         self.pass_on(&snapshots);
         let now = self.now();
         let mut dispatch = self.shared.dispatch();
@@ -57,13 +57,13 @@
     }
 
     fn pass_on(&self, snapshots: &Snapshots) {
-        for (instance, address) in &snapshots.pass_on {
+        for (instance, address) in &snapshots.forward_to {
             let peer = Peer {
                 instance: instance.clone(),
                 address: *address,
             };
             let snapshots = Snapshots {
-                pass_on: Vec::new(),
+                forward_to: Vec::new(),
                 ..snapshots.clone()
             };
             self.send(&peer, PeerMessage::Snapshots(snapshots));
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -111,7 +111,7 @@
     pub(crate) targets: Vec<TargetSnapshot>,
     /// The instances to which the receiver forwards it.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub(crate) pass_on: Vec<(InstanceId, SocketAddr)>,
+    pub(crate) forward_to: Vec<(InstanceId, SocketAddr)>,
 }
 
 /// A read of objects.
