--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -49,14 +49,14 @@
         slog::info!(self.shared.log, "target snapshots received";
             "term" => snapshots.term, "from" => from.as_str(), "targets" => snapshots.targets.len(),
             "passed_on" => snapshots.forward_to.len());
-        self.pass_on(&snapshots);
+        self.forward_snapshots(&snapshots);
         let now = self.now();
         let mut dispatch = self.shared.dispatch();
         dispatch.placer_lost();
         dispatch.take_snapshots(snapshots.targets, now);
     }
 
-    fn pass_on(&self, snapshots: &Snapshots) {
+    fn forward_snapshots(&self, snapshots: &Snapshots) {
         for (instance, address) in &snapshots.forward_to {
             let peer = Peer {
                 instance: instance.clone(),
