--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -20,7 +20,7 @@
 /// failures. Entries lapse during outages of the platform's service that are too short to be
 /// noticed by any call of this instance, and are back soon; a target that leaves without notice
 /// serves on for seconds.
-const CALM_GRACE: Duration = Duration::from_millis(600);
+const MISSING_GRACE: Duration = Duration::from_millis(600);
 /// The same time after an outage of the platform's service, counted from the last failed call: the
 /// entries of live targets are back within two seconds.
 const TROUBLE_GRACE: Duration = Duration::from_millis(2_300);
@@ -47,7 +47,7 @@
     }
 
     fn grace_end(&self, lapsed: bool, now: Moment) -> Moment {
-        let calm = now + CALM_GRACE;
+        let calm = now + MISSING_GRACE;
         let trouble = self.last_trouble.map(|at| at + TROUBLE_GRACE);
         let lapse = lapsed.then(|| now + TROUBLE_GRACE);
         [Some(calm), trouble, lapse]
