--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -23,7 +23,7 @@
 const MISSING_GRACE: Duration = Duration::from_millis(600);
 /// The same time after an outage of the platform's service, counted from the last failed call: the
 /// entries of live targets are back within two seconds.
-const TROUBLE_GRACE: Duration = Duration::from_millis(2_300);
+const OUTAGE_GRACE: Duration = Duration::from_millis(2_300);
 /// Share of the targets whose entries disappear together from which this is taken for a lapse of
 /// entries.
 const LAPSE_SHARE: f64 = 0.34;
@@ -48,8 +48,8 @@
 
     fn grace_end(&self, lapsed: bool, now: Moment) -> Moment {
         let calm = now + MISSING_GRACE;
-        let trouble = self.last_trouble.map(|at| at + TROUBLE_GRACE);
-        let lapse = lapsed.then(|| now + TROUBLE_GRACE);
+        let trouble = self.last_trouble.map(|at| at + OUTAGE_GRACE);
+        let lapse = lapsed.then(|| now + OUTAGE_GRACE);
         [Some(calm), trouble, lapse]
             .into_iter()
             .flatten()
