--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(super) struct MissingTargets {
     due: HashMap<TargetName, Moment>,
-    last_trouble: Option<Moment>,
+    last_outage: Option<Moment>,
 }
 
 impl MissingTargets {
@@ -43,12 +43,12 @@
 
     /// Records an event after which entries may be missing that are written again soon.
     pub(super) fn note_trouble(&mut self, now: Moment) {
-        self.last_trouble = Some(now);
+        self.last_outage = Some(now);
     }
 
     fn grace_end(&self, lapsed: bool, now: Moment) -> Moment {
         let calm = now + MISSING_GRACE;
-        let trouble = self.last_trouble.map(|at| at + OUTAGE_GRACE);
+        let trouble = self.last_outage.map(|at| at + OUTAGE_GRACE);
         let lapse = lapsed.then(|| now + OUTAGE_GRACE);
         [Some(calm), trouble, lapse]
             .into_iter()
