--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -36,7 +36,7 @@
             return;
         };
         let now = self.now();
-        self.missing_targets.note_trouble(now);
+        self.missing_targets.record_outage(now);
         self.shared.quarantine().handle_restore();
         slog::warn!(self.shared.log, "platform restored from a copy"; "era" => era, "before" => known,
             "placing" => self.placer.is_some());
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records an event after which entries may be missing that are written again soon.
-    pub(super) fn note_trouble(&mut self, now: Moment) {
+    pub(super) fn record_outage(&mut self, now: Moment) {
         self.last_outage = Some(now);
     }
 
@@ -120,7 +120,7 @@
         match kind {
             Kind::Targets => {
                 let now = self.now();
-                self.missing_targets.note_trouble(now);
+                self.missing_targets.record_outage(now);
             }
             // No instance can become the placer while the platform is unavailable.
             Kind::Lease => self.shared.set_placer_decided(),
