--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -103,9 +103,9 @@
                 }
                 self.looked(kind, revision);
             }
-            StoreEvent::CallFailed(kind) => self.note_trouble(kind),
+            StoreEvent::CallFailed(kind) => self.handle_call_failure(kind),
             StoreEvent::Recovered(kind) => {
-                self.note_trouble(kind);
+                self.handle_call_failure(kind);
                 slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
             }
         }
@@ -113,7 +113,7 @@
 
     /// Handles a failed call, or the first successful one after failures. Only calls about targets
     /// show when entries of targets may have lapsed.
-    fn note_trouble(&mut self, kind: Kind) {
+    fn handle_call_failure(&mut self, kind: Kind) {
         self.reaches_platform = false;
         self.feed.record_failure(kind);
         self.lease_event(ExclusiveLeaseEvent::PlatformLost);
