--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -74,7 +74,7 @@
             StoreEvent::Listed(kind, entries, revision) => {
                 self.note_era(revision.era);
                 self.listed(kind, entries, revision);
-                self.looked(kind, revision);
+                self.record_poll(kind, revision);
             }
             StoreEvent::Changed(kind, changes) => {
                 let revision = changes.revision;
@@ -101,7 +101,7 @@
                     }
                     Kind::Configuration | Kind::Versions | Kind::Lease => {}
                 }
-                self.looked(kind, revision);
+                self.record_poll(kind, revision);
             }
             StoreEvent::CallFailed(kind) => self.handle_call_failure(kind),
             StoreEvent::Recovered(kind) => {
@@ -129,7 +129,7 @@
     }
 
     /// Records that everything of a kind is known up to a revision.
-    fn looked(&mut self, kind: Kind, revision: StoreRevision) {
+    fn record_poll(&mut self, kind: Kind, revision: StoreRevision) {
         self.reaches_platform = true;
         let now = self.now();
         let is_overdue = self.feed.record_answer(kind, now);
