--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -82,7 +82,7 @@
                 let mut removed = Vec::new();
                 for change in changes.changes {
                     match change {
-                        Change::Put(entry) => self.seen(*entry),
+                        Change::Put(entry) => self.apply_entry(*entry),
                         // An entry that can't be decoded counts as removed until its target writes
                         // it again.
                         Change::Removed(name) | Change::Unreadable(name) => {
@@ -145,7 +145,7 @@
         }
         let names: Vec<Arc<str>> = entries.iter().map(|it| Arc::clone(&it.name)).collect();
         for entry in entries {
-            self.seen(entry);
+            self.apply_entry(entry);
         }
         match kind {
             Kind::Targets => {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn seen(&mut self, entry: Entry) {
+    fn apply_entry(&mut self, entry: Entry) {
         let revision = entry.revision;
         match entry.content {
             Content::Configuration(table) => self.configuration_seen(table, revision),
