--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -73,7 +73,7 @@
         match event {
             StoreEvent::Listed(kind, entries, revision) => {
                 self.note_era(revision.era);
-                self.listed(kind, entries, revision);
+                self.apply_list(kind, entries, revision);
                 self.record_poll(kind, revision);
             }
             StoreEvent::Changed(kind, changes) => {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn listed(&mut self, kind: Kind, mut entries: Vec<Entry>, revision: StoreRevision) {
+    fn apply_list(&mut self, kind: Kind, mut entries: Vec<Entry>, revision: StoreRevision) {
         if kind == Kind::Targets {
             entries = self.without_restored_targets(entries, revision);
         }
