--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -170,7 +170,7 @@
     fn apply_entry(&mut self, entry: Entry) {
         let revision = entry.revision;
         match entry.content {
-            Content::Configuration(table) => self.configuration_seen(table, revision),
+            Content::Configuration(table) => self.apply_configuration(table, revision),
             Content::Target(facts) => {
                 self.restored_targets.remove(&facts.name);
                 self.target_listed(facts, revision);
@@ -182,7 +182,7 @@
     }
 
     /// Applies a configuration unless the current one is at least as new.
-    fn configuration_seen(&mut self, table: RouteTable, revision: StoreRevision) {
+    fn apply_configuration(&mut self, table: RouteTable, revision: StoreRevision) {
         let known = self.shared.routes.load_full();
         let known = known.map(|known| known.version);
         if known.is_some_and(|known| known >= table.version) {
