--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -224,7 +224,7 @@
             }
             KindChanges::Versions(named) => {
                 for (weights, version) in named {
-                    self.version_seen(weights, version, batch.up_to);
+                    self.apply_version(weights, version, batch.up_to);
                 }
             }
             KindChanges::Configuration => return,
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -175,7 +175,7 @@
                 self.restored_targets.remove(&facts.name);
                 self.target_listed(facts, revision);
             }
-            Content::Version(weights, version) => self.version_seen(weights, version, revision),
+            Content::Version(weights, version) => self.apply_version(weights, version, revision),
             Content::Crashes(crashes) => self.crashes_recorded(crashes, revision),
             Content::Lease(seen) => self.lease_event(ExclusiveLeaseEvent::Seen(Some(seen))),
         }
@@ -320,7 +320,12 @@
     }
 
     /// Applies the newest version of some weights unless a newer one is known.
-    pub(super) fn version_seen(&mut self, weights: Weights, version: u64, revision: StoreRevision) {
+    pub(super) fn apply_version(
+        &mut self,
+        weights: Weights,
+        version: u64,
+        revision: StoreRevision,
+    ) {
         let now = self.now();
         let known = self.versions.get(&weights).copied();
         if known.is_some_and(|known| known > version) {
