--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -173,7 +173,7 @@
             Content::Configuration(table) => self.apply_configuration(table, revision),
             Content::Target(facts) => {
                 self.restored_targets.remove(&facts.name);
-                self.target_listed(facts, revision);
+                self.apply_listed_target(facts, revision);
             }
             Content::Version(weights, version) => self.apply_version(weights, version, revision),
             Content::Crashes(crashes) => self.crashes_recorded(crashes, revision),
@@ -214,7 +214,7 @@
     }
 
     /// Applies a target's entry from the platform.
-    fn target_listed(&mut self, facts: TargetFacts, revision: StoreRevision) {
+    fn apply_listed_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
             dispatch.target_seen(facts, now)
