--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -218,7 +218,7 @@
         match batch.what {
             KindChanges::Targets(seen, gone) => {
                 for facts in seen {
-                    self.target_told(facts, batch.up_to);
+                    self.apply_forwarded_target(facts, batch.up_to);
                 }
                 self.handle_missing_targets(gone, batch.up_to);
             }
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -222,7 +222,7 @@
     }
 
     /// Applies a target's entry from the placer.
-    pub(super) fn target_told(&mut self, facts: TargetFacts, revision: StoreRevision) {
+    pub(super) fn apply_forwarded_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
         self.take_entry(facts, revision, |dispatch, facts| {
             dispatch.target_told(facts, now)
