--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -216,7 +216,7 @@
     /// Applies a target's entry from the platform.
     fn apply_listed_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
-        self.take_entry(facts, revision, |dispatch, facts| {
+        self.update_target(facts, revision, |dispatch, facts| {
             dispatch.target_seen(facts, now)
         });
     }
@@ -224,12 +224,12 @@
     /// Applies a target's entry from the placer.
     pub(super) fn apply_forwarded_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
-        self.take_entry(facts, revision, |dispatch, facts| {
+        self.update_target(facts, revision, |dispatch, facts| {
             dispatch.target_told(facts, now)
         });
     }
 
-    fn take_entry(
+    fn update_target(
         &mut self,
         facts: TargetFacts,
         revision: StoreRevision,
