--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -244,11 +244,11 @@
         let facts = dispatch.target(&name).cloned();
         drop(dispatch);
         if let Some(facts) = facts.filter(|_| change != EntryChange::Outdated) {
-            self.target_seen(facts, before, change, revision);
+            self.handle_target_change(facts, before, change, revision);
         }
     }
 
-    fn target_seen(
+    fn handle_target_change(
         &mut self,
         facts: TargetFacts,
         before: Option<TargetFacts>,
