--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -289,7 +289,7 @@
     }
 
     /// Handles a report, by another instance or by a request of this one, that a target is leaving.
-    pub(super) fn told_of_leaving(
+    pub(super) fn handle_leaving(
         &mut self,
         target: &TargetName,
         started: Option<TargetStart>,
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -82,7 +82,7 @@
             PeerMessage::NotHeld(target, weights) => {
                 self.plan(ResidencyEvent::NotHeld(target, weights));
             }
-            PeerMessage::Leaving(target, started) => self.told_of_leaving(&target, started, &from),
+            PeerMessage::Leaving(target, started) => self.handle_leaving(&target, started, &from),
             PeerMessage::Snapshots(snapshots) => self.handle_snapshots(&from, snapshots),
             PeerMessage::Placing {
                 knows_targets,
