--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -246,7 +246,7 @@
 
     async fn handle(&mut self, FromPeer(inbound): FromPeer, _cx: &mut xtra::Context<Self>) {
         match inbound {
-            Inbound::Message(message) => self.take_message(message),
+            Inbound::Message(message) => self.handle_message(message),
             Inbound::Lost(peer) => self.peer_lost(&peer),
         }
         self.after_message();
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -41,7 +41,7 @@
     }
 
     /// Handles a message from another instance, or from this instance's own traffic.
-    pub(super) fn take_message(&mut self, message: InboundMessage<PeerMessage>) {
+    pub(super) fn handle_message(&mut self, message: InboundMessage<PeerMessage>) {
         let InboundMessage {
             from,
             message,
