--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -92,7 +92,7 @@
                 lease,
             } if self.is_placer(&from) => {
                 self.learnt = learnt.or(self.learnt);
-                self.holder_told(lease, platform);
+                self.handle_holder_report(lease, platform);
                 self.apply_status(knows_targets, instances);
             }
             PeerMessage::Changed(batch) if self.is_placer(&from) => self.apply_batch(batch),
@@ -131,7 +131,7 @@
     }
 
     /// Applies the placer's report of its lease and its view of the platform.
-    fn holder_told(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
+    fn handle_holder_report(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
             self.lease_event(ExclusiveLeaseEvent::HolderReported(lease));
