--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -28,7 +28,7 @@
         if placer.instance == *self.me() {
             return;
         }
-        let message = PeerMessage::Using {
+        let message = PeerMessage::UsageReport {
             address: self.shared.settings.addresses.peers,
             reaches_platform: self.reaches_platform,
             processor_share: self.processor_share(),
@@ -49,7 +49,7 @@
             reply,
         } = message;
         match message {
-            PeerMessage::Using {
+            PeerMessage::UsageReport {
                 address,
                 reaches_platform,
                 processor_share,
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -21,7 +21,7 @@
 pub(crate) enum PeerMessage {
     /// To the placer: the sender's address and all of its open requests.
     #[serde(rename = "u")]
-    Using {
+    UsageReport {
         /// The sender's address for messages from peers.
         #[serde(rename = "a")]
         address: SocketAddr,
@@ -236,7 +236,7 @@
 impl Purpose for PeerMessage {
     fn purpose(&self) -> &'static str {
         match self {
-            Self::Using { .. } => "using",
+            Self::UsageReport { .. } => "using",
             Self::Want(..) => "want",
             Self::Placed(..) => "placed",
             Self::Progress(_) => "progress",
