--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -198,7 +198,7 @@
     /// Returns the placer's status message; `None` if this instance is not the placer.
     fn placer_status(&self, now: Moment) -> Option<PeerMessage> {
         let placer = self.placer.as_ref()?;
-        Some(PeerMessage::Placing {
+        Some(PeerMessage::PlacerStatus {
             knows_targets: placer.residency.knows_targets(),
             learnt: placer.residency.learnt().or(self.learnt),
             instances: placer.presence.count(),
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -84,7 +84,7 @@
             }
             PeerMessage::Leaving(target, started) => self.handle_leaving(&target, started, &from),
             PeerMessage::Snapshots(snapshots) => self.handle_snapshots(&from, snapshots),
-            PeerMessage::Placing {
+            PeerMessage::PlacerStatus {
                 knows_targets,
                 learnt,
                 instances,
@@ -99,7 +99,7 @@
             PeerMessage::CallLease(call) => self.call_lease_for_placer(call, reply),
             PeerMessage::ReadStore(read) => self.read_for_placer(read, reply),
             // The sender is no longer the placer, or is not known as the placer yet.
-            PeerMessage::Placing { .. }
+            PeerMessage::PlacerStatus { .. }
             | PeerMessage::Changed(_)
             | PeerMessage::Placed(..)
             | PeerMessage::LeaseCalled(_)
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -61,7 +61,7 @@
     /// Every instance receives it, so it is short and omits what an instance needs only when there
     /// is no placer.
     #[serde(rename = "l")]
-    Placing {
+    PlacerStatus {
         /// Whether the placer knows what targets hold and answers placement requests.
         #[serde(rename = "k")]
         knows_targets: bool,
@@ -243,7 +243,7 @@
             Self::NotHeld(..) => "not_held",
             Self::Leaving(..) => "leaving",
             Self::Snapshots(_) => "snapshots",
-            Self::Placing { .. } => "placing",
+            Self::PlacerStatus { .. } => "placing",
             Self::Changed(_) => "changed",
             Self::CallLease(_) => "call_lease",
             Self::LeaseCalled(_) => "lease_called",
