--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -122,7 +122,7 @@
 
 /// Has another instance make a call.
 async fn relay(mesh: &Mesh<PeerMessage>, peer: &Peer, call: &LeaseCall) -> LeaseAnswer {
-    let message = PeerMessage::CallLease(call.clone());
+    let message = PeerMessage::RelayLeaseCall(call.clone());
     match mesh
         .request(peer, message, RELAYED_LEASE_CALL_TIMEOUT)
         .await
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -84,7 +84,7 @@
     /// From a placer that can't reach the platform: a call about its lease to make on its behalf.
     /// Answered by `LeaseCalled`.
     #[serde(rename = "c")]
-    CallLease(LeaseCall),
+    RelayLeaseCall(LeaseCall),
     /// To the placer: the result of that call.
     #[serde(rename = "C")]
     LeaseCalled(LeaseAnswer),
@@ -245,7 +245,7 @@
             Self::Snapshots(_) => "snapshots",
             Self::PlacerStatus { .. } => "placing",
             Self::Changed(_) => "changed",
-            Self::CallLease(_) => "call_lease",
+            Self::RelayLeaseCall(_) => "call_lease",
             Self::LeaseCalled(_) => "lease_called",
             Self::ReadStore(_) => "read_store",
             Self::StoreShows(..) => "store_shows",
