--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -80,7 +80,7 @@
         let client = self.lease_client();
         tokio::spawn(async move {
             let answer = client.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
-            if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
+            if let Err(error) = reply.send(PeerMessage::LeaseCallResult(answer)) {
                 slog::debug!(client.log, "requester is gone"; "reason" => error.to_string());
             }
         });
@@ -127,7 +127,7 @@
         .request(peer, message, RELAYED_LEASE_CALL_TIMEOUT)
         .await
     {
-        Ok(PeerMessage::LeaseCalled(answer)) => answer,
+        Ok(PeerMessage::LeaseCallResult(answer)) => answer,
         // The peer may have made the call nevertheless.
         Ok(_) | Err(_) => call.without_answer(),
     }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -102,7 +102,7 @@
             PeerMessage::PlacerStatus { .. }
             | PeerMessage::Changed(_)
             | PeerMessage::Placed(..)
-            | PeerMessage::LeaseCalled(_)
+            | PeerMessage::LeaseCallResult(_)
             | PeerMessage::StoreShows(..) => {}
         }
     }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -82,12 +82,12 @@
     #[serde(rename = "e")]
     Changed(ChangeBatch),
     /// From a placer that can't reach the platform: a call about its lease to make on its behalf.
-    /// Answered by `LeaseCalled`.
+    /// Answered by `LeaseCallResult`.
     #[serde(rename = "c")]
     RelayLeaseCall(LeaseCall),
     /// To the placer: the result of that call.
     #[serde(rename = "C")]
-    LeaseCalled(LeaseAnswer),
+    LeaseCallResult(LeaseAnswer),
     /// From a placer that can't reach the platform: a read to make on its behalf. Answered by
     /// `StoreShows`.
     #[serde(rename = "s")]
@@ -246,7 +246,7 @@
             Self::PlacerStatus { .. } => "placing",
             Self::Changed(_) => "changed",
             Self::RelayLeaseCall(_) => "call_lease",
-            Self::LeaseCalled(_) => "lease_called",
+            Self::LeaseCallResult(_) => "lease_called",
             Self::ReadStore(_) => "read_store",
             Self::StoreShows(..) => "store_shows",
         }
