--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -138,7 +138,7 @@
     async fn read_relayed(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
         let read = read.waiting_at_most(MAX_RELAYED_WAIT);
         for peer in relays {
-            let message = PeerMessage::ReadStore(read.clone());
+            let message = PeerMessage::RelayRead(read.clone());
             let answer = self
                 .mesh
                 .request(peer, message, read.wait() + RELAYED_READ_TIMEOUT)
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -97,7 +97,7 @@
             }
             PeerMessage::Changed(batch) if self.is_placer(&from) => self.apply_batch(batch),
             PeerMessage::RelayLeaseCall(call) => self.call_lease_for_placer(call, reply),
-            PeerMessage::ReadStore(read) => self.read_for_placer(read, reply),
+            PeerMessage::RelayRead(read) => self.read_for_placer(read, reply),
             // The sender is no longer the placer, or is not known as the placer yet.
             PeerMessage::PlacerStatus { .. }
             | PeerMessage::Changed(_)
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -91,7 +91,7 @@
     /// From a placer that can't reach the platform: a read to make on its behalf. Answered by
     /// `StoreShows`.
     #[serde(rename = "s")]
-    ReadStore(StoreRead),
+    RelayRead(StoreRead),
     /// To the placer: the platform's answer as text, and its era.
     #[serde(rename = "S")]
     StoreShows(String, u64),
@@ -247,7 +247,7 @@
             Self::Changed(_) => "changed",
             Self::RelayLeaseCall(_) => "call_lease",
             Self::LeaseCallResult(_) => "lease_called",
-            Self::ReadStore(_) => "read_store",
+            Self::RelayRead(_) => "read_store",
             Self::StoreShows(..) => "store_shows",
         }
     }
