--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -144,7 +144,7 @@
                 .request(peer, message, read.wait() + RELAYED_READ_TIMEOUT)
                 .await;
             match answer {
-                Ok(PeerMessage::StoreShows(body, era)) => {
+                Ok(PeerMessage::ReadResult(body, era)) => {
                     let body = body.into();
                     return Some(StoreAnswer { era, body });
                 }
@@ -200,7 +200,7 @@
                 }
             };
             let body = String::from_utf8_lossy(&answer.body).into_owned();
-            if let Err(error) = reply.send(PeerMessage::StoreShows(body, answer.era)) {
+            if let Err(error) = reply.send(PeerMessage::ReadResult(body, answer.era)) {
                 slog::debug!(log, "requester is gone"; "reason" => error.to_string());
             }
         });
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -103,7 +103,7 @@
             | PeerMessage::Changed(_)
             | PeerMessage::Placed(..)
             | PeerMessage::LeaseCallResult(_)
-            | PeerMessage::StoreShows(..) => {}
+            | PeerMessage::ReadResult(..) => {}
         }
     }
 
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -89,12 +89,12 @@
     #[serde(rename = "C")]
     LeaseCallResult(LeaseAnswer),
     /// From a placer that can't reach the platform: a read to make on its behalf. Answered by
-    /// `StoreShows`.
+    /// `ReadResult`.
     #[serde(rename = "s")]
     RelayRead(StoreRead),
     /// To the placer: the platform's answer as text, and its era.
     #[serde(rename = "S")]
-    StoreShows(String, u64),
+    ReadResult(String, u64),
 }
 
 /// What a placer knew of all targets when its lease ended.
@@ -248,7 +248,7 @@
             Self::RelayLeaseCall(_) => "call_lease",
             Self::LeaseCallResult(_) => "lease_called",
             Self::RelayRead(_) => "read_store",
-            Self::StoreShows(..) => "store_shows",
+            Self::ReadResult(..) => "store_shows",
         }
     }
 }
