--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -28,7 +28,7 @@
 
 /// An observation of traffic about a request.
 #[derive(Debug)]
-pub(crate) enum CrashSign {
+pub(crate) enum CrashObservation {
     /// A target's connection ended before the target had begun to answer; the address is the
     /// target's.
     Broke(Crash, SocketAddr),
@@ -38,11 +38,11 @@
 
 /// The sending end of the queue of observations.
 #[derive(Clone, Debug)]
-pub(crate) struct CrashSigns(mpsc::Sender<CrashSign>);
+pub(crate) struct CrashSigns(mpsc::Sender<CrashObservation>);
 
 impl CrashSigns {
     /// Creates the queue and returns both ends.
-    pub(crate) fn new() -> (Self, mpsc::Receiver<CrashSign>) {
+    pub(crate) fn new() -> (Self, mpsc::Receiver<CrashObservation>) {
         let (tx, rx) = mpsc::channel(MOST_WAITING);
         (Self(tx), rx)
     }
@@ -50,7 +50,7 @@
 
 impl Shared {
     /// Queues an observation.
-    pub(crate) fn note_crash_sign(&self, sign: CrashSign) {
+    pub(crate) fn note_crash_sign(&self, sign: CrashObservation) {
         if let Err(error) = self.crash_signs.0.try_send(sign) {
             slog::warn!(self.log, "crash observation dropped"; "reason" => error.to_string());
         }
@@ -61,7 +61,7 @@
 pub(crate) async fn record_crashes(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
-    mut signs: mpsc::Receiver<CrashSign>,
+    mut signs: mpsc::Receiver<CrashObservation>,
 ) {
     while let Some(sign) = signs.recv().await {
         let recorder = Recorder {
@@ -70,8 +70,8 @@
         };
         tokio::spawn(async move {
             match sign {
-                CrashSign::Broke(crash, address) => recorder.look_into(crash, address).await,
-                CrashSign::Served(fingerprint) => recorder.release(fingerprint).await,
+                CrashObservation::Broke(crash, address) => recorder.look_into(crash, address).await,
+                CrashObservation::Served(fingerprint) => recorder.release(fingerprint).await,
             }
         });
     }
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -16,7 +16,7 @@
 use crate::control::{
     Begin, Control, FollowModes, FromPeer, Reader, Reload, Stop, start_followers,
 };
-use crate::crashes::{CrashSign, CrashSigns, record_crashes};
+use crate::crashes::{CrashObservation, CrashSigns, record_crashes};
 use crate::dialect::Dialect;
 use crate::front::serve_callers;
 use crate::grants::tell_progress;
@@ -185,7 +185,7 @@
 fn start_control(
     shared: &Arc<Shared>,
     exchange: Arc<Exchange>,
-    signs: mpsc::Receiver<CrashSign>,
+    signs: mpsc::Receiver<CrashObservation>,
 ) -> Result<Address<Control>, StartError> {
     let (address, mailbox) = Mailbox::bounded(CONTROL_MAILBOX);
     let own = address.clone();
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -18,7 +18,7 @@
 use super::place::Chosen;
 use super::refusal::{Reason, Refusal};
 use super::request::{CallerRequest, set};
-use crate::crashes::CrashSign;
+use crate::crashes::CrashObservation;
 use crate::grants::Grant;
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
@@ -119,7 +119,7 @@
             target: self.target.clone(),
             has_run: head_came || self.weights.is_none(),
         };
-        let sign = CrashSign::Broke(crash, self.address);
+        let sign = CrashObservation::Broke(crash, self.address);
         self.shared.note_crash_sign(sign);
     }
 
@@ -127,7 +127,8 @@
     fn clear(&self, req: &CallerRequest) {
         let fingerprint = req.fingerprint();
         if self.shared.quarantine().record_served(fingerprint) {
-            self.shared.note_crash_sign(CrashSign::Served(fingerprint));
+            self.shared
+                .note_crash_sign(CrashObservation::Served(fingerprint));
         }
     }
 
