--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -31,7 +31,7 @@
 pub(crate) enum CrashObservation {
     /// A target's connection ended before the target had begun to answer; the address is the
     /// target's.
-    Broke(Crash, SocketAddr),
+    ConnectionEnded(Crash, SocketAddr),
     /// A target has begun to answer the request.
     Served(Fingerprint),
 }
@@ -70,7 +70,9 @@
         };
         tokio::spawn(async move {
             match sign {
-                CrashObservation::Broke(crash, address) => recorder.look_into(crash, address).await,
+                CrashObservation::ConnectionEnded(crash, address) => {
+                    recorder.look_into(crash, address).await
+                }
                 CrashObservation::Served(fingerprint) => recorder.release(fingerprint).await,
             }
         });
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -119,7 +119,7 @@
             target: self.target.clone(),
             has_run: head_came || self.weights.is_none(),
         };
-        let sign = CrashObservation::Broke(crash, self.address);
+        let sign = CrashObservation::ConnectionEnded(crash, self.address);
         self.shared.note_crash_sign(sign);
     }
 
