--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -38,9 +38,9 @@
 
 /// The sending end of the queue of observations.
 #[derive(Clone, Debug)]
-pub(crate) struct CrashSigns(mpsc::Sender<CrashObservation>);
+pub(crate) struct CrashObservationSender(mpsc::Sender<CrashObservation>);
 
-impl CrashSigns {
+impl CrashObservationSender {
     /// Creates the queue and returns both ends.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CrashObservation>) {
         let (tx, rx) = mpsc::channel(MOST_WAITING);
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -16,7 +16,7 @@
 use crate::control::{
     Begin, Control, FollowModes, FromPeer, Reader, Reload, Stop, start_followers,
 };
-use crate::crashes::{CrashObservation, CrashSigns, record_crashes};
+use crate::crashes::{CrashObservation, CrashObservationSender, record_crashes};
 use crate::dialect::Dialect;
 use crate::front::serve_callers;
 use crate::grants::tell_progress;
@@ -92,7 +92,7 @@
 
     let exchange = Arc::new(Exchange::new(platform_config(&settings)));
     let bound = settings.bounds.shutdown;
-    let (crash_signs, signs) = CrashSigns::new();
+    let (crash_signs, signs) = CrashObservationSender::new();
     let shared = Shared::new(
         settings,
         settings_file,
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::crashes::CrashSigns;
+use crate::crashes::CrashObservationSender;
 use crate::dialect::Dialect;
 use crate::grants::GrantBook;
 use crate::peers::PeerMessage;
@@ -43,7 +43,7 @@
     pub(crate) mesh: Mesh<PeerMessage>,
     pub(crate) engines: Engines,
     pub(crate) grants: GrantBook,
-    pub(crate) crash_signs: CrashSigns,
+    pub(crate) crash_signs: CrashObservationSender,
     /// The current configuration; empty until one has been read.
     pub(crate) routes: ArcSwapOption<RouteTable>,
     /// The placer, if it is known.
@@ -97,7 +97,7 @@
         dialect: Dialect,
         log: Logger,
         mesh: Mesh<PeerMessage>,
-        crash_signs: CrashSigns,
+        crash_signs: CrashObservationSender,
     ) -> Arc<Self> {
         let dispatch = Dispatch::new(
             chervilshunt_core::DispatchConfig::default(),
