--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -120,7 +120,7 @@
             has_run: head_came || self.weights.is_none(),
         };
         let sign = CrashObservation::ConnectionEnded(crash, self.address);
-        self.shared.note_crash_sign(sign);
+        self.shared.queue_crash_observation(sign);
     }
 
     /// Has the quarantine of a request released, because this target has begun to answer it.
@@ -128,7 +128,7 @@
         let fingerprint = req.fingerprint();
         if self.shared.quarantine().record_served(fingerprint) {
             self.shared
-                .note_crash_sign(CrashObservation::Served(fingerprint));
+                .queue_crash_observation(CrashObservation::Served(fingerprint));
         }
     }
 
