--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -51,7 +51,7 @@
 impl Shared {
     /// Queues an observation.
     pub(crate) fn queue_crash_observation(&self, sign: CrashObservation) {
-        if let Err(error) = self.crash_signs.0.try_send(sign) {
+        if let Err(error) = self.crash_observations.0.try_send(sign) {
             slog::warn!(self.log, "crash observation dropped"; "reason" => error.to_string());
         }
     }
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -92,14 +92,14 @@
 
     let exchange = Arc::new(Exchange::new(platform_config(&settings)));
     let bound = settings.bounds.shutdown;
-    let (crash_signs, signs) = CrashObservationSender::new();
+    let (crash_observations, signs) = CrashObservationSender::new();
     let shared = Shared::new(
         settings,
         settings_file,
         dialect,
         log.clone(),
         mesh,
-        crash_signs,
+        crash_observations,
     );
     let control = start_control(&shared, exchange, signs)?;
     forward(inbound, control.clone(), FromPeer);
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -43,7 +43,7 @@
     pub(crate) mesh: Mesh<PeerMessage>,
     pub(crate) engines: Engines,
     pub(crate) grants: GrantBook,
-    pub(crate) crash_signs: CrashObservationSender,
+    pub(crate) crash_observations: CrashObservationSender,
     /// The current configuration; empty until one has been read.
     pub(crate) routes: ArcSwapOption<RouteTable>,
     /// The placer, if it is known.
@@ -97,7 +97,7 @@
         dialect: Dialect,
         log: Logger,
         mesh: Mesh<PeerMessage>,
-        crash_signs: CrashObservationSender,
+        crash_observations: CrashObservationSender,
     ) -> Arc<Self> {
         let dispatch = Dispatch::new(
             chervilshunt_core::DispatchConfig::default(),
@@ -113,7 +113,7 @@
             mesh,
             engines: Engines::default(),
             grants: GrantBook::default(),
-            crash_signs,
+            crash_observations,
             routes: ArcSwapOption::empty(),
             placer: ArcSwapOption::empty(),
             version_announced: watch::Sender::default(),
