--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -61,9 +61,9 @@
 pub(crate) async fn record_crashes(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
-    mut signs: mpsc::Receiver<CrashObservation>,
+    mut observations: mpsc::Receiver<CrashObservation>,
 ) {
-    while let Some(sign) = signs.recv().await {
+    while let Some(sign) = observations.recv().await {
         let recorder = Recorder {
             shared: Arc::clone(&shared),
             exchange: Arc::clone(&exchange),
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -92,7 +92,7 @@
 
     let exchange = Arc::new(Exchange::new(platform_config(&settings)));
     let bound = settings.bounds.shutdown;
-    let (crash_observations, signs) = CrashObservationSender::new();
+    let (crash_observations, observations) = CrashObservationSender::new();
     let shared = Shared::new(
         settings,
         settings_file,
@@ -101,7 +101,7 @@
         mesh,
         crash_observations,
     );
-    let control = start_control(&shared, exchange, signs)?;
+    let control = start_control(&shared, exchange, observations)?;
     forward(inbound, control.clone(), FromPeer);
     tokio::spawn(tell_progress(Arc::clone(&shared)));
     tokio::spawn(serve_callers(callers, Arc::clone(&shared)));
@@ -185,7 +185,7 @@
 fn start_control(
     shared: &Arc<Shared>,
     exchange: Arc<Exchange>,
-    signs: mpsc::Receiver<CrashObservation>,
+    observations: mpsc::Receiver<CrashObservation>,
 ) -> Result<Address<Control>, StartError> {
     let (address, mailbox) = Mailbox::bounded(CONTROL_MAILBOX);
     let own = address.clone();
@@ -198,7 +198,7 @@
         tokio::spawn(record_crashes(
             Arc::clone(&shared),
             Arc::clone(&exchange),
-            signs,
+            observations,
         ));
         let reader = Reader::new(&shared, exchange, control.relays());
         start_followers(&shared, reader, &own, receivers, &control.era());
