--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -14,7 +14,7 @@
 use crate::store::{StoreAnswer, call_once};
 
 /// Capacity of the queue of signals; far more than the requests that are open at one target.
-const MOST_WAITING: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 /// Timeout of the connection that checks whether a target's process has ended.
 const CHECK: Duration = Duration::from_millis(250);
 /// Timeout of one write of a record.
@@ -43,7 +43,7 @@
 impl CrashObservationSender {
     /// Creates the queue and returns both ends.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CrashObservation>) {
-        let (tx, rx) = mpsc::channel(MOST_WAITING);
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
         (Self(tx), rx)
     }
 }
