--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -16,7 +16,7 @@
 /// Capacity of the queue of signals; far more than the requests that are open at one target.
 const QUEUE_CAPACITY: usize = 1_024;
 /// Timeout of the connection that checks whether a target's process has ended.
-const CHECK: Duration = Duration::from_millis(250);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of one write of a record.
 const WRITE: Duration = Duration::from_millis(500);
 /// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
@@ -99,7 +99,7 @@
     /// Connections also end without an answer if a target or the network resets them.
     async fn look_into(&self, crash: Crash, address: SocketAddr) {
         let client = self.shared.engines.client(address);
-        if !client.is_refused(CHECK).await {
+        if !client.is_refused(CHECK_TIMEOUT).await {
             return;
         }
         let now = self.shared.clock.now();
