--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -18,7 +18,7 @@
 /// Timeout of the connection that checks whether a target's process has ended.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of one write of a record.
-const WRITE: Duration = Duration::from_millis(500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
 /// total.
 const PAUSE: Duration = Duration::from_secs(1);
@@ -122,7 +122,7 @@
                 return;
             };
             let call = (store.write_crashes)(&crashes);
-            let error = match call_once(&self.exchange, store, &call, WRITE).await {
+            let error = match call_once(&self.exchange, store, &call, WRITE_TIMEOUT).await {
                 Ok(answer) => return self.written(crashes, &answer),
                 Err(error) => error,
             };
@@ -166,7 +166,7 @@
 /// Removes the crash record of a request.
 pub(crate) async fn remove(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
     let call = (shared.dialect.store.remove_crashes)(fingerprint);
-    match call_once(exchange, &shared.dialect.store, &call, WRITE).await {
+    match call_once(exchange, &shared.dialect.store, &call, WRITE_TIMEOUT).await {
         Ok(_) | Err(PlatformError::NotFound { .. }) => {}
         Err(error) => slog::info!(shared.log, "crash record not removed";
             "content" => fingerprint.to_string(), "reason" => error.to_string()),
