--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -21,7 +21,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
 /// total.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 const MOST_WRITES: u32 = 30;
 /// Delay after a conflict, by which a record written by another instance is known here.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(150);
@@ -134,7 +134,7 @@
                 PlatformError::Conflict { .. }
                 | PlatformError::AlreadyExists { .. }
                 | PlatformError::NotFound { .. } => CONFLICT_PAUSE,
-                _ => PAUSE,
+                _ => RETRY_DELAY,
             };
             tokio::time::sleep(pause).await;
         }
