--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -22,7 +22,7 @@
 /// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
 /// total.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-const MOST_WRITES: u32 = 30;
+const MAX_WRITES: u32 = 30;
 /// Delay after a conflict, by which a record written by another instance is known here.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(150);
 
@@ -117,7 +117,7 @@
     /// instances.
     async fn record(&self, fingerprint: Fingerprint) {
         let store = &self.shared.dialect.store;
-        for _ in 0..MOST_WRITES {
+        for _ in 0..MAX_WRITES {
             let Some(crashes) = self.shared.quarantine().record_to_store(fingerprint) else {
                 return;
             };
