--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -24,7 +24,7 @@
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 const MAX_WRITES: u32 = 30;
 /// Delay after a conflict, by which a record written by another instance is known here.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(150);
+const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// An observation of traffic about a request.
 #[derive(Debug)]
@@ -133,7 +133,7 @@
                 // its version shortly.
                 PlatformError::Conflict { .. }
                 | PlatformError::AlreadyExists { .. }
-                | PlatformError::NotFound { .. } => CONFLICT_PAUSE,
+                | PlatformError::NotFound { .. } => CONFLICT_RETRY_DELAY,
                 _ => RETRY_DELAY,
             };
             tokio::time::sleep(pause).await;
