--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -71,7 +71,7 @@
         tokio::spawn(async move {
             match sign {
                 CrashObservation::ConnectionEnded(crash, address) => {
-                    recorder.look_into(crash, address).await
+                    recorder.record_if_crashed(crash, address).await
                 }
                 CrashObservation::Served(fingerprint) => recorder.release(fingerprint).await,
             }
@@ -97,7 +97,7 @@
     /// Records a crash if the target's process has ended.
     ///
     /// Connections also end without an answer if a target or the network resets them.
-    async fn look_into(&self, crash: Crash, address: SocketAddr) {
+    async fn record_if_crashed(&self, crash: Crash, address: SocketAddr) {
         let client = self.shared.engines.client(address);
         if !client.is_refused(CHECK_TIMEOUT).await {
             return;
