--- a/crates/chervilshunt_gateway/src/front.rs
+++ b/crates/chervilshunt_gateway/src/front.rs
@@ -16,7 +16,7 @@
 /// exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Timeout of a request's head, and of an idle connection, until a configuration is known.
-const IDLE_UNTIL_TOLD: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Added to the configured idle time, so that a caller that uses a connection just within that time
 /// does not find it closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
@@ -48,7 +48,7 @@
         return;
     }
     let bounds = shared.routes.load_full().map(|routes| routes.bounds);
-    let idle = bounds.map_or(IDLE_UNTIL_TOLD, |it| it.idle_time.max(it.header_time));
+    let idle = bounds.map_or(DEFAULT_IDLE_TIMEOUT, |it| it.idle_time.max(it.header_time));
     let buffer = bounds.map_or(MIN_BUFFER, |it| it.header_bytes.max(MIN_BUFFER));
     let service = service_fn(|req| {
         let shared = &shared;
