--- a/crates/chervilshunt_gateway/src/front.rs
+++ b/crates/chervilshunt_gateway/src/front.rs
@@ -14,7 +14,7 @@
 
 /// Delay after a connection could not be accepted, for example because file descriptors are
 /// exhausted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Timeout of a request's head, and of an idle connection, until a configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Added to the configured idle time, so that a caller that uses a connection just within that time
@@ -36,7 +36,7 @@
             }
             Err(error) => {
                 slog::warn!(shared.log, "accept failed"; "reason" => error.to_string());
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/chervilshunt_gateway/src/ports.rs
+++ b/crates/chervilshunt_gateway/src/ports.rs
@@ -19,7 +19,7 @@
 /// Timeout of a request's head.
 const HEAD_TIME: Duration = Duration::from_secs(10);
 /// Delay after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const METRICS_PATH: &str = "/metrics";
 
 /// Answers the readiness probe.
@@ -53,7 +53,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
