--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -12,7 +12,7 @@
 
 /// Time for which progress is gathered into one message. It delays the release of an adapter's slot
 /// by one hundredth of the time of a load, and requests that end together share a message.
-const GATHER: Duration = Duration::from_millis(3);
+const GATHER_TIME: Duration = Duration::from_millis(3);
 
 /// The grants of this instance.
 #[derive(Debug, Default)]
@@ -89,7 +89,7 @@
 pub(crate) async fn tell_progress(shared: Arc<Shared>) {
     loop {
         shared.grants.changed.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(GATHER_TIME).await;
         let progress = shared.grants.take_progress();
         // Without a placer the progress is not needed: a new placer receives all open requests.
         let Some(placer) = shared.placer.load_full().filter(|_| !progress.is_empty()) else {
