--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -16,7 +16,7 @@
 
 /// The grants of this instance.
 #[derive(Debug, Default)]
-pub(crate) struct GrantBook {
+pub(crate) struct GrantTracker {
     state: Mutex<State>,
     changed: Notify,
 }
@@ -27,7 +27,7 @@
     progress: GrantProgress,
 }
 
-impl GrantBook {
+impl GrantTracker {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -16,7 +16,7 @@
 
 use crate::crashes::CrashObservationSender;
 use crate::dialect::Dialect;
-use crate::grants::GrantBook;
+use crate::grants::GrantTracker;
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
 
@@ -42,7 +42,7 @@
     pub(crate) log: Logger,
     pub(crate) mesh: Mesh<PeerMessage>,
     pub(crate) engines: Engines,
-    pub(crate) grants: GrantBook,
+    pub(crate) grants: GrantTracker,
     pub(crate) crash_observations: CrashObservationSender,
     /// The current configuration; empty until one has been read.
     pub(crate) routes: ArcSwapOption<RouteTable>,
@@ -112,7 +112,7 @@
             log,
             mesh,
             engines: Engines::default(),
-            grants: GrantBook::default(),
+            grants: GrantTracker::default(),
             crash_observations,
             routes: ArcSwapOption::empty(),
             placer: ArcSwapOption::empty(),
