--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -86,7 +86,7 @@
 }
 
 /// Reports the progress of this instance's grants to the placer for as long as the process runs.
-pub(crate) async fn tell_progress(shared: Arc<Shared>) {
+pub(crate) async fn report_progress(shared: Arc<Shared>) {
     loop {
         shared.grants.changed.notified().await;
         tokio::time::sleep(GATHER_TIME).await;
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -19,7 +19,7 @@
 use crate::crashes::{CrashObservation, CrashObservationSender, record_crashes};
 use crate::dialect::Dialect;
 use crate::front::serve_callers;
-use crate::grants::tell_progress;
+use crate::grants::report_progress;
 use crate::peers::PeerMessage;
 use crate::ports::{serve_metrics, serve_readiness};
 use crate::settings::{LogLevel, Settings};
@@ -103,7 +103,7 @@
     );
     let control = start_control(&shared, exchange, observations)?;
     forward(inbound, control.clone(), FromPeer);
-    tokio::spawn(tell_progress(Arc::clone(&shared)));
+    tokio::spawn(report_progress(Arc::clone(&shared)));
     tokio::spawn(serve_callers(callers, Arc::clone(&shared)));
     tokio::spawn(serve_readiness(readiness, Arc::clone(&shared)));
     tokio::spawn(serve_metrics(for_metrics, metrics));
