--- a/crates/chervilshunt_gateway/src/grants.rs
+++ b/crates/chervilshunt_gateway/src/grants.rs
@@ -38,7 +38,7 @@
     }
 
     /// Counts a stream whose pause was longer than its caller wants.
-    pub(crate) fn note_pause(&self) {
+    pub(crate) fn record_pause(&self) {
         self.lock().progress.paused += 1;
         self.changed.notify_one();
     }
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -151,7 +151,7 @@
             self.first_byte = now;
             self.report_older_version(now);
         } else {
-            self.note_pause(now);
+            self.record_pause(now);
         }
         self.in_flight.begins(&self.req);
         self.last_piece = now;
@@ -187,11 +187,11 @@
 
     /// Records the pause between two pieces. The first one that is longer than callers want is
     /// logged, so that it can be compared with what the target did at that time.
-    fn note_pause(&mut self, now: Moment) {
+    fn record_pause(&mut self, now: Moment) {
         let pause = now.since(self.last_piece);
         let wanted = self.req.route.longest_pause;
         if wanted.is_some_and(|wanted| pause > wanted && self.longest_pause <= wanted) {
-            self.shared.grants.note_pause();
+            self.shared.grants.record_pause();
             slog::info!(self.shared.log, "long pause in answer";
                 "request" => &*self.req.id, "target" => self.in_flight.target.as_str(),
                 "pause_ms" => pause.as_millis() as u64, "bytes" => self.bytes);
