--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -131,7 +131,7 @@
                 Ok((head, _body)) => {
                     let answer = read(head.status, &head.headers, &order.target);
                     if answer != OrderAnswer::OtherTarget {
-                        shared.note_leaving(&order.target, started, &head.headers);
+                        shared.check_leaving(&order.target, started, &head.headers);
                     }
                     answer
                 }
@@ -276,7 +276,7 @@
     if !head.status.is_success() {
         return Err(format!("target answered with status {}", head.status));
     }
-    shared.note_leaving(target, started, &head.headers);
+    shared.check_leaving(target, started, &head.headers);
     let body = body.read_whole(MAX_REPORT_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
     (dialect.read_report)(&body).map_err(|error| error.to_string())
--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -9,7 +9,7 @@
 
 impl Shared {
     /// Handles the head of an answer, which may show that its target is leaving.
-    pub(crate) fn note_leaving(
+    pub(crate) fn check_leaving(
         &self,
         target: &TargetName,
         started: Option<TargetStart>,
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -395,7 +395,7 @@
     /// pause.
     fn note_what_it_says(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
         let (shared, target) = (self.shared, &chosen.target);
-        shared.note_leaving(target, in_flight.started, &head.headers);
+        shared.check_leaving(target, in_flight.started, &head.headers);
         let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(pause) = retry_after(&head.headers).filter(|_| turned_away) {
             let now = shared.clock.now();
