--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -21,12 +21,12 @@
             return;
         }
         slog::info!(self.log, "target announced that it is leaving"; "target" => target.as_str());
-        self.tell_placer_it_leaves(target, started);
+        self.report_leaving(target, started);
     }
 
     /// Reports a leaving target to the placer, which would otherwise continue to choose it and load
     /// adapters on it.
-    pub(crate) fn tell_placer_it_leaves(&self, target: &TargetName, started: Option<TargetStart>) {
+    pub(crate) fn report_leaving(&self, target: &TargetName, started: Option<TargetStart>) {
         let Some(placer) = self.placer.load_full() else {
             return;
         };
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -359,7 +359,7 @@
         let started = known.map(|it| it.started);
         drop(dispatch);
         if let Some(started) = started {
-            self.shared.tell_placer_it_leaves(target, started);
+            self.shared.report_leaving(target, started);
         }
     }
 }
