--- a/crates/chervilshunt_gateway/src/ports.rs
+++ b/crates/chervilshunt_gateway/src/ports.rs
@@ -17,7 +17,7 @@
 use crate::shared::Shared;
 
 /// Timeout of a request's head.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const METRICS_PATH: &str = "/metrics";
@@ -64,7 +64,7 @@
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_TIME)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             // The client sees a failed connection itself and tries again.
             drop(connection.await);
