--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -30,7 +30,7 @@
 /// Time for which an instance that shuts down still accepts requests. The platform probes readiness
 /// every second and takes an instance out of rotation after two negative answers. A request that is
 /// accepted later may not end before the process does.
-const STILL_TAKES_REQUESTS: Duration = Duration::from_millis(2_700);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_700);
 /// Part of the shutdown time that is reserved for the process to exit by itself.
 const END_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which the shutdown checks for open requests.
@@ -124,10 +124,10 @@
     loop {
         let passed = began.elapsed();
         let under_way = shared.open_requests();
-        if passed >= STILL_TAKES_REQUESTS {
+        if passed >= ACCEPT_AFTER_STOP {
             shared.close_connections.cancel();
         }
-        if passed + END_MARGIN >= bound || (under_way == 0 && passed >= STILL_TAKES_REQUESTS) {
+        if passed + END_MARGIN >= bound || (under_way == 0 && passed >= ACCEPT_AFTER_STOP) {
             slog::info!(shared.log, "ending"; "open_requests" => under_way);
             return;
         }
