--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -32,7 +32,7 @@
 /// accepted later may not end before the process does.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_700);
 /// Part of the shutdown time that is reserved for the process to exit by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which the shutdown checks for open requests.
 const DRAIN_LOOK: Duration = Duration::from_millis(20);
 /// Limit on one instance's calls per second to the platform's object service, and on bursts. It is
@@ -127,7 +127,7 @@
         if passed >= ACCEPT_AFTER_STOP {
             shared.close_connections.cancel();
         }
-        if passed + END_MARGIN >= bound || (under_way == 0 && passed >= ACCEPT_AFTER_STOP) {
+        if passed + EXIT_MARGIN >= bound || (under_way == 0 && passed >= ACCEPT_AFTER_STOP) {
             slog::info!(shared.log, "ending"; "open_requests" => under_way);
             return;
         }
