--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -34,7 +34,7 @@
 /// Part of the shutdown time that is reserved for the process to exit by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which the shutdown checks for open requests.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Limit on one instance's calls per second to the platform's object service, and on bursts. It is
 /// far above what following needs, and low enough that a fault in this program can't exhaust the
 /// service's rate limit for everyone.
@@ -131,7 +131,7 @@
             slog::info!(shared.log, "ending"; "open_requests" => under_way);
             return;
         }
-        tokio::time::sleep(DRAIN_LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
