--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -38,7 +38,7 @@
 /// Limit on one instance's calls per second to the platform's object service, and on bursts. It is
 /// far above what following needs, and low enough that a fault in this program can't exhaust the
 /// service's rate limit for everyone.
-const CALLS: RateLimit = RateLimit {
+const PLATFORM_RATE_LIMIT: RateLimit = RateLimit {
     per_second: 20.0,
     burst: 40.0,
     urgent_reserve: 5.0,
@@ -168,7 +168,7 @@
     let instance = settings.instance.id.clone();
     let mut cfg = PlatformConfig::new(settings.platform.address, "", instance);
     cfg.timeouts.connect = Duration::from_millis(500);
-    cfg.rate = CALLS;
+    cfg.rate = PLATFORM_RATE_LIMIT;
     cfg
 }
 
