--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -29,7 +29,7 @@
 const KNOWN_PLACER_WAIT: Duration = Duration::from_millis(900);
 /// Number of instances assumed to share the retry budget until the placer reports how many there
 /// are.
-const INSTANCES_UNTIL_TOLD: usize = 16;
+const DEFAULT_INSTANCES: usize = 16;
 
 /// State that control and traffic threads share.
 #[derive(Debug)]
@@ -120,7 +120,7 @@
             dispatch: Mutex::new(dispatch),
             budgets: Mutex::new(budgets),
             quarantine: Mutex::new(Quarantine::new(QuarantineConfig::default())),
-            instances: AtomicUsize::new(INSTANCES_UNTIL_TOLD),
+            instances: AtomicUsize::new(DEFAULT_INSTANCES),
             placer_back: AtomicU64::new(0),
             targets_known_at: AtomicU64::new(0),
             placer_decided: AtomicBool::new(false),
