--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -55,7 +55,7 @@
     quarantine: Mutex<Quarantine>,
     instances: AtomicUsize,
     /// When there will be a placer again, in microseconds of the clock; zero while there is one.
-    placer_back: AtomicU64,
+    placer_return: AtomicU64,
     /// When the targets were first listed, in microseconds of the clock; zero until then.
     targets_known_at: AtomicU64,
     /// Whether a placer has reported that it knows what targets hold, or the platform can't be
@@ -121,7 +121,7 @@
             budgets: Mutex::new(budgets),
             quarantine: Mutex::new(Quarantine::new(QuarantineConfig::default())),
             instances: AtomicUsize::new(DEFAULT_INSTANCES),
-            placer_back: AtomicU64::new(0),
+            placer_return: AtomicU64::new(0),
             targets_known_at: AtomicU64::new(0),
             placer_decided: AtomicBool::new(false),
             lease_was_held: AtomicBool::new(false),
@@ -160,15 +160,15 @@
     }
 
     /// Returns when there will be a placer again; `None` while there is one.
-    pub(crate) fn placer_back(&self) -> Option<Moment> {
-        let micros = self.placer_back.load(Ordering::Relaxed);
+    pub(crate) fn placer_return(&self) -> Option<Moment> {
+        let micros = self.placer_return.load(Ordering::Relaxed);
         (micros > 0).then(|| Moment::from_micros(micros))
     }
 
     /// Sets when there will be a placer again.
     pub(crate) fn set_placer_back(&self, at: Option<Moment>) {
         let micros = at.map_or(0, Moment::as_micros);
-        self.placer_back.store(micros, Ordering::Relaxed);
+        self.placer_return.store(micros, Ordering::Relaxed);
     }
 
     /// Returns how many callers' requests are open.
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -301,7 +301,7 @@
     /// earlier retry would be refused as well and the request lost.
     fn not_placed(&self) -> Refusal {
         let now = self.shared.clock.now();
-        let back = self.shared.placer_back().map(|at| now.until(at));
+        let back = self.shared.placer_return().map(|at| now.until(at));
         let longest = self.req.left(now) / RETRY_SHARE;
         let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY);
         Refusal::retry_between(
