--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -98,7 +98,7 @@
     pub(super) fn publish_placer_return(&self, now: Moment) {
         let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
         let back = (!there).then(|| self.keeper.earliest_takeover() + TAKEOVER_TIME);
-        self.shared.set_placer_back(back);
+        self.shared.set_placer_return(back);
     }
 
     /// Publishes to traffic which instance to ask for placements.
--- a/crates/chervilshunt_gateway/src/shared.rs
+++ b/crates/chervilshunt_gateway/src/shared.rs
@@ -166,7 +166,7 @@
     }
 
     /// Sets when there will be a placer again.
-    pub(crate) fn set_placer_back(&self, at: Option<Moment>) {
+    pub(crate) fn set_placer_return(&self, at: Option<Moment>) {
         let micros = at.map_or(0, Moment::as_micros);
         self.placer_return.store(micros, Ordering::Relaxed);
     }
