--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -100,7 +100,7 @@
     ) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
-            handover_gap: settings.bounds.lease_rest,
+            handover_gap: settings.bounds.handover_gap,
             yield_delay: yield_delay(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
             ..ExclusiveLeaseConfig::default()
--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -104,7 +104,7 @@
     /// How long a shutdown may take before the process is killed.
     pub shutdown: Duration,
     /// Time between two holders of the placer's lease in which no instance may send orders.
-    pub lease_rest: Duration,
+    pub handover_gap: Duration,
     /// The retry budget.
     pub retries: WindowBudgetConfig,
 }
@@ -291,7 +291,7 @@
     let rest = raw.lease_rest_ms.map_or(LEASE_REST, Duration::from_millis);
     Ok(Bounds {
         shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, SHUTDOWN)?,
-        lease_rest: rest + ORDER_ON_ITS_WAY,
+        handover_gap: rest + ORDER_ON_ITS_WAY,
         retries: WindowBudgetConfig {
             window: seconds("bounds.retry_window_s", raw.retry_window_s, defaults.window)?,
             ratio,
--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -25,7 +25,7 @@
     assert_eq!(settings.instance.processor_share, 1.0);
     assert!(settings.instance.is_first_start);
     assert_eq!(settings.bounds.shutdown.as_secs(), 8);
-    assert_eq!(settings.bounds.lease_rest.as_millis(), 3_300);
+    assert_eq!(settings.bounds.handover_gap.as_millis(), 3_300);
 }
 
 #[test]
@@ -35,7 +35,7 @@
     let settings = Settings::parse(&text, "settings.jsonc").expect("sound settings");
     assert_eq!(settings.instance.processor_share, 0.25);
     assert!(!settings.instance.is_first_start);
-    assert_eq!(settings.bounds.lease_rest.as_millis(), 1_300);
+    assert_eq!(settings.bounds.handover_gap.as_millis(), 1_300);
 }
 
 /// An instance on a machine with several cores has to start.
