--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -181,7 +181,7 @@
 const SHUTDOWN: Duration = Duration::from_secs(8);
 /// Default time between two placers. [`ORDER_ON_ITS_WAY`] is added to this or to the configured
 /// time, because an order may take that long to arrive.
-const LEASE_REST: Duration = Duration::from_secs(3);
+const DEFAULT_HANDOVER_GAP: Duration = Duration::from_secs(3);
 const ORDER_ON_ITS_WAY: Duration = Duration::from_millis(300);
 
 impl Settings {
@@ -288,7 +288,9 @@
         let must = "not be negative";
         ensure!(value >= 0.0, OutOfBoundsSnafu { file, key, must });
     }
-    let rest = raw.lease_rest_ms.map_or(LEASE_REST, Duration::from_millis);
+    let rest = raw
+        .lease_rest_ms
+        .map_or(DEFAULT_HANDOVER_GAP, Duration::from_millis);
     Ok(Bounds {
         shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, SHUTDOWN)?,
         handover_gap: rest + ORDER_ON_ITS_WAY,
