--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -179,10 +179,10 @@
 const WHOLE_CORE: f64 = 1.0;
 /// Default limit of the shutdown.
 const SHUTDOWN: Duration = Duration::from_secs(8);
-/// Default time between two placers. [`ORDER_ON_ITS_WAY`] is added to this or to the configured
+/// Default time between two placers. [`MAX_ORDER_TRANSIT`] is added to this or to the configured
 /// time, because an order may take that long to arrive.
 const DEFAULT_HANDOVER_GAP: Duration = Duration::from_secs(3);
-const ORDER_ON_ITS_WAY: Duration = Duration::from_millis(300);
+const MAX_ORDER_TRANSIT: Duration = Duration::from_millis(300);
 
 impl Settings {
     /// Reads and checks the settings file at `path`.
@@ -293,7 +293,7 @@
         .map_or(DEFAULT_HANDOVER_GAP, Duration::from_millis);
     Ok(Bounds {
         shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, SHUTDOWN)?,
-        handover_gap: rest + ORDER_ON_ITS_WAY,
+        handover_gap: rest + MAX_ORDER_TRANSIT,
         retries: WindowBudgetConfig {
             window: seconds("bounds.retry_window_s", raw.retry_window_s, defaults.window)?,
             ratio,
