--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -178,7 +178,7 @@
 /// Default share of a processor core.
 const WHOLE_CORE: f64 = 1.0;
 /// Default limit of the shutdown.
-const SHUTDOWN: Duration = Duration::from_secs(8);
+const DEFAULT_SHUTDOWN: Duration = Duration::from_secs(8);
 /// Default time between two placers. [`MAX_ORDER_TRANSIT`] is added to this or to the configured
 /// time, because an order may take that long to arrive.
 const DEFAULT_HANDOVER_GAP: Duration = Duration::from_secs(3);
@@ -292,7 +292,7 @@
         .lease_rest_ms
         .map_or(DEFAULT_HANDOVER_GAP, Duration::from_millis);
     Ok(Bounds {
-        shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, SHUTDOWN)?,
+        shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, DEFAULT_SHUTDOWN)?,
         handover_gap: rest + MAX_ORDER_TRANSIT,
         retries: WindowBudgetConfig {
             window: seconds("bounds.retry_window_s", raw.retry_window_s, defaults.window)?,
