--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -176,7 +176,7 @@
 }
 
 /// Default share of a processor core.
-const WHOLE_CORE: f64 = 1.0;
+const DEFAULT_PROCESSOR_SHARE: f64 = 1.0;
 /// Default limit of the shutdown.
 const DEFAULT_SHUTDOWN: Duration = Duration::from_secs(8);
 /// Default time between two placers. [`MAX_ORDER_TRANSIT`] is added to this or to the configured
@@ -236,7 +236,7 @@
     );
     let zone = instance.zone.context(missing("instance.zone"))?;
     let region = instance.region.context(missing("instance.region"))?;
-    let processor_share = instance.processor_share.unwrap_or(WHOLE_CORE);
+    let processor_share = instance.processor_share.unwrap_or(DEFAULT_PROCESSOR_SHARE);
     ensure!(
         processor_share > 0.0,
         OutOfBoundsSnafu {
