--- a/crates/chervilshunt_gateway/src/traffic/answer.rs
+++ b/crates/chervilshunt_gateway/src/traffic/answer.rs
@@ -27,7 +27,7 @@
 
 /// Classifies the head of a target's answer to a request; `again` is whether another target may run
 /// the request.
-pub(crate) fn judge(
+pub(crate) fn classify(
     names: &Headers,
     request: &str,
     target: &TargetName,
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -13,7 +13,7 @@
 use http::{Request, StatusCode, Uri, header};
 use http_body_util::Full;
 
-use super::answer::{Verdict, judge};
+use super::answer::{Verdict, classify};
 use super::outdated::{begin_deadline_passed, withdraw};
 use super::place::Chosen;
 use super::refusal::{Reason, Refusal};
@@ -319,7 +319,7 @@
             }
         };
         match forwarded {
-            Ok((head, body)) => self.judge(chosen, head, body, in_flight),
+            Ok((head, body)) => self.classify(chosen, head, body, in_flight),
             Err(error) => {
                 if matches!(error, EngineError::OutcomeUnknown { .. }) {
                     in_flight.broke(self.req, false);
@@ -343,7 +343,7 @@
                 .allows_repeat(instances, now)
     }
 
-    fn judge(
+    fn classify(
         &mut self,
         chosen: &Chosen,
         head: Parts,
@@ -359,7 +359,7 @@
             self.shared.dispatch().reported(&chosen.target, load, now);
         }
         let again = self.may_run_again();
-        let verdict = judge(names, &self.req.id, &chosen.target, &head, again);
+        let verdict = classify(names, &self.req.id, &chosen.target, &head, again);
         if verdict != Verdict::PassOn {
             slog::info!(self.shared.log, "answer not passed on";
                 "request" => &*self.req.id, "target" => chosen.target.as_str(),
