--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -28,7 +28,7 @@
 const CONNECT: Duration = Duration::from_millis(400);
 /// Maximum number of attempts of one request. Attempts that a target rejects count, refused
 /// connections do not.
-const MAX_SENDINGS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Subtracted from the deadline that a target is given, for the way back.
 const WAY_BACK: Duration = Duration::from_millis(20);
 /// Time that a request which may be repeated waits for the head of an answer before another target
@@ -282,7 +282,7 @@
             self.sendings = 1;
             return true;
         }
-        if self.sendings >= MAX_SENDINGS {
+        if self.sendings >= MAX_ATTEMPTS {
             return false;
         }
         let now = self.shared.clock.now();
@@ -335,7 +335,7 @@
         let instances = self.shared.instances();
         self.req.route.repeat.is_allowed()
             && self.runs < self.req.route.max_targets
-            && self.sendings < MAX_SENDINGS
+            && self.sendings < MAX_ATTEMPTS
             && self
                 .shared
                 .budgets()
@@ -443,7 +443,7 @@
             .record_signal(&chosen.target, sign, now);
         if error.is_connection_refused() {
             // Nothing was sent. Targets that have crashed but are still listed must not exhaust
-            // `MAX_SENDINGS`.
+            // `MAX_ATTEMPTS`.
             self.sendings -= 1;
         }
         match error.outcome() {
