--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -45,7 +45,7 @@
     pub(crate) avoid: Vec<TargetName>,
     /// The last event that the caller has received, if the stream is being resumed.
     pub(crate) last_event: Option<Arc<str>>,
-    sendings: u32,
+    attempts: u32,
     runs: u32,
 }
 
@@ -190,7 +190,7 @@
             req,
             avoid: Vec::new(),
             last_event: None,
-            sendings: 0,
+            attempts: 0,
             runs: 0,
         }
     }
@@ -206,7 +206,7 @@
         Self {
             avoid: vec![broke_at],
             last_event,
-            sendings: 1,
+            attempts: 1,
             runs,
             ..Self::new(shared, req)
         }
@@ -278,18 +278,18 @@
 
     /// Returns whether the request may be sent once more, and counts the attempt if so.
     fn may_send(&mut self) -> bool {
-        if self.sendings == 0 {
-            self.sendings = 1;
+        if self.attempts == 0 {
+            self.attempts = 1;
             return true;
         }
-        if self.sendings >= MAX_ATTEMPTS {
+        if self.attempts >= MAX_ATTEMPTS {
             return false;
         }
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         let mut budgets = self.shared.budgets();
         let allowed = budgets.of(&self.req.service).try_repeat(instances, now);
-        self.sendings += u32::from(allowed);
+        self.attempts += u32::from(allowed);
         metrics::counter!("chervilshunt_repeats_total", "allowed" => if allowed { "yes" } else { "no" })
             .increment(1);
         allowed
@@ -335,7 +335,7 @@
         let instances = self.shared.instances();
         self.req.route.repeat.is_allowed()
             && self.runs < self.req.route.max_targets
-            && self.sendings < MAX_ATTEMPTS
+            && self.attempts < MAX_ATTEMPTS
             && self
                 .shared
                 .budgets()
@@ -444,7 +444,7 @@
         if error.is_connection_refused() {
             // Nothing was sent. Targets that have crashed but are still listed must not exhaust
             // `MAX_ATTEMPTS`.
-            self.sendings -= 1;
+            self.attempts -= 1;
         }
         match error.outcome() {
             Outcome::NotRun => self.not_run(),
