--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -25,7 +25,7 @@
 
 /// Timeout of a connection to a target. Targets are 1 ms to 2 ms away, and a lost packet is
 /// retransmitted only after a second.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of attempts of one request. Attempts that a target rejects count, refused
 /// connections do not.
 const MAX_ATTEMPTS: u32 = 4;
@@ -303,7 +303,7 @@
         let patience = self.req.route.objective.mul_f64(HEAD_PATIENCE);
         let head = if repeat { left.min(patience) } else { left };
         let limits = Limits {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             head,
             idle: left,
         };
