--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -30,7 +30,7 @@
 /// connections do not.
 const MAX_ATTEMPTS: u32 = 4;
 /// Subtracted from the deadline that a target is given, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(20);
+const RETURN_MARGIN: Duration = Duration::from_millis(20);
 /// Time that a request which may be repeated waits for the head of an answer before another target
 /// is tried, as a multiple of its latency objective.
 const HEAD_PATIENCE: f64 = 2.5;
@@ -459,7 +459,7 @@
         *out.method_mut() = req.method.clone();
         *out.uri_mut() = Uri::from(req.path.clone());
         let mut headers = req.headers.clone();
-        let left = left.saturating_sub(WAY_BACK).as_millis().to_string();
+        let left = left.saturating_sub(RETURN_MARGIN).as_millis().to_string();
         set(&mut headers, &names.deadline_ms, &left);
         set(&mut headers, &names.expected_target, chosen.target.as_str());
         let urgency = req.route.priority.min(9).to_string();
