--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -33,7 +33,7 @@
 const RETURN_MARGIN: Duration = Duration::from_millis(20);
 /// Time that a request which may be repeated waits for the head of an answer before another target
 /// is tried, as a multiple of its latency objective.
-const HEAD_PATIENCE: f64 = 2.5;
+const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 /// Delay after which a caller should retry when targets refused its request.
 const REFUSED_RETRY: Duration = Duration::from_millis(600);
 
@@ -300,7 +300,7 @@
         let client = self.shared.engines.client(chosen.address);
         let left = self.req.left(self.shared.clock.now());
         let repeat = self.req.route.repeat.is_allowed();
-        let patience = self.req.route.objective.mul_f64(HEAD_PATIENCE);
+        let patience = self.req.route.objective.mul_f64(HEAD_TIMEOUT_FACTOR);
         let head = if repeat { left.min(patience) } else { left };
         let limits = Limits {
             connect: CONNECT_TIMEOUT,
