--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -35,7 +35,7 @@
 /// is tried, as a multiple of its latency objective.
 const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
 /// Delay after which a caller should retry when targets refused its request.
-const REFUSED_RETRY: Duration = Duration::from_millis(600);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(600);
 
 /// The attempts of one request.
 pub(crate) struct Run<'a> {
@@ -233,7 +233,7 @@
             let found = self.find_target().await;
             let mut chosen = found.map_err(|it| self.truly(it))?;
             if !self.may_send() {
-                let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY);
+                let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY_DELAY);
                 return Err(self.truly(spent));
             }
             match self.send(&mut chosen).await {
