--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -38,7 +38,7 @@
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(600);
 
 /// The attempts of one request.
-pub(crate) struct Run<'a> {
+pub(crate) struct RequestAttempts<'a> {
     pub(crate) shared: &'a Arc<Shared>,
     pub(crate) req: &'a CallerRequest,
     /// Targets that are not tried again.
@@ -182,7 +182,7 @@
     MayHaveRun(Reason),
 }
 
-impl<'a> Run<'a> {
+impl<'a> RequestAttempts<'a> {
     /// Starts the attempts of a new request.
     pub(crate) fn new(shared: &'a Arc<Shared>, req: &'a CallerRequest) -> Self {
         Self {
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -8,7 +8,7 @@
 };
 use chervilshunt_model::TargetName;
 
-use super::attempt::Run;
+use super::attempt::RequestAttempts;
 use super::refusal::{Reason, Refusal};
 use crate::grants::Grant;
 use crate::peers::PeerMessage;
@@ -75,7 +75,7 @@
     Nothing,
 }
 
-impl Run<'_> {
+impl RequestAttempts<'_> {
     /// Finds a target; waits for room or for a load if that is worthwhile.
     ///
     /// If the request needs an adapter, the placer chooses, because it knows the open requests of
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -13,7 +13,7 @@
 use http_body::{Frame, SizeHint};
 use tokio::time::Sleep;
 
-use super::attempt::{Answered, InFlight, Run};
+use super::attempt::{Answered, InFlight, RequestAttempts};
 use super::body::CutShort;
 use super::events::WholeEvents;
 use super::refusal::Refusal;
@@ -229,7 +229,7 @@
         let req = Arc::clone(&self.req);
         let (broke_at, runs) = (self.in_flight.target.clone(), self.runs);
         self.resuming = Some(Box::pin(async move {
-            let mut run = Run::resumed(&shared, &req, broke_at, runs, last_event);
+            let mut run = RequestAttempts::resumed(&shared, &req, broke_at, runs, last_event);
             let answered = run.answer().await;
             (answered, run.runs())
         }));
--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Request, Response, header};
 use hyper::body::Incoming;
 
-use super::attempt::{Answered, Run};
+use super::attempt::{Answered, RequestAttempts};
 use super::body::ReplyBody;
 use super::intake::read_body;
 use super::refusal::{Reason, Refusal};
@@ -54,7 +54,7 @@
     let req = read_request(&shared.dialect, id, head, body, route, arrived, open)?;
     let req = Arc::new(req);
     shared.budgets().of(&req.service).record_request(arrived);
-    let mut run = Run::new(shared, &req);
+    let mut run = RequestAttempts::new(shared, &req);
     let waiting = Waiting(Some(&req), shared);
     let result = run.answer().await;
     waiting.over();
