--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -63,7 +63,7 @@
     version: Option<u64>,
     sent_at: Moment,
     /// The prompt tokens that the target still has to read, as far as is known.
-    reading: u32,
+    unread_prompt_tokens: u32,
     has_begun: bool,
     grant: Option<Grant>,
 }
@@ -72,10 +72,10 @@
     fn begin(shared: &Arc<Shared>, chosen: &mut Chosen, req: &CallerRequest) -> Self {
         let target = &chosen.target;
         let weights = req.weights.as_ref();
-        let reading = req.size.prompt_tokens;
+        let unread_prompt_tokens = req.size.prompt_tokens;
         let mut dispatch = shared.dispatch();
         dispatch.sent(target, weights);
-        dispatch.reads(target, reading);
+        dispatch.reads(target, unread_prompt_tokens);
         let started = dispatch.started(target);
         drop(dispatch);
         Self {
@@ -86,7 +86,7 @@
             weights: weights.cloned(),
             version: chosen.expect_version.or(chosen.held_version),
             sent_at: shared.clock.now(),
-            reading,
+            unread_prompt_tokens,
             has_begun: false,
             grant: chosen.grant.take(),
         }
@@ -98,7 +98,7 @@
             return;
         }
         self.clear(req);
-        let tokens = std::mem::take(&mut self.reading);
+        let tokens = std::mem::take(&mut self.unread_prompt_tokens);
         self.shared.dispatch().has_read(&self.target, tokens);
         if let Some(grant) = &self.grant {
             grant.begun();
@@ -160,7 +160,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatch = self.shared.dispatch();
-        dispatch.has_read(&self.target, self.reading);
+        dispatch.has_read(&self.target, self.unread_prompt_tokens);
         dispatch.ended(&self.target, self.weights.as_ref(), self.started);
     }
 }
