--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -93,7 +93,7 @@
     }
 
     /// Records that the target has begun to answer, and so has read the prompt.
-    pub(crate) fn begins(&mut self, req: &CallerRequest) {
+    pub(crate) fn record_begin(&mut self, req: &CallerRequest) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -153,7 +153,7 @@
         } else {
             self.record_pause(now);
         }
-        self.in_flight.begins(&self.req);
+        self.in_flight.record_begin(&self.req);
         self.last_piece = now;
         if now.since(self.heard_told) >= HEARD_EVERY {
             self.heard_told = now;
@@ -204,7 +204,7 @@
         self.shared
             .dispatch()
             .response_received(&self.in_flight.target, now);
-        self.in_flight.begins(&self.req);
+        self.in_flight.record_begin(&self.req);
         self.outcome = Some("served");
         let rest = self.events.as_mut().map(WholeEvents::rest)?;
         (!rest.is_empty()).then(|| Frame::data(rest))
