--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -110,7 +110,7 @@
     /// Handles the end of the target's connection. If the target had not begun to answer, it may
     /// have crashed because of the request. An engine writes the head of an answer when it starts
     /// to run the request, so a request without a head was most likely still queued.
-    pub(crate) fn broke(&self, req: &CallerRequest, head_came: bool) {
+    pub(crate) fn connection_ended(&self, req: &CallerRequest, head_came: bool) {
         if self.has_begun {
             return;
         }
@@ -322,7 +322,7 @@
             Ok((head, body)) => self.classify(chosen, head, body, in_flight),
             Err(error) => {
                 if matches!(error, EngineError::OutcomeUnknown { .. }) {
-                    in_flight.broke(self.req, false);
+                    in_flight.connection_ended(self.req, false);
                 }
                 self.failed(chosen, &error)
             }
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -130,7 +130,7 @@
                         "has_begun" => self.in_flight.has_begun(),
                         "sent_ms" => now.since(self.in_flight.sent_at()).as_millis() as u64,
                         "bytes" => self.bytes, "reason" => error.to_string());
-                    self.in_flight.broke(&self.req, true);
+                    self.in_flight.connection_ended(&self.req, true);
                     let target = self.in_flight.target.clone();
                     self.shared
                         .dispatch()
