--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -97,7 +97,7 @@
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
-        self.clear(req);
+        self.request_release(req);
         let tokens = std::mem::take(&mut self.unread_prompt_tokens);
         self.shared.dispatch().has_read(&self.target, tokens);
         if let Some(grant) = &self.grant {
@@ -124,7 +124,7 @@
     }
 
     /// Has the quarantine of a request released, because this target has begun to answer it.
-    fn clear(&self, req: &CallerRequest) {
+    fn request_release(&self, req: &CallerRequest) {
         let fingerprint = req.fingerprint();
         if self.shared.quarantine().record_served(fingerprint) {
             self.shared
