--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -174,7 +174,7 @@
 }
 
 /// The result of one attempt.
-pub(super) enum Sent {
+pub(super) enum AttemptOutcome {
     Answered(Box<Answered>),
     /// The request has not run. Another target may be tried.
     NotRun,
@@ -237,9 +237,9 @@
                 return Err(self.truly(spent));
             }
             match self.send(&mut chosen).await {
-                Sent::Answered(answered) => return Ok(*answered),
-                Sent::NotRun => self.avoid.push(chosen.target),
-                Sent::MayHaveRun(reason) => {
+                AttemptOutcome::Answered(answered) => return Ok(*answered),
+                AttemptOutcome::NotRun => self.avoid.push(chosen.target),
+                AttemptOutcome::MayHaveRun(reason) => {
                     if !self.req.route.repeat.is_allowed()
                         || self.runs >= self.req.route.max_targets
                     {
@@ -295,7 +295,7 @@
         allowed
     }
 
-    async fn send(&mut self, chosen: &mut Chosen) -> Sent {
+    async fn send(&mut self, chosen: &mut Chosen) -> AttemptOutcome {
         let in_flight = InFlight::begin(self.shared, chosen, self.req);
         let client = self.shared.engines.client(chosen.address);
         let left = self.req.left(self.shared.clock.now());
@@ -349,7 +349,7 @@
         head: Parts,
         body: BodyReader,
         in_flight: InFlight,
-    ) -> Sent {
+    ) -> AttemptOutcome {
         let now = self.shared.clock.now();
         let names = &self.shared.dialect.headers;
         let load = head.headers.get(&names.load);
@@ -379,15 +379,15 @@
             .dispatch()
             .record_signal(&chosen.target, sign, now);
         match verdict {
-            Verdict::PassOn => Sent::Answered(Box::new(Answered {
+            Verdict::PassOn => AttemptOutcome::Answered(Box::new(Answered {
                 head,
                 body,
                 in_flight,
             })),
             Verdict::Full | Verdict::OtherTarget => self.not_run(),
             Verdict::NotHeld => self.not_held(chosen),
-            Verdict::Failed => Sent::MayHaveRun(Reason::BadAnswer),
-            Verdict::Crossed => Sent::MayHaveRun(Reason::AnswerLost),
+            Verdict::Failed => AttemptOutcome::MayHaveRun(Reason::BadAnswer),
+            Verdict::Crossed => AttemptOutcome::MayHaveRun(Reason::AnswerLost),
         }
     }
 
@@ -407,13 +407,13 @@
     }
 
     /// Withdraws the assumption that the request may have run at the last target.
-    fn not_run(&mut self) -> Sent {
+    fn not_run(&mut self) -> AttemptOutcome {
         self.runs -= 1;
-        Sent::NotRun
+        AttemptOutcome::NotRun
     }
 
     /// Handles a target that does not hold the adapter.
-    fn not_held(&mut self, chosen: &Chosen) -> Sent {
+    fn not_held(&mut self, chosen: &Chosen) -> AttemptOutcome {
         let Some(weights) = &self.req.weights else {
             return self.not_run();
         };
@@ -427,7 +427,7 @@
         self.not_run()
     }
 
-    fn failed(&mut self, chosen: &Chosen, error: &EngineError) -> Sent {
+    fn failed(&mut self, chosen: &Chosen, error: &EngineError) -> AttemptOutcome {
         let now = self.shared.clock.now();
         slog::info!(self.shared.log, "attempt failed";
             "request" => &*self.req.id, "target" => chosen.target.as_str(),
@@ -448,7 +448,7 @@
         }
         match error.outcome() {
             Outcome::NotRun => self.not_run(),
-            Outcome::Unknown | Outcome::CutShort => Sent::MayHaveRun(Reason::AnswerLost),
+            Outcome::Unknown | Outcome::CutShort => AttemptOutcome::MayHaveRun(Reason::AnswerLost),
         }
     }
 
--- a/crates/chervilshunt_gateway/src/traffic/outdated.rs
+++ b/crates/chervilshunt_gateway/src/traffic/outdated.rs
@@ -10,7 +10,7 @@
 use chervilshunt_core::Weights;
 use chervilshunt_model::Moment;
 
-use super::attempt::{InFlight, Sent};
+use super::attempt::{AttemptOutcome, InFlight};
 use super::refusal::Reason;
 use super::request::CallerRequest;
 use crate::shared::Shared;
@@ -53,12 +53,12 @@
 ///
 /// The request may have begun to run just before the connection closed, so it is reported as
 /// possibly executed.
-pub(super) fn withdraw(req: &CallerRequest, in_flight: &InFlight) -> Sent {
+pub(super) fn withdraw(req: &CallerRequest, in_flight: &InFlight) -> AttemptOutcome {
     let shared = in_flight.shared();
     let waited = shared.clock.now().since(in_flight.sent_at());
     slog::info!(shared.log, "request withdrawn";
         "request" => &*req.id, "target" => in_flight.target.as_str(),
         "version" => in_flight.version(), "sent_ms" => waited.as_millis() as u64);
     metrics::counter!("chervilshunt_withdrawn_total").increment(1);
-    Sent::MayHaveRun(Reason::OutdatedVersion)
+    AttemptOutcome::MayHaveRun(Reason::OutdatedVersion)
 }
