--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -231,10 +231,10 @@
         loop {
             self.refuse_if_it_crashes_targets()?;
             let found = self.find_target().await;
-            let mut chosen = found.map_err(|it| self.truly(it))?;
+            let mut chosen = found.map_err(|it| self.unless_run(it))?;
             if !self.may_send() {
                 let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY_DELAY);
-                return Err(self.truly(spent));
+                return Err(self.unless_run(spent));
             }
             match self.send(&mut chosen).await {
                 AttemptOutcome::Answered(answered) => return Ok(*answered),
@@ -265,11 +265,11 @@
             reason: Reason::CrashesTargets,
             retry_after: Some(now.until(until)),
         };
-        Err(self.truly(refusal))
+        Err(self.unless_run(refusal))
     }
 
     /// Replaces a refusal whose status says "not run" if the request may have run.
-    fn truly(&self, refusal: Refusal) -> Refusal {
+    fn unless_run(&self, refusal: Refusal) -> Refusal {
         if self.runs == 0 {
             return refusal;
         }
