--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -232,7 +232,7 @@
             self.refuse_if_it_crashes_targets()?;
             let found = self.find_target().await;
             let mut chosen = found.map_err(|it| self.unless_run(it))?;
-            if !self.may_send() {
+            if !self.try_attempt() {
                 let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY_DELAY);
                 return Err(self.unless_run(spent));
             }
@@ -277,7 +277,7 @@
     }
 
     /// Returns whether the request may be sent once more, and counts the attempt if so.
-    fn may_send(&mut self) -> bool {
+    fn try_attempt(&mut self) -> bool {
         if self.attempts == 0 {
             self.attempts = 1;
             return true;
