--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -367,7 +367,7 @@
                 "retry_after" => head.headers.get(header::RETRY_AFTER).and_then(|it| it.to_str().ok()));
         }
         if verdict != Verdict::OtherTarget {
-            self.note_what_it_says(chosen, &in_flight, &head);
+            self.handle_self_report(chosen, &in_flight, &head);
         }
         let sign = match verdict {
             Verdict::PassOn if head.status.is_server_error() => HealthSignal::Failed,
@@ -393,7 +393,7 @@
 
     /// Handles what a target reports about itself in an answer: that it is leaving, or requests a
     /// pause.
-    fn note_what_it_says(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
+    fn handle_self_report(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
         let (shared, target) = (self.shared, &chosen.target);
         shared.check_leaving(target, in_flight.started, &head.headers);
         let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE;
