--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -15,7 +15,7 @@
 
 use super::answer::{Verdict, classify};
 use super::outdated::{begin_deadline_passed, withdraw};
-use super::place::Chosen;
+use super::place::SelectedTarget;
 use super::refusal::{Reason, Refusal};
 use super::request::{CallerRequest, set};
 use crate::crashes::CrashObservation;
@@ -69,7 +69,7 @@
 }
 
 impl InFlight {
-    fn begin(shared: &Arc<Shared>, chosen: &mut Chosen, req: &CallerRequest) -> Self {
+    fn begin(shared: &Arc<Shared>, chosen: &mut SelectedTarget, req: &CallerRequest) -> Self {
         let target = &chosen.target;
         let weights = req.weights.as_ref();
         let unread_prompt_tokens = req.size.prompt_tokens;
@@ -295,7 +295,7 @@
         allowed
     }
 
-    async fn send(&mut self, chosen: &mut Chosen) -> AttemptOutcome {
+    async fn send(&mut self, chosen: &mut SelectedTarget) -> AttemptOutcome {
         let in_flight = InFlight::begin(self.shared, chosen, self.req);
         let client = self.shared.engines.client(chosen.address);
         let left = self.req.left(self.shared.clock.now());
@@ -345,7 +345,7 @@
 
     fn classify(
         &mut self,
-        chosen: &Chosen,
+        chosen: &SelectedTarget,
         head: Parts,
         body: BodyReader,
         in_flight: InFlight,
@@ -393,7 +393,7 @@
 
     /// Handles what a target reports about itself in an answer: that it is leaving, or requests a
     /// pause.
-    fn handle_self_report(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
+    fn handle_self_report(&self, chosen: &SelectedTarget, in_flight: &InFlight, head: &Parts) {
         let (shared, target) = (self.shared, &chosen.target);
         shared.check_leaving(target, in_flight.started, &head.headers);
         let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE;
@@ -413,7 +413,7 @@
     }
 
     /// Handles a target that does not hold the adapter.
-    fn not_held(&mut self, chosen: &Chosen) -> AttemptOutcome {
+    fn not_held(&mut self, chosen: &SelectedTarget) -> AttemptOutcome {
         let Some(weights) = &self.req.weights else {
             return self.not_run();
         };
@@ -427,7 +427,7 @@
         self.not_run()
     }
 
-    fn failed(&mut self, chosen: &Chosen, error: &EngineError) -> AttemptOutcome {
+    fn failed(&mut self, chosen: &SelectedTarget, error: &EngineError) -> AttemptOutcome {
         let now = self.shared.clock.now();
         slog::info!(self.shared.log, "attempt failed";
             "request" => &*self.req.id, "target" => chosen.target.as_str(),
@@ -452,7 +452,7 @@
         }
     }
 
-    fn outgoing(&self, chosen: &Chosen, left: Duration) -> Request<Full<Bytes>> {
+    fn outgoing(&self, chosen: &SelectedTarget, left: Duration) -> Request<Full<Bytes>> {
         let req = self.req;
         let names = &self.shared.dialect.headers;
         let mut out = Request::new(Full::new(req.body.clone()));
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -53,7 +53,7 @@
 
 /// The target to which a request is sent.
 #[derive(Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct SelectedTarget {
     pub(crate) target: TargetName,
     pub(crate) address: SocketAddr,
     pub(crate) expect_version: Option<u64>,
@@ -68,7 +68,7 @@
 /// The result of asking the placer.
 enum PlacerAnswer {
     /// The target to which the request may be sent.
-    At(Chosen),
+    At(SelectedTarget),
     /// A target that accepts nothing from this instance.
     Closed(TargetName),
     /// The placer gave no answer.
@@ -81,7 +81,7 @@
     /// If the request needs an adapter, the placer chooses, because it knows the open requests of
     /// all instances. An instance that gets no response from the placer chooses from its own state,
     /// and asks the placer only for adapters that no known target holds.
-    pub(crate) async fn find_target(&mut self) -> Result<Chosen, Refusal> {
+    pub(crate) async fn find_target(&mut self) -> Result<SelectedTarget, Refusal> {
         let began = self.shared.clock.now();
         let patience = self.req.route.objective.mul_f64(ROOM_PATIENCE);
         let mut placer_answers = true;
@@ -127,7 +127,7 @@
         self.shared.placer.load().is_some() && self.shared.dispatch().is_guided(now)
     }
 
-    fn choose(&self) -> Result<Chosen, WaitReason> {
+    fn choose(&self) -> Result<SelectedTarget, WaitReason> {
         let now = self.shared.clock.now();
         let ask = TargetRequirements {
             service: &self.req.service,
@@ -140,7 +140,7 @@
     }
 
     /// Turns a choice into a target, and logs it.
-    fn take(&self, choice: Choice) -> Result<Chosen, WaitReason> {
+    fn take(&self, choice: Choice) -> Result<SelectedTarget, WaitReason> {
         match choice {
             Choice::Wait(wait) => Err(wait),
             Choice::Send {
@@ -167,7 +167,7 @@
                         newest.map(|(_, known_for)| known_for.as_millis() as u64));
                 let reuse =
                     self.req.route.repeat.is_allowed() || since_last_response < SURELY_THERE;
-                Ok(Chosen {
+                Ok(SelectedTarget {
                     target,
                     address,
                     expect_version,
@@ -188,7 +188,7 @@
 
     /// Asks the placer for an adapter that no known target holds, although the placer has not
     /// responded lately.
-    async fn ask_for_load(&mut self) -> Result<Chosen, Refusal> {
+    async fn ask_for_load(&mut self) -> Result<SelectedTarget, Refusal> {
         let Some(weights) = self.req.weights.clone() else {
             return Err(self.not_placed());
         };
@@ -340,7 +340,7 @@
         let weights = self.req.weights.as_ref();
         let choice = self.shared.dispatch().choose_named(&target, weights, now);
         match self.take(choice) {
-            Ok(chosen) => PlacerAnswer::At(Chosen {
+            Ok(chosen) => PlacerAnswer::At(SelectedTarget {
                 grant: Some(grant),
                 ..chosen
             }),
