--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -167,7 +167,7 @@
 
 /// An answer that is passed on.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct AcceptedAnswer {
     pub(crate) head: Parts,
     pub(crate) body: BodyReader,
     pub(crate) in_flight: InFlight,
@@ -175,7 +175,7 @@
 
 /// The result of one attempt.
 pub(super) enum AttemptOutcome {
-    Answered(Box<Answered>),
+    Answered(Box<AcceptedAnswer>),
     /// The request has not run. Another target may be tried.
     NotRun,
     /// The request may have run.
@@ -213,7 +213,7 @@
     }
 
     /// Sends the request until a target answers it or it has to be given up.
-    pub(crate) async fn answer(&mut self) -> Result<Answered, Refusal> {
+    pub(crate) async fn answer(&mut self) -> Result<AcceptedAnswer, Refusal> {
         let left = self.req.left(self.shared.clock.now());
         match tokio::time::timeout(left, self.send_until_answered()).await {
             Ok(result) => result,
@@ -227,7 +227,7 @@
         self.runs
     }
 
-    async fn send_until_answered(&mut self) -> Result<Answered, Refusal> {
+    async fn send_until_answered(&mut self) -> Result<AcceptedAnswer, Refusal> {
         loop {
             self.refuse_if_it_crashes_targets()?;
             let found = self.find_target().await;
@@ -379,7 +379,7 @@
             .dispatch()
             .record_signal(&chosen.target, sign, now);
         match verdict {
-            Verdict::PassOn => AttemptOutcome::Answered(Box::new(Answered {
+            Verdict::PassOn => AttemptOutcome::Answered(Box::new(AcceptedAnswer {
                 head,
                 body,
                 in_flight,
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -13,7 +13,7 @@
 use http_body::{Frame, SizeHint};
 use tokio::time::Sleep;
 
-use super::attempt::{Answered, InFlight, RequestAttempts};
+use super::attempt::{AcceptedAnswer, InFlight, RequestAttempts};
 use super::body::CutShort;
 use super::events::WholeEvents;
 use super::refusal::Refusal;
@@ -24,7 +24,7 @@
 /// use pooled connections to the target, and for a small part of the stream's pieces only.
 const HEARD_EVERY: Duration = Duration::from_millis(100);
 
-type Resuming = Pin<Box<dyn Future<Output = (Result<Answered, Refusal>, u32)> + Send>>;
+type Resuming = Pin<Box<dyn Future<Output = (Result<AcceptedAnswer, Refusal>, u32)> + Send>>;
 
 /// An answer that is being passed on.
 pub(crate) struct Relay {
@@ -61,7 +61,7 @@
     pub(crate) fn new(
         shared: &Arc<Shared>,
         req: Arc<CallerRequest>,
-        answered: Answered,
+        answered: AcceptedAnswer,
         runs: u32,
     ) -> Self {
         let now = shared.clock.now();
--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Request, Response, header};
 use hyper::body::Incoming;
 
-use super::attempt::{Answered, RequestAttempts};
+use super::attempt::{AcceptedAnswer, RequestAttempts};
 use super::body::ReplyBody;
 use super::intake::read_body;
 use super::refusal::{Reason, Refusal};
@@ -89,7 +89,7 @@
 fn relayed(
     shared: &Arc<Shared>,
     req: &Arc<CallerRequest>,
-    mut answered: Answered,
+    mut answered: AcceptedAnswer,
     runs: u32,
 ) -> Response<ReplyBody> {
     let mut res = Response::new(());
