--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -14,7 +14,7 @@
 use crate::peers::PeerMessage;
 
 /// Delay after which a caller should retry when there was no target.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
+const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Delay after which a caller should retry when its adapter could not be placed. A new placer
 /// starts after some seconds, and callers wait at most a third of their remaining time.
 const NOT_PLACED_RETRY: Duration = Duration::from_millis(700);
@@ -106,7 +106,10 @@
             self.report_wait(wait);
             match wait {
                 WaitReason::NoTarget => {
-                    return Err(Refusal::retry_after(Reason::NoTarget, NO_TARGET_RETRY));
+                    return Err(Refusal::retry_after(
+                        Reason::NoTarget,
+                        NO_TARGET_RETRY_DELAY,
+                    ));
                 }
                 WaitReason::NotHeld if placer_answers => return self.ask_for_load().await,
                 WaitReason::NotHeld => return Err(self.not_placed()),
