--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -17,7 +17,7 @@
 const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Delay after which a caller should retry when its adapter could not be placed. A new placer
 /// starts after some seconds, and callers wait at most a third of their remaining time.
-const NOT_PLACED_RETRY: Duration = Duration::from_millis(700);
+const NOT_PLACED_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Time over which the retries of callers are spread that were asked to wait for a pause to end or
 /// for a new placer.
 const SPREAD: Duration = Duration::from_millis(600);
@@ -306,7 +306,7 @@
         let now = self.shared.clock.now();
         let back = self.shared.placer_return().map(|at| now.until(at));
         let longest = self.req.left(now) / RETRY_SHARE;
-        let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY);
+        let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY_DELAY);
         Refusal::retry_between(
             Reason::NotPlaced,
             pause.min(longest),
