--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -25,7 +25,7 @@
 const RETRY_SHARE: u32 = 3;
 /// Delay after which a caller should retry when there was no room: requests end within a second or
 /// two.
-const FULL_RETRY: Duration = Duration::from_millis(500);
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Interval at which a request checks again for room.
 const ROOM_PAUSE: Duration = Duration::from_millis(15);
 /// Part of its latency objective for which a request waits for room. After that it is better to
@@ -114,7 +114,7 @@
                 WaitReason::NotHeld if placer_answers => return self.ask_for_load().await,
                 WaitReason::NotHeld => return Err(self.not_placed()),
                 WaitReason::Full if self.shared.clock.now().since(began) >= patience => {
-                    return Err(Refusal::retry_after(Reason::Full, FULL_RETRY));
+                    return Err(Refusal::retry_after(Reason::Full, FULL_RETRY_DELAY));
                 }
                 WaitReason::Full => tokio::time::sleep(ROOM_PAUSE).await,
                 WaitReason::Paused(until) => {
