--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -20,7 +20,7 @@
 const NOT_PLACED_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Time over which the retries of callers are spread that were asked to wait for a pause to end or
 /// for a new placer.
-const SPREAD: Duration = Duration::from_millis(600);
+const RETRY_SPREAD: Duration = Duration::from_millis(600);
 /// Callers wait at most this fraction (one third) of their remaining time.
 const RETRY_SHARE: u32 = 3;
 /// Delay after which a caller should retry when there was no room: requests end within a second or
@@ -119,7 +119,11 @@
                 WaitReason::Full => tokio::time::sleep(ROOM_PAUSE).await,
                 WaitReason::Paused(until) => {
                     let pause = self.shared.clock.now().until(until);
-                    return Err(Refusal::retry_between(Reason::Full, pause, pause + SPREAD));
+                    return Err(Refusal::retry_between(
+                        Reason::Full,
+                        pause,
+                        pause + RETRY_SPREAD,
+                    ));
                 }
             }
         }
@@ -310,7 +314,7 @@
         Refusal::retry_between(
             Reason::NotPlaced,
             pause.min(longest),
-            longest.min(pause + SPREAD),
+            longest.min(pause + RETRY_SPREAD),
         )
     }
 
