--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -22,7 +22,7 @@
 /// for a new placer.
 const RETRY_SPREAD: Duration = Duration::from_millis(600);
 /// Callers wait at most this fraction (one third) of their remaining time.
-const RETRY_SHARE: u32 = 3;
+const RETRY_TIME_DIVISOR: u32 = 3;
 /// Delay after which a caller should retry when there was no room: requests end within a second or
 /// two.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -309,7 +309,7 @@
     fn not_placed(&self) -> Refusal {
         let now = self.shared.clock.now();
         let back = self.shared.placer_return().map(|at| now.until(at));
-        let longest = self.req.left(now) / RETRY_SHARE;
+        let longest = self.req.left(now) / RETRY_TIME_DIVISOR;
         let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY_DELAY);
         Refusal::retry_between(
             Reason::NotPlaced,
