--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -27,7 +27,7 @@
 /// two.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Interval at which a request checks again for room.
-const ROOM_PAUSE: Duration = Duration::from_millis(15);
+const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Part of its latency objective for which a request waits for room. After that it is better to
 /// refuse the request, so that the caller can react.
 const ROOM_PATIENCE: f64 = 0.12;
@@ -116,7 +116,7 @@
                 WaitReason::Full if self.shared.clock.now().since(began) >= patience => {
                     return Err(Refusal::retry_after(Reason::Full, FULL_RETRY_DELAY));
                 }
-                WaitReason::Full => tokio::time::sleep(ROOM_PAUSE).await,
+                WaitReason::Full => tokio::time::sleep(ROOM_POLL_INTERVAL).await,
                 WaitReason::Paused(until) => {
                     let pause = self.shared.clock.now().until(until);
                     return Err(Refusal::retry_between(
