--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -30,7 +30,7 @@
 const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(15);
 /// Part of its latency objective for which a request waits for room. After that it is better to
 /// refuse the request, so that the caller can react.
-const ROOM_PATIENCE: f64 = 0.12;
+const ROOM_WAIT_FACTOR: f64 = 0.12;
 /// Time that a request waits for its adapter, as a multiple of its latency objective. After that
 /// either the placer is gone, or so many loads are ahead of this one that another request had
 /// better get the slot.
@@ -83,7 +83,7 @@
     /// and asks the placer only for adapters that no known target holds.
     pub(crate) async fn find_target(&mut self) -> Result<SelectedTarget, Refusal> {
         let began = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(ROOM_PATIENCE);
+        let patience = self.req.route.objective.mul_f64(ROOM_WAIT_FACTOR);
         let mut placer_answers = true;
         loop {
             if let Some(weights) = self.req.weights.clone()
