--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -34,7 +34,7 @@
 /// Time that a request waits for its adapter, as a multiple of its latency objective. After that
 /// either the placer is gone, or so many loads are ahead of this one that another request had
 /// better get the slot.
-const PLACE_PATIENCE: f64 = 1.0;
+const PLACEMENT_WAIT_FACTOR: f64 = 1.0;
 /// Time that an instance waits for the placer's answer beyond the request's own wait. If the placer
 /// answers that there is no room, the caller can be told when to retry; without an answer that is
 /// unknown.
@@ -212,7 +212,7 @@
             return Ok(PlacerAnswer::Nothing);
         };
         let now = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(PLACE_PATIENCE);
+        let patience = self.req.route.objective.mul_f64(PLACEMENT_WAIT_FACTOR);
         let patience = patience.min(self.req.left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
