--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -300,8 +300,8 @@
         let client = self.shared.engines.client(chosen.address);
         let left = self.req.left(self.shared.clock.now());
         let repeat = self.req.route.repeat.is_allowed();
-        let patience = self.req.route.objective.mul_f64(HEAD_TIMEOUT_FACTOR);
-        let head = if repeat { left.min(patience) } else { left };
+        let max_wait = self.req.route.objective.mul_f64(HEAD_TIMEOUT_FACTOR);
+        let head = if repeat { left.min(max_wait) } else { left };
         let limits = Limits {
             connect: CONNECT_TIMEOUT,
             head,
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -83,7 +83,7 @@
     /// and asks the placer only for adapters that no known target holds.
     pub(crate) async fn find_target(&mut self) -> Result<SelectedTarget, Refusal> {
         let began = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(ROOM_WAIT_FACTOR);
+        let max_wait = self.req.route.objective.mul_f64(ROOM_WAIT_FACTOR);
         let mut placer_answers = true;
         loop {
             if let Some(weights) = self.req.weights.clone()
@@ -113,7 +113,7 @@
                 }
                 WaitReason::NotHeld if placer_answers => return self.ask_for_load().await,
                 WaitReason::NotHeld => return Err(self.not_placed()),
-                WaitReason::Full if self.shared.clock.now().since(began) >= patience => {
+                WaitReason::Full if self.shared.clock.now().since(began) >= max_wait => {
                     return Err(Refusal::retry_after(Reason::Full, FULL_RETRY_DELAY));
                 }
                 WaitReason::Full => tokio::time::sleep(ROOM_POLL_INTERVAL).await,
@@ -212,8 +212,8 @@
             return Ok(PlacerAnswer::Nothing);
         };
         let now = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(PLACEMENT_WAIT_FACTOR);
-        let patience = patience.min(self.req.left(now));
+        let max_wait = self.req.route.objective.mul_f64(PLACEMENT_WAIT_FACTOR);
+        let max_wait = max_wait.min(self.req.left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
             let mut avoid = dispatch.doubtful(&self.req.service, now);
@@ -229,11 +229,11 @@
             zone: self.shared.settings.instance.zone.clone(),
             avoid,
         };
-        let message = PeerMessage::Want(want, patience);
+        let message = PeerMessage::Want(want, max_wait);
         let answer = self
             .shared
             .mesh
-            .request(&placer, message, patience + ANSWER_MARGIN);
+            .request(&placer, message, max_wait + ANSWER_MARGIN);
         match self.unless_silent(answer).await {
             Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
