--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -41,7 +41,7 @@
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
 /// Time without a response from the placer after which a waiting request stops waiting for it, if a
 /// target is known to hold its adapter. The placer answers at once if no load is needed.
-const SUSPECT_AFTER: Duration = Duration::from_millis(250);
+const KNOWN_HOLDER_TIMEOUT: Duration = Duration::from_millis(250);
 /// The same if no target is known to hold the adapter: the placer has missed two of its reports,
 /// which it sends every 0.4 s, and it is better to refuse the request than to hold it until its
 /// wait ends.
@@ -286,7 +286,7 @@
     async fn unless_silent<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
-            if let Ok(answer) = tokio::time::timeout(SUSPECT_AFTER, &mut answer).await {
+            if let Ok(answer) = tokio::time::timeout(KNOWN_HOLDER_TIMEOUT, &mut answer).await {
                 return Some(answer);
             }
             let now = self.shared.clock.now();
@@ -294,7 +294,11 @@
             let is_known = self.req.weights.as_ref().is_some_and(|weights| {
                 weights.adapter.is_none() || dispatch.holders_of(weights).next().is_some()
             });
-            let silence = if is_known { SUSPECT_AFTER } else { GONE_AFTER };
+            let silence = if is_known {
+                KNOWN_HOLDER_TIMEOUT
+            } else {
+                GONE_AFTER
+            };
             if !dispatch.heard_within(silence, now) {
                 return None;
             }
