--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -45,7 +45,7 @@
 /// The same if no target is known to hold the adapter: the placer has missed two of its reports,
 /// which it sends every 0.4 s, and it is better to refuse the request than to hold it until its
 /// wait ends.
-const GONE_AFTER: Duration = Duration::from_millis(850);
+const NO_HOLDER_TIMEOUT: Duration = Duration::from_millis(850);
 /// Time since a target's last response within which the target is assumed to be reachable, and
 /// pooled connections to it usable. A request sent on a pooled connection to a target that has lost
 /// power is lost if it may not run twice; a new connection would fail before anything is sent.
@@ -297,7 +297,7 @@
             let silence = if is_known {
                 KNOWN_HOLDER_TIMEOUT
             } else {
-                GONE_AFTER
+                NO_HOLDER_TIMEOUT
             };
             if !dispatch.heard_within(silence, now) {
                 return None;
