--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -49,7 +49,7 @@
 /// Time since a target's last response within which the target is assumed to be reachable, and
 /// pooled connections to it usable. A request sent on a pooled connection to a target that has lost
 /// power is lost if it may not run twice; a new connection would fail before anything is sent.
-const SURELY_THERE: Duration = Duration::from_millis(250);
+const REACHABLE_WINDOW: Duration = Duration::from_millis(250);
 
 /// The target to which a request is sent.
 #[derive(Debug)]
@@ -173,7 +173,7 @@
                     "newest_known_for_ms" =>
                         newest.map(|(_, known_for)| known_for.as_millis() as u64));
                 let reuse =
-                    self.req.route.repeat.is_allowed() || since_last_response < SURELY_THERE;
+                    self.req.route.repeat.is_allowed() || since_last_response < REACHABLE_WINDOW;
                 Ok(SelectedTarget {
                     target,
                     address,
