--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -87,7 +87,7 @@
         let mut placer_answers = true;
         loop {
             if let Some(weights) = self.req.weights.clone()
-                && self.is_guided()
+                && self.uses_placer()
             {
                 match self.ask_placer(weights).await? {
                     PlacerAnswer::At(chosen) => return Ok(chosen),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn is_guided(&self) -> bool {
+    fn uses_placer(&self) -> bool {
         let now = self.shared.clock.now();
         self.shared.placer.load().is_some() && self.shared.dispatch().is_guided(now)
     }
