--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -143,11 +143,11 @@
             avoid: &self.avoid,
         };
         let choice = self.shared.dispatch().choose(&ask, rand::random, now);
-        self.take(choice)
+        self.accept_choice(choice)
     }
 
     /// Turns a choice into a target, and logs it.
-    fn take(&self, choice: Choice) -> Result<SelectedTarget, WaitReason> {
+    fn accept_choice(&self, choice: Choice) -> Result<SelectedTarget, WaitReason> {
         match choice {
             Choice::Wait(wait) => Err(wait),
             Choice::Send {
@@ -350,7 +350,7 @@
         let now = self.shared.clock.now();
         let weights = self.req.weights.as_ref();
         let choice = self.shared.dispatch().choose_named(&target, weights, now);
-        match self.take(choice) {
+        match self.accept_choice(choice) {
             Ok(chosen) => PlacerAnswer::At(SelectedTarget {
                 grant: Some(grant),
                 ..chosen
