--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -234,7 +234,7 @@
             .shared
             .mesh
             .request(&placer, message, max_wait + ANSWER_MARGIN);
-        match self.unless_silent(answer).await {
+        match self.until_unresponsive(answer).await {
             Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
                 self.heard();
@@ -283,7 +283,7 @@
 
     /// Waits for the placer's answer. Returns `None` if the placer has not responded for too long;
     /// the limit is shorter if a target is known to hold the adapter.
-    async fn unless_silent<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
+    async fn until_unresponsive<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
             if let Ok(answer) = tokio::time::timeout(KNOWN_HOLDER_TIMEOUT, &mut answer).await {
