--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -237,13 +237,13 @@
         match self.until_unresponsive(answer).await {
             Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
-                self.heard();
+                self.record_placer_response();
                 self.report_placement("placed", Some(&target));
                 self.note_holder(&target, version);
                 Ok(self.at_target(target, grant))
             }
             Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
-                self.heard();
+                self.record_placer_response();
                 self.report_placement("no room", None);
                 Err(Refusal::retry_after(Reason::NotPlaced, retry_in))
             }
@@ -276,7 +276,7 @@
         });
     }
 
-    fn heard(&self) {
+    fn record_placer_response(&self) {
         let now = self.shared.clock.now();
         self.shared.dispatch().placer_heard(now);
     }
