--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -239,7 +239,7 @@
                 let grant = Grant::new(self.shared, number);
                 self.record_placer_response();
                 self.report_placement("placed", Some(&target));
-                self.note_holder(&target, version);
+                self.record_holding(&target, version);
                 Ok(self.at_target(target, grant))
             }
             Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
@@ -262,7 +262,7 @@
     }
 
     /// Records that a target holds the weights that this request names.
-    fn note_holder(&self, target: &TargetName, version: Option<u64>) {
+    fn record_holding(&self, target: &TargetName, version: Option<u64>) {
         let (Some(weights), Some(version)) = (&self.req.weights, version) else {
             return;
         };
