--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -240,7 +240,7 @@
                 self.record_placer_response();
                 self.report_placement("placed", Some(&target));
                 self.record_holding(&target, version);
-                Ok(self.at_target(target, grant))
+                Ok(self.use_placement(target, grant))
             }
             Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
                 self.record_placer_response();
@@ -346,7 +346,7 @@
     }
 
     /// Sends to the target that the placer chose, unless it accepts nothing from this instance.
-    fn at_target(&self, target: TargetName, grant: Grant) -> PlacerAnswer {
+    fn use_placement(&self, target: TargetName, grant: Grant) -> PlacerAnswer {
         let now = self.shared.clock.now();
         let weights = self.req.weights.as_ref();
         let choice = self.shared.dispatch().choose_named(&target, weights, now);
