--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -356,7 +356,7 @@
                 ..chosen
             }),
             Err(_) => {
-                self.remind_of_leaving(&target);
+                self.report_chosen_target_leaving(&target);
                 PlacerAnswer::Closed(target)
             }
         }
@@ -364,7 +364,7 @@
 
     /// Reports to the placer that the target it has chosen is leaving; an earlier report may have
     /// gone to another placer.
-    fn remind_of_leaving(&self, target: &TargetName) {
+    fn report_chosen_target_leaving(&self, target: &TargetName) {
         let dispatch = self.shared.dispatch();
         let known = dispatch.target(target).filter(|it| it.leaving.is_some());
         let started = known.map(|it| it.started);
