--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -22,7 +22,7 @@
 
 /// Interval at which a stream records that its target responds: short enough for other requests to
 /// use pooled connections to the target, and for a small part of the stream's pieces only.
-const HEARD_EVERY: Duration = Duration::from_millis(100);
+const RESPONSE_RECORD_INTERVAL: Duration = Duration::from_millis(100);
 
 type Resuming = Pin<Box<dyn Future<Output = (Result<AcceptedAnswer, Refusal>, u32)> + Send>>;
 
@@ -155,7 +155,7 @@
         }
         self.in_flight.record_begin(&self.req);
         self.last_piece = now;
-        if now.since(self.heard_told) >= HEARD_EVERY {
+        if now.since(self.heard_told) >= RESPONSE_RECORD_INTERVAL {
             self.heard_told = now;
             self.shared
                 .dispatch()
