--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -41,7 +41,7 @@
     first_byte: Moment,
     last_piece: Moment,
     /// When a response of the target was last recorded.
-    heard_told: Moment,
+    response_recorded_at: Moment,
     longest_pause: Duration,
     bytes: u64,
     resumed: u32,
@@ -77,7 +77,7 @@
             status: answered.head.status.as_u16(),
             first_byte: now,
             last_piece: now,
-            heard_told: now,
+            response_recorded_at: now,
             longest_pause: Duration::ZERO,
             bytes: 0,
             resumed: 0,
@@ -155,8 +155,8 @@
         }
         self.in_flight.record_begin(&self.req);
         self.last_piece = now;
-        if now.since(self.heard_told) >= RESPONSE_RECORD_INTERVAL {
-            self.heard_told = now;
+        if now.since(self.response_recorded_at) >= RESPONSE_RECORD_INTERVAL {
+            self.response_recorded_at = now;
             self.shared
                 .dispatch()
                 .response_received(&self.in_flight.target, now);
