--- a/crates/chervilshunt_gateway/src/traffic/body.rs
+++ b/crates/chervilshunt_gateway/src/traffic/body.rs
@@ -14,7 +14,7 @@
 /// caller can't mistake the partial answer for a complete one.
 #[derive(Debug, Snafu)]
 #[snafu(display("{reason}"))]
-pub(crate) struct CutShort {
+pub(crate) struct TruncatedAnswer {
     pub(crate) reason: &'static str,
 }
 
@@ -29,12 +29,12 @@
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = CutShort;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match self.get_mut() {
             Self::Own(body) => Pin::new(body)
                 .poll_frame(cx)
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -100,7 +100,7 @@
     pub(crate) fn poll_piece(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         if self.outcome.is_some() {
             return Poll::Ready(None);
         }
@@ -210,9 +210,9 @@
         (!rest.is_empty()).then(|| Frame::data(rest))
     }
 
-    fn cut<T>(&mut self, reason: &'static str) -> Result<T, CutShort> {
+    fn cut<T>(&mut self, reason: &'static str) -> Result<T, TruncatedAnswer> {
         self.outcome = Some(reason);
-        Err(CutShort { reason })
+        Err(TruncatedAnswer { reason })
     }
 
     /// Starts to look for a target that continues the stream, if that is allowed.
@@ -236,7 +236,7 @@
         true
     }
 
-    fn poll_resuming(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CutShort>> {
+    fn poll_resuming(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), TruncatedAnswer>> {
         let Some(resuming) = &mut self.resuming else {
             return Poll::Ready(Ok(()));
         };
