--- a/crates/chervilshunt_gateway/src/traffic/events.rs
+++ b/crates/chervilshunt_gateway/src/traffic/events.rs
@@ -9,12 +9,12 @@
 /// A target may stop in the middle of an event. If the partial event were passed on, it would be
 /// joined with the first event of the target that continues the stream.
 #[derive(Debug, Default)]
-pub(crate) struct WholeEvents {
+pub(crate) struct EventBuffer {
     pending: BytesMut,
     last_id: Option<Arc<str>>,
 }
 
-impl WholeEvents {
+impl EventBuffer {
     /// Adds received data and returns the events that are now complete; `None` if there are none.
     pub(crate) fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(data);
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -15,7 +15,7 @@
 
 use super::attempt::{AcceptedAnswer, InFlight, RequestAttempts};
 use super::body::CutShort;
-use super::events::WholeEvents;
+use super::events::EventBuffer;
 use super::refusal::Refusal;
 use super::request::CallerRequest;
 use crate::shared::Shared;
@@ -34,7 +34,7 @@
     in_flight: InFlight,
     runs: u32,
     /// Splits the stream into complete events, if another target may continue it.
-    events: Option<WholeEvents>,
+    events: Option<EventBuffer>,
     resuming: Option<Resuming>,
     deadline: Pin<Box<Sleep>>,
     status: u16,
@@ -71,7 +71,7 @@
             body: answered.body,
             in_flight: answered.in_flight,
             runs,
-            events: resumable.then(WholeEvents::default),
+            events: resumable.then(EventBuffer::default),
             resuming: None,
             deadline: Box::pin(tokio::time::sleep(req.left(now))),
             status: answered.head.status.as_u16(),
@@ -206,7 +206,7 @@
             .response_received(&self.in_flight.target, now);
         self.in_flight.record_begin(&self.req);
         self.outcome = Some("served");
-        let rest = self.events.as_mut().map(WholeEvents::rest)?;
+        let rest = self.events.as_mut().map(EventBuffer::rest)?;
         (!rest.is_empty()).then(|| Frame::data(rest))
     }
 
