--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -55,7 +55,7 @@
     let req = Arc::new(req);
     shared.budgets().of(&req.service).record_request(arrived);
     let mut run = RequestAttempts::new(shared, &req);
-    let waiting = Waiting(Some(&req), shared);
+    let waiting = PendingRequest(Some(&req), shared);
     let result = run.answer().await;
     waiting.over();
     let answered = result?;
@@ -65,15 +65,15 @@
 
 /// A request without an answer yet. If its caller disconnects, it is dropped, and the drop is
 /// logged.
-struct Waiting<'a>(Option<&'a CallerRequest>, &'a Shared);
+struct PendingRequest<'a>(Option<&'a CallerRequest>, &'a Shared);
 
-impl Waiting<'_> {
+impl PendingRequest<'_> {
     fn over(mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         let Self(Some(req), shared) = self else {
             return;
