--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -57,7 +57,7 @@
     let mut run = RequestAttempts::new(shared, &req);
     let waiting = PendingRequest(Some(&req), shared);
     let result = run.answer().await;
-    waiting.over();
+    waiting.finish();
     let answered = result?;
     let runs = run.runs();
     Ok(relayed(shared, &req, answered, runs))
@@ -68,7 +68,7 @@
 struct PendingRequest<'a>(Option<&'a CallerRequest>, &'a Shared);
 
 impl PendingRequest<'_> {
-    fn over(mut self) {
+    fn finish(mut self) {
         self.0 = None;
     }
 }
