--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -214,7 +214,7 @@
 
     /// Sends the request until a target answers it or it has to be given up.
     pub(crate) async fn answer(&mut self) -> Result<AcceptedAnswer, Refusal> {
-        let left = self.req.left(self.shared.clock.now());
+        let left = self.req.time_left(self.shared.clock.now());
         match tokio::time::timeout(left, self.send_until_answered()).await {
             Ok(result) => result,
             Err(_) if self.runs > 0 => Err(Refusal::new(Reason::Unanswered)),
@@ -298,7 +298,7 @@
     async fn send(&mut self, chosen: &mut SelectedTarget) -> AttemptOutcome {
         let in_flight = InFlight::begin(self.shared, chosen, self.req);
         let client = self.shared.engines.client(chosen.address);
-        let left = self.req.left(self.shared.clock.now());
+        let left = self.req.time_left(self.shared.clock.now());
         let repeat = self.req.route.repeat.is_allowed();
         let max_wait = self.req.route.objective.mul_f64(HEAD_TIMEOUT_FACTOR);
         let head = if repeat { left.min(max_wait) } else { left };
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -213,7 +213,7 @@
         };
         let now = self.shared.clock.now();
         let max_wait = self.req.route.objective.mul_f64(PLACEMENT_WAIT_FACTOR);
-        let max_wait = max_wait.min(self.req.left(now));
+        let max_wait = max_wait.min(self.req.time_left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
             let mut avoid = dispatch.doubtful(&self.req.service, now);
@@ -313,7 +313,7 @@
     fn not_placed(&self) -> Refusal {
         let now = self.shared.clock.now();
         let back = self.shared.placer_return().map(|at| now.until(at));
-        let longest = self.req.left(now) / RETRY_TIME_DIVISOR;
+        let longest = self.req.time_left(now) / RETRY_TIME_DIVISOR;
         let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY_DELAY);
         Refusal::retry_between(
             Reason::NotPlaced,
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -73,7 +73,7 @@
             runs,
             events: resumable.then(EventBuffer::default),
             resuming: None,
-            deadline: Box::pin(tokio::time::sleep(req.left(now))),
+            deadline: Box::pin(tokio::time::sleep(req.time_left(now))),
             status: answered.head.status.as_u16(),
             first_byte: now,
             last_piece: now,
