--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -67,7 +67,7 @@
     /// The number of tokens that a request reads and generates.
     pub size: HeaderName,
     /// The priority of a request among those at a target.
-    pub urgency: HeaderName,
+    pub priority: HeaderName,
     /// The version that the weights must have.
     pub expected_version: HeaderName,
     /// The last event of a stream that the reader has received.
