--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -341,7 +341,7 @@
             let read = StoreRead::List(self.kind, after, self.freshness);
             let answer = self.reader.read(&read).await?;
             self.take_era(answer.era)?;
-            let page = (self.dialect.read_page)(self.kind, answer.era, &answer.body);
+            let page = (self.dialect.decode_page)(self.kind, answer.era, &answer.body);
             let page = page.map_err(FollowError::Unreadable)?;
             self.report_malformed(&page.malformed);
             entries.extend(page.entries);
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -201,7 +201,7 @@
     /// Reads the era of the service from the headers of any of its answers.
     pub era: fn(&HeaderMap) -> u64,
     /// Decodes a page from an answer given in an era.
-    pub read_page: fn(Kind, u64, &[u8]) -> Result<Page, Malformed>,
+    pub decode_page: fn(Kind, u64, &[u8]) -> Result<Page, Malformed>,
     /// Decodes changes from an answer given in an era.
     pub read_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
     /// Decodes the lease from the answer to a read or write of it.
