--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -383,7 +383,7 @@
             // The service has a different history after this revision now.
             return Err(FollowError::Restored);
         }
-        let changes = (self.dialect.read_changes)(self.kind, answer.era, &answer.body);
+        let changes = (self.dialect.decode_changes)(self.kind, answer.era, &answer.body);
         let changes: Changes = changes.map_err(FollowError::Unreadable)?;
         self.report_malformed(&changes.malformed);
         let revision = changes.revision;
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -203,7 +203,7 @@
     /// Decodes a page from an answer given in an era.
     pub decode_page: fn(Kind, u64, &[u8]) -> Result<Page, Malformed>,
     /// Decodes changes from an answer given in an era.
-    pub read_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
+    pub decode_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
     /// Decodes the lease from the answer to a read or write of it.
     pub read_seen_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
     /// Decodes a crash record from the answer to a write of it.
