--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -161,7 +161,7 @@
     ) -> LeaseWriteOutcome {
         let call = (self.dialect.write_lease)(record, version);
         match call_once(&self.exchange, &self.dialect, &call, within).await {
-            Ok(answer) => match (self.dialect.read_seen_lease)(answer.era, &answer.body) {
+            Ok(answer) => match (self.dialect.decode_lease)(answer.era, &answer.body) {
                 Ok(seen) => LeaseWriteOutcome::Done(seen.version),
                 Err(malformed) => {
                     self.report_malformed(&malformed);
@@ -178,7 +178,7 @@
     async fn read(&self, within: Duration) -> LeaseAnswer {
         let call = (self.dialect.read_lease)();
         match call_once(&self.exchange, &self.dialect, &call, within).await {
-            Ok(answer) => match (self.dialect.read_seen_lease)(answer.era, &answer.body) {
+            Ok(answer) => match (self.dialect.decode_lease)(answer.era, &answer.body) {
                 Ok(seen) => LeaseAnswer::Read(Some(seen)),
                 Err(malformed) => {
                     self.report_malformed(&malformed);
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -205,7 +205,7 @@
     /// Decodes changes from an answer given in an era.
     pub decode_changes: fn(Kind, u64, &[u8]) -> Result<Changes, Malformed>,
     /// Decodes the lease from the answer to a read or write of it.
-    pub read_seen_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
+    pub decode_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
     /// Decodes a crash record from the answer to a write of it.
     pub read_written_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
     /// Decodes the name of a crash record.
