--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -142,7 +142,7 @@
 
     fn written(&self, crashes: StoredCrashes, answer: &StoreAnswer) {
         let now = self.shared.clock.now();
-        match (self.shared.dialect.store.read_written_crashes)(answer.era, &answer.body) {
+        match (self.shared.dialect.store.decode_crashes)(answer.era, &answer.body) {
             Ok(stored) => {
                 self.shared.quarantine().merge_stored(stored, now);
             }
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -207,7 +207,7 @@
     /// Decodes the lease from the answer to a read or write of it.
     pub decode_lease: fn(u64, &[u8]) -> Result<VersionedLeaseRecord, Malformed>,
     /// Decodes a crash record from the answer to a write of it.
-    pub read_written_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
+    pub decode_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
     /// Decodes the name of a crash record.
     pub read_crashes_name: fn(&str) -> Result<Fingerprint, Malformed>,
 }
