--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -29,7 +29,7 @@
 
     /// Returns the requests that records are about, taken from the records' names.
     pub(super) fn record_fingerprints(&self, names: &[Arc<str>]) -> Vec<Fingerprint> {
-        let read = self.shared.dialect.store.read_crashes_name;
+        let read = self.shared.dialect.store.decode_crashes_name;
         // A record under another name was not written by this system and identifies no request.
         names.iter().filter_map(|name| read(name).ok()).collect()
     }
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -209,7 +209,7 @@
     /// Decodes a crash record from the answer to a write of it.
     pub decode_crashes: fn(u64, &[u8]) -> Result<StoredCrashes, Malformed>,
     /// Decodes the name of a crash record.
-    pub read_crashes_name: fn(&str) -> Result<Fingerprint, Malformed>,
+    pub decode_crashes_name: fn(&str) -> Result<Fingerprint, Malformed>,
 }
 
 /// Encodes calls to targets other than callers' requests, and decodes what targets answer.
