--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -121,7 +121,7 @@
             return;
         };
         let req = (self.shared.dialect.targets.order)(&order, self.me(), term);
-        let read = self.shared.dialect.targets.read_order_answer;
+        let read = self.shared.dialect.targets.decode_order_answer;
         let client = self.shared.engines.client(address);
         let shared = Arc::clone(&self.shared);
         let log = self.shared.log.clone();
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -218,7 +218,7 @@
     /// Makes the request for an order, with the lease holder and its fencing token.
     pub order: fn(&Order, &InstanceId, u64) -> Request<Full<Bytes>>,
     /// Decodes the answer to an order that was meant for the given target.
-    pub read_order_answer: fn(StatusCode, &HeaderMap, &TargetName) -> OrderAnswer,
+    pub decode_order_answer: fn(StatusCode, &HeaderMap, &TargetName) -> OrderAnswer,
     /// Makes the request for a target's report of what it holds.
     pub ask: fn(&TargetName) -> Request<Full<Bytes>>,
     /// Decodes a target's report of what it holds.
