--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -279,7 +279,7 @@
     shared.check_leaving(target, started, &head.headers);
     let body = body.read_whole(MAX_REPORT_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
-    (dialect.read_report)(&body).map_err(|error| error.to_string())
+    (dialect.decode_report)(&body).map_err(|error| error.to_string())
 }
 
 /// Returns the result of an order that got no answer.
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -222,7 +222,7 @@
     /// Makes the request for a target's report of what it holds.
     pub ask: fn(&TargetName) -> Request<Full<Bytes>>,
     /// Decodes a target's report of what it holds.
-    pub read_report: fn(&[u8]) -> Result<TargetReport, Malformed>,
+    pub decode_report: fn(&[u8]) -> Result<TargetReport, Malformed>,
     /// Decodes the weights that a request names.
     pub weights: fn(&str) -> Weights,
     /// Decodes the size of a request.
