--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -271,7 +271,7 @@
         (facts.address, facts.started)
     };
     let client = shared.engines.client(address);
-    let answer = client.forward((dialect.ask)(target), true, ORDER_LIMITS);
+    let answer = client.forward((dialect.report_query)(target), true, ORDER_LIMITS);
     let (head, body) = answer.await.map_err(|error| error.to_string())?;
     if !head.status.is_success() {
         return Err(format!("target answered with status {}", head.status));
--- a/crates/chervilshunt_gateway/src/dialect.rs
+++ b/crates/chervilshunt_gateway/src/dialect.rs
@@ -220,7 +220,7 @@
     /// Decodes the answer to an order that was meant for the given target.
     pub decode_order_answer: fn(StatusCode, &HeaderMap, &TargetName) -> OrderAnswer,
     /// Makes the request for a target's report of what it holds.
-    pub ask: fn(&TargetName) -> Request<Full<Bytes>>,
+    pub report_query: fn(&TargetName) -> Request<Full<Bytes>>,
     /// Decodes a target's report of what it holds.
     pub decode_report: fn(&[u8]) -> Result<TargetReport, Malformed>,
     /// Decodes the weights that a request names.
