--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -78,7 +78,7 @@
     /// Returns the largest share of a processor core among the other instances.
     pub(super) fn largest_share(&self) -> f32 {
         let shares = self
-            .heard
+            .instances
             .values()
             .map(|(status, _)| status.processor_share);
         shares.fold(0.0, f32::max)
