--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -14,7 +14,7 @@
 use tokio::time::Sleep;
 
 use super::attempt::{AcceptedAnswer, InFlight, RequestAttempts};
-use super::body::CutShort;
+use super::body::TruncatedAnswer;
 use super::events::EventBuffer;
 use super::refusal::Refusal;
 use super::request::CallerRequest;
