--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -136,13 +136,13 @@
         let feed = self.kinds.entry(kind).or_default();
         let (after, up_to) = (feed.broadcast_up_to, feed.changed_at);
         feed.broadcast_up_to = up_to;
-        let told = match &what {
+        let entry_count = match &what {
             KindChanges::Targets(seen, gone) => seen.len() + gone.len(),
             KindChanges::Versions(named) => named.len(),
             KindChanges::Configuration => 1,
             KindChanges::Crashes(recorded, released) => recorded.len() + released.len(),
         };
-        let is_broadcast = up_to > after && (1..=MAX_BROADCAST_ENTRIES).contains(&told);
+        let is_broadcast = up_to > after && (1..=MAX_BROADCAST_ENTRIES).contains(&entry_count);
         is_broadcast.then_some(ChangeBatch { after, up_to, what })
     }
 
