--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -188,13 +188,13 @@
     pub(super) fn apply_view(&mut self, view: PlatformView, now: Moment) {
         self.note_era(view.targets.era);
         let as_of = now - view.age;
-        let told = [
+        let revisions = [
             (Kind::Targets, Some(view.targets)),
             (Kind::Configuration, view.configuration),
             (Kind::Versions, view.versions),
             (Kind::Crashes, view.crashes),
         ];
-        for (kind, revision) in told {
+        for (kind, revision) in revisions {
             if let Some(revision) = revision {
                 self.follow_modes.guide(kind).notified(revision, as_of);
             }
