--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -251,8 +251,8 @@
         if self.kind == Kind::Lease {
             return;
         }
-        let told = tokio::time::timeout(FIRST_REPORT_WAIT, self.mode.changed());
-        if let Ok(Err(closed)) = told.await {
+        let report = tokio::time::timeout(FIRST_REPORT_WAIT, self.mode.changed());
+        if let Ok(Err(closed)) = report.await {
             slog::debug!(self.log, "control actor has stopped"; "reason" => closed.to_string());
         }
     }
