--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -236,9 +236,9 @@
     /// Waits until this follower may make its next call. Returns its mode and whether it was
     /// paused.
     async fn next_turn(&mut self) -> (FollowMode, bool) {
-        let rests = |mode: &FollowMode| *mode == FollowMode::Guided(PollMode::Paused);
-        let rested = rests(&self.mode.borrow());
-        match self.mode.wait_for(|mode| !rests(mode)).await {
+        let is_paused = |mode: &FollowMode| *mode == FollowMode::Guided(PollMode::Paused);
+        let rested = is_paused(&self.mode.borrow());
+        match self.mode.wait_for(|mode| !is_paused(mode)).await {
             Ok(mode) => (*mode, rested),
             // The control actor has ended, and this runtime ends with it.
             Err(_) => (FollowMode::Guided(PollMode::Continuous), rested),
