--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -188,9 +188,9 @@
         let mut pause = INITIAL_BACKOFF;
         let mut has_called = false;
         loop {
-            let (mode, rested) = self.next_turn().await;
+            let (mode, was_paused) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
-            if is_of_another_era || (rested && called_at.elapsed() > RELIST_AFTER) {
+            if is_of_another_era || (was_paused && called_at.elapsed() > RELIST_AFTER) {
                 from = None;
             }
             called_at = Instant::now();
@@ -237,11 +237,11 @@
     /// paused.
     async fn next_turn(&mut self) -> (FollowMode, bool) {
         let is_paused = |mode: &FollowMode| *mode == FollowMode::Guided(PollMode::Paused);
-        let rested = is_paused(&self.mode.borrow());
+        let was_paused = is_paused(&self.mode.borrow());
         match self.mode.wait_for(|mode| !is_paused(mode)).await {
-            Ok(mode) => (*mode, rested),
+            Ok(mode) => (*mode, was_paused),
             // The control actor has ended, and this runtime ends with it.
-            Err(_) => (FollowMode::Guided(PollMode::Continuous), rested),
+            Err(_) => (FollowMode::Guided(PollMode::Continuous), was_paused),
         }
     }
 
