--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -71,7 +71,7 @@
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
     /// Load estimates of this or an earlier placer, passed on to the next one.
-    pub(super) learnt: Option<Learnt>,
+    pub(super) estimates: Option<Learnt>,
     /// Instances that may read the platform's objects on behalf of this one while it is the placer.
     pub(super) relays: watch::Sender<Vec<Peer>>,
     /// Changes seen at the platform, which the placer broadcasts.
@@ -122,7 +122,7 @@
             follow_modes,
             reaches_platform: false,
             overload: Overload::default(),
-            learnt: None,
+            estimates: None,
             relays: watch::Sender::default(),
             feed: ChangeFeed::default(),
             versions: HashMap::new(),
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -48,11 +48,11 @@
     /// Becomes the placer: passes everything that is known to a new planner.
     pub(super) fn become_placer(&mut self, term: u64, now: Moment) {
         slog::info!(self.shared.log, "placing started"; "term" => term,
-            "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
+            "loads_at_once" => self.estimates.map(|it| it.loads_at_once));
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
         let mut residency = Residency::new(ResidencyConfig::default(), now);
-        if let Some(learnt) = self.learnt {
-            residency.begin_with(learnt);
+        if let Some(estimates) = self.estimates {
+            residency.begin_with(estimates);
         }
         self.placer = Some(Placer {
             residency,
@@ -200,7 +200,7 @@
         let placer = self.placer.as_ref()?;
         Some(PeerMessage::PlacerStatus {
             knows_targets: placer.residency.knows_targets(),
-            learnt: placer.residency.learnt().or(self.learnt),
+            estimates: placer.residency.learnt().or(self.estimates),
             instances: placer.presence.count(),
             platform: self.feed.view(now),
             lease: self.keeper.held(),
@@ -224,7 +224,7 @@
     pub(super) fn apply_own_status(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
-            self.learnt = placer.residency.learnt().or(self.learnt);
+            self.estimates = placer.residency.learnt().or(self.estimates);
             self.apply_status(knows_targets, placer.presence.count());
         }
     }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -86,12 +86,12 @@
             PeerMessage::Snapshots(snapshots) => self.handle_snapshots(&from, snapshots),
             PeerMessage::PlacerStatus {
                 knows_targets,
-                learnt,
+                estimates,
                 instances,
                 platform,
                 lease,
             } if self.is_placer(&from) => {
-                self.learnt = learnt.or(self.learnt);
+                self.estimates = estimates.or(self.estimates);
                 self.handle_holder_report(lease, platform);
                 self.apply_status(knows_targets, instances);
             }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -67,7 +67,7 @@
         knows_targets: bool,
         /// Its load estimates, for the next placer.
         #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-        learnt: Option<Learnt>,
+        estimates: Option<Learnt>,
         /// Number of instances that report to the placer.
         #[serde(rename = "i")]
         instances: u32,
