--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -63,7 +63,7 @@
                 };
                 self.handle_usage_report(&from, status, (uses, grants));
             }
-            PeerMessage::Want(want, within) => {
+            PeerMessage::PlacementRequest(want, within) => {
                 // If the message waited here longer than its request waits for an answer, the load
                 // would serve nobody. A placer that is behind would start ever more useless loads
                 // and answer no request.
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -41,7 +41,7 @@
     /// To the placer: a request needs a target and waits for it for the given time. Answered by
     /// `Placed`.
     #[serde(rename = "w")]
-    Want(Want, Duration),
+    PlacementRequest(Want, Duration),
     /// From the placer: where the request may be sent, and the number of its grant.
     #[serde(rename = "p")]
     Placed(Placed, GrantNumber),
@@ -237,7 +237,7 @@
     fn purpose(&self) -> &'static str {
         match self {
             Self::UsageReport { .. } => "using",
-            Self::Want(..) => "want",
+            Self::PlacementRequest(..) => "want",
             Self::Placed(..) => "placed",
             Self::Progress(_) => "progress",
             Self::NotHeld(..) => "not_held",
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -229,7 +229,7 @@
             zone: self.shared.settings.instance.zone.clone(),
             avoid,
         };
-        let message = PeerMessage::Want(want, max_wait);
+        let message = PeerMessage::PlacementRequest(want, max_wait);
         let answer = self
             .shared
             .mesh
