--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -249,7 +249,8 @@
         let reply = self.placer.as_mut();
         let reply = reply.and_then(|placer| placer.pending_requests.remove(&question));
         if let Some(reply) = reply
-            && let Err(error) = reply.send(PeerMessage::Placed(placed, GrantNumber(question)))
+            && let Err(error) =
+                reply.send(PeerMessage::PlacementAnswer(placed, GrantNumber(question)))
         {
             slog::debug!(self.shared.log, "requester is gone"; "reason" => error.to_string());
         }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -101,7 +101,7 @@
             // The sender is no longer the placer, or is not known as the placer yet.
             PeerMessage::PlacerStatus { .. }
             | PeerMessage::Changed(_)
-            | PeerMessage::Placed(..)
+            | PeerMessage::PlacementAnswer(..)
             | PeerMessage::LeaseCallResult(_)
             | PeerMessage::ReadResult(..) => {}
         }
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -44,7 +44,7 @@
     PlacementRequest(Want, Duration),
     /// From the placer: where the request may be sent, and the number of its grant.
     #[serde(rename = "p")]
-    Placed(Placed, GrantNumber),
+    PlacementAnswer(Placed, GrantNumber),
     /// To the placer: the progress of the sender's grants.
     #[serde(rename = "g")]
     Progress(GrantProgress),
@@ -238,7 +238,7 @@
         match self {
             Self::UsageReport { .. } => "using",
             Self::PlacementRequest(..) => "want",
-            Self::Placed(..) => "placed",
+            Self::PlacementAnswer(..) => "placed",
             Self::Progress(_) => "progress",
             Self::NotHeld(..) => "not_held",
             Self::Leaving(..) => "leaving",
--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -235,14 +235,14 @@
             .mesh
             .request(&placer, message, max_wait + ANSWER_MARGIN);
         match self.until_unresponsive(answer).await {
-            Some(Ok(PeerMessage::Placed(Placed::At { target, version }, number))) => {
+            Some(Ok(PeerMessage::PlacementAnswer(Placed::At { target, version }, number))) => {
                 let grant = Grant::new(self.shared, number);
                 self.record_placer_response();
                 self.report_placement("placed", Some(&target));
                 self.record_holding(&target, version);
                 Ok(self.use_placement(target, grant))
             }
-            Some(Ok(PeerMessage::Placed(Placed::Later { retry_in }, _))) => {
+            Some(Ok(PeerMessage::PlacementAnswer(Placed::Later { retry_in }, _))) => {
                 self.record_placer_response();
                 self.report_placement("no room", None);
                 Err(Refusal::retry_after(Reason::NotPlaced, retry_in))
