--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -232,7 +232,7 @@
     /// Handles a placement request.
     pub(super) fn handle_placement_request(
         &mut self,
-        wanted: impl FnOnce(u64) -> ResidencyEvent,
+        event: impl FnOnce(u64) -> ResidencyEvent,
         reply: Option<Reply<PeerMessage>>,
     ) {
         let (Some(placer), Some(reply)) = (&mut self.placer, reply) else {
@@ -242,7 +242,7 @@
         let question = placer.next_request;
         placer.next_request += 1;
         placer.pending_requests.insert(question, reply);
-        self.plan(wanted(question));
+        self.plan(event(question));
     }
 
     fn answer(&mut self, question: u64, placed: Placed) {
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -70,13 +70,13 @@
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
                     return slog::info!(self.shared.log, "placement request arrived too late"; "peer" => from.as_str());
                 };
-                let wanted = |question| ResidencyEvent::Wanted {
+                let event = |question| ResidencyEvent::Wanted {
                     question,
                     from,
                     want,
                     within,
                 };
-                self.handle_placement_request(wanted, reply);
+                self.handle_placement_request(event, reply);
             }
             PeerMessage::Progress(progress) => self.plan(ResidencyEvent::Progressed(progress)),
             PeerMessage::NotHeld(target, weights) => {
