--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -189,8 +189,8 @@
     /// logged, so that it can be compared with what the target did at that time.
     fn record_pause(&mut self, now: Moment) {
         let pause = now.since(self.last_piece);
-        let wanted = self.req.route.longest_pause;
-        if wanted.is_some_and(|wanted| pause > wanted && self.longest_pause <= wanted) {
+        let max_pause = self.req.route.longest_pause;
+        if max_pause.is_some_and(|max_pause| pause > max_pause && self.longest_pause <= max_pause) {
             self.shared.grants.record_pause();
             slog::info!(self.shared.log, "long pause in answer";
                 "request" => &*self.req.id, "target" => self.in_flight.target.as_str(),
