--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -294,12 +294,12 @@
             let is_known = self.req.weights.as_ref().is_some_and(|weights| {
                 weights.adapter.is_none() || dispatch.holders_of(weights).next().is_some()
             });
-            let silence = if is_known {
+            let timeout = if is_known {
                 KNOWN_HOLDER_TIMEOUT
             } else {
                 NO_HOLDER_TIMEOUT
             };
-            if !dispatch.heard_within(silence, now) {
+            if !dispatch.heard_within(timeout, now) {
                 return None;
             }
         }
