--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -186,11 +186,11 @@
             self.send(&status.peer(from), placing);
         }
         self.plan(ResidencyEvent::Used(from.clone(), uses, grants));
-        let silent = self
+        let unreachable = self
             .placer
             .as_mut()
             .map(|it| it.presence.remove_unreachable(now));
-        for instance in silent.unwrap_or_default() {
+        for instance in unreachable.unwrap_or_default() {
             self.plan(ResidencyEvent::InstanceGone(instance));
         }
     }
--- a/crates/chervilshunt_gateway/src/control/presence.rs
+++ b/crates/chervilshunt_gateway/src/control/presence.rs
@@ -52,10 +52,10 @@
 
     /// Removes instances that have not reported in time and returns them.
     pub(super) fn remove_unreachable(&mut self, now: Moment) -> Vec<InstanceId> {
-        let silent = self
+        let unreachable = self
             .instances
             .extract_if(|_, (_, at)| now.since(*at) > REPORT_TIMEOUT);
-        silent.map(|(instance, _)| instance).collect()
+        unreachable.map(|(instance, _)| instance).collect()
     }
 
     /// Returns all known instances.
