--- a/crates/chervilshunt_gateway/src/settings.rs
+++ b/crates/chervilshunt_gateway/src/settings.rs
@@ -288,12 +288,12 @@
         let must = "not be negative";
         ensure!(value >= 0.0, OutOfBoundsSnafu { file, key, must });
     }
-    let rest = raw
+    let gap = raw
         .lease_rest_ms
         .map_or(DEFAULT_HANDOVER_GAP, Duration::from_millis);
     Ok(Bounds {
         shutdown: seconds("bounds.shutdown_s", raw.shutdown_s, DEFAULT_SHUTDOWN)?,
-        handover_gap: rest + MAX_ORDER_TRANSIT,
+        handover_gap: gap + MAX_ORDER_TRANSIT,
         retries: WindowBudgetConfig {
             window: seconds("bounds.retry_window_s", raw.retry_window_s, defaults.window)?,
             ratio,
