--- a/crates/chervilshunt_gateway/src/traffic/events.rs
+++ b/crates/chervilshunt_gateway/src/traffic/events.rs
@@ -27,7 +27,7 @@
     }
 
     /// Returns the remaining data when the stream has ended normally.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    pub(crate) fn take_remaining(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -206,7 +206,7 @@
             .response_received(&self.in_flight.target, now);
         self.in_flight.record_begin(&self.req);
         self.outcome = Some("served");
-        let rest = self.events.as_mut().map(EventBuffer::rest)?;
+        let rest = self.events.as_mut().map(EventBuffer::take_remaining)?;
         (!rest.is_empty()).then(|| Frame::data(rest))
     }
 
