--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn changes_are_told_once_with_the_revisions_between_which_they_lie() {
+fn changes_are_broadcast_once_with_their_revisions() {
     let mut feed = ChangeFeed::default();
     feed.target_changed(&facts("t1"), rev(5));
     assert_eq!(
