--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -62,7 +62,7 @@
 /// only the revision up to which the changes have to be known, and each instance reads them in one
 /// call.
 #[test]
-fn where_very_many_change_at_once_everybody_looks() {
+fn very_many_changes_are_not_broadcast() {
     let mut feed = ChangeFeed::default();
     feed.record_answer(Kind::Targets, at(0));
     for number in 0..=MAX_BROADCAST_ENTRIES as u64 {
