--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -77,7 +77,7 @@
 /// The placer's calls about the configuration fail. If its view still had a revision for the
 /// configuration, other instances would miss changes by an operator meanwhile.
 #[test]
-fn a_kind_that_the_placer_can_not_follow_is_left_out_of_its_view() {
+fn a_kind_whose_calls_fail_is_omitted_from_the_view() {
     let mut feed = ChangeFeed::default();
     feed.record_answer(Kind::Targets, at(0));
     feed.record_answer(Kind::Configuration, at(0));
