--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -104,7 +104,7 @@
 
 /// Guards against instances that list the crash records after each call of the placer about them.
 #[test]
-fn an_answer_without_removals_is_no_change_of_the_records_of_crashes() {
+fn an_answer_without_removals_does_not_change_crash_records() {
     let mut feed = ChangeFeed::default();
     feed.record_answer(Kind::Targets, at(0));
     feed.target_changed(&facts("t1"), rev(5));
