--- a/crates/chervilshunt_gateway/src/control/overload/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/overload/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_burst_is_sat_out() {
+fn a_short_burst_is_no_overload() {
     assert!(!noted(&[(1_000, 900), (2_000, 900), (2_900, 900)]));
     assert!(!noted(&[(1_000, 900), (2_000, 100), (3_100, 900)]));
 }
