--- a/crates/chervilshunt_gateway/src/control/overload/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/overload/tests.rs
@@ -8,7 +8,7 @@
 
 /// Records delays at given times, both in milliseconds, and returns whether the last one shows
 /// overload.
-fn noted(notes: &[(u64, u64)]) -> bool {
+fn is_overloaded_after(notes: &[(u64, u64)]) -> bool {
     let mut overload = Overload::default();
     let mut lasts = false;
     for (at, late_by) in notes {
@@ -19,11 +19,23 @@
 
 #[test]
 fn a_short_burst_is_no_overload() {
-    assert!(!noted(&[(1_000, 900), (2_000, 900), (2_900, 900)]));
-    assert!(!noted(&[(1_000, 900), (2_000, 100), (3_100, 900)]));
+    assert!(!is_overloaded_after(&[
+        (1_000, 900),
+        (2_000, 900),
+        (2_900, 900)
+    ]));
+    assert!(!is_overloaded_after(&[
+        (1_000, 900),
+        (2_000, 100),
+        (3_100, 900)
+    ]));
 }
 
 #[test]
 fn a_placer_that_stays_behind_is_overloaded() {
-    assert!(noted(&[(1_000, 900), (2_000, 400), (3_000, 1_500)]));
+    assert!(is_overloaded_after(&[
+        (1_000, 900),
+        (2_000, 400),
+        (3_000, 1_500)
+    ]));
 }
