--- a/crates/chervilshunt_gateway/src/control/overload/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/overload/tests.rs
@@ -8,10 +8,10 @@
 
 /// Records delays at given times, both in milliseconds, and returns whether the last one shows
 /// overload.
-fn is_overloaded_after(notes: &[(u64, u64)]) -> bool {
+fn is_overloaded_after(delays: &[(u64, u64)]) -> bool {
     let mut overload = Overload::default();
     let mut lasts = false;
-    for (at, late_by) in notes {
+    for (at, late_by) in delays {
         lasts = overload.note(Duration::from_millis(*late_by), Moment::from_millis(*at));
     }
     lasts
