--- a/crates/chervilshunt_gateway/src/control/overload.rs
+++ b/crates/chervilshunt_gateway/src/control/overload.rs
@@ -26,7 +26,7 @@
 
 impl Overload {
     /// Records the delay of a message and returns whether the actor has been behind for too long.
-    fn note(&mut self, late_by: Duration, now: Moment) -> bool {
+    fn record_delay(&mut self, late_by: Duration, now: Moment) -> bool {
         if late_by < OVERLOAD_DELAY {
             self.behind_since = None;
             return false;
@@ -48,7 +48,7 @@
     /// loaded are refused for as long as it holds the lease.
     pub(super) fn check_overload(&mut self, late_by: Duration) {
         let now = self.now();
-        let lasts = self.overload.note(late_by, now);
+        let lasts = self.overload.record_delay(late_by, now);
         let Some(placer) = self.placer.as_ref().filter(|_| lasts) else {
             return;
         };
--- a/crates/chervilshunt_gateway/src/control/overload/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/overload/tests.rs
@@ -12,7 +12,7 @@
     let mut overload = Overload::default();
     let mut lasts = false;
     for (at, late_by) in delays {
-        lasts = overload.note(Duration::from_millis(*late_by), Moment::from_millis(*at));
+        lasts = overload.record_delay(Duration::from_millis(*late_by), Moment::from_millis(*at));
     }
     lasts
 }
