--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -20,7 +20,7 @@
 #[case::a_few_are_told_directly(9, 9, 0)]
 #[case::hundreds(195, 15, 12)]
 #[case::the_largest_fleet(369, 20, 18)]
-fn no_instance_sends_to_more_than_about_the_root_of_all(
+fn each_instance_sends_to_about_the_square_root_of_all(
     #[case] instances: u16,
     #[case] told_by_the_placer: usize,
     #[case] told_by_one_other: usize,
