--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -23,12 +23,12 @@
 fn each_instance_sends_to_about_the_square_root_of_all(
     #[case] instances: u16,
     #[case] sent_by_the_placer: usize,
-    #[case] told_by_one_other: usize,
+    #[case] sent_by_one_other: usize,
 ) {
     let groups = groups(peers(instances));
     assert_eq!(groups.len(), sent_by_the_placer);
     let passed_on = groups.iter().map(|(_, rest)| rest.len()).max();
-    assert_eq!(passed_on.unwrap_or(0), told_by_one_other);
+    assert_eq!(passed_on.unwrap_or(0), sent_by_one_other);
     let first = groups.iter().map(|(first, _)| first.instance.clone());
     let rest = groups.iter().flat_map(|(_, rest)| rest);
     let all: Vec<_> = first
