--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -17,7 +17,7 @@
 
 #[rstest]
 #[case::nobody(0, 0, 0)]
-#[case::a_few_are_told_directly(9, 9, 0)]
+#[case::a_few_are_sent_to_directly(9, 9, 0)]
 #[case::hundreds(195, 15, 12)]
 #[case::the_largest_fleet(369, 20, 18)]
 fn each_instance_sends_to_about_the_square_root_of_all(
