--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[rstest]
-#[case::nobody(0, 0, 0)]
+#[case::no_instances(0, 0, 0)]
 #[case::a_few_are_sent_to_directly(9, 9, 0)]
 #[case::hundreds(195, 15, 12)]
 #[case::the_largest_fleet(369, 20, 18)]
