--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn missing_keys_have_defaults() {
     let settings = Settings::parse(&text("", ""), "settings.jsonc").expect("sound settings");
     assert_eq!(settings.instance.processor_share, 1.0);
     assert!(settings.instance.is_first_start);
