--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_is_given_is_taken() {
+fn given_values_replace_the_defaults() {
     let instance = r#", "processor_share": 0.25, "first_start": false"#;
     let text = text(instance, r#""lease_rest_ms": 1000"#);
     let settings = Settings::parse(&text, "settings.jsonc").expect("sound settings");
