--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -40,7 +40,7 @@
 
 /// An instance on a machine with several cores has to start.
 #[test]
-fn an_instance_may_have_more_than_a_core() {
+fn a_processor_share_above_one_is_accepted() {
     let settings = Settings::parse(&text(r#", "processor_share": 2.0"#, ""), "settings.jsonc");
     assert_eq!(
         settings.expect("sound settings").instance.processor_share,
