--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -54,11 +54,7 @@
 #[case::no_time_to_stop("", r#""shutdown_s": 0"#, "bounds.shutdown_s")]
 #[case::negative_budget("", r#""retry_ratio": -0.1"#, "bounds.retry_ratio")]
 #[case::unknown_key(r#", "zones": 3"#, "", "zones")]
-fn a_mistake_is_told_with_file_and_key(
-    #[case] instance: &str,
-    #[case] bounds: &str,
-    #[case] key: &str,
-) {
+fn an_error_names_file_and_key(#[case] instance: &str, #[case] bounds: &str, #[case] key: &str) {
     let error = Settings::parse(&text(instance, bounds), "settings.jsonc").expect_err("a mistake");
     let told = error.to_string();
     assert!(
