--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -56,9 +56,9 @@
 #[case::unknown_key(r#", "zones": 3"#, "", "zones")]
 fn an_error_names_file_and_key(#[case] instance: &str, #[case] bounds: &str, #[case] key: &str) {
     let error = Settings::parse(&text(instance, bounds), "settings.jsonc").expect_err("a mistake");
-    let told = error.to_string();
+    let message = error.to_string();
     assert!(
-        told.contains("settings.jsonc") && told.contains(key),
+        message.contains("settings.jsonc") && message.contains(key),
         "{told}"
     );
 }
