--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -51,7 +51,7 @@
 #[rstest]
 #[case::no_share(r#", "processor_share": 0"#, "", "instance.processor_share")]
 #[case::negative_share(r#", "processor_share": -0.5"#, "", "instance.processor_share")]
-#[case::no_time_to_stop("", r#""shutdown_s": 0"#, "bounds.shutdown_s")]
+#[case::no_shutdown_time("", r#""shutdown_s": 0"#, "bounds.shutdown_s")]
 #[case::negative_budget("", r#""retry_ratio": -0.1"#, "bounds.retry_ratio")]
 #[case::unknown_key(r#", "zones": 3"#, "", "zones")]
 fn an_error_names_file_and_key(#[case] instance: &str, #[case] bounds: &str, #[case] key: &str) {
