--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -59,6 +59,6 @@
     let message = error.to_string();
     assert!(
         message.contains("settings.jsonc") && message.contains(key),
-        "{told}"
+        "{message}"
     );
 }
