--- a/crates/chervilshunt_gateway/src/front.rs
+++ b/crates/chervilshunt_gateway/src/front.rs
@@ -20,7 +20,7 @@
 /// Added to the configured idle time, so that a caller that uses a connection just within that time
 /// does not find it closed.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
-/// Size of the read buffer, in bytes, until a configuration limits the length of heads.
+/// Smallest size of the read buffer, in bytes; it applies until a configuration is known.
 const MIN_BUFFER: usize = 16 * 1024;
 
 /// Serves callers until connections are to be closed.
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -39,7 +39,7 @@
         grants: Vec<GrantNumber>,
     },
     /// To the placer: a request needs a target and waits for it for the given time. Answered by
-    /// `Placed`.
+    /// `PlacementAnswer`.
     #[serde(rename = "w")]
     PlacementRequest(Want, Duration),
     /// From the placer: where the request may be sent, and the number of its grant.
