--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -136,7 +136,7 @@
     }
 
     async fn read_relayed(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
-        let read = read.waiting_at_most(MAX_RELAYED_WAIT);
+        let read = read.with_max_wait(MAX_RELAYED_WAIT);
         for peer in relays {
             let message = PeerMessage::RelayRead(read.clone());
             let answer = self
--- a/crates/chervilshunt_gateway/src/peers.rs
+++ b/crates/chervilshunt_gateway/src/peers.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns the same read with an upper bound on its wait.
-    pub(crate) fn waiting_at_most(&self, longest: Duration) -> Self {
+    pub(crate) fn with_max_wait(&self, longest: Duration) -> Self {
         match self {
             Self::List(kind, after, freshness) => Self::List(*kind, after.clone(), *freshness),
             Self::Watch(kind, from, wait) => Self::Watch(*kind, *from, (*wait).min(longest)),
