--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -275,7 +275,7 @@
     }
 
     /// Handles the era of an answer.
-    fn take_era(&self, era: u64) -> Result<(), FollowError> {
+    fn check_era(&self, era: u64) -> Result<(), FollowError> {
         let mut is_outdated = false;
         self.era.send_if_modified(|known| {
             is_outdated = era < *known;
@@ -340,7 +340,7 @@
         loop {
             let read = StoreRead::List(self.kind, after, self.freshness);
             let answer = self.reader.read(&read).await?;
-            self.take_era(answer.era)?;
+            self.check_era(answer.era)?;
             let page = (self.dialect.decode_page)(self.kind, answer.era, &answer.body);
             let page = page.map_err(FollowError::Unreadable)?;
             self.report_malformed(&page.malformed);
@@ -378,7 +378,7 @@
                 return Err(FollowError::ModeChanged);
             }
         };
-        self.take_era(answer.era)?;
+        self.check_era(answer.era)?;
         if answer.era != from.era {
             // The service has a different history after this revision now.
             return Err(FollowError::Restored);
