--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -258,8 +258,8 @@
 
     async fn handle(&mut self, answer: LeaseAnswer, _cx: &mut xtra::Context<Self>) {
         match &answer {
-            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.note_era(version.era),
-            LeaseAnswer::Read(Some(seen)) => self.note_era(seen.version.era),
+            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.handle_era(version.era),
+            LeaseAnswer::Read(Some(seen)) => self.handle_era(seen.version.era),
             LeaseAnswer::Written(_) | LeaseAnswer::Read(None) | LeaseAnswer::ReadFailed => {}
         }
         let event = match answer {
--- a/crates/chervilshunt_gateway/src/control/change_feed.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed.rs
@@ -186,7 +186,7 @@
     /// and this instance polls the platform itself to find out whether it is unavailable to every
     /// instance.
     pub(super) fn apply_view(&mut self, view: PlatformView, now: Moment) {
-        self.note_era(view.targets.era);
+        self.handle_era(view.targets.era);
         let as_of = now - view.age;
         let revisions = [
             (Kind::Targets, Some(view.targets)),
@@ -209,7 +209,7 @@
             KindChanges::Configuration => Kind::Configuration,
             KindChanges::Crashes(..) => Kind::Crashes,
         };
-        self.note_era(batch.up_to.era);
+        self.handle_era(batch.up_to.era);
         let guide = self.follow_modes.guide(kind);
         guide.changed(batch.up_to);
         if guide.continuity(batch.after, batch.up_to) != Continuity::Next {
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -23,7 +23,7 @@
     /// After a restore, entries of targets may be missing until they are written again, as after an
     /// outage. The newest known configuration and versions, and which targets are known to be
     /// leaving, stay as they are.
-    pub(super) fn note_era(&mut self, era: u64) {
+    pub(super) fn handle_era(&mut self, era: u64) {
         let known = self.known_era;
         if known.is_some_and(|known| era <= known) {
             return;
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -72,13 +72,13 @@
     pub(super) fn handle_store_event(&mut self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(kind, entries, revision) => {
-                self.note_era(revision.era);
+                self.handle_era(revision.era);
                 self.apply_list(kind, entries, revision);
                 self.record_poll(kind, revision);
             }
             StoreEvent::Changed(kind, changes) => {
                 let revision = changes.revision;
-                self.note_era(revision.era);
+                self.handle_era(revision.era);
                 let mut removed = Vec::new();
                 for change in changes.changes {
                     match change {
