--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -17,7 +17,7 @@
 
 use super::change_feed::ChangeFeed;
 use super::messages::{
-    Begin, FromPeer, OrderResult, Reload, ReportUsage, Stop, StoreEvent, TargetQueried, Tick,
+    Begin, OrderResult, PeerEvent, Reload, ReportUsage, Stop, StoreEvent, TargetQueried, Tick,
 };
 use super::overload::Overload;
 use super::pace::FollowModes;
@@ -241,10 +241,10 @@
     }
 }
 
-impl Handler<FromPeer> for Control {
+impl Handler<PeerEvent> for Control {
     type Return = ();
 
-    async fn handle(&mut self, FromPeer(inbound): FromPeer, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, PeerEvent(inbound): PeerEvent, _cx: &mut xtra::Context<Self>) {
         match inbound {
             Inbound::Message(message) => self.handle_message(message),
             Inbound::Lost(peer) => self.peer_lost(&peer),
--- a/crates/chervilshunt_gateway/src/control/messages.rs
+++ b/crates/chervilshunt_gateway/src/control/messages.rs
@@ -15,7 +15,7 @@
 
 /// A message from a peer, or the loss of its connection.
 #[derive(Debug)]
-pub(crate) struct FromPeer(pub(crate) Inbound<PeerMessage>);
+pub(crate) struct PeerEvent(pub(crate) Inbound<PeerMessage>);
 
 /// Events from the platform's object service.
 #[derive(Debug)]
--- a/crates/chervilshunt_gateway/src/control/mod.rs
+++ b/crates/chervilshunt_gateway/src/control/mod.rs
@@ -22,6 +22,6 @@
 
 pub(crate) use actor::Control;
 pub(crate) use follow::start_followers;
-pub(crate) use messages::{Begin, FromPeer, Reload, Stop};
+pub(crate) use messages::{Begin, PeerEvent, Reload, Stop};
 pub(crate) use pace::FollowModes;
 pub(crate) use reading::Reader;
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -14,7 +14,7 @@
 use xtra::prelude::*;
 
 use crate::control::{
-    Begin, Control, FollowModes, FromPeer, Reader, Reload, Stop, start_followers,
+    Begin, Control, FollowModes, PeerEvent, Reader, Reload, Stop, start_followers,
 };
 use crate::crashes::{CrashObservation, CrashObservationSender, record_crashes};
 use crate::dialect::Dialect;
@@ -102,7 +102,7 @@
         crash_observations,
     );
     let control = start_control(&shared, exchange, observations)?;
-    forward(inbound, control.clone(), FromPeer);
+    forward(inbound, control.clone(), PeerEvent);
     tokio::spawn(report_progress(Arc::clone(&shared)));
     tokio::spawn(serve_callers(callers, Arc::clone(&shared)));
     tokio::spawn(serve_readiness(readiness, Arc::clone(&shared)));
