--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -144,12 +144,12 @@
         let now = self.now();
         let actions = self.keeper.handle(event, now);
         for action in actions {
-            self.carry_out_lease(action, now);
+            self.execute_lease_action(action, now);
         }
         self.publish_holder();
     }
 
-    fn carry_out_lease(&mut self, action: ExclusiveLeaseAction, now: Moment) {
+    fn execute_lease_action(&mut self, action: ExclusiveLeaseAction, now: Moment) {
         match action {
             ExclusiveLeaseAction::Write(record, version) => {
                 self.call_lease(LeaseCall::Write(record, version));
