--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -90,11 +90,11 @@
             return;
         };
         for action in placer.residency.handle(event, now) {
-            self.carry_out(action, now);
+            self.execute(action, now);
         }
     }
 
-    fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
+    fn execute(&mut self, action: ResidencyAction, now: Moment) {
         match action {
             ResidencyAction::Order(order) => self.send_order(order, now),
             ResidencyAction::Ask(target) => self.query_target(target),
