--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -207,7 +207,7 @@
         });
     }
 
-    pub(super) fn me(&self) -> &InstanceId {
+    pub(super) fn own_id(&self) -> &InstanceId {
         &self.shared.settings.instance.id
     }
 }
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -120,7 +120,7 @@
             });
             return;
         };
-        let req = (self.shared.dialect.targets.order)(&order, self.me(), term);
+        let req = (self.shared.dialect.targets.order)(&order, self.own_id(), term);
         let read = self.shared.dialect.targets.decode_order_answer;
         let client = self.shared.engines.client(address);
         let shared = Arc::clone(&self.shared);
--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -19,7 +19,7 @@
         let Some((holder, _)) = self.keeper.holder() else {
             return;
         };
-        let (true, Some(term)) = (holder == self.me(), self.keeper.term()) else {
+        let (true, Some(term)) = (holder == self.own_id(), self.keeper.term()) else {
             return;
         };
         if !placer.residency.knows_targets() {
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -308,7 +308,7 @@
         };
         // A leave that a request of this instance has discovered is recorded already, so it doesn't
         // count as new.
-        if is_new || from == self.me() {
+        if is_new || from == self.own_id() {
             let peers: Vec<Peer> = placer.presence.peers().collect();
             for peer in peers.iter().filter(|it| it.instance != *from) {
                 self.send(peer, PeerMessage::Leaving(target.clone(), started));
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -16,7 +16,7 @@
         let uses = self.shared.dispatch().tell_uses();
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
-            let me = self.me().clone();
+            let me = self.own_id().clone();
             self.plan(ResidencyEvent::Used(me, uses, grants));
             self.apply_own_status();
             self.choose_relays();
@@ -25,7 +25,7 @@
         let Some(placer) = self.shared.placer.load_full() else {
             return;
         };
-        if placer.instance == *self.me() {
+        if placer.instance == *self.own_id() {
             return;
         }
         let message = PeerMessage::UsageReport {
