--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -7,7 +7,7 @@
 use chervilshunt_model::{Moment, StoreRevision};
 
 use super::actor::Control;
-use crate::crashes::remove;
+use crate::crashes::remove_record;
 
 impl Control {
     /// Applies a crash record as the platform has it.
@@ -67,7 +67,7 @@
             self.report_released(fingerprint, "expired");
             if self.placer.is_some() {
                 let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
-                tokio::spawn(async move { remove(&shared, &exchange, fingerprint).await });
+                tokio::spawn(async move { remove_record(&shared, &exchange, fingerprint).await });
             }
         }
     }
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -159,12 +159,12 @@
         }
         slog::info!(self.shared.log, "request released";
             "content" => fingerprint.to_string(), "reason" => "served");
-        remove(&self.shared, &self.exchange, fingerprint).await;
+        remove_record(&self.shared, &self.exchange, fingerprint).await;
     }
 }
 
 /// Removes the crash record of a request.
-pub(crate) async fn remove(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
+pub(crate) async fn remove_record(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
     let call = (shared.dialect.store.remove_crashes)(fingerprint);
     match call_once(exchange, &shared.dialect.store, &call, WRITE_TIMEOUT).await {
         Ok(_) | Err(PlatformError::NotFound { .. }) => {}
