--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -229,7 +229,7 @@
 
     async fn send_until_answered(&mut self) -> Result<AcceptedAnswer, Refusal> {
         loop {
-            self.refuse_if_it_crashes_targets()?;
+            self.refuse_if_quarantined()?;
             let found = self.find_target().await;
             let mut chosen = found.map_err(|it| self.unless_run(it))?;
             if !self.try_attempt() {
@@ -252,7 +252,7 @@
     }
 
     /// Refuses a request that has crashed targets, here or at another instance.
-    fn refuse_if_it_crashes_targets(&self) -> Result<(), Refusal> {
+    fn refuse_if_quarantined(&self) -> Result<(), Refusal> {
         let now = self.shared.clock.now();
         let quarantine = self.shared.quarantine();
         if quarantine.is_empty() {
