--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -24,7 +24,7 @@
 const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
 /// Time after its requested wait in which a call is normally answered. After that another instance
 /// is asked in parallel, while the placer's last report is still valid.
-const USUAL_GRACE: Duration = Duration::from_millis(200);
+const NORMAL_GRACE: Duration = Duration::from_millis(200);
 /// Longest wait for changes in a read through another instance. It is short because this instance's
 /// own connection may have been lost meanwhile.
 const MAX_RELAYED_WAIT: Duration = Duration::from_millis(300);
@@ -127,7 +127,7 @@
     /// Waits until a read has had the normal time for its answer, or a read of another kind has
     /// shown that answers may not arrive at all.
     async fn is_overdue(&self, read: &StoreRead) {
-        let usual = tokio::time::sleep(read.wait() + USUAL_GRACE);
+        let usual = tokio::time::sleep(read.wait() + NORMAL_GRACE);
         let mut is_delayed = self.is_delayed.subscribe();
         tokio::select! {
             () = usual => {}
@@ -190,7 +190,7 @@
         let dialect = self.shared.dialect.store.clone();
         let log = self.shared.log.clone();
         tokio::spawn(async move {
-            let answer = match exchange_read(&exchange, &dialect, &read, USUAL_GRACE).await {
+            let answer = match exchange_read(&exchange, &dialect, &read, NORMAL_GRACE).await {
                 Ok(answer) => answer,
                 // Dropping the reply tells the placer that there is no answer.
                 Err(error) => {
