--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -330,7 +330,7 @@
     }
 
     /// Returns whether another target may run the request, so that a failure need not be passed on.
-    fn may_run_again(&self) -> bool {
+    fn may_retry(&self) -> bool {
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         self.req.route.repeat.is_allowed()
@@ -358,7 +358,7 @@
         if let Some(load) = load {
             self.shared.dispatch().reported(&chosen.target, load, now);
         }
-        let again = self.may_run_again();
+        let again = self.may_retry();
         let verdict = classify(names, &self.req.id, &chosen.target, &head, again);
         if verdict != Verdict::PassOn {
             slog::info!(self.shared.log, "answer not passed on";
