--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -119,8 +119,8 @@
             target: self.target.clone(),
             has_run: head_came || self.weights.is_none(),
         };
-        let sign = CrashObservation::ConnectionEnded(crash, self.address);
-        self.shared.queue_crash_observation(sign);
+        let signal = CrashObservation::ConnectionEnded(crash, self.address);
+        self.shared.queue_crash_observation(signal);
     }
 
     /// Has the quarantine of a request released, because this target has begun to answer it.
@@ -369,7 +369,7 @@
         if verdict != Verdict::OtherTarget {
             self.handle_self_report(chosen, &in_flight, &head);
         }
-        let sign = match verdict {
+        let signal = match verdict {
             Verdict::PassOn if head.status.is_server_error() => HealthSignal::Failed,
             Verdict::PassOn | Verdict::Full | Verdict::NotHeld => HealthSignal::Served,
             Verdict::OtherTarget => HealthSignal::Unreachable,
@@ -377,7 +377,7 @@
         };
         self.shared
             .dispatch()
-            .record_signal(&chosen.target, sign, now);
+            .record_signal(&chosen.target, signal, now);
         match verdict {
             Verdict::PassOn => AttemptOutcome::Answered(Box::new(AcceptedAnswer {
                 head,
@@ -434,13 +434,13 @@
             "content" => self.req.fingerprint().to_string(),
             "reason" => error.to_string());
         // A target that closes a connection is reachable, whatever became of the answer.
-        let sign = match error {
+        let signal = match error {
             EngineError::NotSent { .. } | EngineError::Timeout { .. } => HealthSignal::Unreachable,
             _ => HealthSignal::Failed,
         };
         self.shared
             .dispatch()
-            .record_signal(&chosen.target, sign, now);
+            .record_signal(&chosen.target, signal, now);
         if error.is_connection_refused() {
             // Nothing was sent. Targets that have crashed but are still listed must not exhaust
             // `MAX_ATTEMPTS`.
