--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -136,13 +136,16 @@
 
     fn choose(&self) -> Result<SelectedTarget, WaitReason> {
         let now = self.shared.clock.now();
-        let ask = TargetRequirements {
+        let requirements = TargetRequirements {
             service: &self.req.service,
             weights: self.req.weights.as_ref(),
             lane: Lane::of(self.req.size),
             avoid: &self.avoid,
         };
-        let choice = self.shared.dispatch().choose(&ask, rand::random, now);
+        let choice = self
+            .shared
+            .dispatch()
+            .choose(&requirements, rand::random, now);
         self.accept_choice(choice)
     }
 
