--- a/crates/chervilshunt_gateway/src/traffic/request.rs
+++ b/crates/chervilshunt_gateway/src/traffic/request.rs
@@ -94,8 +94,8 @@
     let text = |name: &HeaderName| head.headers.get(name).and_then(|it| it.to_str().ok());
     let weights = text(&names.weights).map(dialect.targets.weights);
     let size = text(&names.size).and_then(dialect.targets.size);
-    let asked = text(&names.deadline_ms).and_then(|it| it.parse().ok());
-    let asked = asked.map_or(route.timeout, Duration::from_millis);
+    let requested = text(&names.deadline_ms).and_then(|it| it.parse().ok());
+    let requested = requested.map_or(route.timeout, Duration::from_millis);
     let Some(service) = route.pick_service(rand::random()).cloned() else {
         return Err(Refusal::new(Reason::NoTarget));
     };
@@ -105,7 +105,7 @@
         path,
         headers: forwarded(head.headers, dialect),
         body,
-        deadline: arrived + asked.min(route.timeout),
+        deadline: arrived + requested.min(route.timeout),
         route,
         service,
         weights,
