--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -96,8 +96,8 @@
 
     /// Publishes to traffic when there will be a placer again, if there is none.
     pub(super) fn publish_placer_return(&self, now: Moment) {
-        let there = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
-        let back = (!there).then(|| self.keeper.earliest_takeover() + TAKEOVER_TIME);
+        let has_placer = self.placer.is_some() || self.shared.dispatch().is_placer_heard(now);
+        let back = (!has_placer).then(|| self.keeper.earliest_takeover() + TAKEOVER_TIME);
         self.shared.set_placer_return(back);
     }
 
