--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -50,8 +50,8 @@
 /// Delay after a failed call; it doubles up to the longest delay.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
-/// Longest delay after failed calls, per instance of the fleet. Together the instances make no more
-/// than some hundred calls a second to a service that is unavailable.
+/// Longest delay after failed calls, per instance of the fleet, so that all instances together make
+/// some hundred calls a second to a service that is unavailable.
 const BACKOFF_PER_INSTANCE: Duration = Duration::from_micros(7_500);
 /// Upper bound of the longest delay in a large fleet. Entries of targets that lapsed during an
 /// outage are treated as missing two seconds after the service's return.
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -68,7 +68,7 @@
                 // would serve nobody. A placer that is behind would start ever more useless loads
                 // and answer no request.
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
-                    return slog::info!(self.shared.log, "placement request arrived too late"; "peer" => from.as_str());
+                    return slog::info!(self.shared.log, "placement request handled too late"; "peer" => from.as_str());
                 };
                 let event = |question| ResidencyEvent::Wanted {
                     question,
