--- a/crates/chervilshunt_gateway/src/control/actor.rs
+++ b/crates/chervilshunt_gateway/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The control actor: its state and the way of messages through it.
+//! The control actor: its state and message handlers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,39 +16,44 @@
 use xtra::prelude::*;
 
 use super::change_feed::ChangeFeed;
-use super::messages::{Asked, Begin, FromPeer, FromStore, Ordered, Reload, Stop, TellUse, Tick};
+use super::messages::{
+    Begin, OrderResult, PeerEvent, Reload, ReportUsage, Stop, StoreEvent, TargetQueried, Tick,
+};
 use super::overload::Overload;
-use super::pace::Paces;
+use super::pace::FollowModes;
 use super::presence::Presence;
-use super::targets::Absences;
+use super::targets::MissingTargets;
 use crate::peers::{LeaseAnswer, LeaseCall, PeerMessage};
 use crate::settings::Settings;
 use crate::shared::Shared;
 
-/// How often an instance tells the placer what it has under way. What the placer has granted it counts by
-/// itself; a grant whose end was lost is known as late as this.
-const TELL_USE_EVERY: Duration = Duration::from_millis(400);
-/// The longest part of a second by which instances spread their writes for a lapsed lease.
-const STAGGER: Duration = Duration::from_millis(400);
-
-/// The share of a core below which an instance leaves the placer's lease to others for a while. A placer
-/// of hundreds of targets whose machine has less answers late, and every cold adapter waits.
-const AMPLE_SHARE: f64 = 0.25;
-/// How long an instance with next to no share of a core would leave the lease to others.
-const LONGEST_YIELDING: Duration = Duration::from_secs(1);
-
-/// Returns how long an instance leaves a lease that can be taken to larger ones.
-fn yields_for(processor_share: f64) -> Duration {
-    let lacks = (1.0 - processor_share / AMPLE_SHARE).clamp(0.0, 1.0);
-    LONGEST_YIELDING.mul_f64(lacks)
+/// Interval at which an instance reports its open requests to the placer. The placer counts the
+/// requests it has granted itself; if the message that ends a grant is lost, the placer corrects
+/// its count with the next report.
+const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// Upper bound of the random delay that spreads the instances' writes after the lease has lapsed.
+const MAX_WRITE_JITTER: Duration = Duration::from_millis(400);
+
+/// Share of a processor core below which an instance delays its attempt to acquire the placer's
+/// lease. With less than this, a placer of hundreds of targets answers late, which delays every
+/// request for an adapter that is not loaded.
+const SUFFICIENT_SHARE: f64 = 0.25;
+/// Upper bound of that delay, reached as the instance's share of a core approaches zero.
+const MAX_YIELD_DELAY: Duration = Duration::from_secs(1);
+
+/// Returns how long an instance leaves a lease that is free to instances with a larger processor
+/// share.
+fn yield_delay(processor_share: f64) -> Duration {
+    let lacks = (1.0 - processor_share / SUFFICIENT_SHARE).clamp(0.0, 1.0);
+    MAX_YIELD_DELAY.mul_f64(lacks)
 }
 
-/// The planner with what belongs to it, while this instance is the placer.
+/// The planner and the state that goes with it while this instance is the placer.
 #[derive(Debug)]
 pub(super) struct Placer {
     pub(super) residency: ResidencyPlanner,
-    pub(super) questions: HashMap<u64, Reply<PeerMessage>>,
-    pub(super) next_question: u64,
+    pub(super) pending_requests: HashMap<u64, Reply<PeerMessage>>,
+    pub(super) next_request: u64,
     pub(super) presence: Presence,
 }
 
@@ -60,38 +65,43 @@
     pub(super) address: Option<Address<Self>>,
     pub(super) keeper: ExclusiveLeaseKeeper,
     pub(super) placer: Option<Placer>,
-    pub(super) absences: Absences,
-    pub(super) paces: Paces,
-    /// Whether the platform answered the last call of a follower.
+    pub(super) missing_targets: MissingTargets,
+    pub(super) follow_modes: FollowModes,
+    /// Whether the last call of a follower to the platform succeeded.
     pub(super) reaches_platform: bool,
     pub(super) overload: Overload,
-    /// What placers have learnt by trying.
-    pub(super) learnt: Option<LoadEstimates>,
-    /// The instances that may read the platform's objects for this one, while it is the placer.
-    pub(super) helpers: watch::Sender<Vec<Peer>>,
-    /// What was seen of the platform, as the placer tells it.
+    /// Load estimates of this or an earlier placer, passed on to the next one.
+    pub(super) estimates: Option<LoadEstimates>,
+    /// Instances that may read the platform's objects on behalf of this one while it is the placer.
+    pub(super) relays: watch::Sender<Vec<Peer>>,
+    /// Changes seen at the platform, which the placer broadcasts.
     pub(super) feed: ChangeFeed,
-    /// The newest version of each of the weights that the platform names.
+    /// The newest version of each set of weights that the platform has announced.
     pub(super) versions: HashMap<Weights, u64>,
-    /// The platform's newest era, which its followers raise too.
+    /// The newest known era of the platform; the followers update it too.
     pub(super) era: watch::Sender<u64>,
-    /// The era up to which this state has been brought; none until the platform has answered.
+    /// The era that this state has already handled; `None` until the platform has answered.
     pub(super) known_era: Option<u64>,
     /// The era in which targets were last listed.
     pub(super) listed_era: Option<u64>,
-    /// Targets that a restore has brought back, with the revisions of their entries.
-    pub(super) revived: HashMap<TargetName, StoreRevision>,
-    /// When the next wake-up comes, so that there is one timer and not one for each message.
+    /// Targets that a restore of the platform has brought back, with the revisions of their
+    /// entries.
+    pub(super) restored_targets: HashMap<TargetName, StoreRevision>,
+    /// Time of the next scheduled wake-up. Keeps a single timer rather than one per message.
     wakes_at: Option<Moment>,
 }
 
 impl Control {
-    /// Starts as an observer of the lease.
-    pub(crate) fn new(shared: Arc<Shared>, exchange: Arc<Exchange>, paces: Paces) -> Self {
+    /// Creates the state. The instance starts as an observer of the lease.
+    pub(crate) fn new(
+        shared: Arc<Shared>,
+        exchange: Arc<Exchange>,
+        follow_modes: FollowModes,
+    ) -> Self {
         let settings = &shared.settings;
         let cfg = ExclusiveLeaseConfig {
-            handover_gap: settings.bounds.lease_rest,
-            yield_delay: yields_for(settings.instance.processor_share),
+            handover_gap: settings.bounds.handover_gap,
+            yield_delay: yield_delay(settings.instance.processor_share),
             is_first_start: settings.instance.is_first_start,
             ..ExclusiveLeaseConfig::default()
         };
@@ -100,7 +110,7 @@
             settings.instance.id.clone(),
             rand::random(),
             settings.addresses.peers,
-            STAGGER.mul_f64(rand::random()),
+            MAX_WRITE_JITTER.mul_f64(rand::random()),
             shared.clock.now(),
         );
         Self {
@@ -108,18 +118,18 @@
             address: None,
             keeper,
             placer: None,
-            absences: Absences::default(),
-            paces,
+            missing_targets: MissingTargets::default(),
+            follow_modes,
             reaches_platform: false,
             overload: Overload::default(),
-            learnt: None,
-            helpers: watch::Sender::default(),
+            estimates: None,
+            relays: watch::Sender::default(),
             feed: ChangeFeed::default(),
             versions: HashMap::new(),
             era: watch::Sender::default(),
             known_era: None,
             listed_era: None,
-            revived: HashMap::new(),
+            restored_targets: HashMap::new(),
             wakes_at: None,
             shared,
         }
@@ -129,37 +139,37 @@
         self.shared.clock.now()
     }
 
-    /// Carries out what the lease keeper wants.
+    /// Passes an event to the lease keeper and carries out the actions it returns.
     pub(super) fn lease_event(&mut self, event: ExclusiveLeaseEvent) {
         let now = self.now();
         let actions = self.keeper.handle(event, now);
         for action in actions {
-            self.carry_out_lease(action, now);
+            self.execute_lease_action(action, now);
         }
-        self.note_holder();
+        self.publish_holder();
     }
 
-    fn carry_out_lease(&mut self, action: ExclusiveLeaseAction, now: Moment) {
+    fn execute_lease_action(&mut self, action: ExclusiveLeaseAction, now: Moment) {
         match action {
             ExclusiveLeaseAction::Write(record, version) => {
                 self.call_lease(LeaseCall::Write(record, version));
             }
             ExclusiveLeaseAction::Read => self.call_lease(LeaseCall::Read),
             ExclusiveLeaseAction::Gained(term) => self.become_placer(term, now),
-            ExclusiveLeaseAction::Lost => self.cease_placing(),
+            ExclusiveLeaseAction::Lost => self.stop_placing(),
         }
     }
 
-    /// Does what has become due, and makes sure of being woken for what is due next.
+    /// Runs everything that is due and schedules the next wake-up.
     fn after_message(&mut self) {
         let now = self.now();
         if self.keeper.next_wakeup().is_some_and(|at| at <= now) {
             self.lease_event(ExclusiveLeaseEvent::Tick);
         }
-        self.forget_absent(now);
-        self.forget_crashes(now);
-        self.tell_changes();
-        self.note_placer(now);
+        self.remove_missing_targets(now);
+        self.expire_crashes(now);
+        self.broadcast_changes();
+        self.publish_placer_return(now);
         let placer = self.placer.as_ref();
         if placer
             .and_then(|it| it.residency.next_wakeup())
@@ -167,7 +177,7 @@
         {
             self.plan(ResidencyEvent::Tick);
         }
-        self.paces.steer(self.placer.is_some(), now);
+        self.follow_modes.update(self.placer.is_some(), now);
         self.arrange_wakeup(now);
     }
 
@@ -176,13 +186,13 @@
         let next = [
             self.keeper.next_wakeup(),
             placer.and_then(|it| it.residency.next_wakeup()),
-            self.absences.next_wakeup(),
-            self.paces.next_wakeup(now),
+            self.missing_targets.next_wakeup(),
+            self.follow_modes.next_wakeup(now),
         ];
         let Some(next) = next.into_iter().flatten().min() else {
             return;
         };
-        let next = next.max(now + SHORTEST_SLEEP);
+        let next = next.max(now + MIN_WAKEUP_INTERVAL);
         if self.wakes_at.is_some_and(|at| at > now && at <= next) {
             return;
         }
@@ -197,13 +207,13 @@
         });
     }
 
-    pub(super) fn me(&self) -> &InstanceId {
+    pub(super) fn own_id(&self) -> &InstanceId {
         &self.shared.settings.instance.id
     }
 }
 
-/// The shortest time between two wake-ups: what is due within it is done together.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(2);
+/// Shortest time between two wake-ups; everything that falls due within it is handled together.
+const MIN_WAKEUP_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Handler<Begin> for Control {
     type Return = ();
@@ -211,10 +221,10 @@
     async fn handle(&mut self, Begin(address): Begin, _cx: &mut xtra::Context<Self>) {
         self.address = Some(address.clone());
         tokio::spawn(async move {
-            let mut every = tokio::time::interval(TELL_USE_EVERY);
+            let mut every = tokio::time::interval(USAGE_REPORT_INTERVAL);
             every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
             let mut due_at = tokio::time::Instant::now();
-            while address.send(TellUse { due_at }).await.is_ok() {
+            while address.send(ReportUsage { due_at }).await.is_ok() {
                 every.tick().await;
                 due_at = tokio::time::Instant::now();
             }
@@ -222,21 +232,21 @@
     }
 }
 
-impl Handler<FromStore> for Control {
+impl Handler<StoreEvent> for Control {
     type Return = ();
 
-    async fn handle(&mut self, event: FromStore, _cx: &mut xtra::Context<Self>) {
-        self.take_store_event(event);
+    async fn handle(&mut self, event: StoreEvent, _cx: &mut xtra::Context<Self>) {
+        self.handle_store_event(event);
         self.after_message();
     }
 }
 
-impl Handler<FromPeer> for Control {
+impl Handler<PeerEvent> for Control {
     type Return = ();
 
-    async fn handle(&mut self, FromPeer(inbound): FromPeer, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, PeerEvent(inbound): PeerEvent, _cx: &mut xtra::Context<Self>) {
         match inbound {
-            Inbound::Message(message) => self.take_message(message),
+            Inbound::Message(message) => self.handle_message(message),
             Inbound::Lost(peer) => self.peer_lost(&peer),
         }
         self.after_message();
@@ -248,8 +258,8 @@
 
     async fn handle(&mut self, answer: LeaseAnswer, _cx: &mut xtra::Context<Self>) {
         match &answer {
-            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.note_era(version.era),
-            LeaseAnswer::Read(Some(seen)) => self.note_era(seen.version.era),
+            LeaseAnswer::Written(LeaseWriteOutcome::Done(version)) => self.handle_era(version.era),
+            LeaseAnswer::Read(Some(seen)) => self.handle_era(seen.version.era),
             LeaseAnswer::Written(_) | LeaseAnswer::Read(None) | LeaseAnswer::ReadFailed => {}
         }
         let event = match answer {
@@ -262,19 +272,27 @@
     }
 }
 
-impl Handler<Ordered> for Control {
+impl Handler<OrderResult> for Control {
     type Return = ();
 
-    async fn handle(&mut self, Ordered(number, answer): Ordered, _cx: &mut xtra::Context<Self>) {
+    async fn handle(
+        &mut self,
+        OrderResult(number, answer): OrderResult,
+        _cx: &mut xtra::Context<Self>,
+    ) {
         self.plan(ResidencyEvent::OrderAnswered(number, answer));
         self.after_message();
     }
 }
 
-impl Handler<Asked> for Control {
+impl Handler<TargetQueried> for Control {
     type Return = ();
 
-    async fn handle(&mut self, Asked(target, report): Asked, _cx: &mut xtra::Context<Self>) {
+    async fn handle(
+        &mut self,
+        TargetQueried(target, report): TargetQueried,
+        _cx: &mut xtra::Context<Self>,
+    ) {
         self.plan(match report {
             Some(report) => ResidencyEvent::TargetReported(target, report),
             None => ResidencyEvent::ReportFailed(target),
@@ -291,12 +309,12 @@
     }
 }
 
-impl Handler<TellUse> for Control {
+impl Handler<ReportUsage> for Control {
     type Return = ();
 
-    async fn handle(&mut self, due: TellUse, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, due: ReportUsage, _cx: &mut xtra::Context<Self>) {
         self.check_overload(due.due_at.elapsed());
-        self.tell_use();
+        self.report_usage();
         self.after_message();
     }
 }
@@ -305,13 +323,13 @@
     type Return = ();
 
     async fn handle(&mut self, _reload: Reload, _cx: &mut xtra::Context<Self>) {
-        // What may change while an instance runs comes from the platform; the file is read so that
-        // a mistake in it shows now and not at the next start.
+        // Everything that may change while an instance runs comes from the platform. The file is
+        // read only to report errors in it now rather than at the next start.
         let path = self.shared.settings_file.clone();
         match Settings::load(&path) {
-            Ok(settings) => slog::info!(self.shared.log, "settings read again";
+            Ok(settings) => slog::info!(self.shared.log, "settings file checked";
                 "changed" => settings != self.shared.settings),
-            Err(error) => slog::warn!(self.shared.log, "settings can't be read";
+            Err(error) => slog::warn!(self.shared.log, "settings file can't be used";
                 "reason" => error.to_string()),
         }
     }
@@ -320,9 +338,12 @@
 impl Handler<Stop> for Control {
     type Return = ();
 
-    /// A placer goes on until the process ends, and its next start at the same place goes on at once:
-    /// given up, the lease rests for 3.3 s, so that each restart that met the placer left callers of
-    /// cold adapters refused for four. Others no longer take the lease.
+    /// Releases the lease unless this instance is the placer.
+    ///
+    /// A placer keeps its lease until the process ends, and its next start on the same address
+    /// continues with it at once. A released lease can't be taken for 3.3 s, so releasing it on
+    /// each restart of the placer caused requests for adapters that were not loaded to be refused
+    /// for 4 s. An instance that is not the placer stops competing for the lease.
     async fn handle(&mut self, _stop: Stop, _cx: &mut xtra::Context<Self>) {
         if self.placer.is_none() {
             self.lease_event(ExclusiveLeaseEvent::Release);
--- a/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/change_feed/tests.rs
@@ -1,11 +1,11 @@
-//! What the placer tells of changes, by cases.
+//! Tests of the changes that the placer broadcasts.
 
 use std::time::Duration;
 
 use chervilshunt_core::{Fingerprint, LoadedAdapter, LoadedModel, TargetFacts, Weights};
 use chervilshunt_model::{Moment, ServiceName, StoreRevision, TargetName, ZoneName};
 
-use super::{ChangeFeed, MOST_TOLD};
+use super::{ChangeFeed, MAX_BROADCAST_ENTRIES};
 use crate::dialect::Kind;
 use crate::peers::KindChanges;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn changes_are_told_once_with_the_revisions_between_which_they_lie() {
+fn changes_are_broadcast_once_with_their_revisions() {
     let mut feed = ChangeFeed::default();
     feed.target_changed(&facts("t1"), rev(5));
     assert_eq!(
@@ -58,37 +58,38 @@
     assert!(feed.take_batch(Kind::Targets).is_none());
 }
 
-/// Told one by one, so many would take the placer's link; everybody looks at them in one call instead,
-/// as the revision up to which they have to be known shows.
+/// Sending very many changes one by one would saturate the placer's link. Instead the placer sends
+/// only the revision up to which the changes have to be known, and each instance reads them in one
+/// call.
 #[test]
-fn where_very_many_change_at_once_everybody_looks() {
+fn very_many_changes_are_not_broadcast() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
-    for number in 0..=MOST_TOLD as u64 {
+    feed.record_answer(Kind::Targets, at(0));
+    for number in 0..=MAX_BROADCAST_ENTRIES as u64 {
         feed.target_changed(&facts(&format!("t{number}")), rev(number + 1));
     }
     assert!(feed.take_batch(Kind::Targets).is_none());
     let view = feed.view(at(10)).expect("a view");
-    assert_eq!(view.targets, rev(MOST_TOLD as u64 + 1));
+    assert_eq!(view.targets, rev(MAX_BROADCAST_ENTRIES as u64 + 1));
     assert_eq!(view.age, Duration::from_millis(10));
 }
 
-/// The placer's calls about the configuration fail. Told that it has not changed, the others would miss
-/// what an operator changes meanwhile.
+/// The placer's calls about the configuration fail. If its view still had a revision for the
+/// configuration, other instances would miss changes by an operator meanwhile.
 #[test]
-fn a_kind_that_the_placer_can_not_follow_is_left_out_of_its_view() {
+fn a_kind_whose_calls_fail_is_omitted_from_the_view() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
-    feed.seen(Kind::Configuration, at(0));
-    feed.seen(Kind::Versions, at(0));
+    feed.record_answer(Kind::Targets, at(0));
+    feed.record_answer(Kind::Configuration, at(0));
+    feed.record_answer(Kind::Versions, at(0));
     feed.configuration_changed(rev(3));
-    feed.version_named(&Weights::base(&"base".into()), 2, rev(4));
+    feed.version_announced(&Weights::base(&"base".into()), 2, rev(4));
     let view = feed.view(at(0)).expect("a view");
     assert_eq!(
         (view.configuration, view.versions),
         (Some(rev(3)), Some(rev(4)))
     );
-    feed.lost(Kind::Configuration);
+    feed.record_failure(Kind::Configuration);
     let view = feed.view(at(0)).expect("a view");
     assert_eq!((view.configuration, view.versions), (None, Some(rev(4))));
 }
@@ -96,18 +97,18 @@
 #[test]
 fn an_answer_after_a_gap_is_overdue() {
     let mut feed = ChangeFeed::default();
-    assert!(!feed.seen(Kind::Targets, at(0)));
-    assert!(!feed.seen(Kind::Targets, at(310)));
-    assert!(feed.seen(Kind::Targets, at(900)));
+    assert!(!feed.record_answer(Kind::Targets, at(0)));
+    assert!(!feed.record_answer(Kind::Targets, at(310)));
+    assert!(feed.record_answer(Kind::Targets, at(900)));
 }
 
-/// Guards against instances that list the records of crashes after each call of the placer about them.
+/// Guards against instances that list the crash records after each call of the placer about them.
 #[test]
-fn an_answer_without_removals_is_no_change_of_the_records_of_crashes() {
+fn an_answer_without_removals_does_not_change_crash_records() {
     let mut feed = ChangeFeed::default();
-    feed.seen(Kind::Targets, at(0));
+    feed.record_answer(Kind::Targets, at(0));
     feed.target_changed(&facts("t1"), rev(5));
-    feed.seen(Kind::Crashes, at(0));
+    feed.record_answer(Kind::Crashes, at(0));
     feed.crashes_removed(&[], rev(9));
     assert_eq!(feed.view(at(0)).and_then(|it| it.crashes), Some(rev(0)));
     feed.crashes_removed(&[Fingerprint::of([&b"a"[..]])], rev(10));
--- a/crates/chervilshunt_gateway/src/control/crashes.rs
+++ b/crates/chervilshunt_gateway/src/control/crashes.rs
@@ -1,4 +1,4 @@
-//! The platform's records of requests that crash targets.
+//! The platform's crash records: requests that crash targets.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use chervilshunt_model::{Moment, StoreRevision};
 
 use super::actor::Control;
-use crate::crashes::remove;
+use crate::crashes::remove_record;
 
 impl Control {
-    /// Takes in a record as the platform has it.
+    /// Applies a crash record as the platform has it.
     pub(super) fn crashes_recorded(&mut self, crashes: StoredCrashes, revision: StoreRevision) {
         let now = self.now();
         self.feed.crashes_recorded(&crashes, revision);
@@ -21,20 +21,20 @@
         let refused_until = quarantine.refused_until(fingerprint, now);
         drop(quarantine);
         if is_new {
-            slog::info!(self.shared.log, "crashes recorded";
+            slog::info!(self.shared.log, "crash record received";
                 "content" => fingerprint.to_string(), "crashes" => count,
                 "refused_for_s" => refused_until.map(|until| now.until(until).as_secs()));
         }
     }
 
-    /// Returns the requests of records by the records' names.
-    pub(super) fn crashes_named(&self, names: &[Arc<str>]) -> Vec<Fingerprint> {
-        let read = self.shared.dialect.store.read_crashes_name;
-        // A record that somebody else wrote under another name tells of no request.
+    /// Returns the requests that records are about, taken from the records' names.
+    pub(super) fn record_fingerprints(&self, names: &[Arc<str>]) -> Vec<Fingerprint> {
+        let read = self.shared.dialect.store.decode_crashes_name;
+        // A record under another name was not written by this system and identifies no request.
         names.iter().filter_map(|name| read(name).ok()).collect()
     }
 
-    /// Takes in that the platform no longer has some records.
+    /// Handles the removal of records at the platform.
     pub(super) fn crashes_removed(&mut self, removed: &[Fingerprint], revision: StoreRevision) {
         self.feed.crashes_removed(removed, revision);
         for fingerprint in removed {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes in which records the platform has.
+    /// Reconciles the quarantine with the records that the platform lists.
     pub(super) fn crashes_listed(
         &mut self,
         listed: &HashSet<Fingerprint>,
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Forgets crashes that lie back far enough; the placer removes their records too.
-    pub(super) fn forget_crashes(&self, now: Moment) {
+    /// Drops crashes whose retention time has passed; the placer also removes their records.
+    pub(super) fn expire_crashes(&self, now: Moment) {
         let expired = self.shared.quarantine().take_expired(now);
         for fingerprint in expired {
             self.report_released(fingerprint, "expired");
             if self.placer.is_some() {
                 let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
-                tokio::spawn(async move { remove(&shared, &exchange, fingerprint).await });
+                tokio::spawn(async move { remove_record(&shared, &exchange, fingerprint).await });
             }
         }
     }
--- a/crates/chervilshunt_gateway/src/control/follow.rs
+++ b/crates/chervilshunt_gateway/src/control/follow.rs
@@ -1,7 +1,7 @@
-//! Following the kinds of objects of the platform's service.
+//! Follows each kind of objects in the platform's object service.
 //!
-//! One list, and then one call after the other that waits for changes. Each call has its price, so
-//! that changes which come in quick succession are gathered by a pause between two calls.
+//! A follower lists the objects once and then makes one call after another that waits for changes.
+//! Calls have a cost, so a pause between two of them gathers changes that come in quick succession.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,73 +16,77 @@
 use xtra::Address;
 
 use super::actor::Control;
-use super::messages::FromStore;
-use super::pace::{FollowPace, PaceReceivers};
+use super::messages::StoreEvent;
+use super::pace::{FollowMode, FollowModeReceivers};
 use super::reading::Reader;
 use crate::dialect::{Changes, Entry, Freshness, Kind, Malformed, StoreDialect};
 use crate::peers::StoreRead;
 use crate::shared::Shared;
 
-/// How long a call waits for changes of what changes often. A longer wait would save little, since
-/// most calls end early with a change.
+/// Time that a call waits for changes of frequently changing kinds. A longer wait would save
+/// little, since most calls return early with a change.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// The same for what changes rarely: at 4 s these calls were half of those of a calm day. A connection
-/// that has gone silent is found by its keep-alive probes, in 3 s, and does not wait for this.
+/// Time that a call waits for changes of rarely changing kinds; at 4 s these calls were half of all
+/// calls on a calm day. A dead connection is detected by keep-alive probes within 3 s, independent
+/// of this wait.
 const RARE_WATCH_WAIT: Duration = Duration::from_secs(15);
-/// How often the placer looks at targets' entries. With the other instances' trust in what it tells
-/// this leaves them a second until they look for themselves; shorter, it would be noticed later still
-/// by the interval at which they are told.
-const GUIDING_EVERY: Duration = Duration::from_millis(300);
-/// How long the placer's calls wait for changes of configuration and versions. The other instances learn
-/// of these changes from the placer, so if an answer is lost, no instance sees the change until the call ends.
-const GUIDING_RARE_WATCH_WAIT: Duration = Duration::from_secs(1);
-/// The time after which the objects are listed rather than their changes asked for: targets change
-/// their entries each second, so that the changes of a longer time are more than the objects.
-const LIST_AFTER: Duration = Duration::from_secs(3);
-/// The wait of a call that is to be answered at once.
-const AT_ONCE: Duration = Duration::from_millis(1);
-/// How long an instance waits after its first look for a placer that tells it of changes. Where all
-/// instances start together, each would make a waiting call for nothing.
-const FIRST_REST: Duration = Duration::from_secs(1);
-/// The pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// The pause after failed calls for each instance of a fleet, so that all of them together ask a service
-/// that is away some hundred times a second.
-const PAUSE_AN_INSTANCE: Duration = Duration::from_micros(7_500);
-/// The longest pause of the largest fleet: entries of targets that lapsed with the service are missed
-/// two seconds after its return.
-const LONGEST_PAUSE_OF_ALL: Duration = Duration::from_millis(1_500);
-/// How long the followers of other kinds leave it to one to find out that the service is back. It may be
-/// away for their kind alone.
-const LEFT_TO_ONE: Duration = Duration::from_secs(2);
-/// The kind whose follower finds out that the service is back.
-const PROBING: Kind = Kind::Targets;
+/// Interval at which the placer polls targets' entries. The other instances trust a report for one
+/// second before they poll themselves. A shorter interval would gain little, because the interval
+/// of the reports is added to the delay.
+const PLACER_POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Time that the placer's calls wait for changes of configuration and versions. The other instances
+/// get these changes from the placer, so if an answer is lost, no instance sees the change until
+/// the call ends.
+const PLACER_RARE_WATCH_WAIT: Duration = Duration::from_secs(1);
+/// Time since the last call after which a follower lists the objects again instead of asking for
+/// changes. Targets update their entries every second, so the changes of a longer time are larger
+/// than the list.
+const RELIST_AFTER: Duration = Duration::from_secs(3);
+/// Wait of a call that should be answered at once.
+const NO_WAIT: Duration = Duration::from_millis(1);
+/// Time that an instance waits after its first call for a report from the placer. Without it,
+/// instances that start together would each make a needless waiting call.
+const FIRST_REPORT_WAIT: Duration = Duration::from_secs(1);
+/// Delay after a failed call; it doubles up to the longest delay.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
+/// Longest delay after failed calls, per instance of the fleet, so that all instances together make
+/// some hundred calls a second to a service that is unavailable.
+const BACKOFF_PER_INSTANCE: Duration = Duration::from_micros(7_500);
+/// Upper bound of the longest delay in a large fleet. Entries of targets that lapsed during an
+/// outage are treated as missing two seconds after the service's return.
+const MAX_FLEET_BACKOFF: Duration = Duration::from_millis(1_500);
+/// Time that followers of other kinds wait for the probing follower to reach the service. It is
+/// bounded because the service may fail for their kind alone.
+const PROBE_WAIT: Duration = Duration::from_secs(2);
+/// The kind whose follower probes for the service's return.
+const PROBING_KIND: Kind = Kind::Targets;
 
-/// Objects of a kind whose fault is remembered, so that it is logged once. Far more than a fault of
-/// somebody else's program leaves; beyond it some are logged again.
-const MOST_REPORTED: usize = 1_000;
+/// Maximum number of unreadable objects that are remembered so that each fault is logged once. It
+/// is far more than a faulty program leaves; beyond it the memory is cleared and some faults are
+/// logged again.
+const MAX_REPORTED_FAULTS: usize = 1_000;
 
-/// Why following has to begin anew or pause.
+/// Why following has to start over or pause.
 #[derive(Debug)]
-enum Trouble {
-    /// The service no longer has the history from here on.
+enum FollowError {
+    /// The service no longer has the history from the requested revision.
     Expired,
     /// The call failed.
     Failed(PlatformError),
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     Unreadable(Malformed),
     /// A call of another follower failed while this one waited.
-    Doubted,
-    /// The service has been restored since the revision from which changes were asked for.
+    OtherKindFailed,
+    /// The service has been restored since the revision from which changes were requested.
     Restored,
-    /// The answer was given before a restore that is known already.
+    /// The answer is from before a restore that is known already.
     Outdated,
-    /// The call waited for longer than calls may from now on.
-    PaceChanged,
+    /// The call's wait is longer than the new mode allows.
+    ModeChanged,
 }
 
-impl From<PlatformError> for Trouble {
+impl From<PlatformError> for FollowError {
     fn from(error: PlatformError) -> Self {
         match error {
             PlatformError::Expired { .. } => Self::Expired,
@@ -97,40 +101,40 @@
     dialect: StoreDialect,
     reader: Arc<Reader>,
     control: Address<Control>,
-    /// How fast it goes.
-    pace: watch::Receiver<FollowPace>,
+    /// How the follower polls.
+    mode: watch::Receiver<FollowMode>,
     /// Whether the service answered the last call of any kind.
     reached: watch::Sender<bool>,
-    /// The service's newest era, as far as anything here has learnt of it.
+    /// The newest era of the service known to this instance.
     era: watch::Sender<u64>,
-    /// How new the next list has to be.
+    /// How recent the next list has to be.
     freshness: Freshness,
     shared: Arc<Shared>,
-    /// The objects that could not be read, each with what was last wrong with it.
+    /// Objects that could not be decoded, each with its last fault.
     reported: HashMap<Arc<str>, String>,
     log: Logger,
 }
 
-/// Begins to follow all kinds on the present runtime.
+/// Starts the followers of all kinds on the current runtime.
 pub(crate) fn start_followers(
     shared: &Arc<Shared>,
     reader: Reader,
     control: &Address<Control>,
-    paces: PaceReceivers,
+    follow_modes: FollowModeReceivers,
     era: &watch::Sender<u64>,
 ) {
     let reader = Arc::new(reader);
     let reached = watch::Sender::new(true);
-    for (kind, pace) in paces {
+    for (kind, mode) in follow_modes {
         let follower = Follower {
             kind,
             dialect: shared.dialect.store.clone(),
             reader: Arc::clone(&reader),
             control: control.clone(),
-            pace,
+            mode,
             reached: reached.clone(),
             era: era.clone(),
-            freshness: first_list(kind),
+            freshness: first_list_freshness(kind),
             reported: HashMap::new(),
             log: shared.log.clone(),
             shared: Arc::clone(shared),
@@ -139,12 +143,12 @@
     }
 }
 
-/// Returns the pause between a change and the next call, in which more changes gather.
+/// Returns the delay between a change and the next call, in which more changes gather.
 ///
-/// The operators' bounds leave seconds to act on a change; only the configuration, whose changes
-/// are rare, is followed at once. The lease changes with each renewal, of which all but the newest
-/// is of no interest; a taker waits for several times the longer pause anyway.
-const fn gather_for(kind: Kind) -> Duration {
+/// The operators allow seconds to act on a change, so only the kinds whose changes are rare are
+/// followed up at once. The lease changes with each renewal, and only the newest one matters; an
+/// instance that takes it over waits several times the longest delay anyway.
+const fn gather_delay(kind: Kind) -> Duration {
     match kind {
         Kind::Configuration | Kind::Versions | Kind::Crashes => Duration::from_millis(100),
         Kind::Targets => Duration::from_millis(700),
@@ -152,11 +156,11 @@
     }
 }
 
-/// Returns how new the first list of a kind has to be.
+/// Returns how recent the first list of a kind has to be.
 ///
-/// Where nothing waits for it, the cheaper one does. A later list must not be old: one from before the
-/// history that the service keeps would be followed by another one, and so on.
-const fn first_list(kind: Kind) -> Freshness {
+/// If nothing waits for it, a cheaper, possibly stale list is enough. Later lists must be current:
+/// a list older than the history that the service keeps would lead to another list, and so on.
+const fn first_list_freshness(kind: Kind) -> Freshness {
     match kind {
         Kind::Crashes => Freshness::MayBeOld,
         Kind::Configuration | Kind::Targets | Kind::Versions | Kind::Lease => Freshness::Latest,
@@ -164,113 +168,114 @@
 }
 
 /// Returns how long a call waits for changes.
-const fn wait_for(kind: Kind, pace: FollowPace) -> Duration {
-    match (pace, kind) {
+const fn watch_wait(kind: Kind, mode: FollowMode) -> Duration {
+    match (mode, kind) {
         (
-            FollowPace::Guided(PollMode::Continuous),
+            FollowMode::Guided(PollMode::Continuous),
             Kind::Configuration | Kind::Versions | Kind::Crashes,
         ) => RARE_WATCH_WAIT,
-        (FollowPace::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
-        (FollowPace::Guided(PollMode::Once | PollMode::Paused), _) => AT_ONCE,
-        (FollowPace::Guiding, Kind::Configuration | Kind::Versions) => GUIDING_RARE_WATCH_WAIT,
-        (FollowPace::Guiding, Kind::Targets | Kind::Crashes | Kind::Lease) => GUIDING_EVERY,
+        (FollowMode::Guided(PollMode::Continuous), Kind::Targets | Kind::Lease) => WATCH_WAIT,
+        (FollowMode::Guided(PollMode::Once | PollMode::Paused), _) => NO_WAIT,
+        (FollowMode::Placer, Kind::Configuration | Kind::Versions) => PLACER_RARE_WATCH_WAIT,
+        (FollowMode::Placer, Kind::Targets | Kind::Crashes | Kind::Lease) => PLACER_POLL_INTERVAL,
     }
 }
 
 impl Follower {
     async fn run(mut self) {
         let mut from: Option<StoreRevision> = None;
-        let mut looked_at = Instant::now();
-        let mut pause = FIRST_PAUSE;
-        let mut has_looked = false;
+        let mut called_at = Instant::now();
+        let mut pause = INITIAL_BACKOFF;
+        let mut has_called = false;
         loop {
-            let (pace, rested) = self.next_turn().await;
+            let (mode, was_paused) = self.next_turn().await;
             let is_of_another_era = from.is_some_and(|it| it.era < *self.era.borrow());
-            if is_of_another_era || (rested && looked_at.elapsed() > LIST_AFTER) {
+            if is_of_another_era || (was_paused && called_at.elapsed() > RELIST_AFTER) {
                 from = None;
             }
-            looked_at = Instant::now();
+            called_at = Instant::now();
             let result = match from {
                 None => self.list().await,
-                // After a failure the first call does not wait, so that its answer says at once that
-                // the service is back: what is believed of entries that went meanwhile ages from then.
-                Some(revision) if pause != FIRST_PAUSE => self.watch(revision, AT_ONCE).await,
-                Some(revision) => self.watch(revision, wait_for(self.kind, pace)).await,
+                // After a failure the first call does not wait for changes, so that its answer
+                // shows at once that the service is back. The grace period of entries that went
+                // missing in the meantime counts from then.
+                Some(revision) if pause != INITIAL_BACKOFF => self.watch(revision, NO_WAIT).await,
+                Some(revision) => self.watch(revision, watch_wait(self.kind, mode)).await,
             };
             match result {
                 Ok(revision) => {
                     self.reached.send_replace(true);
-                    if pause != FIRST_PAUSE {
-                        self.tell(FromStore::Back(self.kind)).await;
-                        pause = FIRST_PAUSE;
+                    if pause != INITIAL_BACKOFF {
+                        self.notify(StoreEvent::Recovered(self.kind)).await;
+                        pause = INITIAL_BACKOFF;
                     }
-                    if from.replace(revision).is_none() && !has_looked {
-                        has_looked = true;
-                        self.first_rest().await;
+                    if from.replace(revision).is_none() && !has_called {
+                        has_called = true;
+                        self.wait_for_first_report().await;
                     }
-                    if pace == FollowPace::Guiding {
-                        tokio::time::sleep_until(looked_at + GUIDING_EVERY).await;
+                    if mode == FollowMode::Placer {
+                        tokio::time::sleep_until(called_at + PLACER_POLL_INTERVAL).await;
                     }
                 }
-                Err(Trouble::Restored) => from = None,
-                Err(Trouble::PaceChanged) => {}
-                Err(Trouble::Expired) => {
+                Err(FollowError::Restored) => from = None,
+                Err(FollowError::ModeChanged) => {}
+                Err(FollowError::Expired) => {
                     slog::info!(self.log, "history expired"; "kind" => self.kind.as_str());
                     from = None;
                 }
                 Err(trouble) => {
-                    self.report(&trouble, pause == FIRST_PAUSE);
-                    self.tell(FromStore::Trouble(self.kind)).await;
-                    self.rest(pause).await;
-                    pause = (pause * 2).min(self.longest_pause());
+                    self.report(&trouble, pause == INITIAL_BACKOFF);
+                    self.notify(StoreEvent::CallFailed(self.kind)).await;
+                    self.back_off(pause).await;
+                    pause = (pause * 2).min(self.max_backoff());
                 }
             }
         }
     }
 
-    /// Waits until it is this follower's turn to call, and returns how fast it goes and whether it had
-    /// to wait for that.
-    async fn next_turn(&mut self) -> (FollowPace, bool) {
-        let rests = |pace: &FollowPace| *pace == FollowPace::Guided(PollMode::Paused);
-        let rested = rests(&self.pace.borrow());
-        match self.pace.wait_for(|pace| !rests(pace)).await {
-            Ok(pace) => (*pace, rested),
-            // The control state has ended, and this runtime with it.
-            Err(_) => (FollowPace::Guided(PollMode::Continuous), rested),
+    /// Waits until this follower may make its next call. Returns its mode and whether it was
+    /// paused.
+    async fn next_turn(&mut self) -> (FollowMode, bool) {
+        let is_paused = |mode: &FollowMode| *mode == FollowMode::Guided(PollMode::Paused);
+        let was_paused = is_paused(&self.mode.borrow());
+        match self.mode.wait_for(|mode| !is_paused(mode)).await {
+            Ok(mode) => (*mode, was_paused),
+            // The control actor has ended, and this runtime ends with it.
+            Err(_) => (FollowMode::Guided(PollMode::Continuous), was_paused),
         }
     }
 
-    /// Waits after the first look until there is a placer, for a moment at most. The lease itself shows
-    /// who that is.
-    async fn first_rest(&mut self) {
+    /// Waits after the first call until the placer has reported, for [`FIRST_REPORT_WAIT`] at most. The
+    /// lease's follower doesn't wait, since the lease shows which instance is the placer.
+    async fn wait_for_first_report(&mut self) {
         if self.kind == Kind::Lease {
             return;
         }
-        let told = tokio::time::timeout(FIRST_REST, self.pace.changed());
-        if let Ok(Err(closed)) = told.await {
-            slog::debug!(self.log, "the control state has ended"; "reason" => closed.to_string());
+        let report = tokio::time::timeout(FIRST_REPORT_WAIT, self.mode.changed());
+        if let Ok(Err(closed)) = report.await {
+            slog::debug!(self.log, "control actor has stopped"; "reason" => closed.to_string());
         }
     }
 
     /// Waits after a failed call.
     ///
-    /// A service that is away is asked by the follower of one kind; the others wait until it has been
-    /// reached. With all of them asking, an outage was most of what a day's calls cost.
-    async fn rest(&self, pause: Duration) {
+    /// Only one kind's follower probes a service that is unavailable; the others wait until it has
+    /// been reached. When all of them probed, outages caused most of a day's calls.
+    async fn back_off(&self, pause: Duration) {
         self.reached.send_replace(false);
         tokio::time::sleep(pause).await;
-        if self.kind == PROBING {
+        if self.kind == PROBING_KIND {
             return;
         }
         let mut reached = self.reached.subscribe();
         let back = reached.wait_for(|reached| *reached);
-        if let Ok(Err(closed)) = tokio::time::timeout(LEFT_TO_ONE, back).await {
-            slog::debug!(self.log, "followers have ended"; "reason" => closed.to_string());
+        if let Ok(Err(closed)) = tokio::time::timeout(PROBE_WAIT, back).await {
+            slog::debug!(self.log, "followers have stopped"; "reason" => closed.to_string());
         }
     }
 
-    /// Takes in the era of an answer.
-    fn take_era(&self, era: u64) -> Result<(), Trouble> {
+    /// Handles the era of an answer.
+    fn check_era(&self, era: u64) -> Result<(), FollowError> {
         let mut is_outdated = false;
         self.era.send_if_modified(|known| {
             is_outdated = era < *known;
@@ -279,7 +284,7 @@
             is_new
         });
         if is_outdated {
-            return Err(Trouble::Outdated);
+            return Err(FollowError::Outdated);
         }
         Ok(())
     }
@@ -292,21 +297,22 @@
         }
     }
 
-    /// Waits until this follower's pace is [`FollowPace::Guiding`].
-    async fn wait_until_guiding(&self) {
-        let mut pace = self.pace.clone();
-        let guiding = pace.wait_for(|pace| *pace == FollowPace::Guiding);
+    /// Waits until this follower's mode is [`FollowMode::Placer`].
+    async fn wait_until_placer(&self) {
+        let mut mode = self.mode.clone();
+        let guiding = mode.wait_for(|mode| *mode == FollowMode::Placer);
         if guiding.await.is_err() {
             std::future::pending().await
         }
     }
 
-    /// Waits until a call of another follower fails, unless this is the one that finds out for all.
+    /// Waits until a call of another follower fails, unless this is the probing follower.
     ///
-    /// A service that falls silent takes the calls that wait, and answers none of them when it is back. A
-    /// long wait that began just before would keep the configuration from this instance until its end.
-    async fn is_lost_for_another(&self) {
-        if self.kind == PROBING {
+    /// A service that stops responding never answers the calls that were waiting, even after its
+    /// return. Without this, a long wait that began just before an outage would keep configuration
+    /// changes from this instance until the wait ends.
+    async fn other_call_failed(&self) {
+        if self.kind == PROBING_KIND {
             return std::future::pending().await;
         }
         let mut reached = self.reached.subscribe();
@@ -320,36 +326,36 @@
         }
     }
 
-    fn longest_pause(&self) -> Duration {
+    fn max_backoff(&self) -> Duration {
         let instances = u32::try_from(self.shared.instances()).unwrap_or(u32::MAX);
-        let of_all = PAUSE_AN_INSTANCE.saturating_mul(instances);
-        of_all.clamp(LONGEST_PAUSE, LONGEST_PAUSE_OF_ALL)
+        let of_all = BACKOFF_PER_INSTANCE.saturating_mul(instances);
+        of_all.clamp(MAX_BACKOFF, MAX_FLEET_BACKOFF)
     }
 
-    /// Reads all objects of the kind and returns the revision to go on from.
-    async fn list(&mut self) -> Result<StoreRevision, Trouble> {
+    /// Lists all objects of the kind and returns the revision from which to watch.
+    async fn list(&mut self) -> Result<StoreRevision, FollowError> {
         let mut entries: Vec<Entry> = Vec::new();
         let mut after: Option<String> = None;
         let mut first_revision = None;
         loop {
             let read = StoreRead::List(self.kind, after, self.freshness);
             let answer = self.reader.read(&read).await?;
-            self.take_era(answer.era)?;
-            let page = (self.dialect.read_page)(self.kind, answer.era, &answer.body);
-            let page = page.map_err(Trouble::Unreadable)?;
+            self.check_era(answer.era)?;
+            let page = (self.dialect.decode_page)(self.kind, answer.era, &answer.body);
+            let page = page.map_err(FollowError::Unreadable)?;
             self.report_malformed(&page.malformed);
             entries.extend(page.entries);
-            // Objects may change between two pages: watched from the first page's revision on,
-            // their changes come again.
+            // Objects may change between two pages. Watching from the first page's revision repeats
+            // those changes.
             let revision: StoreRevision = *first_revision.get_or_insert(page.revision);
             if page.revision.era != revision.era {
-                return Err(Trouble::Restored);
+                return Err(FollowError::Restored);
             }
             match page.next_after {
                 Some(next) => after = Some(next),
                 None => {
                     self.freshness = Freshness::Latest;
-                    self.tell(FromStore::Listed(self.kind, entries, revision))
+                    self.notify(StoreEvent::Listed(self.kind, entries, revision))
                         .await;
                     return Ok(revision);
                 }
@@ -357,61 +363,61 @@
         }
     }
 
-    /// Waits for changes and returns the revision to go on from.
+    /// Waits for changes and returns the revision from which to continue.
     async fn watch(
         &mut self,
         from: StoreRevision,
         wait: Duration,
-    ) -> Result<StoreRevision, Trouble> {
+    ) -> Result<StoreRevision, FollowError> {
         let read = StoreRead::Watch(self.kind, from, wait);
         let answer = tokio::select! {
             answer = self.reader.read(&read) => answer?,
-            () = self.is_lost_for_another() => return Err(Trouble::Doubted),
-            () = self.is_restored_after(from.era) => return Err(Trouble::Restored),
-            () = self.wait_until_guiding(), if wait > GUIDING_RARE_WATCH_WAIT => {
-                return Err(Trouble::PaceChanged);
+            () = self.other_call_failed() => return Err(FollowError::OtherKindFailed),
+            () = self.is_restored_after(from.era) => return Err(FollowError::Restored),
+            () = self.wait_until_placer(), if wait > PLACER_RARE_WATCH_WAIT => {
+                return Err(FollowError::ModeChanged);
             }
         };
-        self.take_era(answer.era)?;
+        self.check_era(answer.era)?;
         if answer.era != from.era {
-            // What follows the revision now is another history.
-            return Err(Trouble::Restored);
+            // The service has a different history after this revision now.
+            return Err(FollowError::Restored);
         }
-        let changes = (self.dialect.read_changes)(self.kind, answer.era, &answer.body);
-        let changes: Changes = changes.map_err(Trouble::Unreadable)?;
+        let changes = (self.dialect.decode_changes)(self.kind, answer.era, &answer.body);
+        let changes: Changes = changes.map_err(FollowError::Unreadable)?;
         self.report_malformed(&changes.malformed);
         let revision = changes.revision;
         let changed = !changes.changes.is_empty();
-        self.tell(FromStore::Changed(self.kind, changes)).await;
+        self.notify(StoreEvent::Changed(self.kind, changes)).await;
         if changed && wait >= WATCH_WAIT {
-            tokio::time::sleep(gather_for(self.kind)).await;
+            tokio::time::sleep(gather_delay(self.kind)).await;
         }
         Ok(revision)
     }
 
-    async fn tell(&self, event: FromStore) {
+    async fn notify(&self, event: StoreEvent) {
         if self.control.send(event).await.is_err() {
-            slog::debug!(self.log, "the control state has ended");
+            slog::debug!(self.log, "control actor has stopped");
         }
     }
 
-    fn report(&self, trouble: &Trouble, first: bool) {
+    fn report(&self, trouble: &FollowError, first: bool) {
         let reason = match trouble {
-            Trouble::Expired | Trouble::Restored | Trouble::PaceChanged => return,
-            Trouble::Outdated => "an answer of before a restore".to_owned(),
-            Trouble::Failed(error) => error.to_string(),
-            Trouble::Unreadable(malformed) => malformed.to_string(),
-            Trouble::Doubted => "a call about another kind has failed".to_owned(),
+            FollowError::Expired | FollowError::Restored | FollowError::ModeChanged => return,
+            FollowError::Outdated => "answer is from before a restore".to_owned(),
+            FollowError::Failed(error) => error.to_string(),
+            FollowError::Unreadable(malformed) => malformed.to_string(),
+            FollowError::OtherKindFailed => "call about another kind failed".to_owned(),
         };
-        // One line for the loss of the service; further failures until it is back tell no more.
+        // Only the first failure of an outage is logged.
         if first {
-            slog::warn!(self.log, "platform lost"; "kind" => self.kind.as_str(), "reason" => reason);
+            slog::warn!(self.log, "platform unavailable"; "kind" => self.kind.as_str(), "reason" => reason);
         }
     }
 
-    /// Logs what can't be read, once for each fault of an object: it is read again with each list.
+    /// Logs objects that can't be decoded, once for each fault: every list reads them again.
     fn report_malformed(&mut self, malformed: &[Malformed]) {
-        if self.reported.len() + malformed.len() > MOST_REPORTED {
+        if self.reported.len() + malformed.len() > MAX_REPORTED_FAULTS {
             self.reported.clear();
         }
         for it in malformed {
@@ -421,7 +427,7 @@
             if before.as_ref() == Some(&it.problem) {
                 continue;
             }
-            slog::warn!(self.log, "object can't be read";
+            slog::warn!(self.log, "object can't be decoded";
                 "kind" => self.kind.as_str(), "object" => &*it.what, "problem" => &it.problem);
         }
     }
--- a/crates/chervilshunt_gateway/src/control/lease.rs
+++ b/crates/chervilshunt_gateway/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! The placer's lease at the platform, and who holds it.
+//! Calls about the placer's lease at the platform, and the record of its holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use crate::peers::{LeaseAnswer, LeaseCall, PeerMessage};
 use crate::store::call_once;
 
-/// The time for one call about the lease. A renewal that takes longer has no worth: its time counts
-/// from before it was sent.
-const LEASE_CALL: Duration = Duration::from_millis(1_500);
-/// The same where another instance can make the call after it. The platform answers in milliseconds,
-/// in a fifth of a second while it is slow; of the 4.3 s that a renewal counts, 0.9 s have passed when
-/// the next one is sent.
-const FIRST_LEASE_CALL: Duration = Duration::from_millis(300);
-/// The time for another instance to make the call.
-const RELAYED_LEASE_CALL: Duration = Duration::from_millis(350);
-/// Instances that are asked one after the other to make the call. The second one is for an instance
-/// that has just lost the platform too; with it the renewal still ends in time.
-pub(super) const RELAYS: usize = 2;
-/// How long it takes from when the lease can be taken until the new placer answers: instances
-/// spread their writes over 400 ms, and the new placer asks each target what it holds.
-const TAKING: Duration = Duration::from_millis(700);
-
-/// What a call about the lease needs, apart from the actor that wants it.
+/// Timeout of a call about the lease. A slower renewal is useless, because the lease's validity
+/// counts from before the call was sent.
+const LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of a call that another instance can repeat. The platform answers within milliseconds, or
+/// 0.2 s while it is slow. A renewal is valid for 4.3 s, and 0.9 s of that have passed when the
+/// next one is sent.
+const DIRECT_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of a call that another instance makes for this one.
+const RELAYED_LEASE_CALL_TIMEOUT: Duration = Duration::from_millis(350);
+/// Maximum number of instances that are asked, one after another, to make a call. The second one
+/// covers an instance that has just lost the platform too; the renewal is still in time with it.
+pub(super) const MAX_RELAYS: usize = 2;
+/// Time from when the lease can be taken until the new placer answers: instances spread their
+/// writes over 400 ms, and the new placer asks each target what it holds.
+const TAKEOVER_TIME: Duration = Duration::from_millis(700);
+
+/// What a call about the lease needs, independent of the actor.
 #[derive(Clone)]
-struct Caller {
+struct LeaseClient {
     exchange: Arc<Exchange>,
     dialect: StoreDialect,
     log: Logger,
@@ -41,68 +41,68 @@
 impl Control {
     /// Makes a call about the lease.
     ///
-    /// A placer that is cut off from the platform alone, or is turned away by it, has another
-    /// instance make the call. Otherwise nobody would place for the 6 s that a taker waits, while
-    /// the placer still reaches all targets and instances.
+    /// A placer that can't reach the platform, or whose calls it rejects, has another instance make
+    /// the call. Without this there would be no placer for the 6 s until the lease can be taken,
+    /// although this one still reaches all targets and instances.
     pub(super) fn call_lease(&self, call: LeaseCall) {
         let Some(control) = self.address.clone() else {
             return;
         };
-        let caller = self.lease_caller();
+        let client = self.lease_client();
         let placer = self.placer.as_ref();
-        let relays = placer.map(|it| it.presence.that_reach_platform(RELAYS));
+        let relays = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
         let relays = relays.unwrap_or_default();
         let mesh = self.shared.mesh.clone();
         tokio::spawn(async move {
             let within = if relays.is_empty() {
-                LEASE_CALL
+                LEASE_CALL_TIMEOUT
             } else {
-                FIRST_LEASE_CALL
+                DIRECT_LEASE_CALL_TIMEOUT
             };
-            let mut answer = caller.call(&call, within).await;
+            let mut answer = client.call(&call, within).await;
             for peer in &relays {
                 if !answer.is_failure() {
                     break;
                 }
                 answer = relay(&mesh, peer, &call).await;
-                slog::info!(caller.log, "lease call relayed";
+                slog::info!(client.log, "lease call relayed";
                     "peer" => peer.instance.as_str(), "failed" => answer.is_failure());
             }
             drop(control.send(answer).await);
         });
     }
 
-    /// Makes a call about the lease for the placer.
-    pub(super) fn call_lease_for(&self, call: LeaseCall, reply: Option<Reply<PeerMessage>>) {
+    /// Makes a call about the lease on behalf of the placer.
+    pub(super) fn call_lease_for_placer(&self, call: LeaseCall, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
         };
-        let caller = self.lease_caller();
+        let client = self.lease_client();
         tokio::spawn(async move {
-            let answer = caller.call(&call, FIRST_LEASE_CALL).await;
-            if let Err(error) = reply.send(PeerMessage::LeaseCalled(answer)) {
-                slog::debug!(caller.log, "asker is gone"; "reason" => error.to_string());
+            let answer = client.call(&call, DIRECT_LEASE_CALL_TIMEOUT).await;
+            if let Err(error) = reply.send(PeerMessage::LeaseCallResult(answer)) {
+                slog::debug!(client.log, "requester is gone"; "reason" => error.to_string());
             }
         });
     }
 
-    fn lease_caller(&self) -> Caller {
-        Caller {
+    fn lease_client(&self) -> LeaseClient {
+        LeaseClient {
             exchange: Arc::clone(&self.exchange),
             dialect: self.shared.dialect.store.clone(),
             log: self.shared.log.clone(),
         }
     }
 
-    /// Lets traffic know when there will be a placer again, if there is none.
-    pub(super) fn note_placer(&self, now: Moment) {
-        let there = self.placer.is_some() || self.shared.dispatch().is_placer_reachable(now);
-        let back = (!there).then(|| self.keeper.earliest_takeover() + TAKING);
-        self.shared.set_placer_back(back);
+    /// Publishes to traffic when there will be a placer again, if there is none.
+    pub(super) fn publish_placer_return(&self, now: Moment) {
+        let has_placer = self.placer.is_some() || self.shared.dispatch().is_placer_reachable(now);
+        let back = (!has_placer).then(|| self.keeper.earliest_takeover() + TAKEOVER_TIME);
+        self.shared.set_placer_return(back);
     }
 
-    /// Lets traffic know whom to ask for placements.
-    pub(super) fn note_holder(&self) {
+    /// Publishes to traffic which instance to ask for placements.
+    pub(super) fn publish_holder(&self) {
         let holder = self.keeper.holder().map(|(instance, address)| Peer {
             instance: instance.clone(),
             address,
@@ -114,7 +114,7 @@
         if known.as_deref() == holder.as_ref() {
             return;
         }
-        slog::info!(self.shared.log, "placer";
+        slog::info!(self.shared.log, "placer changed";
             "holder" => holder.as_ref().map(|it| it.instance.as_str().to_owned()));
         self.shared.placer.store(holder.map(Arc::new));
     }
@@ -122,16 +122,19 @@
 
 /// Has another instance make a call.
 async fn relay(mesh: &Mesh<PeerMessage>, peer: &Peer, call: &LeaseCall) -> LeaseAnswer {
-    let message = PeerMessage::CallLease(call.clone());
-    match mesh.request(peer, message, RELAYED_LEASE_CALL).await {
-        Ok(PeerMessage::LeaseCalled(answer)) => answer,
-        // The peer may have made the call all the same.
+    let message = PeerMessage::RelayLeaseCall(call.clone());
+    match mesh
+        .request(peer, message, RELAYED_LEASE_CALL_TIMEOUT)
+        .await
+    {
+        Ok(PeerMessage::LeaseCallResult(answer)) => answer,
+        // The peer may have made the call nevertheless.
         Ok(_) | Err(_) => call.without_answer(),
     }
 }
 
 impl LeaseCall {
-    /// Returns what is known if nobody answers: a write may have been carried out.
+    /// Returns the result of a call that nobody answered: a write may have been carried out.
     const fn without_answer(&self) -> LeaseAnswer {
         match self {
             Self::Write(..) => LeaseAnswer::Written(LeaseWriteOutcome::Unknown),
@@ -140,7 +143,7 @@
     }
 }
 
-impl Caller {
+impl LeaseClient {
     async fn call(&self, call: &LeaseCall, within: Duration) -> LeaseAnswer {
         match call {
             LeaseCall::Write(record, version) => {
@@ -158,7 +161,7 @@
     ) -> LeaseWriteOutcome {
         let call = (self.dialect.write_lease)(record, version);
         match call_once(&self.exchange, &self.dialect, &call, within).await {
-            Ok(answer) => match (self.dialect.read_seen_lease)(answer.era, &answer.body) {
+            Ok(answer) => match (self.dialect.decode_lease)(answer.era, &answer.body) {
                 Ok(seen) => LeaseWriteOutcome::Done(seen.version),
                 Err(malformed) => {
                     self.report_malformed(&malformed);
@@ -175,7 +178,7 @@
     async fn read(&self, within: Duration) -> LeaseAnswer {
         let call = (self.dialect.read_lease)();
         match call_once(&self.exchange, &self.dialect, &call, within).await {
-            Ok(answer) => match (self.dialect.read_seen_lease)(answer.era, &answer.body) {
+            Ok(answer) => match (self.dialect.decode_lease)(answer.era, &answer.body) {
                 Ok(seen) => LeaseAnswer::Read(Some(seen)),
                 Err(malformed) => {
                     self.report_malformed(&malformed);
@@ -191,7 +194,7 @@
     }
 
     fn report_malformed(&self, malformed: &Malformed) {
-        slog::warn!(self.log, "lease can't be read"; "problem" => malformed.to_string());
+        slog::warn!(self.log, "lease can't be decoded"; "problem" => malformed.to_string());
     }
 }
 
--- a/crates/chervilshunt_gateway/src/control/placing.rs
+++ b/crates/chervilshunt_gateway/src/control/placing.rs
@@ -1,4 +1,4 @@
-//! The placer's part: the planner's events go in here and its actions are carried out.
+//! The placer: passes events to the planner and carries out its actions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,49 +15,49 @@
 use chervilshunt_model::{InstanceId, Moment, TargetName};
 
 use super::actor::{Control, Placer};
-use super::messages::{Asked, Ordered};
-use super::presence::{Presence, SignOfLife};
+use super::messages::{OrderResult, TargetQueried};
+use super::presence::{InstanceStatus, Presence};
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
-/// How long a target may take to accept an order, or to say what it holds. It answers within
-/// milliseconds, and the placer reads it a tenth of a second later at most, where its share of the
-/// processor is used up; one that doesn't may carry an order out late. Waited for longer, targets
-/// that leave a third of the orders unanswered stood idle for half of the time.
+/// Timeouts of an order to a target, or of a query for what it holds. A target answers within
+/// milliseconds, and a placer that has used up its processor share reads the answer at most 0.1 s
+/// later; a slower target may carry an order out late. With longer timeouts, targets that left a
+/// third of the orders unanswered were idle half of the time.
 const ORDER_LIMITS: Limits = Limits {
     connect: Duration::from_millis(250),
     head: Duration::from_millis(250),
     idle: Duration::from_millis(250),
 };
-/// Questions are numbered from a placer's term on, in the upper half: they name grants, which instances
-/// may still tell of when there is another placer.
+/// Placement requests are numbered from the placer's term in the upper half of the number on. The
+/// numbers also identify grants, which instances may still report to a later placer.
 const TERM_SHIFT: u32 = 32;
-/// The part of the upper half that tells the platform's era, in whose next one terms start anew.
+/// The part of the upper half that holds the platform's era; terms start over in each era.
 const ERA_SHIFT: u32 = 24;
 
-/// Returns the number of the first question of a term.
-const fn first_question(term: u64) -> u64 {
+/// Returns the number of the first placement request of a term.
+const fn first_request_number(term: u64) -> u64 {
     let era = era_of_term(term) << ERA_SHIFT;
     let within_era = term & ((1 << ERA_SHIFT) - 1);
     (era | within_era) << TERM_SHIFT
 }
-/// The longest report that is read, in bytes.
-const MAX_REPORT: usize = 1 << 20;
+/// Maximum length of a target's report, in bytes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
 impl Control {
-    /// Starts to place: everything that is known goes into a new planner.
+    /// Becomes the placer: passes everything that is known to a new planner.
     pub(super) fn become_placer(&mut self, term: u64, now: Moment) {
-        slog::info!(self.shared.log, "placing begins"; "term" => term,
-            "loads_at_once" => self.learnt.map(|it| it.loads_at_once));
+        slog::info!(self.shared.log, "placing started"; "term" => term,
+            "loads_at_once" => self.estimates.map(|it| it.loads_at_once));
         metrics::counter!("chervilshunt_placer_terms_total").increment(1);
         let mut residency = ResidencyPlanner::new(ResidencyConfig::default(), now);
-        if let Some(learnt) = self.learnt {
-            residency.start_with(learnt);
+        if let Some(estimates) = self.estimates {
+            residency.start_with(estimates);
         }
         self.placer = Some(Placer {
             residency,
-            questions: HashMap::new(),
-            next_question: first_question(term),
+            pending_requests: HashMap::new(),
+            next_request: first_request_number(term),
             presence: Presence::default(),
         });
         if let Some(routes) = self.shared.routes.load_full() {
@@ -73,51 +73,55 @@
         self.shared.dispatch().placer_responded(now);
     }
 
-    /// Stops placing. Questions that wait end unanswered, and the other instances, which choose by
-    /// themselves from now on, are told what targets hold.
-    pub(super) fn cease_placing(&mut self) {
-        slog::info!(self.shared.log, "placing ends");
+    /// Stops placing. Pending placement requests end unanswered. The other instances choose targets
+    /// on their own from now on, so they are sent what targets hold.
+    pub(super) fn stop_placing(&mut self) {
+        slog::info!(self.shared.log, "placing stopped");
         if let Some(placer) = self.placer.take() {
-            self.tell_snapshots(&placer);
+            self.send_snapshots(&placer);
         }
-        self.choose_helpers();
+        self.choose_relays();
     }
 
-    /// Gives the planner an event, if this instance is the placer.
+    /// Passes an event to the planner if this instance is the placer.
     pub(super) fn plan(&mut self, event: ResidencyEvent) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
             return;
         };
         for action in placer.residency.handle(event, now) {
-            self.carry_out(action, now);
+            self.execute(action, now);
         }
     }
 
-    fn carry_out(&mut self, action: ResidencyAction, now: Moment) {
+    fn execute(&mut self, action: ResidencyAction, now: Moment) {
         match action {
-            ResidencyAction::Order(order) => self.give_order(order, now),
-            ResidencyAction::QueryTarget(target) => self.ask(target),
+            ResidencyAction::Order(order) => self.send_order(order, now),
+            ResidencyAction::QueryTarget(target) => self.query_target(target),
             ResidencyAction::Notify(holding) => self.shared.dispatch().holding_changed(holding),
             ResidencyAction::Answer(question, placed) => self.answer(question, placed),
         }
     }
 
-    /// Gives an order, if the lease counts at this moment.
-    fn give_order(&mut self, order: Order, now: Moment) {
+    /// Sends an order to a target if the lease is valid at this moment.
+    fn send_order(&mut self, order: Order, now: Moment) {
         let Some(control) = self.address.clone() else {
             return;
         };
         let number = order.number;
         let address = self.address_of(&order.target);
         let (Some(term), Some(address)) = (self.keeper.may_order(now), address) else {
-            tokio::spawn(
-                async move { drop(control.send(Ordered(number, OrderAnswer::NotSent)).await) },
-            );
+            tokio::spawn(async move {
+                drop(
+                    control
+                        .send(OrderResult(number, OrderAnswer::NotSent))
+                        .await,
+                )
+            });
             return;
         };
-        let req = (self.shared.dialect.targets.order)(&order, self.me(), term);
-        let read = self.shared.dialect.targets.read_order_answer;
+        let req = (self.shared.dialect.targets.order)(&order, self.own_id(), term);
+        let read = self.shared.dialect.targets.decode_order_answer;
         let client = self.shared.engines.client(address);
         let shared = Arc::clone(&self.shared);
         let log = self.shared.log.clone();
@@ -127,7 +131,7 @@
                 Ok((head, _body)) => {
                     let answer = read(head.status, &head.headers, &order.target);
                     if answer != OrderAnswer::OtherTarget {
-                        shared.note_leaving(&order.target, started, &head.headers);
+                        shared.check_leaving(&order.target, started, &head.headers);
                     }
                     answer
                 }
@@ -139,26 +143,26 @@
                 "accepted_before" => order.accepted_before, "term" => term, "answer" => ?answer);
             metrics::counter!("chervilshunt_orders_total", "answer" => answer_label(answer))
                 .increment(1);
-            drop(control.send(Ordered(number, answer)).await);
+            drop(control.send(OrderResult(number, answer)).await);
         });
     }
 
     /// Asks a target what it holds.
-    fn ask(&self, target: TargetName) {
+    fn query_target(&self, target: TargetName) {
         let Some(control) = self.address.clone() else {
             return;
         };
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            let report = match ask(&shared, &target).await {
+            let report = match fetch_report(&shared, &target).await {
                 Ok(report) => Some(report),
                 Err(reason) => {
-                    slog::info!(shared.log, "target not asked";
+                    slog::info!(shared.log, "target not queried";
                         "target" => target.as_str(), "reason" => reason);
                     None
                 }
             };
-            drop(control.send(Asked(target, report)).await);
+            drop(control.send(TargetQueried(target, report)).await);
         });
     }
 
@@ -166,49 +170,49 @@
         self.shared.dispatch().target(target).map(|it| it.address)
     }
 
-    /// Takes in what an instance has under way, and tells it what it needs in turn.
-    pub(super) fn instance_uses(
+    /// Handles an instance's report of its open requests and answers with the placer's status.
+    pub(super) fn handle_usage_report(
         &mut self,
         from: &InstanceId,
-        sign: SignOfLife,
+        status: InstanceStatus,
         (uses, grants): (Vec<TargetUse>, Vec<GrantNumber>),
     ) {
         let now = self.now();
         let Some(placer) = &mut self.placer else {
             return;
         };
-        placer.presence.heard(from, sign, now);
-        if let Some(placing) = self.placing(now) {
-            self.send(&sign.peer(from), placing);
+        placer.presence.record_report(from, status, now);
+        if let Some(placing) = self.placer_status(now) {
+            self.send(&status.peer(from), placing);
         }
         self.plan(ResidencyEvent::UsageReported(from.clone(), uses, grants));
-        let silent = self
+        let unreachable = self
             .placer
             .as_mut()
-            .map(|it| it.presence.forget_silent(now));
-        for instance in silent.unwrap_or_default() {
+            .map(|it| it.presence.remove_unreachable(now));
+        for instance in unreachable.unwrap_or_default() {
             self.plan(ResidencyEvent::InstanceGone(instance));
         }
     }
 
-    /// Returns what the placer tells regularly; none if this instance is not the placer.
-    fn placing(&self, now: Moment) -> Option<PeerMessage> {
+    /// Returns the placer's status message; `None` if this instance is not the placer.
+    fn placer_status(&self, now: Moment) -> Option<PeerMessage> {
         let placer = self.placer.as_ref()?;
-        Some(PeerMessage::Placing {
+        Some(PeerMessage::PlacerStatus {
             knows_targets: placer.residency.knows_targets(),
-            learnt: placer.residency.estimates().or(self.learnt),
+            estimates: placer.residency.estimates().or(self.estimates),
             instances: placer.presence.count(),
             platform: self.feed.view(now),
             lease: self.keeper.held(),
         })
     }
 
-    /// Tells all other instances at once what the placer tells each of them regularly.
+    /// Sends the placer's status to all other instances at once.
     ///
-    /// After a moment without an answer of the platform, what they were told last is about to count no
-    /// longer, and each of them would look for itself.
-    pub(super) fn tell_placing(&self, now: Moment) {
-        let (Some(placer), Some(placing)) = (&self.placer, self.placing(now)) else {
+    /// Called when the platform has not answered for a moment: the status sent last is about to
+    /// expire, and each instance would then poll the platform itself.
+    pub(super) fn broadcast_status(&self, now: Moment) {
+        let (Some(placer), Some(placing)) = (&self.placer, self.placer_status(now)) else {
             return;
         };
         for peer in placer.presence.peers() {
@@ -216,69 +220,70 @@
         }
     }
 
-    /// Takes in what the placer would tell itself.
-    pub(super) fn take_own_placing(&mut self) {
+    /// Applies the placer's status on the placer itself.
+    pub(super) fn apply_own_status(&mut self) {
         if let Some(placer) = &self.placer {
             let knows_targets = placer.residency.knows_targets();
-            self.learnt = placer.residency.estimates().or(self.learnt);
-            self.take_placing(knows_targets, placer.presence.count());
+            self.estimates = placer.residency.estimates().or(self.estimates);
+            self.apply_status(knows_targets, placer.presence.count());
         }
     }
 
-    /// Takes in that a request wants an adapter.
-    pub(super) fn wanted(
+    /// Handles a placement request.
+    pub(super) fn handle_placement_request(
         &mut self,
-        wanted: impl FnOnce(u64) -> ResidencyEvent,
+        event: impl FnOnce(u64) -> ResidencyEvent,
         reply: Option<Reply<PeerMessage>>,
     ) {
         let (Some(placer), Some(reply)) = (&mut self.placer, reply) else {
-            // Dropping the reply tells the asker at once that there is no answer.
+            // Dropping the reply tells the requester at once that there is no answer.
             return;
         };
-        let question = placer.next_question;
-        placer.next_question += 1;
-        placer.questions.insert(question, reply);
-        self.plan(wanted(question));
+        let question = placer.next_request;
+        placer.next_request += 1;
+        placer.pending_requests.insert(question, reply);
+        self.plan(event(question));
     }
 
     fn answer(&mut self, question: u64, placed: PlacementResult) {
         let reply = self.placer.as_mut();
-        let reply = reply.and_then(|placer| placer.questions.remove(&question));
+        let reply = reply.and_then(|placer| placer.pending_requests.remove(&question));
         if let Some(reply) = reply
-            && let Err(error) = reply.send(PeerMessage::Placed(placed, GrantNumber(question)))
+            && let Err(error) =
+                reply.send(PeerMessage::PlacementAnswer(placed, GrantNumber(question)))
         {
-            slog::debug!(self.shared.log, "asker is gone"; "reason" => error.to_string());
+            slog::debug!(self.shared.log, "requester is gone"; "reason" => error.to_string());
         }
     }
 
     pub(super) fn send(&self, peer: &Peer, message: PeerMessage) {
         if let Err(error) = self.shared.mesh.send(peer, message) {
-            slog::debug!(self.shared.log, "instance not told";
+            slog::debug!(self.shared.log, "message to instance not sent";
                 "peer" => peer.instance.as_str(), "reason" => error.to_string());
         }
     }
 }
 
-async fn ask(shared: &Shared, target: &TargetName) -> Result<TargetReport, String> {
+async fn fetch_report(shared: &Shared, target: &TargetName) -> Result<TargetReport, String> {
     let dialect = &shared.dialect.targets;
     let (address, started) = {
         let dispatch = shared.dispatch();
-        let facts = dispatch.target(target).ok_or("the target is gone")?;
+        let facts = dispatch.target(target).ok_or("target is not known")?;
         (facts.address, facts.started)
     };
     let client = shared.engines.client(address);
-    let answer = client.forward((dialect.ask)(target), true, ORDER_LIMITS);
+    let answer = client.forward((dialect.report_query)(target), true, ORDER_LIMITS);
     let (head, body) = answer.await.map_err(|error| error.to_string())?;
     if !head.status.is_success() {
-        return Err(format!("it answered {}", head.status));
+        return Err(format!("target answered with status {}", head.status));
     }
-    shared.note_leaving(target, started, &head.headers);
-    let body = body.read_whole(MAX_REPORT).await;
+    shared.check_leaving(target, started, &head.headers);
+    let body = body.read_whole(MAX_REPORT_BYTES).await;
     let body = body.map_err(|error| error.to_string())?;
-    (dialect.read_report)(&body).map_err(|error| error.to_string())
+    (dialect.decode_report)(&body).map_err(|error| error.to_string())
 }
 
-/// Returns what an order without an answer may have come to.
+/// Returns the result of an order that got no answer.
 fn unanswered(error: &EngineError) -> OrderAnswer {
     match error.outcome() {
         Outcome::NotRun => OrderAnswer::NotSent,
--- a/crates/chervilshunt_gateway/src/control/reading.rs
+++ b/crates/chervilshunt_gateway/src/control/reading.rs
@@ -1,8 +1,9 @@
-//! Reads of the platform's objects, by this instance itself or through another one.
+//! Reads of the platform's objects, made directly or through another instance.
 //!
-//! All other instances rely on what the placer sees of the platform. One that is cut off from it, or
-//! turned away by it, would leave each of them to look for itself, in hundreds of calls a second; so it
-//! has an instance that reaches the platform make its reads.
+//! All other instances rely on the placer's view of the platform. If a placer is cut off from the
+//! platform, or its calls are rejected, each of them would poll the platform itself, in hundreds of
+//! calls a second. To avoid this, the placer has an instance that reaches the platform make its
+//! reads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,25 +14,27 @@
 use tokio::sync::watch;
 
 use super::actor::Control;
-use super::lease::RELAYS;
+use super::lease::MAX_RELAYS;
 use crate::dialect::StoreDialect;
 use crate::peers::{PeerMessage, StoreRead};
 use crate::shared::Shared;
 use crate::store::{StoreAnswer, call_once};
 
-/// How much later than asked for the answer to a waiting call may come.
+/// Time after its requested wait in which a call may still be answered before it times out.
 const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
-/// How much later than asked for an answer comes while all is well. Later, another instance is asked
-/// beside, while what the placer last told still counts.
-const USUAL_GRACE: Duration = Duration::from_millis(200);
-/// The longest wait for changes through another instance: its own way may be lost meanwhile.
-const LONGEST_WAIT_THROUGH: Duration = Duration::from_millis(300);
-/// The time for another instance to make a read, beside the wait for changes.
-const THROUGH: Duration = Duration::from_millis(350);
-
-/// How much later than one through another instance an own read counts still. It may have to open a
-/// connection first; dropped each time, it would never show that the way is open again.
-const OWN_LAG: Duration = Duration::from_millis(50);
+/// Time after its requested wait in which a call is normally answered. After that another instance
+/// is asked in parallel, while the placer's last report is still valid.
+const NORMAL_GRACE: Duration = Duration::from_millis(200);
+/// Longest wait for changes in a read through another instance. It is short because this instance's
+/// own connection may have been lost meanwhile.
+const MAX_RELAYED_WAIT: Duration = Duration::from_millis(300);
+/// Timeout of a read through another instance, in addition to the wait for changes.
+const RELAYED_READ_TIMEOUT: Duration = Duration::from_millis(350);
+
+/// Time by which a direct read may finish after one through another instance and still be used. A
+/// direct read may have to open a connection first; if it were dropped each time, it would never
+/// show that the platform can be reached again.
+const MAX_DIRECT_READ_LAG: Duration = Duration::from_millis(50);
 
 /// Makes the reads of all followers of an instance.
 #[derive(Debug)]
@@ -39,72 +42,73 @@
     dialect: StoreDialect,
     exchange: Arc<Exchange>,
     mesh: Mesh<PeerMessage>,
-    /// The instances that can help; none unless this one is the placer.
-    helpers: watch::Receiver<Vec<Peer>>,
-    /// Whether the last read had no answer in the usual time.
-    doubtful: watch::Sender<bool>,
+    /// The instances that can make reads for this one; empty unless this instance is the placer.
+    relays: watch::Receiver<Vec<Peer>>,
+    /// Whether the last read was not answered in the normal time.
+    is_delayed: watch::Sender<bool>,
     log: Logger,
 }
 
 impl Reader {
-    /// Makes a reader that is helped as `helpers` says.
+    /// Creates a reader that may use the instances in `relays`.
     pub(crate) fn new(
         shared: &Shared,
         exchange: Arc<Exchange>,
-        helpers: watch::Receiver<Vec<Peer>>,
+        relays: watch::Receiver<Vec<Peer>>,
     ) -> Self {
         Self {
             dialect: shared.dialect.store.clone(),
             exchange,
             mesh: shared.mesh.clone(),
-            helpers,
-            doubtful: watch::Sender::new(false),
+            relays,
+            is_delayed: watch::Sender::new(false),
             log: shared.log.clone(),
         }
     }
 
     /// Makes a read.
     pub(crate) async fn read(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
-        let helpers = self.helpers.borrow().clone();
-        let own = self.read_itself(read);
-        if helpers.is_empty() {
+        let relays = self.relays.borrow().clone();
+        let own = self.read_directly(read);
+        if relays.is_empty() {
             return own.await;
         }
         let mut own = std::pin::pin!(own);
         let failed = tokio::select! {
             result = &mut own => match result {
-                Err(error) if is_unreached(&error) => error,
+                Err(error) if may_succeed_elsewhere(&error) => error,
                 result => return result,
             },
             () = self.is_overdue(read) => {
-                return self.read_beside(own, &helpers, read).await;
+                return self.read_hedged(own, &relays, read).await;
             }
         };
-        self.set_doubtful(true);
-        self.read_through(&helpers, read).await.ok_or(failed)
+        self.set_delayed(true);
+        self.read_relayed(&relays, read).await.ok_or(failed)
     }
 
-    /// Makes a read through another instance beside an own one that is overdue.
+    /// Makes a read through another instance while the overdue direct read continues.
     ///
-    /// The own one goes on, so that it shows when this instance reaches the platform again.
-    async fn read_beside(
+    /// The direct read is not cancelled, so that it shows when this instance reaches the platform
+    /// again.
+    async fn read_hedged(
         &self,
         mut own: impl Future<Output = Result<StoreAnswer, PlatformError>> + Unpin,
-        helpers: &[Peer],
+        relays: &[Peer],
         read: &StoreRead,
     ) -> Result<StoreAnswer, PlatformError> {
-        self.set_doubtful(true);
-        let mut through = std::pin::pin!(self.read_through(helpers, read));
+        self.set_delayed(true);
+        let mut through = std::pin::pin!(self.read_relayed(relays, read));
         tokio::select! {
             result = &mut own => match result {
-                Err(error) if is_unreached(&error) => through.await.ok_or(error),
+                Err(error) if may_succeed_elsewhere(&error) => through.await.ok_or(error),
                 result => result,
             },
             body = &mut through => {
                 let Some(body) = body else {
                     return own.await;
                 };
-                match tokio::time::timeout(OWN_LAG, own).await {
+                match tokio::time::timeout(MAX_DIRECT_READ_LAG, own).await {
                     Ok(Ok(body)) => Ok(body),
                     Ok(Err(_)) | Err(_) => Ok(body),
                 }
@@ -112,35 +116,35 @@
         }
     }
 
-    async fn read_itself(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
+    async fn read_directly(&self, read: &StoreRead) -> Result<StoreAnswer, PlatformError> {
         let result = exchange_read(&self.exchange, &self.dialect, read, ANSWER_GRACE).await;
         if result.is_ok() {
-            self.set_doubtful(false);
+            self.set_delayed(false);
         }
         result
     }
 
-    /// Waits until a read has had the usual time for its answer, or one of another kind has shown that
-    /// answers may not come at all.
+    /// Waits until a read has had the normal time for its answer, or a read of another kind has
+    /// shown that answers may not arrive at all.
     async fn is_overdue(&self, read: &StoreRead) {
-        let usual = tokio::time::sleep(read.wait() + USUAL_GRACE);
-        let mut doubtful = self.doubtful.subscribe();
+        let usual = tokio::time::sleep(read.wait() + NORMAL_GRACE);
+        let mut is_delayed = self.is_delayed.subscribe();
         tokio::select! {
             () = usual => {}
-            _ = doubtful.wait_for(|doubtful| *doubtful) => {}
+            _ = is_delayed.wait_for(|is_delayed| *is_delayed) => {}
         }
     }
 
-    async fn read_through(&self, helpers: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
-        let read = read.waiting_at_most(LONGEST_WAIT_THROUGH);
-        for peer in helpers {
-            let message = PeerMessage::ReadStore(read.clone());
+    async fn read_relayed(&self, relays: &[Peer], read: &StoreRead) -> Option<StoreAnswer> {
+        let read = read.with_max_wait(MAX_RELAYED_WAIT);
+        for peer in relays {
+            let message = PeerMessage::RelayRead(read.clone());
             let answer = self
                 .mesh
-                .request(peer, message, read.wait() + THROUGH)
+                .request(peer, message, read.wait() + RELAYED_READ_TIMEOUT)
                 .await;
             match answer {
-                Ok(PeerMessage::StoreShows(body, era)) => {
+                Ok(PeerMessage::ReadResult(body, era)) => {
                     let body = body.into();
                     return Some(StoreAnswer { era, body });
                 }
@@ -153,32 +157,32 @@
         None
     }
 
-    /// Takes note of whether reads are answered; a change of that gets a line in the log.
-    fn set_doubtful(&self, doubtful: bool) {
+    /// Records whether direct reads are answered, and logs a change.
+    fn set_delayed(&self, is_delayed: bool) {
         let changed = self
-            .doubtful
-            .send_if_modified(|known| std::mem::replace(known, doubtful) != doubtful);
+            .is_delayed
+            .send_if_modified(|known| std::mem::replace(known, is_delayed) != is_delayed);
         if changed {
-            slog::info!(self.log, "own reads of the platform"; "answered" => !doubtful);
+            slog::info!(self.log, "direct reads of the platform"; "answered" => !is_delayed);
         }
     }
 }
 
 impl Control {
-    /// Returns what tells which instances may read for this one.
-    pub(crate) fn helpers(&self) -> watch::Receiver<Vec<Peer>> {
-        self.helpers.subscribe()
+    /// Returns a receiver of the instances that may make reads for this one.
+    pub(crate) fn relays(&self) -> watch::Receiver<Vec<Peer>> {
+        self.relays.subscribe()
     }
 
-    /// Chooses the instances that may read for this one, as long as it is the placer.
-    pub(super) fn choose_helpers(&self) {
+    /// Chooses the instances that may make reads for this one while it is the placer.
+    pub(super) fn choose_relays(&self) {
         let placer = self.placer.as_ref();
-        let helpers = placer.map(|it| it.presence.that_reach_platform(RELAYS));
-        self.helpers.send_replace(helpers.unwrap_or_default());
+        let relays = placer.map(|it| it.presence.with_platform_access(MAX_RELAYS));
+        self.relays.send_replace(relays.unwrap_or_default());
     }
 
-    /// Makes a read for the placer.
-    pub(super) fn read_for(&self, read: StoreRead, reply: Option<Reply<PeerMessage>>) {
+    /// Makes a read on behalf of the placer.
+    pub(super) fn read_for_placer(&self, read: StoreRead, reply: Option<Reply<PeerMessage>>) {
         let Some(reply) = reply else {
             return;
         };
@@ -186,7 +190,7 @@
         let dialect = self.shared.dialect.store.clone();
         let log = self.shared.log.clone();
         tokio::spawn(async move {
-            let answer = match exchange_read(&exchange, &dialect, &read, USUAL_GRACE).await {
+            let answer = match exchange_read(&exchange, &dialect, &read, NORMAL_GRACE).await {
                 Ok(answer) => answer,
                 // Dropping the reply tells the placer that there is no answer.
                 Err(error) => {
@@ -196,8 +200,8 @@
                 }
             };
             let body = String::from_utf8_lossy(&answer.body).into_owned();
-            if let Err(error) = reply.send(PeerMessage::StoreShows(body, answer.era)) {
-                slog::debug!(log, "asker is gone"; "reason" => error.to_string());
+            if let Err(error) = reply.send(PeerMessage::ReadResult(body, answer.era)) {
+                slog::debug!(log, "requester is gone"; "reason" => error.to_string());
             }
         });
     }
@@ -218,8 +222,8 @@
     call_once(exchange, dialect, &call, read.wait() + grace).await
 }
 
-/// Says whether another instance may have an answer where this one has none.
-const fn is_unreached(error: &PlatformError) -> bool {
+/// Returns whether another instance may get an answer although this one got none.
+const fn may_succeed_elsewhere(error: &PlatformError) -> bool {
     matches!(
         error,
         PlatformError::Unavailable { .. }
--- a/crates/chervilshunt_gateway/src/control/restore.rs
+++ b/crates/chervilshunt_gateway/src/control/restore.rs
@@ -1,4 +1,4 @@
-//! What is done when the platform's service comes back from an older copy.
+//! Handles a restore of the platform's object service from an older copy.
 //!
 //! See `docs/design/store-restored.md`.
 
@@ -9,20 +9,21 @@
 use tokio::sync::watch;
 
 use super::actor::Control;
-use crate::crashes::record_again;
+use crate::crashes::rewrite_record;
 use crate::dialect::{Content, Entry};
 
 impl Control {
-    /// Returns what tells the service's newest era.
+    /// Returns the channel that carries the service's newest era.
     pub(crate) fn era(&self) -> watch::Sender<u64> {
         self.era.clone()
     }
 
-    /// Takes in the era of an answer of the service.
+    /// Handles the era of an answer of the service.
     ///
-    /// Entries of targets may be missing until they are written again, as after an outage. What was seen
-    /// leaving, the newest configuration and versions stay as they are known here.
-    pub(super) fn note_era(&mut self, era: u64) {
+    /// After a restore, entries of targets may be missing until they are written again, as after an
+    /// outage. The newest known configuration and versions, and which targets are known to be
+    /// leaving, stay as they are.
+    pub(super) fn handle_era(&mut self, era: u64) {
         let known = self.known_era;
         if known.is_some_and(|known| era <= known) {
             return;
@@ -35,15 +36,15 @@
             return;
         };
         let now = self.now();
-        self.absences.note_trouble(now);
+        self.missing_targets.record_outage(now);
         self.shared.quarantine().handle_restore();
         slog::warn!(self.shared.log, "platform restored from a copy"; "era" => era, "before" => known,
             "placing" => self.placer.is_some());
     }
 
-    /// Leaves out entries of targets that were gone and that a restore has brought back: their targets
-    /// write them again if they live.
-    pub(super) fn without_revived(
+    /// Removes entries of targets that were gone and that a restore has brought back. If such a
+    /// target is alive, it writes its entry again.
+    pub(super) fn without_restored_targets(
         &mut self,
         entries: Vec<Entry>,
         listed: StoreRevision,
@@ -56,24 +57,24 @@
                 }
                 _ => None,
             });
-            self.revived = gone.collect();
+            self.restored_targets = gone.collect();
             drop(dispatch);
-            for name in self.revived.keys() {
-                slog::info!(self.shared.log, "target brought back by a restore"; "target" => name.as_str());
+            for name in self.restored_targets.keys() {
+                slog::info!(self.shared.log, "outdated target entry brought back by a restore"; "target" => name.as_str());
             }
         }
         self.listed_era = Some(listed.era);
         let is_written_again = |entry: &Entry| match &entry.content {
             Content::Target(facts) => {
-                let revived = self.revived.get(&facts.name);
-                revived.is_none_or(|revision| entry.revision > *revision)
+                let restored_targets = self.restored_targets.get(&facts.name);
+                restored_targets.is_none_or(|revision| entry.revision > *revision)
             }
             _ => true,
         };
         entries.into_iter().filter(is_written_again).collect()
     }
 
-    /// Records crashes again that a restore has lost, if this instance is the placer.
+    /// Rewrites crash records that a restore has lost, if this instance is the placer.
     pub(super) fn record_lost_crashes(&self) {
         if self.placer.is_none() {
             return;
@@ -81,7 +82,7 @@
         let lacking = self.shared.quarantine().missing_records();
         for fingerprint in lacking {
             let (shared, exchange) = (Arc::clone(&self.shared), Arc::clone(&self.exchange));
-            tokio::spawn(async move { record_again(shared, exchange, fingerprint).await });
+            tokio::spawn(async move { rewrite_record(shared, exchange, fingerprint).await });
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/control/snapshots.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots.rs
@@ -1,4 +1,4 @@
-//! What a placer knows, passed on to all instances when its lease ends.
+//! The placer's knowledge of targets, sent to all instances when its lease ends.
 
 use std::net::SocketAddr;
 
@@ -8,16 +8,18 @@
 use super::actor::{Control, Placer};
 use crate::peers::{PeerMessage, Snapshots};
 
-/// Instances to which a placer sends by itself, without one that passes on.
-const DIRECT: usize = 16;
+/// Number of instances up to which the placer sends to each of them directly rather than through
+/// forwarding instances.
+const MAX_DIRECT_RECIPIENTS: usize = 16;
 
 impl Control {
-    /// Tells all instances what a placer knew that places no longer, unless there is another by now.
-    pub(super) fn tell_snapshots(&self, placer: &Placer) {
+    /// Sends the knowledge of a placer whose lease has ended to all instances, unless there is
+    /// another placer by now.
+    pub(super) fn send_snapshots(&self, placer: &Placer) {
         let Some((holder, _)) = self.keeper.holder() else {
             return;
         };
-        let (true, Some(term)) = (holder == self.me(), self.keeper.term()) else {
+        let (true, Some(term)) = (holder == self.own_id(), self.keeper.term()) else {
             return;
         };
         if !placer.residency.knows_targets() {
@@ -25,43 +27,43 @@
         }
         let targets = placer.residency.snapshots();
         let groups = groups(placer.presence.peers().collect());
-        slog::info!(self.shared.log, "targets' holds told";
+        slog::info!(self.shared.log, "target snapshots sent";
             "term" => term, "targets" => targets.len(), "by" => groups.len());
         for (first, rest) in groups {
-            let pass_on = rest.into_iter().map(|it| (it.instance, it.address));
+            let forward_to = rest.into_iter().map(|it| (it.instance, it.address));
             let snapshots = Snapshots {
                 term,
                 targets: targets.clone(),
-                pass_on: pass_on.collect(),
+                forward_to: forward_to.collect(),
             };
             self.send(&first, PeerMessage::Snapshots(snapshots));
         }
     }
 
-    /// Takes in what a placer knew whose lease has ended, and passes it on.
-    pub(super) fn take_snapshots(&self, from: &InstanceId, snapshots: Snapshots) {
-        // From a placer that another has followed by now, or that is not known to be one yet.
+    /// Applies and forwards the knowledge of a placer whose lease has ended.
+    pub(super) fn handle_snapshots(&self, from: &InstanceId, snapshots: Snapshots) {
+        // The sender has a successor by now, or is not known here as the placer yet.
         if self.keeper.term() != Some(snapshots.term) {
             return;
         }
-        slog::info!(self.shared.log, "targets' holds learnt";
+        slog::info!(self.shared.log, "target snapshots received";
             "term" => snapshots.term, "from" => from.as_str(), "targets" => snapshots.targets.len(),
-            "passed_on" => snapshots.pass_on.len());
-        self.pass_on(&snapshots);
+            "passed_on" => snapshots.forward_to.len());
+        self.forward_snapshots(&snapshots);
         let now = self.now();
         let mut dispatch = self.shared.dispatch();
         dispatch.placer_lost();
         dispatch.apply_snapshots(snapshots.targets, now);
     }
 
-    fn pass_on(&self, snapshots: &Snapshots) {
-        for (instance, address) in &snapshots.pass_on {
+    fn forward_snapshots(&self, snapshots: &Snapshots) {
+        for (instance, address) in &snapshots.forward_to {
             let peer = Peer {
                 instance: instance.clone(),
                 address: *address,
             };
             let snapshots = Snapshots {
-                pass_on: Vec::new(),
+                forward_to: Vec::new(),
                 ..snapshots.clone()
             };
             self.send(&peer, PeerMessage::Snapshots(snapshots));
@@ -69,11 +71,12 @@
     }
 }
 
-/// Divides instances into as many groups as each has members, each of which the first member passes on
-/// to. Those of one group have addresses close to each other, and so mostly share an availability zone.
+/// Divides instances into about as many groups as each group has members. The first member of a
+/// group forwards to the others. Members of one group have adjacent addresses and so mostly share
+/// an availability zone.
 fn groups(mut peers: Vec<Peer>) -> Vec<(Peer, Vec<Peer>)> {
     peers.sort_by_key(|it: &Peer| -> SocketAddr { it.address });
-    let size = if peers.len() <= DIRECT {
+    let size = if peers.len() <= MAX_DIRECT_RECIPIENTS {
         1
     } else {
         peers.len().isqrt()
--- a/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
+++ b/crates/chervilshunt_gateway/src/control/snapshots/tests.rs
@@ -1,4 +1,4 @@
-//! By whom what a placer knew is passed on.
+//! Tests of the groups in which a placer's knowledge is forwarded.
 
 use std::collections::HashSet;
 
@@ -16,19 +16,19 @@
 }
 
 #[rstest]
-#[case::nobody(0, 0, 0)]
-#[case::a_few_are_told_directly(9, 9, 0)]
+#[case::no_instances(0, 0, 0)]
+#[case::a_few_are_sent_to_directly(9, 9, 0)]
 #[case::hundreds(195, 15, 12)]
 #[case::the_largest_fleet(369, 20, 18)]
-fn no_instance_sends_to_more_than_about_the_root_of_all(
+fn each_instance_sends_to_about_the_square_root_of_all(
     #[case] instances: u16,
-    #[case] told_by_the_placer: usize,
-    #[case] told_by_one_other: usize,
+    #[case] sent_by_the_placer: usize,
+    #[case] sent_by_one_other: usize,
 ) {
     let groups = groups(peers(instances));
-    assert_eq!(groups.len(), told_by_the_placer);
+    assert_eq!(groups.len(), sent_by_the_placer);
     let passed_on = groups.iter().map(|(_, rest)| rest.len()).max();
-    assert_eq!(passed_on.unwrap_or(0), told_by_one_other);
+    assert_eq!(passed_on.unwrap_or(0), sent_by_one_other);
     let first = groups.iter().map(|(first, _)| first.instance.clone());
     let rest = groups.iter().flat_map(|(_, rest)| rest);
     let all: Vec<_> = first
--- a/crates/chervilshunt_gateway/src/control/targets.rs
+++ b/crates/chervilshunt_gateway/src/control/targets.rs
@@ -1,4 +1,4 @@
-//! What the platform shows: configuration, targets, versions and the lease.
+//! Applies what the platform reports: configuration, targets, versions and the lease.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,42 +12,44 @@
 use chervilshunt_model::{InstanceId, Moment, StoreRevision, TargetName};
 
 use super::actor::Control;
-use super::messages::FromStore;
+use super::messages::StoreEvent;
 use crate::dialect::{Change, Content, Entry, Kind};
 use crate::peers::PeerMessage;
 
-/// How long a target whose entry has gone is used still, in calm times. Entries lapse when the
-/// platform's service was away too shortly for any call of this instance to notice, and are back
-/// soon; a target that leaves without a word serves on for seconds.
-const CALM_GRACE: Duration = Duration::from_millis(600);
-/// The same after the platform's service was away, counted from the last failed call: the entries
-/// of live targets are back within two seconds.
-const TROUBLE_GRACE: Duration = Duration::from_millis(2_300);
-/// The share of the targets whose entries go at once that is taken for a lapse.
+/// Time for which a target whose entry has gone is still used while the platform has had no
+/// failures. Entries lapse during outages of the platform's service that are too short to be
+/// noticed by any call of this instance, and are back soon; a target that leaves without notice
+/// serves on for seconds.
+const MISSING_GRACE: Duration = Duration::from_millis(600);
+/// The same time after an outage of the platform's service, counted from the last failed call: the
+/// entries of live targets are back within two seconds.
+const OUTAGE_GRACE: Duration = Duration::from_millis(2_300);
+/// Share of the targets whose entries disappear together from which this is taken for a lapse of
+/// entries.
 const LAPSE_SHARE: f64 = 0.34;
 
-/// Targets whose entries have gone, and for how long they are used still.
+/// Targets whose entries have gone, and until when they are still used.
 #[derive(Debug, Default)]
-pub(super) struct Absences {
+pub(super) struct MissingTargets {
     due: HashMap<TargetName, Moment>,
-    last_trouble: Option<Moment>,
+    last_outage: Option<Moment>,
 }
 
-impl Absences {
-    /// Returns when the next one is to be forgotten.
+impl MissingTargets {
+    /// Returns when the next target has to be removed.
     pub(super) fn next_wakeup(&self) -> Option<Moment> {
         self.due.values().copied().min()
     }
 
-    /// Takes note that entries may have gone which are written again within moments.
-    pub(super) fn note_trouble(&mut self, now: Moment) {
-        self.last_trouble = Some(now);
+    /// Records an event after which entries may be missing that are written again soon.
+    pub(super) fn record_outage(&mut self, now: Moment) {
+        self.last_outage = Some(now);
     }
 
     fn grace_end(&self, lapsed: bool, now: Moment) -> Moment {
-        let calm = now + CALM_GRACE;
-        let trouble = self.last_trouble.map(|at| at + TROUBLE_GRACE);
-        let lapse = lapsed.then(|| now + TROUBLE_GRACE);
+        let calm = now + MISSING_GRACE;
+        let trouble = self.last_outage.map(|at| at + OUTAGE_GRACE);
+        let lapse = lapsed.then(|| now + OUTAGE_GRACE);
         [Some(calm), trouble, lapse]
             .into_iter()
             .flatten()
@@ -66,23 +68,23 @@
 }
 
 impl Control {
-    /// Takes in something that the platform shows.
-    pub(super) fn take_store_event(&mut self, event: FromStore) {
+    /// Handles an event from the platform's object service.
+    pub(super) fn handle_store_event(&mut self, event: StoreEvent) {
         match event {
-            FromStore::Listed(kind, entries, revision) => {
-                self.note_era(revision.era);
-                self.listed(kind, entries, revision);
-                self.looked(kind, revision);
+            StoreEvent::Listed(kind, entries, revision) => {
+                self.handle_era(revision.era);
+                self.apply_list(kind, entries, revision);
+                self.record_poll(kind, revision);
             }
-            FromStore::Changed(kind, changes) => {
+            StoreEvent::Changed(kind, changes) => {
                 let revision = changes.revision;
-                self.note_era(revision.era);
+                self.handle_era(revision.era);
                 let mut removed = Vec::new();
                 for change in changes.changes {
                     match change {
-                        Change::Put(entry) => self.seen(*entry),
-                        // One that can't be read names no target any more, until the target
-                        // itself writes its entry again.
+                        Change::Put(entry) => self.apply_entry(*entry),
+                        // An entry that can't be decoded counts as removed until its target writes
+                        // it again.
                         Change::Removed(name) | Change::Unreadable(name) => {
                             removed.push(name);
                         }
@@ -91,59 +93,59 @@
                 match kind {
                     Kind::Targets => {
                         let removed = removed.into_iter().map(TargetName::new);
-                        self.absent(removed.collect(), revision);
+                        self.handle_missing_targets(removed.collect(), revision);
                     }
                     Kind::Crashes => {
-                        let removed = self.crashes_named(&removed);
+                        let removed = self.record_fingerprints(&removed);
                         self.crashes_removed(&removed, revision);
                     }
                     Kind::Configuration | Kind::Versions | Kind::Lease => {}
                 }
-                self.looked(kind, revision);
+                self.record_poll(kind, revision);
             }
-            FromStore::Trouble(kind) => self.note_trouble(kind),
-            FromStore::Back(kind) => {
-                self.note_trouble(kind);
-                slog::info!(self.shared.log, "platform back"; "kind" => kind.as_str());
+            StoreEvent::CallFailed(kind) => self.handle_call_failure(kind),
+            StoreEvent::Recovered(kind) => {
+                self.handle_call_failure(kind);
+                slog::info!(self.shared.log, "platform available again"; "kind" => kind.as_str());
             }
         }
     }
 
-    /// Takes note of a failed call, or of the first one after failures. Only those about targets say
-    /// when entries of targets may have lapsed.
-    fn note_trouble(&mut self, kind: Kind) {
+    /// Handles a failed call, or the first successful one after failures. Only calls about targets
+    /// show when entries of targets may have lapsed.
+    fn handle_call_failure(&mut self, kind: Kind) {
         self.reaches_platform = false;
-        self.feed.lost(kind);
+        self.feed.record_failure(kind);
         self.lease_event(ExclusiveLeaseEvent::PlatformLost);
         match kind {
             Kind::Targets => {
                 let now = self.now();
-                self.absences.note_trouble(now);
+                self.missing_targets.record_outage(now);
             }
-            // While the platform is away nobody can become the placer.
+            // No instance can become the placer while the platform is unavailable.
             Kind::Lease => self.shared.set_placer_decided(),
             Kind::Configuration | Kind::Versions | Kind::Crashes => {}
         }
     }
 
-    /// Takes note that everything of a kind is known up to a revision.
-    fn looked(&mut self, kind: Kind, revision: StoreRevision) {
+    /// Records that everything of a kind is known up to a revision.
+    fn record_poll(&mut self, kind: Kind, revision: StoreRevision) {
         self.reaches_platform = true;
         let now = self.now();
-        let is_overdue = self.feed.seen(kind, now);
-        self.paces.guide(kind).polled(revision, now);
+        let is_overdue = self.feed.record_answer(kind, now);
+        self.follow_modes.guide(kind).polled(revision, now);
         if is_overdue {
-            self.tell_placing(now);
+            self.broadcast_status(now);
         }
     }
 
-    fn listed(&mut self, kind: Kind, mut entries: Vec<Entry>, revision: StoreRevision) {
+    fn apply_list(&mut self, kind: Kind, mut entries: Vec<Entry>, revision: StoreRevision) {
         if kind == Kind::Targets {
-            entries = self.without_revived(entries, revision);
+            entries = self.without_restored_targets(entries, revision);
         }
         let names: Vec<Arc<str>> = entries.iter().map(|it| Arc::clone(&it.name)).collect();
         for entry in entries {
-            self.seen(entry);
+            self.apply_entry(entry);
         }
         match kind {
             Kind::Targets => {
@@ -153,10 +155,10 @@
                 let unlisted = known.targets().filter(|it| !names.contains(&it.name));
                 let unlisted = unlisted.map(|it| it.name.clone()).collect();
                 drop(known);
-                self.absent(unlisted, revision);
+                self.handle_missing_targets(unlisted, revision);
             }
             Kind::Crashes => {
-                let listed = self.crashes_named(&names);
+                let listed = self.record_fingerprints(&names);
                 self.crashes_listed(&listed.into_iter().collect(), revision);
                 self.record_lost_crashes();
             }
@@ -165,22 +167,22 @@
         }
     }
 
-    fn seen(&mut self, entry: Entry) {
+    fn apply_entry(&mut self, entry: Entry) {
         let revision = entry.revision;
         match entry.content {
-            Content::Configuration(table) => self.configuration_seen(table, revision),
+            Content::Configuration(table) => self.apply_configuration(table, revision),
             Content::Target(facts) => {
-                self.revived.remove(&facts.name);
-                self.target_listed(facts, revision);
+                self.restored_targets.remove(&facts.name);
+                self.apply_listed_target(facts, revision);
             }
-            Content::Version(weights, version) => self.version_seen(weights, version, revision),
+            Content::Version(weights, version) => self.apply_version(weights, version, revision),
             Content::Crashes(crashes) => self.crashes_recorded(crashes, revision),
             Content::Lease(seen) => self.lease_event(ExclusiveLeaseEvent::Seen(Some(seen))),
         }
     }
 
-    /// Puts a configuration into force unless a newer one is.
-    fn configuration_seen(&mut self, table: RouteTable, revision: StoreRevision) {
+    /// Applies a configuration unless the current one is at least as new.
+    fn apply_configuration(&mut self, table: RouteTable, revision: StoreRevision) {
         let known = self.shared.routes.load_full();
         let known = known.map(|known| known.version);
         if known.is_some_and(|known| known >= table.version) {
@@ -196,7 +198,7 @@
         self.plan_limits(&table);
     }
 
-    /// Tells the planner what targets may hold.
+    /// Passes the limits of what targets may hold to the planner.
     pub(super) fn plan_limits(&mut self, table: &RouteTable) {
         for spec in table.services.values() {
             if let Some(limits) = &spec.placement {
@@ -211,23 +213,23 @@
         }
     }
 
-    /// Takes in a target's entry as the platform lists it.
-    fn target_listed(&mut self, facts: TargetFacts, revision: StoreRevision) {
+    /// Applies a target's entry from the platform.
+    fn apply_listed_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
-        self.take_entry(facts, revision, |dispatch, facts| {
+        self.update_target(facts, revision, |dispatch, facts| {
             dispatch.target_listed(facts, now)
         });
     }
 
-    /// Takes in what the placer tells of a target's entry.
-    pub(super) fn target_told(&mut self, facts: TargetFacts, revision: StoreRevision) {
+    /// Applies a target's entry from the placer.
+    pub(super) fn apply_forwarded_target(&mut self, facts: TargetFacts, revision: StoreRevision) {
         let now = self.now();
-        self.take_entry(facts, revision, |dispatch, facts| {
+        self.update_target(facts, revision, |dispatch, facts| {
             dispatch.target_forwarded(facts, now)
         });
     }
 
-    fn take_entry(
+    fn update_target(
         &mut self,
         facts: TargetFacts,
         revision: StoreRevision,
@@ -237,28 +239,29 @@
         let mut dispatch = self.shared.dispatch();
         let before = dispatch.target(&name).cloned();
         let change = take(&mut dispatch, facts);
-        // With what the target itself has said, which its entry may not have yet.
+        // These facts include what the target itself has reported, which its entry may not show
+        // yet.
         let facts = dispatch.target(&name).cloned();
         drop(dispatch);
         if let Some(facts) = facts.filter(|_| change != EntryChange::Outdated) {
-            self.target_seen(facts, before, change, revision);
+            self.handle_target_change(facts, before, change, revision);
         }
     }
 
-    fn target_seen(
+    fn handle_target_change(
         &mut self,
         facts: TargetFacts,
         before: Option<TargetFacts>,
         change: EntryChange,
         revision: StoreRevision,
     ) {
-        let was_absent = self.absences.due.remove(&facts.name).is_some();
+        let was_absent = self.missing_targets.due.remove(&facts.name).is_some();
         let before = before.as_ref();
         if was_absent || before.is_none_or(|before| before.needs_broadcast(&facts)) {
             self.feed.target_changed(&facts, revision);
         }
-        // Of the first list only its length is logged: line by line, thousands of targets are most of the
-        // work of an instance that starts.
+        // Of the first list only the length is logged: one line for each of thousands of targets
+        // would be most of the work of an instance that starts.
         let is_logged = before.is_some() || self.shared.are_targets_known();
         let was_leaving = before.map(|it| it.leaving.is_some());
         if is_logged && was_leaving != Some(facts.leaving.is_some()) {
@@ -277,16 +280,16 @@
                 "before" => ?models_before);
         }
         if change == EntryChange::Restarted {
-            slog::info!(self.shared.log, "target started again";
+            slog::info!(self.shared.log, "target restarted";
                 "target" => facts.name.as_str(), "started" => facts.started.map(|it| it.0));
-            // A connection to the start before is of no use, and may never say so.
+            // A connection to the previous start is useless, and may never report an error.
             self.shared.engines.retain(|it| *it != facts.address);
         }
         self.plan(ResidencyEvent::TargetListed(facts));
     }
 
-    /// Takes in that another instance, or a request of this one, was told by a target that it leaves.
-    pub(super) fn told_of_leaving(
+    /// Handles a report, by another instance or by a request of this one, that a target is leaving.
+    pub(super) fn handle_leaving(
         &mut self,
         target: &TargetName,
         started: Option<TargetStart>,
@@ -297,14 +300,15 @@
         let facts = dispatch.target(target).cloned();
         drop(dispatch);
         if is_new {
-            slog::info!(self.shared.log, "target leaves as told";
+            slog::info!(self.shared.log, "target reported as leaving";
                 "target" => target.as_str(), "by" => from.as_str());
         }
         let Some(placer) = &self.placer else {
             return;
         };
-        // Those that a request of this instance has learnt of are not new here any more.
-        if is_new || from == self.me() {
+        // A leave that a request of this instance has discovered is recorded already, so it doesn't
+        // count as new.
+        if is_new || from == self.own_id() {
             let peers: Vec<Peer> = placer.presence.peers().collect();
             for peer in peers.iter().filter(|it| it.instance != *from) {
                 self.send(peer, PeerMessage::Leaving(target.clone(), started));
@@ -315,8 +319,13 @@
         }
     }
 
-    /// Takes in the newest version of some weights, unless a newer one is known.
-    pub(super) fn version_seen(&mut self, weights: Weights, version: u64, revision: StoreRevision) {
+    /// Applies the newest version of some weights unless a newer one is known.
+    pub(super) fn apply_version(
+        &mut self,
+        weights: Weights,
+        version: u64,
+        revision: StoreRevision,
+    ) {
         let now = self.now();
         let known = self.versions.get(&weights).copied();
         if known.is_some_and(|known| known > version) {
@@ -324,8 +333,8 @@
         }
         self.versions.insert(weights.clone(), version);
         if known != Some(version) {
-            self.feed.version_named(&weights, version, revision);
-            slog::info!(self.shared.log, "version named";
+            self.feed.version_announced(&weights, version, revision);
+            slog::info!(self.shared.log, "version announced";
                 "weights" => weights.to_string(), "version" => version,
                 "previous_version" => known, "revision" => revision.number);
         }
@@ -333,13 +342,17 @@
             .dispatch()
             .version_announced(weights.clone(), version, now);
         if known != Some(version) {
-            self.shared.version_named.send_replace(());
+            self.shared.version_announced.send_replace(());
         }
         self.plan(ResidencyEvent::VersionAnnounced(weights, version));
     }
 
-    /// Takes in that entries of targets have gone.
-    pub(super) fn absent(&mut self, names: Vec<TargetName>, revision: StoreRevision) {
+    /// Handles the disappearance of targets' entries.
+    pub(super) fn handle_missing_targets(
+        &mut self,
+        names: Vec<TargetName>,
+        revision: StoreRevision,
+    ) {
         if names.is_empty() {
             return;
         }
@@ -347,24 +360,24 @@
         let now = self.now();
         let known = self.shared.dispatch().targets().count();
         let lapsed = names.len() > 1 && names.len() as f64 >= known as f64 * LAPSE_SHARE;
-        let end = self.absences.grace_end(lapsed, now);
+        let end = self.missing_targets.grace_end(lapsed, now);
         for name in names {
             if self.shared.dispatch().target(&name).is_some() {
                 slog::info!(self.shared.log, "target not listed";
                     "target" => name.as_str(), "used_for_ms" => now.until(end).as_millis() as u64);
-                self.absences.due.insert(name, end);
+                self.missing_targets.due.insert(name, end);
             }
         }
     }
 
-    /// Forgets targets that have been absent for long enough.
-    pub(super) fn forget_absent(&mut self, now: Moment) {
-        let due = self.absences.take_due(now);
+    /// Removes targets whose grace period has ended.
+    pub(super) fn remove_missing_targets(&mut self, now: Moment) {
+        let due = self.missing_targets.take_due(now);
         if due.is_empty() {
             return;
         }
         for name in due {
-            slog::info!(self.shared.log, "target gone"; "target" => name.as_str());
+            slog::info!(self.shared.log, "target removed"; "target" => name.as_str());
             self.shared.dispatch().target_gone(&name);
             self.plan(ResidencyEvent::TargetGone(name));
         }
--- a/crates/chervilshunt_gateway/src/control/using.rs
+++ b/crates/chervilshunt_gateway/src/control/using.rs
@@ -1,4 +1,4 @@
-//! What this instance tells the placer, and how it takes in what the placer tells.
+//! Reports of this instance to the placer, and dispatch of messages from peers.
 
 use chervilshunt_coord::{ExclusiveLeaseEvent, HeldLease};
 use chervilshunt_core::ResidencyEvent;
@@ -6,29 +6,29 @@
 use chervilshunt_model::{InstanceId, StoreRevision};
 
 use super::actor::Control;
-use super::presence::SignOfLife;
+use super::presence::InstanceStatus;
 use crate::dialect::Kind;
 use crate::peers::{PeerMessage, PlatformView};
 
 impl Control {
-    /// Tells the placer what this instance has under way.
-    pub(super) fn tell_use(&mut self) {
+    /// Reports this instance's open requests to the placer.
+    pub(super) fn report_usage(&mut self) {
         let uses = self.shared.dispatch().report_uses();
         let grants = self.shared.grants.open();
         if self.placer.is_some() {
-            let me = self.me().clone();
+            let me = self.own_id().clone();
             self.plan(ResidencyEvent::UsageReported(me, uses, grants));
-            self.take_own_placing();
-            self.choose_helpers();
+            self.apply_own_status();
+            self.choose_relays();
             return;
         }
         let Some(placer) = self.shared.placer.load_full() else {
             return;
         };
-        if placer.instance == *self.me() {
+        if placer.instance == *self.own_id() {
             return;
         }
-        let message = PeerMessage::Using {
+        let message = PeerMessage::UsageReport {
             address: self.shared.settings.addresses.peers,
             reaches_platform: self.reaches_platform,
             processor_share: self.processor_share(),
@@ -36,12 +36,12 @@
             grants,
         };
         if let Err(error) = self.shared.mesh.send(&placer, message) {
-            slog::debug!(self.shared.log, "placer not told"; "reason" => error.to_string());
+            slog::debug!(self.shared.log, "message to placer not sent"; "reason" => error.to_string());
         }
     }
 
-    /// Takes in a message of another instance, or of this one's own traffic.
-    pub(super) fn take_message(&mut self, message: InboundMessage<PeerMessage>) {
+    /// Handles a message from another instance, or from this instance's own traffic.
+    pub(super) fn handle_message(&mut self, message: InboundMessage<PeerMessage>) {
         let InboundMessage {
             from,
             message,
@@ -49,33 +49,34 @@
             reply,
         } = message;
         match message {
-            PeerMessage::Using {
+            PeerMessage::UsageReport {
                 address,
                 reaches_platform,
                 processor_share,
                 uses,
                 grants,
             } => {
-                let sign = SignOfLife {
+                let status = InstanceStatus {
                     address,
                     reaches_platform,
                     processor_share,
                 };
-                self.instance_uses(&from, sign, (uses, grants));
+                self.handle_usage_report(&from, status, (uses, grants));
             }
-            PeerMessage::Want(want, within) => {
-                // Where it waited here for longer than its request waits for it, the load would be made
-                // for nobody: a placer that falls behind would load ever more in vain, and answer none.
+            PeerMessage::PlacementRequest(want, within) => {
+                // If the message waited here longer than its request waits for an answer, the load
+                // would serve nobody. A placer that is behind would start ever more useless loads
+                // and answer no request.
                 let Some(within) = within.checked_sub(received_at.elapsed()) else {
-                    return slog::info!(self.shared.log, "want is too late"; "peer" => from.as_str());
+                    return slog::info!(self.shared.log, "placement request handled too late"; "peer" => from.as_str());
                 };
-                let wanted = |question| ResidencyEvent::PlacementRequested {
+                let event = |question| ResidencyEvent::PlacementRequested {
                     request_id: question,
                     from,
                     request: want,
                     within,
                 };
-                self.wanted(wanted, reply);
+                self.handle_placement_request(event, reply);
             }
             PeerMessage::Progress(progress) => {
                 self.plan(ResidencyEvent::GrantsProgressed(progress))
@@ -83,46 +84,46 @@
             PeerMessage::NotHeld(target, weights) => {
                 self.plan(ResidencyEvent::NotHeld(target, weights));
             }
-            PeerMessage::Leaving(target, started) => self.told_of_leaving(&target, started, &from),
-            PeerMessage::Snapshots(snapshots) => self.take_snapshots(&from, snapshots),
-            PeerMessage::Placing {
+            PeerMessage::Leaving(target, started) => self.handle_leaving(&target, started, &from),
+            PeerMessage::Snapshots(snapshots) => self.handle_snapshots(&from, snapshots),
+            PeerMessage::PlacerStatus {
                 knows_targets,
-                learnt,
+                estimates,
                 instances,
                 platform,
                 lease,
             } if self.is_placer(&from) => {
-                self.learnt = learnt.or(self.learnt);
-                self.holder_told(lease, platform);
-                self.take_placing(knows_targets, instances);
+                self.estimates = estimates.or(self.estimates);
+                self.handle_holder_report(lease, platform);
+                self.apply_status(knows_targets, instances);
             }
-            PeerMessage::Changed(batch) if self.is_placer(&from) => self.take_changed(batch),
-            PeerMessage::CallLease(call) => self.call_lease_for(call, reply),
-            PeerMessage::ReadStore(read) => self.read_for(read, reply),
-            // From an instance that was the placer, or is not known to be yet.
-            PeerMessage::Placing { .. }
+            PeerMessage::Changed(batch) if self.is_placer(&from) => self.apply_batch(batch),
+            PeerMessage::RelayLeaseCall(call) => self.call_lease_for_placer(call, reply),
+            PeerMessage::RelayRead(read) => self.read_for_placer(read, reply),
+            // The sender is no longer the placer, or is not known as the placer yet.
+            PeerMessage::PlacerStatus { .. }
             | PeerMessage::Changed(_)
-            | PeerMessage::Placed(..)
-            | PeerMessage::LeaseCalled(_)
-            | PeerMessage::StoreShows(..) => {}
+            | PeerMessage::PlacementAnswer(..)
+            | PeerMessage::LeaseCallResult(_)
+            | PeerMessage::ReadResult(..) => {}
         }
     }
 
-    /// Takes in that a connection broke: what the placer told meanwhile is lost.
+    /// Handles the loss of a connection; messages that the placer sent meanwhile are lost.
     pub(super) fn peer_lost(&mut self, peer: &InstanceId) {
         if self.placer.is_some() {
-            // Most likely it has ended, and its requests with it; one that lives tells what it has under
-            // way within half a second.
+            // The instance has most likely ended, and its requests with it. One that is alive
+            // reports its open requests again within half a second.
             self.plan(ResidencyEvent::InstanceGone(peer.clone()));
         }
         if self.is_placer(peer) {
             self.shared.dispatch().placer_lost();
-            self.paces.placer_lost();
+            self.follow_modes.placer_lost();
         }
     }
 
-    /// Takes in whether the placer places, and how many instances there are.
-    pub(super) fn take_placing(&self, knows_targets: bool, instances: u32) {
+    /// Applies whether the placer is placing, and the number of instances.
+    pub(super) fn apply_status(&self, knows_targets: bool, instances: u32) {
         let now = self.now();
         self.shared
             .dispatch()
@@ -133,17 +134,17 @@
         self.shared.set_instances(instances as usize);
     }
 
-    /// Takes in what the placer tells of its lease, and what it sees of the platform.
-    fn holder_told(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
+    /// Applies the placer's report of its lease and its view of the platform.
+    fn handle_holder_report(&mut self, lease: Option<HeldLease>, platform: Option<PlatformView>) {
         let now = self.now();
         if let Some(lease) = lease.filter(|it| self.keeper.term() == Some(it.term)) {
             self.lease_event(ExclusiveLeaseEvent::HolderReported(lease));
-            self.paces
+            self.follow_modes
                 .guide(Kind::Lease)
                 .notified(StoreRevision::default(), now);
         }
         if let Some(view) = platform {
-            self.take_view(view, now);
+            self.apply_view(view, now);
         }
     }
 
--- a/crates/chervilshunt_gateway/src/crashes.rs
+++ b/crates/chervilshunt_gateway/src/crashes.rs
@@ -1,4 +1,4 @@
-//! What this instance sees of requests that crash targets, and the records that it writes of them.
+//! Detects requests that crash targets, and writes the crash records.
 //!
 //! See `docs/design/quarantine.md`.
 
@@ -13,70 +13,74 @@
 use crate::shared::Shared;
 use crate::store::{StoreAnswer, call_once};
 
-/// Signs that may wait to be looked into; far more than requests are under way at one target.
-const MOST_WAITING: usize = 1_024;
-/// How long a connection may take by which it is found out whether a target's process has ended.
-const CHECK: Duration = Duration::from_millis(250);
-/// The time for one write of a record.
-const WRITE: Duration = Duration::from_millis(500);
-/// The pause after a failed write, and how often a record is written at most: for about half a minute.
-const PAUSE: Duration = Duration::from_secs(1);
-const MOST_WRITES: u32 = 30;
-/// The pause after which a record that another instance has written is known here.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(150);
-
-/// Something that traffic has seen of a request.
+/// Capacity of the queue of signals; far more than the requests that are open at one target.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Timeout of the connection that checks whether a target's process has ended.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of one write of a record.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed write, and the maximum number of writes of a record: about half a minute in
+/// total.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_WRITES: u32 = 30;
+/// Delay after a conflict, by which a record written by another instance is known here.
+const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(150);
+
+/// An observation of traffic about a request.
 #[derive(Debug)]
-pub(crate) enum CrashSign {
-    /// A target's connection ended before it had begun to answer; it is called at the address.
-    Broke(Crash, SocketAddr),
-    /// A target has begun to answer it.
+pub(crate) enum CrashObservation {
+    /// A target's connection ended before the target had begun to answer; the address is the
+    /// target's.
+    ConnectionEnded(Crash, SocketAddr),
+    /// A target has begun to answer the request.
     Served(Fingerprint),
 }
 
-/// Where traffic leaves the signs that it sees.
+/// The sending end of the queue of observations.
 #[derive(Clone, Debug)]
-pub(crate) struct CrashSigns(mpsc::Sender<CrashSign>);
+pub(crate) struct CrashObservationSender(mpsc::Sender<CrashObservation>);
 
-impl CrashSigns {
-    /// Returns both ends.
-    pub(crate) fn new() -> (Self, mpsc::Receiver<CrashSign>) {
-        let (tx, rx) = mpsc::channel(MOST_WAITING);
+impl CrashObservationSender {
+    /// Creates the queue and returns both ends.
+    pub(crate) fn new() -> (Self, mpsc::Receiver<CrashObservation>) {
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
         (Self(tx), rx)
     }
 }
 
 impl Shared {
-    /// Leaves a sign to be looked into.
-    pub(crate) fn note_crash_sign(&self, sign: CrashSign) {
-        if let Err(error) = self.crash_signs.0.try_send(sign) {
-            slog::warn!(self.log, "crash sign dropped"; "reason" => error.to_string());
+    /// Queues an observation.
+    pub(crate) fn queue_crash_observation(&self, sign: CrashObservation) {
+        if let Err(error) = self.crash_observations.0.try_send(sign) {
+            slog::warn!(self.log, "crash observation dropped"; "reason" => error.to_string());
         }
     }
 }
 
-/// Looks into signs, for as long as the process runs.
+/// Processes observations for as long as the process runs.
 pub(crate) async fn record_crashes(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
-    mut signs: mpsc::Receiver<CrashSign>,
+    mut observations: mpsc::Receiver<CrashObservation>,
 ) {
-    while let Some(sign) = signs.recv().await {
+    while let Some(sign) = observations.recv().await {
         let recorder = Recorder {
             shared: Arc::clone(&shared),
             exchange: Arc::clone(&exchange),
         };
         tokio::spawn(async move {
             match sign {
-                CrashSign::Broke(crash, address) => recorder.look_into(crash, address).await,
-                CrashSign::Served(fingerprint) => recorder.release(fingerprint).await,
+                CrashObservation::ConnectionEnded(crash, address) => {
+                    recorder.record_if_crashed(crash, address).await
+                }
+                CrashObservation::Served(fingerprint) => recorder.release(fingerprint).await,
             }
         });
     }
 }
 
-/// Records crashes again that the platform has lost.
-pub(crate) async fn record_again(
+/// Writes a crash record again that the platform has lost.
+pub(crate) async fn rewrite_record(
     shared: Arc<Shared>,
     exchange: Arc<Exchange>,
     fingerprint: Fingerprint,
@@ -90,12 +94,12 @@
 }
 
 impl Recorder {
-    /// Records a crash, if the target's process has ended.
+    /// Records a crash if the target's process has ended.
     ///
-    /// Connections also end without an answer where a target resets them, or the network does.
-    async fn look_into(&self, crash: Crash, address: SocketAddr) {
+    /// Connections also end without an answer if a target or the network resets them.
+    async fn record_if_crashed(&self, crash: Crash, address: SocketAddr) {
         let client = self.shared.engines.client(address);
-        if !client.is_refused(CHECK).await {
+        if !client.is_refused(CHECK_TIMEOUT).await {
             return;
         }
         let now = self.shared.clock.now();
@@ -109,26 +113,28 @@
         }
     }
 
-    /// Records all that is known of a request's crashes, together with what other instances record.
+    /// Writes everything that is known of a request's crashes, merged with the records of other
+    /// instances.
     async fn record(&self, fingerprint: Fingerprint) {
         let store = &self.shared.dialect.store;
-        for _ in 0..MOST_WRITES {
+        for _ in 0..MAX_WRITES {
             let Some(crashes) = self.shared.quarantine().record_to_store(fingerprint) else {
                 return;
             };
             let call = (store.write_crashes)(&crashes);
-            let error = match call_once(&self.exchange, store, &call, WRITE).await {
+            let error = match call_once(&self.exchange, store, &call, WRITE_TIMEOUT).await {
                 Ok(answer) => return self.written(crashes, &answer),
                 Err(error) => error,
             };
-            slog::info!(self.shared.log, "crashes not recorded";
+            slog::info!(self.shared.log, "crash record not written";
                 "content" => fingerprint.to_string(), "reason" => error.to_string());
             let pause = match error {
-                // Another instance has recorded a crash; following the records shows it in a moment.
+                // Another instance has written the record; the follower of crash records reports
+                // its version shortly.
                 PlatformError::Conflict { .. }
                 | PlatformError::AlreadyExists { .. }
-                | PlatformError::NotFound { .. } => CONFLICT_PAUSE,
-                _ => PAUSE,
+                | PlatformError::NotFound { .. } => CONFLICT_RETRY_DELAY,
+                _ => RETRY_DELAY,
             };
             tokio::time::sleep(pause).await;
         }
@@ -136,32 +142,33 @@
 
     fn written(&self, crashes: StoredCrashes, answer: &StoreAnswer) {
         let now = self.shared.clock.now();
-        match (self.shared.dialect.store.read_written_crashes)(answer.era, &answer.body) {
+        match (self.shared.dialect.store.decode_crashes)(answer.era, &answer.body) {
             Ok(stored) => {
                 self.shared.quarantine().merge_stored(stored, now);
             }
-            Err(malformed) => slog::warn!(self.shared.log, "record of crashes can't be read";
+            Err(malformed) => slog::warn!(self.shared.log, "crash record can't be decoded";
                 "content" => crashes.fingerprint.to_string(), "problem" => malformed.to_string()),
         }
     }
 
-    /// Releases a request that a target has begun to answer: it has not crashed that target.
+    /// Releases a request that a target has begun to answer, because it has not crashed that
+    /// target.
     async fn release(&self, fingerprint: Fingerprint) {
         if !self.shared.quarantine().release(fingerprint) {
             return;
         }
         slog::info!(self.shared.log, "request released";
             "content" => fingerprint.to_string(), "reason" => "served");
-        remove(&self.shared, &self.exchange, fingerprint).await;
+        remove_record(&self.shared, &self.exchange, fingerprint).await;
     }
 }
 
-/// Removes the record of a request.
-pub(crate) async fn remove(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
+/// Removes the crash record of a request.
+pub(crate) async fn remove_record(shared: &Shared, exchange: &Exchange, fingerprint: Fingerprint) {
     let call = (shared.dialect.store.remove_crashes)(fingerprint);
-    match call_once(exchange, &shared.dialect.store, &call, WRITE).await {
+    match call_once(exchange, &shared.dialect.store, &call, WRITE_TIMEOUT).await {
         Ok(_) | Err(PlatformError::NotFound { .. }) => {}
-        Err(error) => slog::info!(shared.log, "record of crashes not removed";
+        Err(error) => slog::info!(shared.log, "crash record not removed";
             "content" => fingerprint.to_string(), "reason" => error.to_string()),
     }
 }
--- a/crates/chervilshunt_gateway/src/leaving.rs
+++ b/crates/chervilshunt_gateway/src/leaving.rs
@@ -1,4 +1,4 @@
-//! Targets whose answers say that they leave.
+//! Handles targets whose answers show that they are leaving.
 
 use chervilshunt_core::TargetStart;
 use chervilshunt_model::TargetName;
@@ -8,8 +8,8 @@
 use crate::shared::Shared;
 
 impl Shared {
-    /// Takes in the head of an answer, which may say that its target leaves.
-    pub(crate) fn note_leaving(
+    /// Handles the head of an answer, which may show that its target is leaving.
+    pub(crate) fn check_leaving(
         &self,
         target: &TargetName,
         started: Option<TargetStart>,
@@ -20,18 +20,19 @@
         {
             return;
         }
-        slog::info!(self.log, "target says that it leaves"; "target" => target.as_str());
-        self.tell_placer_it_leaves(target, started);
+        slog::info!(self.log, "target announced that it is leaving"; "target" => target.as_str());
+        self.report_leaving(target, started);
     }
 
-    /// Tells the placer of a target that leaves: it would go on to choose it, and to load adapters there.
-    pub(crate) fn tell_placer_it_leaves(&self, target: &TargetName, started: Option<TargetStart>) {
+    /// Reports a leaving target to the placer, which would otherwise continue to choose it and load
+    /// adapters on it.
+    pub(crate) fn report_leaving(&self, target: &TargetName, started: Option<TargetStart>) {
         let Some(placer) = self.placer.load_full() else {
             return;
         };
         let message = PeerMessage::Leaving(target.clone(), started);
         if let Err(error) = self.mesh.send(&placer, message) {
-            slog::debug!(self.log, "placer not told"; "reason" => error.to_string());
+            slog::debug!(self.log, "message to placer not sent"; "reason" => error.to_string());
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/run.rs
+++ b/crates/chervilshunt_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting an instance: ports, threads, the control actor, and their end.
+//! Startup and shutdown of an instance: ports, threads and the control actor.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -13,30 +13,32 @@
 use tokio::sync::mpsc;
 use xtra::prelude::*;
 
-use crate::control::{Begin, Control, FromPeer, Paces, Reader, Reload, Stop, start_followers};
-use crate::crashes::{CrashSign, CrashSigns, record_crashes};
+use crate::control::{
+    Begin, Control, FollowModes, PeerEvent, Reader, Reload, Stop, start_followers,
+};
+use crate::crashes::{CrashObservation, CrashObservationSender, record_crashes};
 use crate::dialect::Dialect;
 use crate::front::serve_callers;
-use crate::grants::tell_progress;
+use crate::grants::report_progress;
 use crate::peers::PeerMessage;
 use crate::ports::{serve_metrics, serve_readiness};
 use crate::settings::{LogLevel, Settings};
 use crate::shared::Shared;
 
-/// Messages that may wait for the control actor before senders wait too.
+/// Capacity of the control actor's mailbox; senders wait while it is full.
 const CONTROL_MAILBOX: usize = 4_096;
-/// How long an instance that stops still takes requests: the platform asks each second and takes it
-/// out of rotation after two answers that it is not ready. A request that it takes later may not
-/// end before the process does.
-const STILL_TAKES_REQUESTS: Duration = Duration::from_millis(2_700);
-/// What is kept of the time for the shutdown, for the process to end by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// How often the shutdown looks whether requests are under way.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Calls a second of one instance to the platform's service, and those that may come at once: far
-/// above what following takes, and low enough that a fault of this program can't use up the
-/// service's rate for all.
-const CALLS: RateLimit = RateLimit {
+/// Time for which an instance that shuts down still accepts requests. The platform probes readiness
+/// every second and takes an instance out of rotation after two negative answers. A request that is
+/// accepted later may not end before the process does.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_700);
+/// Part of the shutdown time that is reserved for the process to exit by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Interval at which the shutdown checks for open requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Limit on one instance's calls per second to the platform's object service, and on bursts. It is
+/// far above what following needs, and low enough that a fault in this program can't exhaust the
+/// service's rate limit for everyone.
+const PLATFORM_RATE_LIMIT: RateLimit = RateLimit {
     per_second: 20.0,
     burst: 40.0,
     urgent_reserve: 5.0,
@@ -46,10 +48,9 @@
     0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 15.0,
 ];
 
-/// Runs an instance until it has been told to stop and has done so.
+/// Runs an instance until a signal stops it and the shutdown is complete.
 ///
-/// # Errors
-/// Fails if a port or thread can't be had.
+/// # Errors Fails if a port can't be bound or a thread can't be started.
 pub fn run(settings: Settings, settings_file: PathBuf, dialect: Dialect) -> Result<(), StartError> {
     let instance = &settings.instance;
     let level = slog_level(settings.log_level);
@@ -91,18 +92,18 @@
 
     let exchange = Arc::new(Exchange::new(platform_config(&settings)));
     let bound = settings.bounds.shutdown;
-    let (crash_signs, signs) = CrashSigns::new();
+    let (crash_observations, observations) = CrashObservationSender::new();
     let shared = Shared::new(
         settings,
         settings_file,
         dialect,
         log.clone(),
         mesh,
-        crash_signs,
+        crash_observations,
     );
-    let control = start_control(&shared, exchange, signs)?;
-    forward(inbound, control.clone(), FromPeer);
-    tokio::spawn(tell_progress(Arc::clone(&shared)));
+    let control = start_control(&shared, exchange, observations)?;
+    forward(inbound, control.clone(), PeerEvent);
+    tokio::spawn(report_progress(Arc::clone(&shared)));
     tokio::spawn(serve_callers(callers, Arc::clone(&shared)));
     tokio::spawn(serve_readiness(readiness, Arc::clone(&shared)));
     tokio::spawn(serve_metrics(for_metrics, metrics));
@@ -112,29 +113,29 @@
     Ok(())
 }
 
-/// Shuts down: callers are sent elsewhere, and open requests are served to their end.
+/// Shuts down: the platform sends callers elsewhere, and open requests are served to their end.
 async fn stop(shared: &Arc<Shared>, control: &Address<Control>, bound: Duration) {
     let began = tokio::time::Instant::now();
     slog::info!(shared.log, "stopping"; "bound_s" => bound.as_secs_f64());
     shared.set_stopping();
     if control.send(Stop).await.is_err() {
-        slog::warn!(shared.log, "the control state has ended");
+        slog::warn!(shared.log, "control actor has stopped");
     }
     loop {
         let passed = began.elapsed();
         let under_way = shared.open_requests();
-        if passed >= STILL_TAKES_REQUESTS {
+        if passed >= ACCEPT_AFTER_STOP {
             shared.close_connections.cancel();
         }
-        if passed + END_MARGIN >= bound || (under_way == 0 && passed >= STILL_TAKES_REQUESTS) {
+        if passed + EXIT_MARGIN >= bound || (under_way == 0 && passed >= ACCEPT_AFTER_STOP) {
             slog::info!(shared.log, "ending"; "open_requests" => under_way);
             return;
         }
-        tokio::time::sleep(DRAIN_LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// The signals that an instance acts on.
+/// The signals that an instance handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -151,7 +152,7 @@
         })
     }
 
-    /// Waits for the signal to stop; others are acted on meanwhile.
+    /// Waits for a signal to stop, and handles other signals in the meantime.
     async fn until_stop(&mut self, control: &Address<Control>) {
         loop {
             tokio::select! {
@@ -167,7 +168,7 @@
     let instance = settings.instance.id.clone();
     let mut cfg = PlatformConfig::new(settings.platform.address, "", instance);
     cfg.timeouts.connect = Duration::from_millis(500);
-    cfg.rate = CALLS;
+    cfg.rate = PLATFORM_RATE_LIMIT;
     cfg
 }
 
@@ -180,26 +181,26 @@
     }
 }
 
-/// Starts the control thread with its actor and all that follows the platform.
+/// Starts the control thread with its actor and the followers of the platform.
 fn start_control(
     shared: &Arc<Shared>,
     exchange: Arc<Exchange>,
-    signs: mpsc::Receiver<CrashSign>,
+    observations: mpsc::Receiver<CrashObservation>,
 ) -> Result<Address<Control>, StartError> {
     let (address, mailbox) = Mailbox::bounded(CONTROL_MAILBOX);
     let own = address.clone();
     let shared = Arc::clone(shared);
     on_control_thread(move || async move {
-        let (paces, receivers) = Paces::new();
-        let control = Control::new(Arc::clone(&shared), Arc::clone(&exchange), paces);
+        let (follow_modes, receivers) = FollowModes::new();
+        let control = Control::new(Arc::clone(&shared), Arc::clone(&exchange), follow_modes);
         let begin = own.clone();
         tokio::spawn(async move { drop(begin.send(Begin(begin.clone())).await) });
         tokio::spawn(record_crashes(
             Arc::clone(&shared),
             Arc::clone(&exchange),
-            signs,
+            observations,
         ));
-        let reader = Reader::new(&shared, exchange, control.helpers());
+        let reader = Reader::new(&shared, exchange, control.relays());
         start_followers(&shared, reader, &own, receivers, &control.era());
         drop(own);
         xtra::run(mailbox, control).await;
--- a/crates/chervilshunt_gateway/src/traffic/attempt.rs
+++ b/crates/chervilshunt_gateway/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! A request's sendings: to one target after the other, as long as that can do no harm.
+//! Attempts of a request: it is sent to one target after another as long as that is safe.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,68 +13,69 @@
 use http::{Request, StatusCode, Uri, header};
 use http_body_util::Full;
 
-use super::answer::{Verdict, judge};
+use super::answer::{Verdict, classify};
 use super::outdated::{begin_deadline_passed, withdraw};
-use super::place::Chosen;
+use super::place::SelectedTarget;
 use super::refusal::{Reason, Refusal};
 use super::request::{CallerRequest, set};
-use crate::crashes::CrashSign;
+use crate::crashes::CrashObservation;
 use crate::grants::Grant;
 use crate::peers::PeerMessage;
 use crate::shared::Shared;
 
-/// The time for a connection. Targets are a millisecond or two away; a packet that was lost is
-/// sent again only after a second.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Sendings of one request, including those that a target rejects but not refused connections.
-const MAX_SENDINGS: u32 = 4;
-/// What is taken off the time that a target is given, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(20);
-/// How long a request that may run twice waits for the head of an answer, as a multiple of its
-/// objective, before another target is tried.
-const HEAD_PATIENCE: f64 = 2.5;
-/// When a caller should come back whose request was refused by targets.
-const REFUSED_RETRY: Duration = Duration::from_millis(600);
-
-/// A request on its way through its sendings.
-pub(crate) struct Run<'a> {
+/// Timeout of a connection to a target. Targets are 1 ms to 2 ms away, and a lost packet is
+/// retransmitted only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of attempts of one request. Attempts that a target rejects count, refused
+/// connections do not.
+const MAX_ATTEMPTS: u32 = 4;
+/// Subtracted from the deadline that a target is given, for the way back.
+const RETURN_MARGIN: Duration = Duration::from_millis(20);
+/// Time that a request which may be repeated waits for the head of an answer before another target
+/// is tried, as a multiple of its latency objective.
+const HEAD_TIMEOUT_FACTOR: f64 = 2.5;
+/// Delay after which a caller should retry when targets refused its request.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(600);
+
+/// The attempts of one request.
+pub(crate) struct RequestAttempts<'a> {
     pub(crate) shared: &'a Arc<Shared>,
     pub(crate) req: &'a CallerRequest,
     /// Targets that are not tried again.
     pub(crate) avoid: Vec<TargetName>,
-    /// The last event of the stream that the caller has, where the stream is resumed.
+    /// The last event that the caller has received, if the stream is being resumed.
     pub(crate) last_event: Option<Arc<str>>,
-    sendings: u32,
+    attempts: u32,
     runs: u32,
 }
 
-/// A request under way at a target; dropping it ends that.
+/// A request in progress at a target. Dropping it ends it in the target's accounting.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) target: TargetName,
     address: SocketAddr,
-    /// When the target started that it was sent to.
+    /// The start of the target to which it was sent.
     started: Option<TargetStart>,
     weights: Option<Weights>,
-    /// The version that the target was asked for, or else the one that it was known to hold; none if
-    /// neither is known.
+    /// The version that the target was asked for, or else the one that it was known to hold; `None`
+    /// if neither is known.
     version: Option<u64>,
     sent_at: Moment,
-    /// The prompt tokens that the target has not read yet, as far as is known.
-    reading: u32,
+    /// The prompt tokens that the target still has to read, as far as is known.
+    unread_prompt_tokens: u32,
     has_begun: bool,
     grant: Option<Grant>,
 }
 
 impl InFlight {
-    fn begin(shared: &Arc<Shared>, chosen: &mut Chosen, req: &CallerRequest) -> Self {
+    fn begin(shared: &Arc<Shared>, chosen: &mut SelectedTarget, req: &CallerRequest) -> Self {
         let target = &chosen.target;
         let weights = req.weights.as_ref();
-        let reading = req.size.prompt_tokens;
+        let unread_prompt_tokens = req.size.prompt_tokens;
         let mut dispatch = shared.dispatch();
         dispatch.sent(target, weights);
-        dispatch.add_prefill(target, reading);
+        dispatch.add_prefill(target, unread_prompt_tokens);
         let started = dispatch.started(target);
         drop(dispatch);
         Self {
@@ -85,19 +86,19 @@
             weights: weights.cloned(),
             version: chosen.expect_version.or(chosen.held_version),
             sent_at: shared.clock.now(),
-            reading,
+            unread_prompt_tokens,
             has_begun: false,
             grant: chosen.grant.take(),
         }
     }
 
-    /// Takes note that the target has begun to answer, and so has read the prompt.
-    pub(crate) fn begins(&mut self, req: &CallerRequest) {
+    /// Records that the target has begun to answer, and so has read the prompt.
+    pub(crate) fn record_begin(&mut self, req: &CallerRequest) {
         if std::mem::replace(&mut self.has_begun, true) {
             return;
         }
-        self.clear(req);
-        let tokens = std::mem::take(&mut self.reading);
+        self.request_release(req);
+        let tokens = std::mem::take(&mut self.unread_prompt_tokens);
         self.shared.dispatch().remove_prefill(&self.target, tokens);
         if let Some(grant) = &self.grant {
             grant.begun();
@@ -106,10 +107,10 @@
 }
 
 impl InFlight {
-    /// Takes note that the target's connection has ended: if it had not begun to answer, it may have
-    /// crashed under the request. An engine writes the head of an answer when it begins to run the
-    /// request; a request without a head has most likely waited there.
-    pub(crate) fn broke(&self, req: &CallerRequest, head_came: bool) {
+    /// Handles the end of the target's connection. If the target had not begun to answer, it may
+    /// have crashed because of the request. An engine writes the head of an answer when it starts
+    /// to run the request, so a request without a head was most likely still queued.
+    pub(crate) fn connection_ended(&self, req: &CallerRequest, head_came: bool) {
         if self.has_begun {
             return;
         }
@@ -118,15 +119,16 @@
             target: self.target.clone(),
             has_run: head_came || self.weights.is_none(),
         };
-        let sign = CrashSign::Broke(crash, self.address);
-        self.shared.note_crash_sign(sign);
+        let signal = CrashObservation::ConnectionEnded(crash, self.address);
+        self.shared.queue_crash_observation(signal);
     }
 
-    /// Has a request that targets crashed under released, as this one has begun to answer it.
-    fn clear(&self, req: &CallerRequest) {
+    /// Has the quarantine of a request released, because this target has begun to answer it.
+    fn request_release(&self, req: &CallerRequest) {
         let fingerprint = req.fingerprint();
         if self.shared.quarantine().record_served(fingerprint) {
-            self.shared.note_crash_sign(CrashSign::Served(fingerprint));
+            self.shared
+                .queue_crash_observation(CrashObservation::Served(fingerprint));
         }
     }
 
@@ -149,7 +151,7 @@
         self.sent_at
     }
 
-    /// Says whether the target has begun to answer.
+    /// Returns whether the target has begun to answer.
     pub(crate) const fn has_begun(&self) -> bool {
         self.has_begun
     }
@@ -158,42 +160,42 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut dispatch = self.shared.dispatch();
-        dispatch.remove_prefill(&self.target, self.reading);
+        dispatch.remove_prefill(&self.target, self.unread_prompt_tokens);
         dispatch.ended(&self.target, self.weights.as_ref(), self.started);
     }
 }
 
 /// An answer that is passed on.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct AcceptedAnswer {
     pub(crate) head: Parts,
     pub(crate) body: BodyReader,
     pub(crate) in_flight: InFlight,
 }
 
-/// What came of one sending.
-pub(super) enum Sent {
-    Answered(Box<Answered>),
-    /// It has not run. Another target may be tried.
+/// The result of one attempt.
+pub(super) enum AttemptOutcome {
+    Answered(Box<AcceptedAnswer>),
+    /// The request has not run. Another target may be tried.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(Reason),
 }
 
-impl<'a> Run<'a> {
-    /// Begins the first run of a request.
+impl<'a> RequestAttempts<'a> {
+    /// Starts the attempts of a new request.
     pub(crate) fn new(shared: &'a Arc<Shared>, req: &'a CallerRequest) -> Self {
         Self {
             shared,
             req,
             avoid: Vec::new(),
             last_event: None,
-            sendings: 0,
+            attempts: 0,
             runs: 0,
         }
     }
 
-    /// Goes on with a stream that broke off at a target.
+    /// Continues with a stream that broke off at a target.
     pub(crate) fn resumed(
         shared: &'a Arc<Shared>,
         req: &'a CallerRequest,
@@ -204,15 +206,15 @@
         Self {
             avoid: vec![broke_at],
             last_event,
-            sendings: 1,
+            attempts: 1,
             runs,
             ..Self::new(shared, req)
         }
     }
 
     /// Sends the request until a target answers it or it has to be given up.
-    pub(crate) async fn answer(&mut self) -> Result<Answered, Refusal> {
-        let left = self.req.left(self.shared.clock.now());
+    pub(crate) async fn answer(&mut self) -> Result<AcceptedAnswer, Refusal> {
+        let left = self.req.time_left(self.shared.clock.now());
         match tokio::time::timeout(left, self.send_until_answered()).await {
             Ok(result) => result,
             Err(_) if self.runs > 0 => Err(Refusal::new(Reason::Unanswered)),
@@ -225,19 +227,19 @@
         self.runs
     }
 
-    async fn send_until_answered(&mut self) -> Result<Answered, Refusal> {
+    async fn send_until_answered(&mut self) -> Result<AcceptedAnswer, Refusal> {
         loop {
-            self.refuse_if_it_crashes_targets()?;
+            self.refuse_if_quarantined()?;
             let found = self.find_target().await;
-            let mut chosen = found.map_err(|it| self.truly(it))?;
-            if !self.may_send() {
-                let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY);
-                return Err(self.truly(spent));
+            let mut chosen = found.map_err(|it| self.unless_run(it))?;
+            if !self.try_attempt() {
+                let spent = Refusal::retry_after(Reason::BudgetSpent, REFUSED_RETRY_DELAY);
+                return Err(self.unless_run(spent));
             }
             match self.send(&mut chosen).await {
-                Sent::Answered(answered) => return Ok(*answered),
-                Sent::NotRun => self.avoid.push(chosen.target),
-                Sent::MayHaveRun(reason) => {
+                AttemptOutcome::Answered(answered) => return Ok(*answered),
+                AttemptOutcome::NotRun => self.avoid.push(chosen.target),
+                AttemptOutcome::MayHaveRun(reason) => {
                     if !self.req.route.repeat.is_allowed()
                         || self.runs >= self.req.route.max_targets
                     {
@@ -250,7 +252,7 @@
     }
 
     /// Refuses a request that has crashed targets, here or at another instance.
-    fn refuse_if_it_crashes_targets(&self) -> Result<(), Refusal> {
+    fn refuse_if_quarantined(&self) -> Result<(), Refusal> {
         let now = self.shared.clock.now();
         let quarantine = self.shared.quarantine();
         if quarantine.is_empty() {
@@ -263,50 +265,51 @@
             reason: Reason::CrashesTargets,
             retry_after: Some(now.until(until)),
         };
-        Err(self.truly(refusal))
+        Err(self.unless_run(refusal))
     }
 
-    /// Turns a refusal that says "not run" into one that doesn't, if the request may have run.
-    fn truly(&self, refusal: Refusal) -> Refusal {
+    /// Replaces a refusal whose status says "not run" if the request may have run.
+    fn unless_run(&self, refusal: Refusal) -> Refusal {
         if self.runs == 0 {
             return refusal;
         }
         Refusal::new(Reason::AnswerLost)
     }
 
-    /// Says whether the request may be sent once more, and counts it if so.
-    fn may_send(&mut self) -> bool {
-        if self.sendings == 0 {
-            self.sendings = 1;
+    /// Returns whether the request may be sent once more, and counts the attempt if so.
+    fn try_attempt(&mut self) -> bool {
+        if self.attempts == 0 {
+            self.attempts = 1;
             return true;
         }
-        if self.sendings >= MAX_SENDINGS {
+        if self.attempts >= MAX_ATTEMPTS {
             return false;
         }
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         let mut budgets = self.shared.budgets();
         let allowed = budgets.of(&self.req.service).try_retry(instances, now);
-        self.sendings += u32::from(allowed);
+        self.attempts += u32::from(allowed);
         metrics::counter!("chervilshunt_repeats_total", "allowed" => if allowed { "yes" } else { "no" })
             .increment(1);
         allowed
     }
 
-    async fn send(&mut self, chosen: &mut Chosen) -> Sent {
+    async fn send(&mut self, chosen: &mut SelectedTarget) -> AttemptOutcome {
         let in_flight = InFlight::begin(self.shared, chosen, self.req);
         let client = self.shared.engines.client(chosen.address);
-        let left = self.req.left(self.shared.clock.now());
+        let left = self.req.time_left(self.shared.clock.now());
         let repeat = self.req.route.repeat.is_allowed();
-        let patience = self.req.route.objective.mul_f64(HEAD_PATIENCE);
-        let head = if repeat { left.min(patience) } else { left };
+        let max_wait = self.req.route.objective.mul_f64(HEAD_TIMEOUT_FACTOR);
+        let head = if repeat { left.min(max_wait) } else { left };
         let limits = Limits {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             head,
             idle: left,
         };
         let req = self.outgoing(chosen, left);
-        // From here on it may run: a refusal that comes while it is under way must not deny that.
+        // From here on the request may run; a refusal while it is in progress must not claim
+        // otherwise.
         self.runs += 1;
         let forwarded = tokio::select! {
             biased;
@@ -316,23 +319,23 @@
             }
         };
         match forwarded {
-            Ok((head, body)) => self.judge(chosen, head, body, in_flight),
+            Ok((head, body)) => self.classify(chosen, head, body, in_flight),
             Err(error) => {
                 if matches!(error, EngineError::OutcomeUnknown { .. }) {
-                    in_flight.broke(self.req, false);
+                    in_flight.connection_ended(self.req, false);
                 }
                 self.failed(chosen, &error)
             }
         }
     }
 
-    /// Says whether another target may run the request, so that a failure need not be passed on.
-    fn may_run_again(&self) -> bool {
+    /// Returns whether another target may run the request, so that a failure need not be passed on.
+    fn may_retry(&self) -> bool {
         let now = self.shared.clock.now();
         let instances = self.shared.instances();
         self.req.route.repeat.is_allowed()
             && self.runs < self.req.route.max_targets
-            && self.sendings < MAX_SENDINGS
+            && self.attempts < MAX_ATTEMPTS
             && self
                 .shared
                 .budgets()
@@ -340,13 +343,13 @@
                 .allows_retry(instances, now)
     }
 
-    fn judge(
+    fn classify(
         &mut self,
-        chosen: &Chosen,
+        chosen: &SelectedTarget,
         head: Parts,
         body: BodyReader,
         in_flight: InFlight,
-    ) -> Sent {
+    ) -> AttemptOutcome {
         let now = self.shared.clock.now();
         let names = &self.shared.dialect.headers;
         let load = head.headers.get(&names.load);
@@ -357,18 +360,18 @@
                 .dispatch()
                 .load_reported(&chosen.target, load, now);
         }
-        let again = self.may_run_again();
-        let verdict = judge(names, &self.req.id, &chosen.target, &head, again);
+        let again = self.may_retry();
+        let verdict = classify(names, &self.req.id, &chosen.target, &head, again);
         if verdict != Verdict::PassOn {
-            slog::info!(self.shared.log, "not passed on";
+            slog::info!(self.shared.log, "answer not passed on";
                 "request" => &*self.req.id, "target" => chosen.target.as_str(),
                 "status" => head.status.as_u16(), "verdict" => ?verdict,
                 "retry_after" => head.headers.get(header::RETRY_AFTER).and_then(|it| it.to_str().ok()));
         }
         if verdict != Verdict::OtherTarget {
-            self.note_what_it_says(chosen, &in_flight, &head);
+            self.handle_self_report(chosen, &in_flight, &head);
         }
-        let sign = match verdict {
+        let signal = match verdict {
             Verdict::PassOn if head.status.is_server_error() => HealthSignal::Failed,
             Verdict::PassOn | Verdict::Full | Verdict::NotHeld => HealthSignal::Served,
             Verdict::OtherTarget => HealthSignal::Unreachable,
@@ -376,42 +379,43 @@
         };
         self.shared
             .dispatch()
-            .record_signal(&chosen.target, sign, now);
+            .record_signal(&chosen.target, signal, now);
         match verdict {
-            Verdict::PassOn => Sent::Answered(Box::new(Answered {
+            Verdict::PassOn => AttemptOutcome::Answered(Box::new(AcceptedAnswer {
                 head,
                 body,
                 in_flight,
             })),
             Verdict::Full | Verdict::OtherTarget => self.not_run(),
             Verdict::NotHeld => self.not_held(chosen),
-            Verdict::Failed => Sent::MayHaveRun(Reason::BadAnswer),
-            Verdict::Crossed => Sent::MayHaveRun(Reason::AnswerLost),
+            Verdict::Failed => AttemptOutcome::MayHaveRun(Reason::BadAnswer),
+            Verdict::Crossed => AttemptOutcome::MayHaveRun(Reason::AnswerLost),
         }
     }
 
-    /// Takes in what a target says of itself with an answer: that it leaves, or wants nothing for a time.
-    fn note_what_it_says(&self, chosen: &Chosen, in_flight: &InFlight, head: &Parts) {
+    /// Handles what a target reports about itself in an answer: that it is leaving, or requests a
+    /// pause.
+    fn handle_self_report(&self, chosen: &SelectedTarget, in_flight: &InFlight, head: &Parts) {
         let (shared, target) = (self.shared, &chosen.target);
-        shared.note_leaving(target, in_flight.started, &head.headers);
+        shared.check_leaving(target, in_flight.started, &head.headers);
         let turned_away = head.status == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(pause) = retry_after(&head.headers).filter(|_| turned_away) {
             let now = shared.clock.now();
-            slog::info!(shared.log, "target wants a pause";
+            slog::info!(shared.log, "target requested a pause";
                 "request" => &*self.req.id, "target" => target.as_str(),
                 "pause_ms" => pause.as_millis() as u64);
             shared.dispatch().pause_requested(target, pause, now);
         }
     }
 
-    /// Takes back that the request may have run at the last target.
-    fn not_run(&mut self) -> Sent {
+    /// Withdraws the assumption that the request may have run at the last target.
+    fn not_run(&mut self) -> AttemptOutcome {
         self.runs -= 1;
-        Sent::NotRun
+        AttemptOutcome::NotRun
     }
 
-    /// Reacts to a target that does not hold the adapter.
-    fn not_held(&mut self, chosen: &Chosen) -> Sent {
+    /// Handles a target that does not hold the adapter.
+    fn not_held(&mut self, chosen: &SelectedTarget) -> AttemptOutcome {
         let Some(weights) = &self.req.weights else {
             return self.not_run();
         };
@@ -419,49 +423,49 @@
         if let Some(placer) = self.shared.placer.load_full() {
             let message = PeerMessage::NotHeld(chosen.target.clone(), weights.clone());
             if let Err(error) = self.shared.mesh.send(&placer, message) {
-                slog::debug!(self.shared.log, "placer not told"; "reason" => error.to_string());
+                slog::debug!(self.shared.log, "message to placer not sent"; "reason" => error.to_string());
             }
         }
         self.not_run()
     }
 
-    fn failed(&mut self, chosen: &Chosen, error: &EngineError) -> Sent {
+    fn failed(&mut self, chosen: &SelectedTarget, error: &EngineError) -> AttemptOutcome {
         let now = self.shared.clock.now();
-        slog::info!(self.shared.log, "sending failed";
+        slog::info!(self.shared.log, "attempt failed";
             "request" => &*self.req.id, "target" => chosen.target.as_str(),
             "content" => self.req.fingerprint().to_string(),
             "reason" => error.to_string());
-        // One that closes a connection is there, whatever became of the answer.
-        let sign = match error {
+        // A target that closes a connection is reachable, whatever became of the answer.
+        let signal = match error {
             EngineError::NotSent { .. } | EngineError::Timeout { .. } => HealthSignal::Unreachable,
             _ => HealthSignal::Failed,
         };
         self.shared
             .dispatch()
-            .record_signal(&chosen.target, sign, now);
+            .record_signal(&chosen.target, signal, now);
         if error.is_connection_refused() {
             // Nothing was sent. Targets that have crashed but are still listed must not exhaust
-            // `MAX_SENDINGS`.
-            self.sendings -= 1;
+            // `MAX_ATTEMPTS`.
+            self.attempts -= 1;
         }
         match error.outcome() {
             Outcome::NotRun => self.not_run(),
-            Outcome::Unknown | Outcome::CutShort => Sent::MayHaveRun(Reason::AnswerLost),
+            Outcome::Unknown | Outcome::CutShort => AttemptOutcome::MayHaveRun(Reason::AnswerLost),
         }
     }
 
-    fn outgoing(&self, chosen: &Chosen, left: Duration) -> Request<Full<Bytes>> {
+    fn outgoing(&self, chosen: &SelectedTarget, left: Duration) -> Request<Full<Bytes>> {
         let req = self.req;
         let names = &self.shared.dialect.headers;
         let mut out = Request::new(Full::new(req.body.clone()));
         *out.method_mut() = req.method.clone();
         *out.uri_mut() = Uri::from(req.path.clone());
         let mut headers = req.headers.clone();
-        let left = left.saturating_sub(WAY_BACK).as_millis().to_string();
+        let left = left.saturating_sub(RETURN_MARGIN).as_millis().to_string();
         set(&mut headers, &names.deadline_ms, &left);
         set(&mut headers, &names.expected_target, chosen.target.as_str());
-        let urgency = req.route.priority.min(9).to_string();
-        set(&mut headers, &names.urgency, &urgency);
+        let priority = req.route.priority.min(9).to_string();
+        set(&mut headers, &names.priority, &priority);
         if let Some(version) = chosen.expect_version {
             set(&mut headers, &names.expected_version, &version.to_string());
         }
--- a/crates/chervilshunt_gateway/src/traffic/outdated.rs
+++ b/crates/chervilshunt_gateway/src/traffic/outdated.rs
@@ -10,7 +10,7 @@
 use chervilshunt_core::Weights;
 use chervilshunt_model::Moment;
 
-use super::attempt::{InFlight, Sent};
+use super::attempt::{AttemptOutcome, InFlight};
 use super::refusal::Reason;
 use super::request::CallerRequest;
 use crate::shared::Shared;
@@ -21,7 +21,7 @@
         return std::future::pending().await;
     };
     let shared = in_flight.shared();
-    let mut version_named = shared.version_named.subscribe();
+    let mut version_announced = shared.version_announced.subscribe();
     loop {
         let left = time_left(shared, weights, version);
         if left == Some(Duration::ZERO) {
@@ -35,14 +35,14 @@
         };
         tokio::select! {
             () = deadline_passed => {}
-            changed = version_named.changed() => if changed.is_err() {
+            changed = version_announced.changed() => if changed.is_err() {
                 return std::future::pending().await;
             }
         }
     }
 }
 
-/// Returns how much time is left for a request to begin on a version; None if no newer version is
+/// Returns how much time is left for a request to begin on a version; `None` if no newer version is
 /// known.
 fn time_left(shared: &Shared, weights: &Weights, version: u64) -> Option<Duration> {
     let deadline: Moment = shared.dispatch().begin_deadline(weights, version)?;
@@ -53,12 +53,12 @@
 ///
 /// The request may have begun to run just before the connection closed, so it is reported as
 /// possibly executed.
-pub(super) fn withdraw(req: &CallerRequest, in_flight: &InFlight) -> Sent {
+pub(super) fn withdraw(req: &CallerRequest, in_flight: &InFlight) -> AttemptOutcome {
     let shared = in_flight.shared();
     let waited = shared.clock.now().since(in_flight.sent_at());
     slog::info!(shared.log, "request withdrawn";
         "request" => &*req.id, "target" => in_flight.target.as_str(),
         "version" => in_flight.version(), "sent_ms" => waited.as_millis() as u64);
     metrics::counter!("chervilshunt_withdrawn_total").increment(1);
-    Sent::MayHaveRun(Reason::OutdatedVersion)
+    AttemptOutcome::MayHaveRun(Reason::OutdatedVersion)
 }
