--- a/crates/chervilshunt_gateway/src/traffic/place.rs
+++ b/crates/chervilshunt_gateway/src/traffic/place.rs
@@ -1,4 +1,4 @@
-//! Finding a target for a request: among those known, or by asking the placer.
+//! Finds a target for a request, among the known ones or by asking the placer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,80 +9,86 @@
 };
 use chervilshunt_model::TargetName;
 
-use super::attempt::Run;
+use super::attempt::RequestAttempts;
 use super::refusal::{Reason, Refusal};
 use crate::grants::Grant;
 use crate::peers::PeerMessage;
 
-/// When a caller should come back for whom there was no target.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
-/// When a caller should come back whose adapter could not be placed: a placer that is replaced
-/// begins after some seconds, and callers wait a third of their time at most.
-const NOT_PLACED_RETRY: Duration = Duration::from_millis(700);
-/// The time over which callers come back that were asked to come back when there is a placer.
-const SPREAD: Duration = Duration::from_millis(600);
-/// Callers wait for this part of the time that they have left at most.
-const RETRY_SHARE: u32 = 3;
-/// When a caller should come back for whom there was no room: requests end within a second or two.
-const FULL_RETRY: Duration = Duration::from_millis(500);
-/// The pause before a request looks for room again.
-const ROOM_PAUSE: Duration = Duration::from_millis(15);
-/// The part of its objective for which a request waits for room; beyond it the caller is better
-/// off knowing.
-const ROOM_PATIENCE: f64 = 0.12;
-/// How long a request waits for its adapter, as a multiple of its objective. Beyond that it waits for
-/// a placer that is gone, or behind so many loads that another is better off in its place.
-const PLACE_PATIENCE: f64 = 1.0;
-/// How much longer than a request waits its instance waits for the placer's answer: told that there is no
-/// place, the caller can come back; without an answer nobody knows when.
+/// Delay after which a caller should retry when there was no target.
+const NO_TARGET_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay after which a caller should retry when its adapter could not be placed. A new placer
+/// starts after some seconds, and callers wait at most a third of their remaining time.
+const NOT_PLACED_RETRY_DELAY: Duration = Duration::from_millis(700);
+/// Time over which the retries of callers are spread that were asked to wait for a pause to end or
+/// for a new placer.
+const RETRY_SPREAD: Duration = Duration::from_millis(600);
+/// Callers wait at most this fraction (one third) of their remaining time.
+const RETRY_TIME_DIVISOR: u32 = 3;
+/// Delay after which a caller should retry when there was no room: requests end within a second or
+/// two.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which a request checks again for room.
+const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// Part of its latency objective for which a request waits for room. After that it is better to
+/// refuse the request, so that the caller can react.
+const ROOM_WAIT_FACTOR: f64 = 0.12;
+/// Time that a request waits for its adapter, as a multiple of its latency objective. After that
+/// either the placer is gone, or so many loads are ahead of this one that another request had
+/// better get the slot.
+const PLACEMENT_WAIT_FACTOR: f64 = 1.0;
+/// Time that an instance waits for the placer's answer beyond the request's own wait. If the placer
+/// answers that there is no room, the caller can be told when to retry; without an answer that is
+/// unknown.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
-/// The silence of the placer after which a request that waits for its answer goes by what is known, if
-/// a target is known to hold its adapter: the placer answers at once where no load is needed.
-const SUSPECT_AFTER: Duration = Duration::from_millis(250);
-/// The same where no target is known to hold its adapter: the placer has missed two of the tellings that
-/// come each 0.4 s, and the caller is better off told so than held until its patience is over.
-const GONE_AFTER: Duration = Duration::from_millis(850);
-/// A target is taken to be there, and a connection to it good, if it was heard of within this time.
-/// A request on a connection to a target that has lost power is lost if it may not run twice; on a
-/// new connection it would not leave.
-const SURELY_THERE: Duration = Duration::from_millis(250);
+/// Time without a response from the placer after which a waiting request stops waiting for it, if a
+/// target is known to hold its adapter. The placer answers at once if no load is needed.
+const KNOWN_HOLDER_TIMEOUT: Duration = Duration::from_millis(250);
+/// The same if no target is known to hold the adapter: the placer has missed two of its reports,
+/// which it sends every 0.4 s, and it is better to refuse the request than to hold it until its
+/// wait ends.
+const NO_HOLDER_TIMEOUT: Duration = Duration::from_millis(850);
+/// Time since a target's last response within which the target is assumed to be reachable, and
+/// pooled connections to it usable. A request sent on a pooled connection to a target that has lost
+/// power is lost if it may not run twice; a new connection would fail before anything is sent.
+const REACHABLE_WINDOW: Duration = Duration::from_millis(250);
 
-/// Where a request is sent.
+/// The target to which a request is sent.
 #[derive(Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct SelectedTarget {
     pub(crate) target: TargetName,
     pub(crate) address: SocketAddr,
     pub(crate) expect_version: Option<u64>,
     /// The version that the target is known to hold, if any.
     pub(crate) held_version: Option<u64>,
-    /// Whether a connection that was used before may carry it.
+    /// Whether a pooled connection may be used.
     pub(crate) reuse: bool,
-    /// The placer's leave, if the placer has chosen.
+    /// The placer's grant, if the placer has chosen the target.
     pub(crate) grant: Option<Grant>,
 }
 
-/// What the placer told.
+/// The result of asking the placer.
 enum PlacerAnswer {
-    /// Where the request may be sent.
-    At(Chosen),
-    /// A target that takes nothing from this instance.
+    /// The target to which the request may be sent.
+    At(SelectedTarget),
+    /// A target that accepts nothing from this instance.
     Closed(TargetName),
-    /// It gave no answer.
+    /// The placer gave no answer.
     Nothing,
 }
 
-impl Run<'_> {
-    /// Finds a target, waiting for room or for a load where that is worth while.
+impl RequestAttempts<'_> {
+    /// Finds a target; waits for room or for a load if that is worthwhile.
     ///
-    /// Where an adapter is wanted the placer chooses, which knows what all instances have under way. An
-    /// instance that does not hear it goes by what it knows itself, and asks for what it knows nowhere.
-    pub(crate) async fn find_target(&mut self) -> Result<Chosen, Refusal> {
+    /// If the request needs an adapter, the placer chooses, because it knows the open requests of
+    /// all instances. An instance that gets no response from the placer chooses from its own state,
+    /// and asks the placer only for adapters that no known target holds.
+    pub(crate) async fn find_target(&mut self) -> Result<SelectedTarget, Refusal> {
         let began = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(ROOM_PATIENCE);
+        let max_wait = self.req.route.objective.mul_f64(ROOM_WAIT_FACTOR);
         let mut placer_answers = true;
         loop {
             if let Some(weights) = self.req.weights.clone()
-                && self.is_guided()
+                && self.uses_placer()
             {
                 match self.ask_placer(weights).await? {
                     PlacerAnswer::At(chosen) => return Ok(chosen),
@@ -101,41 +107,51 @@
             self.report_wait(wait);
             match wait {
                 WaitReason::NoTarget => {
-                    return Err(Refusal::retry_after(Reason::NoTarget, NO_TARGET_RETRY));
+                    return Err(Refusal::retry_after(
+                        Reason::NoTarget,
+                        NO_TARGET_RETRY_DELAY,
+                    ));
                 }
                 WaitReason::NotHeld if placer_answers => return self.ask_for_load().await,
                 WaitReason::NotHeld => return Err(self.not_placed()),
-                WaitReason::Full if self.shared.clock.now().since(began) >= patience => {
-                    return Err(Refusal::retry_after(Reason::Full, FULL_RETRY));
+                WaitReason::Full if self.shared.clock.now().since(began) >= max_wait => {
+                    return Err(Refusal::retry_after(Reason::Full, FULL_RETRY_DELAY));
                 }
-                WaitReason::Full => tokio::time::sleep(ROOM_PAUSE).await,
+                WaitReason::Full => tokio::time::sleep(ROOM_POLL_INTERVAL).await,
                 WaitReason::Paused(until) => {
                     let pause = self.shared.clock.now().until(until);
-                    return Err(Refusal::retry_between(Reason::Full, pause, pause + SPREAD));
+                    return Err(Refusal::retry_between(
+                        Reason::Full,
+                        pause,
+                        pause + RETRY_SPREAD,
+                    ));
                 }
             }
         }
     }
 
-    fn is_guided(&self) -> bool {
+    fn uses_placer(&self) -> bool {
         let now = self.shared.clock.now();
         self.shared.placer.load().is_some() && self.shared.dispatch().is_placer_selecting(now)
     }
 
-    fn choose(&self) -> Result<Chosen, WaitReason> {
+    fn choose(&self) -> Result<SelectedTarget, WaitReason> {
         let now = self.shared.clock.now();
-        let ask = TargetRequirements {
+        let requirements = TargetRequirements {
             service: &self.req.service,
             weights: self.req.weights.as_ref(),
             lane: Lane::of(self.req.size),
             avoid: &self.avoid,
         };
-        let choice = self.shared.dispatch().choose(&ask, rand::random, now);
-        self.take(choice)
+        let choice = self
+            .shared
+            .dispatch()
+            .choose(&requirements, rand::random, now);
+        self.accept_choice(choice)
     }
 
-    /// Takes a choice, which gets a line in the log.
-    fn take(&self, choice: Choice) -> Result<Chosen, WaitReason> {
+    /// Turns a choice into a target, and logs it.
+    fn accept_choice(&self, choice: Choice) -> Result<SelectedTarget, WaitReason> {
         match choice {
             Choice::Wait(wait) => Err(wait),
             Choice::Send {
@@ -161,8 +177,8 @@
                     "newest_known_for_ms" =>
                         newest.map(|(_, known_for)| known_for.as_millis() as u64));
                 let reuse =
-                    self.req.route.repeat.is_allowed() || since_last_response < SURELY_THERE;
-                Ok(Chosen {
+                    self.req.route.repeat.is_allowed() || since_last_response < REACHABLE_WINDOW;
+                Ok(SelectedTarget {
                     target,
                     address,
                     expect_version,
@@ -181,8 +197,9 @@
         self.shared.dispatch().newest_version(weights, now)
     }
 
-    /// Asks the placer for an adapter that is known nowhere, without hearing much of it.
-    async fn ask_for_load(&mut self) -> Result<Chosen, Refusal> {
+    /// Asks the placer for an adapter that no known target holds, although the placer has not
+    /// responded lately.
+    async fn ask_for_load(&mut self) -> Result<SelectedTarget, Refusal> {
         let Some(weights) = self.req.weights.clone() else {
             return Err(self.not_placed());
         };
@@ -192,15 +209,15 @@
         }
     }
 
-    /// Asks the placer for a target, and waits until that holds the adapter.
+    /// Asks the placer for a target, and waits until the target holds the adapter.
     async fn ask_placer(&self, weights: Weights) -> Result<PlacerAnswer, Refusal> {
         let Some(placer) = self.shared.placer.load_full() else {
             self.report_placement("nobody places", None);
             return Ok(PlacerAnswer::Nothing);
         };
         let now = self.shared.clock.now();
-        let patience = self.req.route.objective.mul_f64(PLACE_PATIENCE);
-        let patience = patience.min(self.req.left(now));
+        let max_wait = self.req.route.objective.mul_f64(PLACEMENT_WAIT_FACTOR);
+        let max_wait = max_wait.min(self.req.time_left(now));
         let mut avoid = {
             let dispatch = self.shared.dispatch();
             let mut avoid = dispatch.suspect_targets(&self.req.service, now);
@@ -216,40 +233,43 @@
             zone: self.shared.settings.instance.zone.clone(),
             avoid,
         };
-        let message = PeerMessage::Want(want, patience);
+        let message = PeerMessage::PlacementRequest(want, max_wait);
         let answer = self
             .shared
             .mesh
-            .request(&placer, message, patience + ANSWER_MARGIN);
-        match self.unless_silent(answer).await {
-            Some(Ok(PeerMessage::Placed(PlacementResult::At { target, version }, number))) => {
+            .request(&placer, message, max_wait + ANSWER_MARGIN);
+        match self.until_unresponsive(answer).await {
+            Some(Ok(PeerMessage::PlacementAnswer(
+                PlacementResult::At { target, version },
+                number,
+            ))) => {
                 let grant = Grant::new(self.shared, number);
-                self.heard();
+                self.record_placer_response();
                 self.report_placement("placed", Some(&target));
-                self.note_holder(&target, version);
-                Ok(self.at_target(target, grant))
+                self.record_holding(&target, version);
+                Ok(self.use_placement(target, grant))
             }
-            Some(Ok(PeerMessage::Placed(PlacementResult::Later { retry_in }, _))) => {
-                self.heard();
+            Some(Ok(PeerMessage::PlacementAnswer(PlacementResult::Later { retry_in }, _))) => {
+                self.record_placer_response();
                 self.report_placement("no room", None);
                 Err(Refusal::retry_after(Reason::NotPlaced, retry_in))
             }
             Some(Ok(_)) => Ok(PlacerAnswer::Nothing),
             Some(Err(error)) => {
-                slog::info!(self.shared.log, "placer silent";
+                slog::info!(self.shared.log, "placer did not respond";
                     "request" => &*self.req.id, "reason" => error.to_string());
                 Ok(PlacerAnswer::Nothing)
             }
             None => {
-                slog::info!(self.shared.log, "placer silent";
+                slog::info!(self.shared.log, "placer did not respond";
                     "request" => &*self.req.id, "reason" => "nothing heard of it");
                 Ok(PlacerAnswer::Nothing)
             }
         }
     }
 
-    /// Takes note that a target holds what this request names.
-    fn note_holder(&self, target: &TargetName, version: Option<u64>) {
+    /// Records that a target holds the weights that this request names.
+    fn record_holding(&self, target: &TargetName, version: Option<u64>) {
         let (Some(weights), Some(version)) = (&self.req.weights, version) else {
             return;
         };
@@ -263,16 +283,17 @@
         });
     }
 
-    fn heard(&self) {
+    fn record_placer_response(&self) {
         let now = self.shared.clock.now();
         self.shared.dispatch().placer_responded(now);
     }
 
-    /// Waits for the placer's answer; none if the placer falls silent and another way is known.
-    async fn unless_silent<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
+    /// Waits for the placer's answer. Returns `None` if the placer has not responded for too long;
+    /// the limit is shorter if a target is known to hold the adapter.
+    async fn until_unresponsive<T>(&self, answer: impl Future<Output = T>) -> Option<T> {
         let mut answer = std::pin::pin!(answer);
         loop {
-            if let Ok(answer) = tokio::time::timeout(SUSPECT_AFTER, &mut answer).await {
+            if let Ok(answer) = tokio::time::timeout(KNOWN_HOLDER_TIMEOUT, &mut answer).await {
                 return Some(answer);
             }
             let now = self.shared.clock.now();
@@ -280,77 +301,83 @@
             let is_known = self.req.weights.as_ref().is_some_and(|weights| {
                 weights.adapter.is_none() || dispatch.holders_of(weights).next().is_some()
             });
-            let silence = if is_known { SUSPECT_AFTER } else { GONE_AFTER };
-            if !dispatch.placer_responded_within(silence, now) {
+            let timeout = if is_known {
+                KNOWN_HOLDER_TIMEOUT
+            } else {
+                NO_HOLDER_TIMEOUT
+            };
+            if !dispatch.placer_responded_within(timeout, now) {
                 return None;
             }
         }
     }
 
-    /// Refuses a request whose adapter nobody can have loaded now.
+    /// Refuses a request whose adapter can't be loaded now.
     ///
-    /// A caller comes back once and waits a third of its time at most. While there is no placer it
-    /// is asked to come back when there is one again, as far as it would wait so long: earlier it
-    /// would meet the same refusal and be lost.
+    /// A caller retries once and waits at most a third of its remaining time. If there is no
+    /// placer, it is asked to retry when there will be one again, as far as it waits that long: an
+    /// earlier retry would be refused as well and the request lost.
     fn not_placed(&self) -> Refusal {
         let now = self.shared.clock.now();
-        let back = self.shared.placer_back().map(|at| now.until(at));
-        let longest = self.req.left(now) / RETRY_SHARE;
-        let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY);
+        let back = self.shared.placer_return().map(|at| now.until(at));
+        let longest = self.req.time_left(now) / RETRY_TIME_DIVISOR;
+        let pause = back.unwrap_or_default().max(NOT_PLACED_RETRY_DELAY);
         Refusal::retry_between(
             Reason::NotPlaced,
             pause.min(longest),
-            longest.min(pause + SPREAD),
+            longest.min(pause + RETRY_SPREAD),
         )
     }
 
-    /// Logs why this instance itself finds no target, and how many the service has: whether its targets
-    /// are not listed, or none of them is fit.
+    /// Logs why this instance finds no target on its own, with the number of the service's listed
+    /// targets. The number shows whether targets are missing or none of them is suitable.
     fn report_wait(&self, wait: WaitReason) {
         match wait {
             WaitReason::NoTarget | WaitReason::NotHeld => {
                 let listed = self.shared.dispatch().target_count(&self.req.service);
-                slog::info!(self.shared.log, "no choice";
+                slog::info!(self.shared.log, "no target found";
                     "request" => &*self.req.id, "wait" => ?wait, "listed" => listed,
                     "weights" => self.req.weights.as_ref().map(ToString::to_string));
             }
-            // Tried again every few milliseconds; a refusal for want of room says so itself.
+            // These are retried every few milliseconds; a refusal for lack of room is logged
+            // separately.
             WaitReason::Full | WaitReason::Paused(_) => {}
         }
     }
 
     fn report_placement(&self, outcome: &str, target: Option<&TargetName>) {
-        slog::info!(self.shared.log, "adapter wanted";
+        slog::info!(self.shared.log, "placement result";
             "request" => &*self.req.id, "outcome" => outcome,
             "weights" => self.req.weights.as_ref().map(ToString::to_string),
             "target" => target.map(|it| it.as_str().to_owned()));
     }
 
-    /// Sends to a target that the placer named, unless it takes nothing from this instance.
-    fn at_target(&self, target: TargetName, grant: Grant) -> PlacerAnswer {
+    /// Sends to the target that the placer chose, unless it accepts nothing from this instance.
+    fn use_placement(&self, target: TargetName, grant: Grant) -> PlacerAnswer {
         let now = self.shared.clock.now();
         let weights = self.req.weights.as_ref();
         let choice = self.shared.dispatch().choose_named(&target, weights, now);
-        match self.take(choice) {
-            Ok(chosen) => PlacerAnswer::At(Chosen {
+        match self.accept_choice(choice) {
+            Ok(chosen) => PlacerAnswer::At(SelectedTarget {
                 grant: Some(grant),
                 ..chosen
             }),
             Err(_) => {
-                self.remind_of_leaving(&target);
+                self.report_chosen_target_leaving(&target);
                 PlacerAnswer::Closed(target)
             }
         }
     }
 
-    /// Tells the placer, which has chosen it, that a target leaves: another placer may have been told.
-    fn remind_of_leaving(&self, target: &TargetName) {
+    /// Reports to the placer that the target it has chosen is leaving; an earlier report may have
+    /// gone to another placer.
+    fn report_chosen_target_leaving(&self, target: &TargetName) {
         let dispatch = self.shared.dispatch();
         let known = dispatch.target(target).filter(|it| it.leaving.is_some());
         let started = known.map(|it| it.started);
         drop(dispatch);
         if let Some(started) = started {
-            self.shared.tell_placer_it_leaves(target, started);
+            self.shared.report_leaving(target, started);
         }
     }
 }
--- a/crates/chervilshunt_gateway/src/traffic/relay.rs
+++ b/crates/chervilshunt_gateway/src/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a target's answer on, piece by piece as it comes.
+//! Passes a target's answer on as it arrives.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,35 +13,35 @@
 use http_body::{Frame, SizeHint};
 use tokio::time::Sleep;
 
-use super::attempt::{Answered, InFlight, Run};
-use super::body::CutShort;
-use super::events::WholeEvents;
+use super::attempt::{AcceptedAnswer, InFlight, RequestAttempts};
+use super::body::TruncatedAnswer;
+use super::events::EventBuffer;
 use super::refusal::Refusal;
 use super::request::CallerRequest;
 use crate::shared::Shared;
 
-/// How often a stream notes that its target is there: often enough for other requests to use open
-/// connections to it, and a small part of its pieces.
-const HEARD_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a stream records that its target responds: short enough for other requests to
+/// use pooled connections to the target, and for a small part of the stream's pieces only.
+const RESPONSE_RECORD_INTERVAL: Duration = Duration::from_millis(100);
 
-type Resuming = Pin<Box<dyn Future<Output = (Result<Answered, Refusal>, u32)> + Send>>;
+type Resuming = Pin<Box<dyn Future<Output = (Result<AcceptedAnswer, Refusal>, u32)> + Send>>;
 
-/// An answer that is passed on.
+/// An answer that is being passed on.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     req: Arc<CallerRequest>,
     body: BodyReader,
     in_flight: InFlight,
     runs: u32,
-    /// The whole events, where another target may go on with the stream.
-    events: Option<WholeEvents>,
+    /// Splits the stream into complete events, if another target may continue it.
+    events: Option<EventBuffer>,
     resuming: Option<Resuming>,
     deadline: Pin<Box<Sleep>>,
     status: u16,
     first_byte: Moment,
     last_piece: Moment,
-    /// When the target was last noted to be there.
-    heard_told: Moment,
+    /// When a response of the target was last recorded.
+    response_recorded_at: Moment,
     longest_pause: Duration,
     bytes: u64,
     resumed: u32,
@@ -57,11 +57,11 @@
 }
 
 impl Relay {
-    /// Begins to pass on an answer.
+    /// Starts to pass on an answer.
     pub(crate) fn new(
         shared: &Arc<Shared>,
         req: Arc<CallerRequest>,
-        answered: Answered,
+        answered: AcceptedAnswer,
         runs: u32,
     ) -> Self {
         let now = shared.clock.now();
@@ -71,13 +71,13 @@
             body: answered.body,
             in_flight: answered.in_flight,
             runs,
-            events: resumable.then(WholeEvents::default),
+            events: resumable.then(EventBuffer::default),
             resuming: None,
-            deadline: Box::pin(tokio::time::sleep(req.left(now))),
+            deadline: Box::pin(tokio::time::sleep(req.time_left(now))),
             status: answered.head.status.as_u16(),
             first_byte: now,
             last_piece: now,
-            heard_told: now,
+            response_recorded_at: now,
             longest_pause: Duration::ZERO,
             bytes: 0,
             resumed: 0,
@@ -100,7 +100,7 @@
     pub(crate) fn poll_piece(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         if self.outcome.is_some() {
             return Poll::Ready(None);
         }
@@ -123,14 +123,14 @@
                 }
                 Some(Err(error)) => {
                     let now = self.shared.clock.now();
-                    slog::info!(self.shared.log, "answer broke off";
+                    slog::info!(self.shared.log, "answer interrupted";
                         "request" => &*self.req.id,
                         "target" => self.in_flight.target.as_str(),
                         "content" => self.req.fingerprint().to_string(),
                         "has_begun" => self.in_flight.has_begun(),
                         "sent_ms" => now.since(self.in_flight.sent_at()).as_millis() as u64,
                         "bytes" => self.bytes, "reason" => error.to_string());
-                    self.in_flight.broke(&self.req, true);
+                    self.in_flight.connection_ended(&self.req, true);
                     let target = self.in_flight.target.clone();
                     self.shared
                         .dispatch()
@@ -151,12 +151,12 @@
             self.first_byte = now;
             self.report_older_version(now);
         } else {
-            self.note_pause(now);
+            self.record_pause(now);
         }
-        self.in_flight.begins(&self.req);
+        self.in_flight.record_begin(&self.req);
         self.last_piece = now;
-        if now.since(self.heard_told) >= HEARD_EVERY {
-            self.heard_told = now;
+        if now.since(self.response_recorded_at) >= RESPONSE_RECORD_INTERVAL {
+            self.response_recorded_at = now;
             self.shared
                 .dispatch()
                 .response_received(&self.in_flight.target, now);
@@ -185,14 +185,14 @@
             "sent_ms" => now.since(self.in_flight.sent_at()).as_millis() as u64);
     }
 
-    /// Takes note of a pause between two pieces; the first one that is longer than callers want has
-    /// a line of its own, so that it can be found beside what the target did at that time.
-    fn note_pause(&mut self, now: Moment) {
+    /// Records the pause between two pieces. The first one that is longer than callers want is
+    /// logged, so that it can be compared with what the target did at that time.
+    fn record_pause(&mut self, now: Moment) {
         let pause = now.since(self.last_piece);
-        let wanted = self.req.route.longest_pause;
-        if wanted.is_some_and(|wanted| pause > wanted && self.longest_pause <= wanted) {
-            self.shared.grants.note_pause();
-            slog::info!(self.shared.log, "long pause";
+        let max_pause = self.req.route.longest_pause;
+        if max_pause.is_some_and(|max_pause| pause > max_pause && self.longest_pause <= max_pause) {
+            self.shared.grants.record_pause();
+            slog::info!(self.shared.log, "long pause in answer";
                 "request" => &*self.req.id, "target" => self.in_flight.target.as_str(),
                 "pause_ms" => pause.as_millis() as u64, "bytes" => self.bytes);
         }
@@ -204,18 +204,18 @@
         self.shared
             .dispatch()
             .response_received(&self.in_flight.target, now);
-        self.in_flight.begins(&self.req);
+        self.in_flight.record_begin(&self.req);
         self.outcome = Some("served");
-        let rest = self.events.as_mut().map(WholeEvents::rest)?;
+        let rest = self.events.as_mut().map(EventBuffer::take_remaining)?;
         (!rest.is_empty()).then(|| Frame::data(rest))
     }
 
-    fn cut<T>(&mut self, reason: &'static str) -> Result<T, CutShort> {
+    fn cut<T>(&mut self, reason: &'static str) -> Result<T, TruncatedAnswer> {
         self.outcome = Some(reason);
-        Err(CutShort { reason })
+        Err(TruncatedAnswer { reason })
     }
 
-    /// Begins to look for a target that goes on with the stream, if one may.
+    /// Starts to look for a target that continues the stream, if that is allowed.
     fn begin_resuming(&mut self) -> bool {
         let Some(events) = &mut self.events else {
             return false;
@@ -229,14 +229,14 @@
         let req = Arc::clone(&self.req);
         let (broke_at, runs) = (self.in_flight.target.clone(), self.runs);
         self.resuming = Some(Box::pin(async move {
-            let mut run = Run::resumed(&shared, &req, broke_at, runs, last_event);
+            let mut run = RequestAttempts::resumed(&shared, &req, broke_at, runs, last_event);
             let answered = run.answer().await;
             (answered, run.runs())
         }));
         true
     }
 
-    fn poll_resuming(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), CutShort>> {
+    fn poll_resuming(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), TruncatedAnswer>> {
         let Some(resuming) = &mut self.resuming else {
             return Poll::Ready(Ok(()));
         };
--- a/crates/chervilshunt_gateway/src/traffic/serve.rs
+++ b/crates/chervilshunt_gateway/src/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its head to the head of its answer.
+//! Serves one request, from its head to the head of its answer.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use http::{HeaderValue, Request, Response, header};
 use hyper::body::Incoming;
 
-use super::attempt::{Answered, Run};
+use super::attempt::{AcceptedAnswer, RequestAttempts};
 use super::body::ReplyBody;
 use super::intake::read_body;
 use super::refusal::{Reason, Refusal};
@@ -30,7 +30,8 @@
         set(res.headers_mut(), &names.request_id, id);
     }
     if shared.is_stopping() {
-        // The connection ends with this answer, so that the caller takes the next request elsewhere.
+        // The connection closes after this answer, so that the caller sends its next request to
+        // another instance.
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
     }
@@ -53,31 +54,32 @@
     let req = read_request(&shared.dialect, id, head, body, route, arrived, open)?;
     let req = Arc::new(req);
     shared.budgets().of(&req.service).record_request(arrived);
-    let mut run = Run::new(shared, &req);
-    let waiting = Waiting(Some(&req), shared);
+    let mut run = RequestAttempts::new(shared, &req);
+    let waiting = PendingRequest(Some(&req), shared);
     let result = run.answer().await;
-    waiting.over();
+    waiting.finish();
     let answered = result?;
     let runs = run.runs();
     Ok(relayed(shared, &req, answered, runs))
 }
 
-/// A request without an answer yet. If its caller leaves, it is dropped, and that is logged.
-struct Waiting<'a>(Option<&'a CallerRequest>, &'a Shared);
+/// A request without an answer yet. If its caller disconnects, it is dropped, and the drop is
+/// logged.
+struct PendingRequest<'a>(Option<&'a CallerRequest>, &'a Shared);
 
-impl Waiting<'_> {
-    fn over(mut self) {
+impl PendingRequest<'_> {
+    fn finish(mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         let Self(Some(req), shared) = self else {
             return;
         };
         let waited = shared.clock.now().since(req.arrived);
-        slog::info!(shared.log, "caller left";
+        slog::info!(shared.log, "caller disconnected";
             "request" => &*req.id, "route" => &*req.route.name,
             "waited_ms" => waited.as_millis() as u64);
         metrics::counter!("chervilshunt_abandoned_total").increment(1);
@@ -87,7 +89,7 @@
 fn relayed(
     shared: &Arc<Shared>,
     req: &Arc<CallerRequest>,
-    mut answered: Answered,
+    mut answered: AcceptedAnswer,
     runs: u32,
 ) -> Response<ReplyBody> {
     let mut res = Response::new(());
--- a/crates/chervilshunt_gateway/tests/settings.rs
+++ b/crates/chervilshunt_gateway/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of an instance: what is taken, and what an operator is told of a mistake.
+//! Tests of an instance's settings: accepted values and the errors that an operator sees.
 
 use chervilshunt_gateway::Settings;
 use rstest::rstest;
 
-/// Returns settings with more keys of the instance and of the bounds.
+/// Returns settings with additional keys of the instance and of the bounds.
 fn text(instance: &str, bounds: &str) -> String {
     format!(
         r#"{{
@@ -20,27 +20,27 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn missing_keys_have_defaults() {
     let settings = Settings::parse(&text("", ""), "settings.jsonc").expect("sound settings");
     assert_eq!(settings.instance.processor_share, 1.0);
     assert!(settings.instance.is_first_start);
     assert_eq!(settings.bounds.shutdown.as_secs(), 8);
-    assert_eq!(settings.bounds.lease_rest.as_millis(), 3_300);
+    assert_eq!(settings.bounds.handover_gap.as_millis(), 3_300);
 }
 
 #[test]
-fn what_is_given_is_taken() {
+fn given_values_replace_the_defaults() {
     let instance = r#", "processor_share": 0.25, "first_start": false"#;
     let text = text(instance, r#""lease_rest_ms": 1000"#);
     let settings = Settings::parse(&text, "settings.jsonc").expect("sound settings");
     assert_eq!(settings.instance.processor_share, 0.25);
     assert!(!settings.instance.is_first_start);
-    assert_eq!(settings.bounds.lease_rest.as_millis(), 1_300);
+    assert_eq!(settings.bounds.handover_gap.as_millis(), 1_300);
 }
 
-/// A machine with several cores must not keep an instance from starting.
+/// An instance on a machine with several cores has to start.
 #[test]
-fn an_instance_may_have_more_than_a_core() {
+fn a_processor_share_above_one_is_accepted() {
     let settings = Settings::parse(&text(r#", "processor_share": 2.0"#, ""), "settings.jsonc");
     assert_eq!(
         settings.expect("sound settings").instance.processor_share,
@@ -51,18 +51,14 @@
 #[rstest]
 #[case::no_share(r#", "processor_share": 0"#, "", "instance.processor_share")]
 #[case::negative_share(r#", "processor_share": -0.5"#, "", "instance.processor_share")]
-#[case::no_time_to_stop("", r#""shutdown_s": 0"#, "bounds.shutdown_s")]
+#[case::no_shutdown_time("", r#""shutdown_s": 0"#, "bounds.shutdown_s")]
 #[case::negative_budget("", r#""retry_ratio": -0.1"#, "bounds.retry_ratio")]
 #[case::unknown_key(r#", "zones": 3"#, "", "zones")]
-fn a_mistake_is_told_with_file_and_key(
-    #[case] instance: &str,
-    #[case] bounds: &str,
-    #[case] key: &str,
-) {
+fn an_error_names_file_and_key(#[case] instance: &str, #[case] bounds: &str, #[case] key: &str) {
     let error = Settings::parse(&text(instance, bounds), "settings.jsonc").expect_err("a mistake");
-    let told = error.to_string();
+    let message = error.to_string();
     assert!(
-        told.contains("settings.jsonc") && told.contains(key),
-        "{told}"
+        message.contains("settings.jsonc") && message.contains(key),
+        "{message}"
     );
 }
