--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -26,10 +26,11 @@
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
 
-/// When a refusal for want of the role tells the caller's instance to ask again.
+/// Retry delay, in milliseconds, that a refusal gives to an entry instance that asked an instance
+/// that does not own the target.
 const NOT_OWNER_RETRY_MS: u64 = 200;
 
-/// Holds every role of this instance; see [`crate::control`].
+/// The actor that holds every role of this instance; see [`crate::control`].
 #[derive(Debug, xtra::Actor)]
 pub(crate) struct Control {
     pub(super) cx: Context,
@@ -40,39 +41,42 @@
     pub(super) schedulers: HashMap<StoreName, LoadScheduler>,
     pub(super) allocators: HashMap<SiteName, PowerAllocator>,
     pub(super) keepers: HashMap<u32, ClaimKeeper>,
-    /// Requests for claims that wait for an answer.
+    /// Reply channels of claim requests that have not been answered yet.
     pub(super) claimants: HashMap<AttemptId, ClaimReply>,
-    /// The targets that the allocators of this instance know, with their sites.
+    /// The targets that the power allocators of this instance know, with their sites.
     pub(super) powered: HashMap<TargetName, SiteName>,
     pub(super) holders: HashMap<Role, (InstanceId, Epoch)>,
     pub(super) peers: HashMap<InstanceId, SocketAddr>,
-    /// Those of the peers that don't seem to be there.
+    /// Peers that are suspected to be down.
     pub(super) suspects: HashSet<InstanceId>,
-    /// Targets that the instance list shows as leaving.
+    /// Targets that the instance list shows as leaving or not serving.
     pub(super) leaving: Arc<HashSet<TargetName>>,
-    /// Operators that wait for the outcome of a change.
+    /// Reply channels of proposed changes whose outcome is not known yet.
     pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<Proposed>>,
     pub(super) next_ticket: u64,
     pub(super) measured: Measured,
-    /// The latest changes that were proposed here, with the number of objects that they change.
+    /// The most recent changes proposed at this instance, each with the number of objects that it
+    /// changes.
     pub(super) proposed: VecDeque<(ChangeId, usize)>,
-    /// Orders on their way to targets, owned still or not.
+    /// Number of orders in flight to each target, including targets that are no longer owned.
     pub(super) orders: HashMap<TargetName, u32>,
-    /// Roles that are handed over once no order is on its way any more.
+    /// Targets whose role is handed over once no order to them is in flight.
     pub(super) ending: HashSet<TargetName>,
-    /// Told when the roles have been given away, and when the lease has been given up.
+    /// Present from the start of a graceful shutdown.
     pub(super) leaving_steps: Option<LeavingSteps>,
 }
 
-/// What a graceful shutdown waits for.
+/// Channels that notify a graceful shutdown of its progress.
 #[derive(Debug, Default)]
 pub(super) struct LeavingSteps {
+    /// Notified when this instance no longer holds any role.
     pub(super) roles_given_away: Option<oneshot::Sender<()>>,
+    /// Notified when the lease of this instance has ended.
     pub(super) left: Option<oneshot::Sender<()>>,
 }
 
 impl Control {
-    /// Starts without any role.
+    /// Creates the actor without any role.
     pub(crate) fn new(cx: Context, coordinator: Coordinator<Deployment, ChangeSet>) -> Self {
         Self {
             cx,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Works off events and all that they cause at this instance.
+    /// Handles events and all further events that they cause at this instance.
     pub(super) fn work_off(&mut self, steps: impl IntoIterator<Item = Step>) {
         let now = self.cx.now();
         let mut steps: Steps = steps.into_iter().collect();
@@ -138,7 +142,8 @@
         }
     }
 
-    /// Hands a request to the owner, or refuses it if this instance isn't the owner.
+    /// Passes a permit request to the owner, or refuses it if this instance does not own the
+    /// target.
     pub(super) fn ask_permit(&mut self, message: AskPermit) {
         let AskPermit { req, reply } = message;
         let Some(owned) = self.targets.get_mut(&req.target) else {
@@ -153,7 +158,7 @@
         self.work_off([Step::Owner(target, OwnerEvent::PermitRequested(req))]);
     }
 
-    /// Gives a permit back to the owner; returns whether this instance is the owner.
+    /// Releases a permit at the owner and returns whether this instance owns the target.
     pub(super) fn release_permit(&mut self, message: ReleasePermit) -> bool {
         let ReleasePermit(released) = message;
         let target = released.target.clone();
@@ -165,6 +170,7 @@
         true
     }
 
+    /// Returns a tick for every role whose wake-up time has passed.
     fn due(&self, now: Moment) -> Vec<Step> {
         let is_due = |wakeup: Option<Moment>| wakeup.is_some_and(|wakeup| wakeup <= now);
         let owners = self
@@ -209,7 +215,7 @@
 }
 
 impl Handler<FromEngine> for Control {
-    /// Whether this instance still owns the target.
+    /// Whether this instance still owns the target, under the same epoch for a load report.
     type Return = bool;
 
     async fn handle(&mut self, message: FromEngine, _cx: &mut xtra::Context<Self>) -> bool {
@@ -241,7 +247,7 @@
 }
 
 impl Control {
-    /// A target answered: it can be reached.
+    /// Handles an event that shows that the target is reachable.
     fn heard(&mut self, target: TargetName, event: OwnerEvent) {
         let owned = self.targets.get_mut(&target);
         let is_back = owned.is_some_and(|owned| !std::mem::replace(&mut owned.reachable, true));
@@ -253,7 +259,7 @@
         self.work_off(steps);
     }
 
-    /// A target can't be reached: it is asked again and again until it answers.
+    /// Marks a target as unreachable and probes it until it answers.
     fn lost_target(&mut self, target: TargetName) {
         let owned = self.targets.get_mut(&target);
         if owned.is_some_and(|owned| std::mem::replace(&mut owned.reachable, false)) {
@@ -349,7 +355,7 @@
 }
 
 impl Control {
-    /// The roles of this instance that shuts down have new holders.
+    /// Notifies a graceful shutdown that this instance no longer holds any role.
     pub(super) fn roles_given_away(&mut self) {
         let steps = self.leaving_steps.as_mut();
         if let Some(tx) = steps.and_then(|steps| steps.roles_given_away.take()) {
@@ -357,7 +363,7 @@
         }
     }
 
-    /// The lease of this instance that shuts down has been given up.
+    /// Notifies a graceful shutdown that the lease of this instance has ended.
     pub(super) fn left(&mut self) {
         let steps = self.leaving_steps.as_mut();
         if let Some(tx) = steps.and_then(|steps| steps.left.take()) {
--- a/crates/chervilshunt_daemon/src/control/mod.rs
+++ b/crates/chervilshunt_daemon/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: one actor that holds every role of this instance.
+//! The control thread, which runs one actor that holds every role of this instance.
 //!
-//! All decisions are taken here, one message at a time, so that no two of them race; the traffic
-//! threads see the result through [`SharedRouting`](crate::routing::SharedRouting) and ask for
+//! The actor makes all decisions, one message at a time, so that decisions cannot race. Traffic
+//! threads read the results through [`SharedRouting`](crate::routing::SharedRouting) and request
 //! permits by message. See `docs/ARCHITECTURE.md`.
 
 mod actor;
--- a/crates/chervilshunt_daemon/src/control/steps.rs
+++ b/crates/chervilshunt_daemon/src/control/steps.rs
@@ -1,7 +1,7 @@
-//! Events for the state machines of this instance's roles, worked off in order.
+//! The queue of events for the state machines of this instance's roles.
 //!
-//! One event can cause others, at a role of this instance or of another. A queue rather than
-//! recursion keeps each machine's `handle` from being entered twice.
+//! An event can cause further events for roles of this or another instance. They are queued rather
+//! than handled recursively, so that the `handle` method of a state machine is never reentered.
 
 use std::collections::VecDeque;
 
@@ -22,5 +22,5 @@
     Power(SiteName, PowerEvent),
 }
 
-/// The events that wait.
+/// The queue of pending events.
 pub(super) type Steps = VecDeque<Step>;
--- a/crates/chervilshunt_daemon/src/control/timer.rs
+++ b/crates/chervilshunt_daemon/src/control/timer.rs
@@ -1,4 +1,4 @@
-//! The control thread's timer.
+//! The timer of the control thread.
 
 use std::time::Duration;
 
@@ -8,11 +8,13 @@
 use super::actor::Control;
 use super::messages::Tick;
 
-/// The resolution of all deadlines of roles. A tick looks at one wake-up time for each role held, a
-/// few dozen at the letter's size, which costs the control thread well under a thousandth of a core.
+/// The tick interval, which is the resolution of all deadlines of roles.
+///
+/// A tick checks one wake-up time for each role held. These are a few dozen in a fleet of the size
+/// that the system is specified for, which costs well under a thousandth of a core.
 const RESOLUTION: Duration = Duration::from_millis(20);
 
-/// Ticks until the actor is gone.
+/// Sends ticks to the actor until it stops.
 pub(super) fn start(control: Address<Control>) {
     tokio::spawn(async move {
         let mut interval = tokio::time::interval(RESOLUTION);
