--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -1,4 +1,4 @@
-//! Which role a message between instances is for, and what it means there.
+//! Maps messages between instances to the role that handles them and its event.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use super::steps::Step;
 use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
 
-/// Returns the role that a message is for, with the event that it is there.
+/// Returns the role that a message is addressed to and the event that it stands for, or `None` if
+/// the message is not addressed to a role's state machine.
 pub(super) fn addressed(message: PeerMessage) -> Option<(Role, Step)> {
     let addressed = match message {
         PeerMessage::TurnAsked(TurnAsked {
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -13,26 +13,26 @@
 use super::actor::Control;
 use crate::wire::PeerMessage;
 
-/// A traffic thread or a peer asks for a permit.
+/// A request for a permit, from a traffic thread or a peer.
 #[derive(Debug)]
 pub(crate) struct AskPermit {
-    /// What is asked for.
+    /// The request.
     pub(crate) req: PermitRequest,
-    /// Where the answer goes, now or after a wait in the owner's queue.
+    /// The channel for the answer, which may come only after a wait in the owner's queue.
     pub(crate) reply: PermitReply,
 }
 
-/// Where the answer to a request for a permit goes.
+/// The reply channel of a permit request.
 #[derive(Debug)]
 pub(crate) enum PermitReply {
-    /// To a traffic thread of this process.
+    /// Answers a traffic thread of this process.
     Local(oneshot::Sender<PermitAnswer>),
-    /// To a peer, with the check of its request.
+    /// Answers a peer, with the checksum of its request.
     Peer(Reply<PeerMessage>, RequestChecksum),
 }
 
 impl PermitReply {
-    /// Returns whether nobody can get the answer any more.
+    /// Returns whether the receiver of the answer is gone.
     pub(super) fn is_gone(&self) -> bool {
         match self {
             Self::Local(tx) => tx.is_closed(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends the answer; nobody listens any more if the request was withdrawn.
+    /// Sends the answer. It is dropped if the request has been withdrawn.
     pub(crate) fn send(self, answer: PermitAnswer) {
         match self {
             Self::Local(tx) => drop(tx.send(answer)),
@@ -52,40 +52,42 @@
     }
 }
 
-/// A traffic thread or a peer gives a permit back; the answer says whether the owner took it.
+/// Releases a permit of a traffic thread or a peer.
+///
+/// The answer is whether this instance owns the target.
 #[derive(Debug)]
 pub(crate) struct ReleasePermit(pub(crate) ReleasedPermit);
 
-/// A peer sent something, or its connection was lost.
+/// A message from a peer, or the loss of its connection.
 #[derive(Debug)]
 pub(crate) struct FromPeer(pub(crate) Inbound<PeerMessage>);
 
-/// What a call to an engine brought.
+/// The result of a call to a target's engine.
 #[derive(Debug)]
 pub(super) struct FromEngine {
-    /// The engine's target.
+    /// The target.
     pub(super) target: TargetName,
-    /// What it brought.
+    /// The result.
     pub(super) news: EngineNews,
 }
 
-/// What a call to an engine brought.
+/// A result of a call to an engine.
 #[derive(Debug)]
 pub(super) enum EngineNews {
-    /// An order came to its end.
+    /// An order ended.
     OrderEnded(OrderId, Result<(), OrderFailure>),
     /// The adapters that the engine holds.
     Inventory(Vec<AdapterVersion>),
-    /// What it reports of itself.
+    /// The engine reported its load.
     Looked {
-        /// The epoch under which it was looked at.
+        /// The epoch under which this instance polled the engine.
         epoch: Epoch,
-        /// Its load.
+        /// The load report.
         report: EngineReport,
-        /// The prefixes that it seems to hold, if it could be asked.
+        /// The prefixes that it has cached according to its events, if they could be read.
         cached: Option<Vec<u64>>,
     },
-    /// It can't be reached.
+    /// The engine is unreachable.
     Unreachable,
 }
 
@@ -93,20 +95,20 @@
 #[derive(Debug)]
 pub(super) struct Tick;
 
-/// The actor runs: it gets its own address and begins to follow the platform.
+/// Gives the actor its own address, and starts its timer and its watches of the platform.
 #[derive(Debug)]
 pub(crate) struct Begin(pub(crate) Address<Control>);
 
-/// A call to the platform has ended.
+/// The result of a call to the platform.
 #[derive(Debug)]
 pub(super) struct PlatformAnswered {
     /// The call.
     pub(super) call: CallId,
-    /// How it ended.
+    /// Its result.
     pub(super) result: PlatformResult,
 }
 
-/// An instance listed the permits that it holds for a target taken over.
+/// An instance reported the permits that it holds for a target that was taken over.
 #[derive(Debug)]
 pub(super) struct HeldBy {
     /// The target.
@@ -117,14 +119,18 @@
     pub(super) permits: Vec<Permit>,
 }
 
-/// Asks what this instance knows of its roles.
+/// Reads the state of this instance and its roles, for operators.
 #[derive(Debug)]
 pub(crate) struct AskFacts;
 
-/// Asks to give all roles away; the receiver is told when that is done.
+/// Starts a graceful shutdown by handing over all roles.
+///
+/// The answer is a channel that is notified when this instance holds no role any more.
 #[derive(Debug)]
 pub(crate) struct Leave;
 
-/// Every request has ended: the lease is given up; the receiver is told when that is done.
+/// Ends the lease of this instance, once its last request has ended in a graceful shutdown.
+///
+/// The answer is a channel that is notified when the lease has ended.
 #[derive(Debug)]
 pub(crate) struct Left;
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from other instances.
+//! Handles messages from other instances.
 
 use chervilshunt_coord::CoordEvent;
 use chervilshunt_core::{OwnerEvent, ReleaseOutcome, ReleasedPermit, RequestChecksum};
@@ -82,7 +82,7 @@
                 );
             }
             PeerMessage::TryAsked(incarnation, asked) => {
-                // Another run of this instance knows nothing of the try.
+                // A different run of this instance has no record of the attempt.
                 if self.coordinator.me().incarnation == incarnation
                     && let Some(ended) = self.try_ended(&asked)
                 {
@@ -107,7 +107,7 @@
             | PeerMessage::Facts(_)
             | PeerMessage::Done
             | PeerMessage::NotHolder => {
-                slog::debug!(self.cx.log, "answer without question"; "from" => %from);
+                slog::debug!(self.cx.log, "reply without a matching request"; "from" => %from);
             }
             message @ PeerMessage::TurnEnded(_) => {
                 let step = addressed(message).map(|(_, step)| step);
@@ -126,10 +126,11 @@
         }
     }
 
-    /// Withdraws what a peer waits for, and compares the permits that it holds with ours.
+    /// Withdraws the pending requests of a peer and compares the permits that it holds with ours.
     ///
-    /// The peer's requests have failed with the connection, and it asks again. A grant or a release
-    /// that was under way is lost: without the comparison its slot would stay pinned.
+    /// The peer's requests failed with the connection, and the peer sends them again. A grant or a
+    /// release that was in flight is lost; without the comparison its adapter slot would stay
+    /// pinned.
     fn lost_connection(&mut self, from: InstanceId) {
         let mut steps = Vec::new();
         for (name, owned) in &mut self.targets {
@@ -151,7 +152,7 @@
 
 fn respond(reply: Option<Reply<PeerMessage>>, answer: PeerMessage) {
     if let Some(reply) = reply {
-        // A peer that can't get its answer any more has learnt so by itself.
+        // If the answer can't be delivered, the peer has noticed the lost connection itself.
         drop(reply.send(answer));
     }
 }
