--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the state machines want done.
+//! Carries out the actions of the owners, load schedulers and power allocators.
 
 use std::time::Instant;
 
@@ -133,14 +133,16 @@
         }
     }
 
-    /// Hands a message to the holder of the role that it is for, here or at a peer.
+    /// Sends a message to the holder of the role that it is addressed to, on this instance or a
+    /// peer.
     pub(super) fn to_role(&self, message: PeerMessage, steps: &mut Steps) {
         let Some((role, step)) = addressed(message.clone()) else {
             return;
         };
         match self.holder(&role) {
             Some(holder) if holder == *self.cx.me() => steps.push_back(step),
-            // Nobody renews it: a lost end would hold up the store until the turn's timeout.
+            // The end of a turn is reported only once. If the message were lost, the turn would
+            // block the store until the turn times out.
             Some(holder) if matches!(message, PeerMessage::TurnEnded(_)) => {
                 self.cx.send_until_taken(holder, message);
             }
@@ -153,11 +155,12 @@
         self.holders.get(role).map(|(instance, _)| instance.clone())
     }
 
-    /// Confirms the share of a target to its allocator.
+    /// Confirms the power share of a target to its allocator.
     ///
-    /// As long as permits of an earlier owner may run unknown, the target may draw more than this
-    /// owner knows: confirming less would let the allocator give the same watts to another target.
-    /// So the full power is confirmed until the takeover is complete.
+    /// Until the takeover is complete, the full power of the target is confirmed. Requests with
+    /// permits from a previous owner may still run without this owner knowing of them, so the
+    /// target may draw more than its share, and the allocator must not give those watts to another
+    /// target.
     fn confirm_share(&self, target: &TargetName, steps: &mut Steps) {
         let Some(owned) = self.targets.get(target) else {
             return;
@@ -180,7 +183,7 @@
         self.to_role(PeerMessage::ShareConfirmed(share), steps);
     }
 
-    /// Confirms the share anew now that the permits of earlier owners are known.
+    /// Confirms the actual share once the permits of previous owners are known.
     pub(super) fn confirm_share_again(&mut self, target: &TargetName) {
         if let Some(owned) = self.targets.get_mut(target) {
             owned.takeover_complete = true;
@@ -190,10 +193,10 @@
         self.work_off(steps);
     }
 
-    /// Gives the engine an order, if the lease allows it right now.
+    /// Sends an order to the engine if the lease permits it at this moment.
     ///
-    /// A process that was paused wakes up with orders at hand whose role another instance may hold
-    /// by now: the lease is looked at once more right before an order goes out.
+    /// A process that resumes after a pause may hold orders of a role that another instance has
+    /// taken over meanwhile, so the lease is checked again immediately before an order is sent.
     fn give_order(&mut self, target: &TargetName, order: EngineOrder, steps: &mut Steps) {
         let Some(owned) = self.targets.get_mut(target) else {
             return;
@@ -218,7 +221,7 @@
         let version = self.deployment.version(&order.model);
         let source = version.map(|version| std::sync::Arc::clone(&version.source));
         let ((OrderKind::Unload, _) | (OrderKind::Load, Some(_))) = (order.kind, &source) else {
-            // The version was deleted while it waited for its turn.
+            // The version was deleted while the load waited for its turn.
             let result = Err(OrderFailure::Refused);
             let event = OwnerEvent::OrderEnded {
                 order: order.id,
@@ -245,11 +248,10 @@
         });
     }
 
-    /// Gives the orders that were withheld and may go out by now.
+    /// Sends the withheld orders that the lease permits now, and fails those whose role is lost.
     ///
-    /// An order that may not go out yet has not failed. Were it reported as refused for its fencing
-    /// number, the owner would take itself for superseded and turn everything away for as long as
-    /// it holds the target.
+    /// A withheld order has not failed. If it were reported as fenced, the owner would assume that
+    /// it has been superseded and would refuse every request for as long as it holds the target.
     pub(super) fn give_withheld(&mut self) {
         let now = self.cx.now();
         let due = self.targets.iter().filter(|(target, owned)| {
@@ -275,7 +277,7 @@
             return;
         };
         let client: EngineClient = owned.client.clone();
-        // A plain service holds no adapters and need not know the question.
+        // A plain service holds no adapters and may not implement the inventory call.
         let is_engine = owned.target.slots > 0;
         self.spawn_call(target, async move {
             if !is_engine {
@@ -288,6 +290,7 @@
         });
     }
 
+    /// Runs a call to an engine in a task and sends its result to this actor.
     fn spawn_call(
         &self,
         target: &TargetName,
@@ -325,7 +328,7 @@
     names.join(",")
 }
 
-/// Turns a failed call into what it means for the order.
+/// Maps the error of an engine call to the failure of its order.
 fn order_failure(error: &chervilshunt_engine::EngineError) -> OrderFailure {
     use chervilshunt_engine::EngineError;
     match error {
--- a/crates/chervilshunt_daemon/src/control/owned.rs
+++ b/crates/chervilshunt_daemon/src/control/owned.rs
@@ -1,4 +1,4 @@
-//! A target that this instance owns.
+//! Targets that this instance owns.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,33 +10,33 @@
 use super::context::Context;
 use super::messages::PermitReply;
 
-/// A target that this instance owns, with the state machine that decides for it.
+/// A target that this instance owns, with the owner state machine and the state around it.
 #[derive(Debug)]
 pub(super) struct OwnedTarget {
-    /// The state machine.
+    /// The owner state machine.
     pub(super) owner: Owner,
-    /// The target as configured when it was taken over or last changed.
+    /// The configuration of the target at the time when this instance became its owner.
     pub(super) target: Target,
-    /// The fencing number under which it is held.
+    /// The epoch under which the target is owned, which is the fencing token of its orders.
     pub(super) epoch: Epoch,
-    /// Requests that wait for an answer.
+    /// Reply channels of permit requests that have not been answered yet.
     pub(super) waiting: HashMap<AttemptId, PermitReply>,
-    /// The client that gives orders to the target.
+    /// The client for calls to the target.
     pub(super) client: EngineClient,
-    /// Whether the target answered last time.
+    /// Whether the target is considered reachable.
     pub(super) reachable: bool,
-    /// Whether its owner was told that the load scheduler can be reached.
+    /// Whether the load scheduler is reachable, as last reported to the owner state machine.
     pub(super) scheduler_up: bool,
-    /// Whether the permits of earlier owners are known.
+    /// Whether the permits that previous owners granted are known.
     pub(super) takeover_complete: bool,
-    /// The share confirmed last, with its number.
+    /// The sequence number and the watts of the share that the owner confirmed last.
     pub(super) confirmed: Option<(u64, f64)>,
-    /// Orders that may not go out yet.
+    /// Orders that the lease does not permit to be sent yet.
     pub(super) withheld: Vec<EngineOrder>,
 }
 
 impl OwnedTarget {
-    /// Starts to own a target.
+    /// Creates the state of a target that this instance has just become the owner of.
     pub(super) fn new(
         cx: &Context,
         deployment: &Deployment,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Returns the power that a full batch draws, in watts.
+    /// Returns the power draw of the target with a full batch, in watts.
     pub(super) fn full_watts(&self) -> f64 {
         self.target.idle_watts + self.target.watts_per_sequence * f64::from(self.target.max_batch)
     }
 
-    /// Sends the answer to a request that waits for it.
+    /// Sends the answer to a permit request, if one is waiting for it.
     pub(super) fn answer(&mut self, attempt: AttemptId, answer: PermitAnswer) {
         if let Some(reply) = self.waiting.remove(&attempt) {
             reply.send(answer);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns what the owner of a target has to know.
+/// Returns the configuration of a target's owner.
 pub(super) fn owner_config(
     cx: &Context,
     deployment: &Deployment,
@@ -95,8 +95,9 @@
         max_batch: target.max_batch,
         idle_watts: target.idle_watts,
         watts_per_sequence: target.watts_per_sequence,
-        // An owner starts without power and waits for the allocator, which answers in a message's
-        // time: any other start could pass the cap together with shares that were raised before.
+        // An owner starts with no power and waits for the allocator, which answers within one
+        // message round trip. Any higher share could exceed the site's cap together with shares
+        // that were raised earlier.
         share_watts: 0.0,
         unscheduled_load_interval: unscheduled_load_interval(deployment, target),
         live_queue_bound: cx.settings.limits.queue.live,
@@ -109,8 +110,9 @@
     }
 }
 
-/// Returns the time between two loads begun without a scheduler, so that all owners of targets of
-/// the store together stay within its rate.
+/// Returns the interval between loads that an owner starts without the load scheduler.
+///
+/// With it, the owners of all targets of the store together stay within the store's load rate.
 fn unscheduled_load_interval(deployment: &Deployment, target: &Target) -> Duration {
     let Some(store) = deployment.stores.get(&target.store) else {
         return Duration::MAX;
@@ -123,7 +125,7 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-/// Returns whether operators let the target take new work.
+/// Returns whether operators have set the target to drain.
 pub(super) fn is_draining(target: &Target) -> bool {
     match target.lifecycle {
         Lifecycle::Active => false,
