--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Keeping the claims of idempotency keys.
+//! Claim keepers for idempotency keys.
 
 use chervilshunt_coord::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimKeeper, ClaimRequest, ClaimsInOutage,
@@ -14,25 +14,27 @@
 use crate::keyed::TryState;
 use crate::wire::{ClaimEnded, PeerMessage, TryAsked};
 
-/// The shards of the idempotency keys. All instances have to agree, and a claim is looked for in its
-/// key's shard: change it only while no keyed request can be retried.
+/// Number of shards that idempotency keys are divided into.
+///
+/// All instances must use the same number, and a claim is looked up in the shard of its key, so it
+/// may be changed only while no request with a key can be retried.
 pub(crate) const CLAIM_SHARDS: u32 = 8;
 
-/// A traffic thread or a peer asks for a claim.
+/// A request for a claim, from a traffic thread or a peer.
 #[derive(Debug)]
 pub(crate) struct AskClaim {
-    /// What is asked for.
+    /// The request.
     pub(crate) req: ClaimRequest,
-    /// Where the answer goes.
+    /// The channel for the answer.
     pub(crate) reply: ClaimReply,
 }
 
-/// Where the answer to a request for a claim goes.
+/// The reply channel of a claim request.
 #[derive(Debug)]
 pub(crate) enum ClaimReply {
-    /// To a traffic thread of this process.
+    /// Answers a traffic thread of this process.
     Local(oneshot::Sender<ClaimAnswer>),
-    /// To a peer.
+    /// Answers a peer.
     Peer(Reply<PeerMessage>),
 }
 
@@ -45,12 +47,14 @@
     }
 }
 
-/// A traffic thread says how a claimed try ended; the answer says whether its keeper took it.
+/// Reports from a traffic thread how a claimed attempt ended.
+///
+/// The answer is whether this instance keeps the claims of the key's shard.
 #[derive(Debug)]
 pub(crate) struct EndClaim(pub(crate) ClaimEnded);
 
 impl Control {
-    /// Begins to keep a shard's claims.
+    /// Starts the claim keeper of a shard.
     pub(super) fn keep_claims(&mut self, shard: u32, epoch: Epoch) {
         let me = self.coordinator.me().clone();
         let mut cfg = ClaimConfig::new(shard, me, epoch);
@@ -60,12 +64,17 @@
         self.work_off([Step::Claims(shard, ClaimEvent::Tick)]);
     }
 
+    /// Passes a claim request to the keeper of its shard.
+    ///
+    /// The reply channel is dropped without an answer if this instance's lease does not permit it
+    /// to act as the keeper.
     pub(super) fn ask_claim(&mut self, ask: AskClaim) {
         let AskClaim { req, reply } = ask;
         let shard = req.key.shard(CLAIM_SHARDS);
         let role = Role::ClaimKeeper(shard);
-        // A keeper that was paused must not grant what its successor may have granted already; its
-        // records can't be written any more, but it must not even wait for that.
+        // A keeper that resumes after a pause must not grant a claim that its successor may already
+        // have granted. Its writes to the platform would be rejected, but the request must not even
+        // wait for that.
         if self.coordinator.may_order(&role, self.cx.now()).is_none() {
             drop(reply);
             return;
@@ -74,6 +83,7 @@
         self.work_off([Step::Claims(shard, ClaimEvent::Requested(req))]);
     }
 
+    /// Records how a claimed attempt ended and returns whether this instance keeps its shard.
     pub(super) fn end_claim(&mut self, ended: ClaimEnded) -> bool {
         let ClaimEnded {
             key,
@@ -127,7 +137,7 @@
         }
     }
 
-    /// Asks the instance that runs a claimed try what became of it.
+    /// Asks the instance that runs a claimed attempt whether and how it ended.
     fn ask_entry(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
         if entry == *self.coordinator.me() {
             steps.extend(self.try_ended(&asked).map(claim_ended_step));
@@ -139,7 +149,7 @@
         }
     }
 
-    /// Returns how a try of this process ended, unless it still runs.
+    /// Returns how an attempt of this process ended, or `None` while it is running.
     pub(super) fn try_ended(&self, asked: &TryAsked) -> Option<ClaimEnded> {
         match self.cx.tries.state(asked.attempt) {
             TryState::Running => None,
