--- a/crates/chervilshunt_daemon/src/control/confirm.rs
+++ b/crates/chervilshunt_daemon/src/control/confirm.rs
@@ -1,4 +1,4 @@
-//! Answering "accepted" only once the change is in force at the other instances too.
+//! Delays the answer to an accepted change until it is in force on the other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,25 @@
 use super::context::Context;
 use crate::wire::PeerMessage;
 
-/// How long an accepted change may take to come into force before the operator is answered anyway.
+/// The longest that the answer to an accepted change waits for other instances.
 ///
-/// It is accepted and will come into force: an instance that can't be asked, as its links are cut,
-/// learns of it from the platform, and stops taking work if it can't.
+/// Answering after that is safe. An instance that cannot be queried because its connections are cut
+/// reads the change from the platform, and stops taking work if it cannot reach the platform
+/// either.
 const CONFIRM_BOUND: Duration = Duration::from_secs(3);
-/// The time that an instance has to say which revision it has in force.
+/// Timeout for asking one instance whether the revision is in force.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause before an instance is asked again.
+/// Pause before an instance is queried again.
 const ASK_PAUSE: Duration = Duration::from_millis(50);
-/// Instances that are asked at a time.
+/// Maximum number of instances that are queried concurrently.
 const ASKED_AT_A_TIME: usize = 32;
 
 impl Context {
-    /// Waits until every live instance has the revision in force, or the bound has passed.
+    /// Waits until every live instance has the revision in force, or until the timeout.
     ///
-    /// The head has moved, but word of it may still be on its way: an operator who uses a new
-    /// version right after "accepted" would be told by another instance that there is none.
+    /// The head has been updated, but other instances may not have seen it yet. Without the wait,
+    /// an operator who uses a new version right after its change was accepted could be refused by
+    /// another instance that does not know the version.
     pub(super) async fn confirm_in_force(&self, revision: Revision) {
         let deadline = Instant::now() + CONFIRM_BOUND;
         let turns = Arc::new(Semaphore::new(ASKED_AT_A_TIME));
--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -1,4 +1,4 @@
-//! What the control actor needs of the rest of the process.
+//! Handles through which the control actor reaches the rest of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,34 +15,36 @@
 use chervilshunt_engine::Engines;
 use chervilshunt_model::Clock;
 
-/// Tries to have a message taken; together they last longer than a lease, so that the receiver is
-/// either back or no longer live.
+/// Number of attempts to deliver a message that must be acknowledged.
+///
+/// Together they last longer than a lease, so afterwards the receiver is either reachable again or
+/// no longer live.
 const TAKEN_TRIES: u32 = 60;
-/// The time that a receiver has to say that it took a message.
+/// Timeout for the acknowledgement of a message.
 const TAKEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause between tries to have a message taken.
+/// Pause before a message that was not acknowledged is sent again.
 const TAKEN_PAUSE: Duration = Duration::from_millis(500);
 
-/// Handles to the parts round the control actor.
+/// Handles to the settings, clients and shared state that the control actor uses.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
-    /// The checked settings.
+    /// The validated settings.
     pub(crate) settings: Arc<Settings>,
     /// The log.
     pub(crate) log: slog::Logger,
     /// The clock.
     pub(crate) clock: Clock,
-    /// Messages to other instances.
+    /// Sends messages to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
-    /// Calls to targets.
+    /// Clients for calls to targets.
     pub(crate) engines: Engines,
-    /// Calls to the platform.
+    /// Client for calls to the platform.
     pub(crate) platform: Platform,
-    /// What the traffic threads see.
+    /// The routing state that the traffic threads read.
     pub(crate) routing: SharedRouting,
     /// Permits that the traffic threads hold.
     pub(crate) held: HeldPermits,
-    /// Keyed tries that the traffic threads run or have run.
+    /// Attempts with an idempotency key that the traffic threads run or have run.
     pub(crate) tries: KeyedTries,
 }
 
@@ -57,7 +59,7 @@
         self.clock.now()
     }
 
-    /// Returns how to reach an instance, if it is live.
+    /// Returns the name and address of an instance, or `None` if it is not known as live.
     pub(crate) fn peer(&self, instance: &InstanceId) -> Option<Peer> {
         let address = *self.routing.get().peers.get(instance)?;
         Some(Peer {
@@ -66,7 +68,7 @@
         })
     }
 
-    /// Sends a message until the receiver says that it took it, or is no longer live.
+    /// Sends a message repeatedly until the receiver acknowledges it or is no longer live.
     pub(crate) fn send_until_taken(&self, to: InstanceId, message: PeerMessage) {
         let cx = self.clone();
         tokio::spawn(async move {
@@ -80,11 +82,13 @@
                 }
                 tokio::time::sleep(TAKEN_PAUSE).await;
             }
-            slog::warn!(cx.log, "message not taken"; "to" => %to);
+            slog::warn!(cx.log, "message not acknowledged"; "to" => %to);
         });
     }
 
-    /// Sends a message that needs no answer; a lost one is made good by the sender's next.
+    /// Sends a message without an acknowledgement.
+    ///
+    /// It may be lost, so the sender must send the same information again with a later message.
     pub(crate) fn send(&self, to: &InstanceId, message: PeerMessage) {
         let Some(peer) = self.peer(to) else {
             slog::debug!(self.log, "message dropped"; "to" => %to, "reason" => "not live");
