--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the coordinator wants done, and telling it what has happened.
+//! Passes events to the coordinator and carries out its actions.
 
 use std::time::Duration;
 
@@ -19,51 +19,57 @@
 use super::watches::{Listed, ObjectSeen};
 use crate::wire::PeerMessage;
 
-/// An operator wants a change of configuration; the receiver gets its outcome.
+/// Proposes a change of the configuration for an operator.
+///
+/// The answer is a channel that receives the outcome.
 #[derive(Debug)]
 pub(crate) struct Propose(pub(crate) ChangeSet);
 
 /// The outcome of a proposed change.
 #[derive(Debug)]
 pub(crate) enum Proposed {
-    /// It is in force everywhere at this revision.
+    /// It was accepted at this revision.
+    ///
+    /// It is sent once the revision is in force on every live instance, or after a timeout.
     Accepted(Revision),
-    /// It was not accepted, as far as is known.
+    /// It was not accepted, or its outcome is unknown.
     Refused(Refused),
 }
 
-/// Why a proposed change was not accepted.
+/// Describes why a proposed change was not accepted.
 #[derive(Debug)]
 pub(crate) struct Refused {
-    /// What that says of the change.
+    /// What the refusal means for the change.
     pub(crate) kind: RefusedKind,
-    /// What stands in the way and what to do, in a sentence.
+    /// One sentence for the operator on the cause and, where there is one, the remedy.
     pub(crate) detail: String,
-    /// When trying again is worth it.
+    /// How long to wait before trying again, if that can help.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What a refusal says of a change.
+/// What a refusal means for a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RefusedKind {
-    /// It can't be carried out, now or later; nothing has changed.
+    /// The change is invalid and retrying it cannot help. Nothing has changed.
     Conflict,
-    /// This try did not begin. If an earlier one under the same id has an unknown outcome, that
-    /// is still unknown.
+    /// This attempt was not started. If an earlier attempt with the same id has an unknown outcome,
+    /// that outcome is still unknown.
     NotBegun,
-    /// It was begun and given up; under its id it never takes effect.
+    /// The change was started and abandoned. It will never take effect under this id.
     GivenUp,
-    /// It may have taken effect, or may yet.
+    /// The change may have taken effect or may still do so.
     Unknown,
 }
 
-/// Changes proposed here that are remembered with their sizes; as many as the head remembers.
+/// Number of changes proposed at this instance that are remembered with their sizes.
+///
+/// The configuration head remembers the outcomes of as many changes.
 const REMEMBERED_PROPOSALS: usize = 32;
 
 pub(super) type CoordActionOf = CoordAction<Deployment, ChangeSet>;
 
 impl Control {
-    /// Tells the coordinator what has happened and carries out what it wants done.
+    /// Passes an event to the coordinator and carries out the resulting actions.
     pub(super) fn coordinate(&mut self, event: CoordEvent<ChangeSet>) {
         let now = self.cx.now();
         let mut events = vec![event];
@@ -111,7 +117,7 @@
                 self.end_proposal(ticket, refused(&refusal));
             }
             CoordAction::TakeWork(takes_work) => {
-                slog::info!(self.cx.log, "new work"; "taken" => takes_work);
+                slog::info!(self.cx.log, "admission of new work changed"; "taken" => takes_work);
             }
             CoordAction::RolesReleased => self.roles_given_away(),
             CoordAction::Left => self.left(),
@@ -120,10 +126,11 @@
         None
     }
 
-    /// Says that a role has been handed over, at once or when no order is on its way any more.
+    /// Returns the event that confirms the handover of a role, unless orders of it are in flight.
     ///
-    /// The next owner begins with the engine's inventory: an order of ours that arrived after it
-    /// would fill or empty a slot behind its back.
+    /// In that case the handover is confirmed when the last of them has ended. The next owner
+    /// starts by reading the engine's inventory, and an order that arrived after it would load or
+    /// unload an adapter without that owner knowing.
     fn released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
         if let Role::Target(target) = &role
             && self.orders.contains_key(target)
@@ -134,7 +141,7 @@
         Some(CoordEvent::RoleReleased(role))
     }
 
-    /// Counts an order that came to its end, and hands the role over if it waited for that.
+    /// Records the end of an order and completes a handover that waited for it.
     pub(super) fn order_ended(&mut self, target: &TargetName) {
         if let Some(count) = self.orders.get_mut(target) {
             *count -= 1;
@@ -164,7 +171,7 @@
         });
     }
 
-    /// Puts a configuration in force and says which roles it asks for.
+    /// Puts a configuration in force and returns the event with the roles that it requires.
     fn put_in_force(
         &mut self,
         revision: Revision,
@@ -178,7 +185,7 @@
         CoordEvent::RolesWanted { revision, roles }
     }
 
-    /// Answers an accepted change once it is in force everywhere, without holding up the actor.
+    /// Answers an accepted change once it is in force on all instances, without blocking the actor.
     fn end_accepted(&mut self, ticket: ChangeTicket, revision: Revision) {
         let Some(tx) = self.proposals.remove(&ticket) else {
             return;
@@ -280,7 +287,7 @@
         self.coordinate(CoordEvent::PeerMessage { from, message });
     }
 
-    /// Tells the roles of this instance of a new configuration.
+    /// Updates the roles of this instance to a new configuration.
     fn reconfigure_roles(&mut self) {
         let mut steps = Vec::new();
         for name in self.targets.keys() {
@@ -310,7 +317,7 @@
     }
 }
 
-/// Returns the roles that a configuration asks for.
+/// Returns the roles that a configuration requires.
 fn wanted_roles(deployment: &Deployment) -> Vec<WantedRole> {
     let targets = deployment.targets.iter().map(|(name, target)| WantedRole {
         role: Role::Target(name.clone()),
@@ -320,8 +327,8 @@
             Fencing::Ignores => false,
         },
     });
-    // Schedulers and allocators give no order to a target: a late message of an old one is a turn
-    // or a share that the owner checks by its number.
+    // Schedulers and allocators send no orders to targets. A late message from a previous holder
+    // grants a turn or sets a share, which the owner checks by its number.
     let unzoned = |role| WantedRole {
         role,
         zone: None,
@@ -348,11 +355,12 @@
         ChangeRefusal::Invalid(detail) => (RefusedKind::Conflict, detail.clone()),
         ChangeRefusal::NotReady => (
             RefusedKind::NotBegun,
-            "this instance does not have the latest configuration yet; ask another one".to_owned(),
+            "this instance does not have the latest configuration yet; try another instance"
+                .to_owned(),
         ),
         ChangeRefusal::Busy => (
             RefusedKind::NotBegun,
-            "other changes are under way".to_owned(),
+            "other changes are in progress".to_owned(),
         ),
         ChangeRefusal::PlatformUnavailable => (
             RefusedKind::NotBegun,
@@ -372,7 +380,7 @@
         }
         ChangeRefusal::GivenUp => (
             RefusedKind::GivenUp,
-            "another instance gave the change up; nothing has changed".to_owned(),
+            "another instance abandoned the change; nothing has changed".to_owned(),
         ),
         ChangeRefusal::Unknown => (
             RefusedKind::Unknown,
@@ -381,7 +389,7 @@
                 .to_owned(),
         ),
     };
-    // The coordinator's own proposer runs with the defaults too.
+    // The coordinator's proposer uses the default configuration too.
     let retry_after = refusal.retry_after(&ProposerConfig::default());
     Proposed::Refused(Refused {
         kind,
