--- a/crates/chervilshunt_daemon/src/control/measure.rs
+++ b/crates/chervilshunt_daemon/src/control/measure.rs
@@ -1,4 +1,4 @@
-//! Metrics of this instance's roles; see `docs/operators/metrics.md`.
+//! Updates the metrics of this instance's roles; see `docs/operators/metrics.md`.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -9,19 +9,20 @@
 
 use super::actor::Control;
 
-/// The time between two looks at the roles.
+/// Interval between updates of the metrics.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 
-/// What the last look at the roles saw.
+/// State of the last update of the metrics.
 #[derive(Debug, Default)]
 pub(super) struct Measured {
+    /// When the metrics were last updated.
     looked: Option<Moment>,
-    /// Targets whose gauges are not 0.
+    /// Targets whose gauges were set and have to be cleared once they are no longer owned.
     targets: HashSet<TargetName>,
 }
 
 impl Control {
-    /// Brings the gauges up to date, and counts what has passed since they were.
+    /// Updates the gauges, and adds the time since the last update to the counters.
     pub(super) fn measure(&mut self, now: Moment) {
         let since = self.measured.looked.map(|looked| now.since(looked));
         if since.is_some_and(|since| since < LOOK_EVERY) {
@@ -78,7 +79,7 @@
     };
     waiting(Class::Live, view.live_waiting);
     waiting(Class::Deferrable, view.deferrable_waiting);
-    // A batch without a sequence runs no step: only the time in which there is one counts.
+    // An engine without running sequences executes no steps, so only busy time counts.
     let bound = if running > 0.0 {
         bound.max(running)
     } else {
@@ -92,7 +93,7 @@
     add("chervilshunt_target_batch_microseconds_total", bound);
 }
 
-/// Sets the gauges of a target to 0 that this instance no longer owns: its new owner counts it.
+/// Sets the gauges of a target that this instance no longer owns to 0, as its new owner reports it.
 fn clear_target(name: &TargetName) {
     let target = name.to_string();
     for gauge in [
@@ -108,7 +109,7 @@
     }
 }
 
-/// Counts a decision, and how long its request had waited.
+/// Counts a decision and records how long its request waited.
 pub(super) fn decision(decision: &Decision) {
     let kind = decision.kind.as_str();
     counter!("chervilshunt_decisions_total", "kind" => kind).increment(1);
@@ -131,7 +132,7 @@
     }
 }
 
-/// Records how an order to an engine ended, and how long it took.
+/// Records the result and the duration of an order to an engine.
 pub(super) fn order(kind: OrderKind, result: Result<(), OrderFailure>, took: Duration) {
     let result = match result {
         Ok(()) => "done",
--- a/crates/chervilshunt_daemon/src/control/tell.rs
+++ b/crates/chervilshunt_daemon/src/control/tell.rs
@@ -1,4 +1,4 @@
-//! What this instance tells operators of its roles.
+//! Collects the state of this instance and its roles for operators.
 
 use super::actor::Control;
 use crate::facts::{
