--- a/crates/chervilshunt_daemon/src/control/platform_calls.rs
+++ b/crates/chervilshunt_daemon/src/control/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Carrying out the coordinator's platform calls.
+//! Executes the platform calls of the coordinator and the claim keepers.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 };
 use serde_json::{Value, json};
 
-/// The annotation that holds what a Lease's `spec` has no field for.
+/// The annotation that holds the whole lease record, as the `spec` of a Lease has no fields for it.
 const LEASE_RECORD: &str = "chervilshunt.io/lease-record";
-/// The label by which the pages of one shard of claims are listed.
+/// The label that selects the claim pages of one shard.
 const CLAIM_SHARD: &str = "chervilshunt.io/claim-shard";
 
-/// Makes one call and says how it ended.
+/// Executes one call and returns its result.
 pub(super) async fn carry_out(platform: &Platform, call: PlatformCall) -> PlatformResult {
     let result = match call.op {
         PlatformOp::Read(name) => read(platform, &name).await,
@@ -58,7 +58,8 @@
     result.unwrap_or_else(|error| failed(&error))
 }
 
-/// Reads an object as the platform has it; none if it is not of the shape that this system writes.
+/// Parses an object from the platform, or returns `None` if it does not have the format that this
+/// system writes.
 pub(super) fn to_stored(kind: ObjectKind, object: Object<Value>) -> Option<StoredObject> {
     let version = object.resource_version?;
     let spec = match kind {
--- a/crates/chervilshunt_daemon/src/control/watches.rs
+++ b/crates/chervilshunt_daemon/src/control/watches.rs
@@ -1,4 +1,4 @@
-//! Following the platform: configuration head, assignments and instance list.
+//! Watches the configuration head, the assignments and the instance list on the platform.
 
 use std::net::SocketAddr;
 
@@ -14,13 +14,14 @@
 use super::actor::Control;
 use super::platform_calls::to_stored;
 
-/// The service under which the instance list shows this system's own instances.
+/// The service name of this system's own instances in the instance list.
 const OWN_SERVICE: &str = "chervilshunt";
-/// The port names of an instance in the list.
+/// The name of the port for messages between instances.
 const PEERS_PORT: &str = "peers";
+/// The name of the port for operators.
 const OPERATORS_PORT: &str = "operators";
 
-/// A watch showed an object.
+/// A watch reported an object.
 #[derive(Debug)]
 pub(super) struct ObjectSeen(pub(super) StoredObject);
 
@@ -29,11 +30,11 @@
 pub(super) struct Listed {
     /// This system's own instances.
     pub(super) instances: Vec<InstanceEntry>,
-    /// Targets that are leaving or don't serve.
+    /// Targets that take no new work, as they are leaving or not serving.
     pub(super) leaving: Vec<TargetName>,
 }
 
-/// Starts to follow the platform, until the actor is gone.
+/// Starts the watches of the platform, which run until the actor stops.
 pub(super) fn start(platform: &Platform, control: &Address<Control>) {
     follow(platform, CONFIG_HEADS, ObjectKind::Head, control.clone());
     follow(
