--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -1,4 +1,4 @@
-//! Keeping in touch with targets and entry instances.
+//! Probes unreachable targets and compares permits with entry instances.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use super::messages::{EngineNews, FromEngine};
 use super::steps::Step;
 
-/// The pause between two questions to a target that can't be reached.
+/// Pause between probes of an unreachable target.
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
 
-/// An instance listed its permits for a comparison with ours.
+/// The permits that an instance reported, for comparison with those granted to it.
 #[derive(Debug)]
 struct Compared {
     target: TargetName,
-    /// Permits that were out when the instance was asked.
+    /// Permits that were granted to the instance when it was asked.
     asked: HashSet<AttemptId>,
-    /// Permits that it holds.
+    /// Permits that it reported.
     held: HashSet<AttemptId>,
 }
 
 impl Control {
-    /// Asks an instance which permits it holds, and takes back those that it does not know.
+    /// Asks an instance which permits it holds, and releases those that it does not report.
     pub(super) fn compare_permits(&self, instance: &InstanceId) {
         let Some(address) = self.address.clone() else {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Asks a target that can't be reached again and again, until it answers or is no longer ours.
+    /// Probes an unreachable target until it answers or this instance no longer owns it.
     pub(super) fn probe(&self, target: &TargetName) {
         let (Some(owned), Some(address)) = (self.targets.get(target), self.address.clone()) else {
             return;
--- a/crates/chervilshunt_daemon/src/control/watch_engine.rs
+++ b/crates/chervilshunt_daemon/src/control/watch_engine.rs
@@ -1,4 +1,4 @@
-//! Reading what an engine reports of itself: its load and its prefix cache.
+//! Polls engines for their load and the events of their prefix caches.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -10,28 +10,33 @@
 use super::actor::Control;
 use super::messages::{EngineNews, FromEngine};
 
-/// The time between two looks at an engine.
+/// Interval between polls of an engine.
 ///
-/// The owner sees every request by its own permits, so reports only correct it, and a metrics page
-/// counts against the bytes that a node may spend on control; see `docs/CAPACITY.md`.
+/// The owner counts requests by its own permits, so load reports only correct that count, and every
+/// metrics page counts against the control traffic budget of a node; see `docs/CAPACITY.md`.
 const LOOK_EVERY: Duration = Duration::from_secs(5);
-/// The most prefixes that are remembered of one engine; beyond it the memory starts anew, as events
-/// come with gaps and a forgotten removal would otherwise stay for ever.
+/// Maximum number of prefixes that are remembered for one engine.
+///
+/// The set is cleared when it is full. Events can be lost, and a prefix whose removal was missed
+/// would otherwise stay in the set forever.
 const MOST_PREFIXES: usize = 4_096;
 
-/// The prefixes that an engine seems to hold, by events that come late and with gaps.
+/// The prefixes that an engine has cached, according to events that arrive late and with gaps.
 #[derive(Debug, Default)]
 struct SeenPrefixes {
+    /// Sequence number of the last event.
     after: u64,
     cached: HashSet<u64>,
 }
 
 impl SeenPrefixes {
-    /// Takes in what happened since the last look; returns the prefixes now, if that could be asked.
+    /// Applies the events since the last poll and returns the cached prefixes, or `None` if the
+    /// events could not be read.
     async fn look(&mut self, client: &EngineClient) -> Option<Vec<u64>> {
         let events = client.cache_events(self.after).await.ok()?;
         for event in events {
-            // A lower number than the last one means that the engine has restarted, empty.
+            // A sequence number below the last one means that the engine restarted with an empty
+            // cache.
             if event.sequence < self.after || self.cached.len() >= MOST_PREFIXES {
                 self.cached.clear();
             }
@@ -46,7 +51,7 @@
 }
 
 impl Control {
-    /// Looks at an engine again and again while this instance owns it under `epoch`.
+    /// Polls an engine periodically while this instance owns it under `epoch`.
     pub(super) fn watch_engine(&self, target: &TargetName, epoch: Epoch) {
         let (Some(owned), Some(address)) = (self.targets.get(target), self.address.clone()) else {
             return;
@@ -74,11 +79,12 @@
     }
 }
 
-/// Looks at an engine once; returns nothing if it answers but gives no report.
+/// Polls an engine once. Returns `None` if the engine answers but provides no load report.
 ///
-/// An engine that is gone or hangs fails no order as long as none is given, so that its owner would
-/// go on granting permits for it, each of which costs a caller a try or its whole deadline. Only
-/// one that answers neither question is lost: a page of metrics may be missing or malformed.
+/// Without polling, an engine that has crashed or hangs would go unnoticed while no order is sent
+/// to it. Its owner would keep granting permits for it, each of which costs a caller an attempt or
+/// its whole deadline. An engine counts as unreachable only if the inventory call fails too, as its
+/// metrics page may be missing or malformed.
 async fn look(
     client: &EngineClient,
     epoch: Epoch,
