--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -1,4 +1,4 @@
-//! Beginning and ending roles of this instance.
+//! Starts and ends the roles of this instance, and updates them when peers or holders change.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,15 +18,16 @@
 use crate::routing::Routing;
 use crate::wire::PeerMessage;
 
-/// The time after which a turn to load of which nothing was heard is taken to be over; owners say
-/// each second that they use one.
+/// Time without a renewal after which a load turn is considered over. Owners renew their turns
+/// every second.
 const TURN_TIMEOUT: Duration = Duration::from_secs(4);
-/// The time that an instance has to list the permits it holds.
+/// Timeout for asking an instance which permits it holds.
 const HELD_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before an instance is asked again for the permits it holds.
+/// Pause before an instance is asked again which permits it holds.
 const HELD_PAUSE: Duration = Duration::from_millis(500);
 
 impl Control {
+    /// Starts a role; `ask` lists the instances to ask for the permits that they hold.
     pub(super) fn gain_role(
         &mut self,
         role: Role,
@@ -53,9 +54,9 @@
                 let reachable = OwnerEvent::SchedulerReachable(owned.scheduler_up);
                 self.targets.insert(name.clone(), owned);
                 let draining = OwnerEvent::Draining(self.is_draining(&name));
-                // `ask` names the others only. A permit that the previous owner granted to this
-                // instance pins its adapter all the same: without it the new owner would unload
-                // the adapter under a stream that its own instance relays.
+                // `ask` does not include this instance. Permits that the previous owner granted to
+                // this instance pin their adapters too; without them the new owner could unload an
+                // adapter while this instance relays a stream that uses it.
                 let own = OwnerEvent::PermitsHeld {
                     entry: self.cx.me().clone(),
                     permits: self.cx.held.of_target(&name),
@@ -98,8 +99,10 @@
         }
     }
 
-    /// Stops acting under a role. Requests that wait are dropped, so that whoever asked is told at
-    /// once and asks the next holder.
+    /// Stops acting under a role.
+    ///
+    /// The reply channels of pending requests are dropped, so that requesters notice at once and
+    /// ask the next holder.
     pub(super) fn end_role(&mut self, role: &Role) {
         slog::info!(self.cx.log, "role ended"; "role" => %role);
         match role {
@@ -129,7 +132,7 @@
         }
         let steps: Vec<Step> = match role {
             Role::Target(name) => self.owner_changed(name),
-            // A new scheduler knows of no turn: owners ask anew once it is back.
+            // A new scheduler knows no turns, so owners request theirs again once it is reachable.
             Role::LoadScheduler(store) => {
                 let mut steps = self.scheduler_lost(store);
                 steps.extend(self.review_schedulers());
@@ -141,7 +144,7 @@
         self.publish();
     }
 
-    /// Has owners of a store's targets load without its scheduler.
+    /// Reports the load scheduler of a store as unreachable to the owners of its targets.
     fn scheduler_lost(&mut self, store: &StoreName) -> Vec<Step> {
         let up = self
             .targets
@@ -154,13 +157,13 @@
         .collect()
     }
 
-    /// Tells owners whose load scheduler can be reached again, or can't any more.
+    /// Reports to owners that their load scheduler has become reachable or unreachable.
     ///
-    /// A scheduler whose instance has died still holds its role until its lease has lapsed, and
-    /// throughout an outage of the platform. Owners that went on asking it for turns would load
-    /// nothing for as long, and requests for adapters that aren't loaded would run into their
-    /// deadlines. Loads without a scheduler stay within the store's rate, so a suspicion that turns
-    /// out to be wrong does no harm.
+    /// A scheduler whose instance has crashed holds its role until its lease expires, and
+    /// throughout an outage of the platform. Owners that kept requesting turns from it would load
+    /// nothing during that time, and requests for adapters that are not loaded would exceed their
+    /// deadlines. Loads without a scheduler stay within the store's rate, so a wrong suspicion does
+    /// no harm.
     fn review_schedulers(&mut self) -> Vec<Step> {
         let reachable = |owned: &OwnedTarget| {
             let role = Role::LoadScheduler(owned.target.store.clone());
@@ -181,7 +184,8 @@
         steps.collect()
     }
 
-    /// A target's new owner starts with no share and no turn: both roles start over with it.
+    /// Returns the events that make the scheduler and the allocator of a target start over with its
+    /// new owner, which has no turns and no share.
     fn owner_changed(&mut self, name: &TargetName) -> Vec<Step> {
         let Some(target) = self.deployment.targets.get(name) else {
             return Vec::new();
@@ -197,7 +201,7 @@
         steps
     }
 
-    /// Returns the events that bring the allocators' lists of targets up to the configuration.
+    /// Returns the events that update the allocators' sets of targets to the configuration.
     pub(super) fn power_membership(&mut self) -> Vec<Step> {
         let wanted: HashMap<TargetName, SiteName> = self
             .deployment
@@ -255,8 +259,9 @@
         self.work_off(steps);
     }
 
-    /// Asks instances for the permits that they hold for a target, until each has answered or the
-    /// target has another owner.
+    /// Asks instances for the permits that they hold for a target.
+    ///
+    /// Each is asked until it answers or is no longer live, or until the target has another owner.
     pub(super) fn ask_held(&self, target: &TargetName, instances: &[InstanceId]) {
         let Some(address) = self.address.clone() else {
             return;
@@ -318,7 +323,7 @@
         holder.is_some_and(|(instance, _)| !self.suspects.contains(instance))
     }
 
-    /// Shows the traffic threads the control state as it is now.
+    /// Publishes the current routing state to the traffic threads.
     pub(super) fn publish(&self) {
         let claim_keepers = self
             .holders
@@ -351,10 +356,10 @@
     }
 }
 
-/// Returns the event by which an allocator learns of a target, or starts over with its new owner.
+/// Returns the event that adds a target to its allocator, or starts over with its new owner.
 ///
-/// The target may be drawing up to its full power until its owner says otherwise: to count less
-/// could pass the cap when an earlier owner's requests still run.
+/// The target counts with its full power until its owner confirms a share. Requests admitted by a
+/// previous owner may still be running, and counting less could exceed the site's cap.
 fn joined(name: &TargetName, target: &Target) -> Step {
     let full_watts = target.idle_watts + target.watts_per_sequence * f64::from(target.max_batch);
     let event = PowerEvent::TargetJoined {
@@ -367,7 +372,9 @@
 }
 
 impl super::context::Context {
-    /// Asks an instance, this one included, for the permits it holds for a target.
+    /// Returns the permits that an instance, which may be this one, holds for a target.
+    ///
+    /// Returns `None` if the instance is not live or does not answer in time.
     pub(super) async fn held_by(
         &self,
         instance: &InstanceId,
