--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,7 +21,7 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EngineNews, FromEngine, HeldBy, Leave, Left, ReleasePermit, Tick,
+    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, HeldBy, Leave, Left, ReleasePermit, Tick,
 };
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
@@ -219,20 +219,20 @@
     type Return = bool;
 
     async fn handle(&mut self, message: FromEngine, _cx: &mut xtra::Context<Self>) -> bool {
-        let FromEngine { target, news } = message;
-        if let EngineNews::OrderEnded(..) = news {
+        let FromEngine { target, update } = message;
+        if let EngineUpdate::OrderEnded(..) = update {
             self.order_ended(&target);
         }
         let Some(owned) = self.targets.get(&target) else {
             return false;
         };
-        match news {
-            EngineNews::OrderEnded(order, result) => {
+        match update {
+            EngineUpdate::OrderEnded(order, result) => {
                 self.heard(target, OwnerEvent::OrderEnded { order, result });
             }
-            EngineNews::Inventory(loaded) => self.heard(target, OwnerEvent::Inventory(loaded)),
-            EngineNews::Looked { epoch, .. } if epoch != owned.epoch => return false,
-            EngineNews::Looked { report, cached, .. } => {
+            EngineUpdate::Inventory(loaded) => self.heard(target, OwnerEvent::Inventory(loaded)),
+            EngineUpdate::Polled { epoch, .. } if epoch != owned.epoch => return false,
+            EngineUpdate::Polled { report, cached, .. } => {
                 let cached = cached.map(OwnerEvent::PrefixesCached);
                 let events = std::iter::once(OwnerEvent::EngineReported(report)).chain(cached);
                 let steps: Vec<Step> = events
@@ -240,7 +240,7 @@
                     .collect();
                 self.work_off(steps);
             }
-            EngineNews::Unreachable => self.lost_target(target),
+            EngineUpdate::Unreachable => self.lost_target(target),
         }
         true
     }
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -13,7 +13,7 @@
 use super::actor::Control;
 use super::address::addressed;
 use super::measure;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 use super::steps::{Step, Steps};
 use crate::facts::millis;
 use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
@@ -244,7 +244,7 @@
             };
             let result = result.map_err(|error| order_failure(&error));
             measure::order(order.kind, result, begun.elapsed());
-            EngineNews::OrderEnded(order.id, result)
+            EngineUpdate::OrderEnded(order.id, result)
         });
     }
 
@@ -281,11 +281,11 @@
         let is_engine = owned.target.slots > 0;
         self.spawn_call(target, async move {
             if !is_engine {
-                return EngineNews::Inventory(Vec::new());
+                return EngineUpdate::Inventory(Vec::new());
             }
             match client.inventory().await {
-                Ok(loaded) => EngineNews::Inventory(loaded),
-                Err(_) => EngineNews::Unreachable,
+                Ok(loaded) => EngineUpdate::Inventory(loaded),
+                Err(_) => EngineUpdate::Unreachable,
             }
         });
     }
@@ -294,15 +294,15 @@
     fn spawn_call(
         &self,
         target: &TargetName,
-        call: impl Future<Output = EngineNews> + Send + 'static,
+        call: impl Future<Output = EngineUpdate> + Send + 'static,
     ) {
         let Some(address) = self.address.clone() else {
             return;
         };
         let target = target.clone();
         tokio::spawn(async move {
-            let news = call.await;
-            drop(address.send(FromEngine { target, news }).detach().await);
+            let update = call.await;
+            drop(address.send(FromEngine { target, update }).detach().await);
         });
     }
 
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -68,18 +68,18 @@
     /// The target.
     pub(super) target: TargetName,
     /// The result.
-    pub(super) news: EngineNews,
+    pub(super) update: EngineUpdate,
 }
 
 /// A result of a call to an engine.
 #[derive(Debug)]
-pub(super) enum EngineNews {
+pub(super) enum EngineUpdate {
     /// An order ended.
     OrderEnded(OrderId, Result<(), OrderFailure>),
     /// The adapters that the engine holds.
     Inventory(Vec<AdapterVersion>),
     /// The engine reported its load.
-    Looked {
+    Polled {
         /// The epoch under which this instance polled the engine.
         epoch: Epoch,
         /// The load report.
--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -8,7 +8,7 @@
 use xtra::prelude::*;
 
 use super::actor::Control;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 use super::steps::Step;
 
 /// Pause between probes of an unreachable target.
@@ -73,8 +73,8 @@
                     return;
                 }
                 if let Ok(loaded) = client.inventory().await {
-                    let news = EngineNews::Inventory(loaded);
-                    drop(address.send(FromEngine { target, news }).detach().await);
+                    let update = EngineUpdate::Inventory(loaded);
+                    drop(address.send(FromEngine { target, update }).detach().await);
                     return;
                 }
             }
--- a/crates/chervilshunt_daemon/src/control/watch_engine.rs
+++ b/crates/chervilshunt_daemon/src/control/watch_engine.rs
@@ -8,7 +8,7 @@
 use chervilshunt_model::{Epoch, TargetName};
 
 use super::actor::Control;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 
 /// Interval between polls of an engine.
 ///
@@ -64,12 +64,12 @@
             let mut prefixes = SeenPrefixes::default();
             loop {
                 tokio::time::sleep(LOOK_EVERY).await;
-                let Some(news) = look(&client, epoch, &mut prefixes).await else {
+                let Some(update) = look(&client, epoch, &mut prefixes).await else {
                     continue;
                 };
                 let looked = FromEngine {
                     target: target.clone(),
-                    news,
+                    update,
                 };
                 if !address.send(looked).await.unwrap_or(false) {
                     return;
@@ -89,10 +89,10 @@
     client: &EngineClient,
     epoch: Epoch,
     prefixes: &mut SeenPrefixes,
-) -> Option<EngineNews> {
+) -> Option<EngineUpdate> {
     let Ok(report) = client.report().await else {
         let answers = client.inventory().await.is_ok();
-        return (!answers).then_some(EngineNews::Unreachable);
+        return (!answers).then_some(EngineUpdate::Unreachable);
     };
     let report = EngineReport {
         running: report.running,
@@ -100,7 +100,7 @@
         age: report.age.unwrap_or(LOOK_EVERY),
     };
     let cached = prefixes.look(client).await;
-    Some(EngineNews::Looked {
+    Some(EngineUpdate::Polled {
         epoch,
         report,
         cached,
