--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,7 +21,8 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, HeldBy, Leave, Left, ReleasePermit, Tick,
+    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, Leave, Left, PermitReport, ReleasePermit,
+    Tick,
 };
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
@@ -299,11 +300,11 @@
     }
 }
 
-impl Handler<HeldBy> for Control {
+impl Handler<PermitReport> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: HeldBy, _cx: &mut xtra::Context<Self>) {
-        let HeldBy {
+    async fn handle(&mut self, message: PermitReport, _cx: &mut xtra::Context<Self>) {
+        let PermitReport {
             target,
             instance,
             permits,
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -110,7 +110,7 @@
 
 /// An instance reported the permits that it holds for a target that was taken over.
 #[derive(Debug)]
-pub(super) struct HeldBy {
+pub(super) struct PermitReport {
     /// The target.
     pub(super) target: TargetName,
     /// The instance.
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -12,7 +12,7 @@
 use chervilshunt_model::{Epoch, InstanceId, SiteName, StoreName, Target, TargetName};
 
 use super::actor::Control;
-use super::messages::HeldBy;
+use super::messages::PermitReport;
 use super::owned::{OwnedTarget, is_draining};
 use super::steps::Step;
 use crate::routing::Routing;
@@ -271,7 +271,7 @@
             tokio::spawn(async move {
                 loop {
                     if let Some(permits) = cx.held_by(&instance, &target).await {
-                        let held = HeldBy {
+                        let held = PermitReport {
                             target,
                             instance,
                             permits,
