--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,8 +21,8 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, Leave, Left, PermitReport, ReleasePermit,
-    Tick,
+    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, HandOverRoles, Left, PermitReport,
+    ReleasePermit, Tick,
 };
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
@@ -331,10 +331,14 @@
     }
 }
 
-impl Handler<Leave> for Control {
+impl Handler<HandOverRoles> for Control {
     type Return = oneshot::Receiver<()>;
 
-    async fn handle(&mut self, _: Leave, _cx: &mut xtra::Context<Self>) -> oneshot::Receiver<()> {
+    async fn handle(
+        &mut self,
+        _: HandOverRoles,
+        _cx: &mut xtra::Context<Self>,
+    ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
         let steps = self.leaving_steps.get_or_insert_default();
         steps.roles_given_away = Some(tx);
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -127,7 +127,7 @@
 ///
 /// The answer is a channel that is notified when this instance holds no role any more.
 #[derive(Debug)]
-pub(crate) struct Leave;
+pub(crate) struct HandOverRoles;
 
 /// Ends the lease of this instance, once its last request has ended in a graceful shutdown.
 ///
--- a/crates/chervilshunt_daemon/src/shutdown.rs
+++ b/crates/chervilshunt_daemon/src/shutdown.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 use xtra::prelude::*;
 
-use crate::control::{Control, Leave, Left};
+use crate::control::{Control, HandOverRoles, Left};
 use crate::operators::Health;
 
 /// How long callers are still taken in after the instance has turned unready, so that a balancer
@@ -94,7 +94,7 @@
         self.health.stop();
         tokio::time::sleep(UNREADY_GRACE).await;
         slog::info!(self.log, "shutdown"; "step" => "giving roles away");
-        let given_away = self.control.send(Leave).await.ok();
+        let given_away = self.control.send(HandOverRoles).await.ok();
         if !ended_within(HANDOVER_BOUND, given_away).await {
             slog::warn!(self.log, "shutdown"; "step" => "roles were not taken over in time");
         }
