--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,7 +21,7 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EngineUpdate, FromEngine, HandOverRoles, Left, PermitReport,
+    AskFacts, AskPermit, Begin, EndLease, EngineUpdate, FromEngine, HandOverRoles, PermitReport,
     ReleasePermit, Tick,
 };
 use super::owned::OwnedTarget;
@@ -347,10 +347,14 @@
     }
 }
 
-impl Handler<Left> for Control {
+impl Handler<EndLease> for Control {
     type Return = oneshot::Receiver<()>;
 
-    async fn handle(&mut self, _: Left, _cx: &mut xtra::Context<Self>) -> oneshot::Receiver<()> {
+    async fn handle(
+        &mut self,
+        _: EndLease,
+        _cx: &mut xtra::Context<Self>,
+    ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
         let steps = self.leaving_steps.get_or_insert_default();
         steps.left = Some(tx);
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -133,4 +133,4 @@
 ///
 /// The answer is a channel that is notified when the lease has ended.
 #[derive(Debug)]
-pub(crate) struct Left;
+pub(crate) struct EndLease;
--- a/crates/chervilshunt_daemon/src/shutdown.rs
+++ b/crates/chervilshunt_daemon/src/shutdown.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 use xtra::prelude::*;
 
-use crate::control::{Control, HandOverRoles, Left};
+use crate::control::{Control, EndLease, HandOverRoles};
 use crate::operators::Health;
 
 /// How long callers are still taken in after the instance has turned unready, so that a balancer
@@ -101,7 +101,7 @@
         slog::info!(self.log, "shutdown"; "step" => "waiting for open requests");
         self.stop_callers.cancel();
         let drained = tokio::time::timeout(self.bound, self.callers).await;
-        let left = self.control.send(Left).await.ok();
+        let left = self.control.send(EndLease).await.ok();
         if !ended_within(LEAVE_BOUND, left).await {
             slog::warn!(self.log, "shutdown"; "step" => "the lease could not be given up");
         }
