--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,7 +21,7 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EndLease, EngineUpdate, FromEngine, HandOverRoles, PermitReport,
+    AskPermit, Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
     ReleasePermit, Tick,
 };
 use super::owned::OwnedTarget;
@@ -319,12 +319,12 @@
     }
 }
 
-impl Handler<AskFacts> for Control {
+impl Handler<GetFacts> for Control {
     type Return = crate::facts::InstanceFacts;
 
     async fn handle(
         &mut self,
-        _: AskFacts,
+        _: GetFacts,
         _cx: &mut xtra::Context<Self>,
     ) -> crate::facts::InstanceFacts {
         self.facts()
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -121,7 +121,7 @@
 
 /// Reads the state of this instance and its roles, for operators.
 #[derive(Debug)]
-pub(crate) struct AskFacts;
+pub(crate) struct GetFacts;
 
 /// Starts a graceful shutdown by handing over all roles.
 ///
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -10,7 +10,7 @@
 use xtra::prelude::*;
 
 use super::tables::{Rows, Sources, Told};
-use crate::control::{AskFacts, Control, Propose, Proposed, Refused, RefusedKind};
+use crate::control::{Control, GetFacts, Propose, Proposed, Refused, RefusedKind};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
@@ -240,7 +240,7 @@
     async fn ask_all(&self, table: Table, local: bool) -> (Vec<Told>, Vec<InstanceId>) {
         let mut told = Vec::new();
         let asked_at = Instant::now();
-        if let Ok(facts) = self.control.send(AskFacts).await {
+        if let Ok(facts) = self.control.send(GetFacts).await {
             told.push(Told { facts, asked_at });
         }
         if local {
