--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -21,8 +21,8 @@
 use super::coordination::Proposed;
 use super::measure::Measured;
 use super::messages::{
-    AskPermit, Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
-    ReleasePermit, Tick,
+    Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
+    ReleasePermit, RequestPermit, Tick,
 };
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
@@ -145,8 +145,8 @@
 
     /// Passes a permit request to the owner, or refuses it if this instance does not own the
     /// target.
-    pub(super) fn ask_permit(&mut self, message: AskPermit) {
-        let AskPermit { req, reply } = message;
+    pub(super) fn request_permit(&mut self, message: RequestPermit) {
+        let RequestPermit { req, reply } = message;
         let Some(owned) = self.targets.get_mut(&req.target) else {
             reply.send(PermitAnswer::Refused {
                 reason: RefusalReason::NotOwner,
@@ -199,11 +199,11 @@
     }
 }
 
-impl Handler<AskPermit> for Control {
+impl Handler<RequestPermit> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: AskPermit, _cx: &mut xtra::Context<Self>) {
-        self.ask_permit(message);
+    async fn handle(&mut self, message: RequestPermit, _cx: &mut xtra::Context<Self>) {
+        self.request_permit(message);
     }
 }
 
--- a/crates/chervilshunt_daemon/src/control/messages.rs
+++ b/crates/chervilshunt_daemon/src/control/messages.rs
@@ -15,7 +15,7 @@
 
 /// A request for a permit, from a traffic thread or a peer.
 #[derive(Debug)]
-pub(crate) struct AskPermit {
+pub(crate) struct RequestPermit {
     /// The request.
     pub(crate) req: PermitRequest,
     /// The channel for the answer, which may come only after a wait in the owner's queue.
--- a/crates/chervilshunt_daemon/src/control/mod.rs
+++ b/crates/chervilshunt_daemon/src/control/mod.rs
@@ -29,5 +29,5 @@
 pub(crate) use context::Context;
 pub(crate) use coordination::{Propose, Proposed, Refused, RefusedKind};
 pub(crate) use messages::{
-    AskPermit, Begin, EndLease, FromPeer, GetFacts, HandOverRoles, PermitReply, ReleasePermit,
+    Begin, EndLease, FromPeer, GetFacts, HandOverRoles, PermitReply, ReleasePermit, RequestPermit,
 };
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -9,7 +9,7 @@
 use super::actor::Control;
 use super::address::addressed;
 use super::claims::{AskClaim, ClaimReply};
-use super::messages::{AskPermit, FromPeer, PermitReply, ReleasePermit};
+use super::messages::{FromPeer, PermitReply, ReleasePermit, RequestPermit};
 use super::steps::Step;
 use crate::wire::PeerMessage;
 
@@ -40,7 +40,7 @@
                 if let Some(reply) = reply {
                     let req = req.sent_by(from);
                     let reply = PermitReply::Peer(reply, RequestChecksum::of_request(&req));
-                    self.ask_permit(AskPermit { req, reply });
+                    self.request_permit(RequestPermit { req, reply });
                 }
             }
             PeerMessage::PermitReleased(released) => {
--- a/crates/chervilshunt_daemon/src/traffic/permits.rs
+++ b/crates/chervilshunt_daemon/src/traffic/permits.rs
@@ -14,7 +14,7 @@
 use super::held::HeldPermits;
 use super::links::Links;
 use super::now;
-use crate::control::{AskPermit, PermitReply, ReleasePermit};
+use crate::control::{PermitReply, ReleasePermit, RequestPermit};
 use crate::wire::PeerMessage;
 
 /// The time that the owner has to acknowledge a release.
@@ -101,7 +101,7 @@
             .ok_or(Unreached::NeverSeen)?;
         if *owner == self.inner.links.me {
             let (tx, rx) = oneshot::channel();
-            let ask = AskPermit {
+            let ask = RequestPermit {
                 req,
                 reply: PermitReply::Local(tx),
             };
