--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -22,7 +22,7 @@
 
 /// A request for a claim, from a traffic thread or a peer.
 #[derive(Debug)]
-pub(crate) struct AskClaim {
+pub(crate) struct RequestClaim {
     /// The request.
     pub(crate) req: ClaimRequest,
     /// The channel for the answer.
@@ -68,8 +68,8 @@
     ///
     /// The reply channel is dropped without an answer if this instance's lease does not permit it
     /// to act as the keeper.
-    pub(super) fn ask_claim(&mut self, ask: AskClaim) {
-        let AskClaim { req, reply } = ask;
+    pub(super) fn request_claim(&mut self, ask: RequestClaim) {
+        let RequestClaim { req, reply } = ask;
         let shard = req.key.shard(CLAIM_SHARDS);
         let role = Role::ClaimKeeper(shard);
         // A keeper that resumes after a pause must not grant a claim that its successor may already
@@ -178,11 +178,11 @@
     )
 }
 
-impl Handler<AskClaim> for Control {
+impl Handler<RequestClaim> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: AskClaim, _cx: &mut xtra::Context<Self>) {
-        self.ask_claim(message);
+    async fn handle(&mut self, message: RequestClaim, _cx: &mut xtra::Context<Self>) {
+        self.request_claim(message);
     }
 }
 
--- a/crates/chervilshunt_daemon/src/control/mod.rs
+++ b/crates/chervilshunt_daemon/src/control/mod.rs
@@ -25,7 +25,7 @@
 mod watches;
 
 pub(crate) use actor::Control;
-pub(crate) use claims::{AskClaim, CLAIM_SHARDS, ClaimReply, EndClaim};
+pub(crate) use claims::{CLAIM_SHARDS, ClaimReply, EndClaim, RequestClaim};
 pub(crate) use context::Context;
 pub(crate) use coordination::{Propose, Proposed, Refused, RefusedKind};
 pub(crate) use messages::{
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -8,7 +8,7 @@
 
 use super::actor::Control;
 use super::address::addressed;
-use super::claims::{AskClaim, ClaimReply};
+use super::claims::{ClaimReply, RequestClaim};
 use super::messages::{FromPeer, PermitReply, ReleasePermit, RequestPermit};
 use super::steps::Step;
 use crate::wire::PeerMessage;
@@ -64,7 +64,7 @@
             }
             PeerMessage::ClaimAsked(req) => {
                 if let Some(reply) = reply {
-                    self.ask_claim(AskClaim {
+                    self.request_claim(RequestClaim {
                         req,
                         reply: ClaimReply::Peer(reply),
                     });
--- a/crates/chervilshunt_daemon/src/traffic/claims.rs
+++ b/crates/chervilshunt_daemon/src/traffic/claims.rs
@@ -14,7 +14,7 @@
 use super::links::Links;
 use super::now;
 use super::problem::{Problem, Reason};
-use crate::control::{AskClaim, CLAIM_SHARDS, ClaimReply, EndClaim};
+use crate::control::{CLAIM_SHARDS, ClaimReply, EndClaim, RequestClaim};
 use crate::keyed::KeyedTries;
 use crate::wire::{ClaimEnded, PeerMessage};
 
@@ -106,7 +106,7 @@
         let keeper = routing.claim_keepers.get(&key.shard(CLAIM_SHARDS))?;
         if *keeper == self.inner.links.me {
             let (tx, rx) = oneshot::channel();
-            let ask = AskClaim {
+            let ask = RequestClaim {
                 req,
                 reply: ClaimReply::Local(tx),
             };
