--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -18,7 +18,7 @@
 
 use super::claims::ClaimReply;
 use super::context::Context;
-use super::coordination::Proposed;
+use super::coordination::ProposalOutcome;
 use super::measure::Measured;
 use super::messages::{
     Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
@@ -53,7 +53,7 @@
     /// Targets that the instance list shows as leaving or not serving.
     pub(super) leaving: Arc<HashSet<TargetName>>,
     /// Reply channels of proposed changes whose outcome is not known yet.
-    pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<Proposed>>,
+    pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<ProposalOutcome>>,
     pub(super) next_ticket: u64,
     pub(super) measured: Measured,
     /// The most recent changes proposed at this instance, each with the number of objects that it
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -27,7 +27,7 @@
 
 /// The outcome of a proposed change.
 #[derive(Debug)]
-pub(crate) enum Proposed {
+pub(crate) enum ProposalOutcome {
     /// It was accepted at this revision.
     ///
     /// It is sent once the revision is in force on every live instance, or after a timeout.
@@ -193,11 +193,11 @@
         let cx = self.cx.clone();
         tokio::spawn(async move {
             cx.confirm_in_force(revision).await;
-            drop(tx.send(Proposed::Accepted(revision)));
+            drop(tx.send(ProposalOutcome::Accepted(revision)));
         });
     }
 
-    fn end_proposal(&mut self, ticket: ChangeTicket, outcome: Proposed) {
+    fn end_proposal(&mut self, ticket: ChangeTicket, outcome: ProposalOutcome) {
         if let Some(tx) = self.proposals.remove(&ticket) {
             drop(tx.send(outcome));
         }
@@ -222,13 +222,13 @@
 }
 
 impl Handler<Propose> for Control {
-    type Return = oneshot::Receiver<Proposed>;
+    type Return = oneshot::Receiver<ProposalOutcome>;
 
     async fn handle(
         &mut self,
         message: Propose,
         _cx: &mut xtra::Context<Self>,
-    ) -> oneshot::Receiver<Proposed> {
+    ) -> oneshot::Receiver<ProposalOutcome> {
         let (tx, rx) = oneshot::channel();
         let ticket = ChangeTicket(self.next_ticket);
         self.next_ticket += 1;
@@ -350,7 +350,7 @@
     targets.chain(stores).chain(sites).chain(claims).collect()
 }
 
-fn refused(refusal: &ChangeRefusal) -> Proposed {
+fn refused(refusal: &ChangeRefusal) -> ProposalOutcome {
     let (kind, detail) = match refusal {
         ChangeRefusal::Invalid(detail) => (RefusedKind::Conflict, detail.clone()),
         ChangeRefusal::NotReady => (
@@ -391,7 +391,7 @@
     };
     // The coordinator's proposer uses the default configuration too.
     let retry_after = refusal.retry_after(&ProposerConfig::default());
-    Proposed::Refused(Refused {
+    ProposalOutcome::Refused(Refused {
         kind,
         detail,
         retry_after,
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -10,7 +10,7 @@
 use xtra::prelude::*;
 
 use super::tables::{Rows, Sources, Told};
-use crate::control::{Control, GetFacts, Propose, Proposed, Refused, RefusedKind};
+use crate::control::{Control, GetFacts, ProposalOutcome, Propose, Refused, RefusedKind};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
@@ -188,10 +188,10 @@
                     let set = group.into_change_set(id.of_group(groups));
                     groups += 1;
                     match self.propose(set).await {
-                        Proposed::Accepted(accepted) => {
+                        ProposalOutcome::Accepted(accepted) => {
                             StatementResult::Accepted { accepted, changed }
                         }
-                        Proposed::Refused(refused) => {
+                        ProposalOutcome::Refused(refused) => {
                             return Err(Refusal::of_change(refused, done));
                         }
                     }
@@ -208,10 +208,10 @@
         })
     }
 
-    async fn propose(&self, set: chervilshunt_model::ChangeSet) -> Proposed {
+    async fn propose(&self, set: chervilshunt_model::ChangeSet) -> ProposalOutcome {
         // An instance that ends may have begun the change, and another then ends it.
         let stopped = || {
-            Proposed::Refused(Refused {
+            ProposalOutcome::Refused(Refused {
                 kind: RefusedKind::Unknown,
                 detail: "the instance ended; ask another one, under the same id".to_owned(),
                 retry_after: Some(STOPPED_RETRY),
