--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -33,12 +33,12 @@
     /// It is sent once the revision is in force on every live instance, or after a timeout.
     Accepted(Revision),
     /// It was not accepted, or its outcome is unknown.
-    Refused(Refused),
+    Refused(ProposalRefusal),
 }
 
 /// Describes why a proposed change was not accepted.
 #[derive(Debug)]
-pub(crate) struct Refused {
+pub(crate) struct ProposalRefusal {
     /// What the refusal means for the change.
     pub(crate) kind: RefusedKind,
     /// One sentence for the operator on the cause and, where there is one, the remedy.
@@ -391,7 +391,7 @@
     };
     // The coordinator's proposer uses the default configuration too.
     let retry_after = refusal.retry_after(&ProposerConfig::default());
-    ProposalOutcome::Refused(Refused {
+    ProposalOutcome::Refused(ProposalRefusal {
         kind,
         detail,
         retry_after,
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -10,7 +10,7 @@
 use xtra::prelude::*;
 
 use super::tables::{Rows, Sources, Told};
-use crate::control::{Control, GetFacts, ProposalOutcome, Propose, Refused, RefusedKind};
+use crate::control::{Control, GetFacts, ProposalOutcome, ProposalRefusal, Propose, RefusedKind};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
@@ -121,7 +121,7 @@
         }
     }
 
-    fn of_change(refused: Refused, done: usize) -> Self {
+    fn of_change(refused: ProposalRefusal, done: usize) -> Self {
         let (r#type, status, outcome) = match refused.kind {
             RefusedKind::Conflict => ("/problems/change_conflict", 409, StatementOutcome::NotRun),
             RefusedKind::NotBegun => ("/problems/change_not_begun", 503, StatementOutcome::NotRun),
@@ -211,7 +211,7 @@
     async fn propose(&self, set: chervilshunt_model::ChangeSet) -> ProposalOutcome {
         // An instance that ends may have begun the change, and another then ends it.
         let stopped = || {
-            ProposalOutcome::Refused(Refused {
+            ProposalOutcome::Refused(ProposalRefusal {
                 kind: RefusedKind::Unknown,
                 detail: "the instance ended; ask another one, under the same id".to_owned(),
                 retry_after: Some(STOPPED_RETRY),
