--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct ProposalRefusal {
     /// What the refusal means for the change.
-    pub(crate) kind: RefusedKind,
+    pub(crate) kind: ProposalRefusalKind,
     /// One sentence for the operator on the cause and, where there is one, the remedy.
     pub(crate) detail: String,
     /// How long to wait before trying again, if that can help.
@@ -49,7 +49,7 @@
 
 /// What a refusal means for a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RefusedKind {
+pub(crate) enum ProposalRefusalKind {
     /// The change is invalid and retrying it cannot help. Nothing has changed.
     Conflict,
     /// This attempt was not started. If an earlier attempt with the same id has an unknown outcome,
@@ -352,18 +352,18 @@
 
 fn refused(refusal: &ChangeRefusal) -> ProposalOutcome {
     let (kind, detail) = match refusal {
-        ChangeRefusal::Invalid(detail) => (RefusedKind::Conflict, detail.clone()),
+        ChangeRefusal::Invalid(detail) => (ProposalRefusalKind::Conflict, detail.clone()),
         ChangeRefusal::NotReady => (
-            RefusedKind::NotBegun,
+            ProposalRefusalKind::NotBegun,
             "this instance does not have the latest configuration yet; try another instance"
                 .to_owned(),
         ),
         ChangeRefusal::Busy => (
-            RefusedKind::NotBegun,
+            ProposalRefusalKind::NotBegun,
             "other changes are in progress".to_owned(),
         ),
         ChangeRefusal::PlatformUnavailable => (
-            RefusedKind::NotBegun,
+            ProposalRefusalKind::NotBegun,
             "the platform can't be reached; nothing has changed".to_owned(),
         ),
         ChangeRefusal::Unreachable(instances) => {
@@ -372,18 +372,18 @@
             let detail = format!(
                 "nothing has changed: {names} did not acknowledge; see docs/operators/changes.md"
             );
-            (RefusedKind::GivenUp, detail)
+            (ProposalRefusalKind::GivenUp, detail)
         }
         ChangeRefusal::NotAcknowledged(instance, why) => {
             let detail = format!("nothing has changed: {instance} can't carry it out: {why}");
-            (RefusedKind::GivenUp, detail)
+            (ProposalRefusalKind::GivenUp, detail)
         }
         ChangeRefusal::GivenUp => (
-            RefusedKind::GivenUp,
+            ProposalRefusalKind::GivenUp,
             "another instance abandoned the change; nothing has changed".to_owned(),
         ),
         ChangeRefusal::Unknown => (
-            RefusedKind::Unknown,
+            ProposalRefusalKind::Unknown,
             "the change may have taken effect, or may yet; send it again under the same id to \
              learn its outcome"
                 .to_owned(),
--- a/crates/chervilshunt_daemon/src/control/mod.rs
+++ b/crates/chervilshunt_daemon/src/control/mod.rs
@@ -27,7 +27,7 @@
 pub(crate) use actor::Control;
 pub(crate) use claims::{CLAIM_SHARDS, ClaimReply, EndClaim, RequestClaim};
 pub(crate) use context::Context;
-pub(crate) use coordination::{ProposalOutcome, ProposalRefusal, Propose, RefusedKind};
+pub(crate) use coordination::{ProposalOutcome, ProposalRefusal, ProposalRefusalKind, Propose};
 pub(crate) use messages::{
     Begin, EndLease, FromPeer, GetFacts, HandOverRoles, PermitReply, ReleasePermit, RequestPermit,
 };
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -10,7 +10,9 @@
 use xtra::prelude::*;
 
 use super::tables::{Rows, Sources, Told};
-use crate::control::{Control, GetFacts, ProposalOutcome, ProposalRefusal, Propose, RefusedKind};
+use crate::control::{
+    Control, GetFacts, ProposalOutcome, ProposalRefusal, ProposalRefusalKind, Propose,
+};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
@@ -123,16 +125,24 @@
 
     fn of_change(refused: ProposalRefusal, done: usize) -> Self {
         let (r#type, status, outcome) = match refused.kind {
-            RefusedKind::Conflict => ("/problems/change_conflict", 409, StatementOutcome::NotRun),
-            RefusedKind::NotBegun => ("/problems/change_not_begun", 503, StatementOutcome::NotRun),
-            RefusedKind::GivenUp => ("/problems/change_given_up", 503, StatementOutcome::NotRun),
-            RefusedKind::Unknown => ("/problems/change_unknown", 503, StatementOutcome::Unknown),
+            ProposalRefusalKind::Conflict => {
+                ("/problems/change_conflict", 409, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::NotBegun => {
+                ("/problems/change_not_begun", 503, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::GivenUp => {
+                ("/problems/change_given_up", 503, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::Unknown => {
+                ("/problems/change_unknown", 503, StatementOutcome::Unknown)
+            }
         };
         let title = match refused.kind {
-            RefusedKind::Conflict => "Conflict",
-            RefusedKind::NotBegun | RefusedKind::GivenUp | RefusedKind::Unknown => {
-                "Service Unavailable"
-            }
+            ProposalRefusalKind::Conflict => "Conflict",
+            ProposalRefusalKind::NotBegun
+            | ProposalRefusalKind::GivenUp
+            | ProposalRefusalKind::Unknown => "Service Unavailable",
         };
         Self {
             r#type,
@@ -212,7 +222,7 @@
         // An instance that ends may have begun the change, and another then ends it.
         let stopped = || {
             ProposalOutcome::Refused(ProposalRefusal {
-                kind: RefusedKind::Unknown,
+                kind: ProposalRefusalKind::Unknown,
                 detail: "the instance ended; ask another one, under the same id".to_owned(),
                 retry_after: Some(STOPPED_RETRY),
             })
