--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -64,16 +64,16 @@
     /// Targets whose role is handed over once no order to them is in flight.
     pub(super) ending: HashSet<TargetName>,
     /// Present from the start of a graceful shutdown.
-    pub(super) leaving_steps: Option<LeavingSteps>,
+    pub(super) shutdown_waiters: Option<ShutdownWaiters>,
 }
 
 /// Channels that notify a graceful shutdown of its progress.
 #[derive(Debug, Default)]
-pub(super) struct LeavingSteps {
+pub(super) struct ShutdownWaiters {
     /// Notified when this instance no longer holds any role.
-    pub(super) roles_given_away: Option<oneshot::Sender<()>>,
+    pub(super) roles_released: Option<oneshot::Sender<()>>,
     /// Notified when the lease of this instance has ended.
-    pub(super) left: Option<oneshot::Sender<()>>,
+    pub(super) lease_ended: Option<oneshot::Sender<()>>,
 }
 
 impl Control {
@@ -100,7 +100,7 @@
             proposed: VecDeque::new(),
             orders: HashMap::new(),
             ending: HashSet::new(),
-            leaving_steps: None,
+            shutdown_waiters: None,
         }
     }
 
@@ -340,8 +340,8 @@
         _cx: &mut xtra::Context<Self>,
     ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
-        let steps = self.leaving_steps.get_or_insert_default();
-        steps.roles_given_away = Some(tx);
+        let waiters = self.shutdown_waiters.get_or_insert_default();
+        waiters.roles_released = Some(tx);
         self.coordinate(CoordEvent::ShutdownRequested);
         rx
     }
@@ -356,8 +356,8 @@
         _cx: &mut xtra::Context<Self>,
     ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
-        let steps = self.leaving_steps.get_or_insert_default();
-        steps.left = Some(tx);
+        let waiters = self.shutdown_waiters.get_or_insert_default();
+        waiters.lease_ended = Some(tx);
         self.coordinate(CoordEvent::Drained);
         rx
     }
@@ -365,17 +365,17 @@
 
 impl Control {
     /// Notifies a graceful shutdown that this instance no longer holds any role.
-    pub(super) fn roles_given_away(&mut self) {
-        let steps = self.leaving_steps.as_mut();
-        if let Some(tx) = steps.and_then(|steps| steps.roles_given_away.take()) {
+    pub(super) fn notify_roles_released(&mut self) {
+        let waiters = self.shutdown_waiters.as_mut();
+        if let Some(tx) = waiters.and_then(|waiters| waiters.roles_released.take()) {
             let _gone = tx.send(());
         }
     }
 
     /// Notifies a graceful shutdown that the lease of this instance has ended.
-    pub(super) fn left(&mut self) {
-        let steps = self.leaving_steps.as_mut();
-        if let Some(tx) = steps.and_then(|steps| steps.left.take()) {
+    pub(super) fn notify_lease_ended(&mut self) {
+        let waiters = self.shutdown_waiters.as_mut();
+        if let Some(tx) = waiters.and_then(|waiters| waiters.lease_ended.take()) {
             let _gone = tx.send(());
         }
     }
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -119,8 +119,8 @@
             CoordAction::TakeWork(takes_work) => {
                 slog::info!(self.cx.log, "admission of new work changed"; "taken" => takes_work);
             }
-            CoordAction::RolesReleased => self.roles_given_away(),
-            CoordAction::Left => self.left(),
+            CoordAction::RolesReleased => self.notify_roles_released(),
+            CoordAction::Left => self.notify_lease_ended(),
             CoordAction::Log(decision) => self.log_coord(&decision),
         }
         None
--- a/crates/chervilshunt_daemon/src/control/tell.rs
+++ b/crates/chervilshunt_daemon/src/control/tell.rs
@@ -21,7 +21,7 @@
             zone: instance.zone.clone(),
             region: instance.region.clone(),
             takes_work: self.coordinator.may_take_work(now),
-            stopping: self.leaving_steps.is_some(),
+            stopping: self.shutdown_waiters.is_some(),
             revision: self.deployment.revision,
             roles,
             targets: self.target_facts(),
