--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -19,7 +19,7 @@
 use super::claims::ClaimReply;
 use super::context::Context;
 use super::coordination::ProposalOutcome;
-use super::measure::Measured;
+use super::measure::MetricsState;
 use super::messages::{
     Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
     ReleasePermit, RequestPermit, Tick,
@@ -55,7 +55,7 @@
     /// Reply channels of proposed changes whose outcome is not known yet.
     pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<ProposalOutcome>>,
     pub(super) next_ticket: u64,
-    pub(super) measured: Measured,
+    pub(super) metrics_state: MetricsState,
     /// The most recent changes proposed at this instance, each with the number of objects that it
     /// changes.
     pub(super) proposed: VecDeque<(ChangeId, usize)>,
@@ -96,7 +96,7 @@
             leaving: Arc::default(),
             proposals: HashMap::new(),
             next_ticket: 0,
-            measured: Measured::default(),
+            metrics_state: MetricsState::default(),
             proposed: VecDeque::new(),
             orders: HashMap::new(),
             ending: HashSet::new(),
@@ -285,7 +285,7 @@
         let due = self.due(now);
         self.work_off(due);
         self.give_withheld();
-        self.measure(now);
+        self.update_metrics(now);
     }
 }
 
--- a/crates/chervilshunt_daemon/src/control/measure.rs
+++ b/crates/chervilshunt_daemon/src/control/measure.rs
@@ -10,27 +10,30 @@
 use super::actor::Control;
 
 /// Interval between updates of the metrics.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// State of the last update of the metrics.
 #[derive(Debug, Default)]
-pub(super) struct Measured {
+pub(super) struct MetricsState {
     /// When the metrics were last updated.
-    looked: Option<Moment>,
+    updated_at: Option<Moment>,
     /// Targets whose gauges were set and have to be cleared once they are no longer owned.
     targets: HashSet<TargetName>,
 }
 
 impl Control {
     /// Updates the gauges, and adds the time since the last update to the counters.
-    pub(super) fn measure(&mut self, now: Moment) {
-        let since = self.measured.looked.map(|looked| now.since(looked));
-        if since.is_some_and(|since| since < LOOK_EVERY) {
+    pub(super) fn update_metrics(&mut self, now: Moment) {
+        let since = self
+            .metrics_state
+            .updated_at
+            .map(|updated_at| now.since(updated_at));
+        if since.is_some_and(|since| since < UPDATE_INTERVAL) {
             return;
         }
-        self.measured.looked = Some(now);
+        self.metrics_state.updated_at = Some(now);
         self.measure_instance(now);
-        let known = std::mem::take(&mut self.measured.targets);
+        let known = std::mem::take(&mut self.metrics_state.targets);
         for gone in known
             .iter()
             .filter(|name| !self.targets.contains_key(*name))
@@ -40,7 +43,7 @@
         for (name, owned) in &self.targets {
             measure_target(name, &owned.owner.view(now), since.unwrap_or_default());
         }
-        self.measured.targets = self.targets.keys().cloned().collect();
+        self.metrics_state.targets = self.targets.keys().cloned().collect();
         for (store, scheduler) in &self.schedulers {
             let store = store.to_string();
             gauge!("chervilshunt_loads_in_progress", "store" => store.clone())
