--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -243,7 +243,7 @@
                 }
             };
             let result = result.map_err(|error| order_failure(&error));
-            measure::order(order.kind, result, begun.elapsed());
+            measure::record_order(order.kind, result, begun.elapsed());
             EngineUpdate::OrderEnded(order.id, result)
         });
     }
@@ -307,7 +307,7 @@
     }
 
     fn log_decision(&self, decision: &Decision) {
-        measure::decision(decision);
+        measure::record_decision(decision);
         slog::info!(self.cx.log, "decision";
             "kind" => decision.kind.as_str(),
             "target" => %decision.target,
--- a/crates/chervilshunt_daemon/src/control/measure.rs
+++ b/crates/chervilshunt_daemon/src/control/measure.rs
@@ -113,7 +113,7 @@
 }
 
 /// Counts a decision and records how long its request waited.
-pub(super) fn decision(decision: &Decision) {
+pub(super) fn record_decision(decision: &Decision) {
     let kind = decision.kind.as_str();
     counter!("chervilshunt_decisions_total", "kind" => kind).increment(1);
     let Some(class) = decision.class else {
@@ -136,7 +136,7 @@
 }
 
 /// Records the result and the duration of an order to an engine.
-pub(super) fn order(kind: OrderKind, result: Result<(), OrderFailure>, took: Duration) {
+pub(super) fn record_order(kind: OrderKind, result: Result<(), OrderFailure>, took: Duration) {
     let result = match result {
         Ok(()) => "done",
         Err(OrderFailure::Refused) => "refused",
