--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -105,7 +105,7 @@
     }
 
     /// Handles events and all further events that they cause at this instance.
-    pub(super) fn work_off(&mut self, steps: impl IntoIterator<Item = Step>) {
+    pub(super) fn run_steps(&mut self, steps: impl IntoIterator<Item = Step>) {
         let now = self.cx.now();
         let mut steps: Steps = steps.into_iter().collect();
         while let Some(step) = steps.pop_front() {
@@ -156,7 +156,7 @@
         };
         owned.waiting.insert(req.attempt, reply);
         let target = req.target.clone();
-        self.work_off([Step::Owner(target, OwnerEvent::PermitRequested(req))]);
+        self.run_steps([Step::Owner(target, OwnerEvent::PermitRequested(req))]);
     }
 
     /// Releases a permit at the owner and returns whether this instance owns the target.
@@ -167,12 +167,12 @@
             return false;
         };
         owned.waiting.remove(&released.attempt);
-        self.work_off([Step::Owner(target, OwnerEvent::PermitReleased(released))]);
+        self.run_steps([Step::Owner(target, OwnerEvent::PermitReleased(released))]);
         true
     }
 
     /// Returns a tick for every role whose wake-up time has passed.
-    fn due(&self, now: Moment) -> Vec<Step> {
+    fn due_ticks(&self, now: Moment) -> Vec<Step> {
         let is_due = |wakeup: Option<Moment>| wakeup.is_some_and(|wakeup| wakeup <= now);
         let owners = self
             .targets
@@ -239,7 +239,7 @@
                 let steps: Vec<Step> = events
                     .map(|event| Step::Owner(target.clone(), event))
                     .collect();
-                self.work_off(steps);
+                self.run_steps(steps);
             }
             EngineUpdate::Unreachable => self.lost_target(target),
         }
@@ -257,7 +257,7 @@
             .into_iter()
             .chain([Step::Owner(target, event)])
             .collect();
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
     /// Marks a target as unreachable and probes it until it answers.
@@ -265,7 +265,7 @@
         let owned = self.targets.get_mut(&target);
         if owned.is_some_and(|owned| std::mem::replace(&mut owned.reachable, false)) {
             self.probe(&target);
-            self.work_off([Step::Owner(target, OwnerEvent::Reachable(false))]);
+            self.run_steps([Step::Owner(target, OwnerEvent::Reachable(false))]);
         }
     }
 }
@@ -282,8 +282,8 @@
         {
             self.coordinate(CoordEvent::Tick);
         }
-        let due = self.due(now);
-        self.work_off(due);
+        let due = self.due_ticks(now);
+        self.run_steps(due);
         self.give_withheld();
         self.update_metrics(now);
     }
@@ -313,7 +313,7 @@
             entry: instance.clone(),
             permits,
         };
-        self.work_off([Step::Owner(target.clone(), event)]);
+        self.run_steps([Step::Owner(target.clone(), event)]);
         let role = Role::Target(target);
         self.coordinate(CoordEvent::PermitsReported { role, instance });
     }
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -190,7 +190,7 @@
         }
         let mut steps = Steps::new();
         self.confirm_share(target, &mut steps);
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
     /// Sends an order to the engine if the lease permits it at this moment.
@@ -269,7 +269,7 @@
                 self.give_order(&target, order, &mut steps);
             }
         }
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
     pub(super) fn ask_inventory(&self, target: &TargetName) {
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -61,7 +61,7 @@
         cfg.in_outage = ClaimsInOutage::Refuse;
         self.keepers
             .insert(shard, ClaimKeeper::new(cfg, self.cx.now()));
-        self.work_off([Step::Claims(shard, ClaimEvent::Tick)]);
+        self.run_steps([Step::Claims(shard, ClaimEvent::Tick)]);
     }
 
     /// Passes a claim request to the keeper of its shard.
@@ -80,7 +80,7 @@
             return;
         }
         self.claimants.insert(req.attempt, reply);
-        self.work_off([Step::Claims(shard, ClaimEvent::Requested(req))]);
+        self.run_steps([Step::Claims(shard, ClaimEvent::Requested(req))]);
     }
 
     /// Records how a claimed attempt ended and returns whether this instance keeps its shard.
@@ -94,7 +94,7 @@
         if !self.keepers.contains_key(&shard) {
             return false;
         }
-        self.work_off([Step::Claims(
+        self.run_steps([Step::Claims(
             shard,
             ClaimEvent::Ended {
                 key,
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -248,7 +248,7 @@
     async fn handle(&mut self, message: PlatformAnswered, _cx: &mut xtra::Context<Self>) {
         let PlatformAnswered { call, result } = message;
         if let Some(shard) = ClaimKeeper::shard_of_call(call) {
-            self.work_off([Step::Claims(shard, ClaimEvent::Reply(call, result))]);
+            self.run_steps([Step::Claims(shard, ClaimEvent::Reply(call, result))]);
             return;
         }
         self.coordinate(CoordEvent::PlatformReply { call, result });
@@ -278,7 +278,7 @@
                 Step::Owner(target.clone(), event)
             })
             .collect();
-        self.work_off(draining);
+        self.run_steps(draining);
     }
 }
 
@@ -313,7 +313,7 @@
             }
         }
         steps.extend(self.power_membership());
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 }
 
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -111,7 +111,7 @@
             }
             message @ PeerMessage::TurnEnded(_) => {
                 let step = addressed(message).map(|(_, step)| step);
-                self.work_off(step);
+                self.run_steps(step);
                 respond(reply, PeerMessage::Done);
             }
             message @ (PeerMessage::TurnAsked(_)
@@ -121,7 +121,7 @@
             | PeerMessage::ShareSet(_)
             | PeerMessage::ShareConfirmed(_)) => {
                 let step = addressed(message).map(|(_, step)| step);
-                self.work_off(step);
+                self.run_steps(step);
             }
         }
     }
@@ -144,7 +144,7 @@
                 Step::Owner(name.clone(), OwnerEvent::PermitReleased(released))
             }));
         }
-        self.work_off(steps);
+        self.run_steps(steps);
         self.compare_permits(&from);
         self.coordinate(CoordEvent::PeerLost(from));
     }
--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -100,6 +100,6 @@
             Step::Owner(target.clone(), OwnerEvent::PermitReleased(released))
         });
         let steps: Vec<Step> = lost.collect();
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 }
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -61,7 +61,7 @@
                     entry: self.cx.me().clone(),
                     permits: self.cx.held.of_target(&name),
                 };
-                self.work_off([
+                self.run_steps([
                     Step::Owner(name.clone(), own),
                     Step::Owner(name.clone(), reachable),
                     Step::Owner(name.clone(), draining),
@@ -92,7 +92,7 @@
                 self.allocators.insert(site, PowerAllocator::new(cfg, now));
                 self.powered.clear();
                 let steps = self.power_membership();
-                self.work_off(steps);
+                self.run_steps(steps);
             }
             Role::ClaimKeeper(shard) => self.keep_claims(shard, epoch),
             Role::Other(_) => {}
@@ -119,7 +119,7 @@
             return;
         };
         slog::info!(self.cx.log, "takeover complete"; "target" => %name);
-        self.work_off([Step::Owner(name.clone(), OwnerEvent::TakeoverComplete)]);
+        self.run_steps([Step::Owner(name.clone(), OwnerEvent::TakeoverComplete)]);
         self.confirm_share_again(name);
     }
 
@@ -140,7 +140,7 @@
             }
             Role::PowerAllocator(_) | Role::ClaimKeeper(_) | Role::Other(_) => Vec::new(),
         };
-        self.work_off(steps);
+        self.run_steps(steps);
         self.publish();
     }
 
@@ -256,7 +256,7 @@
         });
         let mut steps: Vec<Step> = steps.collect();
         steps.extend(self.review_schedulers());
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
     /// Asks instances for the permits that they hold for a target.
