--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -229,9 +229,11 @@
         };
         match update {
             EngineUpdate::OrderEnded(order, result) => {
-                self.heard(target, OwnerEvent::OrderEnded { order, result });
+                self.handle_response(target, OwnerEvent::OrderEnded { order, result });
+            }
+            EngineUpdate::Inventory(loaded) => {
+                self.handle_response(target, OwnerEvent::Inventory(loaded))
             }
-            EngineUpdate::Inventory(loaded) => self.heard(target, OwnerEvent::Inventory(loaded)),
             EngineUpdate::Polled { epoch, .. } if epoch != owned.epoch => return false,
             EngineUpdate::Polled { report, cached, .. } => {
                 let cached = cached.map(OwnerEvent::PrefixesCached);
@@ -241,7 +243,7 @@
                     .collect();
                 self.run_steps(steps);
             }
-            EngineUpdate::Unreachable => self.lost_target(target),
+            EngineUpdate::Unreachable => self.mark_unreachable(target),
         }
         true
     }
@@ -249,7 +251,7 @@
 
 impl Control {
     /// Handles an event that shows that the target is reachable.
-    fn heard(&mut self, target: TargetName, event: OwnerEvent) {
+    fn handle_response(&mut self, target: TargetName, event: OwnerEvent) {
         let owned = self.targets.get_mut(&target);
         let is_back = owned.is_some_and(|owned| !std::mem::replace(&mut owned.reachable, true));
         let back = is_back.then(|| Step::Owner(target.clone(), OwnerEvent::Reachable(true)));
@@ -261,7 +263,7 @@
     }
 
     /// Marks a target as unreachable and probes it until it answers.
-    fn lost_target(&mut self, target: TargetName) {
+    fn mark_unreachable(&mut self, target: TargetName) {
         let owned = self.targets.get_mut(&target);
         if owned.is_some_and(|owned| std::mem::replace(&mut owned.reachable, false)) {
             self.probe(&target);
