--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -43,7 +43,7 @@
     pub(super) allocators: HashMap<SiteName, PowerAllocator>,
     pub(super) keepers: HashMap<u32, ClaimKeeper>,
     /// Reply channels of claim requests that have not been answered yet.
-    pub(super) claimants: HashMap<AttemptId, ClaimReply>,
+    pub(super) claim_replies: HashMap<AttemptId, ClaimReply>,
     /// The targets that the power allocators of this instance know, with their sites.
     pub(super) powered: HashMap<TargetName, SiteName>,
     pub(super) holders: HashMap<Role, (InstanceId, Epoch)>,
@@ -88,7 +88,7 @@
             schedulers: HashMap::new(),
             allocators: HashMap::new(),
             keepers: HashMap::new(),
-            claimants: HashMap::new(),
+            claim_replies: HashMap::new(),
             powered: HashMap::new(),
             holders: HashMap::new(),
             peers: HashMap::new(),
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -79,7 +79,7 @@
             drop(reply);
             return;
         }
-        self.claimants.insert(req.attempt, reply);
+        self.claim_replies.insert(req.attempt, reply);
         self.run_steps([Step::Claims(shard, ClaimEvent::Requested(req))]);
     }
 
@@ -132,7 +132,7 @@
 
     fn answer_claim(&mut self, attempt: AttemptId, answer: ClaimAnswer) {
         slog::debug!(self.cx.log, "claim"; "attempt" => %attempt, "answer" => ?answer);
-        if let Some(reply) = self.claimants.remove(&attempt) {
+        if let Some(reply) = self.claim_replies.remove(&attempt) {
             reply.send(answer);
         }
     }
