--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -45,7 +45,7 @@
     /// Reply channels of claim requests that have not been answered yet.
     pub(super) claim_replies: HashMap<AttemptId, ClaimReply>,
     /// The targets that the power allocators of this instance know, with their sites.
-    pub(super) powered: HashMap<TargetName, SiteName>,
+    pub(super) powered_targets: HashMap<TargetName, SiteName>,
     pub(super) holders: HashMap<Role, (InstanceId, Epoch)>,
     pub(super) peers: HashMap<InstanceId, SocketAddr>,
     /// Peers that are suspected to be down.
@@ -89,7 +89,7 @@
             allocators: HashMap::new(),
             keepers: HashMap::new(),
             claim_replies: HashMap::new(),
-            powered: HashMap::new(),
+            powered_targets: HashMap::new(),
             holders: HashMap::new(),
             peers: HashMap::new(),
             suspects: HashSet::new(),
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -90,7 +90,7 @@
                     mechanisms,
                 };
                 self.allocators.insert(site, PowerAllocator::new(cfg, now));
-                self.powered.clear();
+                self.powered_targets.clear();
                 let steps = self.power_membership();
                 self.run_steps(steps);
             }
@@ -211,7 +211,7 @@
             .map(|(name, target)| (name.clone(), target.site.clone()))
             .collect();
         let left = self
-            .powered
+            .powered_targets
             .iter()
             .filter(|(name, site)| wanted.get(*name) != Some(site));
         let mut steps: Vec<Step> = left
@@ -219,10 +219,10 @@
             .collect();
         let new = wanted
             .iter()
-            .filter(|(name, site)| self.powered.get(*name) != Some(site));
+            .filter(|(name, site)| self.powered_targets.get(*name) != Some(site));
         let targets = new.filter_map(|(name, _)| self.deployment.targets.get_key_value(name));
         steps.extend(targets.map(|(name, target)| joined(name, target)));
-        self.powered = wanted;
+        self.powered_targets = wanted;
         steps
     }
 
