--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -62,7 +62,7 @@
     /// Number of orders in flight to each target, including targets that are no longer owned.
     pub(super) orders: HashMap<TargetName, u32>,
     /// Targets whose role is handed over once no order to them is in flight.
-    pub(super) ending: HashSet<TargetName>,
+    pub(super) awaiting_orders: HashSet<TargetName>,
     /// Present from the start of a graceful shutdown.
     pub(super) shutdown_waiters: Option<ShutdownWaiters>,
 }
@@ -99,7 +99,7 @@
             metrics_state: MetricsState::default(),
             proposed: VecDeque::new(),
             orders: HashMap::new(),
-            ending: HashSet::new(),
+            awaiting_orders: HashSet::new(),
             shutdown_waiters: None,
         }
     }
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -135,7 +135,7 @@
         if let Role::Target(target) = &role
             && self.orders.contains_key(target)
         {
-            self.ending.insert(target.clone());
+            self.awaiting_orders.insert(target.clone());
             return None;
         }
         Some(CoordEvent::RoleReleased(role))
@@ -149,7 +149,7 @@
                 self.orders.remove(target);
             }
         }
-        if !self.orders.contains_key(target) && self.ending.remove(target) {
+        if !self.orders.contains_key(target) && self.awaiting_orders.remove(target) {
             self.coordinate(CoordEvent::RoleReleased(Role::Target(target.clone())));
         }
     }
