--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -60,7 +60,7 @@
     /// changes.
     pub(super) proposed: VecDeque<(ChangeId, usize)>,
     /// Number of orders in flight to each target, including targets that are no longer owned.
-    pub(super) orders: HashMap<TargetName, u32>,
+    pub(super) orders_in_flight: HashMap<TargetName, u32>,
     /// Targets whose role is handed over once no order to them is in flight.
     pub(super) awaiting_orders: HashSet<TargetName>,
     /// Present from the start of a graceful shutdown.
@@ -98,7 +98,7 @@
             next_ticket: 0,
             metrics_state: MetricsState::default(),
             proposed: VecDeque::new(),
-            orders: HashMap::new(),
+            orders_in_flight: HashMap::new(),
             awaiting_orders: HashSet::new(),
             shutdown_waiters: None,
         }
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -231,7 +231,7 @@
             return;
         };
         let client = owned.client.clone();
-        *self.orders.entry(target.clone()).or_default() += 1;
+        *self.orders_in_flight.entry(target.clone()).or_default() += 1;
         self.spawn_call(target, async move {
             let begun = Instant::now();
             let result = match (order.kind, source) {
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -133,7 +133,7 @@
     /// unload an adapter without that owner knowing.
     fn released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
         if let Role::Target(target) = &role
-            && self.orders.contains_key(target)
+            && self.orders_in_flight.contains_key(target)
         {
             self.awaiting_orders.insert(target.clone());
             return None;
@@ -143,13 +143,13 @@
 
     /// Records the end of an order and completes a handover that waited for it.
     pub(super) fn order_ended(&mut self, target: &TargetName) {
-        if let Some(count) = self.orders.get_mut(target) {
+        if let Some(count) = self.orders_in_flight.get_mut(target) {
             *count -= 1;
             if *count == 0 {
-                self.orders.remove(target);
+                self.orders_in_flight.remove(target);
             }
         }
-        if !self.orders.contains_key(target) && self.awaiting_orders.remove(target) {
+        if !self.orders_in_flight.contains_key(target) && self.awaiting_orders.remove(target) {
             self.coordinate(CoordEvent::RoleReleased(Role::Target(target.clone())));
         }
     }
