--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -58,7 +58,7 @@
     pub(super) metrics_state: MetricsState,
     /// The most recent changes proposed at this instance, each with the number of objects that it
     /// changes.
-    pub(super) proposed: VecDeque<(ChangeId, usize)>,
+    pub(super) recent_changes: VecDeque<(ChangeId, usize)>,
     /// Number of orders in flight to each target, including targets that are no longer owned.
     pub(super) orders_in_flight: HashMap<TargetName, u32>,
     /// Targets whose role is handed over once no order to them is in flight.
@@ -97,7 +97,7 @@
             proposals: HashMap::new(),
             next_ticket: 0,
             metrics_state: MetricsState::default(),
-            proposed: VecDeque::new(),
+            recent_changes: VecDeque::new(),
             orders_in_flight: HashMap::new(),
             awaiting_orders: HashSet::new(),
             shutdown_waiters: None,
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -204,11 +204,11 @@
     }
 
     fn remember_proposal(&mut self, set: &ChangeSet) {
-        self.proposed.retain(|(id, _)| *id != set.id);
-        if self.proposed.len() == REMEMBERED_PROPOSALS {
-            self.proposed.pop_front();
+        self.recent_changes.retain(|(id, _)| *id != set.id);
+        if self.recent_changes.len() == REMEMBERED_PROPOSALS {
+            self.recent_changes.pop_front();
         }
-        self.proposed.push_back((set.id, set.changes.len()));
+        self.recent_changes.push_back((set.id, set.changes.len()));
     }
 
     fn log_coord(&self, decision: &CoordDecision) {
--- a/crates/chervilshunt_daemon/src/control/tell.rs
+++ b/crates/chervilshunt_daemon/src/control/tell.rs
@@ -47,7 +47,7 @@
     }
 
     fn changes_facts(&self) -> ChangesFacts {
-        let changed = self.proposed.iter().copied().collect();
+        let changed = self.recent_changes.iter().copied().collect();
         let Some(head) = self.coordinator.head() else {
             return ChangesFacts {
                 changed,
