--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -72,7 +72,7 @@
                 self.to_role(PeerMessage::TurnHeld(held), steps);
             }
             OwnerAction::Order(order) => self.give_order(target, order, steps),
-            OwnerAction::RequestInventory => self.ask_inventory(target),
+            OwnerAction::RequestInventory => self.request_inventory(target),
             OwnerAction::ConfirmShare { sequence, watts } => {
                 owned.confirmed = Some((sequence, watts));
                 self.confirm_share(target, steps);
@@ -272,7 +272,7 @@
         self.run_steps(steps);
     }
 
-    pub(super) fn ask_inventory(&self, target: &TargetName) {
+    pub(super) fn request_inventory(&self, target: &TargetName) {
         let Some(owned) = self.targets.get(target) else {
             return;
         };
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -67,7 +67,7 @@
                     Step::Owner(name.clone(), draining),
                     Step::Owner(name.clone(), OwnerEvent::Tick),
                 ]);
-                self.ask_inventory(&name);
+                self.request_inventory(&name);
                 self.ask_held(&name, ask);
                 self.watch_engine(&name, epoch);
             }
