--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -121,7 +121,7 @@
                     key,
                     attempt,
                 } => {
-                    self.ask_entry(entry, TryAsked { key, attempt }, steps);
+                    self.query_attempt(entry, TryAsked { key, attempt }, steps);
                 }
                 ClaimAction::Superseded => {
                     slog::warn!(self.cx.log, "claim keeper superseded"; "shard" => shard);
@@ -138,7 +138,7 @@
     }
 
     /// Asks the instance that runs a claimed attempt whether and how it ended.
-    fn ask_entry(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
+    fn query_attempt(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
         if entry == *self.coordinator.me() {
             steps.extend(self.try_ended(&asked).map(claim_ended_step));
         } else if entry.instance != *self.cx.me() {
