--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -42,7 +42,7 @@
             let (cx, address) = (self.cx.clone(), address.clone());
             let (instance, target) = (instance.clone(), target.clone());
             tokio::spawn(async move {
-                if let Some(permits) = cx.held_by(&instance, &target).await {
+                if let Some(permits) = cx.permits_held_by(&instance, &target).await {
                     let held = permits.iter().map(|permit| permit.attempt).collect();
                     drop(
                         address
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -22,9 +22,9 @@
 /// every second.
 const TURN_TIMEOUT: Duration = Duration::from_secs(4);
 /// Timeout for asking an instance which permits it holds.
-const HELD_TIMEOUT: Duration = Duration::from_secs(2);
+const PERMIT_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before an instance is asked again which permits it holds.
-const HELD_PAUSE: Duration = Duration::from_millis(500);
+const PERMIT_LIST_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl Control {
     /// Starts a role; `ask` lists the instances to ask for the permits that they hold.
@@ -68,7 +68,7 @@
                     Step::Owner(name.clone(), OwnerEvent::Tick),
                 ]);
                 self.request_inventory(&name);
-                self.ask_held(&name, ask);
+                self.request_held_permits(&name, ask);
                 self.watch_engine(&name, epoch);
             }
             Role::LoadScheduler(store) => {
@@ -262,7 +262,7 @@
     /// Asks instances for the permits that they hold for a target.
     ///
     /// Each is asked until it answers or is no longer live, or until the target has another owner.
-    pub(super) fn ask_held(&self, target: &TargetName, instances: &[InstanceId]) {
+    pub(super) fn request_held_permits(&self, target: &TargetName, instances: &[InstanceId]) {
         let Some(address) = self.address.clone() else {
             return;
         };
@@ -270,7 +270,7 @@
             let (cx, target, address) = (self.cx.clone(), target.clone(), address.clone());
             tokio::spawn(async move {
                 loop {
-                    if let Some(permits) = cx.held_by(&instance, &target).await {
+                    if let Some(permits) = cx.permits_held_by(&instance, &target).await {
                         let held = PermitReport {
                             target,
                             instance,
@@ -279,7 +279,7 @@
                         drop(address.send(held).detach().await);
                         return;
                     }
-                    tokio::time::sleep(HELD_PAUSE).await;
+                    tokio::time::sleep(PERMIT_LIST_RETRY_PAUSE).await;
                     let routing = cx.routing.get();
                     let ours = routing.owners.get(&target) == Some(cx.me());
                     if !ours || !routing.peers.contains_key(&instance) {
@@ -375,7 +375,7 @@
     /// Returns the permits that an instance, which may be this one, holds for a target.
     ///
     /// Returns `None` if the instance is not live or does not answer in time.
-    pub(super) async fn held_by(
+    pub(super) async fn permits_held_by(
         &self,
         instance: &InstanceId,
         target: &TargetName,
@@ -385,7 +385,7 @@
         }
         let peer: Peer = self.peer(instance)?;
         let asked = PeerMessage::PermitsAsked(target.clone());
-        match self.mesh.request(&peer, asked, HELD_TIMEOUT).await {
+        match self.mesh.request(&peer, asked, PERMIT_LIST_TIMEOUT).await {
             Ok(PeerMessage::PermitsHeld(permits)) => Some(permits),
             Ok(_) | Err(_) => None,
         }
