--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -55,7 +55,7 @@
 
 impl Control {
     /// Starts the claim keeper of a shard.
-    pub(super) fn keep_claims(&mut self, shard: u32, epoch: Epoch) {
+    pub(super) fn start_claim_keeper(&mut self, shard: u32, epoch: Epoch) {
         let me = self.coordinator.me().clone();
         let mut cfg = ClaimConfig::new(shard, me, epoch);
         cfg.in_outage = ClaimsInOutage::Refuse;
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -94,7 +94,7 @@
                 let steps = self.power_membership();
                 self.run_steps(steps);
             }
-            Role::ClaimKeeper(shard) => self.keep_claims(shard, epoch),
+            Role::ClaimKeeper(shard) => self.start_claim_keeper(shard, epoch),
             Role::Other(_) => {}
         }
     }
