--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -286,7 +286,7 @@
         }
         let due = self.due_ticks(now);
         self.run_steps(due);
-        self.give_withheld();
+        self.send_withheld_orders();
         self.update_metrics(now);
     }
 }
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -71,7 +71,7 @@
                 };
                 self.to_role(PeerMessage::TurnHeld(held), steps);
             }
-            OwnerAction::Order(order) => self.give_order(target, order, steps),
+            OwnerAction::Order(order) => self.send_order(target, order, steps),
             OwnerAction::RequestInventory => self.request_inventory(target),
             OwnerAction::ConfirmShare { sequence, watts } => {
                 owned.confirmed = Some((sequence, watts));
@@ -197,7 +197,7 @@
     ///
     /// A process that resumes after a pause may hold orders of a role that another instance has
     /// taken over meanwhile, so the lease is checked again immediately before an order is sent.
-    fn give_order(&mut self, target: &TargetName, order: EngineOrder, steps: &mut Steps) {
+    fn send_order(&mut self, target: &TargetName, order: EngineOrder, steps: &mut Steps) {
         let Some(owned) = self.targets.get_mut(target) else {
             return;
         };
@@ -252,7 +252,7 @@
     ///
     /// A withheld order has not failed. If it were reported as fenced, the owner would assume that
     /// it has been superseded and would refuse every request for as long as it holds the target.
-    pub(super) fn give_withheld(&mut self) {
+    pub(super) fn send_withheld_orders(&mut self) {
         let now = self.cx.now();
         let due = self.targets.iter().filter(|(target, owned)| {
             let role = Role::Target((*target).clone());
@@ -266,7 +266,7 @@
             let owned = self.targets.get_mut(&target);
             let orders = owned.map(|owned| std::mem::take(&mut owned.withheld));
             for order in orders.unwrap_or_default() {
-                self.give_order(&target, order, &mut steps);
+                self.send_order(&target, order, &mut steps);
             }
         }
         self.run_steps(steps);
