--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -46,7 +46,7 @@
                     model,
                     urgency,
                 };
-                self.to_role(PeerMessage::TurnAsked(asked), steps);
+                self.send_to_role(PeerMessage::TurnAsked(asked), steps);
             }
             OwnerAction::EndTurn { order, loaded } => {
                 let result = match loaded {
@@ -60,7 +60,7 @@
                     order,
                     result,
                 };
-                self.to_role(PeerMessage::TurnEnded(ended), steps);
+                self.send_to_role(PeerMessage::TurnEnded(ended), steps);
             }
             OwnerAction::RenewTurn { order, model } => {
                 let held = TurnHeld {
@@ -69,7 +69,7 @@
                     order,
                     model,
                 };
-                self.to_role(PeerMessage::TurnHeld(held), steps);
+                self.send_to_role(PeerMessage::TurnHeld(held), steps);
             }
             OwnerAction::Order(order) => self.send_order(target, order, steps),
             OwnerAction::RequestInventory => self.request_inventory(target),
@@ -87,7 +87,7 @@
                     live_watts,
                     deferrable_watts,
                 };
-                self.to_role(PeerMessage::Demanded(demanded), steps);
+                self.send_to_role(PeerMessage::Demanded(demanded), steps);
             }
             OwnerAction::Log(decision) => self.log_decision(&decision),
         }
@@ -105,7 +105,7 @@
                     order,
                     queue_wait_ms: millis(queue_wait),
                 };
-                self.to_role(PeerMessage::TurnGranted(granted), steps);
+                self.send_to_role(PeerMessage::TurnGranted(granted), steps);
             }
         }
     }
@@ -128,14 +128,14 @@
                     sequence,
                     watts,
                 };
-                self.to_role(PeerMessage::ShareSet(share), steps);
+                self.send_to_role(PeerMessage::ShareSet(share), steps);
             }
         }
     }
 
     /// Sends a message to the holder of the role that it is addressed to, on this instance or a
     /// peer.
-    pub(super) fn to_role(&self, message: PeerMessage, steps: &mut Steps) {
+    pub(super) fn send_to_role(&self, message: PeerMessage, steps: &mut Steps) {
         let Some((role, step)) = addressed(message.clone()) else {
             return;
         };
@@ -180,7 +180,7 @@
             sequence,
             watts,
         };
-        self.to_role(PeerMessage::ShareConfirmed(share), steps);
+        self.send_to_role(PeerMessage::ShareConfirmed(share), steps);
     }
 
     /// Confirms the actual share once the permits of previous owners are known.
