--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -11,8 +11,8 @@
 
 /// Returns the role that a message is addressed to and the event that it stands for, or `None` if
 /// the message is not addressed to a role's state machine.
-pub(super) fn addressed(message: PeerMessage) -> Option<(Role, Step)> {
-    let addressed = match message {
+pub(super) fn role_and_step(message: PeerMessage) -> Option<(Role, Step)> {
+    let role_and_step = match message {
         PeerMessage::TurnAsked(TurnAsked {
             store,
             target,
@@ -115,7 +115,7 @@
         | PeerMessage::Done
         | PeerMessage::NotHolder => return None,
     };
-    Some(addressed)
+    Some(role_and_step)
 }
 
 fn to_scheduler(store: StoreName, event: SchedulerEvent) -> (Role, Step) {
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -11,7 +11,7 @@
 use chervilshunt_model::{Class, InstanceId, SiteName, TargetName};
 
 use super::actor::Control;
-use super::address::addressed;
+use super::address::role_and_step;
 use super::measure;
 use super::messages::{EngineUpdate, FromEngine};
 use super::steps::{Step, Steps};
@@ -136,7 +136,7 @@
     /// Sends a message to the holder of the role that it is addressed to, on this instance or a
     /// peer.
     pub(super) fn send_to_role(&self, message: PeerMessage, steps: &mut Steps) {
-        let Some((role, step)) = addressed(message.clone()) else {
+        let Some((role, step)) = role_and_step(message.clone()) else {
             return;
         };
         match self.holder(&role) {
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -7,7 +7,7 @@
 use xtra::prelude::*;
 
 use super::actor::Control;
-use super::address::addressed;
+use super::address::role_and_step;
 use super::claims::{ClaimReply, RequestClaim};
 use super::messages::{FromPeer, PermitReply, ReleasePermit, RequestPermit};
 use super::steps::Step;
@@ -110,7 +110,7 @@
                 slog::debug!(self.cx.log, "reply without a matching request"; "from" => %from);
             }
             message @ PeerMessage::TurnEnded(_) => {
-                let step = addressed(message).map(|(_, step)| step);
+                let step = role_and_step(message).map(|(_, step)| step);
                 self.run_steps(step);
                 respond(reply, PeerMessage::Done);
             }
@@ -120,7 +120,7 @@
             | PeerMessage::Demanded(_)
             | PeerMessage::ShareSet(_)
             | PeerMessage::ShareConfirmed(_)) => {
-                let step = addressed(message).map(|(_, step)| step);
+                let step = role_and_step(message).map(|(_, step)| step);
                 self.run_steps(step);
             }
         }
