--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -99,7 +99,7 @@
             }
             CoordAction::RoleEnding { role, .. } => {
                 self.end_role(&role);
-                return self.released(role);
+                return self.role_released(role);
             }
             CoordAction::RoleLost { role } => self.end_role(&role),
             CoordAction::TakeoverComplete { role } => self.complete_takeover(&role),
@@ -131,7 +131,7 @@
     /// In that case the handover is confirmed when the last of them has ended. The next owner
     /// starts by reading the engine's inventory, and an order that arrived after it would load or
     /// unload an adapter without that owner knowing.
-    fn released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
+    fn role_released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
         if let Role::Target(target) = &role
             && self.orders_in_flight.contains_key(target)
         {
