--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -135,7 +135,7 @@
             // A new scheduler knows no turns, so owners request theirs again once it is reachable.
             Role::LoadScheduler(store) => {
                 let mut steps = self.scheduler_lost(store);
-                steps.extend(self.review_schedulers());
+                steps.extend(self.update_scheduler_reachability());
                 steps
             }
             Role::PowerAllocator(_) | Role::ClaimKeeper(_) | Role::Other(_) => Vec::new(),
@@ -164,7 +164,7 @@
     /// nothing during that time, and requests for adapters that are not loaded would exceed their
     /// deadlines. Loads without a scheduler stay within the store's rate, so a wrong suspicion does
     /// no harm.
-    fn review_schedulers(&mut self) -> Vec<Step> {
+    fn update_scheduler_reachability(&mut self) -> Vec<Step> {
         let reachable = |owned: &OwnedTarget| {
             let role = Role::LoadScheduler(owned.target.store.clone());
             self.is_reachable(&role)
@@ -255,7 +255,7 @@
                 .map(move |target| Step::Owner(target.clone(), event()))
         });
         let mut steps: Vec<Step> = steps.collect();
-        steps.extend(self.review_schedulers());
+        steps.extend(self.update_scheduler_reachability());
         self.run_steps(steps);
     }
 
