--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -144,7 +144,7 @@
             // The end of a turn is reported only once. If the message were lost, the turn would
             // block the store until the turn times out.
             Some(holder) if matches!(message, PeerMessage::TurnEnded(_)) => {
-                self.cx.send_until_taken(holder, message);
+                self.cx.send_until_acknowledged(holder, message);
             }
             Some(holder) => self.cx.send(&holder, message),
             None => slog::debug!(self.cx.log, "message dropped"; "reason" => "role without holder"),
--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -19,11 +19,11 @@
 ///
 /// Together they last longer than a lease, so afterwards the receiver is either reachable again or
 /// no longer live.
-const TAKEN_TRIES: u32 = 60;
+const ACK_ATTEMPTS: u32 = 60;
 /// Timeout for the acknowledgement of a message.
-const TAKEN_TIMEOUT: Duration = Duration::from_secs(2);
+const ACK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a message that was not acknowledged is sent again.
-const TAKEN_PAUSE: Duration = Duration::from_millis(500);
+const ACK_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Handles to the settings, clients and shared state that the control actor uses.
 #[derive(Clone, Debug)]
@@ -69,18 +69,18 @@
     }
 
     /// Sends a message repeatedly until the receiver acknowledges it or is no longer live.
-    pub(crate) fn send_until_taken(&self, to: InstanceId, message: PeerMessage) {
+    pub(crate) fn send_until_acknowledged(&self, to: InstanceId, message: PeerMessage) {
         let cx = self.clone();
         tokio::spawn(async move {
-            for _ in 0..TAKEN_TRIES {
+            for _ in 0..ACK_ATTEMPTS {
                 let Some(peer) = cx.peer(&to) else {
                     return;
                 };
-                let answer = cx.mesh.request(&peer, message.clone(), TAKEN_TIMEOUT).await;
+                let answer = cx.mesh.request(&peer, message.clone(), ACK_TIMEOUT).await;
                 if answer.is_ok() {
                     return;
                 }
-                tokio::time::sleep(TAKEN_PAUSE).await;
+                tokio::time::sleep(ACK_RETRY_PAUSE).await;
             }
             slog::warn!(cx.log, "message not acknowledged"; "to" => %to);
         });
