--- a/crates/chervilshunt_daemon/src/control/confirm.rs
+++ b/crates/chervilshunt_daemon/src/control/confirm.rs
@@ -17,13 +17,13 @@
 /// Answering after that is safe. An instance that cannot be queried because its connections are cut
 /// reads the change from the platform, and stops taking work if it cannot reach the platform
 /// either.
-const CONFIRM_BOUND: Duration = Duration::from_secs(3);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 /// Timeout for asking one instance whether the revision is in force.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before an instance is queried again.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+const QUERY_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum number of instances that are queried concurrently.
-const ASKED_AT_A_TIME: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 impl Context {
     /// Waits until every live instance has the revision in force, or until the timeout.
@@ -32,8 +32,8 @@
     /// an operator who uses a new version right after its change was accepted could be refused by
     /// another instance that does not know the version.
     pub(super) async fn confirm_in_force(&self, revision: Revision) {
-        let deadline = Instant::now() + CONFIRM_BOUND;
-        let turns = Arc::new(Semaphore::new(ASKED_AT_A_TIME));
+        let deadline = Instant::now() + CONFIRM_TIMEOUT;
+        let semaphore = Arc::new(Semaphore::new(MAX_CONCURRENT_QUERIES));
         let mut asked = JoinSet::new();
         for peer in self
             .routing
@@ -41,15 +41,15 @@
             .peers()
             .filter(|peer| peer.instance != *self.me())
         {
-            let (cx, turns) = (self.clone(), Arc::clone(&turns));
+            let (cx, semaphore) = (self.clone(), Arc::clone(&semaphore));
             asked.spawn(async move {
                 while Instant::now() < deadline {
-                    let turn = turns.acquire().await;
+                    let guard = semaphore.acquire().await;
                     if cx.has_in_force(&peer, revision).await {
                         return;
                     }
-                    drop(turn);
-                    tokio::time::sleep(ASK_PAUSE).await;
+                    drop(guard);
+                    tokio::time::sleep(QUERY_RETRY_PAUSE).await;
                 }
                 slog::warn!(cx.log, "change not confirmed";
                     "revision" => revision.get(), "instance" => %peer.instance);
@@ -60,7 +60,7 @@
 
     async fn has_in_force(&self, peer: &Peer, revision: Revision) -> bool {
         let asked = PeerMessage::InForceAsked(revision);
-        let answer = self.mesh.request(peer, asked, ASK_TIMEOUT).await;
+        let answer = self.mesh.request(peer, asked, QUERY_TIMEOUT).await;
         matches!(answer, Ok(PeerMessage::Done))
     }
 }
