--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -196,7 +196,7 @@
             steps.push(Step::Scheduler(target.store.clone(), event));
         }
         if self.allocators.contains_key(&target.site) {
-            steps.push(joined(name, target));
+            steps.push(target_joined_event(name, target));
         }
         steps
     }
@@ -221,7 +221,7 @@
             .iter()
             .filter(|(name, site)| self.powered_targets.get(*name) != Some(site));
         let targets = new.filter_map(|(name, _)| self.deployment.targets.get_key_value(name));
-        steps.extend(targets.map(|(name, target)| joined(name, target)));
+        steps.extend(targets.map(|(name, target)| target_joined_event(name, target)));
         self.powered_targets = wanted;
         steps
     }
@@ -360,7 +360,7 @@
 ///
 /// The target counts with its full power until its owner confirms a share. Requests admitted by a
 /// previous owner may still be running, and counting less could exceed the site's cap.
-fn joined(name: &TargetName, target: &Target) -> Step {
+fn target_joined_event(name: &TargetName, target: &Target) -> Step {
     let full_watts = target.idle_watts + target.watts_per_sequence * f64::from(target.max_batch);
     let event = PowerEvent::TargetJoined {
         target: name.clone(),
