--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -315,15 +315,15 @@
             "class" => decision.class.map(Class::as_str),
             "attempt" => decision.attempt.map(|attempt| attempt.to_string()),
             "reason" => decision.reason,
-            "alternatives" => joined(&decision.alternatives),
-            "sent_on" => joined(&decision.sent_on),
+            "alternatives" => join_names(&decision.alternatives),
+            "sent_on" => join_names(&decision.sent_on),
             "waited_ms" => millis(decision.waited.total),
             "stalled_ms" => millis(decision.waited.for_load),
         );
     }
 }
 
-fn joined(names: &[impl ToString]) -> String {
+fn join_names(names: &[impl ToString]) -> String {
     let names: Vec<String> = names.iter().map(ToString::to_string).collect();
     names.join(",")
 }
