--- a/crates/chervilshunt_daemon/src/control/timer.rs
+++ b/crates/chervilshunt_daemon/src/control/timer.rs
@@ -12,12 +12,12 @@
 ///
 /// A tick checks one wake-up time for each role held. These are a few dozen in a fleet of the size
 /// that the system is specified for, which costs well under a thousandth of a core.
-const RESOLUTION: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Sends ticks to the actor until it stops.
 pub(super) fn start(control: Address<Control>) {
     tokio::spawn(async move {
-        let mut interval = tokio::time::interval(RESOLUTION);
+        let mut interval = tokio::time::interval(TICK_INTERVAL);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
