--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -16,7 +16,7 @@
 use super::messages::PlatformAnswered;
 use super::platform_calls::carry_out;
 use super::steps::Step;
-use super::watches::{Listed, ObjectSeen};
+use super::watches::{InstanceListUpdate, ObjectSeen};
 use crate::wire::PeerMessage;
 
 /// Proposes a change of the configuration for an operator.
@@ -263,10 +263,10 @@
     }
 }
 
-impl Handler<Listed> for Control {
+impl Handler<InstanceListUpdate> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: Listed, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, message: InstanceListUpdate, _cx: &mut xtra::Context<Self>) {
         self.leaving = std::sync::Arc::new(message.leaving.into_iter().collect());
         self.coordinate(CoordEvent::InstanceListChanged(message.instances));
         self.publish();
--- a/crates/chervilshunt_daemon/src/control/watches.rs
+++ b/crates/chervilshunt_daemon/src/control/watches.rs
@@ -27,7 +27,7 @@
 
 /// The instance list has changed.
 #[derive(Debug)]
-pub(super) struct Listed {
+pub(super) struct InstanceListUpdate {
     /// This system's own instances.
     pub(super) instances: Vec<InstanceEntry>,
     /// Targets that take no new work, as they are leaving or not serving.
@@ -74,14 +74,14 @@
                 continue;
             }
             platform.set_fleet_size(list.of_service(&own).count());
-            if control.send(listed(&list)).await.is_err() {
+            if control.send(instance_list_update(&list)).await.is_err() {
                 return;
             }
         }
     });
 }
 
-fn listed(list: &InstanceList) -> Listed {
+fn instance_list_update(list: &InstanceList) -> InstanceListUpdate {
     let own = ServiceName::from(OWN_SERVICE);
     let instances = list.of_service(&own).filter_map(|instance| {
         let port = |name: &str| {
@@ -101,7 +101,7 @@
         .iter()
         .filter(|listed| listed.service != own && !listed.takes_new_work())
         .map(|target| TargetName::new(std::sync::Arc::clone(&target.name)));
-    Listed {
+    InstanceListUpdate {
         instances: instances.collect(),
         leaving: leaving.collect(),
     }
