--- a/crates/chervilshunt_daemon/src/control/watches.rs
+++ b/crates/chervilshunt_daemon/src/control/watches.rs
@@ -36,17 +36,22 @@
 
 /// Starts the watches of the platform, which run until the actor stops.
 pub(super) fn start(platform: &Platform, control: &Address<Control>) {
-    follow(platform, CONFIG_HEADS, ObjectKind::Head, control.clone());
-    follow(
+    watch_objects(platform, CONFIG_HEADS, ObjectKind::Head, control.clone());
+    watch_objects(
         platform,
         ASSIGNMENTS,
         ObjectKind::Assignment,
         control.clone(),
     );
-    follow_list(platform, control.clone());
+    watch_instance_list(platform, control.clone());
 }
 
-fn follow(platform: &Platform, resource: Resource, kind: ObjectKind, control: Address<Control>) {
+fn watch_objects(
+    platform: &Platform,
+    resource: Resource,
+    kind: ObjectKind,
+    control: Address<Control>,
+) {
     let mut events = platform.watch::<Value>(resource, Selector::all());
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
@@ -63,7 +68,7 @@
     });
 }
 
-fn follow_list(platform: &Platform, control: Address<Control>) {
+fn watch_instance_list(platform: &Platform, control: Address<Control>) {
     let mut events = platform.watch(ENDPOINT_SLICES, Selector::all());
     let platform = platform.clone();
     tokio::spawn(async move {
