--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -16,10 +16,10 @@
 
 /// The permits that an instance reported, for comparison with those granted to it.
 #[derive(Debug)]
-struct Compared {
+struct PermitComparison {
     target: TargetName,
     /// Permits that were granted to the instance when it was asked.
-    asked: HashSet<AttemptId>,
+    granted: HashSet<AttemptId>,
     /// Permits that it reported.
     held: HashSet<AttemptId>,
 }
@@ -35,8 +35,8 @@
                 .owner
                 .permits()
                 .filter(|permit| permit.entry == *instance);
-            let asked: HashSet<AttemptId> = ours.map(|permit| permit.attempt).collect();
-            if asked.is_empty() {
+            let granted: HashSet<AttemptId> = ours.map(|permit| permit.attempt).collect();
+            if granted.is_empty() {
                 continue;
             }
             let (cx, address) = (self.cx.clone(), address.clone());
@@ -46,9 +46,9 @@
                     let held = permits.iter().map(|permit| permit.attempt).collect();
                     drop(
                         address
-                            .send(Compared {
+                            .send(PermitComparison {
                                 target,
-                                asked,
+                                granted,
                                 held,
                             })
                             .detach()
@@ -82,16 +82,16 @@
     }
 }
 
-impl Handler<Compared> for Control {
+impl Handler<PermitComparison> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: Compared, _cx: &mut xtra::Context<Self>) {
-        let Compared {
+    async fn handle(&mut self, message: PermitComparison, _cx: &mut xtra::Context<Self>) {
+        let PermitComparison {
             target,
-            asked,
+            granted,
             held,
         } = message;
-        let lost = asked.difference(&held).map(|attempt| {
+        let lost = granted.difference(&held).map(|attempt| {
             let released = ReleasedPermit {
                 attempt: *attempt,
                 target: target.clone(),
