--- a/crates/chervilshunt_daemon/src/control/watch_engine.rs
+++ b/crates/chervilshunt_daemon/src/control/watch_engine.rs
@@ -14,33 +14,33 @@
 ///
 /// The owner counts requests by its own permits, so load reports only correct that count, and every
 /// metrics page counts against the control traffic budget of a node; see `docs/CAPACITY.md`.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of prefixes that are remembered for one engine.
 ///
 /// The set is cleared when it is full. Events can be lost, and a prefix whose removal was missed
 /// would otherwise stay in the set forever.
-const MOST_PREFIXES: usize = 4_096;
+const MAX_PREFIXES: usize = 4_096;
 
 /// The prefixes that an engine has cached, according to events that arrive late and with gaps.
 #[derive(Debug, Default)]
-struct SeenPrefixes {
+struct CachedPrefixes {
     /// Sequence number of the last event.
-    after: u64,
+    last_sequence: u64,
     cached: HashSet<u64>,
 }
 
-impl SeenPrefixes {
+impl CachedPrefixes {
     /// Applies the events since the last poll and returns the cached prefixes, or `None` if the
     /// events could not be read.
-    async fn look(&mut self, client: &EngineClient) -> Option<Vec<u64>> {
-        let events = client.cache_events(self.after).await.ok()?;
+    async fn poll(&mut self, client: &EngineClient) -> Option<Vec<u64>> {
+        let events = client.cache_events(self.last_sequence).await.ok()?;
         for event in events {
             // A sequence number below the last one means that the engine restarted with an empty
             // cache.
-            if event.sequence < self.after || self.cached.len() >= MOST_PREFIXES {
+            if event.sequence < self.last_sequence || self.cached.len() >= MAX_PREFIXES {
                 self.cached.clear();
             }
-            self.after = event.sequence;
+            self.last_sequence = event.sequence;
             match event.kind {
                 CacheEventKind::Stored => self.cached.insert(event.prefix),
                 CacheEventKind::Removed => self.cached.remove(&event.prefix),
@@ -61,17 +61,17 @@
         }
         let (client, target) = (owned.client.clone(), target.clone());
         tokio::spawn(async move {
-            let mut prefixes = SeenPrefixes::default();
+            let mut prefixes = CachedPrefixes::default();
             loop {
-                tokio::time::sleep(LOOK_EVERY).await;
-                let Some(update) = look(&client, epoch, &mut prefixes).await else {
+                tokio::time::sleep(POLL_INTERVAL).await;
+                let Some(update) = poll_engine(&client, epoch, &mut prefixes).await else {
                     continue;
                 };
-                let looked = FromEngine {
+                let polled = FromEngine {
                     target: target.clone(),
                     update,
                 };
-                if !address.send(looked).await.unwrap_or(false) {
+                if !address.send(polled).await.unwrap_or(false) {
                     return;
                 }
             }
@@ -85,10 +85,10 @@
 /// to it. Its owner would keep granting permits for it, each of which costs a caller an attempt or
 /// its whole deadline. An engine counts as unreachable only if the inventory call fails too, as its
 /// metrics page may be missing or malformed.
-async fn look(
+async fn poll_engine(
     client: &EngineClient,
     epoch: Epoch,
-    prefixes: &mut SeenPrefixes,
+    prefixes: &mut CachedPrefixes,
 ) -> Option<EngineUpdate> {
     let Ok(report) = client.report().await else {
         let answers = client.inventory().await.is_ok();
@@ -97,9 +97,9 @@
     let report = EngineReport {
         running: report.running,
         waiting: report.waiting,
-        age: report.age.unwrap_or(LOOK_EVERY),
+        age: report.age.unwrap_or(POLL_INTERVAL),
     };
-    let cached = prefixes.look(client).await;
+    let cached = prefixes.poll(client).await;
     Some(EngineUpdate::Polled {
         epoch,
         report,
