--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -18,14 +18,14 @@
 
     async fn handle(&mut self, message: FromPeer, _cx: &mut xtra::Context<Self>) {
         match message.0 {
-            Inbound::Message(message) => self.take_message(message),
-            Inbound::Lost(from) => self.lost_connection(from),
+            Inbound::Message(message) => self.handle_message(message),
+            Inbound::Lost(from) => self.handle_connection_loss(from),
         }
     }
 }
 
 impl Control {
-    fn take_message(&mut self, message: InboundMessage<PeerMessage>) {
+    fn handle_message(&mut self, message: InboundMessage<PeerMessage>) {
         let InboundMessage {
             from,
             message,
@@ -131,7 +131,7 @@
     /// The peer's requests failed with the connection, and the peer sends them again. A grant or a
     /// release that was in flight is lost; without the comparison its adapter slot would stay
     /// pinned.
-    fn lost_connection(&mut self, from: InstanceId) {
+    fn handle_connection_loss(&mut self, from: InstanceId) {
         let mut steps = Vec::new();
         for (name, owned) in &mut self.targets {
             let gone = owned.waiting.extract_if(|_, reply| reply.is_gone());
