--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -54,7 +54,7 @@
         &self.settings.instance.id
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Moment {
         self.clock.now()
     }
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -317,7 +317,7 @@
             .collect()
     }
 
-    /// Returns whether a role has a holder that seems to be there.
+    /// Returns whether a role has a holder that is not suspected to be down.
     fn is_reachable(&self, role: &Role) -> bool {
         let holder = self.holders.get(role);
         holder.is_some_and(|(instance, _)| !self.suspects.contains(instance))
