--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -82,7 +82,7 @@
                 }
                 tokio::time::sleep(ACK_RETRY_PAUSE).await;
             }
-            slog::warn!(cx.log, "message not acknowledged"; "to" => %to);
+            slog::warn!(cx.log, "message not taken"; "to" => %to);
         });
     }
 
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -117,7 +117,7 @@
                 self.end_proposal(ticket, refused(&refusal));
             }
             CoordAction::TakeWork(takes_work) => {
-                slog::info!(self.cx.log, "admission of new work changed"; "taken" => takes_work);
+                slog::info!(self.cx.log, "new work"; "taken" => takes_work);
             }
             CoordAction::RolesReleased => self.notify_roles_released(),
             CoordAction::Left => self.notify_lease_ended(),
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -107,7 +107,7 @@
             | PeerMessage::Facts(_)
             | PeerMessage::Done
             | PeerMessage::NotHolder => {
-                slog::debug!(self.cx.log, "reply without a matching request"; "from" => %from);
+                slog::debug!(self.cx.log, "answer without question"; "from" => %from);
             }
             message @ PeerMessage::TurnEnded(_) => {
                 let step = role_and_step(message).map(|(_, step)| step);
