--- a/crates/chervilshunt_daemon/src/control/actor.rs
+++ b/crates/chervilshunt_daemon/src/control/actor.rs
@@ -18,18 +18,20 @@
 
 use super::claims::ClaimReply;
 use super::context::Context;
-use super::coordination::Proposed;
-use super::measure::Measured;
+use super::coordination::ProposalOutcome;
+use super::measure::MetricsState;
 use super::messages::{
-    AskFacts, AskPermit, Begin, EngineNews, FromEngine, HeldBy, Leave, Left, ReleasePermit, Tick,
+    Begin, EndLease, EngineUpdate, FromEngine, GetFacts, HandOverRoles, PermitReport,
+    ReleasePermit, RequestPermit, Tick,
 };
 use super::owned::OwnedTarget;
 use super::steps::{Step, Steps};
 
-/// When a refusal for want of the role tells the caller's instance to ask again.
+/// Retry delay, in milliseconds, that a refusal gives to an entry instance that asked an instance
+/// that does not own the target.
 const NOT_OWNER_RETRY_MS: u64 = 200;
 
-/// Holds every role of this instance; see [`crate::control`].
+/// The actor that holds every role of this instance; see [`crate::control`].
 #[derive(Debug, xtra::Actor)]
 pub(crate) struct Control {
     pub(super) cx: Context,
@@ -40,39 +42,42 @@
     pub(super) schedulers: HashMap<StoreName, LoadScheduler>,
     pub(super) allocators: HashMap<SiteName, PowerAllocator>,
     pub(super) keepers: HashMap<u32, ClaimKeeper>,
-    /// Requests for claims that wait for an answer.
-    pub(super) claimants: HashMap<AttemptId, ClaimReply>,
-    /// The targets that the allocators of this instance know, with their sites.
-    pub(super) powered: HashMap<TargetName, SiteName>,
+    /// Reply channels of claim requests that have not been answered yet.
+    pub(super) claim_replies: HashMap<AttemptId, ClaimReply>,
+    /// The targets that the power allocators of this instance know, with their sites.
+    pub(super) powered_targets: HashMap<TargetName, SiteName>,
     pub(super) holders: HashMap<Role, (InstanceId, Epoch)>,
     pub(super) peers: HashMap<InstanceId, SocketAddr>,
-    /// Those of the peers that don't seem to be there.
+    /// Peers that are suspected to be down.
     pub(super) suspects: HashSet<InstanceId>,
-    /// Targets that the instance list shows as leaving.
+    /// Targets that the instance list shows as leaving or not serving.
     pub(super) leaving: Arc<HashSet<TargetName>>,
-    /// Operators that wait for the outcome of a change.
-    pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<Proposed>>,
+    /// Reply channels of proposed changes whose outcome is not known yet.
+    pub(super) proposals: HashMap<ChangeTicket, oneshot::Sender<ProposalOutcome>>,
     pub(super) next_ticket: u64,
-    pub(super) measured: Measured,
-    /// The latest changes that were proposed here, with the number of objects that they change.
-    pub(super) proposed: VecDeque<(ChangeId, usize)>,
-    /// Orders on their way to targets, owned still or not.
-    pub(super) orders: HashMap<TargetName, u32>,
-    /// Roles that are handed over once no order is on its way any more.
-    pub(super) ending: HashSet<TargetName>,
-    /// Told when the roles have been given away, and when the lease has been given up.
-    pub(super) leaving_steps: Option<LeavingSteps>,
+    pub(super) metrics_state: MetricsState,
+    /// The most recent changes proposed at this instance, each with the number of objects that it
+    /// changes.
+    pub(super) recent_changes: VecDeque<(ChangeId, usize)>,
+    /// Number of orders in flight to each target, including targets that are no longer owned.
+    pub(super) orders_in_flight: HashMap<TargetName, u32>,
+    /// Targets whose role is handed over once no order to them is in flight.
+    pub(super) awaiting_orders: HashSet<TargetName>,
+    /// Present from the start of a graceful shutdown.
+    pub(super) shutdown_waiters: Option<ShutdownWaiters>,
 }
 
-/// What a graceful shutdown waits for.
+/// Channels that notify a graceful shutdown of its progress.
 #[derive(Debug, Default)]
-pub(super) struct LeavingSteps {
-    pub(super) roles_given_away: Option<oneshot::Sender<()>>,
-    pub(super) left: Option<oneshot::Sender<()>>,
+pub(super) struct ShutdownWaiters {
+    /// Notified when this instance no longer holds any role.
+    pub(super) roles_released: Option<oneshot::Sender<()>>,
+    /// Notified when the lease of this instance has ended.
+    pub(super) lease_ended: Option<oneshot::Sender<()>>,
 }
 
 impl Control {
-    /// Starts without any role.
+    /// Creates the actor without any role.
     pub(crate) fn new(cx: Context, coordinator: Coordinator<Deployment, ChangeSet>) -> Self {
         Self {
             cx,
@@ -83,24 +88,24 @@
             schedulers: HashMap::new(),
             allocators: HashMap::new(),
             keepers: HashMap::new(),
-            claimants: HashMap::new(),
-            powered: HashMap::new(),
+            claim_replies: HashMap::new(),
+            powered_targets: HashMap::new(),
             holders: HashMap::new(),
             peers: HashMap::new(),
             suspects: HashSet::new(),
             leaving: Arc::default(),
             proposals: HashMap::new(),
             next_ticket: 0,
-            measured: Measured::default(),
-            proposed: VecDeque::new(),
-            orders: HashMap::new(),
-            ending: HashSet::new(),
-            leaving_steps: None,
+            metrics_state: MetricsState::default(),
+            recent_changes: VecDeque::new(),
+            orders_in_flight: HashMap::new(),
+            awaiting_orders: HashSet::new(),
+            shutdown_waiters: None,
         }
     }
 
-    /// Works off events and all that they cause at this instance.
-    pub(super) fn work_off(&mut self, steps: impl IntoIterator<Item = Step>) {
+    /// Handles events and all further events that they cause at this instance.
+    pub(super) fn run_steps(&mut self, steps: impl IntoIterator<Item = Step>) {
         let now = self.cx.now();
         let mut steps: Steps = steps.into_iter().collect();
         while let Some(step) = steps.pop_front() {
@@ -138,9 +143,10 @@
         }
     }
 
-    /// Hands a request to the owner, or refuses it if this instance isn't the owner.
-    pub(super) fn ask_permit(&mut self, message: AskPermit) {
-        let AskPermit { req, reply } = message;
+    /// Passes a permit request to the owner, or refuses it if this instance does not own the
+    /// target.
+    pub(super) fn request_permit(&mut self, message: RequestPermit) {
+        let RequestPermit { req, reply } = message;
         let Some(owned) = self.targets.get_mut(&req.target) else {
             reply.send(PermitAnswer::Refused {
                 reason: RefusalReason::NotOwner,
@@ -150,10 +156,10 @@
         };
         owned.waiting.insert(req.attempt, reply);
         let target = req.target.clone();
-        self.work_off([Step::Owner(target, OwnerEvent::PermitRequested(req))]);
+        self.run_steps([Step::Owner(target, OwnerEvent::PermitRequested(req))]);
     }
 
-    /// Gives a permit back to the owner; returns whether this instance is the owner.
+    /// Releases a permit at the owner and returns whether this instance owns the target.
     pub(super) fn release_permit(&mut self, message: ReleasePermit) -> bool {
         let ReleasePermit(released) = message;
         let target = released.target.clone();
@@ -161,11 +167,12 @@
             return false;
         };
         owned.waiting.remove(&released.attempt);
-        self.work_off([Step::Owner(target, OwnerEvent::PermitReleased(released))]);
+        self.run_steps([Step::Owner(target, OwnerEvent::PermitReleased(released))]);
         true
     }
 
-    fn due(&self, now: Moment) -> Vec<Step> {
+    /// Returns a tick for every role whose wake-up time has passed.
+    fn due_ticks(&self, now: Moment) -> Vec<Step> {
         let is_due = |wakeup: Option<Moment>| wakeup.is_some_and(|wakeup| wakeup <= now);
         let owners = self
             .targets
@@ -192,11 +199,11 @@
     }
 }
 
-impl Handler<AskPermit> for Control {
+impl Handler<RequestPermit> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: AskPermit, _cx: &mut xtra::Context<Self>) {
-        self.ask_permit(message);
+    async fn handle(&mut self, message: RequestPermit, _cx: &mut xtra::Context<Self>) {
+        self.request_permit(message);
     }
 }
 
@@ -209,40 +216,42 @@
 }
 
 impl Handler<FromEngine> for Control {
-    /// Whether this instance still owns the target.
+    /// Whether this instance still owns the target, under the same epoch for a load report.
     type Return = bool;
 
     async fn handle(&mut self, message: FromEngine, _cx: &mut xtra::Context<Self>) -> bool {
-        let FromEngine { target, news } = message;
-        if let EngineNews::OrderEnded(..) = news {
+        let FromEngine { target, update } = message;
+        if let EngineUpdate::OrderEnded(..) = update {
             self.order_ended(&target);
         }
         let Some(owned) = self.targets.get(&target) else {
             return false;
         };
-        match news {
-            EngineNews::OrderEnded(order, result) => {
-                self.heard(target, OwnerEvent::OrderEnded { order, result });
+        match update {
+            EngineUpdate::OrderEnded(order, result) => {
+                self.handle_response(target, OwnerEvent::OrderEnded { order, result });
             }
-            EngineNews::Inventory(loaded) => self.heard(target, OwnerEvent::Inventory(loaded)),
-            EngineNews::Looked { epoch, .. } if epoch != owned.epoch => return false,
-            EngineNews::Looked { report, cached, .. } => {
+            EngineUpdate::Inventory(loaded) => {
+                self.handle_response(target, OwnerEvent::Inventory(loaded))
+            }
+            EngineUpdate::Polled { epoch, .. } if epoch != owned.epoch => return false,
+            EngineUpdate::Polled { report, cached, .. } => {
                 let cached = cached.map(OwnerEvent::PrefixesCached);
                 let events = std::iter::once(OwnerEvent::EngineReported(report)).chain(cached);
                 let steps: Vec<Step> = events
                     .map(|event| Step::Owner(target.clone(), event))
                     .collect();
-                self.work_off(steps);
+                self.run_steps(steps);
             }
-            EngineNews::Unreachable => self.lost_target(target),
+            EngineUpdate::Unreachable => self.mark_unreachable(target),
         }
         true
     }
 }
 
 impl Control {
-    /// A target answered: it can be reached.
-    fn heard(&mut self, target: TargetName, event: OwnerEvent) {
+    /// Handles an event that shows that the target is reachable.
+    fn handle_response(&mut self, target: TargetName, event: OwnerEvent) {
         let owned = self.targets.get_mut(&target);
         let is_back = owned.is_some_and(|owned| !std::mem::replace(&mut owned.reachable, true));
         let back = is_back.then(|| Step::Owner(target.clone(), OwnerEvent::Reachable(true)));
@@ -250,15 +259,15 @@
             .into_iter()
             .chain([Step::Owner(target, event)])
             .collect();
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
-    /// A target can't be reached: it is asked again and again until it answers.
-    fn lost_target(&mut self, target: TargetName) {
+    /// Marks a target as unreachable and probes it until it answers.
+    fn mark_unreachable(&mut self, target: TargetName) {
         let owned = self.targets.get_mut(&target);
         if owned.is_some_and(|owned| std::mem::replace(&mut owned.reachable, false)) {
             self.probe(&target);
-            self.work_off([Step::Owner(target, OwnerEvent::Reachable(false))]);
+            self.run_steps([Step::Owner(target, OwnerEvent::Reachable(false))]);
         }
     }
 }
@@ -275,10 +284,10 @@
         {
             self.coordinate(CoordEvent::Tick);
         }
-        let due = self.due(now);
-        self.work_off(due);
-        self.give_withheld();
-        self.measure(now);
+        let due = self.due_ticks(now);
+        self.run_steps(due);
+        self.send_withheld_orders();
+        self.update_metrics(now);
     }
 }
 
@@ -293,11 +302,11 @@
     }
 }
 
-impl Handler<HeldBy> for Control {
+impl Handler<PermitReport> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: HeldBy, _cx: &mut xtra::Context<Self>) {
-        let HeldBy {
+    async fn handle(&mut self, message: PermitReport, _cx: &mut xtra::Context<Self>) {
+        let PermitReport {
             target,
             instance,
             permits,
@@ -306,61 +315,69 @@
             entry: instance.clone(),
             permits,
         };
-        self.work_off([Step::Owner(target.clone(), event)]);
+        self.run_steps([Step::Owner(target.clone(), event)]);
         let role = Role::Target(target);
         self.coordinate(CoordEvent::PermitsReported { role, instance });
     }
 }
 
-impl Handler<AskFacts> for Control {
+impl Handler<GetFacts> for Control {
     type Return = crate::facts::InstanceFacts;
 
     async fn handle(
         &mut self,
-        _: AskFacts,
+        _: GetFacts,
         _cx: &mut xtra::Context<Self>,
     ) -> crate::facts::InstanceFacts {
         self.facts()
     }
 }
 
-impl Handler<Leave> for Control {
+impl Handler<HandOverRoles> for Control {
     type Return = oneshot::Receiver<()>;
 
-    async fn handle(&mut self, _: Leave, _cx: &mut xtra::Context<Self>) -> oneshot::Receiver<()> {
+    async fn handle(
+        &mut self,
+        _: HandOverRoles,
+        _cx: &mut xtra::Context<Self>,
+    ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
-        let steps = self.leaving_steps.get_or_insert_default();
-        steps.roles_given_away = Some(tx);
+        let waiters = self.shutdown_waiters.get_or_insert_default();
+        waiters.roles_released = Some(tx);
         self.coordinate(CoordEvent::ShutdownRequested);
         rx
     }
 }
 
-impl Handler<Left> for Control {
+impl Handler<EndLease> for Control {
     type Return = oneshot::Receiver<()>;
 
-    async fn handle(&mut self, _: Left, _cx: &mut xtra::Context<Self>) -> oneshot::Receiver<()> {
+    async fn handle(
+        &mut self,
+        _: EndLease,
+        _cx: &mut xtra::Context<Self>,
+    ) -> oneshot::Receiver<()> {
         let (tx, rx) = oneshot::channel();
-        let steps = self.leaving_steps.get_or_insert_default();
-        steps.left = Some(tx);
+        let waiters = self.shutdown_waiters.get_or_insert_default();
+        waiters.lease_ended = Some(tx);
         self.coordinate(CoordEvent::Drained);
         rx
     }
 }
 
 impl Control {
-    /// The roles of this instance that shuts down have new holders.
-    pub(super) fn roles_given_away(&mut self) {
-        let steps = self.leaving_steps.as_mut();
-        if let Some(tx) = steps.and_then(|steps| steps.roles_given_away.take()) {
+    /// Notifies a graceful shutdown that this instance no longer holds any role.
+    pub(super) fn notify_roles_released(&mut self) {
+        let waiters = self.shutdown_waiters.as_mut();
+        if let Some(tx) = waiters.and_then(|waiters| waiters.roles_released.take()) {
             let _gone = tx.send(());
         }
     }
 
-    /// The lease of this instance that shuts down has been given up.
-    pub(super) fn left(&mut self) {
-        let steps = self.leaving_steps.as_mut();
-        if let Some(tx) = steps.and_then(|steps| steps.left.take()) {
+    /// Notifies a graceful shutdown that the lease of this instance has ended.
+    pub(super) fn notify_lease_ended(&mut self) {
+        let waiters = self.shutdown_waiters.as_mut();
+        if let Some(tx) = waiters.and_then(|waiters| waiters.lease_ended.take()) {
             let _gone = tx.send(());
         }
     }
--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -1,4 +1,4 @@
-//! Which role a message between instances is for, and what it means there.
+//! Maps messages between instances to the role that handles them and its event.
 
 use std::time::Duration;
 
@@ -9,9 +9,10 @@
 use super::steps::Step;
 use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
 
-/// Returns the role that a message is for, with the event that it is there.
-pub(super) fn addressed(message: PeerMessage) -> Option<(Role, Step)> {
-    let addressed = match message {
+/// Returns the role that a message is addressed to and the event that it stands for, or `None` if
+/// the message is not addressed to a role's state machine.
+pub(super) fn role_and_step(message: PeerMessage) -> Option<(Role, Step)> {
+    let role_and_step = match message {
         PeerMessage::TurnAsked(TurnAsked {
             store,
             target,
@@ -114,7 +115,7 @@
         | PeerMessage::Done
         | PeerMessage::NotHolder => return None,
     };
-    Some(addressed)
+    Some(role_and_step)
 }
 
 fn to_scheduler(store: StoreName, event: SchedulerEvent) -> (Role, Step) {
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the state machines want done.
+//! Carries out the actions of the owners, load schedulers and power allocators.
 
 use std::time::Instant;
 
@@ -11,9 +11,9 @@
 use chervilshunt_model::{Class, InstanceId, SiteName, TargetName};
 
 use super::actor::Control;
-use super::address::addressed;
+use super::address::role_and_step;
 use super::measure;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 use super::steps::{Step, Steps};
 use crate::facts::millis;
 use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
@@ -46,7 +46,7 @@
                     model,
                     urgency,
                 };
-                self.to_role(PeerMessage::TurnAsked(asked), steps);
+                self.send_to_role(PeerMessage::TurnAsked(asked), steps);
             }
             OwnerAction::EndTurn { order, loaded } => {
                 let result = match loaded {
@@ -60,7 +60,7 @@
                     order,
                     result,
                 };
-                self.to_role(PeerMessage::TurnEnded(ended), steps);
+                self.send_to_role(PeerMessage::TurnEnded(ended), steps);
             }
             OwnerAction::RenewTurn { order, model } => {
                 let held = TurnHeld {
@@ -69,10 +69,10 @@
                     order,
                     model,
                 };
-                self.to_role(PeerMessage::TurnHeld(held), steps);
+                self.send_to_role(PeerMessage::TurnHeld(held), steps);
             }
-            OwnerAction::Order(order) => self.give_order(target, order, steps),
-            OwnerAction::RequestInventory => self.ask_inventory(target),
+            OwnerAction::Order(order) => self.send_order(target, order, steps),
+            OwnerAction::RequestInventory => self.request_inventory(target),
             OwnerAction::ConfirmShare { sequence, watts } => {
                 owned.confirmed = Some((sequence, watts));
                 self.confirm_share(target, steps);
@@ -87,7 +87,7 @@
                     live_watts,
                     deferrable_watts,
                 };
-                self.to_role(PeerMessage::Demanded(demanded), steps);
+                self.send_to_role(PeerMessage::Demanded(demanded), steps);
             }
             OwnerAction::Log(decision) => self.log_decision(&decision),
         }
@@ -105,7 +105,7 @@
                     order,
                     queue_wait_ms: millis(queue_wait),
                 };
-                self.to_role(PeerMessage::TurnGranted(granted), steps);
+                self.send_to_role(PeerMessage::TurnGranted(granted), steps);
             }
         }
     }
@@ -128,21 +128,23 @@
                     sequence,
                     watts,
                 };
-                self.to_role(PeerMessage::ShareSet(share), steps);
+                self.send_to_role(PeerMessage::ShareSet(share), steps);
             }
         }
     }
 
-    /// Hands a message to the holder of the role that it is for, here or at a peer.
-    pub(super) fn to_role(&self, message: PeerMessage, steps: &mut Steps) {
-        let Some((role, step)) = addressed(message.clone()) else {
+    /// Sends a message to the holder of the role that it is addressed to, on this instance or a
+    /// peer.
+    pub(super) fn send_to_role(&self, message: PeerMessage, steps: &mut Steps) {
+        let Some((role, step)) = role_and_step(message.clone()) else {
             return;
         };
         match self.holder(&role) {
             Some(holder) if holder == *self.cx.me() => steps.push_back(step),
-            // Nobody renews it: a lost end would hold up the store until the turn's timeout.
+            // The end of a turn is reported only once. If the message were lost, the turn would
+            // block the store until the turn times out.
             Some(holder) if matches!(message, PeerMessage::TurnEnded(_)) => {
-                self.cx.send_until_taken(holder, message);
+                self.cx.send_until_acknowledged(holder, message);
             }
             Some(holder) => self.cx.send(&holder, message),
             None => slog::debug!(self.cx.log, "message dropped"; "reason" => "role without holder"),
@@ -153,11 +155,12 @@
         self.holders.get(role).map(|(instance, _)| instance.clone())
     }
 
-    /// Confirms the share of a target to its allocator.
+    /// Confirms the power share of a target to its allocator.
     ///
-    /// As long as permits of an earlier owner may run unknown, the target may draw more than this
-    /// owner knows: confirming less would let the allocator give the same watts to another target.
-    /// So the full power is confirmed until the takeover is complete.
+    /// Until the takeover is complete, the full power of the target is confirmed. Requests with
+    /// permits from a previous owner may still run without this owner knowing of them, so the
+    /// target may draw more than its share, and the allocator must not give those watts to another
+    /// target.
     fn confirm_share(&self, target: &TargetName, steps: &mut Steps) {
         let Some(owned) = self.targets.get(target) else {
             return;
@@ -177,24 +180,24 @@
             sequence,
             watts,
         };
-        self.to_role(PeerMessage::ShareConfirmed(share), steps);
+        self.send_to_role(PeerMessage::ShareConfirmed(share), steps);
     }
 
-    /// Confirms the share anew now that the permits of earlier owners are known.
+    /// Confirms the actual share once the permits of previous owners are known.
     pub(super) fn confirm_share_again(&mut self, target: &TargetName) {
         if let Some(owned) = self.targets.get_mut(target) {
             owned.takeover_complete = true;
         }
         let mut steps = Steps::new();
         self.confirm_share(target, &mut steps);
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
-    /// Gives the engine an order, if the lease allows it right now.
+    /// Sends an order to the engine if the lease permits it at this moment.
     ///
-    /// A process that was paused wakes up with orders at hand whose role another instance may hold
-    /// by now: the lease is looked at once more right before an order goes out.
-    fn give_order(&mut self, target: &TargetName, order: EngineOrder, steps: &mut Steps) {
+    /// A process that resumes after a pause may hold orders of a role that another instance has
+    /// taken over meanwhile, so the lease is checked again immediately before an order is sent.
+    fn send_order(&mut self, target: &TargetName, order: EngineOrder, steps: &mut Steps) {
         let Some(owned) = self.targets.get_mut(target) else {
             return;
         };
@@ -218,7 +221,7 @@
         let version = self.deployment.version(&order.model);
         let source = version.map(|version| std::sync::Arc::clone(&version.source));
         let ((OrderKind::Unload, _) | (OrderKind::Load, Some(_))) = (order.kind, &source) else {
-            // The version was deleted while it waited for its turn.
+            // The version was deleted while the load waited for its turn.
             let result = Err(OrderFailure::Refused);
             let event = OwnerEvent::OrderEnded {
                 order: order.id,
@@ -228,7 +231,7 @@
             return;
         };
         let client = owned.client.clone();
-        *self.orders.entry(target.clone()).or_default() += 1;
+        *self.orders_in_flight.entry(target.clone()).or_default() += 1;
         self.spawn_call(target, async move {
             let begun = Instant::now();
             let result = match (order.kind, source) {
@@ -240,17 +243,16 @@
                 }
             };
             let result = result.map_err(|error| order_failure(&error));
-            measure::order(order.kind, result, begun.elapsed());
-            EngineNews::OrderEnded(order.id, result)
+            measure::record_order(order.kind, result, begun.elapsed());
+            EngineUpdate::OrderEnded(order.id, result)
         });
     }
 
-    /// Gives the orders that were withheld and may go out by now.
+    /// Sends the withheld orders that the lease permits now, and fails those whose role is lost.
     ///
-    /// An order that may not go out yet has not failed. Were it reported as refused for its fencing
-    /// number, the owner would take itself for superseded and turn everything away for as long as
-    /// it holds the target.
-    pub(super) fn give_withheld(&mut self) {
+    /// A withheld order has not failed. If it were reported as fenced, the owner would assume that
+    /// it has been superseded and would refuse every request for as long as it holds the target.
+    pub(super) fn send_withheld_orders(&mut self) {
         let now = self.cx.now();
         let due = self.targets.iter().filter(|(target, owned)| {
             let role = Role::Target((*target).clone());
@@ -264,47 +266,48 @@
             let owned = self.targets.get_mut(&target);
             let orders = owned.map(|owned| std::mem::take(&mut owned.withheld));
             for order in orders.unwrap_or_default() {
-                self.give_order(&target, order, &mut steps);
+                self.send_order(&target, order, &mut steps);
             }
         }
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 
-    pub(super) fn ask_inventory(&self, target: &TargetName) {
+    pub(super) fn request_inventory(&self, target: &TargetName) {
         let Some(owned) = self.targets.get(target) else {
             return;
         };
         let client: EngineClient = owned.client.clone();
-        // A plain service holds no adapters and need not know the question.
+        // A plain service holds no adapters and may not implement the inventory call.
         let is_engine = owned.target.slots > 0;
         self.spawn_call(target, async move {
             if !is_engine {
-                return EngineNews::Inventory(Vec::new());
+                return EngineUpdate::Inventory(Vec::new());
             }
             match client.inventory().await {
-                Ok(loaded) => EngineNews::Inventory(loaded),
-                Err(_) => EngineNews::Unreachable,
+                Ok(loaded) => EngineUpdate::Inventory(loaded),
+                Err(_) => EngineUpdate::Unreachable,
             }
         });
     }
 
+    /// Runs a call to an engine in a task and sends its result to this actor.
     fn spawn_call(
         &self,
         target: &TargetName,
-        call: impl Future<Output = EngineNews> + Send + 'static,
+        call: impl Future<Output = EngineUpdate> + Send + 'static,
     ) {
         let Some(address) = self.address.clone() else {
             return;
         };
         let target = target.clone();
         tokio::spawn(async move {
-            let news = call.await;
-            drop(address.send(FromEngine { target, news }).detach().await);
+            let update = call.await;
+            drop(address.send(FromEngine { target, update }).detach().await);
         });
     }
 
     fn log_decision(&self, decision: &Decision) {
-        measure::decision(decision);
+        measure::record_decision(decision);
         slog::info!(self.cx.log, "decision";
             "kind" => decision.kind.as_str(),
             "target" => %decision.target,
@@ -312,20 +315,20 @@
             "class" => decision.class.map(Class::as_str),
             "attempt" => decision.attempt.map(|attempt| attempt.to_string()),
             "reason" => decision.reason,
-            "alternatives" => joined(&decision.alternatives),
-            "sent_on" => joined(&decision.sent_on),
+            "alternatives" => join_names(&decision.alternatives),
+            "sent_on" => join_names(&decision.sent_on),
             "waited_ms" => millis(decision.waited.total),
             "stalled_ms" => millis(decision.waited.for_load),
         );
     }
 }
 
-fn joined(names: &[impl ToString]) -> String {
+fn join_names(names: &[impl ToString]) -> String {
     let names: Vec<String> = names.iter().map(ToString::to_string).collect();
     names.join(",")
 }
 
-/// Turns a failed call into what it means for the order.
+/// Maps the error of an engine call to the failure of its order.
 fn order_failure(error: &chervilshunt_engine::EngineError) -> OrderFailure {
     use chervilshunt_engine::EngineError;
     match error {
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Keeping the claims of idempotency keys.
+//! Claim keepers for idempotency keys.
 
 use chervilshunt_coord::{
     ClaimAction, ClaimAnswer, ClaimConfig, ClaimEvent, ClaimKeeper, ClaimRequest, ClaimsInOutage,
@@ -14,25 +14,27 @@
 use crate::keyed::TryState;
 use crate::wire::{ClaimEnded, PeerMessage, TryAsked};
 
-/// The shards of the idempotency keys. All instances have to agree, and a claim is looked for in its
-/// key's shard: change it only while no keyed request can be retried.
+/// Number of shards that idempotency keys are divided into.
+///
+/// All instances must use the same number, and a claim is looked up in the shard of its key, so it
+/// may be changed only while no request with a key can be retried.
 pub(crate) const CLAIM_SHARDS: u32 = 8;
 
-/// A traffic thread or a peer asks for a claim.
+/// A request for a claim, from a traffic thread or a peer.
 #[derive(Debug)]
-pub(crate) struct AskClaim {
-    /// What is asked for.
+pub(crate) struct RequestClaim {
+    /// The request.
     pub(crate) req: ClaimRequest,
-    /// Where the answer goes.
+    /// The channel for the answer.
     pub(crate) reply: ClaimReply,
 }
 
-/// Where the answer to a request for a claim goes.
+/// The reply channel of a claim request.
 #[derive(Debug)]
 pub(crate) enum ClaimReply {
-    /// To a traffic thread of this process.
+    /// Answers a traffic thread of this process.
     Local(oneshot::Sender<ClaimAnswer>),
-    /// To a peer.
+    /// Answers a peer.
     Peer(Reply<PeerMessage>),
 }
 
@@ -45,35 +47,43 @@
     }
 }
 
-/// A traffic thread says how a claimed try ended; the answer says whether its keeper took it.
+/// Reports from a traffic thread how a claimed attempt ended.
+///
+/// The answer is whether this instance keeps the claims of the key's shard.
 #[derive(Debug)]
 pub(crate) struct EndClaim(pub(crate) ClaimEnded);
 
 impl Control {
-    /// Begins to keep a shard's claims.
-    pub(super) fn keep_claims(&mut self, shard: u32, epoch: Epoch) {
+    /// Starts the claim keeper of a shard.
+    pub(super) fn start_claim_keeper(&mut self, shard: u32, epoch: Epoch) {
         let me = self.coordinator.me().clone();
         let mut cfg = ClaimConfig::new(shard, me, epoch);
         cfg.in_outage = ClaimsInOutage::Refuse;
         self.keepers
             .insert(shard, ClaimKeeper::new(cfg, self.cx.now()));
-        self.work_off([Step::Claims(shard, ClaimEvent::Tick)]);
+        self.run_steps([Step::Claims(shard, ClaimEvent::Tick)]);
     }
 
-    pub(super) fn ask_claim(&mut self, ask: AskClaim) {
-        let AskClaim { req, reply } = ask;
+    /// Passes a claim request to the keeper of its shard.
+    ///
+    /// The reply channel is dropped without an answer if this instance's lease does not permit it
+    /// to act as the keeper.
+    pub(super) fn request_claim(&mut self, ask: RequestClaim) {
+        let RequestClaim { req, reply } = ask;
         let shard = req.key.shard(CLAIM_SHARDS);
         let role = Role::ClaimKeeper(shard);
-        // A keeper that was paused must not grant what its successor may have granted already; its
-        // records can't be written any more, but it must not even wait for that.
+        // A keeper that resumes after a pause must not grant a claim that its successor may already
+        // have granted. Its writes to the platform would be rejected, but the request must not even
+        // wait for that.
         if self.coordinator.may_order(&role, self.cx.now()).is_none() {
             drop(reply);
             return;
         }
-        self.claimants.insert(req.attempt, reply);
-        self.work_off([Step::Claims(shard, ClaimEvent::Requested(req))]);
+        self.claim_replies.insert(req.attempt, reply);
+        self.run_steps([Step::Claims(shard, ClaimEvent::Requested(req))]);
     }
 
+    /// Records how a claimed attempt ended and returns whether this instance keeps its shard.
     pub(super) fn end_claim(&mut self, ended: ClaimEnded) -> bool {
         let ClaimEnded {
             key,
@@ -84,7 +94,7 @@
         if !self.keepers.contains_key(&shard) {
             return false;
         }
-        self.work_off([Step::Claims(
+        self.run_steps([Step::Claims(
             shard,
             ClaimEvent::Ended {
                 key,
@@ -111,7 +121,7 @@
                     key,
                     attempt,
                 } => {
-                    self.ask_entry(entry, TryAsked { key, attempt }, steps);
+                    self.query_attempt(entry, TryAsked { key, attempt }, steps);
                 }
                 ClaimAction::Superseded => {
                     slog::warn!(self.cx.log, "claim keeper superseded"; "shard" => shard);
@@ -122,13 +132,13 @@
 
     fn answer_claim(&mut self, attempt: AttemptId, answer: ClaimAnswer) {
         slog::debug!(self.cx.log, "claim"; "attempt" => %attempt, "answer" => ?answer);
-        if let Some(reply) = self.claimants.remove(&attempt) {
+        if let Some(reply) = self.claim_replies.remove(&attempt) {
             reply.send(answer);
         }
     }
 
-    /// Asks the instance that runs a claimed try what became of it.
-    fn ask_entry(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
+    /// Asks the instance that runs a claimed attempt whether and how it ended.
+    fn query_attempt(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
         if entry == *self.coordinator.me() {
             steps.extend(self.try_ended(&asked).map(claim_ended_step));
         } else if entry.instance != *self.cx.me() {
@@ -139,7 +149,7 @@
         }
     }
 
-    /// Returns how a try of this process ended, unless it still runs.
+    /// Returns how an attempt of this process ended, or `None` while it is running.
     pub(super) fn try_ended(&self, asked: &TryAsked) -> Option<ClaimEnded> {
         match self.cx.tries.state(asked.attempt) {
             TryState::Running => None,
@@ -168,11 +178,11 @@
     )
 }
 
-impl Handler<AskClaim> for Control {
+impl Handler<RequestClaim> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: AskClaim, _cx: &mut xtra::Context<Self>) {
-        self.ask_claim(message);
+    async fn handle(&mut self, message: RequestClaim, _cx: &mut xtra::Context<Self>) {
+        self.request_claim(message);
     }
 }
 
--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -1,4 +1,4 @@
-//! What the control actor needs of the rest of the process.
+//! Handles through which the control actor reaches the rest of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,34 +15,36 @@
 use chervilshunt_engine::EngineClients;
 use chervilshunt_model::Clock;
 
-/// Tries to have a message taken; together they last longer than a lease, so that the receiver is
-/// either back or no longer live.
-const TAKEN_TRIES: u32 = 60;
-/// The time that a receiver has to say that it took a message.
-const TAKEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause between tries to have a message taken.
-const TAKEN_PAUSE: Duration = Duration::from_millis(500);
+/// Number of attempts to deliver a message that must be acknowledged.
+///
+/// Together they last longer than a lease, so afterwards the receiver is either reachable again or
+/// no longer live.
+const ACK_ATTEMPTS: u32 = 60;
+/// Timeout for the acknowledgement of a message.
+const ACK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause before a message that was not acknowledged is sent again.
+const ACK_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Handles to the parts round the control actor.
+/// Handles to the settings, clients and shared state that the control actor uses.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
-    /// The checked settings.
+    /// The validated settings.
     pub(crate) settings: Arc<Settings>,
     /// The log.
     pub(crate) log: slog::Logger,
     /// The clock.
     pub(crate) clock: Clock,
-    /// Messages to other instances.
+    /// Sends messages to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
-    /// Calls to targets.
+    /// Clients for calls to targets.
     pub(crate) engines: EngineClients,
-    /// Calls to the platform.
+    /// Client for calls to the platform.
     pub(crate) platform: Platform,
-    /// What the traffic threads see.
+    /// The routing state that the traffic threads read.
     pub(crate) routing: SharedRouting,
     /// Permits that the traffic threads hold.
     pub(crate) held: HeldPermits,
-    /// Keyed tries that the traffic threads run or have run.
+    /// Attempts with an idempotency key that the traffic threads run or have run.
     pub(crate) tries: KeyedTries,
 }
 
@@ -52,12 +54,12 @@
         &self.settings.instance.id
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Returns how to reach an instance, if it is live.
+    /// Returns the name and address of an instance, or `None` if it is not known as live.
     pub(crate) fn peer(&self, instance: &InstanceId) -> Option<Peer> {
         let address = *self.routing.get().peers.get(instance)?;
         Some(Peer {
@@ -66,25 +68,27 @@
         })
     }
 
-    /// Sends a message until the receiver says that it took it, or is no longer live.
-    pub(crate) fn send_until_taken(&self, to: InstanceId, message: PeerMessage) {
+    /// Sends a message repeatedly until the receiver acknowledges it or is no longer live.
+    pub(crate) fn send_until_acknowledged(&self, to: InstanceId, message: PeerMessage) {
         let cx = self.clone();
         tokio::spawn(async move {
-            for _ in 0..TAKEN_TRIES {
+            for _ in 0..ACK_ATTEMPTS {
                 let Some(peer) = cx.peer(&to) else {
                     return;
                 };
-                let answer = cx.mesh.request(&peer, message.clone(), TAKEN_TIMEOUT).await;
+                let answer = cx.mesh.request(&peer, message.clone(), ACK_TIMEOUT).await;
                 if answer.is_ok() {
                     return;
                 }
-                tokio::time::sleep(TAKEN_PAUSE).await;
+                tokio::time::sleep(ACK_RETRY_PAUSE).await;
             }
             slog::warn!(cx.log, "message not taken"; "to" => %to);
         });
     }
 
-    /// Sends a message that needs no answer; a lost one is made good by the sender's next.
+    /// Sends a message without an acknowledgement.
+    ///
+    /// It may be lost, so the sender must send the same information again with a later message.
     pub(crate) fn send(&self, to: &InstanceId, message: PeerMessage) {
         let Some(peer) = self.peer(to) else {
             slog::debug!(self.log, "message dropped"; "to" => %to, "reason" => "not live");
--- a/crates/chervilshunt_daemon/src/control/coordination.rs
+++ b/crates/chervilshunt_daemon/src/control/coordination.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the coordinator wants done, and telling it what has happened.
+//! Passes events to the coordinator and carries out its actions.
 
 use std::time::Duration;
 
@@ -16,54 +16,60 @@
 use super::messages::PlatformAnswered;
 use super::platform_calls::carry_out;
 use super::steps::Step;
-use super::watches::{Listed, ObjectSeen};
+use super::watches::{InstanceListUpdate, ObjectSeen};
 use crate::wire::PeerMessage;
 
-/// An operator wants a change of configuration; the receiver gets its outcome.
+/// Proposes a change of the configuration for an operator.
+///
+/// The answer is a channel that receives the outcome.
 #[derive(Debug)]
 pub(crate) struct Propose(pub(crate) ChangeSet);
 
 /// The outcome of a proposed change.
 #[derive(Debug)]
-pub(crate) enum Proposed {
-    /// It is in force everywhere at this revision.
+pub(crate) enum ProposalOutcome {
+    /// It was accepted at this revision.
+    ///
+    /// It is sent once the revision is in force on every live instance, or after a timeout.
     Accepted(Revision),
-    /// It was not accepted, as far as is known.
-    Refused(Refused),
+    /// It was not accepted, or its outcome is unknown.
+    Refused(ProposalRefusal),
 }
 
-/// Why a proposed change was not accepted.
+/// Describes why a proposed change was not accepted.
 #[derive(Debug)]
-pub(crate) struct Refused {
-    /// What that says of the change.
-    pub(crate) kind: RefusedKind,
-    /// What stands in the way and what to do, in a sentence.
+pub(crate) struct ProposalRefusal {
+    /// What the refusal means for the change.
+    pub(crate) kind: ProposalRefusalKind,
+    /// One sentence for the operator on the cause and, where there is one, the remedy.
     pub(crate) detail: String,
-    /// When trying again is worth it.
+    /// How long to wait before trying again, if that can help.
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What a refusal says of a change.
+/// What a refusal means for a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RefusedKind {
-    /// It can't be carried out, now or later; nothing has changed.
+pub(crate) enum ProposalRefusalKind {
+    /// The change is invalid and retrying it cannot help. Nothing has changed.
     Conflict,
-    /// This try did not begin. If an earlier one under the same id has an unknown outcome, that
-    /// is still unknown.
+    /// This attempt was not started. If an earlier attempt with the same id has an unknown outcome,
+    /// that outcome is still unknown.
     NotBegun,
-    /// It was begun and given up; under its id it never takes effect.
+    /// The change was started and abandoned. It will never take effect under this id.
     GivenUp,
-    /// It may have taken effect, or may yet.
+    /// The change may have taken effect or may still do so.
     Unknown,
 }
 
-/// Changes proposed here that are remembered with their sizes; as many as the head remembers.
+/// Number of changes proposed at this instance that are remembered with their sizes.
+///
+/// The configuration head remembers the outcomes of as many changes.
 const REMEMBERED_PROPOSALS: usize = 32;
 
 pub(super) type CoordActionOf = CoordAction<Deployment, ChangeSet>;
 
 impl Control {
-    /// Tells the coordinator what has happened and carries out what it wants done.
+    /// Passes an event to the coordinator and carries out the resulting actions.
     pub(super) fn coordinate(&mut self, event: CoordEvent<ChangeSet>) {
         let now = self.cx.now();
         let mut events = vec![event];
@@ -93,7 +99,7 @@
             }
             CoordAction::RoleEnding { role, .. } => {
                 self.end_role(&role);
-                return self.released(role);
+                return self.role_released(role);
             }
             CoordAction::RoleLost { role } => self.end_role(&role),
             CoordAction::TakeoverComplete { role } => self.complete_takeover(&role),
@@ -113,36 +119,37 @@
             CoordAction::TakeWork(takes_work) => {
                 slog::info!(self.cx.log, "new work"; "taken" => takes_work);
             }
-            CoordAction::RolesReleased => self.roles_given_away(),
-            CoordAction::Left => self.left(),
+            CoordAction::RolesReleased => self.notify_roles_released(),
+            CoordAction::Left => self.notify_lease_ended(),
             CoordAction::Log(decision) => self.log_coord(&decision),
         }
         None
     }
 
-    /// Says that a role has been handed over, at once or when no order is on its way any more.
+    /// Returns the event that confirms the handover of a role, unless orders of it are in flight.
     ///
-    /// The next owner begins with the engine's inventory: an order of ours that arrived after it
-    /// would fill or empty a slot behind its back.
-    fn released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
+    /// In that case the handover is confirmed when the last of them has ended. The next owner
+    /// starts by reading the engine's inventory, and an order that arrived after it would load or
+    /// unload an adapter without that owner knowing.
+    fn role_released(&mut self, role: Role) -> Option<CoordEvent<ChangeSet>> {
         if let Role::Target(target) = &role
-            && self.orders.contains_key(target)
+            && self.orders_in_flight.contains_key(target)
         {
-            self.ending.insert(target.clone());
+            self.awaiting_orders.insert(target.clone());
             return None;
         }
         Some(CoordEvent::RoleReleased(role))
     }
 
-    /// Counts an order that came to its end, and hands the role over if it waited for that.
+    /// Records the end of an order and completes a handover that waited for it.
     pub(super) fn order_ended(&mut self, target: &TargetName) {
-        if let Some(count) = self.orders.get_mut(target) {
+        if let Some(count) = self.orders_in_flight.get_mut(target) {
             *count -= 1;
             if *count == 0 {
-                self.orders.remove(target);
+                self.orders_in_flight.remove(target);
             }
         }
-        if !self.orders.contains_key(target) && self.ending.remove(target) {
+        if !self.orders_in_flight.contains_key(target) && self.awaiting_orders.remove(target) {
             self.coordinate(CoordEvent::RoleReleased(Role::Target(target.clone())));
         }
     }
@@ -164,7 +171,7 @@
         });
     }
 
-    /// Puts a configuration in force and says which roles it asks for.
+    /// Puts a configuration in force and returns the event with the roles that it requires.
     fn put_in_force(
         &mut self,
         revision: Revision,
@@ -178,7 +185,7 @@
         CoordEvent::RolesWanted { revision, roles }
     }
 
-    /// Answers an accepted change once it is in force everywhere, without holding up the actor.
+    /// Answers an accepted change once it is in force on all instances, without blocking the actor.
     fn end_accepted(&mut self, ticket: ChangeTicket, revision: Revision) {
         let Some(tx) = self.proposals.remove(&ticket) else {
             return;
@@ -186,22 +193,22 @@
         let cx = self.cx.clone();
         tokio::spawn(async move {
             cx.confirm_in_force(revision).await;
-            drop(tx.send(Proposed::Accepted(revision)));
+            drop(tx.send(ProposalOutcome::Accepted(revision)));
         });
     }
 
-    fn end_proposal(&mut self, ticket: ChangeTicket, outcome: Proposed) {
+    fn end_proposal(&mut self, ticket: ChangeTicket, outcome: ProposalOutcome) {
         if let Some(tx) = self.proposals.remove(&ticket) {
             drop(tx.send(outcome));
         }
     }
 
     fn remember_proposal(&mut self, set: &ChangeSet) {
-        self.proposed.retain(|(id, _)| *id != set.id);
-        if self.proposed.len() == REMEMBERED_PROPOSALS {
-            self.proposed.pop_front();
+        self.recent_changes.retain(|(id, _)| *id != set.id);
+        if self.recent_changes.len() == REMEMBERED_PROPOSALS {
+            self.recent_changes.pop_front();
         }
-        self.proposed.push_back((set.id, set.changes.len()));
+        self.recent_changes.push_back((set.id, set.changes.len()));
     }
 
     fn log_coord(&self, decision: &CoordDecision) {
@@ -215,13 +222,13 @@
 }
 
 impl Handler<Propose> for Control {
-    type Return = oneshot::Receiver<Proposed>;
+    type Return = oneshot::Receiver<ProposalOutcome>;
 
     async fn handle(
         &mut self,
         message: Propose,
         _cx: &mut xtra::Context<Self>,
-    ) -> oneshot::Receiver<Proposed> {
+    ) -> oneshot::Receiver<ProposalOutcome> {
         let (tx, rx) = oneshot::channel();
         let ticket = ChangeTicket(self.next_ticket);
         self.next_ticket += 1;
@@ -241,7 +248,7 @@
     async fn handle(&mut self, message: PlatformAnswered, _cx: &mut xtra::Context<Self>) {
         let PlatformAnswered { call, result } = message;
         if let Some(shard) = ClaimKeeper::shard_of_call(call) {
-            self.work_off([Step::Claims(shard, ClaimEvent::Reply(call, result))]);
+            self.run_steps([Step::Claims(shard, ClaimEvent::Reply(call, result))]);
             return;
         }
         self.coordinate(CoordEvent::PlatformReply { call, result });
@@ -256,10 +263,10 @@
     }
 }
 
-impl Handler<Listed> for Control {
+impl Handler<InstanceListUpdate> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: Listed, _cx: &mut xtra::Context<Self>) {
+    async fn handle(&mut self, message: InstanceListUpdate, _cx: &mut xtra::Context<Self>) {
         self.leaving = std::sync::Arc::new(message.leaving.into_iter().collect());
         self.coordinate(CoordEvent::InstanceListChanged(message.instances));
         self.publish();
@@ -271,7 +278,7 @@
                 Step::Owner(target.clone(), event)
             })
             .collect();
-        self.work_off(draining);
+        self.run_steps(draining);
     }
 }
 
@@ -280,7 +287,7 @@
         self.coordinate(CoordEvent::PeerMessage { from, message });
     }
 
-    /// Tells the roles of this instance of a new configuration.
+    /// Updates the roles of this instance to a new configuration.
     fn reconfigure_roles(&mut self) {
         let mut steps = Vec::new();
         for name in self.targets.keys() {
@@ -306,11 +313,11 @@
             }
         }
         steps.extend(self.power_membership());
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 }
 
-/// Returns the roles that a configuration asks for.
+/// Returns the roles that a configuration requires.
 fn wanted_roles(deployment: &Deployment) -> Vec<WantedRole> {
     let targets = deployment.targets.iter().map(|(name, target)| WantedRole {
         role: Role::Target(name.clone()),
@@ -320,8 +327,8 @@
             Fencing::Ignores => false,
         },
     });
-    // Schedulers and allocators give no order to a target: a late message of an old one is a turn
-    // or a share that the owner checks by its number.
+    // Schedulers and allocators send no orders to targets. A late message from a previous holder
+    // grants a turn or sets a share, which the owner checks by its number.
     let unzoned = |role| WantedRole {
         role,
         zone: None,
@@ -343,19 +350,20 @@
     targets.chain(stores).chain(sites).chain(claims).collect()
 }
 
-fn refused(refusal: &ChangeRefusal) -> Proposed {
+fn refused(refusal: &ChangeRefusal) -> ProposalOutcome {
     let (kind, detail) = match refusal {
-        ChangeRefusal::Invalid(detail) => (RefusedKind::Conflict, detail.clone()),
+        ChangeRefusal::Invalid(detail) => (ProposalRefusalKind::Conflict, detail.clone()),
         ChangeRefusal::NotReady => (
-            RefusedKind::NotBegun,
-            "this instance does not have the latest configuration yet; ask another one".to_owned(),
+            ProposalRefusalKind::NotBegun,
+            "this instance does not have the latest configuration yet; try another instance"
+                .to_owned(),
         ),
         ChangeRefusal::Busy => (
-            RefusedKind::NotBegun,
-            "other changes are under way".to_owned(),
+            ProposalRefusalKind::NotBegun,
+            "other changes are in progress".to_owned(),
         ),
         ChangeRefusal::PlatformUnavailable => (
-            RefusedKind::NotBegun,
+            ProposalRefusalKind::NotBegun,
             "the platform can't be reached; nothing has changed".to_owned(),
         ),
         ChangeRefusal::Unreachable(instances) => {
@@ -364,26 +372,26 @@
             let detail = format!(
                 "nothing has changed: {names} did not acknowledge; see docs/operators/changes.md"
             );
-            (RefusedKind::GivenUp, detail)
+            (ProposalRefusalKind::GivenUp, detail)
         }
         ChangeRefusal::NotAcknowledged(instance, why) => {
             let detail = format!("nothing has changed: {instance} can't carry it out: {why}");
-            (RefusedKind::GivenUp, detail)
+            (ProposalRefusalKind::GivenUp, detail)
         }
         ChangeRefusal::GivenUp => (
-            RefusedKind::GivenUp,
-            "another instance gave the change up; nothing has changed".to_owned(),
+            ProposalRefusalKind::GivenUp,
+            "another instance abandoned the change; nothing has changed".to_owned(),
         ),
         ChangeRefusal::Unknown => (
-            RefusedKind::Unknown,
+            ProposalRefusalKind::Unknown,
             "the change may have taken effect, or may yet; send it again under the same id to \
              learn its outcome"
                 .to_owned(),
         ),
     };
-    // The coordinator's own proposer runs with the defaults too.
+    // The coordinator's proposer uses the default configuration too.
     let retry_after = refusal.retry_after(&ProposerConfig::default());
-    Proposed::Refused(Refused {
+    ProposalOutcome::Refused(ProposalRefusal {
         kind,
         detail,
         retry_after,
--- a/crates/chervilshunt_daemon/src/control/tell.rs
+++ b/crates/chervilshunt_daemon/src/control/instance_facts.rs
@@ -1,4 +1,4 @@
-//! What this instance tells operators of its roles.
+//! Collects the state of this instance and its roles for operators.
 
 use super::actor::Control;
 use crate::facts::{
@@ -21,7 +21,7 @@
             zone: instance.zone.clone(),
             region: instance.region.clone(),
             takes_work: self.coordinator.may_take_work(now),
-            stopping: self.leaving_steps.is_some(),
+            stopping: self.shutdown_waiters.is_some(),
             revision: self.deployment.revision,
             roles,
             targets: self.target_facts(),
@@ -47,7 +47,7 @@
     }
 
     fn changes_facts(&self) -> ChangesFacts {
-        let changed = self.proposed.iter().copied().collect();
+        let changed = self.recent_changes.iter().copied().collect();
         let Some(head) = self.coordinator.head() else {
             return ChangesFacts {
                 changed,
--- a/crates/chervilshunt_daemon/src/control/measure.rs
+++ b/crates/chervilshunt_daemon/src/control/measure.rs
@@ -1,4 +1,4 @@
-//! Metrics of this instance's roles; see `docs/operators/metrics.md`.
+//! Updates the metrics of this instance's roles; see `docs/operators/metrics.md`.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -9,27 +9,31 @@
 
 use super::actor::Control;
 
-/// The time between two looks at the roles.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between updates of the metrics.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the last look at the roles saw.
+/// State of the last update of the metrics.
 #[derive(Debug, Default)]
-pub(super) struct Measured {
-    looked: Option<Moment>,
-    /// Targets whose gauges are not 0.
+pub(super) struct MetricsState {
+    /// When the metrics were last updated.
+    updated_at: Option<Moment>,
+    /// Targets whose gauges were set and have to be cleared once they are no longer owned.
     targets: HashSet<TargetName>,
 }
 
 impl Control {
-    /// Brings the gauges up to date, and counts what has passed since they were.
-    pub(super) fn measure(&mut self, now: Moment) {
-        let since = self.measured.looked.map(|looked| now.since(looked));
-        if since.is_some_and(|since| since < LOOK_EVERY) {
+    /// Updates the gauges, and adds the time since the last update to the counters.
+    pub(super) fn update_metrics(&mut self, now: Moment) {
+        let since = self
+            .metrics_state
+            .updated_at
+            .map(|updated_at| now.since(updated_at));
+        if since.is_some_and(|since| since < UPDATE_INTERVAL) {
             return;
         }
-        self.measured.looked = Some(now);
+        self.metrics_state.updated_at = Some(now);
         self.measure_instance(now);
-        let known = std::mem::take(&mut self.measured.targets);
+        let known = std::mem::take(&mut self.metrics_state.targets);
         for gone in known
             .iter()
             .filter(|name| !self.targets.contains_key(*name))
@@ -39,7 +43,7 @@
         for (name, owned) in &self.targets {
             measure_target(name, &owned.owner.view(now), since.unwrap_or_default());
         }
-        self.measured.targets = self.targets.keys().cloned().collect();
+        self.metrics_state.targets = self.targets.keys().cloned().collect();
         for (store, scheduler) in &self.schedulers {
             let store = store.to_string();
             gauge!("chervilshunt_loads_in_progress", "store" => store.clone())
@@ -78,7 +82,7 @@
     };
     waiting(Class::Live, view.live_waiting);
     waiting(Class::Deferrable, view.deferrable_waiting);
-    // A batch without a sequence runs no step: only the time in which there is one counts.
+    // An engine without running sequences executes no steps, so only busy time counts.
     let bound = if running > 0.0 {
         bound.max(running)
     } else {
@@ -92,7 +96,7 @@
     add("chervilshunt_target_batch_microseconds_total", bound);
 }
 
-/// Sets the gauges of a target to 0 that this instance no longer owns: its new owner counts it.
+/// Sets the gauges of a target that this instance no longer owns to 0, as its new owner reports it.
 fn clear_target(name: &TargetName) {
     let target = name.to_string();
     for gauge in [
@@ -108,8 +112,8 @@
     }
 }
 
-/// Counts a decision, and how long its request had waited.
-pub(super) fn decision(decision: &Decision) {
+/// Counts a decision and records how long its request waited.
+pub(super) fn record_decision(decision: &Decision) {
     let kind = decision.kind.as_str();
     counter!("chervilshunt_decisions_total", "kind" => kind).increment(1);
     let Some(class) = decision.class else {
@@ -131,8 +135,8 @@
     }
 }
 
-/// Records how an order to an engine ended, and how long it took.
-pub(super) fn order(kind: OrderKind, result: Result<(), OrderFailure>, took: Duration) {
+/// Records the result and the duration of an order to an engine.
+pub(super) fn record_order(kind: OrderKind, result: Result<(), OrderFailure>, took: Duration) {
     let result = match result {
         Ok(()) => "done",
         Err(OrderFailure::Refused) => "refused",
--- a/crates/chervilshunt_daemon/src/control/mod.rs
+++ b/crates/chervilshunt_daemon/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: one actor that holds every role of this instance.
+//! The control thread, which runs one actor that holds every role of this instance.
 //!
-//! All decisions are taken here, one message at a time, so that no two of them race; the traffic
-//! threads see the result through [`SharedRouting`](crate::routing::SharedRouting) and ask for
+//! The actor makes all decisions, one message at a time, so that decisions cannot race. Traffic
+//! threads read the results through [`SharedRouting`](crate::routing::SharedRouting) and request
 //! permits by message. See `docs/ARCHITECTURE.md`.
 
 mod actor;
@@ -11,6 +11,7 @@
 mod confirm;
 mod context;
 mod coordination;
+mod instance_facts;
 mod measure;
 mod messages;
 mod owned;
@@ -19,15 +20,14 @@
 mod probe;
 mod roles;
 mod steps;
-mod tell;
 mod timer;
 mod watch_engine;
 mod watches;
 
 pub(crate) use actor::Control;
-pub(crate) use claims::{AskClaim, CLAIM_SHARDS, ClaimReply, EndClaim};
+pub(crate) use claims::{CLAIM_SHARDS, ClaimReply, EndClaim, RequestClaim};
 pub(crate) use context::Context;
-pub(crate) use coordination::{Propose, Proposed, Refused, RefusedKind};
+pub(crate) use coordination::{ProposalOutcome, ProposalRefusal, ProposalRefusalKind, Propose};
 pub(crate) use messages::{
-    AskFacts, AskPermit, Begin, FromPeer, Leave, Left, PermitReply, ReleasePermit,
+    Begin, EndLease, FromPeer, GetFacts, HandOverRoles, PermitReply, ReleasePermit, RequestPermit,
 };
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Messages from other instances.
+//! Handles messages from other instances.
 
 use chervilshunt_coord::CoordEvent;
 use chervilshunt_core::{OwnerEvent, ReleaseOutcome, ReleasedPermit, RequestChecksum};
@@ -7,9 +7,9 @@
 use xtra::prelude::*;
 
 use super::actor::Control;
-use super::address::addressed;
-use super::claims::{AskClaim, ClaimReply};
-use super::messages::{AskPermit, FromPeer, PermitReply, ReleasePermit};
+use super::address::role_and_step;
+use super::claims::{ClaimReply, RequestClaim};
+use super::messages::{FromPeer, PermitReply, ReleasePermit, RequestPermit};
 use super::steps::Step;
 use crate::wire::PeerMessage;
 
@@ -18,14 +18,14 @@
 
     async fn handle(&mut self, message: FromPeer, _cx: &mut xtra::Context<Self>) {
         match message.0 {
-            Inbound::Message(message) => self.take_message(message),
-            Inbound::Lost(from) => self.lost_connection(from),
+            Inbound::Message(message) => self.handle_message(message),
+            Inbound::Lost(from) => self.handle_connection_loss(from),
         }
     }
 }
 
 impl Control {
-    fn take_message(&mut self, message: InboundMessage<PeerMessage>) {
+    fn handle_message(&mut self, message: InboundMessage<PeerMessage>) {
         let InboundMessage {
             from,
             message,
@@ -40,7 +40,7 @@
                 if let Some(reply) = reply {
                     let req = req.sent_by(from);
                     let reply = PermitReply::Peer(reply, RequestChecksum::of_request(&req));
-                    self.ask_permit(AskPermit { req, reply });
+                    self.request_permit(RequestPermit { req, reply });
                 }
             }
             PeerMessage::PermitReleased(released) => {
@@ -64,7 +64,7 @@
             }
             PeerMessage::ClaimAsked(req) => {
                 if let Some(reply) = reply {
-                    self.ask_claim(AskClaim {
+                    self.request_claim(RequestClaim {
                         req,
                         reply: ClaimReply::Peer(reply),
                     });
@@ -82,7 +82,7 @@
                 );
             }
             PeerMessage::TryAsked(incarnation, asked) => {
-                // Another run of this instance knows nothing of the try.
+                // A different run of this instance has no record of the attempt.
                 if self.coordinator.me().incarnation == incarnation
                     && let Some(ended) = self.try_ended(&asked)
                 {
@@ -110,8 +110,8 @@
                 slog::debug!(self.cx.log, "answer without question"; "from" => %from);
             }
             message @ PeerMessage::TurnEnded(_) => {
-                let step = addressed(message).map(|(_, step)| step);
-                self.work_off(step);
+                let step = role_and_step(message).map(|(_, step)| step);
+                self.run_steps(step);
                 respond(reply, PeerMessage::Done);
             }
             message @ (PeerMessage::TurnAsked(_)
@@ -120,17 +120,18 @@
             | PeerMessage::Demanded(_)
             | PeerMessage::ShareSet(_)
             | PeerMessage::ShareConfirmed(_)) => {
-                let step = addressed(message).map(|(_, step)| step);
-                self.work_off(step);
+                let step = role_and_step(message).map(|(_, step)| step);
+                self.run_steps(step);
             }
         }
     }
 
-    /// Withdraws what a peer waits for, and compares the permits that it holds with ours.
+    /// Withdraws the pending requests of a peer and compares the permits that it holds with ours.
     ///
-    /// The peer's requests have failed with the connection, and it asks again. A grant or a release
-    /// that was under way is lost: without the comparison its slot would stay pinned.
-    fn lost_connection(&mut self, from: InstanceId) {
+    /// The peer's requests failed with the connection, and the peer sends them again. A grant or a
+    /// release that was in flight is lost; without the comparison its adapter slot would stay
+    /// pinned.
+    fn handle_connection_loss(&mut self, from: InstanceId) {
         let mut steps = Vec::new();
         for (name, owned) in &mut self.targets {
             let gone = owned.waiting.extract_if(|_, reply| reply.is_gone());
@@ -143,7 +144,7 @@
                 Step::Owner(name.clone(), OwnerEvent::PermitReleased(released))
             }));
         }
-        self.work_off(steps);
+        self.run_steps(steps);
         self.compare_permits(&from);
         self.coordinate(CoordEvent::PeerLost(from));
     }
@@ -151,7 +152,7 @@
 
 fn respond(reply: Option<Reply<PeerMessage>>, answer: PeerMessage) {
     if let Some(reply) = reply {
-        // A peer that can't get its answer any more has learnt so by itself.
+        // If the answer can't be delivered, the peer has noticed the lost connection itself.
         drop(reply.send(answer));
     }
 }
--- a/crates/chervilshunt_daemon/src/control/probe.rs
+++ b/crates/chervilshunt_daemon/src/control/probe.rs
@@ -1,4 +1,4 @@
-//! Keeping in touch with targets and entry instances.
+//! Probes unreachable targets and compares permits with entry instances.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use xtra::prelude::*;
 
 use super::actor::Control;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 use super::steps::Step;
 
-/// The pause between two questions to a target that can't be reached.
+/// Pause between probes of an unreachable target.
 const PROBE_PAUSE: Duration = Duration::from_secs(1);
 
-/// An instance listed its permits for a comparison with ours.
+/// The permits that an instance reported, for comparison with those granted to it.
 #[derive(Debug)]
-struct Compared {
+struct PermitComparison {
     target: TargetName,
-    /// Permits that were out when the instance was asked.
-    asked: HashSet<AttemptId>,
-    /// Permits that it holds.
+    /// Permits that were granted to the instance when it was asked.
+    granted: HashSet<AttemptId>,
+    /// Permits that it reported.
     held: HashSet<AttemptId>,
 }
 
 impl Control {
-    /// Asks an instance which permits it holds, and takes back those that it does not know.
+    /// Asks an instance which permits it holds, and releases those that it does not report.
     pub(super) fn compare_permits(&self, instance: &InstanceId) {
         let Some(address) = self.address.clone() else {
             return;
@@ -35,20 +35,20 @@
                 .owner
                 .permits()
                 .filter(|permit| permit.entry == *instance);
-            let asked: HashSet<AttemptId> = ours.map(|permit| permit.attempt).collect();
-            if asked.is_empty() {
+            let granted: HashSet<AttemptId> = ours.map(|permit| permit.attempt).collect();
+            if granted.is_empty() {
                 continue;
             }
             let (cx, address) = (self.cx.clone(), address.clone());
             let (instance, target) = (instance.clone(), target.clone());
             tokio::spawn(async move {
-                if let Some(permits) = cx.held_by(&instance, &target).await {
+                if let Some(permits) = cx.permits_held_by(&instance, &target).await {
                     let held = permits.iter().map(|permit| permit.attempt).collect();
                     drop(
                         address
-                            .send(Compared {
+                            .send(PermitComparison {
                                 target,
-                                asked,
+                                granted,
                                 held,
                             })
                             .detach()
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Asks a target that can't be reached again and again, until it answers or is no longer ours.
+    /// Probes an unreachable target until it answers or this instance no longer owns it.
     pub(super) fn probe(&self, target: &TargetName) {
         let (Some(owned), Some(address)) = (self.targets.get(target), self.address.clone()) else {
             return;
@@ -73,8 +73,8 @@
                     return;
                 }
                 if let Ok(loaded) = client.inventory().await {
-                    let news = EngineNews::Inventory(loaded);
-                    drop(address.send(FromEngine { target, news }).detach().await);
+                    let update = EngineUpdate::Inventory(loaded);
+                    drop(address.send(FromEngine { target, update }).detach().await);
                     return;
                 }
             }
@@ -82,16 +82,16 @@
     }
 }
 
-impl Handler<Compared> for Control {
+impl Handler<PermitComparison> for Control {
     type Return = ();
 
-    async fn handle(&mut self, message: Compared, _cx: &mut xtra::Context<Self>) {
-        let Compared {
+    async fn handle(&mut self, message: PermitComparison, _cx: &mut xtra::Context<Self>) {
+        let PermitComparison {
             target,
-            asked,
+            granted,
             held,
         } = message;
-        let lost = asked.difference(&held).map(|attempt| {
+        let lost = granted.difference(&held).map(|attempt| {
             let released = ReleasedPermit {
                 attempt: *attempt,
                 target: target.clone(),
@@ -100,6 +100,6 @@
             Step::Owner(target.clone(), OwnerEvent::PermitReleased(released))
         });
         let steps: Vec<Step> = lost.collect();
-        self.work_off(steps);
+        self.run_steps(steps);
     }
 }
--- a/crates/chervilshunt_daemon/src/control/roles.rs
+++ b/crates/chervilshunt_daemon/src/control/roles.rs
@@ -1,4 +1,4 @@
-//! Beginning and ending roles of this instance.
+//! Starts and ends the roles of this instance, and updates them when peers or holders change.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,21 +12,22 @@
 use chervilshunt_model::{Epoch, InstanceId, SiteName, StoreName, Target, TargetName};
 
 use super::actor::Control;
-use super::messages::HeldBy;
+use super::messages::PermitReport;
 use super::owned::{OwnedTarget, is_draining};
 use super::steps::Step;
 use crate::routing::Routing;
 use crate::wire::PeerMessage;
 
-/// The time after which a turn to load of which nothing was heard is taken to be over; owners say
-/// each second that they use one.
+/// Time without a renewal after which a load turn is considered over. Owners renew their turns
+/// every second.
 const TURN_TIMEOUT: Duration = Duration::from_secs(4);
-/// The time that an instance has to list the permits it holds.
-const HELD_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause before an instance is asked again for the permits it holds.
-const HELD_PAUSE: Duration = Duration::from_millis(500);
+/// Timeout for asking an instance which permits it holds.
+const PERMIT_LIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause before an instance is asked again which permits it holds.
+const PERMIT_LIST_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl Control {
+    /// Starts a role; `ask` lists the instances to ask for the permits that they hold.
     pub(super) fn gain_role(
         &mut self,
         role: Role,
@@ -53,21 +54,21 @@
                 let reachable = OwnerEvent::SchedulerReachable(owned.scheduler_up);
                 self.targets.insert(name.clone(), owned);
                 let draining = OwnerEvent::Draining(self.is_draining(&name));
-                // `ask` names the others only. A permit that the previous owner granted to this
-                // instance pins its adapter all the same: without it the new owner would unload
-                // the adapter under a stream that its own instance relays.
+                // `ask` does not include this instance. Permits that the previous owner granted to
+                // this instance pin their adapters too; without them the new owner could unload an
+                // adapter while this instance relays a stream that uses it.
                 let own = OwnerEvent::PermitsHeld {
                     entry: self.cx.me().clone(),
                     permits: self.cx.held.of_target(&name),
                 };
-                self.work_off([
+                self.run_steps([
                     Step::Owner(name.clone(), own),
                     Step::Owner(name.clone(), reachable),
                     Step::Owner(name.clone(), draining),
                     Step::Owner(name.clone(), OwnerEvent::Tick),
                 ]);
-                self.ask_inventory(&name);
-                self.ask_held(&name, ask);
+                self.request_inventory(&name);
+                self.request_held_permits(&name, ask);
                 self.watch_engine(&name, epoch);
             }
             Role::LoadScheduler(store) => {
@@ -89,17 +90,19 @@
                     mechanisms,
                 };
                 self.allocators.insert(site, PowerAllocator::new(cfg, now));
-                self.powered.clear();
+                self.powered_targets.clear();
                 let steps = self.power_membership();
-                self.work_off(steps);
+                self.run_steps(steps);
             }
-            Role::ClaimKeeper(shard) => self.keep_claims(shard, epoch),
+            Role::ClaimKeeper(shard) => self.start_claim_keeper(shard, epoch),
             Role::Other(_) => {}
         }
     }
 
-    /// Stops acting under a role. Requests that wait are dropped, so that whoever asked is told at
-    /// once and asks the next holder.
+    /// Stops acting under a role.
+    ///
+    /// The reply channels of pending requests are dropped, so that requesters notice at once and
+    /// ask the next holder.
     pub(super) fn end_role(&mut self, role: &Role) {
         slog::info!(self.cx.log, "role ended"; "role" => %role);
         match role {
@@ -116,7 +119,7 @@
             return;
         };
         slog::info!(self.cx.log, "takeover complete"; "target" => %name);
-        self.work_off([Step::Owner(name.clone(), OwnerEvent::TakeoverComplete)]);
+        self.run_steps([Step::Owner(name.clone(), OwnerEvent::TakeoverComplete)]);
         self.confirm_share_again(name);
     }
 
@@ -129,19 +132,19 @@
         }
         let steps: Vec<Step> = match role {
             Role::Target(name) => self.owner_changed(name),
-            // A new scheduler knows of no turn: owners ask anew once it is back.
+            // A new scheduler knows no turns, so owners request theirs again once it is reachable.
             Role::LoadScheduler(store) => {
                 let mut steps = self.scheduler_lost(store);
-                steps.extend(self.review_schedulers());
+                steps.extend(self.update_scheduler_reachability());
                 steps
             }
             Role::PowerAllocator(_) | Role::ClaimKeeper(_) | Role::Other(_) => Vec::new(),
         };
-        self.work_off(steps);
+        self.run_steps(steps);
         self.publish();
     }
 
-    /// Has owners of a store's targets load without its scheduler.
+    /// Reports the load scheduler of a store as unreachable to the owners of its targets.
     fn scheduler_lost(&mut self, store: &StoreName) -> Vec<Step> {
         let up = self
             .targets
@@ -154,14 +157,14 @@
         .collect()
     }
 
-    /// Tells owners whose load scheduler can be reached again, or can't any more.
+    /// Reports to owners that their load scheduler has become reachable or unreachable.
     ///
-    /// A scheduler whose instance has died still holds its role until its lease has lapsed, and
-    /// throughout an outage of the platform. Owners that went on asking it for turns would load
-    /// nothing for as long, and requests for adapters that aren't loaded would run into their
-    /// deadlines. Loads without a scheduler stay within the store's rate, so a suspicion that turns
-    /// out to be wrong does no harm.
-    fn review_schedulers(&mut self) -> Vec<Step> {
+    /// A scheduler whose instance has crashed holds its role until its lease expires, and
+    /// throughout an outage of the platform. Owners that kept requesting turns from it would load
+    /// nothing during that time, and requests for adapters that are not loaded would exceed their
+    /// deadlines. Loads without a scheduler stay within the store's rate, so a wrong suspicion does
+    /// no harm.
+    fn update_scheduler_reachability(&mut self) -> Vec<Step> {
         let reachable = |owned: &OwnedTarget| {
             let role = Role::LoadScheduler(owned.target.store.clone());
             self.is_reachable(&role)
@@ -181,7 +184,8 @@
         steps.collect()
     }
 
-    /// A target's new owner starts with no share and no turn: both roles start over with it.
+    /// Returns the events that make the scheduler and the allocator of a target start over with its
+    /// new owner, which has no turns and no share.
     fn owner_changed(&mut self, name: &TargetName) -> Vec<Step> {
         let Some(target) = self.deployment.targets.get(name) else {
             return Vec::new();
@@ -192,12 +196,12 @@
             steps.push(Step::Scheduler(target.store.clone(), event));
         }
         if self.allocators.contains_key(&target.site) {
-            steps.push(joined(name, target));
+            steps.push(target_joined_event(name, target));
         }
         steps
     }
 
-    /// Returns the events that bring the allocators' lists of targets up to the configuration.
+    /// Returns the events that update the allocators' sets of targets to the configuration.
     pub(super) fn power_membership(&mut self) -> Vec<Step> {
         let wanted: HashMap<TargetName, SiteName> = self
             .deployment
@@ -207,7 +211,7 @@
             .map(|(name, target)| (name.clone(), target.site.clone()))
             .collect();
         let left = self
-            .powered
+            .powered_targets
             .iter()
             .filter(|(name, site)| wanted.get(*name) != Some(site));
         let mut steps: Vec<Step> = left
@@ -215,10 +219,10 @@
             .collect();
         let new = wanted
             .iter()
-            .filter(|(name, site)| self.powered.get(*name) != Some(site));
+            .filter(|(name, site)| self.powered_targets.get(*name) != Some(site));
         let targets = new.filter_map(|(name, _)| self.deployment.targets.get_key_value(name));
-        steps.extend(targets.map(|(name, target)| joined(name, target)));
-        self.powered = wanted;
+        steps.extend(targets.map(|(name, target)| target_joined_event(name, target)));
+        self.powered_targets = wanted;
         steps
     }
 
@@ -251,13 +255,14 @@
                 .map(move |target| Step::Owner(target.clone(), event()))
         });
         let mut steps: Vec<Step> = steps.collect();
-        steps.extend(self.review_schedulers());
-        self.work_off(steps);
+        steps.extend(self.update_scheduler_reachability());
+        self.run_steps(steps);
     }
 
-    /// Asks instances for the permits that they hold for a target, until each has answered or the
-    /// target has another owner.
-    pub(super) fn ask_held(&self, target: &TargetName, instances: &[InstanceId]) {
+    /// Asks instances for the permits that they hold for a target.
+    ///
+    /// Each is asked until it answers or is no longer live, or until the target has another owner.
+    pub(super) fn request_held_permits(&self, target: &TargetName, instances: &[InstanceId]) {
         let Some(address) = self.address.clone() else {
             return;
         };
@@ -265,8 +270,8 @@
             let (cx, target, address) = (self.cx.clone(), target.clone(), address.clone());
             tokio::spawn(async move {
                 loop {
-                    if let Some(permits) = cx.held_by(&instance, &target).await {
-                        let held = HeldBy {
+                    if let Some(permits) = cx.permits_held_by(&instance, &target).await {
+                        let held = PermitReport {
                             target,
                             instance,
                             permits,
@@ -274,7 +279,7 @@
                         drop(address.send(held).detach().await);
                         return;
                     }
-                    tokio::time::sleep(HELD_PAUSE).await;
+                    tokio::time::sleep(PERMIT_LIST_RETRY_PAUSE).await;
                     let routing = cx.routing.get();
                     let ours = routing.owners.get(&target) == Some(cx.me());
                     if !ours || !routing.peers.contains_key(&instance) {
@@ -312,13 +317,13 @@
             .collect()
     }
 
-    /// Returns whether a role has a holder that seems to be there.
+    /// Returns whether a role has a holder that is not suspected to be down.
     fn is_reachable(&self, role: &Role) -> bool {
         let holder = self.holders.get(role);
         holder.is_some_and(|(instance, _)| !self.suspects.contains(instance))
     }
 
-    /// Shows the traffic threads the control state as it is now.
+    /// Publishes the current routing state to the traffic threads.
     pub(super) fn publish(&self) {
         let claim_keepers = self
             .holders
@@ -351,11 +356,11 @@
     }
 }
 
-/// Returns the event by which an allocator learns of a target, or starts over with its new owner.
+/// Returns the event that adds a target to its allocator, or starts over with its new owner.
 ///
-/// The target may be drawing up to its full power until its owner says otherwise: to count less
-/// could pass the cap when an earlier owner's requests still run.
-fn joined(name: &TargetName, target: &Target) -> Step {
+/// The target counts with its full power until its owner confirms a share. Requests admitted by a
+/// previous owner may still be running, and counting less could exceed the site's cap.
+fn target_joined_event(name: &TargetName, target: &Target) -> Step {
     let full_watts = target.idle_watts + target.watts_per_sequence * f64::from(target.max_batch);
     let event = PowerEvent::TargetJoined {
         target: name.clone(),
@@ -367,8 +372,10 @@
 }
 
 impl super::context::Context {
-    /// Asks an instance, this one included, for the permits it holds for a target.
-    pub(super) async fn held_by(
+    /// Returns the permits that an instance, which may be this one, holds for a target.
+    ///
+    /// Returns `None` if the instance is not live or does not answer in time.
+    pub(super) async fn permits_held_by(
         &self,
         instance: &InstanceId,
         target: &TargetName,
@@ -378,7 +385,7 @@
         }
         let peer: Peer = self.peer(instance)?;
         let asked = PeerMessage::PermitsAsked(target.clone());
-        match self.mesh.request(&peer, asked, HELD_TIMEOUT).await {
+        match self.mesh.request(&peer, asked, PERMIT_LIST_TIMEOUT).await {
             Ok(PeerMessage::PermitsHeld(permits)) => Some(permits),
             Ok(_) | Err(_) => None,
         }
--- a/crates/chervilshunt_daemon/src/control/watch_engine.rs
+++ b/crates/chervilshunt_daemon/src/control/watch_engine.rs
@@ -1,4 +1,4 @@
-//! Reading what an engine reports of itself: its load and its prefix cache.
+//! Polls engines for their load and the events of their prefix caches.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -8,34 +8,39 @@
 use chervilshunt_model::{Epoch, TargetName};
 
 use super::actor::Control;
-use super::messages::{EngineNews, FromEngine};
+use super::messages::{EngineUpdate, FromEngine};
 
-/// The time between two looks at an engine.
+/// Interval between polls of an engine.
 ///
-/// The owner sees every request by its own permits, so reports only correct it, and a metrics page
-/// counts against the bytes that a node may spend on control; see `docs/CAPACITY.md`.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
-/// The most prefixes that are remembered of one engine; beyond it the memory starts anew, as events
-/// come with gaps and a forgotten removal would otherwise stay for ever.
-const MOST_PREFIXES: usize = 4_096;
+/// The owner counts requests by its own permits, so load reports only correct that count, and every
+/// metrics page counts against the control traffic budget of a node; see `docs/CAPACITY.md`.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of prefixes that are remembered for one engine.
+///
+/// The set is cleared when it is full. Events can be lost, and a prefix whose removal was missed
+/// would otherwise stay in the set forever.
+const MAX_PREFIXES: usize = 4_096;
 
-/// The prefixes that an engine seems to hold, by events that come late and with gaps.
+/// The prefixes that an engine has cached, according to events that arrive late and with gaps.
 #[derive(Debug, Default)]
-struct SeenPrefixes {
-    after: u64,
+struct CachedPrefixes {
+    /// Sequence number of the last event.
+    last_sequence: u64,
     cached: HashSet<u64>,
 }
 
-impl SeenPrefixes {
-    /// Takes in what happened since the last look; returns the prefixes now, if that could be asked.
-    async fn look(&mut self, client: &EngineClient) -> Option<Vec<u64>> {
-        let events = client.cache_events(self.after).await.ok()?;
+impl CachedPrefixes {
+    /// Applies the events since the last poll and returns the cached prefixes, or `None` if the
+    /// events could not be read.
+    async fn poll(&mut self, client: &EngineClient) -> Option<Vec<u64>> {
+        let events = client.cache_events(self.last_sequence).await.ok()?;
         for event in events {
-            // A lower number than the last one means that the engine has restarted, empty.
-            if event.sequence < self.after || self.cached.len() >= MOST_PREFIXES {
+            // A sequence number below the last one means that the engine restarted with an empty
+            // cache.
+            if event.sequence < self.last_sequence || self.cached.len() >= MAX_PREFIXES {
                 self.cached.clear();
             }
-            self.after = event.sequence;
+            self.last_sequence = event.sequence;
             match event.kind {
                 CacheEventKind::Stored => self.cached.insert(event.prefix),
                 CacheEventKind::Removed => self.cached.remove(&event.prefix),
@@ -46,7 +51,7 @@
 }
 
 impl Control {
-    /// Looks at an engine again and again while this instance owns it under `epoch`.
+    /// Polls an engine periodically while this instance owns it under `epoch`.
     pub(super) fn watch_engine(&self, target: &TargetName, epoch: Epoch) {
         let (Some(owned), Some(address)) = (self.targets.get(target), self.address.clone()) else {
             return;
@@ -56,17 +61,17 @@
         }
         let (client, target) = (owned.client.clone(), target.clone());
         tokio::spawn(async move {
-            let mut prefixes = SeenPrefixes::default();
+            let mut prefixes = CachedPrefixes::default();
             loop {
-                tokio::time::sleep(LOOK_EVERY).await;
-                let Some(news) = look(&client, epoch, &mut prefixes).await else {
+                tokio::time::sleep(POLL_INTERVAL).await;
+                let Some(update) = poll_engine(&client, epoch, &mut prefixes).await else {
                     continue;
                 };
-                let looked = FromEngine {
+                let polled = FromEngine {
                     target: target.clone(),
-                    news,
+                    update,
                 };
-                if !address.send(looked).await.unwrap_or(false) {
+                if !address.send(polled).await.unwrap_or(false) {
                     return;
                 }
             }
@@ -74,27 +79,28 @@
     }
 }
 
-/// Looks at an engine once; returns nothing if it answers but gives no report.
+/// Polls an engine once. Returns `None` if the engine answers but provides no load report.
 ///
-/// An engine that is gone or hangs fails no order as long as none is given, so that its owner would
-/// go on granting permits for it, each of which costs a caller a try or its whole deadline. Only
-/// one that answers neither question is lost: a page of metrics may be missing or malformed.
-async fn look(
+/// Without polling, an engine that has crashed or hangs would go unnoticed while no order is sent
+/// to it. Its owner would keep granting permits for it, each of which costs a caller an attempt or
+/// its whole deadline. An engine counts as unreachable only if the inventory call fails too, as its
+/// metrics page may be missing or malformed.
+async fn poll_engine(
     client: &EngineClient,
     epoch: Epoch,
-    prefixes: &mut SeenPrefixes,
-) -> Option<EngineNews> {
+    prefixes: &mut CachedPrefixes,
+) -> Option<EngineUpdate> {
     let Ok(report) = client.load_report().await else {
         let answers = client.inventory().await.is_ok();
-        return (!answers).then_some(EngineNews::Unreachable);
+        return (!answers).then_some(EngineUpdate::Unreachable);
     };
     let report = EngineReport {
         running: report.running,
         waiting: report.waiting,
-        age: report.age.unwrap_or(LOOK_EVERY),
+        age: report.age.unwrap_or(POLL_INTERVAL),
     };
-    let cached = prefixes.look(client).await;
-    Some(EngineNews::Looked {
+    let cached = prefixes.poll(client).await;
+    Some(EngineUpdate::Polled {
         epoch,
         report,
         cached,
--- a/crates/chervilshunt_daemon/src/control/watches.rs
+++ b/crates/chervilshunt_daemon/src/control/watches.rs
@@ -1,4 +1,4 @@
-//! Following the platform: configuration head, assignments and instance list.
+//! Watches the configuration head, the assignments and the instance list on the platform.
 
 use std::net::SocketAddr;
 
@@ -14,38 +14,44 @@
 use super::actor::Control;
 use super::platform_calls::to_stored;
 
-/// The service under which the instance list shows this system's own instances.
+/// The service name of this system's own instances in the instance list.
 const OWN_SERVICE: &str = "chervilshunt";
-/// The port names of an instance in the list.
+/// The name of the port for messages between instances.
 const PEERS_PORT: &str = "peers";
+/// The name of the port for operators.
 const OPERATORS_PORT: &str = "operators";
 
-/// A watch showed an object.
+/// A watch reported an object.
 #[derive(Debug)]
 pub(super) struct ObjectSeen(pub(super) StoredObject);
 
 /// The instance list has changed.
 #[derive(Debug)]
-pub(super) struct Listed {
+pub(super) struct InstanceListUpdate {
     /// This system's own instances.
     pub(super) instances: Vec<InstanceEntry>,
-    /// Targets that are leaving or don't serve.
+    /// Targets that take no new work, as they are leaving or not serving.
     pub(super) leaving: Vec<TargetName>,
 }
 
-/// Starts to follow the platform, until the actor is gone.
+/// Starts the watches of the platform, which run until the actor stops.
 pub(super) fn start(platform: &Platform, control: &Address<Control>) {
-    follow(platform, CONFIG_HEADS, ObjectKind::Head, control.clone());
-    follow(
+    watch_objects(platform, CONFIG_HEADS, ObjectKind::Head, control.clone());
+    watch_objects(
         platform,
         ASSIGNMENTS,
         ObjectKind::Assignment,
         control.clone(),
     );
-    follow_list(platform, control.clone());
+    watch_instance_list(platform, control.clone());
 }
 
-fn follow(platform: &Platform, resource: Resource, kind: ObjectKind, control: Address<Control>) {
+fn watch_objects(
+    platform: &Platform,
+    resource: Resource,
+    kind: ObjectKind,
+    control: Address<Control>,
+) {
     let mut events = platform.watch::<Value>(resource, Selector::all());
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
@@ -62,7 +68,7 @@
     });
 }
 
-fn follow_list(platform: &Platform, control: Address<Control>) {
+fn watch_instance_list(platform: &Platform, control: Address<Control>) {
     let mut events = platform.watch(ENDPOINT_SLICES, Selector::all());
     let platform = platform.clone();
     tokio::spawn(async move {
@@ -73,14 +79,14 @@
                 continue;
             }
             platform.set_fleet_size(list.of_service(&own).count());
-            if control.send(listed(&list)).await.is_err() {
+            if control.send(instance_list_update(&list)).await.is_err() {
                 return;
             }
         }
     });
 }
 
-fn listed(list: &InstanceList) -> Listed {
+fn instance_list_update(list: &InstanceList) -> InstanceListUpdate {
     let own = ServiceName::from(OWN_SERVICE);
     let instances = list.of_service(&own).filter_map(|instance| {
         let port = |name: &str| {
@@ -100,7 +106,7 @@
         .iter()
         .filter(|listed| listed.service != own && !listed.takes_new_work())
         .map(|target| TargetName::new(std::sync::Arc::clone(&target.name)));
-    Listed {
+    InstanceListUpdate {
         instances: instances.collect(),
         leaving: leaving.collect(),
     }
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -10,7 +10,9 @@
 use xtra::prelude::*;
 
 use super::tables::{Rows, Sources, Told};
-use crate::control::{AskFacts, Control, Propose, Proposed, Refused, RefusedKind};
+use crate::control::{
+    Control, GetFacts, ProposalOutcome, ProposalRefusal, ProposalRefusalKind, Propose,
+};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
@@ -121,18 +123,26 @@
         }
     }
 
-    fn of_change(refused: Refused, done: usize) -> Self {
+    fn of_change(refused: ProposalRefusal, done: usize) -> Self {
         let (r#type, status, outcome) = match refused.kind {
-            RefusedKind::Conflict => ("/problems/change_conflict", 409, StatementOutcome::NotRun),
-            RefusedKind::NotBegun => ("/problems/change_not_begun", 503, StatementOutcome::NotRun),
-            RefusedKind::GivenUp => ("/problems/change_given_up", 503, StatementOutcome::NotRun),
-            RefusedKind::Unknown => ("/problems/change_unknown", 503, StatementOutcome::Unknown),
+            ProposalRefusalKind::Conflict => {
+                ("/problems/change_conflict", 409, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::NotBegun => {
+                ("/problems/change_not_begun", 503, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::GivenUp => {
+                ("/problems/change_given_up", 503, StatementOutcome::NotRun)
+            }
+            ProposalRefusalKind::Unknown => {
+                ("/problems/change_unknown", 503, StatementOutcome::Unknown)
+            }
         };
         let title = match refused.kind {
-            RefusedKind::Conflict => "Conflict",
-            RefusedKind::NotBegun | RefusedKind::GivenUp | RefusedKind::Unknown => {
-                "Service Unavailable"
-            }
+            ProposalRefusalKind::Conflict => "Conflict",
+            ProposalRefusalKind::NotBegun
+            | ProposalRefusalKind::GivenUp
+            | ProposalRefusalKind::Unknown => "Service Unavailable",
         };
         Self {
             r#type,
@@ -188,10 +198,10 @@
                     let set = group.into_change_set(id.of_group(groups));
                     groups += 1;
                     match self.propose(set).await {
-                        Proposed::Accepted(accepted) => {
+                        ProposalOutcome::Accepted(accepted) => {
                             StatementResult::Accepted { accepted, changed }
                         }
-                        Proposed::Refused(refused) => {
+                        ProposalOutcome::Refused(refused) => {
                             return Err(Refusal::of_change(refused, done));
                         }
                     }
@@ -208,11 +218,11 @@
         })
     }
 
-    async fn propose(&self, set: chervilshunt_model::ChangeSet) -> Proposed {
+    async fn propose(&self, set: chervilshunt_model::ChangeSet) -> ProposalOutcome {
         // An instance that ends may have begun the change, and another then ends it.
         let stopped = || {
-            Proposed::Refused(Refused {
-                kind: RefusedKind::Unknown,
+            ProposalOutcome::Refused(ProposalRefusal {
+                kind: ProposalRefusalKind::Unknown,
                 detail: "the instance ended; ask another one, under the same id".to_owned(),
                 retry_after: Some(STOPPED_RETRY),
             })
@@ -240,7 +250,7 @@
     async fn ask_all(&self, table: Table, local: bool) -> (Vec<Told>, Vec<InstanceId>) {
         let mut told = Vec::new();
         let asked_at = Instant::now();
-        if let Ok(facts) = self.control.send(AskFacts).await {
+        if let Ok(facts) = self.control.send(GetFacts).await {
             told.push(Told { facts, asked_at });
         }
         if local {
--- a/crates/chervilshunt_daemon/src/shutdown.rs
+++ b/crates/chervilshunt_daemon/src/shutdown.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 use xtra::prelude::*;
 
-use crate::control::{Control, Leave, Left};
+use crate::control::{Control, EndLease, HandOverRoles};
 use crate::operators::Health;
 
 /// How long callers are still taken in after the instance has turned unready, so that a balancer
@@ -94,14 +94,14 @@
         self.health.stop();
         tokio::time::sleep(UNREADY_GRACE).await;
         slog::info!(self.log, "shutdown"; "step" => "giving roles away");
-        let given_away = self.control.send(Leave).await.ok();
+        let given_away = self.control.send(HandOverRoles).await.ok();
         if !ended_within(HANDOVER_BOUND, given_away).await {
             slog::warn!(self.log, "shutdown"; "step" => "roles were not taken over in time");
         }
         slog::info!(self.log, "shutdown"; "step" => "waiting for open requests");
         self.stop_callers.cancel();
         let drained = tokio::time::timeout(self.bound, self.callers).await;
-        let left = self.control.send(Left).await.ok();
+        let left = self.control.send(EndLease).await.ok();
         if !ended_within(LEAVE_BOUND, left).await {
             slog::warn!(self.log, "shutdown"; "step" => "the lease could not be given up");
         }
