--- a/crates/chervilshunt_daemon/src/args.rs
+++ b/crates/chervilshunt_daemon/src/args.rs
@@ -5,7 +5,7 @@
 use lexopt::{Arg, Parser};
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// What `--help` prints.
+/// The text that `--help` prints.
 pub const USAGE: &str = "\
 usage: chervilshuntd --settings FILE [--check]
        chervilshuntd --print-defaults
@@ -19,44 +19,44 @@
 SIGTERM shuts down gracefully: the instance turns unready, gives its roles to others and waits for
 every open answer. A second SIGTERM, or the end of limits.shutdown_ms, ends it at once.";
 
-/// The command line, understood.
+/// The parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Args {
     /// Print the usage.
     Help,
     /// Print the version.
     Version,
-    /// Print a settings file to start from.
+    /// Print a commented default settings file.
     PrintDefaults,
-    /// Run, or only check the settings.
+    /// Run the daemon, or only check its settings.
     Run {
-        /// The settings file.
+        /// The path of the settings file.
         settings: PathBuf,
-        /// Whether to stop after the check.
+        /// Whether to exit after the settings have been checked.
         check_only: bool,
     },
 }
 
-/// Why a command line can't be used.
+/// The reason why a command line was rejected.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum ArgsError {
-    /// An option is unknown or lacks its value.
+    /// An option is unknown or its value is missing.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What the parser said.
+        /// The parser's error.
         source: lexopt::Error,
     },
-    /// No settings file was named.
+    /// No settings file was given.
     #[snafu(display("name the settings file with --settings FILE"))]
     NoSettings,
 }
 
 impl Args {
-    /// Reads the command line.
+    /// Parses the command line.
     ///
     /// # Errors
-    /// Fails on an unknown option, a missing value, or a missing `--settings`.
+    /// Returns an error for an unknown option, a missing value, or a missing `--settings`.
     pub fn parse(mut parser: Parser) -> Result<Self, ArgsError> {
         let mut settings = None;
         let mut check_only = false;
--- a/crates/chervilshunt_daemon/src/lease_timing.rs
+++ b/crates/chervilshunt_daemon/src/lease_timing.rs
@@ -1,33 +1,34 @@
-//! The times that depend on how long a lease lasts.
+//! Timeouts and intervals that scale with the lease duration.
 
 use std::time::Duration;
 
 use chervilshunt_config::LeaseSettings;
 use chervilshunt_coord::{ElectorConfig, LeaseConfig, LeaseExtensionConfig, ObserverConfig};
 
-/// The lease for which the defaults of the coordination are laid out.
+/// The lease duration that the coordinator's default timings assume.
 const DEFAULT_DURATION: Duration = Duration::from_secs(15);
 
-/// Every time that has to fit the lease.
+/// All timings that have to match the lease duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LeaseTiming {
-    /// How the own lease is kept.
+    /// Timings of this instance's own lease.
     pub(crate) lease: LeaseConfig,
-    /// How the leases of others are watched.
+    /// Timings for observing the leases of other instances.
     pub(crate) observer: ObserverConfig,
-    /// How electors give their word in an outage.
+    /// Timings of an elector's promises during a platform outage.
     pub(crate) elector: ElectorConfig,
-    /// How the lease is extended in an outage.
+    /// Timings for extending the lease during a platform outage.
     pub(crate) hold: LeaseExtensionConfig,
 }
 
 impl LeaseTiming {
-    /// Lays the times out for a lease.
+    /// Derives all timings from the lease settings.
     ///
-    /// All keep their proportions. An observer that waited for less than the lease would let a
-    /// role be taken over while its holder still relies on it, so that a target had two owners;
-    /// one that waited for longer would leave the role without a holder. Promises that come after
-    /// the lease has run out can't carry it through an outage.
+    /// The default timings are scaled in proportion to the lease duration. If an observer waited
+    /// for less than the lease duration, a role could be taken over while its holder still relies
+    /// on it, and a target would have two owners; if it waited longer, the role would stay without
+    /// a holder. Promises that arrive after the lease has expired can't extend it through an
+    /// outage.
     pub(crate) fn new(settings: &LeaseSettings) -> Self {
         let ratio = settings.duration.as_secs_f64() / DEFAULT_DURATION.as_secs_f64();
         let scaled = |time: Duration| time.mul_f64(ratio);
--- a/crates/chervilshunt_daemon/src/lib.rs
+++ b/crates/chervilshunt_daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon chervilshuntd: actors and servers round the decisions.
+//! The chervilshuntd daemon: the actors and servers around the decision logic.
 //!
-//! One thread holds the control state (`control`), others carry traffic (`traffic`); operators
-//! have a port of their own (`operators`). The decisions themselves are in `chervilshunt_core`
-//! and `chervilshunt_coord`. See `docs/ARCHITECTURE.md`.
+//! One thread owns the control state (`control`), and others carry callers' requests (`traffic`).
+//! Operators have a separate port (`operators`). The decision logic itself is in
+//! `chervilshunt_core` and `chervilshunt_coord`. See `docs/ARCHITECTURE.md`.
 
 mod args;
 mod control;
--- a/crates/chervilshunt_daemon/src/main.rs
+++ b/crates/chervilshunt_daemon/src/main.rs
@@ -1,11 +1,11 @@
-//! The daemon's entry point: arguments, settings, exit codes.
+//! The daemon's entry point: arguments, settings and exit codes.
 
 use std::process::ExitCode;
 
 use chervilshunt_config::{Settings, print_defaults};
 use chervilshunt_daemon::{Args, USAGE, run};
 
-/// The exit code for arguments or settings that can't be used.
+/// The exit code for invalid arguments or settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting the daemon: ports, threads, actors, and their end.
+//! Starts and stops the daemon: ports, threads and actors.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,42 +28,45 @@
 use chervilshunt_engine::Engines;
 use chervilshunt_model::Clock;
 
-/// Messages that may wait for the control actor before senders wait too.
+/// The capacity of the control actor's mailbox; senders wait when it is full.
 const CONTROL_MAILBOX: usize = 8_192;
-/// How much rarer each role makes the list of all assignments: at 1,630 roles one in 38 minutes.
+/// The part that each role adds to the interval between full lists of the assignments; 1,630 roles
+/// give one list in 38 minutes.
 ///
-/// It is there for events that a watch never told. The daemon's watches look for those themselves,
-/// by names and versions and every 19 s at 370 instances, so that the list is a second net under
-/// the first; at 218 KB a list it would take an eighth of an instance's bytes, were it as frequent
-/// as for those who embed the coordinator without such watches. See `docs/CAPACITY.md`.
+/// The list finds events that a watch failed to deliver. The daemon's watches already check for
+/// those themselves, by comparing names and versions every 19 s at 370 instances, so the list is
+/// only a second safeguard. A list takes 218 KB; at the interval that embedders of the coordinator
+/// without such watches use, it would take an eighth of an instance's byte budget. See
+/// `docs/CAPACITY.md`.
 const ASSIGNMENT_LIST_LATER_BY_ROLE: Duration = Duration::from_millis(1_400);
-/// Upper bounds of the buckets of latency histograms, in seconds.
+/// Upper bounds of the latency histogram buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Why the daemon could not run, or did not end as it should.
+/// The reason why the daemon could not start, or did not shut down gracefully.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum RunError {
-    /// It could not start.
+    /// The daemon could not start.
     #[snafu(display("{source}"), context(false))]
     Start {
-        /// Why not.
+        /// The underlying error.
         source: StartError,
     },
     /// The shutdown was not graceful.
     #[snafu(display("{source}"))]
     Stopped {
-        /// Why not.
+        /// The underlying error.
         source: ShutdownError,
     },
 }
 
-/// Runs an instance until it has been told to shut down and has done so.
+/// Runs an instance until it has received a shutdown signal and has shut down.
 ///
 /// # Errors
-/// Fails if a port or thread can't be had, or if open requests had to be cut off at the end.
+/// Returns an error if a port can't be bound or a thread can't be started, or if open requests had
+/// to be aborted during the shutdown.
 pub fn run(settings: Settings) -> Result<(), RunError> {
     let (log, _flushed_on_drop) = start_log(&settings);
     let metrics = install_metrics(&LATENCY_BUCKETS)?;
@@ -97,8 +100,8 @@
 ) -> Result<(), RunError> {
     let mut signals = Signals::listen().context(StoppedSnafu)?;
     let clock = Clock::boot();
-    // Unbounded, the system would hold megabytes for a caller that does not read, and the engine
-    // would generate them ahead.
+    // Without a bound on the send buffer, the kernel would hold megabytes for a caller that does
+    // not read, and the engine would generate that much ahead of it.
     let send_buffer = Some(settings.limits.stream_buffer_bytes);
     let callers = listen(settings.addresses.callers, "callers", send_buffer)?;
     let operators = listen(settings.addresses.operators, "operators", None)?;
@@ -236,7 +239,7 @@
     Coordinator::new(cfg, cx.now())
 }
 
-/// Starts the control thread with its actor.
+/// Starts the control thread and its actor.
 fn start_control(control: Control) -> Result<Address<Control>, StartError> {
     let (address, mailbox) = Mailbox::bounded(CONTROL_MAILBOX);
     let begin = address.clone();
--- a/crates/chervilshunt_daemon/src/shutdown.rs
+++ b/crates/chervilshunt_daemon/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown: unready, without roles, without open requests, gone.
+//! Graceful shutdown: become unready, hand over roles, drain open requests, give up the lease.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
 use crate::control::{Control, Leave, Left};
 use crate::operators::Health;
 
-/// How long callers are still taken in after the instance has turned unready, so that a balancer
-/// that has not noticed yet gets no refusal.
+/// How long new connections are still accepted after the instance has become unready, so that a
+/// load balancer that has not noticed yet sees no refused connections.
 const UNREADY_GRACE: Duration = Duration::from_secs(3);
-/// How long the instance waits for others to take its roles over.
+/// The maximum wait for other instances to take over this instance's roles.
 const HANDOVER_BOUND: Duration = Duration::from_secs(10);
-/// How long the instance waits to give up its lease.
+/// The maximum wait for the lease to be given up.
 const LEAVE_BOUND: Duration = Duration::from_secs(5);
 
-/// Why a shutdown was not graceful.
+/// The reason why a shutdown was not graceful.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ShutdownError {
-    /// The process can't be told to shut down.
+    /// The handlers for shutdown signals could not be installed.
     #[snafu(display("can't listen for signals: {source}"))]
     Signals {
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A second signal came.
-    #[snafu(display("a second signal ended the shutdown; open requests were cut off"))]
+    /// A second signal arrived during the shutdown.
+    #[snafu(display("a second signal ended the shutdown; open requests were aborted"))]
     Forced,
-    /// Requests were open when the bound had passed.
-    #[snafu(display("requests were still open after limits.shutdown_ms; they were cut off"))]
+    /// Requests were still open when the time limit expired.
+    #[snafu(display("requests were still open after limits.shutdown_ms; they were aborted"))]
     OutOfTime,
 }
 
-/// The signals that ask for a shutdown.
+/// The signals that start a shutdown.
 #[derive(Debug)]
 pub(crate) struct Signals {
     term: Signal,
@@ -47,7 +47,7 @@
 }
 
 impl Signals {
-    /// Begins to listen.
+    /// Installs the signal handlers.
     pub(crate) fn listen() -> Result<Self, ShutdownError> {
         let term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
         let interrupt = signal(SignalKind::interrupt()).context(SignalsSnafu)?;
@@ -63,25 +63,25 @@
     }
 }
 
-/// The parts that a shutdown has to end.
+/// The components that a shutdown stops.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
-    /// The log.
+    /// The logger.
     pub(crate) log: Logger,
-    /// What `/readyz` answers from.
+    /// The readiness state behind `/readyz`.
     pub(crate) health: Health,
-    /// The control state.
+    /// The control actor.
     pub(crate) control: Address<Control>,
-    /// Stops taking in callers.
+    /// Stops accepting callers' connections.
     pub(crate) stop_callers: CancellationToken,
-    /// Ends when every open request has ended.
+    /// Completes when all callers' connections have ended.
     pub(crate) callers: JoinHandle<()>,
-    /// How long open requests are waited for.
+    /// The maximum wait for open requests.
     pub(crate) bound: Duration,
 }
 
 impl Shutdown {
-    /// Shuts down, unless another signal comes first.
+    /// Shuts down gracefully; another signal aborts the wait.
     pub(crate) async fn run(self, signals: &mut Signals) -> Result<(), ShutdownError> {
         tokio::select! {
             result = self.gracefully() => result,
