--- a/crates/chervilshunt_daemon/src/facts.rs
+++ b/crates/chervilshunt_daemon/src/facts.rs
@@ -1,4 +1,5 @@
-//! What one instance knows of its own roles, for operators' questions about the whole deployment.
+//! The state of an instance's roles, as it reports it for operators' queries over the whole
+//! deployment.
 
 use std::time::Duration;
 
@@ -10,122 +11,124 @@
 use chervilshunt_query::Table;
 use serde::{Deserialize, Serialize};
 
-/// One instance's state at one moment.
+/// A snapshot of one instance's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct InstanceFacts {
-    /// The instance.
+    /// The id of the instance.
     pub(crate) instance: InstanceId,
     /// Its availability zone.
     pub(crate) zone: ZoneName,
     /// Its region.
     pub(crate) region: RegionName,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub(crate) takes_work: bool,
     /// Whether it is shutting down.
     pub(crate) stopping: bool,
-    /// The revision of the configuration that it has in force.
+    /// The revision of the configuration that is in force on it.
     pub(crate) revision: Revision,
-    /// The roles that it holds, as text.
+    /// The roles that it holds, in their text form.
     pub(crate) roles: Vec<String>,
     /// The targets that it owns.
     pub(crate) targets: Vec<TargetFacts>,
-    /// The load schedulers that it runs.
+    /// The load schedulers that run on it.
     pub(crate) schedulers: Vec<SchedulerFacts>,
-    /// The power allocators that it runs.
+    /// The power allocators that run on it.
     pub(crate) allocators: Vec<AllocatorFacts>,
-    /// The changes of configuration of late.
+    /// Recent configuration changes.
     pub(crate) changes: ChangesFacts,
 }
 
-/// The changes of configuration that one instance knows of.
+/// The configuration changes that one instance knows of.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ChangesFacts {
-    /// The generation of the configuration's head that it has seen; a higher one is newer.
+    /// The newest generation of the configuration head that the instance has read.
     pub(crate) generation: u64,
-    /// The change under way.
+    /// The change that is in progress, if any.
     pub(crate) pending: Option<ChangeId>,
-    /// The outcomes of the latest changes, oldest first: none for one that was given up.
+    /// The outcomes of recent changes, oldest first: the revision of an accepted change, or none for
+    /// an abandoned one.
     pub(crate) outcomes: Vec<(ChangeId, Option<Revision>)>,
-    /// The objects changed by the latest changes that were proposed at the instance.
+    /// For recent changes that were proposed through this instance, the number of changed objects.
     pub(crate) changed: Vec<(ChangeId, usize)>,
 }
 
-/// One target as its owner sees it.
+/// The state of one target as reported by its owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TargetFacts {
-    /// The target.
+    /// The name of the target.
     pub(crate) target: TargetName,
-    /// The fencing number under which it is owned.
+    /// The fencing number of its current ownership.
     pub(crate) epoch: Epoch,
-    /// Whether it answered last time.
+    /// Whether it answered the owner's last call.
     pub(crate) reachable: bool,
-    /// Permits that are out.
+    /// The number of permits in use.
     pub(crate) running: usize,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub(crate) waiting: usize,
-    /// Its share of power, in watts.
+    /// Its share of the site's power, in watts.
     pub(crate) share_watts: f64,
-    /// Adapter versions in its slots, on their way, or waited for.
+    /// Adapter versions that are in its slots, are being loaded or unloaded, or are waited for.
     pub(crate) adapters: Vec<AdapterFacts>,
-    /// Permits that are out, one by one.
+    /// The permits in use.
     pub(crate) permits: Vec<PermitFacts>,
 }
 
-/// One adapter version at a target.
+/// The state of one adapter version on a target.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct AdapterFacts {
     /// The adapter version.
     pub(crate) model: AdapterVersion,
-    /// Its state there.
+    /// Its state on the target.
     pub(crate) state: AdapterState,
-    /// Requests that wait for it.
+    /// The number of requests that wait for it.
     pub(crate) waiters: usize,
-    /// The class of the most urgent of them.
+    /// The class of the most urgent waiting request.
     pub(crate) class: Option<Class>,
-    /// How long its load has been wanted, in milliseconds.
+    /// The time since its load was requested, in milliseconds.
     pub(crate) waited_ms: Option<u64>,
 }
 
-/// One permit that is out.
+/// One permit in use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct PermitFacts {
-    /// The try.
+    /// The attempt that the permit was granted to.
     pub(crate) attempt: AttemptId,
     /// The adapter version.
     pub(crate) model: Option<AdapterVersion>,
-    /// The class.
+    /// The class of the request.
     pub(crate) class: Class,
-    /// The instance that uses it.
+    /// The entry instance that holds the permit.
     pub(crate) entry: InstanceId,
-    /// The time since its grant, in milliseconds.
+    /// The time since the permit was granted, in milliseconds.
     pub(crate) held_ms: u64,
 }
 
-/// One load scheduler.
+/// The state of one load scheduler.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct SchedulerFacts {
     /// The weight store.
     pub(crate) store: StoreName,
-    /// Loads that have their turn.
+    /// The number of loads that have been granted a turn.
     pub(crate) in_progress: usize,
-    /// Loads that wait for their turn.
+    /// The number of loads that wait for a turn.
     pub(crate) waiting: usize,
 }
 
-/// One power allocator.
+/// The state of one power allocator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct AllocatorFacts {
     /// The site.
     pub(crate) site: SiteName,
-    /// The sum of shares that are kept or may still be drawn, in watts.
+    /// The sum of all shares that are confirmed or may still be drawn, in watts.
     pub(crate) committed_watts: f64,
 }
 
 impl InstanceFacts {
-    /// Leaves out what a table does not show.
+    /// Removes everything that the given table does not show.
     ///
-    /// An instance in full load knows some tens of kilobytes, most of it permits and adapters; told
-    /// by 369 others for each question that is more than an hour's worth of control traffic.
+    /// The full state of an instance under full load takes some tens of kilobytes, mostly permits
+    /// and adapters. If 369 other instances sent all of it for each query, a single query would
+    /// cost more than an hour's worth of control traffic.
     pub(crate) fn shown_by(mut self, table: Table) -> Self {
         let shows = |tables: &[Table]| tables.contains(&table);
         if !shows(&[
@@ -185,7 +188,7 @@
     }
 }
 
-/// Returns whole milliseconds, for the wire.
+/// Converts a duration to whole milliseconds, saturating at `u64::MAX`.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/chervilshunt_daemon/src/keyed.rs
+++ b/crates/chervilshunt_daemon/src/keyed.rs
@@ -1,4 +1,4 @@
-//! The keyed tries that this process runs or has run, for claim keepers that ask after them.
+//! The state of the keyed attempts of this process, which claim keepers query after a takeover.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,14 +6,14 @@
 use chervilshunt_coord::ClaimOutcome;
 use chervilshunt_model::AttemptId;
 
-/// The most tries that are remembered after their end.
+/// The number of ended attempts that are kept.
 const REMEMBERED: usize = 50_000;
 
-/// The keyed tries of this process.
+/// The attempts of this process to run requests with an idempotency key.
 ///
-/// A keeper that took over reads in its log that a try was claimed, not how it ended. This process
-/// can say so, and of a try that it never heard of it can say that it did not run: that is true as
-/// long as it has forgotten none.
+/// A claim keeper that took over a shard finds in its log that an attempt was claimed, but not how
+/// it ended, and asks the process that made the attempt. An attempt that is not recorded here did
+/// not run, as long as no ended attempt has been discarded; after that its outcome is unknown.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyedTries(Arc<Mutex<Tries>>);
 
@@ -24,22 +24,22 @@
     forgot: bool,
 }
 
-/// What is known of a try.
+/// The state of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TryState {
-    /// It runs.
+    /// The attempt has not ended.
     Running,
-    /// It has ended like this.
+    /// The attempt has ended with this outcome.
     Ended(ClaimOutcome),
 }
 
 impl KeyedTries {
-    /// Notes a try, before its claim is asked for.
+    /// Records an attempt; called before its claim is requested.
     pub(crate) fn begin(&self, attempt: AttemptId) {
         self.lock().running.insert(attempt);
     }
 
-    /// Notes how a try ended.
+    /// Records the outcome of an attempt.
     pub(crate) fn end(&self, attempt: AttemptId, outcome: ClaimOutcome) {
         let mut tries = self.lock();
         tries.running.remove(&attempt);
@@ -50,7 +50,7 @@
         tries.ended.insert(attempt, outcome);
     }
 
-    /// Returns what became of a try.
+    /// Returns the state of an attempt.
     pub(crate) fn state(&self, attempt: AttemptId) -> TryState {
         let tries = self.lock();
         if tries.running.contains(&attempt) {
--- a/crates/chervilshunt_daemon/src/routing.rs
+++ b/crates/chervilshunt_daemon/src/routing.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads know of the control state: one immutable snapshot at a time.
+//! The immutable snapshot of the control state that the traffic threads read.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use chervilshunt_mesh::Peer;
 use chervilshunt_model::{Deployment, InstanceId, Moment, TargetName};
 
-/// The control state as of one moment; the control thread replaces it whole.
+/// A snapshot of the control state. The control thread replaces it as a whole.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Routing {
     /// The configuration in force.
     pub(crate) deployment: Arc<Deployment>,
-    /// The instance that owns each target.
+    /// The owner of each target.
     pub(crate) owners: HashMap<TargetName, InstanceId>,
-    /// The instance that keeps the claims of each shard.
+    /// The claim keeper of each shard.
     pub(crate) claim_keepers: HashMap<u32, InstanceId>,
-    /// This run of this instance; none before it has begun.
+    /// The incarnation of this instance's current run; none until the control actor has started.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Where each live instance listens for peers.
+    /// The peer address of each live instance.
     pub(crate) peers: HashMap<InstanceId, SocketAddr>,
-    /// Targets that the instance list shows as leaving.
+    /// Targets that the instance list marks as leaving.
     pub(crate) leaving: Arc<HashSet<TargetName>>,
 }
 
@@ -37,38 +37,39 @@
     }
 }
 
-/// The snapshot in force, shared by control and traffic threads.
+/// The current snapshot, shared by the control and traffic threads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedRouting(Arc<Shared>);
 
 #[derive(Debug, Default)]
 struct Shared {
     routing: ArcSwap<Routing>,
-    /// Until when new work may be taken, in microseconds of the process's clock; 0 for not at all.
+    /// The time until which new work may be accepted, in microseconds of the process's clock; 0 if
+    /// none may be accepted.
     takes_work_until: AtomicU64,
 }
 
 impl SharedRouting {
-    /// Returns the snapshot in force.
+    /// Returns the current snapshot.
     pub(crate) fn get(&self) -> Arc<Routing> {
         self.0.routing.load_full()
     }
 
-    /// Puts a new snapshot in force.
+    /// Replaces the snapshot.
     pub(crate) fn set(&self, routing: Routing) {
         self.0.routing.store(Arc::new(routing));
     }
 
-    /// Says until when new work may be taken.
+    /// Sets the time until which new work may be accepted.
     pub(crate) fn set_takes_work_until(&self, until: Option<Moment>) {
         let micros = until.map_or(0, Moment::as_micros);
         self.0.takes_work_until.store(micros, Ordering::Release);
     }
 
-    /// Returns whether new work may be taken now.
+    /// Returns whether new work may be accepted now.
     ///
-    /// It is a point in time and not a flag: a process that was paused wakes up with its flags as
-    /// they were, and would take work under a configuration that others have replaced meanwhile.
+    /// The state is a deadline and not a flag: a flag would survive a pause of the process, which
+    /// would then accept work under a configuration that other instances have since replaced.
     pub(crate) fn takes_work(&self, now: Moment) -> bool {
         now.as_micros() < self.0.takes_work_until.load(Ordering::Acquire)
     }
--- a/crates/chervilshunt_daemon/src/wire.rs
+++ b/crates/chervilshunt_daemon/src/wire.rs
@@ -1,6 +1,6 @@
-//! What instances say to each other.
+//! The messages that instances exchange.
 //!
-//! Variants and members have short names on the wire, as the control path has a byte budget; see
+//! Variants have short names on the wire, because the control path has a byte budget; see
 //! `docs/CAPACITY.md`.
 
 use chervilshunt_coord::{
@@ -21,71 +21,71 @@
 /// One message between instances.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Asks a target's owner for a permit; answered by `PermitAnswered`.
+    /// Requests a permit from a target's owner; answered by `PermitAnswered`.
     #[serde(rename = "p")]
     PermitAsked(CompactRequest),
-    /// Answers a request for a permit.
+    /// Answers a permit request.
     #[serde(rename = "a")]
     PermitAnswered(CompactAnswer),
-    /// Gives a permit back; answered by `Done`.
+    /// Releases a permit; answered by `Done`.
     #[serde(rename = "r")]
     PermitReleased(ReleasedPermit),
-    /// Asks which permits of a target the receiver holds; answered by `PermitsHeld`.
+    /// Requests the permits that the receiver holds for a target; answered by `PermitsHeld`.
     #[serde(rename = "h")]
     PermitsAsked(TargetName),
-    /// Lists the permits held for a target.
+    /// Lists the permits that the sender holds for a target.
     #[serde(rename = "i")]
     PermitsHeld(Vec<Permit>),
-    /// To a load scheduler: an owner wants to load.
+    /// To a load scheduler: an owner requests a turn to load.
     #[serde(rename = "t")]
     TurnAsked(TurnAsked),
-    /// To a load scheduler that is new: a turn that an earlier one granted.
+    /// To a new load scheduler: a turn that an earlier one granted and that is still in use.
     #[serde(rename = "l")]
     TurnHeld(TurnHeld),
-    /// To a load scheduler: a turn is over.
+    /// To a load scheduler: a turn has ended.
     #[serde(rename = "e")]
     TurnEnded(TurnEnded),
-    /// To an owner: it may load now.
+    /// To an owner: a turn is granted, and the load may start.
     #[serde(rename = "g")]
     TurnGranted(TurnGranted),
-    /// To a power allocator: what an owner's target draws and could use.
+    /// To a power allocator: the power that an owner's target could use.
     #[serde(rename = "d")]
     Demanded(Demanded),
-    /// To an owner: its share of power.
+    /// To an owner: the power share of its target.
     #[serde(rename = "s")]
     ShareSet(Share),
-    /// To a power allocator: a share is kept from now on.
+    /// To a power allocator: the owner complies with its share from now on.
     #[serde(rename = "c")]
     ShareConfirmed(Share),
-    /// Asks an instance what it knows of its roles, as far as a table shows it; answered by `Facts`.
+    /// Requests the state of the receiver's roles, as far as a table shows it; answered by `Facts`.
     #[serde(rename = "q")]
     FactsAsked(Table),
-    /// What an instance knows of its roles, as far as it was asked.
+    /// The requested state of the sender's roles.
     #[serde(rename = "f")]
     Facts(Box<InstanceFacts>),
-    /// Asks a claim keeper for a claim; answered by `ClaimAnswered`.
+    /// Requests a claim from a claim keeper; answered by `ClaimAnswered`.
     #[serde(rename = "m")]
     ClaimAsked(ClaimRequest),
-    /// Answers a request for a claim.
+    /// Answers a claim request.
     #[serde(rename = "w")]
     ClaimAnswered(ClaimAnswer),
-    /// To a claim keeper: how a claimed try ended; answered by `Done`.
+    /// To a claim keeper: the outcome of a claimed attempt; answered by `Done`.
     #[serde(rename = "x")]
     ClaimEnded(ClaimEnded),
-    /// To the run of an instance that a claimed try was granted to: what became of it?
+    /// Requests the outcome of a claimed attempt from the incarnation that it was granted to.
     #[serde(rename = "y")]
     TryAsked(Incarnation, TryAsked),
-    /// Asks whether the receiver has this revision, or a later one, in force; answered by `Done` or
+    /// Asks whether this revision or a later one is in force on the receiver; answered by `Done` or
     /// `NotHolder`.
     #[serde(rename = "v")]
     InForceAsked(Revision),
-    /// Between the coordinators of two instances.
+    /// A message between the coordinators of two instances.
     #[serde(rename = "o")]
     Coord(CoordMessage<ChangeSet>),
-    /// Answers a message that needs no other answer.
+    /// Acknowledges a message that has no specific answer.
     #[serde(rename = "k")]
     Done,
-    /// Answers a message that the receiver can't act on now, as it does not hold the role.
+    /// Answers a message that the receiver can't handle now, because it does not hold the role.
     #[serde(rename = "n")]
     NotHolder,
 }
@@ -110,27 +110,27 @@
     }
 }
 
-/// How a claimed try ended.
+/// The outcome of a claimed attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ClaimEnded {
-    /// The key.
+    /// The claimed key.
     pub(crate) key: ClaimKey,
-    /// The try.
+    /// The attempt.
     pub(crate) attempt: AttemptId,
-    /// How it ended.
+    /// The outcome.
     pub(crate) outcome: ClaimOutcome,
 }
 
-/// A claimed try that its keeper asks after.
+/// A claim keeper's query for the outcome of a claimed attempt.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct TryAsked {
-    /// The key.
+    /// The claimed key.
     pub(crate) key: ClaimKey,
-    /// The try.
+    /// The attempt.
     pub(crate) attempt: AttemptId,
 }
 
-/// An owner's wish to load.
+/// An owner's request for a turn to load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TurnAsked {
     /// The weight store.
@@ -139,13 +139,13 @@
     pub(crate) target: TargetName,
     /// The owner's id for the turn.
     pub(crate) order: OrderId,
-    /// The adapter version.
+    /// The adapter version to load.
     pub(crate) model: AdapterVersion,
-    /// How badly it is needed.
+    /// The urgency of the load.
     pub(crate) urgency: LoadUrgency,
 }
 
-/// A turn that an earlier load scheduler granted.
+/// A turn that was granted by an earlier load scheduler.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TurnHeld {
     /// The weight store.
@@ -154,7 +154,7 @@
     pub(crate) target: TargetName,
     /// The owner's id for the turn.
     pub(crate) order: OrderId,
-    /// The adapter version.
+    /// The adapter version to load.
     pub(crate) model: AdapterVersion,
 }
 
@@ -167,42 +167,42 @@
     pub(crate) target: TargetName,
     /// The owner's id for the turn.
     pub(crate) order: OrderId,
-    /// How it ended.
+    /// The result of the load.
     pub(crate) result: TurnResult,
 }
 
-/// A turn to load.
+/// The grant of a turn to load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TurnGranted {
     /// The target that loads.
     pub(crate) target: TargetName,
     /// The owner's id for the turn.
     pub(crate) order: OrderId,
-    /// How long a load asked for now would wait for its turn, in milliseconds.
+    /// The expected wait of a load that is requested now, in milliseconds.
     pub(crate) queue_wait_ms: u64,
 }
 
-/// What a target draws and could use.
+/// The power that a target could use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Demanded {
-    /// The site.
+    /// The name of the site.
     pub(crate) site: SiteName,
-    /// The target.
+    /// The name of the target.
     pub(crate) target: TargetName,
-    /// Power for live work, in watts.
+    /// The power needed for live work, in watts.
     pub(crate) live_watts: f64,
-    /// Power for deferrable work beside it, in watts.
+    /// The power needed for deferrable work in addition, in watts.
     pub(crate) deferrable_watts: f64,
 }
 
 /// A target's share of its site's power, as set or confirmed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Share {
-    /// The site.
+    /// The name of the site.
     pub(crate) site: SiteName,
-    /// The target.
+    /// The name of the target.
     pub(crate) target: TargetName,
-    /// The number of the share.
+    /// The sequence number of the share.
     pub(crate) sequence: u64,
     /// The share, in watts.
     pub(crate) watts: f64,
