--- a/crates/chervilshunt_daemon/src/operators/health.rs
+++ b/crates/chervilshunt_daemon/src/operators/health.rs
@@ -1,4 +1,4 @@
-//! Whether the process lives and whether it takes new work.
+//! Readiness and shutdown state, for the health endpoints.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,7 +6,7 @@
 use crate::routing::SharedRouting;
 use chervilshunt_model::Clock;
 
-/// What `/healthz` and `/readyz` answer from.
+/// The state behind `/healthz` and `/readyz`.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     stopping: Arc<AtomicBool>,
@@ -15,7 +15,7 @@
 }
 
 impl Health {
-    /// Starts out of work: the instance is ready once its routing says so.
+    /// Creates the state; the instance becomes ready once its routing allows new work.
     pub(crate) fn new(routing: SharedRouting, clock: Clock) -> Self {
         Self {
             stopping: Arc::default(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Turns unready for good.
+    /// Makes the instance unready for the rest of the process's life.
     pub(crate) fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
@@ -34,7 +34,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Returns whether the balancer should send callers here.
+    /// Returns whether the load balancer should send callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.routing.takes_work(self.clock.now())
     }
--- a/crates/chervilshunt_daemon/src/operators/mod.rs
+++ b/crates/chervilshunt_daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' port: statements, metrics, health.
+//! The operators' port: statements, metrics and health checks.
 
 mod health;
 mod server;
--- a/crates/chervilshunt_daemon/src/operators/server.rs
+++ b/crates/chervilshunt_daemon/src/operators/server.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP server.
+//! The HTTP server of the operators' port.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use super::health::Health;
 use super::statements::{Refusal, Statements};
 
-/// The longest body of a statement request, in bytes: a script that creates 3,000 adapters fits.
+/// The maximum body size of a statement request, in bytes; a script that creates 3,000 adapters
+/// fits.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// The time in which a request's head has to arrive.
+/// The time limit for receiving a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The time in which a request's body has to arrive.
+/// The time limit for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What the operators' port answers from.
+/// The state that the handlers of the operators' port use.
 #[derive(Clone, Debug)]
 pub(crate) struct Operators {
-    /// Whether the process is ready.
+    /// Readiness and shutdown state.
     pub(crate) health: Health,
-    /// The statements' part.
+    /// Runs operators' statements.
     pub(crate) statements: Statements,
-    /// The metrics.
+    /// Renders the metrics.
     pub(crate) metrics: PrometheusHandle,
-    /// The log.
+    /// The logger.
     pub(crate) log: slog::Logger,
 }
 
-/// Serves operators until `stop` is cancelled.
+/// Serves the operators' port until `stop` is cancelled.
 pub(crate) async fn serve_operators(
     listener: TcpListener,
     operators: Operators,
@@ -80,7 +81,7 @@
             (&Method::POST, "/v1/statements") => self.statements(req).await,
             _ => text(
                 StatusCode::NOT_FOUND,
-                "there are POST /v1/statements and GET /metrics, /healthz, /readyz\n",
+                "not found; use POST /v1/statements or GET /metrics, /healthz, /readyz\n",
             ),
         }
     }
@@ -90,7 +91,7 @@
         let body = match tokio::time::timeout(BODY_TIMEOUT, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) | Err(_) => {
-                let detail = "the body broke off, came too slowly, or is longer than 8 MiB";
+                let detail = "the body was truncated, arrived too slowly, or is longer than 8 MiB";
                 return refused(&Refusal::malformed(detail.to_owned()));
             }
         };
@@ -111,7 +112,7 @@
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut res = json(status, "application/problem+json", refusal);
     if let Some(after) = refusal.retry_after {
-        // Whole seconds, rounded up: coming back earlier would meet the same refusal.
+        // Whole seconds, rounded up: an earlier retry would be refused again.
         let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
         res.headers_mut()
             .insert(header::RETRY_AFTER, HeaderValue::from(seconds.max(1)));
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -1,4 +1,4 @@
-//! Operators' statements: questions to the whole deployment, and changes.
+//! Operators' statements: queries over the whole deployment, and configuration changes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,23 +14,24 @@
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
-/// The time that an instance has to answer a question.
+/// The time limit for an instance's answer to a query.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to ask another instance about a change that this one can't end.
+/// The retry delay for a change that was interrupted because this instance stopped.
 const STOPPED_RETRY: Duration = Duration::from_secs(1);
-/// Instances that are asked at a time, so that a question does not open 370 connections at once.
+/// The number of instances that are queried concurrently, so that one query does not open 370
+/// connections at once.
 const ASKED_AT_A_TIME: usize = 32;
 
-/// Answers operators' statements.
+/// Runs operators' statements.
 #[derive(Clone, Debug)]
 pub(crate) struct Statements {
-    /// This instance.
+    /// The id of this instance.
     pub(crate) me: InstanceId,
-    /// The control state.
+    /// The control actor.
     pub(crate) control: Address<Control>,
-    /// The way to other instances.
+    /// Connections to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
-    /// What is in force.
+    /// The current routing snapshot.
     pub(crate) routing: SharedRouting,
 }
 
@@ -40,15 +41,15 @@
     text: String,
     #[serde(default)]
     local: bool,
-    /// The id of the script's first change group, by which a change whose outcome is unknown is
-    /// sent again without taking effect twice.
+    /// The id of the script's first change group. A change whose outcome is unknown can be sent
+    /// again under the same id without taking effect twice.
     #[serde(default)]
     id: Option<String>,
 }
 
 impl Request {
-    /// Returns the id for the script's first change group: the client's, or a new one; none if the
-    /// client's can't be read.
+    /// Returns the id of the script's first change group: the client's or a new one, or none if the
+    /// client's id is malformed.
     fn change_id(&self) -> Option<ChangeId> {
         match &self.id {
             Some(text) => ChangeId::parse(text),
@@ -72,7 +73,7 @@
     Accepted { accepted: Revision, changed: usize },
 }
 
-/// Why a script was refused, as a problem document.
+/// The refusal of a script, rendered as a problem document.
 #[derive(Debug, Serialize)]
 pub(crate) struct Refusal {
     r#type: &'static str,
@@ -85,27 +86,27 @@
     column: Option<usize>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     expected: Vec<String>,
-    /// What is known of the refused statement.
+    /// Whether the refused statement may have taken effect.
     outcome: StatementOutcome,
-    /// Statements before the refused one, which have taken effect.
+    /// The number of statements before the refused one; they have taken effect.
     done: usize,
-    /// When trying again is worth it.
+    /// The time after which a retry may succeed.
     #[serde(skip)]
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What is known of a statement that was refused.
+/// Whether a refused statement may have taken effect.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum StatementOutcome {
-    /// It has not taken effect, and won't by this try.
+    /// It has not taken effect and, unless sent again, never will.
     NotRun,
-    /// It may have taken effect, or may yet.
+    /// It may have taken effect, or may still do so.
     Unknown,
 }
 
 impl Refusal {
-    /// Makes the refusal of a request that can't be read.
+    /// Creates the refusal of a malformed request.
     pub(crate) fn malformed(detail: String) -> Self {
         Self {
             r#type: "/problems/bad_statement",
@@ -147,17 +148,18 @@
 }
 
 impl Statements {
-    /// Runs a script, statement by statement.
+    /// Runs a script one statement at a time.
     ///
     /// # Errors
-    /// Refuses the whole script if it does not parse, and stops at the first refused change.
+    /// Returns a refusal if the script does not parse, in which case no statement runs, or at the
+    /// first change that is refused.
     pub(crate) async fn run(&self, body: &[u8]) -> Result<Answer, Refusal> {
         let req: Request = serde_json::from_slice(body).map_err(|error| {
             Refusal::malformed(format!("send {{\"text\": \"STATEMENTS\"}}: {error}"))
         })?;
         let statements = parse(&req.text).map_err(|errors| {
             let Some(first) = errors.first() else {
-                return Refusal::malformed("the text does not parse".to_owned());
+                return Refusal::malformed("the statements could not be parsed".to_owned());
             };
             Refusal {
                 line: Some(first.line),
@@ -171,7 +173,7 @@
             }
         })?;
         let Some(id) = req.change_id() else {
-            return Err(Refusal::malformed("\"id\" takes a UUID".to_owned()));
+            return Err(Refusal::malformed("\"id\" must be a UUID".to_owned()));
         };
         let mut groups = 0;
         let mut results = Vec::new();
@@ -209,11 +211,12 @@
     }
 
     async fn propose(&self, set: chervilshunt_model::ChangeSet) -> Proposed {
-        // An instance that ends may have begun the change, and another then ends it.
+        // If this instance stops after it began the change, another instance completes it.
         let stopped = || {
             Proposed::Refused(Refused {
                 kind: RefusedKind::Unknown,
-                detail: "the instance ended; ask another one, under the same id".to_owned(),
+                detail: "the instance is stopping; retry at another instance with the same id"
+                    .to_owned(),
                 retry_after: Some(STOPPED_RETRY),
             })
         };
@@ -236,7 +239,8 @@
         (sources.show(show), silent)
     }
 
-    /// Asks all live instances for what they know, as far as the table shows it.
+    /// Collects from all live instances the state that the table shows, and returns it with the
+    /// instances that did not answer.
     async fn ask_all(&self, table: Table, local: bool) -> (Vec<Told>, Vec<InstanceId>) {
         let mut told = Vec::new();
         let asked_at = Instant::now();
--- a/crates/chervilshunt_daemon/src/operators/tables.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables.rs
@@ -1,4 +1,4 @@
-//! Rows for operators: objects of the configuration joined with what instances know of them.
+//! Query results for operators: configuration objects joined with the state that instances report.
 
 mod row;
 #[cfg(test)]
@@ -17,39 +17,39 @@
 use self::row::{Origin, Presence, Row, by_name};
 use crate::facts::{AdapterFacts, InstanceFacts, TargetFacts};
 
-/// The answer to one question.
+/// The result of one query.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Rows {
     columns: Vec<&'static str>,
     rows: Vec<Vec<Option<String>>>,
 }
 
-/// What one instance said, and how long ago.
+/// The state reported by one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Told {
-    /// What it said.
+    /// The reported state.
     pub(crate) facts: InstanceFacts,
-    /// When it was asked: what it said may be that old.
+    /// When the instance was asked, which is the earliest time that the state can date from.
     pub(crate) asked_at: Instant,
 }
 
-/// What is shown of a question: the configuration in force here and what the instances told.
+/// The data that a query reads: the local configuration and the instances' reports.
 #[derive(Debug)]
 pub(crate) struct Sources<'a> {
-    /// The instance that answers.
+    /// The instance that runs the query.
     pub(crate) here: &'a InstanceId,
-    /// The configuration in force here.
+    /// The configuration in force on this instance.
     pub(crate) deployment: &'a Deployment,
-    /// The instance that owns each target, as far as it is known here.
+    /// The owner of each target, as far as this instance knows it.
     pub(crate) owners: &'a HashMap<TargetName, InstanceId>,
-    /// What the instances told, this one among them.
+    /// The reports of all instances that answered, including this one.
     pub(crate) told: &'a [Told],
-    /// The present time.
+    /// The current time.
     pub(crate) now: Instant,
 }
 
 impl Sources<'_> {
-    /// Answers a question.
+    /// Runs a query.
     pub(crate) fn show(&self, show: &Show) -> Rows {
         let columns: Vec<&'static str> = show
             .table
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Starts the row of an object of the configuration in force here.
+    /// Starts a row for an object of this instance's configuration.
     fn configured(&self, name: impl ToString) -> Row {
         let origin = Origin {
             from: self.here.to_string(),
@@ -116,7 +116,7 @@
         Row::new(origin).cell("name", name)
     }
 
-    /// Starts a row from what an instance told.
+    /// Returns the origin of a row that is filled from an instance's report.
     fn origin_of(&self, told: &Told) -> Origin {
         Origin {
             from: told.facts.instance.to_string(),
@@ -124,11 +124,10 @@
         }
     }
 
-    /// Returns each owned target with the instance that told of it.
-    /// Returns what owners said of their targets.
+    /// Returns each owned target with the report that contains it.
     ///
-    /// Of two that both say that they own one, the first has lost the platform and does not know yet
-    /// that it was superseded; the other has the higher epoch.
+    /// If two instances report the same target, the one with the lower epoch has lost contact with
+    /// the platform and does not know yet that it was superseded, so only the higher epoch is kept.
     fn owned(&self) -> impl Iterator<Item = (&Told, &TargetFacts)> {
         let said = || {
             let told = self.told.iter();
@@ -142,7 +141,7 @@
         said().filter(move |(_, facts)| epochs.get(&facts.target) == Some(&facts.epoch))
     }
 
-    /// Returns where each adapter version is present.
+    /// Returns the targets and states of each adapter version.
     fn presence(&self) -> BTreeMap<&AdapterVersion, Vec<(&TargetName, Presence)>> {
         let mut presence: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for (_, target) in self.owned() {
@@ -222,7 +221,7 @@
         let row = |(name, target): (&TargetName, &Target)| {
             let owner = self.owned().find(|(_, facts)| facts.target == *name);
             let Some((told, facts)) = owner else {
-                // Who owns it is known here also while the owner does not answer.
+                // The owner is known from the local routing even if it did not answer.
                 let row = self.configured(name).fields(target);
                 return row.optional("owner", self.owners.get(name));
             };
@@ -281,7 +280,7 @@
         .collect()
     }
 
-    /// Tells of the changes as the instance does that has seen the newest head.
+    /// Lists configuration changes as reported by the instance with the newest configuration head.
     fn changes(&self) -> Vec<Row> {
         let newest = self
             .told
@@ -306,13 +305,13 @@
         over.chain(pending).map(row).collect()
     }
 
-    /// Says how far an accepted change has come.
+    /// Returns the state of an accepted change: in force once all instances that answered have it.
     fn spread_of(&self, revision: Revision) -> &'static str {
         let in_force = self.told.iter().all(|told| told.facts.revision >= revision);
         if in_force { "in_force" } else { "accepted" }
     }
 
-    /// Returns the objects that a change concerns, if the instance remembers that proposed it.
+    /// Returns the number of objects in a change, if the instance that proposed it still has it.
     fn changed_by(&self, id: ChangeId) -> Option<usize> {
         let proposed = self
             .told
--- a/crates/chervilshunt_daemon/src/operators/tables/row.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables/row.rs
@@ -1,11 +1,11 @@
-//! One row while it is put together.
+//! A table row under construction.
 
 use std::time::Duration;
 
 use chervilshunt_core::AdapterState;
 use chervilshunt_query::FieldTexts;
 
-/// The state of an adapter version over all targets, best first.
+/// The state of an adapter version across targets, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Presence {
     Loaded,
@@ -33,13 +33,13 @@
     }
 }
 
-/// Where a row's live cells come from.
+/// The instance that a row's live values come from, and their age.
 pub(super) struct Origin {
     pub(super) from: String,
     pub(super) age: Duration,
 }
 
-/// One row: cells by column, with where it comes from.
+/// A row: its cells by column name, and its origin.
 pub(super) struct Row {
     pub(super) cells: Vec<(&'static str, Option<String>)>,
     pub(super) origin: Origin,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Sorts rows whose objects are kept in the order of their pages.
+/// Sorts rows by name; needed for objects that the configuration keeps ordered by page.
 pub(super) fn by_name(mut rows: Vec<Row>) -> Vec<Row> {
     rows.sort_by(|left, right| left.get("name").cmp(&right.get("name")));
     rows
