--- a/crates/chervilshunt_daemon/src/traffic/body.rs
+++ b/crates/chervilshunt_daemon/src/traffic/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies for callers.
 
 use bytes::Bytes;
 use http::Response;
@@ -7,10 +7,10 @@
 
 use super::relay::RelayError;
 
-/// The body of any answer to a caller.
+/// The body type of all responses to callers.
 pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// Makes an answer whose body is in memory.
+/// Converts a response with an in-memory body to the common body type.
 pub(crate) fn whole(res: Response<Bytes>) -> Response<ResponseBody> {
     res.map(|bytes| {
         Full::new(bytes)
--- a/crates/chervilshunt_daemon/src/traffic/caller.rs
+++ b/crates/chervilshunt_daemon/src/traffic/caller.rs
@@ -1,4 +1,4 @@
-//! One caller's request, understood: what it asks for and how long it may take.
+//! A caller's request after parsing and routing: its model or service, class, and deadline.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,71 +15,71 @@
 use super::headers::RequestHeaders;
 use super::problem::{Problem, Reason};
 
-/// A request that may be sent to a target.
+/// A validated request that can be sent to a target.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The request's id.
+    /// The id of the request.
     pub(crate) id: RequestId,
-    /// The unit of fairness.
+    /// The caller, between whom fair queueing divides capacity.
     pub(crate) caller: CallerName,
-    /// Whether it has to be prompt.
+    /// Whether the request is live or deferrable.
     pub(crate) class: Class,
-    /// The weight of its priority.
+    /// The weight of the request's priority.
     pub(crate) weight: u32,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived: Moment,
-    /// When it has failed.
+    /// The time after which the request counts as failed.
     pub(crate) deadline: Moment,
-    /// Its idempotency key.
+    /// The idempotency key, if the caller sent one.
     pub(crate) key: Option<String>,
-    /// Whether it may be sent again after it may have run.
+    /// Whether the request may be retried after an attempt that may have run.
     pub(crate) idempotent: bool,
-    /// The service whose targets can answer it.
+    /// The service whose targets can serve the request.
     pub(crate) service: ServiceName,
-    /// The adapter version that has to answer it.
+    /// The adapter version that must serve the request; none for the base model or a plain service.
     pub(crate) model: Option<AdapterVersion>,
-    /// The model's name as the engine knows it; none for a plain service.
+    /// The model name that is sent to the engine; none for a plain service.
     pub(crate) engine_model: Option<String>,
-    /// Estimated length of the prompt, in tokens.
+    /// The estimated length of the prompt, in tokens.
     pub(crate) prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub(crate) max_tokens: u32,
     /// A hash of the start of the prompt.
     pub(crate) prefix: u64,
-    /// Whether the answer is to be a stream of events.
+    /// Whether the caller asked for a stream of server-sent events.
     pub(crate) stream: bool,
-    /// The method of the call.
+    /// The HTTP method of the call to the target.
     pub(crate) method: Method,
-    /// Path and query of the call to the target.
+    /// The path and query of the call to the target.
     pub(crate) path: PathAndQuery,
-    /// Headers of the call to the target.
+    /// The headers of the call to the target.
     pub(crate) headers: HeaderMap,
     /// The body of the call to the target.
     pub(crate) body: Bytes,
 }
 
-/// What the front has read of a request, beside its body.
+/// Everything that is known of a request except its body.
 #[derive(Debug)]
 pub(crate) struct Head {
-    /// The headers of ours.
+    /// The headers that this system defines or interprets.
     pub(crate) ours: RequestHeaders,
-    /// The address of the caller, or of the balancer before it.
+    /// The peer address of the connection: the caller's, or that of a load balancer in front of it.
     pub(crate) peer: SocketAddr,
     /// When the request arrived.
     pub(crate) arrived: Moment,
-    /// The method.
+    /// The HTTP method.
     pub(crate) method: Method,
-    /// The path on the target with its query.
+    /// The path and query on the target.
     pub(crate) path: PathAndQuery,
-    /// The headers that go on to the target.
+    /// The headers that are forwarded to the target.
     pub(crate) forwarded: HeaderMap,
 }
 
 impl CallerRequest {
-    /// Understands a completion.
+    /// Parses a completion request.
     ///
     /// # Errors
-    /// Fails if the body can't be read or names a model that does not exist.
+    /// Returns a problem if the body can't be parsed or names a model that does not exist.
     pub(crate) fn completion(
         head: Head,
         body: &[u8],
@@ -121,10 +121,10 @@
         })
     }
 
-    /// Understands a call to a plain service.
+    /// Builds the request for a call to a plain service.
     ///
     /// # Errors
-    /// Fails if there is no such plain service.
+    /// Returns a problem if there is no plain service of that name.
     pub(crate) fn plain(
         head: Head,
         body: Bytes,
@@ -139,7 +139,7 @@
             ServiceKind::Engine { .. } => {
                 return Err(Problem::not_run(
                     Reason::UnknownService,
-                    format!("{name} is a service of engines; call it at /v1/completions"),
+                    format!("{name} is an engine service; call it at /v1/completions"),
                 ));
             }
         }
@@ -169,13 +169,13 @@
         })
     }
 
-    /// Returns the time left until the deadline.
+    /// Returns the time that is left until the deadline.
     pub(crate) fn left(&self, now: Moment) -> Duration {
         now.until(self.deadline)
     }
 }
 
-/// The service and priority behind a model's name.
+/// The service, adapter version and priority that a model name refers to.
 struct Named {
     service: ServiceName,
     model: Option<AdapterVersion>,
--- a/crates/chervilshunt_daemon/src/traffic/completion.rs
+++ b/crates/chervilshunt_daemon/src/traffic/completion.rs
@@ -1,4 +1,4 @@
-//! The part of a completion's body that routing needs.
+//! Parses the members of a completion request's body that routing needs.
 
 #[cfg(test)]
 mod tests;
@@ -9,47 +9,48 @@
 
 use super::problem::{Problem, Reason};
 
-/// Tokens that a completion may generate when it does not say.
+/// The maximum number of generated tokens if the request does not set one.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Bytes of text that one token stands for, roughly, in English.
+/// The approximate number of bytes per token of English text.
 const BYTES_PER_TOKEN: usize = 4;
-/// Engine priority of deferrable work; live work has 0, and lower is sooner.
+/// The engine priority of deferrable work. Live work has 0, and lower values are scheduled first.
 const DEFERRABLE_ENGINE_PRIORITY: u32 = 10;
 
-/// A completion's body, parsed once and written anew for the engine.
+/// The parsed body of a completion request, which is serialized again for the engine.
 #[derive(Debug)]
 pub(crate) struct Completion {
     body: Map<String, Value>,
-    /// The model as the caller wrote it.
+    /// The model name as the caller sent it.
     pub(crate) model: String,
-    /// Estimated length of the prompt, in tokens.
+    /// The estimated length of the prompt, in tokens.
     pub(crate) prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// The maximum number of tokens to generate.
     pub(crate) max_tokens: u32,
     /// A hash of the start of the prompt.
     pub(crate) prefix: u64,
-    /// Whether the answer is to be a stream of events.
+    /// Whether the caller asked for a stream of server-sent events.
     pub(crate) stream: bool,
 }
 
 impl Completion {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
-    /// Fails if the body is no JSON object, or a member that routing needs has another type.
+    /// Returns a problem if the body is not a JSON object, or if a member that routing needs is
+    /// missing or has the wrong type.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, Problem> {
         let body: Map<String, Value> = serde_json::from_slice(body)
             .map_err(|error| bad(format!("the body must be a JSON object: {error}")))?;
         let Some(model) = body.get("model").and_then(Value::as_str).map(str::to_owned) else {
             return Err(bad(
-                "name the model as a string, \"model\": \"ADAPTER@VERSION\"".to_owned(),
+                "set the model as a string, \"model\": \"ADAPTER@VERSION\"".to_owned(),
             ));
         };
         let given = |name: &str| body.get(name).filter(|value| !value.is_null());
         let stream = match given("stream") {
             None => false,
             Some(Value::Bool(stream)) => *stream,
-            Some(_) => return Err(bad("\"stream\" takes true or false".to_owned())),
+            Some(_) => return Err(bad("\"stream\" must be true or false".to_owned())),
         };
         let max_tokens = match given("max_tokens").or_else(|| given("max_completion_tokens")) {
             None => DEFAULT_MAX_TOKENS,
@@ -57,14 +58,14 @@
                 .as_u64()
                 .and_then(|value| u32::try_from(value).ok())
                 .filter(|value| *value > 0)
-                .ok_or_else(|| bad("\"max_tokens\" takes a whole number from 1".to_owned()))?,
+                .ok_or_else(|| bad("\"max_tokens\" must be an integer of at least 1".to_owned()))?,
         };
         let prompt = match given("messages").or_else(|| given("prompt")) {
             Some(Value::String(prompt)) => prompt.as_bytes().to_vec(),
             Some(prompt @ Value::Array(_)) => serde_json::to_vec(prompt).unwrap_or_default(),
             _ => {
                 return Err(bad(
-                    "give \"messages\" as a list or \"prompt\" as a string or list".to_owned(),
+                    "set \"messages\" to a list, or \"prompt\" to a string or list".to_owned(),
                 ));
             }
         };
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Writes the body for the engine, with its priority set by the class.
+    /// Serializes the body for the engine, with the engine priority of the request's class.
     pub(crate) fn into_engine_body(mut self, class: Class) -> Bytes {
         let priority = match class {
             Class::Live => 0,
--- a/crates/chervilshunt_daemon/src/traffic/front.rs
+++ b/crates/chervilshunt_daemon/src/traffic/front.rs
@@ -1,4 +1,4 @@
-//! The callers' port: HTTP/1.1 and HTTP/2 connections within their limits.
+//! The callers' port: serves HTTP/1.1 and HTTP/2 connections within their limits.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use super::serve::Traffic;
 use super::slow_head;
 
-/// The pause after a connection could not be accepted, as when file descriptors have run out.
+/// The delay after a failed `accept`, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// hyper's smallest buffer.
+/// The minimum read buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Serves callers until `stop` is cancelled, then waits for every open answer to end.
+/// Serves callers until `stop` is cancelled, then waits for all open requests to end.
 pub(crate) async fn serve_callers(
     listener: TcpListener,
     traffic: Traffic,
@@ -63,10 +63,10 @@
         spoken = version(&stream, traffic.limits().header_timeout) => spoken,
         () = stop.cancelled() => None,
     };
-    // A failed connection is the caller's affair: each of its requests has cleaned up by drop.
+    // Connection errors are ignored: each request releases its resources when it is dropped.
     match spoken {
         Some(Version::Http1) => serve_http1(stream, peer, traffic, stop).await,
-        // On the heap, as it is larger, and most connections are not of its kind.
+        // Boxed, because this future is larger and most connections are HTTP/1.1.
         Some(Version::Http2) => drop(Box::pin(serve_http2(stream, peer, traffic, stop)).await),
         None => {}
     }
@@ -86,17 +86,17 @@
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
-        // Queued for a vectored write, each small event would pin the whole buffer of 8 KiB or more
-        // that it was read into, 16 of them for a caller that does not read. Copied, events take
-        // their own length.
+        // With vectored writes, each small queued event would keep alive the whole buffer of 8 KiB
+        // or more that it was read into, up to 16 of them for a caller that does not read. Copied
+        // events only take up their own length.
         .writev(false)
         .max_buf_size(buffer)
         .serve_connection(
             TokioIo::new(stream),
             service_fn(|req| {
-                // hyper keeps the room of this future for as long as the connection lasts. On the
-                // heap the inner one is freed when the head of the answer is there, which for a
-                // stream is early.
+                // hyper keeps the memory of this future until the connection ends. Boxed, the inner
+                // future is freed as soon as the response head is ready, which for a stream is
+                // early.
                 let answer = Box::pin(traffic.serve(req, peer));
                 async move { Ok::<_, Infallible>(answer.await) }
             }),
--- a/crates/chervilshunt_daemon/src/traffic/greeting.rs
+++ b/crates/chervilshunt_daemon/src/traffic/greeting.rs
@@ -1,17 +1,18 @@
-//! The first bytes of a connection, within their time.
+//! Detects the HTTP version of a connection from its first bytes, within a time limit.
 
 use std::io;
 use std::time::Duration;
 
 use tokio::net::TcpStream;
 
-/// What an HTTP/2 connection begins with (RFC 9113, section 3.4).
+/// The HTTP/2 connection preface (RFC 9113, section 3.4).
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// The pause before more of a preface is looked for. The system tells of new bytes only to those who
-/// take the old ones; a preface that comes in pieces is rare.
+/// The polling interval while only a part of the preface has arrived. The socket stays readable as
+/// long as the peeked bytes are not consumed, so there is no notification of further bytes. A
+/// preface that arrives in pieces is rare.
 const PARTIAL_PAUSE: Duration = Duration::from_millis(10);
 
-/// Which HTTP a caller speaks.
+/// The HTTP version that a caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Version {
     /// HTTP/1.1.
@@ -20,13 +21,13 @@
     Http2,
 }
 
-/// Tells from the first bytes, which stay to be read, which HTTP a caller speaks; none if it does
-/// not say so in time or goes away.
+/// Detects the HTTP version from the first bytes of a connection without consuming them. Returns
+/// none if they do not arrive within `limit` or the caller closes the connection.
 ///
-/// Without the limit a caller that connects and says nothing would hold a socket for ever, and
-/// enough of them would leave none for others. Once the version is known, the library's own limits
-/// hold. The library can tell versions too, but has no such limit, and takes the first bytes away
-/// from the rest of the head, for which its read buffer then doubles.
+/// Without the limit, a caller that connects and sends nothing would hold a socket for ever, and
+/// enough such callers would exhaust the sockets. Once the version is known, hyper's own limits
+/// apply. hyper can detect the version too, but without such a limit; it also separates the first
+/// bytes from the rest of the head, which doubles its read buffer.
 pub(super) async fn version(stream: &TcpStream, limit: Duration) -> Option<Version> {
     let told = tokio::time::timeout(limit, tell(stream)).await;
     told.ok()?.ok()
--- a/crates/chervilshunt_daemon/src/traffic/headers.rs
+++ b/crates/chervilshunt_daemon/src/traffic/headers.rs
@@ -1,4 +1,4 @@
-//! The published request headers: priority, deadline, idempotency key, ids.
+//! Parses the documented request headers: priority, deadline, idempotency key and ids.
 
 #[cfg(test)]
 mod tests;
@@ -12,37 +12,38 @@
 
 use super::problem::{Problem, Reason};
 
-/// The header by which a request and its answer name the request (in use widely, not published).
+/// The header that carries the request id in requests and responses; a convention, not a standard.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
-/// The header by which a balancer or caller names the unit of fairness.
+/// The header in which a load balancer or caller names the caller for fair queueing.
 pub(crate) const CALLER: &str = "x-caller";
 const PRIORITY: &str = "priority";
 const PREFER: &str = "prefer";
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The highest urgency value of RFC 9218 that still counts as live.
+/// The highest RFC 9218 urgency value that maps to the live class.
 const LAST_LIVE_URGENCY: i64 = 4;
-/// The highest urgency value of RFC 9218.
+/// The highest urgency value that RFC 9218 allows.
 const LAST_URGENCY: i64 = 7;
-/// Longest request id, caller name or idempotency key, in bytes.
+/// The maximum length of a header that this system reads, such as a request id, caller name or
+/// idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What the headers of a request ask for; absent ones fall back to the service's settings.
+/// The values of a request's headers; absent ones fall back to the service's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RequestHeaders {
-    /// The request's id, as given or new.
+    /// The request id, received or generated.
     pub(crate) id: RequestId,
-    /// The unit of fairness, as given.
+    /// The caller, if one was named.
     pub(crate) caller: Option<CallerName>,
-    /// The class by RFC 9218 urgency.
+    /// The class derived from the RFC 9218 urgency.
     pub(crate) class: Option<Class>,
-    /// The deadline by RFC 7240 `wait`.
+    /// The deadline from the RFC 7240 `wait` preference, relative to the request's arrival.
     pub(crate) deadline: Option<Duration>,
     /// The idempotency key.
     pub(crate) key: Option<String>,
 }
 
-/// Returns the request's id, making one when there is none that can be used.
+/// Returns the request id from the headers, or a generated one if it is missing or invalid.
 pub(crate) fn request_id(headers: &HeaderMap) -> RequestId {
     match text(headers, REQUEST_ID) {
         Ok(Some(id)) => RequestId::new(id),
@@ -51,11 +52,11 @@
 }
 
 impl RequestHeaders {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
-    /// Fails on a header of ours that does not parse. `Priority` is the exception: RFC 9218 asks
-    /// to ignore what can't be read.
+    /// Returns a problem if one of these headers is malformed. `Priority` is the exception: RFC 9218
+    /// requires malformed values to be ignored.
     pub(crate) fn read(headers: &HeaderMap, id: RequestId) -> Result<Self, Problem> {
         let caller = text(headers, CALLER)?.map(CallerName::new);
         let class = headers
@@ -85,7 +86,7 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(format!("send the header {name} once")));
+        return Err(bad(format!("the header {name} must not be repeated")));
     }
     let printable = value
         .to_str()
@@ -94,7 +95,7 @@
     match printable {
         Some(value) if !value.is_empty() => Ok(Some(value)),
         Some(_) | None => Err(bad(format!(
-            "the header {name} takes 1 to {MAX_NAME_BYTES} visible ASCII characters"
+            "the header {name} must have 1 to {MAX_NAME_BYTES} visible ASCII characters"
         ))),
     }
 }
@@ -110,9 +111,10 @@
 }
 
 fn wait_of(value: &str) -> Result<Option<Duration>, Problem> {
-    let expected = || bad("write the deadline as Prefer: wait=SECONDS, with at least 1".to_owned());
+    let expected =
+        || bad("write the deadline as Prefer: wait=SECONDS, with at least 1 second".to_owned());
     let Ok(members) = Parser::new(value).parse::<Dictionary>() else {
-        // Other preferences need not be structured fields; only `wait` concerns this system.
+        // Other preferences need not be structured fields; only `wait` is used here.
         return if value.contains("wait") {
             Err(expected())
         } else {
--- a/crates/chervilshunt_daemon/src/traffic/intake.rs
+++ b/crates/chervilshunt_daemon/src/traffic/intake.rs
@@ -1,4 +1,4 @@
-//! Taking in a request's body within its limits of length and time.
+//! Reads a request's body within its size and time limits.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 
 use super::problem::{Problem, Reason};
 
-/// When a caller should come back whose request arrived too slowly.
+/// The `Retry-After` for a request that arrived too slowly.
 pub(super) const SLOW_RETRY: Duration = Duration::from_secs(1);
 
 /// Reads the whole body.
 ///
 /// # Errors
-/// Fails if the body is longer than the limit, arrives too slowly, or breaks off; no target has
-/// been touched then.
+/// Returns a problem if the body is longer than the limit, arrives too slowly, or is truncated. No
+/// target has been called at that point.
 pub(crate) async fn read_body(
     headers: &http::HeaderMap,
     body: Incoming,
@@ -38,12 +38,12 @@
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large(limit)),
         Ok(Err(error)) => Err(Problem::not_run(
             Reason::BadRequest,
-            format!("the body broke off: {error}"),
+            format!("the body could not be read: {error}"),
         )),
         Err(_elapsed) => Err(Problem::not_run(
             Reason::BodyTooSlow,
             format!(
-                "the body has to arrive within {} s",
+                "the body must arrive within {} s",
                 limits.body_timeout.as_secs_f64()
             ),
         )
--- a/crates/chervilshunt_daemon/src/traffic/mod.rs
+++ b/crates/chervilshunt_daemon/src/traffic/mod.rs
@@ -1,8 +1,8 @@
-//! The traffic threads: callers' requests, from the first byte to the last.
+//! The traffic threads, which serve callers' requests.
 //!
-//! Nothing here decides about targets: a request asks the owner for a permit and then opens the
-//! call itself, so that the answer never crosses another instance. See
-//! `docs/design/request-path.md`.
+//! Scheduling decisions are made by the targets' owners: the entry instance obtains a permit from
+//! the owner and then calls the target directly, so that answers never pass through another
+//! instance. See `docs/design/request-path.md`.
 
 mod attempt;
 mod body;
@@ -30,8 +30,8 @@
 pub(crate) use permits::Permits;
 pub(crate) use serve::Traffic;
 
-/// Returns the present time. Deadlines and permits age while the machine is suspended, so that it is
-/// the boot clock's.
+/// Returns the current time of the boot clock, because deadlines and permits must also expire while
+/// the machine is suspended.
 fn now() -> chervilshunt_model::Moment {
     chervilshunt_model::Clock::boot().now()
 }
--- a/crates/chervilshunt_daemon/src/traffic/slow_head.rs
+++ b/crates/chervilshunt_daemon/src/traffic/slow_head.rs
@@ -1,4 +1,4 @@
-//! The answer to a head that does not come in time.
+//! The response to a request head that does not arrive in time.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Response, header};
@@ -9,19 +9,24 @@
 use super::problem::{Problem, Reason};
 use super::serve::Traffic;
 
-/// Answers a caller whose head has begun and did not come in time, before its connection is closed.
+/// Answers a caller whose request head has begun but did not arrive in time, before its connection
+/// is closed.
 ///
-/// The library closes such a connection without a word, so that a caller behind a slow line could
-/// not tell it from a crash and would not know that its request has not run. A connection on which
-/// no head has begun gets nothing: its caller might take the answer for that to its next request.
+/// hyper closes such a connection without a response, so a caller on a slow connection could not
+/// distinguish that from a crash and would not know that its request has not run. A connection on
+/// which no head has begun gets no response, because its caller might take it for the answer to its
+/// next request.
 pub(super) fn refuse(stream: &TcpStream, traffic: &Traffic) {
     let limit = traffic.limits().header_timeout;
-    let detail = format!("the head has to arrive within {} s", limit.as_secs_f64());
+    let detail = format!(
+        "the request head must arrive within {} s",
+        limit.as_secs_f64()
+    );
     let problem = Problem::not_run(Reason::HeadTooSlow, detail).retry_after(SLOW_RETRY);
     let mut res = traffic.refuse(&problem, &request_id(&HeaderMap::new()));
     res.headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
-    // Nothing waits in the socket's buffer, so that it takes this whole or is gone.
+    // The socket's send buffer is empty, so it accepts the whole response unless it is closed.
     drop(stream.try_write(&encoded(&res)));
 }
 
