--- a/crates/chervilshunt_daemon/src/traffic/claims.rs
+++ b/crates/chervilshunt_daemon/src/traffic/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys on behalf of callers' requests.
+//! Claims idempotency keys for callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,19 +18,20 @@
 use crate::keyed::KeyedTries;
 use crate::wire::{ClaimEnded, PeerMessage};
 
-/// How long a keeper may take to answer; it answers by itself in less.
+/// The time limit for a claim keeper's answer; the keeper's own limit is shorter.
 const KEEPER_TIMEOUT: Duration = Duration::from_secs(4);
-/// When a caller should come back if its key's keeper can't be reached.
+/// The `Retry-After` if the claim keeper of a key can't be reached.
 const KEEPER_RETRY: Duration = Duration::from_secs(2);
-/// Tries to tell a keeper how a request ended; a retry is told "unknown" if all of them fail.
+/// The number of attempts to report a request's outcome to its keeper. If all of them fail, a retry
+/// of the request is answered with an unknown outcome.
 const END_TRIES: u32 = 3;
-/// The pause between tries to tell a keeper how a request ended.
+/// The delay between attempts to report a request's outcome to its keeper.
 const END_PAUSE: Duration = Duration::from_millis(300);
-/// The longest answer that is kept for a retry of its caller, in bytes: a thousand of them have to
-/// fit into one page of claims.
+/// The maximum size of an answer that is kept for the caller's retry, in bytes; a thousand of them
+/// have to fit into one page of claims.
 const KEPT_ANSWER_BYTES: usize = 512;
 
-/// Asks claim keepers.
+/// A client for the claim keepers.
 #[derive(Clone, Debug)]
 pub(crate) struct Claims {
     inner: Arc<Inner>,
@@ -44,7 +45,7 @@
 }
 
 impl Claims {
-    /// Makes the handle that all requests share.
+    /// Creates the client, which all requests share.
     pub(crate) fn new(links: Links, tries: KeyedTries, in_outage: KeyedDuringOutage) -> Self {
         let inner = Inner {
             links,
@@ -56,11 +57,11 @@
         }
     }
 
-    /// Claims a request's key, so that the request may be sent.
+    /// Claims a request's idempotency key; the request may be sent once this succeeds.
     ///
     /// # Errors
-    /// Refuses the request if it has run or runs, if the key was used for another, or if that can't
-    /// be told now.
+    /// Returns a problem if the request is running or has run, if the key was used for another
+    /// request, or if the claim can't be recorded now.
     pub(crate) async fn claim(
         &self,
         req: &CallerRequest,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Tells the keeper how a claimed try ended.
+    /// Reports the outcome of a claimed attempt to its keeper.
     async fn end(&self, ended: ClaimEnded) {
         for _ in 0..END_TRIES {
             if self.try_end(&ended).await {
@@ -165,10 +166,11 @@
     }
 }
 
-/// A claimed key, or one being claimed; dropping it tells the keeper how the try ended.
+/// A claimed key, or one that is being claimed. Dropping it reports the attempt's outcome to the
+/// keeper.
 ///
-/// It starts as "not run" and turns to "unknown" right before the call goes out, so that an entry
-/// instance that drops the request at any point tells the truth.
+/// The outcome starts as "not run" and becomes "unknown" right before the call is sent, so that the
+/// report is correct at whatever point the request is dropped.
 #[derive(Debug)]
 pub(crate) struct Claim {
     claims: Claims,
@@ -188,17 +190,17 @@
         }
     }
 
-    /// Says that the call may leave from now on.
+    /// Records that the call may be sent from now on.
     pub(crate) fn may_run(&mut self) {
         self.outcome = ClaimOutcome::Unknown;
     }
 
-    /// Says that the call has provably not run.
+    /// Records that the call has provably not run.
     pub(crate) fn did_not_run(&mut self) {
         self.outcome = ClaimOutcome::NotRun;
     }
 
-    /// Says that the call has run and was answered.
+    /// Records that the call has run and was answered, with the answer's body if it is complete.
     pub(crate) fn answered(&mut self, status: u16, body: Option<&[u8]>) {
         let kept = body.filter(|body| body.len() <= KEPT_ANSWER_BYTES);
         let text = kept.and_then(|body| std::str::from_utf8(body).ok());
@@ -229,7 +231,8 @@
     }
 }
 
-/// The start of an answer, kept for the retry of a caller that did not get it.
+/// Collects a short answer, so that it can be returned to a caller that retries because it did not
+/// receive it.
 #[derive(Debug, Default)]
 pub(crate) struct KeptAnswer {
     bytes: Vec<u8>,
@@ -237,7 +240,7 @@
 }
 
 impl KeptAnswer {
-    /// Adds a piece.
+    /// Appends a piece of the answer.
     pub(crate) fn push(&mut self, piece: &Bytes) {
         if self.too_long || self.bytes.len() + piece.len() > KEPT_ANSWER_BYTES {
             self.too_long = true;
@@ -247,13 +250,13 @@
         self.bytes.extend_from_slice(piece);
     }
 
-    /// Returns the whole answer, if it was short enough.
+    /// Returns the whole answer, or none if it was too long to keep.
     pub(crate) fn whole(&self) -> Option<&[u8]> {
         (!self.too_long).then_some(self.bytes.as_slice())
     }
 }
 
-/// Tells a retry of a request from another request under the same key.
+/// Hashes a request, to distinguish its retry from a different request with the same key.
 fn fingerprint(req: &CallerRequest) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(req.method.as_str().as_bytes());
@@ -267,7 +270,7 @@
 fn refusal(answer: ClaimAnswer) -> Problem {
     match answer {
         ClaimAnswer::Granted | ClaimAnswer::NotNow { .. } => {
-            let detail = "the claim can't be recorded now; this try did not and will not run";
+            let detail = "the claim can't be recorded now; this attempt did not and will not run";
             let after = match answer {
                 ClaimAnswer::NotNow { retry_after_ms } => Duration::from_millis(retry_after_ms),
                 _ => KEEPER_RETRY,
@@ -276,14 +279,14 @@
         }
         ClaimAnswer::InProgress { retry_after_ms } => Problem::unknown(
             Reason::KeyInProgress,
-            "a request with this idempotency key is running; come back for its outcome",
+            "a request with this idempotency key is running; retry later for its outcome",
         )
         .retry_after(Duration::from_millis(retry_after_ms)),
         ClaimAnswer::Ended { status, body } => Problem::unknown(
             Reason::KeyUsed,
             match body {
-                Some(body) => format!("the request has run once, with status {status}: {body}"),
-                None => format!("the request has run once, with status {status}"),
+                Some(body) => format!("the request has already run, with status {status}: {body}"),
+                None => format!("the request has already run, with status {status}"),
             },
         ),
         ClaimAnswer::Unknown => Problem::unknown(
@@ -292,12 +295,12 @@
         ),
         ClaimAnswer::OtherRequest => Problem::not_run(
             Reason::KeyMismatch,
-            "this idempotency key was used for another request; take a new key",
+            "this idempotency key was used for another request; use a new key",
         ),
     }
 }
 
 fn unreachable_keeper() -> Problem {
-    let detail = "the keeper of the idempotency key can't be reached; this try did not run";
+    let detail = "the keeper of the idempotency key can't be reached; this attempt did not run";
     Problem::not_run(Reason::ClaimUnavailable, detail).retry_after(KEEPER_RETRY)
 }
--- a/crates/chervilshunt_daemon/src/traffic/held.rs
+++ b/crates/chervilshunt_daemon/src/traffic/held.rs
@@ -1,4 +1,4 @@
-//! The permits that this instance holds, which a target's new owner asks for.
+//! The permits that this instance holds; a target's new owner queries them.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,20 +6,20 @@
 use chervilshunt_core::Permit;
 use chervilshunt_model::{AttemptId, TargetName};
 
-/// Every permit from its grant until its release has been acknowledged.
+/// All permits from their grant until their release has been acknowledged.
 ///
-/// A new owner that did not learn of one could evict an adapter in the middle of an answer, so a
-/// permit stays listed until the owner has confirmed its release.
+/// A new owner that is not informed of a permit could evict its adapter in the middle of an answer,
+/// so a permit stays listed until the owner has acknowledged its release.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeldPermits(Arc<Mutex<HashMap<AttemptId, Permit>>>);
 
 impl HeldPermits {
-    /// Lists a permit.
+    /// Adds a permit.
     pub(crate) fn insert(&self, permit: Permit) {
         self.lock().insert(permit.attempt, permit);
     }
 
-    /// Takes a permit off the list.
+    /// Removes a permit.
     pub(crate) fn remove(&self, attempt: AttemptId) {
         self.lock().remove(&attempt);
     }
--- a/crates/chervilshunt_daemon/src/traffic/links.rs
+++ b/crates/chervilshunt_daemon/src/traffic/links.rs
@@ -1,4 +1,4 @@
-//! The ways from the traffic threads to the holders of roles.
+//! Communication from the traffic threads to the holders of roles.
 
 use chervilshunt_mesh::{Mesh, Peer};
 use chervilshunt_model::InstanceId;
@@ -8,23 +8,23 @@
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
-/// What a request needs to ask the holder of a role, here or at a peer.
+/// The handles that are needed to reach the holder of a role, on this instance or a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Links {
-    /// This instance.
+    /// The id of this instance.
     pub(crate) me: InstanceId,
-    /// The roles of this instance.
+    /// The control actor of this instance, which runs its roles.
     pub(crate) control: Address<Control>,
-    /// The way to other instances.
+    /// Connections to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
-    /// Who holds which role, and where it listens.
+    /// The holders of the roles and their peer addresses.
     pub(crate) routing: SharedRouting,
-    /// Where work goes on after its request has ended.
+    /// The runtime for background tasks that outlive their request.
     pub(crate) runtime: tokio::runtime::Handle,
 }
 
 impl Links {
-    /// Returns how to reach an instance, if it is live.
+    /// Returns the peer address of an instance, if it is live.
     pub(super) fn peer(&self, instance: &InstanceId) -> Option<Peer> {
         let address = *self.routing.get().peers.get(instance)?;
         Some(Peer {
--- a/crates/chervilshunt_daemon/src/traffic/permits.rs
+++ b/crates/chervilshunt_daemon/src/traffic/permits.rs
@@ -1,4 +1,4 @@
-//! Asking owners for permits, and giving them back whatever happens.
+//! Requests permits from owners and guarantees their release.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,29 +17,29 @@
 use crate::control::{AskPermit, PermitReply, ReleasePermit};
 use crate::wire::PeerMessage;
 
-/// The time that the owner has to acknowledge a release.
+/// The time limit for the owner's acknowledgement of a release.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after the first try to give a permit back; it doubles with each.
+/// The delay after the first failed release; it doubles after each further one.
 const RELEASE_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two such tries.
+/// The maximum delay between two attempts to release a permit.
 const LONGEST_RELEASE_PAUSE: Duration = Duration::from_secs(2);
 
-/// What an owner said, or why it could not be asked.
+/// An owner's answer to a permit request, or the reason why there is none.
 #[derive(Debug)]
 pub(crate) enum Asked {
-    /// The permit, which gives itself back when dropped.
+    /// The permit, which is released when dropped.
     Granted(HeldPermit),
-    /// Ask at these targets, best first.
+    /// The owner redirects the request to these targets, best first.
     Redirect(Vec<TargetName>),
-    /// Nothing ran.
+    /// The owner refused and names the time to wait before a retry; nothing ran.
     Refused(RefusalReason, Duration),
-    /// The owner is not known or can't be reached; nothing ran.
+    /// The owner is unknown or unreachable; nothing ran.
     NoOwner,
-    /// The deadline passed while the request waited; nothing ran.
+    /// The deadline passed while the request waited for the permit; nothing ran.
     Late,
 }
 
-/// Asks owners for permits on behalf of the traffic threads.
+/// The traffic threads' client for permits.
 #[derive(Clone, Debug)]
 pub(crate) struct Permits {
     inner: Arc<Inner>,
@@ -52,17 +52,17 @@
 }
 
 impl Permits {
-    /// Makes the handle that all requests share.
+    /// Creates the client, which all requests share.
     pub(crate) fn new(links: Links, held: HeldPermits) -> Self {
         Self {
             inner: Arc::new(Inner { links, held }),
         }
     }
 
-    /// Asks the owner of `req.target` and waits for its answer until `deadline`.
+    /// Requests a permit from the owner of `req.target` and waits for the answer until `deadline`.
     ///
-    /// Dropping the future withdraws the request: a caller that goes away while it waits leaves no
-    /// permit behind.
+    /// Dropping the future withdraws the request, so that a caller that disconnects while it waits
+    /// leaves no permit behind.
     pub(crate) async fn ask(&self, req: PermitRequest, deadline: Moment) -> Asked {
         let guard = HeldPermit::waiting(self.clone(), req.attempt, req.target.clone());
         let answer = tokio::time::timeout(now().until(deadline), self.answer(req, deadline)).await;
@@ -126,7 +126,7 @@
             )
             .await
         {
-            // An answer to another request says nothing of what the owner made of this one.
+            // An answer to a different request does not show how the owner handled this one.
             Ok(PeerMessage::PermitAnswered(answer)) => {
                 answer.join(&req).map_err(|_crossed| Unreached::MaybeSeen)
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Gives a permit back in the background.
+    /// Releases a permit in the background.
     fn release(&self, released: ReleasedPermit) {
         let permits = self.clone();
         self.inner
@@ -145,10 +145,10 @@
             .spawn(async move { permits.release_now(released).await });
     }
 
-    /// Gives a permit back to whoever owns the target, for as long as there is the target.
+    /// Releases a permit at the current owner of its target, retrying as long as the target exists.
     ///
-    /// An owner that is cut off may stay the owner. A release given up on would leave its adapter
-    /// pinned: the adapter could never be evicted, nor serve again once it was to make room.
+    /// An unreachable owner may stay the owner. If the release were abandoned, the adapter would
+    /// stay pinned: it could never be evicted, nor serve again once it was selected for eviction.
     async fn release_now(&self, released: ReleasedPermit) {
         let mut pause = RELEASE_PAUSE;
         while !self.try_release(&released).await && self.has_target(&released.target) {
@@ -191,16 +191,16 @@
     }
 }
 
-/// Why an owner gave no answer.
+/// The reason why there is no answer from an owner: whether it can have received the request.
 enum Unreached {
     NeverSeen,
     MaybeSeen,
 }
 
-/// A permit, or a wait for one, that is given back when dropped.
+/// A permit, or a pending request for one, that is released when dropped.
 ///
-/// Without it a caller that hangs up would leave its adapter pinned: the slot would be lost until
-/// the owner changes.
+/// Without this guard, a caller that disconnects would leave its adapter pinned, and the slot would
+/// be lost until the target changes owners.
 #[derive(Debug)]
 pub(crate) struct HeldPermit {
     permits: Permits,
@@ -230,32 +230,32 @@
         self
     }
 
-    /// Ends a wait of which the owner knows nothing any more.
+    /// Drops the guard without a release, because the owner no longer has the request.
     fn forget(mut self) {
         self.armed = false;
     }
 
-    /// Returns the id of the try.
+    /// Returns the id of the attempt.
     pub(crate) fn attempt(&self) -> AttemptId {
         self.attempt
     }
 
-    /// Returns the target that the attempt may go to.
+    /// Returns the target that the permit is for.
     pub(crate) fn target(&self) -> &TargetName {
         &self.target
     }
 
     /// Returns whether the call may still be opened.
     ///
-    /// After its window the owner may count the permit as unused, so that a late call would meet an
-    /// adapter that is no longer pinned for it.
+    /// After the permit's window the owner may reclaim it as unused, and a late call would find its
+    /// adapter no longer pinned.
     pub(crate) fn is_usable(&self, now: Moment) -> bool {
         self.granted.as_ref().is_some_and(|(permit, arrived)| {
             now.since(*arrived) < Duration::from_millis(permit.window_ms)
         })
     }
 
-    /// Says what became of the call; the permit is given back with it when dropped.
+    /// Records the outcome of the call, which is reported with the release.
     pub(crate) fn ended(&mut self, outcome: ReleaseOutcome) {
         self.outcome = outcome;
     }
--- a/crates/chervilshunt_daemon/src/traffic/place.rs
+++ b/crates/chervilshunt_daemon/src/traffic/place.rs
@@ -1,4 +1,4 @@
-//! Where a request is sent: ranking targets and asking their owners for a permit.
+//! Selects the target of a request: ranks targets and requests a permit from their owners.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use super::problem::{Problem, Reason};
 use crate::routing::Routing;
 
-/// Targets whose owners are asked in one round.
+/// The number of targets that are ranked in one round.
 const TARGETS_A_ROUND: usize = 4;
-/// Redirects that one request follows in one round.
+/// The maximum number of redirects that a request follows in one round.
 const MAX_HOPS: u8 = 3;
-/// The pause before owners are asked again when none of them could be.
+/// The delay before the next round when no owner granted a permit.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
-/// How long a live request looks for an owner. An owner that died takes the length of a lease to
-/// replace; asking the caller to come back is better than to keep it waiting for that.
+/// How long a live request tries to obtain a permit. Replacing a failed owner takes a lease
+/// duration, and it is better to ask the caller to retry than to keep it waiting for that.
 const LIVE_PATIENCE: Duration = Duration::from_secs(2);
-/// When a caller should come back after its deadline has passed in a queue.
+/// The `Retry-After` when the deadline has passed in a queue.
 const LATE_RETRY: Duration = Duration::from_secs(5);
 
 impl Run<'_> {
-    /// Asks owners until one grants a permit or the request has to be given up on.
+    /// Requests a permit in rounds until one is granted or the request has to be refused.
     pub(super) async fn permit(&self) -> Result<HeldPermit, Problem> {
         let give_up = match self.req.class {
             Class::Live => self.req.deadline.min(now() + LIVE_PATIENCE),
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Asks the owners of the best targets, one after the other.
+    /// Requests a permit from the owners of the best targets, one after the other.
     async fn round(&self) -> Round {
         let routing = self.traffic.parts.routing.get();
         let mut targets: VecDeque<TargetName> = self.ranked(&routing).into();
         if targets.is_empty() {
-            let detail = format!("no target of {} takes new work", self.req.service);
+            let detail = format!("no target of {} accepts new requests", self.req.service);
             return Round::not_now(Reason::NoTarget, detail);
         }
         let mut hops = 0;
@@ -64,8 +64,8 @@
             match asked {
                 Asked::Granted(permit) => return Round::Granted(permit),
                 Asked::Redirect(to) => {
-                    // Two owners that take nothing now would send the request to and fro until its
-                    // hops are used up, and neither would say why.
+                    // Without this, two owners that accept no work now would redirect the request
+                    // to each other until its hops are used up, and neither would give a reason.
                     avoid.push(target);
                     hops += 1;
                     if hops <= MAX_HOPS {
@@ -100,7 +100,7 @@
                 .retry_after(after.max(UNREACHED_RETRY)),
                 pause_after(reason, after),
             ),
-            // Owners answered, and each sent the request on to a target whose owner does the same.
+            // The owners answered, but only with redirects.
             None if hops > 0 => {
                 let detail = format!("no target of {} can take the request now", self.req.service);
                 Round::not_now(Reason::NoTarget, detail)
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes what an owner said; the line joins the request's id to the try's.
+    /// Logs an owner's answer. The line links the id of the request to that of the attempt.
     fn log_asked(
         &self,
         attempt: AttemptId,
@@ -121,11 +121,11 @@
             Asked::Granted(_) => ("granted", None),
             Asked::Redirect(_) => ("redirected", None),
             Asked::Refused(reason, _) => ("refused", Some(reason.as_str())),
-            Asked::NoOwner => (
-                "no_owner",
-                Some("the owner is not known or can't be reached"),
+            Asked::NoOwner => ("no_owner", Some("the owner is unknown or unreachable")),
+            Asked::Late => (
+                "late",
+                Some("the deadline passed while waiting for the permit"),
             ),
-            Asked::Late => ("late", Some("the deadline passed during the wait")),
         };
         let sent_on = match asked {
             Asked::Redirect(to) => joined(to),
@@ -145,7 +145,7 @@
         );
     }
 
-    /// Deferrable work waits for room rather than fail; live work is told at once.
+    /// Handles a full queue: deferrable requests wait for space, live requests are refused at once.
     fn queue_full(&self, target: &TargetName, after: Duration) -> Round {
         let problem = refused(RefusalReason::QueueFull, target, after);
         match self.req.class {
@@ -166,7 +166,7 @@
         let fresh = active().filter(|name| !self.avoid.contains(name));
         let ranked = rank_targets(&key, fresh, TARGETS_A_ROUND);
         if ranked.is_empty() {
-            // Each of them has failed the request once; one may be back by now.
+            // An attempt has failed at each of them; one may have recovered by now.
             return rank_targets(&key, active(), TARGETS_A_ROUND)
                 .into_iter()
                 .cloned()
@@ -175,7 +175,7 @@
         ranked.into_iter().cloned().collect()
     }
 
-    /// Work without an adapter has no home: it is spread evenly by request.
+    /// Returns the ranking key of a request without an adapter, which spreads such requests evenly.
     fn spread_key(&self) -> AdapterVersion {
         AdapterVersion::new(self.req.service.as_str(), self.req.id.as_str())
     }
@@ -205,12 +205,12 @@
     }
 }
 
-/// What one round of asking owners brought.
+/// The result of one round of permit requests.
 enum Round {
     Granted(HeldPermit),
-    /// The request is given up on.
+    /// The request is refused for good.
     Refused(Problem),
-    /// It is worth asking again after the pause; the problem is what to say if time has run out.
+    /// Another round may succeed after the delay; the problem is returned if no time is left for it.
     NotNow(Problem, Duration),
 }
 
@@ -224,20 +224,21 @@
 fn refused(reason: RefusalReason, target: &TargetName, after: Duration) -> Problem {
     let detail = match reason {
         RefusalReason::QueueFull => format!("the queue of {target} is full"),
-        RefusalReason::Deadline => format!("the deadline can't be kept at {target}"),
+        RefusalReason::Deadline => format!("the deadline can't be met at {target}"),
         RefusalReason::LoadFailed => format!("{target} could not load the adapter"),
         RefusalReason::Draining
         | RefusalReason::NotOwner
         | RefusalReason::TargetDown
-        | RefusalReason::TargetFailing => format!("{target} takes no new work now"),
+        | RefusalReason::TargetFailing => format!("{target} accepts no new requests now"),
     };
     Problem::not_run(Reason::Owner(reason), detail).retry_after(after)
 }
 
-/// Returns the pause before owners are asked again.
+/// Returns the delay before the next round.
 ///
-/// An owner whose target fails what it is sent knows when it lets the next call through. Asked
-/// again each 100 ms meanwhile, it would get many times the messages that sound targets get.
+/// An owner whose target fails its calls knows when it will let the next call through. Asking it
+/// again every 100 ms until then would send it many times the messages that the owners of healthy
+/// targets get.
 fn pause_after(reason: RefusalReason, after: Duration) -> Duration {
     match reason {
         RefusalReason::TargetFailing => after.max(ROUND_PAUSE),
