--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! A request's tries: a permit, a call, and what may be tried again.
+//! A request's attempts: obtaining a permit, calling the target, and retrying where it is safe.
 
 use std::time::Duration;
 
@@ -19,54 +19,54 @@
 use super::relay::{Relay, relayed};
 use super::serve::{OpenSlot, Traffic};
 
-/// Tries of one request, the first included.
+/// The maximum number of attempts for one request, including the first.
 const MAX_TRIES: u32 = 4;
-/// When a caller should come back if no owner or target could be reached.
+/// The `Retry-After` if no owner or target could be reached.
 pub(super) const UNREACHED_RETRY: Duration = Duration::from_secs(2);
-/// When a caller should come back if the budget of retries is spent.
+/// The `Retry-After` if the retry budget is exhausted.
 const BUDGET_RETRY: Duration = Duration::from_secs(1);
 
-/// A try that has the first piece of its answer.
+/// An attempt that has received the first piece of its answer.
 struct Answered {
     permit: HeldPermit,
     answer: Answer,
     /// When the call to the target was opened.
     opened: Moment,
-    /// The time from there to the first piece.
+    /// The time from opening the call to the first piece of the answer.
     first_byte: Duration,
 }
 
-/// One failed try.
+/// A failed attempt.
 struct Failed {
     problem: Problem,
     again: Again,
 }
 
-/// Whether a failed try may be repeated.
+/// Whether a failed attempt may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Again {
-    /// It did not run: at this target too.
+    /// The call did not run and may be retried at any target, including the same one.
     Anywhere,
-    /// It did not run: at another target.
+    /// The call did not run and may be retried at another target.
     Elsewhere,
-    /// It may have run: at another target, if the request is idempotent.
+    /// The call may have run and may be retried at another target if the request is idempotent.
     ElsewhereIfIdempotent,
-    /// The answer would be the same.
+    /// A retry would fail in the same way.
     Never,
 }
 
-/// A request with what its tries have in common.
+/// A request and the state that its attempts share.
 pub(super) struct Run<'a> {
     pub(super) traffic: &'a Traffic,
     pub(super) req: CallerRequest,
-    /// Its claim, if it is keyed and may run only once.
+    /// The idempotency claim, if the request is keyed and not idempotent.
     claim: Option<Claim>,
-    /// Targets that have failed the request.
+    /// Targets at which an attempt of this request has failed.
     pub(super) avoid: Vec<TargetName>,
 }
 
 impl Traffic {
-    /// Answers a request from a target, trying again where that can do no harm.
+    /// Sends a request to a target, retrying failed attempts where that is safe.
     pub(super) async fn run(
         &self,
         req: CallerRequest,
@@ -98,7 +98,7 @@
             if !self.try_retry(failed.problem.reason.as_str()) {
                 return Err(failed.problem.retry_after(BUDGET_RETRY).after(may_have_run));
             }
-            slog::info!(self.parts.log, "trying again";
+            slog::info!(self.parts.log, "retrying";
                 "request" => %run.req.id,
                 "try" => tries,
                 "reason" => failed.problem.reason.as_str(),
@@ -113,7 +113,7 @@
 }
 
 impl Run<'_> {
-    /// Makes one try: a permit and a call.
+    /// Makes one attempt: obtains a permit and calls the target.
     async fn once(&mut self) -> Result<Answered, Failed> {
         let asked_at = now();
         let mut permit = self.permit().await.map_err(final_failure)?;
@@ -134,8 +134,11 @@
             });
         };
         if !permit.is_usable(now()) {
-            let problem = Problem::not_run(Reason::NoTarget, "the permit came too late to be used")
-                .retry_after(UNREACHED_RETRY);
+            let problem = Problem::not_run(
+                Reason::NoTarget,
+                "the permit expired before it could be used",
+            )
+            .retry_after(UNREACHED_RETRY);
             return Err(Failed {
                 problem,
                 again: Again::Anywhere,
@@ -230,7 +233,7 @@
     }
 }
 
-/// Turns a failed call into what the caller may be told and what may be tried again.
+/// Maps a failed call to the problem for the caller and the retry rule.
 fn failed_call(error: &EngineError) -> Failed {
     let detail = error.to_string();
     let reason = match error {
@@ -247,7 +250,7 @@
     };
     let (problem, again) = match error.outcome() {
         Ran::NotRun => (Problem::not_run(reason, detail), after_not_run(error)),
-        // Nothing has been handed on, so that the caller can't have seen a part of the answer.
+        // Nothing has been relayed yet, so the caller can't have received a part of the answer.
         Ran::Unknown | Ran::CutShort => (
             Problem::unknown(reason, detail),
             Again::ElsewhereIfIdempotent,
@@ -255,7 +258,7 @@
     };
     debug_assert!(
         problem.outcome != Outcome::CutShort,
-        "no byte has been handed on"
+        "no byte has been relayed"
     );
     Failed {
         problem: problem.retry_after(UNREACHED_RETRY),
--- a/crates/chervilshunt_daemon/src/traffic/metrics.rs
+++ b/crates/chervilshunt_daemon/src/traffic/metrics.rs
@@ -7,7 +7,7 @@
 
 use super::problem::Problem;
 
-/// Counts a request that came in.
+/// Counts an accepted request.
 pub(crate) fn request(class: Class) {
     counter!("chervilshunt_requests_total", "class" => class.as_str()).increment(1);
 }
@@ -27,29 +27,29 @@
     histogram!("chervilshunt_permit_wait_seconds", "class" => class.as_str()).record(wait);
 }
 
-/// Records the time from the request's arrival to the head of the answer.
+/// Records the time from the request's arrival to the first piece of the answer.
 pub(crate) fn first_byte(class: Class, time: Duration) {
     histogram!("chervilshunt_first_byte_seconds", "class" => class.as_str()).record(time);
 }
 
-/// Counts a whole answer, its tokens and its time from the request's arrival.
+/// Counts the tokens of a complete answer and records its time since the request's arrival.
 pub(crate) fn answered(class: Class, tokens: u32, time: Duration) {
     let class = class.as_str();
     counter!("chervilshunt_tokens_total", "class" => class).increment(u64::from(tokens));
     histogram!("chervilshunt_answer_seconds", "class" => class).record(time);
 }
 
-/// Counts a try that was repeated, by the reason.
+/// Counts a retry by its reason.
 pub(crate) fn retry(reason: &'static str) {
     counter!("chervilshunt_retries_total", "reason" => reason).increment(1);
 }
 
-/// Counts the requests that are open, by being kept until they end.
+/// Counts a request as open until dropped.
 #[derive(Debug)]
 pub(crate) struct OpenRequest(Gauge);
 
 impl OpenRequest {
-    /// Counts one.
+    /// Increments the gauge of open requests.
     pub(crate) fn begin() -> Self {
         let open = gauge!("chervilshunt_open_requests");
         open.increment(1.0);
--- a/crates/chervilshunt_daemon/src/traffic/problem.rs
+++ b/crates/chervilshunt_daemon/src/traffic/problem.rs
@@ -1,4 +1,5 @@
-//! Refusals as problem documents (RFC 9457), each of which says whether the request ran.
+//! Problem documents (RFC 9457) for refused and failed requests; each states whether the request
+//! ran.
 
 #[cfg(test)]
 mod tests;
@@ -12,23 +13,23 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
 
-/// What a caller may conclude from a refusal.
+/// Whether a refused or failed request has run.
 ///
-/// `NotRun` is a promise: it may be said only as long as no byte of the call can have left for a
-/// target. See `docs/design/request-path.md`.
+/// `NotRun` is a guarantee: it may only be given if no byte of the call can have been sent to a
+/// target, or if the target is known not to have run it. See `docs/design/request-path.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Outcome {
-    /// Nothing ran and nothing will.
+    /// The request did not run and will not run.
     NotRun,
-    /// The call may have run.
+    /// The request may have run.
     Unknown,
-    /// The answer broke off after its beginning.
+    /// The answer was interrupted after a part of it had been relayed.
     CutShort,
 }
 
 impl Outcome {
-    /// Returns the name that documents, logs and metrics use.
+    /// Returns the name that is used in problem documents, logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -38,58 +39,58 @@
     }
 }
 
-/// Why a request was refused or failed.
+/// The reason why a request was refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Reason {
-    /// The request itself can't be understood.
+    /// The request is malformed.
     BadRequest,
     /// The adapter or version does not exist.
     UnknownModel,
     /// The service does not exist.
     UnknownService,
-    /// There is nothing at the path.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take the method.
+    /// The path does not support the method.
     BadMethod,
-    /// The head did not arrive in time.
+    /// The request head did not arrive in time.
     HeadTooSlow,
-    /// The body is over its limit.
+    /// The request body is larger than the limit.
     BodyTooLarge,
-    /// The body did not arrive in time.
+    /// The request body did not arrive in time.
     BodyTooSlow,
-    /// The instance may not take new work, since it can't tell whether its configuration is in
-    /// force.
+    /// The instance may not accept new work, because it can't determine whether its configuration
+    /// is in force.
     NotReady,
-    /// The instance has as many open requests as it may have.
+    /// The instance has reached its limit of open requests.
     TooManyRequests,
-    /// The owner refused.
+    /// The target's owner refused the request.
     Owner(RefusalReason),
     /// No owner of a suitable target could be reached.
     NoOwner,
     /// No target could be reached.
     NoTarget,
-    /// The target failed when the call may have reached it.
+    /// The call failed after it may have reached the target.
     TargetFailed,
-    /// The target took the call and did not answer in time.
+    /// The target accepted the call and did not answer in time.
     TargetTimeout,
-    /// The target said no.
+    /// The target refused the call.
     TargetRefused,
-    /// The answer named another model.
+    /// The answer came from another model than the requested one.
     WrongModel,
-    /// The answer broke off.
+    /// The answer was interrupted.
     BrokenOff,
-    /// A request with this idempotency key runs.
+    /// A request with this idempotency key is running.
     KeyInProgress,
     /// A request with this idempotency key has run, or may have.
     KeyUsed,
     /// The idempotency key was used for another request.
     KeyMismatch,
-    /// Claims can't be recorded now.
+    /// The claim of the idempotency key can't be recorded now.
     ClaimUnavailable,
 }
 
 impl Reason {
-    /// Returns the name that documents, logs and metrics use.
+    /// Returns the name that is used in problem documents, logs and metrics.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -148,16 +149,16 @@
     }
 }
 
-/// One refusal, to be rendered for the caller.
+/// A refusal or failure of a request, which is rendered for the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Problem {
-    /// What the caller may conclude.
+    /// Whether the request has run.
     pub(crate) outcome: Outcome,
-    /// Why.
+    /// The reason.
     pub(crate) reason: Reason,
-    /// What happened and what the caller can do, in a sentence.
+    /// A sentence on what happened and what the caller can do.
     pub(crate) detail: String,
-    /// When asking again is worth it.
+    /// The time after which a retry may succeed.
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -173,7 +174,7 @@
 }
 
 impl Problem {
-    /// Makes a refusal of a request that has not run.
+    /// Creates a problem for a request that has not run.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::NotRun,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Makes a failure of a request that may have run.
+    /// Creates a problem for a request that may have run.
     pub(crate) fn unknown(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::Unknown,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Makes the end of an answer that broke off.
+    /// Creates a problem for an answer that was interrupted.
     pub(crate) fn cut_short(reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             outcome: Outcome::CutShort,
@@ -203,18 +204,19 @@
         }
     }
 
-    /// Says when asking again is worth it.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub(crate) fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Returns what the caller is told when the last of several tries ends with this.
+    /// Returns the problem to report if the last of several attempts ended with this one and
+    /// `earlier` is that of an attempt that may have run.
     ///
-    /// A try that may have run stays true whatever became of those after it: when a retry was
-    /// refused, the caller was told "not run" of a request that a target had run. So the earlier
-    /// problem is told, with the time that the later one names for coming back.
+    /// A later attempt that did not run does not undo an earlier one that may have: reporting only
+    /// the last attempt would answer "not run" for a request that a target had run. In that case
+    /// the earlier problem is returned, with the retry time of the later one if it has one.
     #[must_use]
     pub(crate) fn after(self, earlier: Option<Self>) -> Self {
         match (self.outcome, earlier) {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Renders the document's JSON.
+    /// Renders the problem document as JSON.
     pub(crate) fn to_json(&self, request: &RequestId) -> Bytes {
         let reason = self.reason.as_str();
         let status = self.reason.status();
@@ -242,7 +244,7 @@
         serde_json::to_vec(&document).unwrap_or_default().into()
     }
 
-    /// Renders the whole answer.
+    /// Renders the whole response.
     pub(crate) fn to_response(&self, request: &RequestId) -> Response<Bytes> {
         let mut res = Response::new(self.to_json(request));
         *res.status_mut() = self.reason.status();
@@ -252,7 +254,7 @@
             HeaderValue::from_static("application/problem+json"),
         );
         if let Some(after) = self.retry_after {
-            // Whole seconds, rounded up: coming back earlier would meet the same refusal.
+            // Whole seconds, rounded up: an earlier retry would be refused again.
             let seconds = after.as_secs_f64().ceil().max(1.0);
             if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.0}")) {
                 headers.insert(header::RETRY_AFTER, value);
--- a/crates/chervilshunt_daemon/src/traffic/relay.rs
+++ b/crates/chervilshunt_daemon/src/traffic/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller, and giving the permit back at its end.
+//! Relays a target's answer to the caller and releases the permit at its end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -21,28 +21,28 @@
 use super::problem::{Problem, Reason};
 use super::serve::{OpenSlot, Traffic, answer_head, set_header};
 
-/// The header that names the target in an answer.
+/// The response header that names the target.
 const TARGET: &str = "x-target";
-/// The header that names the adapter version in an answer.
+/// The response header that names the adapter version.
 const ADAPTER_VERSION: &str = "x-adapter-version";
 
-/// Why the answer to a caller had to be broken off, so that it sees a failed connection rather than
-/// an answer that looks whole.
+/// The error that aborts an interrupted answer, so that the caller sees a failed connection rather
+/// than an answer that looks complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off: {source}"))]
+#[snafu(display("the answer was interrupted: {source}"))]
 pub(crate) struct RelayError {
     source: EngineError,
 }
 
-/// What is kept until the last byte of an answer.
+/// The state of a request that is kept until the last byte of its answer.
 #[derive(Debug)]
 pub(super) struct Relay {
     pub(super) traffic: Traffic,
     pub(super) permit: HeldPermit,
-    /// The claim of a keyed request, with what is kept of its answer.
+    /// The claim of a keyed request, and the part of its answer that is kept for a retry.
     pub(super) claim: Option<(Claim, KeptAnswer)>,
     pub(super) status: u16,
-    /// Kept for its drop: the request counts as open until then.
+    /// Counts the request as open until dropped.
     pub(super) _slot: OpenSlot,
     pub(super) request: RequestId,
     pub(super) class: Class,
@@ -51,11 +51,11 @@
     pub(super) arrived: Moment,
     /// When the call to the target was opened.
     pub(super) opened: Moment,
-    /// The time from there to the first piece of the answer.
+    /// The time from opening the call to the first piece of the answer.
     pub(super) first_byte: Duration,
 }
 
-/// Makes the answer to the caller from that of the target.
+/// Creates the response to the caller from the target's answer.
 pub(super) fn relayed(relay: Relay, answer: Answer, model: Option<&str>) -> Response<ResponseBody> {
     metrics::first_byte(relay.class, now().since(relay.arrived));
     let mut res = answer_head(answer.status, &answer.headers);
@@ -71,16 +71,16 @@
     res.map(|()| body.boxed_unsync())
 }
 
-/// A target's answer on its way to the caller.
+/// The body of a target's answer, relayed to the caller.
 ///
-/// It is polled only as fast as the caller reads, so that back pressure reaches the target; when
-/// the caller goes away it is dropped, which cancels the call and gives the permit back.
+/// It is polled only as fast as the caller reads, so that back-pressure reaches the target. When
+/// the caller disconnects, it is dropped, which cancels the call and releases the permit.
 #[derive(Debug)]
 struct RelayBody {
     /// None once the answer has ended.
     relay: Option<Relay>,
     body: AnswerBody,
-    /// The event that says that a stream was cut short.
+    /// The final event that reports the interruption of a stream.
     appended: Option<Bytes>,
 }
 
@@ -121,7 +121,7 @@
 }
 
 impl RelayBody {
-    /// Keeps a short answer of a keyed request for its caller's retry.
+    /// Keeps a short answer of a keyed request for a retry by its caller.
     fn keep(&mut self, frame: &Frame<Bytes>) {
         let claim = self.relay.as_mut().and_then(|relay| relay.claim.as_mut());
         if let (Some((_, kept)), Some(piece)) = (claim, frame.data_ref()) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Gives the permit back after the whole answer.
+    /// Completes the claim and releases the permit after the whole answer.
     fn finish(&mut self) {
         let Some(mut relay) = self.relay.take() else {
             return;
@@ -146,7 +146,8 @@
         });
     }
 
-    /// Ends an answer that broke off so that the caller can tell it from a whole one.
+    /// Ends an interrupted answer in a way that the caller can distinguish from a complete one: a
+    /// stream with an error event, any other answer with an error.
     fn broken_off(&mut self, error: EngineError) -> Option<Result<Frame<Bytes>, RelayError>> {
         let mut relay = self.relay.take()?;
         relay.permit.ended(ReleaseOutcome::TargetFailed);
--- a/crates/chervilshunt_daemon/src/traffic/serve.rs
+++ b/crates/chervilshunt_daemon/src/traffic/serve.rs
@@ -1,4 +1,4 @@
-//! One request from its head to the head of its answer.
+//! Handles one request, from its head to the head of its answer.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -27,16 +27,17 @@
 use chervilshunt_engine::Engines;
 use chervilshunt_model::Clock;
 
-/// When a caller should come back to an instance that may not take new work.
+/// The `Retry-After` of an instance that may not accept new work.
 const NOT_READY_RETRY: Duration = Duration::from_secs(2);
-/// When a caller should come back to an instance with too many open requests.
+/// The `Retry-After` of an instance with too many open requests.
 const TOO_MANY_RETRY: Duration = Duration::from_secs(1);
 const COMPLETION_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 const SERVICES_PREFIX: &str = "/services/";
-/// The header that names the instance in an answer.
+/// The response header that names the entry instance.
 const SERVED_BY: &str = "x-served-by";
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1) or that this system sets.
+/// Headers that are not forwarded: they apply to one connection only (RFC 9110, section 7.6.1) or
+/// are set by this system.
 const NOT_FORWARDED: [&str; 9] = [
     "connection",
     "content-length",
@@ -49,13 +50,13 @@
     "upgrade",
 ];
 
-/// What all requests share.
+/// The state that all requests share.
 #[derive(Clone, Debug)]
 pub(crate) struct Traffic {
     pub(super) parts: Arc<Parts>,
 }
 
-/// The parts that a request needs.
+/// The components that requests use.
 #[derive(Debug)]
 pub(crate) struct Parts {
     pub(super) settings: Arc<Settings>,
@@ -69,7 +70,7 @@
     pub(super) retries: Mutex<RetryBudget>,
 }
 
-/// A request's place among the open ones, kept until the last byte of its answer.
+/// One of the limited slots for open requests, held until the last byte of the answer.
 #[derive(Debug)]
 pub(crate) struct OpenSlot {
     _permit: OwnedSemaphorePermit,
@@ -77,7 +78,7 @@
 }
 
 impl Traffic {
-    /// Makes the handle that all connections share.
+    /// Creates the handle that all connections share.
     pub(crate) fn new(
         settings: Arc<Settings>,
         log: Logger,
@@ -105,17 +106,17 @@
         }
     }
 
-    /// Returns the bounds on what callers may use.
+    /// Returns the limits on callers' requests.
     pub(crate) fn limits(&self) -> &Limits {
         &self.parts.settings.limits
     }
 
-    /// Returns the log.
+    /// Returns the logger.
     pub(crate) fn log(&self) -> &Logger {
         &self.parts.log
     }
 
-    /// Answers one request, with a problem document if nothing better can be said.
+    /// Answers one request, with a problem document if it is refused or fails.
     pub(crate) async fn serve(
         &self,
         req: Request<Incoming>,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Reports a refusal and makes its answer.
+    /// Logs and counts a problem and returns its response.
     pub(super) fn refuse(&self, problem: &Problem, id: &RequestId) -> Response<Bytes> {
         self.report(problem, id);
         let mut res = problem.to_response(id);
@@ -139,7 +140,7 @@
         res
     }
 
-    /// Says which request an answer belongs to, and which instance gave it.
+    /// Sets the response headers that identify the request and the entry instance.
     fn sign<B>(&self, res: &mut Response<B>, id: &RequestId) {
         set_header(res, REQUEST_ID, id.as_str());
         set_header(res, SERVED_BY, self.parts.settings.instance.id.as_str());
@@ -165,7 +166,7 @@
         if !self.parts.routing.takes_work(self.parts.clock.now()) {
             return Err(Problem::not_run(
                 Reason::NotReady,
-                "the instance can't tell yet whether its configuration is in force",
+                "the instance can't determine yet whether its configuration is in force",
             )
             .retry_after(NOT_READY_RETRY));
         }
@@ -206,13 +207,13 @@
         })
     }
 
-    /// Counts a first try, for the budget of retries.
+    /// Records a first attempt in the retry budget.
     pub(super) fn record_first_try(&self) {
         let now = self.parts.clock.now();
         self.retries().record_first_try(now);
     }
 
-    /// Takes one retry off the budget, if there is one.
+    /// Takes one retry from the retry budget, and returns whether one was left.
     pub(super) fn try_retry(&self, reason: &'static str) -> bool {
         let now = self.parts.clock.now();
         let allowed = self.retries().try_retry(now);
@@ -229,7 +230,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Logs and counts a refusal or failure.
+    /// Logs and counts a problem.
     pub(super) fn report(&self, problem: &Problem, id: &RequestId) {
         metrics::problem(problem);
         slog::info!(self.parts.log, "request failed";
@@ -248,7 +249,7 @@
     };
     let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
     if name.is_empty() {
-        let detail = "name the service, as /services/NAME/REST";
+        let detail = "the path must name a service, as /services/NAME/REST";
         return Err(Problem::not_run(Reason::UnknownPath, detail));
     }
     Ok(Some((name.to_owned(), format!("/{rest}"))))
@@ -264,19 +265,19 @@
     if !COMPLETION_PATHS.contains(&path) {
         let known = COMPLETION_PATHS.join(", ");
         let detail =
-            format!("there is nothing at {path}; there is {known}, {SERVICES_PREFIX}NAME/");
+            format!("{path} does not exist; the paths are {known}, {SERVICES_PREFIX}NAME/");
         return Err(Problem::not_run(Reason::UnknownPath, detail));
     }
     if method != Method::POST {
-        let detail = format!("{path} takes POST, not {method}");
+        let detail = format!("{path} supports POST, not {method}");
         return Err(Problem::not_run(Reason::BadMethod, detail));
     }
     Ok(())
 }
 
-/// Returns the headers that a plain service gets to see.
+/// Returns the headers that are forwarded between a caller and a target.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
-    // RFC 9110, section 7.6.1: what `Connection` lists concerns this connection only.
+    // RFC 9110, section 7.6.1: the headers listed in `Connection` apply to this connection only.
     let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -293,7 +294,7 @@
         .collect()
 }
 
-/// Sets a header of ours; a value that is no header value is left out.
+/// Sets a response header; it is omitted if the value is not a valid header value.
 pub(super) fn set_header<B>(res: &mut Response<B>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         res.headers_mut()
@@ -301,7 +302,7 @@
     }
 }
 
-/// Copies what a caller should see of a target's answer.
+/// Creates the response head for the caller from that of the target's answer.
 pub(super) fn answer_head(status: StatusCode, headers: &HeaderMap) -> Response<()> {
     let mut res = Response::new(());
     *res.status_mut() = status;
