--- a/crates/chervilshunt_daemon/src/facts.rs
+++ b/crates/chervilshunt_daemon/src/facts.rs
@@ -45,8 +45,8 @@
     pub(crate) generation: u64,
     /// The change that is in progress, if any.
     pub(crate) pending: Option<ChangeId>,
-    /// The outcomes of recent changes, oldest first: the revision of an accepted change, or none for
-    /// an abandoned one.
+    /// The outcomes of recent changes, oldest first: the revision of an accepted change, or none
+    /// for an abandoned one.
     pub(crate) outcomes: Vec<(ChangeId, Option<Revision>)>,
     /// For recent changes that were proposed through this instance, the number of changed objects.
     pub(crate) changed: Vec<(ChangeId, usize)>,
--- a/crates/chervilshunt_daemon/src/operators/tables/tests.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Every table as it is shown of a made-up deployment.
+//! The output of every table for a sample deployment.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -104,7 +104,7 @@
     })
 }
 
-/// Shows a table as an instance would that asked one other a while ago.
+/// Runs a query with one report of age 0 and one that is 34 ms old.
 fn shown(question: &str) -> Rows {
     let statements = parse(question).unwrap();
     let Some(Statement::Show(show)) = statements.first() else {
@@ -117,7 +117,7 @@
     rows_from(show, |facts| facts)
 }
 
-/// Shows a table of what is left of the instances' facts.
+/// Runs a query on the instances' state after `left` has been applied to it.
 fn rows_from(show: &Show, left: impl Fn(InstanceFacts) -> InstanceFacts) -> Rows {
     let asked_at = Instant::now();
     let told = |facts: Value, age: u64| Told {
@@ -135,11 +135,10 @@
     sources.show(show)
 }
 
-/// An operator would see a table with holes. Instances tell only what the table shows, so that a
-/// question is not answered with all that each of them knows; a part left out of one table too many
-/// shows here.
+/// Instances report only the state that the queried table shows, to limit the size of their
+/// answers. If too much were removed, cells of the table would be empty.
 #[test]
-fn every_table_is_whole_from_what_instances_tell_for_it() {
+fn every_table_is_complete_with_the_state_reported_for_it() {
     for table in Table::ALL {
         let statements = parse(&format!("show {}", table.as_str())).unwrap();
         let Some(Statement::Show(show)) = statements.first() else {
@@ -150,7 +149,7 @@
     }
 }
 
-/// Facts of an instance in full load: four targets with 16 adapters and 16 permits each.
+/// Returns the state of a fully loaded instance: four targets with 16 adapters and 16 permits each.
 fn full_load() -> InstanceFacts {
     let mut facts = entry_1();
     let mut target = facts["targets"][0].clone();
@@ -167,7 +166,7 @@
 #[case::changes(Table::Changes, 1_000)]
 #[case::targets(Table::Targets, 8_000)]
 #[case::permits(Table::Permits, 11_000)]
-fn an_instance_in_full_load_tells_few_bytes(#[case] table: Table, #[case] bound: usize) {
+fn a_fully_loaded_instance_reports_few_bytes(#[case] table: Table, #[case] bound: usize) {
     let bytes = |facts: &InstanceFacts| serde_json::to_string(facts).unwrap().len();
     let whole = bytes(&full_load());
     let told = bytes(&full_load().shown_by(table));
@@ -198,7 +197,7 @@
     insta::assert_snapshot!(shown_tables);
 }
 
-// Conditions see what is shown, also of the columns that each table ends with.
+// Conditions apply to the values as shown, including the two columns that end each table.
 #[rstest]
 #[case("show targets where owner = entry-2", &["lm-2"])]
 #[case("show targets where reachable = none", &["desk-1"])]
@@ -215,12 +214,12 @@
     assert_eq!(rows.rows.iter().map(first).collect::<Vec<_>>(), names);
 }
 
-/// An instance that has lost the platform still says that it owns a target which another has taken
-/// over. Operators see the owner of the higher epoch, whichever answered first.
+/// An instance that has lost contact with the platform still reports a target that another instance
+/// has taken over. The owner with the higher epoch is shown, whichever answered first.
 #[rstest]
 #[case::superseded_first(["entry-1", "entry-2"])]
 #[case::superseded_last(["entry-2", "entry-1"])]
-fn of_two_that_say_they_own_a_target_the_later_epoch_is_shown(#[case] order: [&str; 2]) {
+fn of_two_reported_owners_the_higher_epoch_is_shown(#[case] order: [&str; 2]) {
     let now = Instant::now();
     let told = order.map(|instance| {
         let mut facts = entry_2();
--- a/crates/chervilshunt_daemon/src/traffic/completion/tests.rs
+++ b/crates/chervilshunt_daemon/src/traffic/completion/tests.rs
@@ -1,4 +1,4 @@
-//! What routing reads of a completion's body, and what the engine gets.
+//! Parsing of completion bodies and the body that is sent to the engine.
 
 use chervilshunt_model::Class;
 use rstest::rstest;
@@ -17,7 +17,7 @@
 #[case::the_newer_name(json!({"max_completion_tokens": 8}), 8)]
 #[case::both_names(json!({"max_tokens": 7, "max_completion_tokens": 8}), 7)]
 #[case::null_beside_the_newer_name(json!({"max_tokens": null, "max_completion_tokens": 8}), 8)]
-fn the_most_tokens(#[case] mut body: Value, #[case] max_tokens: u32) {
+fn max_tokens_has_a_default(#[case] mut body: Value, #[case] max_tokens: u32) {
     body["model"] = json!("a@v1");
     body["prompt"] = json!("x");
     assert_eq!(parse(&body).max_tokens, max_tokens);
@@ -31,7 +31,7 @@
 #[case::messages(json!({"messages": [{"role": "user", "content": "hi"}]}), 8)]
 #[case::null_beside_a_prompt(json!({"messages": null, "prompt": "four"}), 1)]
 #[case::messages_before_prompt(json!({"messages": [], "prompt": "far longer than that"}), 1)]
-fn the_prompt_is_measured(#[case] mut body: Value, #[case] tokens: u32) {
+fn prompt_tokens_are_estimated(#[case] mut body: Value, #[case] tokens: u32) {
     body["model"] = json!("a@v1");
     assert_eq!(parse(&body).prompt_tokens, tokens);
 }
--- a/crates/chervilshunt_daemon/src/traffic/headers.rs
+++ b/crates/chervilshunt_daemon/src/traffic/headers.rs
@@ -55,8 +55,8 @@
     /// Parses the headers of a request.
     ///
     /// # Errors
-    /// Returns a problem if one of these headers is malformed. `Priority` is the exception: RFC 9218
-    /// requires malformed values to be ignored.
+    /// Returns a problem if one of these headers is malformed. `Priority` is the exception: RFC
+    /// 9218 requires malformed values to be ignored.
     pub(crate) fn read(headers: &HeaderMap, id: RequestId) -> Result<Self, Problem> {
         let caller = text(headers, CALLER)?.map(CallerName::new);
         let class = headers
--- a/crates/chervilshunt_daemon/src/traffic/headers/tests.rs
+++ b/crates/chervilshunt_daemon/src/traffic/headers/tests.rs
@@ -1,4 +1,4 @@
-//! What each published header may say, and what it then means.
+//! Valid and invalid values of each documented header.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn without_headers_all_is_left_to_the_service() {
+fn without_headers_the_service_settings_apply() {
     let read = read(&[]).unwrap();
     assert_eq!(
         (read.caller, read.class, read.deadline, read.key),
@@ -37,8 +37,8 @@
     );
 }
 
-// RFC 9218: urgency 0 to 7, other members and parameters are allowed, and what can't be read is
-// ignored rather than refused.
+// RFC 9218: the urgency is 0 to 7, other members and parameters are allowed, and malformed values
+// are ignored rather than refused.
 #[rstest]
 #[case("u=0", Some(Live))]
 #[case("u=4", Some(Live))]
@@ -80,7 +80,7 @@
 #[case("wait")]
 #[case("wait=99999999999999999999")]
 #[case("wait=,")]
-fn a_deadline_that_can_not_be_read_is_refused(#[case] value: &str) {
+fn a_malformed_deadline_is_refused(#[case] value: &str) {
     let detail = read(&[("prefer", value)]).unwrap_err();
     assert!(detail.contains("Prefer: wait=SECONDS"), "{detail}");
 }
@@ -107,7 +107,7 @@
 #[case("7")]
 #[case("(\"a\")")]
 #[case("\"a\", \"b\"")]
-fn another_key_is_refused(#[case] value: &str) {
+fn a_malformed_key_is_refused(#[case] value: &str) {
     let detail = read(&[("idempotency-key", value)]).unwrap_err();
     assert!(detail.contains("in quotes"), "{detail}");
 }
@@ -116,7 +116,7 @@
 #[case("x-caller")]
 #[case("prefer")]
 #[case("idempotency-key")]
-fn a_header_comes_once_and_is_short_and_printable(#[case] name: &str) {
+fn a_repeated_long_or_unprintable_header_is_refused(#[case] name: &str) {
     let long = "x".repeat(257);
     for pairs in [
         &[(name, "\"a\""), (name, "\"a\"")][..],
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_request_id_that_can_not_be_used_is_replaced() {
+fn an_invalid_request_id_is_replaced() {
     let given = request_id(&headers(&[("x-request-id", "slip-7")]));
     assert_eq!(given.as_str(), "slip-7");
     let long = "x".repeat(257);
--- a/crates/chervilshunt_daemon/src/traffic/place.rs
+++ b/crates/chervilshunt_daemon/src/traffic/place.rs
@@ -210,7 +210,7 @@
     Granted(HeldPermit),
     /// The request is refused for good.
     Refused(Problem),
-    /// Another round may succeed after the delay; the problem is returned if no time is left for it.
+    /// Another round may succeed after the delay; the problem is returned if no time is left.
     NotNow(Problem, Duration),
 }
 
--- a/crates/chervilshunt_daemon/src/traffic/problem/tests.rs
+++ b/crates/chervilshunt_daemon/src/traffic/problem/tests.rs
@@ -1,4 +1,4 @@
-//! Every refusal as its caller gets it.
+//! The response for every reason of a problem.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     }
 }
 
-// Whole seconds, and never too early: who comes back before meets the same refusal.
+// Rounded up to whole seconds, because an earlier retry would be refused again.
 #[rstest]
 #[case(0, "1")]
 #[case(1, "1")]
@@ -75,7 +75,8 @@
     assert_eq!(res.headers()["retry-after"], seconds);
 }
 
-// A first try's answer breaks off, and a retry is refused. The request ran, whatever the last try says.
+// The answer of the first attempt is interrupted, and the retry is refused. The problem must not
+// claim that the request did not run.
 #[rstest]
 #[case::refused_after_it_may_have_run(true, false, Outcome::Unknown, Reason::BrokenOff, Some(7))]
 #[case::refused_each_time(
@@ -86,7 +87,7 @@
     Some(7)
 )]
 #[case::broken_off_each_time(true, true, Outcome::Unknown, Reason::TargetFailed, Some(2))]
-fn the_last_of_several_tries_does_not_hide_that_an_earlier_one_ran(
+fn the_last_attempt_does_not_hide_that_an_earlier_one_ran(
     #[case] earlier_ran: bool,
     #[case] last_ran: bool,
     #[case] outcome: Outcome,
