--- a/crates/chervilshunt_daemon/tests/support/endless.rs
+++ b/crates/chervilshunt_daemon/tests/support/endless.rs
@@ -1,4 +1,4 @@
-//! A target that answers without end, and tells how much of it was taken.
+//! An engine with endless streams that counts the bytes that it sends.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use tokio::net::TcpSocket;
 use tokio_util::task::AbortOnDropHandle;
 
-/// The name of the base model that it serves.
+/// The base model that the engine serves.
 pub(crate) const ENDLESS: &str = "endless";
 
 const SEND_BUFFER: u32 = 16 * 1024;
@@ -37,7 +37,7 @@
     open: AtomicUsize,
 }
 
-/// Counts a stream for as long as it is open.
+/// Counts a stream as open until dropped.
 struct Counted(Arc<Counts>);
 
 impl Drop for Counted {
@@ -48,7 +48,7 @@
 
 impl Endless {
     pub(crate) async fn start() -> Self {
-        // The system's own buffer would hide megabytes of what is not read.
+        // The kernel's default send buffer would hold megabytes that nobody has read.
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_send_buffer_size(SEND_BUFFER).expect("an option");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Returns the bytes that have been taken of all streams.
+    /// Returns the number of bytes that have been sent on all streams.
     pub(crate) fn bytes(&self) -> u64 {
         self.counts.bytes.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of streams that are open.
+    /// Returns the number of open streams.
     pub(crate) fn open(&self) -> usize {
         self.counts.open.load(Ordering::Relaxed)
     }
--- a/crates/chervilshunt_daemon/tests/support/http.rs
+++ b/crates/chervilshunt_daemon/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP/1.1 or HTTP/2 without an upgrade.
+//! An HTTP client for HTTP/1.1, and for HTTP/2 with prior knowledge.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bounds every wait, so that a fault fails a test in place of hanging it.
+/// The bound of every wait, so that a fault fails the test instead of blocking it.
 pub(crate) const BOUND: Duration = Duration::from_secs(20);
 
-/// What a caller that speaks HTTP/2 takes without having read it, in bytes.
+/// The flow-control window of an HTTP/2 client, in bytes.
 const WINDOW: u32 = 64 * 1024;
 
-/// How a caller speaks.
+/// The protocol of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Speaks {
     /// HTTP/1.1.
     Http1,
-    /// HTTP/2 by prior knowledge.
+    /// HTTP/2 with prior knowledge.
     Http2,
 }
 
-/// An answer as far as it came.
+/// A response, which may be incomplete.
 #[derive(Debug)]
 pub(crate) struct Answered {
-    /// Its status.
+    /// The status.
     pub(crate) status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub(crate) headers: HeaderMap,
-    /// What came of its body.
+    /// The part of the body that was received.
     pub(crate) text: String,
-    /// Whether the body ended as it should.
+    /// Whether the body ended without an error.
     pub(crate) whole: bool,
 }
 
@@ -47,38 +47,38 @@
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 
-    /// Returns a header's text, or nothing.
+    /// Returns the text of a header, if it is present.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// An open answer; dropping it closes the connection.
+/// A response whose body has not been read; dropping it closes the connection.
 #[derive(Debug)]
 pub(crate) struct Open {
-    /// The answer with its body still to be read.
+    /// The response with its unread body.
     pub(crate) response: Response<Incoming>,
     _connection: AbortOnDropHandle<()>,
 }
 
-/// Sends a request over a connection of its own and returns as soon as the head of the answer is
-/// there.
+/// Sends a request over a new connection and returns as soon as the response head has been
+/// received.
 pub(crate) async fn open(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Open {
     tokio::time::timeout(BOUND, try_open(to, speaks, req))
         .await
-        .expect("no head of an answer within the bound")
-        .expect("no answer")
+        .expect("no response head within the bound")
+        .expect("no response")
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the whole response.
 pub(crate) async fn send(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Answered {
     let open = open(to, speaks, req).await;
     tokio::time::timeout(BOUND, read(open))
         .await
-        .expect("no end of the answer within the bound")
+        .expect("no end of the response within the bound")
 }
 
-/// Reads an answer to its end.
+/// Reads a response to its end.
 pub(crate) async fn read(open: Open) -> Answered {
     let (head, mut body) = open.response.into_parts();
     let mut bytes = Vec::new();
@@ -130,7 +130,7 @@
     })
 }
 
-/// Makes a request with a JSON body.
+/// Creates a request with a JSON body.
 pub(crate) fn post(
     to: SocketAddr,
     path: &str,
@@ -140,7 +140,7 @@
     request("POST", to, path, headers, body)
 }
 
-/// Makes a request.
+/// Creates a request.
 pub(crate) fn request(
     method: &str,
     to: SocketAddr,
--- a/crates/chervilshunt_daemon/tests/support/mod.rs
+++ b/crates/chervilshunt_daemon/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the daemon as a process share: one fleet for each test binary, and callers
-//! that speak HTTP/1.1, HTTP/2 and bare bytes.
+//! Support for the tests that run the daemon as a process: one fleet for each test binary, and
+//! clients for HTTP/1.1, HTTP/2 and raw bytes.
 
 #![allow(dead_code, reason = "each test binary uses a part")]
 
--- a/crates/chervilshunt_daemon/tests/support/raw.rs
+++ b/crates/chervilshunt_daemon/tests/support/raw.rs
@@ -1,4 +1,4 @@
-//! A caller that writes bytes as it likes.
+//! A client that sends arbitrary bytes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,28 +8,29 @@
 
 use super::http::BOUND;
 
-/// One connection.
+/// A TCP connection.
 #[derive(Debug)]
 pub(crate) struct Raw {
     stream: TcpStream,
 }
 
 impl Raw {
-    /// Connects.
+    /// Opens a connection.
     pub(crate) async fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.expect("the port is open");
         stream.set_nodelay(true).expect("the socket takes options");
         Self { stream }
     }
 
-    /// Writes bytes; the other end may have closed the connection by now.
+    /// Writes bytes and ignores errors, because the other end may have closed the connection.
     pub(crate) async fn write(&mut self, bytes: &[u8]) {
         let _closed = self.stream.write_all(bytes).await;
     }
 
-    /// Reads until the other end closes the connection, and returns what came.
+    /// Reads until the other end closes the connection, and returns the received text.
     ///
-    /// Fails the test if it stays open.
+    /// # Panics
+    /// Fails the test if the connection stays open.
     pub(crate) async fn read_to_end(&mut self) -> String {
         self.read_to_end_within(BOUND)
             .await
--- a/crates/chervilshunt_daemon/tests/support/serial.rs
+++ b/crates/chervilshunt_daemon/tests/support/serial.rs
@@ -1,4 +1,4 @@
-//! Tests that throw fault switches or count what is open, one after the other.
+//! Runs tests that inject faults or count open requests one at a time.
 
 use std::sync::Arc;
 
@@ -11,19 +11,19 @@
 
 static ALONE: Mutex<()> = Mutex::const_new(());
 
-/// The shared fleet, for one test at a time.
+/// Exclusive access to the shared fleet.
 #[derive(Debug)]
 pub(crate) struct Alone {
     pub(crate) fleet: Arc<Fleet>,
     _lock: MutexGuard<'static, ()>,
 }
 
-/// Runs a test alone on the fleet of this binary, without any fault in force.
+/// Runs a test with exclusive access to the fleet of this binary and all faults cleared.
 pub(crate) fn alone<F>(options: impl FnOnce() -> FleetOptions, test: impl FnOnce(Alone) -> F)
 where
     F: Future<Output = ()>,
 {
-    // The fleet first: as long as others wait for their turn, it stays.
+    // Taken before the lock, so that the fleet is kept while other tests wait for it.
     let fleet = shared::fleet(options);
     shared::runtime().block_on(async {
         let alone = Alone {
@@ -44,7 +44,7 @@
 }
 
 impl Alone {
-    /// Takes all faults back, also those that a failed test has left.
+    /// Clears all faults, including those that a failed test has left behind.
     async fn heal(&self) {
         let engine = json!({
             "down": false, "slow_ms": 0, "freeze": false, "cut_after_tokens": -1, "wrong_model": false,
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Throws fault switches of a target.
+    /// Sets fault switches of a target.
     pub(crate) async fn fault(&self, target: &str, faults: Value) {
         let thrown = self.fleet.set_faults(target, faults).await;
         thrown.unwrap_or_else(|error| panic!("{error}"));
     }
 
-    /// Throws fault switches of all engines.
+    /// Sets fault switches of all engines.
     pub(crate) async fn fault_engines(&self, faults: Value) {
         for name in self.fleet.targets().keys() {
             if name.starts_with("engine") {
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Returns the rows of a question, each as an object by column.
+    /// Returns the rows of a query, each as an object keyed by column.
     pub(crate) async fn show(&self, question: &str) -> Vec<Value> {
         let statements = self.fleet.statements().expect("an instance is ready");
         let answer = statements.run(question).await;
         rows(&answer.unwrap_or_else(|error| panic!("{error}")))
     }
 
-    /// Waits until a question has no rows.
+    /// Waits until a query returns no rows.
     pub(crate) async fn wait_for_none(&self, question: &str) {
         let none = || async { self.show(question).await.is_empty().then_some(()) };
         let ended = wait_until(BOUND, none).await;
@@ -97,7 +97,7 @@
         );
     }
 
-    /// Waits until a question has this many rows.
+    /// Waits until a query returns this many rows.
     pub(crate) async fn wait_for_rows(&self, question: &str, count: usize) -> Vec<Value> {
         let wanted = || async {
             let rows = self.show(question).await;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Returns a number from a target's counters.
+    /// Returns the value of one of a target's counters.
     pub(crate) async fn stat(&self, target: &str, name: &str) -> u64 {
         let stats = self.fleet.stats(target).await;
         let stats = stats.unwrap_or_else(|error| panic!("{error}"));
@@ -118,7 +118,7 @@
             .unwrap_or_else(|| panic!("no {name} in {stats}"))
     }
 
-    /// Returns how often all targets together ran a request.
+    /// Returns the number of times that a request ran, over all targets.
     pub(crate) async fn runs(&self, request: &str) -> u64 {
         let mut runs = 0;
         for address in self
@@ -159,7 +159,7 @@
     values.sum()
 }
 
-/// Returns the rows of the first result of an answer, each as an object by column.
+/// Returns the rows of the first result of an answer, each as an object keyed by column.
 pub(crate) fn rows(answer: &Value) -> Vec<Value> {
     let result = &answer["results"][0];
     let columns = result["columns"].as_array().expect("columns").clone();
--- a/crates/chervilshunt_daemon/tests/support/shared.rs
+++ b/crates/chervilshunt_daemon/tests/support/shared.rs
@@ -1,20 +1,21 @@
-//! One fleet for all tests of a binary.
+//! The fleet that all tests of a binary share.
 
 use std::sync::{Arc, Mutex, OnceLock, PoisonError, Weak};
 
 use chervilshunt_standin::fleet::{Fleet, FleetOptions};
 use tokio::runtime::Runtime;
 
-/// The runtime that outlives single tests, as the fleet's processes and tasks belong to it.
+/// The runtime of the fleet's processes and tasks, which outlives single tests.
 pub(crate) fn runtime() -> &'static Runtime {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     RUNTIME.get_or_init(|| Runtime::new().expect("the process may start threads"))
 }
 
-/// Returns the fleet that the tests of this binary share, started with `options` by the first.
+/// Returns the fleet that the tests of this binary share; the first caller starts it with
+/// `options`.
 ///
-/// It ends with the last test that holds it: a static one would never be dropped, and its processes
-/// would outlive the tests.
+/// It is dropped with the last test that holds it. A fleet in a static would never be dropped, and
+/// its processes would outlive the tests.
 pub(crate) fn fleet(options: impl FnOnce() -> FleetOptions) -> Arc<Fleet> {
     static FLEET: Mutex<Weak<Fleet>> = Mutex::new(Weak::new());
     let mut shared = FLEET.lock().unwrap_or_else(PoisonError::into_inner);
@@ -27,7 +28,7 @@
     fleet
 }
 
-/// Copies the logs as they are when a test fails: other tests go on with the fleet.
+/// Copies the logs at the time of a test's failure, because other tests keep using the fleet.
 pub(crate) fn keep_logs(fleet: &Fleet) {
     let kept = tempfile::Builder::new()
         .prefix("chervilshunt-failed-")
