--- a/crates/chervilshunt_daemon/tests/callers_answers.rs
+++ b/crates/chervilshunt_daemon/tests/callers_answers.rs
@@ -1,5 +1,5 @@
-//! What callers get whose requests are taken: whole answers of the model they named, or the truth
-//! about what became of them.
+//! The answers to accepted requests: complete answers from the requested model, or a problem that
+//! states correctly whether the request ran.
 
 mod support;
 
@@ -21,7 +21,7 @@
         engines: 2,
         plains: 1,
         adapters: 4,
-        // Tests that make engines fail must not use up each other's retries.
+        // Tests that make engines fail must not exhaust the retry budget for each other.
         settings: json!({"limits": {"retry_budget_ratio": 1.0}}),
         ..FleetOptions::default()
     }
@@ -31,7 +31,7 @@
     json!({"model": model, "prompt": "chairs", "max_tokens": tokens, "stream": stream}).to_string()
 }
 
-/// Returns the text of a completion, whole or streamed.
+/// Returns the text of a completion, streamed or not.
 fn text_of(answer: &Answered) -> String {
     let text = |document: &Value| {
         let choice = &document["choices"][0];
@@ -56,7 +56,7 @@
     text(&answer.json())
 }
 
-/// Returns the JSON of a stream's `data` lines.
+/// Returns the JSON values of a stream's `data` lines.
 fn data_of(answer: &Answered) -> Vec<Value> {
     let data = answer
         .text
@@ -74,7 +74,7 @@
 }
 
 #[rstest]
-fn a_completion_comes_whole_from_the_model_named(
+fn a_completion_is_complete_and_from_the_requested_model(
     #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
     #[values("i1", "i2")] entry: &str,
     #[values(false, true)] stream: bool,
@@ -102,7 +102,7 @@
 }
 
 #[rstest]
-fn a_chat_comes_whole(#[values(false, true)] stream: bool) {
+fn a_chat_completion_is_complete(#[values(false, true)] stream: bool) {
     alone(options, async |test| {
         let to = test.fleet.instances()["i1"].callers();
         let id = format!("chat-{stream}");
@@ -135,10 +135,10 @@
     });
 }
 
-// The engine's connection breaks after the stream has begun. What was handed on can't be taken
-// back, so the caller gets an event that says so, and neither a `[DONE]` nor a second beginning.
+// The engine's connection breaks after the stream has begun. The relayed part can't be taken back,
+// so the caller gets an error event, and neither a `[DONE]` nor a restarted stream.
 #[rstest]
-fn a_stream_that_is_cut_ends_with_an_error_event(
+fn an_interrupted_stream_ends_with_an_error_event(
     #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
 ) {
     alone(options, async |test| {
@@ -149,7 +149,10 @@
         let headers = [("x-request-id", id.as_str())];
         let answer = send(to, speaks, post(to, "/v1/completions", &headers, &body)).await;
         assert_eq!(answer.status, StatusCode::OK);
-        assert!(answer.whole, "the event ends the answer as it should");
+        assert!(
+            answer.whole,
+            "the error event ends the response without a connection error"
+        );
         assert!(!answer.text.contains("[DONE]"));
         let error = answer
             .text
@@ -170,10 +173,10 @@
     });
 }
 
-// Both engines cut each whole answer half-way. The request is idempotent, so the instance tries
-// again, a bounded number of times, and then says that the outcome is unknown: it did run.
+// Both engines interrupt each answer half-way. The request is idempotent, so the instance retries
+// it a limited number of times and then reports an unknown outcome, because it did run.
 #[test]
-fn a_whole_answer_that_is_cut_is_tried_again_and_then_unknown() {
+fn an_interrupted_answer_is_retried_and_then_reported_as_unknown() {
     alone(options, async |test| {
         test.fault_engines(json!({"cut_after_tokens": 2})).await;
         let to = test.fleet.instances()["i1"].callers();
@@ -191,9 +194,9 @@
     });
 }
 
-// One engine cuts whole answers, the other does not. The caller sees nothing of it.
+// One engine interrupts its answers, the other does not. The retry hides that from the caller.
 #[test]
-fn a_whole_answer_that_is_cut_comes_from_another_engine() {
+fn an_interrupted_answer_is_replaced_by_another_engines() {
     alone(options, async |test| {
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
         let to = test.fleet.instances()["i1"].callers();
@@ -209,10 +212,11 @@
     });
 }
 
-// One engine cuts whole answers. The other has restarted empty and fails its loads, so that it refuses
-// the retry before anything runs there. The caller may not be told "not run": the first engine ran it.
+// One engine interrupts its answers. The other has restarted without adapters and fails its loads,
+// so it refuses the retry before anything runs. The answer must not be "not run", because the first
+// engine ran the request.
 #[test]
-fn a_refused_retry_does_not_hide_that_the_first_try_ran() {
+fn a_refused_retry_does_not_hide_that_the_first_attempt_ran() {
     alone(options, async |test| {
         until_sound(&test).await;
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
@@ -241,24 +245,28 @@
             }
             assert!(answer.header("retry-after").is_some(), "{}", answer.text);
         }
-        assert!(ran_and_failed > 0, "no request was cut at the first engine");
+        assert!(
+            ran_and_failed > 0,
+            "no request was interrupted at the first engine"
+        );
         test.fault("engine-1", json!({"cut_after_tokens": -1}))
             .await;
         test.fault("engine-2", json!({"load_fails": 0.0})).await;
-        // Its owner tries loads that failed again only after a pause.
+        // The owner retries failed loads only after a delay.
         until_sound(&test).await;
     });
 }
 
-// One engine cuts every answer half-way, and passes its health checks. Callers get their answers from
-// the other one. The failing one gets calls until its owner sees that they fail, then single ones:
-// without that, each request that ranks it first fails there, and is sent twice.
+// One engine interrupts every answer half-way but passes its health checks. Callers get their
+// answers from the other one. The failing engine gets calls until its owner's circuit breaker
+// opens, and only single ones after that; otherwise each request that ranks it first would fail
+// there and be sent twice.
 #[test]
 fn an_engine_that_fails_its_calls_gets_few_more() {
     const ROUNDS: u32 = 12;
-    /// Calls that it takes to tell, those under way meanwhile, and single ones after that.
+    /// Calls until the breaker opens, those in flight at that time, and the single ones after it.
     const MOST_FAILED: f64 = 40.0;
-    /// Time after which earlier calls no longer count for a breaker.
+    /// The time after which a breaker no longer counts earlier calls.
     const WINDOW: Duration = Duration::from_secs(11);
     alone(options, async |test| {
         until_sound(&test).await;
@@ -281,10 +289,10 @@
     });
 }
 
-/// Waits until both engines get and answer calls again: earlier tests may have made enough of them
-/// fail for their owners to stop calls.
+/// Waits until both engines get and answer calls again, because earlier tests may have opened their
+/// breakers.
 async fn until_sound(test: &Alone) {
-    /// As many calls to each engine as a breaker looks at before it opens.
+    /// The number of calls to each engine that a breaker evaluates before it opens.
     const SOUND_ROUNDS: u32 = 4;
     const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
     let mut sound = 0;
@@ -309,7 +317,7 @@
     panic!("an engine gets no calls any more");
 }
 
-/// Sends ten requests over all models at the same time; returns each id and model with its answer.
+/// Sends ten concurrent requests over all models; returns the id, model and answer of each.
 async fn together(test: &Alone, name: &str) -> Vec<(String, String, Answered)> {
     const AT_A_TIME: usize = 10;
     let to = test.fleet.instances()["i1"].callers();
@@ -325,10 +333,10 @@
     join_all(calls).await
 }
 
-// An engine serves a request by another adapter, as after an eviction that it did not report. The
-// instance compares the name in the answer before it hands anything on.
+// An engine serves a request with another adapter, as after an unreported eviction. The instance
+// checks the model name in the answer before it relays anything.
 #[rstest]
-fn an_answer_of_another_model_is_never_handed_on(#[values(false, true)] stream: bool) {
+fn an_answer_from_another_model_is_never_relayed(#[values(false, true)] stream: bool) {
     alone(options, async |test| {
         let to = test.fleet.instances()["i1"].callers();
         for number in 0..4 {
@@ -354,12 +362,12 @@
     });
 }
 
-// The plain service closes the connection under a call that may not be repeated. Nobody can know
-// whether it ran, and the answer says just that: a second call could lose a boat its place.
+// The plain service closes the connection during a call that is not idempotent. Whether the call
+// ran is not known and is reported as such; a second call could run it twice.
 #[rstest]
 #[case::before_it_ran("cut_before_run", 0)]
 #[case::after_it_ran("lose_answers", 1)]
-fn a_call_that_may_have_run_is_not_repeated(#[case] fault: &str, #[case] runs: u64) {
+fn a_call_that_may_have_run_is_not_retried(#[case] fault: &str, #[case] runs: u64) {
     alone(options, async |test| {
         test.fault("desk-1", json!({fault: 1})).await;
         let to = test.fleet.instances()["i1"].callers();
@@ -374,10 +382,10 @@
     });
 }
 
-// The caller hangs up in the middle of a stream. The engine must not go on generating for nobody,
-// and the permit must come back, or the adapter would stay pinned in its slot.
+// The caller disconnects in the middle of a stream. The engine must stop generating, and the permit
+// must be released, or the adapter would stay pinned in its slot.
 #[rstest]
-fn a_caller_that_goes_away_cancels_its_stream(
+fn a_caller_that_disconnects_cancels_its_stream(
     #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
     #[values("i1", "i2")] entry: &str,
 ) {
@@ -399,25 +407,25 @@
     });
 }
 
-// Callers open endless streams and read nothing. What they don't take must pile up nowhere: the
-// engine stops being read, so that it holds its sequences back, and the instance's memory stays
-// within its bound for each stream. When they hang up, everything is given back.
+// Callers open endless streams and do not read them. Unread data must not accumulate: the instance
+// stops reading from the engine, which pauses its sequences, and the instance's memory stays within
+// a bound per stream. When the callers disconnect, all permits are released.
 #[rstest]
-fn callers_that_do_not_read_hold_the_engine_back(
+fn callers_that_do_not_read_apply_back_pressure_to_the_engine(
     #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
 ) {
     const STREAMS: usize = 100;
-    /// Resident memory that one stream may cost, in KiB.
+    /// The maximum resident memory per stream, in KiB.
     const KIB_A_STREAM: u64 = 256;
-    /// Bytes that may lie between the engine and the caller: buffers of the system, the instance and
-    /// the caller.
+    /// The maximum number of bytes between the engine and the caller, in the buffers of the kernel,
+    /// the instance and the caller.
     const BYTES_A_STREAM: u64 = 1024 * 1024;
     alone(options, async |test| {
         let engine = Endless::start().await;
         create_endless(&test, &engine).await;
         let to = test.fleet.instances()["i1"].callers();
         let body = completion(ENDLESS, 1_000_000, true);
-        // The first streams grow pools and threads that stay.
+        // The first streams allocate pools and threads that are kept.
         let first = open_streams(to, speaks, &body, 10).await;
         settled(&engine).await;
         let before = resident_kib(&test);
@@ -454,7 +462,7 @@
     streams
 }
 
-/// Waits until the engine is held back: nothing more is taken of its streams.
+/// Waits until nothing more is read from the engine's streams.
 async fn settled(engine: &Endless) {
     let still = || async {
         let before = engine.bytes();
--- a/crates/chervilshunt_daemon/tests/callers_limits.rs
+++ b/crates/chervilshunt_daemon/tests/callers_limits.rs
@@ -1,5 +1,5 @@
-//! What callers get when there is no room, no time or no target left: an answer at once that says
-//! whether the request ran and when to come back.
+//! The answers when no capacity, no time or no target is left: an immediate problem that states
+//! whether the request ran and when to retry.
 
 mod support;
 
@@ -18,7 +18,7 @@
 const QUEUE_LIVE: usize = 1;
 const QUEUE_DEFERRABLE: usize = 3;
 
-/// One instance before one engine that runs a single sequence.
+/// One instance with one engine that runs a single sequence at a time.
 fn options() -> FleetOptions {
     FleetOptions {
         instances: 1,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A stream that outlasts its test.
+/// Returns the body of a request whose stream outlasts the test.
 fn long() -> String {
     json!({"model": model_name(0), "prompt": "x", "max_tokens": 1_000_000, "stream": true})
         .to_string()
@@ -52,7 +52,7 @@
     running
 }
 
-/// Sends a request that will wait for room.
+/// Sends a request that waits in the queue.
 fn wait_in_queue(test: &Alone, priority: &'static str) -> AbortOnDropHandle<Answered> {
     let to = entry(test);
     let req = post(to, "/v1/completions", &[("priority", priority)], &long());
@@ -68,7 +68,7 @@
     assert!(seen.is_some(), "{:?}", test.show("show targets").await);
 }
 
-/// Waits until nothing is left of a test.
+/// Waits until the requests of a test have ended.
 async fn wait_for_nothing(test: &Alone) {
     test.wait_for_none("show permits").await;
     wait_for_waiting(test, 0).await;
@@ -83,10 +83,9 @@
     assert!(retry_after.parse::<u64>().is_ok_and(|seconds| seconds > 0));
 }
 
-// One request runs and as many wait as may. The next one is told at once that the queue is full,
-// not held until its deadline: it could only fail later, and its caller would know less. Live and
-// deferrable requests have bounds of their own, so that a backlog of reviews leaves room for live
-// work.
+// One request runs and the queue is full. The next request is refused at once instead of being held
+// until its deadline, when it could only fail later and tell its caller less. Live and deferrable
+// requests have separate limits, so that a backlog of deferrable work leaves room for live work.
 #[rstest]
 #[case::live("u=1", QUEUE_LIVE)]
 #[case::deferrable("u=6", QUEUE_DEFERRABLE)]
@@ -113,7 +112,7 @@
     });
 }
 
-// As many requests are open as may be. One more gets its answer before its body is even read.
+// The limit of open requests is reached. One more is refused before its body is read.
 #[rstest]
 fn one_open_request_too_many_is_refused_at_once(
     #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
@@ -137,10 +136,10 @@
     });
 }
 
-// The request waits for a seat that does not come free. At its deadline, or as soon as it is plain
-// that it can't be kept, the caller is told that nothing ran.
+// The request waits for capacity that does not become free. At its deadline, or as soon as it is
+// clear that it can't be met, the caller is told that nothing ran.
 #[test]
-fn a_deadline_that_passes_in_the_queue_is_told_at_once() {
+fn a_deadline_that_passes_in_the_queue_is_reported_at_once() {
     alone(options, async |test| {
         let running = fill_the_batch(&test).await;
         let to = entry(&test);
@@ -162,8 +161,8 @@
     });
 }
 
-// The target took the call and hangs. At the deadline the caller is told that the outcome is not
-// known: the call may still run when the target comes back.
+// The target accepts the call and hangs. At the deadline the outcome is reported as unknown,
+// because the call may still run when the target recovers.
 #[rstest]
 #[case::an_engine("engine-1", "/v1/completions")]
 #[case::a_plain_service("desk-1", "/services/desk/slips")]
@@ -172,7 +171,7 @@
     #[case] path: &str,
 ) {
     alone(options, async |test| {
-        // The engine has the adapter by then, so that only the call itself hangs.
+        // The engine has loaded the adapter by then, so that only the call itself hangs.
         drop(fill_the_batch(&test).await);
         wait_for_nothing(&test).await;
         test.fault(target, json!({"freeze": true})).await;
@@ -185,10 +184,10 @@
     });
 }
 
-// The caller hangs up while its request waits for room. The request has to leave the queue too: it
-// would get a seat, and an engine would generate for nobody.
+// The caller disconnects while its request waits in the queue. The request has to leave the queue,
+// or an engine would run it although nobody reads the answer.
 #[test]
-fn a_caller_that_goes_away_while_it_waits_leaves_the_queue() {
+fn a_caller_that_disconnects_while_waiting_leaves_the_queue() {
     alone(options, async |test| {
         let running = fill_the_batch(&test).await;
         let waiting = wait_in_queue(&test, "u=1");
@@ -200,8 +199,8 @@
     });
 }
 
-// All targets of a service are drained. New requests are told that nothing ran and when to come
-// back, in about two seconds and not at their deadlines.
+// All targets of a service are drained. New requests are refused with "not run" and a retry time in
+// about two seconds, not at their deadlines.
 #[test]
 fn a_service_without_targets_refuses() {
     alone(options, async |test| {
--- a/crates/chervilshunt_daemon/tests/callers_refusals.rs
+++ b/crates/chervilshunt_daemon/tests/callers_refusals.rs
@@ -1,4 +1,4 @@
-//! What callers get whose requests can't be taken: a clear refusal, and no target notices.
+//! Invalid requests: they are refused with a clear problem, and no target is called.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::raw::Raw;
 use support::shared;
 
-/// The longest body that the instance takes, in bytes.
+/// The maximum request body size of the instance, in bytes.
 const BODY_BYTES: usize = 4_096;
 
 fn fleet() -> Arc<Fleet> {
@@ -32,8 +32,7 @@
     })
 }
 
-/// Fails the test if a target was asked for anything: no test of this file has a request that may
-/// reach one.
+/// Fails the test if a target was called; no request of the tests in this file may reach one.
 async fn assert_targets_untouched(fleet: &Fleet) {
     let engine = fleet.stats("engine-1").await.expect("the engine counts");
     assert_eq!(
@@ -44,7 +43,7 @@
     assert_eq!(plain["calls"], 0);
 }
 
-/// Checks a problem document against RFC 9457 and this system's own members.
+/// Checks the members of a problem document: those of RFC 9457 and those that this system adds.
 fn assert_problem(answer: &Answered, status: u16, reason: &str) -> Value {
     let document = answer.json();
     assert_eq!(answer.status, status, "{document}");
@@ -187,8 +186,8 @@
     });
 }
 
-// The caller gives no length and goes on sending chunks. The instance stops at its limit: without
-// one, a single caller could fill its memory.
+// The caller sends an unbounded number of chunks without a length. The instance stops at its limit;
+// without one, a single caller could exhaust its memory.
 #[test]
 fn a_chunked_body_over_the_limit_is_refused() {
     let fleet = fleet();
@@ -211,10 +210,10 @@
     });
 }
 
-// The caller announces a body and sends half of it. The instance waits for its settings' time and
-// answers: else each such caller would hold an open request for ever.
+// The caller announces a body and sends half of it. The instance refuses it after the configured
+// time, or each such caller would hold an open request for ever.
 #[test]
-fn a_body_that_does_not_come_is_refused_in_time() {
+fn a_body_that_does_not_arrive_is_refused_in_time() {
     let fleet = fleet();
     shared::runtime().block_on(async {
         let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
@@ -231,7 +230,7 @@
     });
 }
 
-// The caller sends a body whose framing is broken. Nothing of it may be taken for a body.
+// The caller sends a body with invalid chunk framing. No part of it may be used as a body.
 #[test]
 fn a_body_with_broken_chunks_is_refused() {
     let fleet = fleet();
@@ -249,17 +248,14 @@
     });
 }
 
-// hyper answers these itself, before a request is there that could be named: the caller gets the
-// status alone, without a problem document. See docs/operators/callers.md.
+// hyper answers these itself, before there is a request with an id: the caller gets only the
+// status, without a problem document. See docs/operators/callers.md.
 #[rstest]
 #[case::a_head_that_is_too_long(format!("x-long: {}\r\n", "x".repeat(20_000)), "431")]
 #[case::too_many_headers("x-many: 1\r\n".repeat(200), "431")]
 #[case::a_header_without_a_colon("no colon here\r\n".to_owned(), "400")]
 #[case::two_lengths("content-length: 5\r\ncontent-length: 6\r\n".to_owned(), "400")]
-fn a_head_that_can_not_be_read_is_refused_by_its_status(
-    #[case] head: String,
-    #[case] status: &str,
-) {
+fn a_malformed_head_is_refused_by_its_status(#[case] head: String, #[case] status: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
         let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
@@ -275,12 +271,13 @@
     });
 }
 
-// The caller begins a head and stays. After its settings' time the instance says that nothing ran,
-// and closes the connection: else a caller behind a slow line could not tell that from a crash.
+// The caller sends part of a head and keeps the connection open. After the configured time the
+// instance answers that nothing ran and closes the connection; without the answer, a caller on a
+// slow connection could not distinguish that from a crash.
 #[rstest]
 #[case::the_start_of_a_method("PO")]
 #[case::part_of_a_head("POST /v1/completions HTTP/1.1\r\nhost: x\r\nx-slow: ")]
-fn a_head_that_does_not_come_is_refused_in_time(#[case] head: &str) {
+fn a_head_that_does_not_arrive_is_refused_in_time(#[case] head: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
         let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
@@ -299,15 +296,15 @@
     });
 }
 
-// The caller sends part of a head, or nothing at all, and stays. The instance closes the
-// connection after its settings' time: else such callers would use up its sockets.
+// The caller sends part of a head, or nothing, and keeps the connection open. The instance closes
+// the connection after the configured time, or such callers would exhaust its sockets.
 #[rstest]
 #[case::nothing("")]
 #[case::the_start_of_a_method("PO")]
 #[case::the_start_of_the_http2_preface("PRI * HT")]
 #[case::part_of_a_head("POST /v1/completions HTTP/1.1\r\nhost: x\r\nx-slow: ")]
 #[case::the_http2_preface_alone("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")]
-fn a_head_that_does_not_come_closes_the_connection(#[case] head: &str) {
+fn a_head_that_does_not_arrive_closes_the_connection(#[case] head: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
         let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
--- a/crates/chervilshunt_daemon/tests/command_line.rs
+++ b/crates/chervilshunt_daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The daemon's arguments and settings: what it prints, and what it exits with.
+//! The daemon's command line and settings check: output and exit codes.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -19,7 +19,7 @@
         .expect("the daemon starts")
 }
 
-/// Runs `--check` on a settings file of this text.
+/// Runs `--check` on a settings file with the given text.
 fn check(text: &str) -> Output {
     let folder = TempDir::new().expect("there is room for a file");
     let file: PathBuf = folder.path().join("entry-1.jsonc");
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn check_is_silent_about_a_usable_file() {
+fn check_prints_nothing_for_a_valid_file() {
     let output = check(USABLE);
     assert_eq!(output.status.code(), Some(0), "{}", errors(&output));
     assert_eq!((output.stdout.len(), output.stderr.len()), (0, 0));
@@ -47,7 +47,7 @@
     let printed = run(&["--print-defaults"]);
     assert_eq!(printed.status.code(), Some(0));
     let text = String::from_utf8(printed.stdout).expect("it prints text");
-    assert!(text.contains("//"), "it has no comments: {text}");
+    assert!(text.contains("//"), "the defaults have no comments: {text}");
     let output = check(&text);
     assert_eq!(output.status.code(), Some(0), "{}", errors(&output));
 }
@@ -68,7 +68,7 @@
     "entry-1.jsonc:3:",
     "addresses."
 )]
-fn a_fault_is_named_by_place_and_key_with_exit_code_2(
+fn an_error_is_reported_with_position_and_key_and_exit_code_2(
     #[case] text: &str,
     #[case] place: &str,
     #[case] more: &str,
@@ -84,7 +84,7 @@
 #[case::nothing(&[])]
 #[case::an_unknown_option(&["--setings", "a"])]
 #[case::no_such_file(&["--settings", "no/such/file.jsonc"])]
-fn arguments_that_can_not_be_used_exit_with_2(#[case] arguments: &[&str]) {
+fn invalid_arguments_exit_with_2(#[case] arguments: &[&str]) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(2), "{}", errors(&output));
     assert!(!output.stderr.is_empty());
--- a/crates/chervilshunt_daemon/tests/operators.rs
+++ b/crates/chervilshunt_daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port of real instances, asked by `chervilshuntctl` and directly.
+//! The operators' port of running instances, through `chervilshuntctl` and directly.
 
 mod support;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// What a run of the command-line tool brought.
+/// The output and exit code of a run of the command-line tool.
 #[derive(Debug)]
 struct Run {
     code: Option<i32>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Sends a body to the operators' port of an instance, bounded by more than a change may take.
+/// Posts a body to an instance's operators' port, with a longer timeout than a change may take.
 async fn statements(test: &Alone, instance: &str, body: &Value) -> Reply {
     let address = test.fleet.instances()[instance].operators();
     let http = HttpClient::new(2 * BOUND);
@@ -78,8 +78,8 @@
     .await
 }
 
-// Whichever instance is asked, the answer is of the whole deployment: both instances and the roles
-// that they hold, the permit that one gave to the other, the adapter that its engine holds.
+// Every instance answers for the whole deployment: both instances and their roles, the permit that
+// one granted to the other, and the adapter that its engine has loaded.
 #[rstest]
 fn each_instance_answers_for_the_whole_deployment(#[values("i1", "i2")] instance: &str) {
     alone(options, async |test| {
@@ -108,7 +108,7 @@
     });
 }
 
-/// Checks the cells that only running instances can fill.
+/// Checks the cells whose values come from running instances.
 fn check_rows(table: Table, entry: &str, rows: &[Value]) {
     let is_number = |cell: &Value| {
         cell.as_str()
@@ -144,7 +144,7 @@
                 (&engine["running"], &engine["waiting"]),
                 (&json!("1"), &json!("0"))
             );
-            // Another test may have loaded its adapter before.
+            // Another test may have loaded its adapter already.
             assert!(is_number(&engine["loaded"]) && engine["loaded"] != "0");
         }
         Table::Permits => {
@@ -198,9 +198,9 @@
     }
 }
 
-// A load takes a while, and two requests wait for it meanwhile.
+// A load is in progress, and two requests wait for it.
 #[test]
-fn a_load_in_progress_is_shown_with_who_waits_for_it() {
+fn a_load_in_progress_is_shown_with_its_waiters() {
     alone(options, async |test| {
         test.fault("engine-1", json!({"load_slow_ms": 2_000})).await;
         let to = test.fleet.instances()["i1"].callers();
@@ -235,8 +235,8 @@
     });
 }
 
-// The answer to a change was lost, and the operator sends it again under the same id, to another
-// instance. Without the id a second target would be drained, or the second try refused.
+// The answer to a change was lost, and the operator sends it again to another instance with the
+// same id. Without the id, a second target would be drained, or the second attempt refused.
 #[test]
 fn a_change_that_is_sent_again_takes_effect_once() {
     alone(options, async |test| {
@@ -264,7 +264,7 @@
         let ids: Vec<_> = of_script.map(|row| row["id"].clone()).collect();
         assert_eq!(ids.len(), 2);
         assert_eq!(ids[0], id.replace('-', ""));
-        // Refused under an id of its own: the site is there.
+        // Refused under a new id, because the site exists already.
         let other = statements(
             &test,
             "i1",
@@ -312,10 +312,10 @@
     });
 }
 
-// One instance hangs. It can't acknowledge, so a change is given up: it would not be in force there.
-// Questions are answered without it, and name it.
+// One instance hangs. It can't acknowledge a change, so the change is abandoned. Queries are
+// answered without the instance and list it as unreachable.
 #[test]
-fn an_instance_that_does_not_answer_is_named() {
+fn an_unreachable_instance_is_listed() {
     alone(options, async |test| {
         test.fleet.freeze("i2").expect("it runs");
         let shown = ctl(&test, "i1", &["show", "instances"]).await;
@@ -372,10 +372,11 @@
     });
 }
 
-// The platform takes the write that begins a change, loses its answer, and is gone. Nobody can know
-// whether the change will take effect; the tool asks on until the platform is back, and then says so.
+// The platform accepts the write that begins a change, loses its answer, and becomes unavailable.
+// Whether the change takes effect is unknown; the tool keeps retrying until the platform is back,
+// and then reports the outcome.
 #[test]
-fn the_outcome_of_a_change_is_learnt_after_an_outage() {
+fn the_outcome_of_a_change_is_reported_after_an_outage() {
     alone(options, async |test| {
         let begun = json!({
             "lose_answer_after_write": 1, "lose_answers_of": ["configheads"], "down_after_lost": true,
@@ -388,7 +389,7 @@
             wait_until(BOUND, down)
                 .await
                 .expect("the change is not begun");
-            // Longer than the instance keeps the operator waiting before it calls the outcome unknown.
+            // Longer than the instance waits before it reports the outcome as unknown.
             tokio::time::sleep(Duration::from_secs(12)).await;
             let healed = json!({"down": "no", "lose_answers_of": [], "down_after_lost": false});
             set_platform(&test, healed).await;
--- a/crates/chervilshunt_daemon/tests/operators_seeing.rs
+++ b/crates/chervilshunt_daemon/tests/operators_seeing.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running deployment: metrics and log lines, as their pages list them.
+//! The metrics and log lines of a running deployment, compared with the operators' documentation.
 
 mod support;
 
@@ -16,7 +16,7 @@
 const LOGS_PAGE: &str = include_str!("../../../docs/operators/logs.md");
 const ADAPTERS: usize = 3;
 
-/// An engine with a single slot: each adapter has to be loaded anew, and another evicted for it.
+/// One engine with a single slot, so that each load of an adapter evicts another one.
 fn options() -> FleetOptions {
     FleetOptions {
         instances: 2,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Sends requests of both classes for all adapters and to the plain service, and one that is refused.
+/// Sends requests of both classes for all adapters and to the plain service, and an invalid one.
 async fn little_load(test: &Alone) {
     let mut answers = tokio::task::JoinSet::new();
     for number in 0..6 * ADAPTERS {
@@ -60,12 +60,12 @@
     assert_eq!(refused.status, StatusCode::NOT_FOUND);
 }
 
-/// Returns the metrics of all instances one below the other.
+/// Returns the concatenated metrics of all instances.
 async fn all_metrics(test: &Alone) -> String {
     test.metrics("i1").await + &test.metrics("i2").await
 }
 
-/// Returns the names that a page lists: what stands in backquotes first in a table's row.
+/// Returns the names that a page lists: the first text in backquotes of each table row.
 fn listed(page: &str) -> BTreeSet<&str> {
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
     rows.filter_map(|row| row.split_once('`'))
@@ -73,7 +73,7 @@
         .collect()
 }
 
-/// Returns the names of a page that there are only once something out of the ordinary has happened.
+/// Returns the names of a page that appear only after a rare event.
 fn listed_as_rare(page: &str) -> BTreeSet<&str> {
     let rare = page.lines().filter(|line| line.ends_with("| rare |"));
     let names = rare.filter_map(|line| line.strip_prefix("| `")?.split_once('`'));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn metrics_are_those_that_the_page_lists() {
+fn metrics_match_the_documented_list() {
     alone(options, async |test| {
         little_load(&test).await;
         let text = all_metrics(&test).await;
@@ -102,8 +102,8 @@
     });
 }
 
-// The numbers say what happened: requests waited on loads, tokens were generated, a batch was
-// partly filled.
+// The metrics reflect what happened: requests waited for loads, tokens were generated, and a batch
+// was partly filled.
 #[test]
 fn metrics_count_what_happened() {
     alone(options, async |test| {
@@ -126,7 +126,7 @@
         )
         .await;
         let grown = |text: &str, name: &str| metric(text, name) - metric(&before, name);
-        // The gauges are brought up to date each second.
+        // The gauges are updated once a second.
         let sampled = || async {
             let text = all_metrics(&test).await;
             let running = metric(&text, "chervilshunt_target_running{target=\"engine-1\"}");
@@ -141,7 +141,7 @@
         assert!(count("chervilshunt_load_stall_seconds_count") >= 1.0);
         assert!(count("chervilshunt_load_stall_seconds_sum") > 0.0);
         assert!(count("chervilshunt_queue_wait_seconds_count") >= 1.0);
-        // One of the adapters may be in the slot already.
+        // One of the adapters may already be loaded.
         let loads = count("chervilshunt_order_seconds_count{kind=\"load\",result=\"done\"}");
         assert!(loads >= (ADAPTERS - 1) as f64, "{loads}");
         assert!(count("chervilshunt_decisions_total{kind=\"evict\"}") >= 1.0);
@@ -154,10 +154,11 @@
     });
 }
 
-// From a caller's request id an operator finds every decision about it: the entry instance's line
-// names request and attempt, the owner's, on whatever instance, the attempt and its reason.
+// All decisions about a request can be found by its id: the log line of the entry instance has the
+// ids of the request and the attempt, and that of the owner, on any instance, has the id of the
+// attempt and the reason.
 #[test]
-fn log_lines_tell_of_each_decision() {
+fn log_lines_show_each_decision() {
     alone(options, async |test| {
         little_load(&test).await;
         let lines = log_lines(&test).await;
@@ -213,7 +214,7 @@
     });
 }
 
-/// Returns the log lines of all instances, once the last request's are there.
+/// Returns the log lines of all instances, once those of the last request have been written.
 async fn log_lines(test: &Alone) -> Vec<Value> {
     let fleet = Arc::clone(&test.fleet);
     let last = format!("seen-{}", 6 * ADAPTERS - 1);
--- a/crates/chervilshunt_daemon/tests/shutdown.rs
+++ b/crates/chervilshunt_daemon/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Ending an instance that has streams open.
+//! Shutdown of an instance with open streams.
 
 mod support;
 
@@ -22,7 +22,7 @@
     .expect("the fleet starts")
 }
 
-/// Waits until the instance says that it takes no new work.
+/// Waits until the instance reports that it is not ready.
 async fn unready(fleet: &Fleet) {
     let operators = fleet.instances()["i1"].operators();
     let client = chervilshunt_standin::fleet::HttpClient::default();
@@ -33,14 +33,14 @@
     wait_until(BOUND, refused).await.expect("it stays ready");
 }
 
-// An endless stream is open when the instance is told to end. It would wait for the stream; an
-// operator who can't tells it a second time, or has set a bound. The stream is then cut off, and the
-// exit code says that the shutdown was not graceful.
+// The instance is asked to shut down while an endless stream is open. It waits for the stream until
+// a second signal arrives or the configured limit expires. It then aborts the stream, and the exit
+// code reports that the shutdown was not graceful.
 #[rstest]
 #[case::a_second_signal(600_000, true)]
 #[case::the_bound_has_passed(200, false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_impatient_shutdown_cuts_streams_and_says_so(
+async fn a_forced_shutdown_aborts_streams_and_reports_it(
     #[case] shutdown_ms: u64,
     #[case] second_signal: bool,
 ) {
@@ -65,6 +65,6 @@
         .expect("it ends");
     assert_eq!(status.code(), Some(1));
     let answer = reading.await.expect("the caller does not panic");
-    assert!(!answer.whole, "a cut stream looks like a whole one");
+    assert!(!answer.whole, "an aborted stream looks complete");
     assert!(!answer.text.contains("[DONE]"));
 }
--- a/crates/chervilshunt_daemon/tests/targets_lost.rs
+++ b/crates/chervilshunt_daemon/tests/targets_lost.rs
@@ -1,4 +1,4 @@
-//! Engines that can't be reached, as their owners and callers learn of it.
+//! Unreachable engines: how their owners detect them and what callers get.
 
 mod support;
 
@@ -27,14 +27,14 @@
     test.wait_for_rows(&question, count).await;
 }
 
-// The operator sees an engine as reachable that is gone. It refuses connections, or hangs, while
-// nobody asks it for anything and no order is given, so that neither a call nor an order can fail.
-// Its owner has to find out by itself, or the first callers pay for it, each with a try or, where the
-// engine hangs, with its whole deadline. Once the engine answers again it is used again.
+// An engine refuses connections or hangs while it gets no calls and no orders, so that none of them
+// can fail. Its owner has to detect this on its own polling: otherwise operators would see the
+// engine as reachable, and each of the first callers would lose an attempt or, if the engine hangs,
+// its whole deadline. Once the engine answers again, it is used again.
 #[rstest]
 #[case::refuses_connections(json!({"down": true}), json!({"down": false}))]
 #[case::hangs(json!({"freeze": true}), json!({"freeze": false}))]
-fn an_engine_that_is_lost_is_noticed_without_calls(#[case] lost: Value, #[case] back: Value) {
+fn a_lost_engine_is_detected_without_calls(#[case] lost: Value, #[case] back: Value) {
     alone(options, async |test| {
         wait_for_reachable(&test, true, ENGINES).await;
         test.fault("engine-1", lost).await;
@@ -44,11 +44,11 @@
     });
 }
 
-// The caller is told that no owner can be reached, and the operator looks for a fault of the
-// instances, while it is the engines that are gone. Each owner knows that its engine is gone and sends
-// the request to the other's, whose owner sends it back, until the request has no hops left.
+// Both engines are unreachable, and each owner redirects the request to the other's engine until
+// the request has no hops left. The answer must not be that no owner can be reached, because
+// operators would then look for a fault of the instances.
 #[test]
-fn callers_hear_that_no_engine_takes_the_request() {
+fn callers_are_told_that_no_engine_accepts_the_request() {
     alone(options, async |test| {
         wait_for_reachable(&test, true, ENGINES).await;
         test.fault_engines(json!({"down": true})).await;
