--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use xtra::prelude::*;
 
-use super::tables::{Rows, Sources, Told};
+use super::tables::{InstanceReport, Rows, Sources};
 use crate::control::{AskFacts, Control, Propose, Proposed, Refused, RefusedKind};
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
@@ -228,12 +228,12 @@
 
     async fn show(&self, show: &Show, local: bool) -> (Rows, Vec<InstanceId>) {
         let routing = self.routing.get();
-        let (told, silent) = self.ask_all(show.table, local).await;
+        let (reports, silent) = self.ask_all(show.table, local).await;
         let sources = Sources {
             here: &self.me,
             deployment: &routing.deployment,
             owners: &routing.owners,
-            told: &told,
+            reports: &reports,
             now: Instant::now(),
         };
         (sources.show(show), silent)
@@ -241,14 +241,14 @@
 
     /// Collects from all live instances the state that the table shows, and returns it with the
     /// instances that did not answer.
-    async fn ask_all(&self, table: Table, local: bool) -> (Vec<Told>, Vec<InstanceId>) {
-        let mut told = Vec::new();
+    async fn ask_all(&self, table: Table, local: bool) -> (Vec<InstanceReport>, Vec<InstanceId>) {
+        let mut reports = Vec::new();
         let asked_at = Instant::now();
         if let Ok(facts) = self.control.send(AskFacts).await {
-            told.push(Told { facts, asked_at });
+            reports.push(InstanceReport { facts, asked_at });
         }
         if local {
-            return (told, Vec::new());
+            return (reports, Vec::new());
         }
         let routing = self.routing.get();
         let limit = Arc::new(tokio::sync::Semaphore::new(ASKED_AT_A_TIME));
@@ -262,7 +262,7 @@
                     .request(&peer, PeerMessage::FactsAsked(table), ANSWER_TIMEOUT)
                     .await;
                 match answer {
-                    Ok(PeerMessage::Facts(facts)) => Ok(Told {
+                    Ok(PeerMessage::Facts(facts)) => Ok(InstanceReport {
                         facts: *facts,
                         asked_at,
                     }),
@@ -273,12 +273,12 @@
         let mut silent = Vec::new();
         while let Some(answer) = asked.join_next().await {
             match answer {
-                Ok(Ok(one)) => told.push(one),
+                Ok(Ok(one)) => reports.push(one),
                 Ok(Err(instance)) => silent.push(instance),
                 Err(_panicked) => {}
             }
         }
-        told.sort_by(|left, right| left.facts.instance.cmp(&right.facts.instance));
-        (told, silent)
+        reports.sort_by(|left, right| left.facts.instance.cmp(&right.facts.instance));
+        (reports, silent)
     }
 }
--- a/crates/chervilshunt_daemon/src/operators/tables.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables.rs
@@ -26,7 +26,7 @@
 
 /// The state reported by one instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
+pub(crate) struct InstanceReport {
     /// The reported state.
     pub(crate) facts: InstanceFacts,
     /// When the instance was asked, which is the earliest time that the state can date from.
@@ -43,7 +43,7 @@
     /// The owner of each target, as far as this instance knows it.
     pub(crate) owners: &'a HashMap<TargetName, InstanceId>,
     /// The reports of all instances that answered, including this one.
-    pub(crate) told: &'a [Told],
+    pub(crate) reports: &'a [InstanceReport],
     /// The current time.
     pub(crate) now: Instant,
 }
@@ -95,9 +95,9 @@
             }
             Table::Targets => self.targets(),
             Table::Instances => self
-                .told
+                .reports
                 .iter()
-                .map(|told| self.instance_row(told))
+                .map(|report| self.instance_row(report))
                 .collect(),
             Table::Permits => self.permits(),
             Table::Loads => self.loads(),
@@ -117,10 +117,10 @@
     }
 
     /// Returns the origin of a row that is filled from an instance's report.
-    fn origin_of(&self, told: &Told) -> Origin {
+    fn origin_of(&self, report: &InstanceReport) -> Origin {
         Origin {
-            from: told.facts.instance.to_string(),
-            age: self.now.saturating_duration_since(told.asked_at),
+            from: report.facts.instance.to_string(),
+            age: self.now.saturating_duration_since(report.asked_at),
         }
     }
 
@@ -128,17 +128,23 @@
     ///
     /// If two instances report the same target, the one with the lower epoch has lost contact with
     /// the platform and does not know yet that it was superseded, so only the higher epoch is kept.
-    fn owned(&self) -> impl Iterator<Item = (&Told, &TargetFacts)> {
-        let said = || {
-            let told = self.told.iter();
-            told.flat_map(|told| told.facts.targets.iter().map(move |facts| (told, facts)))
+    fn owned(&self) -> impl Iterator<Item = (&InstanceReport, &TargetFacts)> {
+        let reported = || {
+            let reports = self.reports.iter();
+            reports.flat_map(|report| {
+                report
+                    .facts
+                    .targets
+                    .iter()
+                    .map(move |facts| (report, facts))
+            })
         };
         let mut epochs = HashMap::new();
-        for (_, facts) in said() {
+        for (_, facts) in reported() {
             let highest = epochs.entry(&facts.target).or_insert(facts.epoch);
             *highest = facts.epoch.max(*highest);
         }
-        said().filter(move |(_, facts)| epochs.get(&facts.target) == Some(&facts.epoch))
+        reported().filter(move |(_, facts)| epochs.get(&facts.target) == Some(&facts.epoch))
     }
 
     /// Returns the targets and states of each adapter version.
@@ -220,17 +226,17 @@
     fn targets(&self) -> Vec<Row> {
         let row = |(name, target): (&TargetName, &Target)| {
             let owner = self.owned().find(|(_, facts)| facts.target == *name);
-            let Some((told, facts)) = owner else {
+            let Some((report, facts)) = owner else {
                 // The owner is known from the local routing even if it did not answer.
                 let row = self.configured(name).fields(target);
                 return row.optional("owner", self.owners.get(name));
             };
             let adapters = facts.adapters.iter();
             let loaded = adapters.filter(|held| Presence::of(held.state) == Presence::Loaded);
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(target)
-                .cell("owner", &told.facts.instance)
+                .cell("owner", &report.facts.instance)
                 .cell("epoch", facts.epoch)
                 .cell("reachable", facts.reachable)
                 .cell("running", facts.running)
@@ -242,15 +248,15 @@
     }
 
     fn permits(&self) -> Vec<Row> {
-        let permits = self.owned().flat_map(|(told, facts)| {
+        let permits = self.owned().flat_map(|(report, facts)| {
             facts
                 .permits
                 .iter()
-                .map(move |permit| (told, &facts.target, permit))
+                .map(move |permit| (report, &facts.target, permit))
         });
         permits
-            .map(|(told, target, permit)| {
-                let row = Row::new(self.origin_of(told))
+            .map(|(report, target, permit)| {
+                let row = Row::new(self.origin_of(report))
                     .cell("attempt", permit.attempt)
                     .cell("target", target)
                     .cell("class", permit.class)
@@ -262,14 +268,14 @@
     }
 
     fn loads(&self) -> Vec<Row> {
-        let held = self.owned().flat_map(|(told, facts)| {
+        let held = self.owned().flat_map(|(report, facts)| {
             facts
                 .adapters
                 .iter()
-                .map(move |held| (told, &facts.target, held))
+                .map(move |held| (report, &facts.target, held))
         });
-        held.map(|(told, target, held)| {
-            Row::new(self.origin_of(told))
+        held.map(|(report, target, held)| {
+            Row::new(self.origin_of(report))
                 .cell("target", target)
                 .cell("version", &held.model)
                 .cell("state", Presence::of(held.state).as_str())
@@ -283,20 +289,20 @@
     /// Lists configuration changes as reported by the instance with the newest configuration head.
     fn changes(&self) -> Vec<Row> {
         let newest = self
-            .told
+            .reports
             .iter()
-            .max_by_key(|told| told.facts.changes.generation);
-        let Some(told) = newest else {
+            .max_by_key(|report| report.facts.changes.generation);
+        let Some(report) = newest else {
             return Vec::new();
         };
-        let changes = &told.facts.changes;
+        let changes = &report.facts.changes;
         let over = changes.outcomes.iter().map(|(id, revision)| {
             let state = revision.map_or("given_up", |revision| self.spread_of(revision));
             (*id, *revision, state)
         });
         let pending = changes.pending.map(|id| (id, None, "pending"));
         let row = |(id, revision, state): (ChangeId, Option<Revision>, &'static str)| {
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("id", id)
                 .optional("revision", revision)
                 .cell("state", state)
@@ -307,16 +313,19 @@
 
     /// Returns the state of an accepted change: in force once all instances that answered have it.
     fn spread_of(&self, revision: Revision) -> &'static str {
-        let in_force = self.told.iter().all(|told| told.facts.revision >= revision);
+        let in_force = self
+            .reports
+            .iter()
+            .all(|report| report.facts.revision >= revision);
         if in_force { "in_force" } else { "accepted" }
     }
 
     /// Returns the number of objects in a change, if the instance that proposed it still has it.
     fn changed_by(&self, id: ChangeId) -> Option<usize> {
         let proposed = self
-            .told
+            .reports
             .iter()
-            .flat_map(|told| &told.facts.changes.changed);
+            .flat_map(|report| &report.facts.changes.changed);
         proposed
             .into_iter()
             .find(|(proposed, _)| *proposed == id)
@@ -325,55 +334,61 @@
 
     fn sites(&self) -> Vec<Row> {
         let row = |(name, site): (&SiteName, &Site)| {
-            let allocators = self
-                .told
-                .iter()
-                .flat_map(|told| told.facts.allocators.iter().map(move |facts| (told, facts)));
+            let allocators = self.reports.iter().flat_map(|report| {
+                report
+                    .facts
+                    .allocators
+                    .iter()
+                    .map(move |facts| (report, facts))
+            });
             let allocator = allocators
                 .into_iter()
                 .find(|(_, facts)| facts.site == *name);
-            let Some((told, facts)) = allocator else {
+            let Some((report, facts)) = allocator else {
                 return self.configured(name).fields(site);
             };
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(site)
                 .cell("granted_watts", format!("{:.0}", facts.committed_watts))
-                .cell("allocator", &told.facts.instance)
+                .cell("allocator", &report.facts.instance)
         };
         self.deployment.sites.iter().map(row).collect()
     }
 
     fn stores(&self) -> Vec<Row> {
         let row = |(name, store): (&StoreName, &WeightStore)| {
-            let schedulers = self
-                .told
-                .iter()
-                .flat_map(|told| told.facts.schedulers.iter().map(move |facts| (told, facts)));
+            let schedulers = self.reports.iter().flat_map(|report| {
+                report
+                    .facts
+                    .schedulers
+                    .iter()
+                    .map(move |facts| (report, facts))
+            });
             let scheduler = schedulers
                 .into_iter()
                 .find(|(_, facts)| facts.store == *name);
-            let Some((told, facts)) = scheduler else {
+            let Some((report, facts)) = scheduler else {
                 return self.configured(name).fields(store);
             };
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(store)
-                .cell("scheduler", &told.facts.instance)
+                .cell("scheduler", &report.facts.instance)
                 .cell("in_progress", facts.in_progress)
                 .cell("waiting", facts.waiting)
         };
         self.deployment.stores.iter().map(row).collect()
     }
 
-    fn instance_row(&self, told: &Told) -> Row {
-        let facts = &told.facts;
+    fn instance_row(&self, report: &InstanceReport) -> Row {
+        let facts = &report.facts;
         let state = match (facts.stopping, facts.takes_work) {
             (true, _) => "draining",
             (false, true) => "ready",
             (false, false) => "pending",
         };
-        Row::new(self.origin_of(told))
+        Row::new(self.origin_of(report))
             .cell("name", &facts.instance)
             .cell("zone", &facts.zone)
             .cell("region", &facts.region)
--- a/crates/chervilshunt_daemon/src/operators/tables/tests.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables/tests.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use super::{Rows, Sources, Told};
+use super::{InstanceReport, Rows, Sources};
 use crate::facts::InstanceFacts;
 
 const DEPLOYMENT: &str = "{
@@ -120,16 +120,16 @@
 /// Runs a query on the instances' state after `left` has been applied to it.
 fn rows_from(show: &Show, left: impl Fn(InstanceFacts) -> InstanceFacts) -> Rows {
     let asked_at = Instant::now();
-    let told = |facts: Value, age: u64| Told {
+    let report = |facts: Value, age: u64| InstanceReport {
         facts: left(serde_json::from_value(facts).unwrap()),
         asked_at: asked_at + Duration::from_millis(100 - age),
     };
-    let told = [told(entry_1(), 0), told(entry_2(), 34)];
+    let reports = [report(entry_1(), 0), report(entry_2(), 34)];
     let sources = Sources {
         here: &InstanceId::new("entry-1"),
         deployment: &deployment(),
         owners: &HashMap::from([("desk-1".into(), InstanceId::new("entry-3"))]),
-        told: &told,
+        reports: &reports,
         now: asked_at + Duration::from_millis(100),
     };
     sources.show(show)
@@ -144,8 +144,8 @@
         let Some(Statement::Show(show)) = statements.first() else {
             panic!("the question is a show");
         };
-        let told = rows_from(show, |facts| facts.shown_by(table));
-        assert_eq!(told, rows_of(show), "{}", table.as_str());
+        let reported = rows_from(show, |facts| facts.shown_by(table));
+        assert_eq!(reported, rows_of(show), "{}", table.as_str());
     }
 }
 
@@ -169,8 +169,11 @@
 fn a_fully_loaded_instance_reports_few_bytes(#[case] table: Table, #[case] bound: usize) {
     let bytes = |facts: &InstanceFacts| serde_json::to_string(facts).unwrap().len();
     let whole = bytes(&full_load());
-    let told = bytes(&full_load().shown_by(table));
-    assert!(told <= bound && told < whole, "{told} of {whole} bytes");
+    let reported = bytes(&full_load().shown_by(table));
+    assert!(
+        reported <= bound && reported < whole,
+        "{reported} of {whole} bytes"
+    );
 }
 
 fn text(rows: &Rows) -> String {
@@ -221,11 +224,11 @@
 #[case::superseded_last(["entry-2", "entry-1"])]
 fn of_two_reported_owners_the_higher_epoch_is_shown(#[case] order: [&str; 2]) {
     let now = Instant::now();
-    let told = order.map(|instance| {
+    let reports = order.map(|instance| {
         let mut facts = entry_2();
         facts["instance"] = instance.into();
         facts["targets"][0]["epoch"] = if instance == "entry-1" { 3 } else { 4 }.into();
-        Told {
+        InstanceReport {
             facts: serde_json::from_value(facts).unwrap(),
             asked_at: now,
         }
@@ -234,7 +237,7 @@
         here: &InstanceId::new("entry-1"),
         deployment: &deployment(),
         owners: &HashMap::new(),
-        told: &told,
+        reports: &reports,
         now,
     };
     let statements = parse("show targets where name = lm-2").unwrap();
