--- a/crates/chervilshunt_daemon/src/traffic/permits.rs
+++ b/crates/chervilshunt_daemon/src/traffic/permits.rs
@@ -26,7 +26,7 @@
 
 /// An owner's answer to a permit request, or the reason why there is none.
 #[derive(Debug)]
-pub(crate) enum Asked {
+pub(crate) enum PermitResult {
     /// The permit, which is released when dropped.
     Granted(HeldPermit),
     /// The owner redirects the request to these targets, best first.
@@ -63,29 +63,31 @@
     ///
     /// Dropping the future withdraws the request, so that a caller that disconnects while it waits
     /// leaves no permit behind.
-    pub(crate) async fn ask(&self, req: PermitRequest, deadline: Moment) -> Asked {
+    pub(crate) async fn ask(&self, req: PermitRequest, deadline: Moment) -> PermitResult {
         let guard = HeldPermit::waiting(self.clone(), req.attempt, req.target.clone());
         let answer = tokio::time::timeout(now().until(deadline), self.answer(req, deadline)).await;
         match answer {
-            Ok(Ok(PermitAnswer::Granted { permit, .. })) => Asked::Granted(guard.granted(permit)),
+            Ok(Ok(PermitAnswer::Granted { permit, .. })) => {
+                PermitResult::Granted(guard.granted(permit))
+            }
             Ok(Ok(PermitAnswer::Redirect { targets })) => {
                 guard.forget();
-                Asked::Redirect(targets.into_vec())
+                PermitResult::Redirect(targets.into_vec())
             }
             Ok(Ok(PermitAnswer::Refused {
                 reason,
                 retry_after_ms,
             })) => {
                 guard.forget();
-                Asked::Refused(reason, Duration::from_millis(retry_after_ms))
+                PermitResult::Refused(reason, Duration::from_millis(retry_after_ms))
             }
             Ok(Err(Unreached::NeverSeen)) => {
                 guard.forget();
-                Asked::NoOwner
+                PermitResult::NoOwner
             }
             // The owner may have queued or granted the request: dropping the guard withdraws it.
-            Ok(Err(Unreached::MaybeSeen)) => Asked::NoOwner,
-            Err(_elapsed) => Asked::Late,
+            Ok(Err(Unreached::MaybeSeen)) => PermitResult::NoOwner,
+            Err(_elapsed) => PermitResult::Late,
         }
     }
 
--- a/crates/chervilshunt_daemon/src/traffic/place.rs
+++ b/crates/chervilshunt_daemon/src/traffic/place.rs
@@ -9,7 +9,7 @@
 
 use super::attempt::{Run, UNREACHED_RETRY};
 use super::now;
-use super::permits::{Asked, HeldPermit};
+use super::permits::{HeldPermit, PermitResult};
 use super::problem::{Problem, Reason};
 use crate::routing::Routing;
 
@@ -59,11 +59,11 @@
         while let Some(target) = targets.pop_front() {
             let ask = self.permit_request(target.clone(), hops, avoid.clone());
             let attempt = ask.attempt;
-            let asked = self.traffic.parts.permits.ask(ask, self.req.deadline).await;
-            self.log_asked(attempt, &target, &asked, targets.make_contiguous());
-            match asked {
-                Asked::Granted(permit) => return Round::Granted(permit),
-                Asked::Redirect(to) => {
+            let result = self.traffic.parts.permits.ask(ask, self.req.deadline).await;
+            self.log_result(attempt, &target, &result, targets.make_contiguous());
+            match result {
+                PermitResult::Granted(permit) => return Round::Granted(permit),
+                PermitResult::Redirect(to) => {
                     // Without this, two owners that accept no work now would redirect the request
                     // to each other until its hops are used up, and neither would give a reason.
                     avoid.push(target);
@@ -75,7 +75,7 @@
                             .for_each(|target| targets.push_front(target));
                     }
                 }
-                Asked::Refused(reason, after) => match reason {
+                PermitResult::Refused(reason, after) => match reason {
                     RefusalReason::NotOwner
                     | RefusalReason::Draining
                     | RefusalReason::TargetDown
@@ -85,8 +85,8 @@
                         return Round::Refused(refused(reason, &target, after));
                     }
                 },
-                Asked::NoOwner => {}
-                Asked::Late => {
+                PermitResult::NoOwner => {}
+                PermitResult::Late => {
                     return Round::Refused(refused(RefusalReason::Deadline, &target, LATE_RETRY));
                 }
             }
@@ -110,26 +110,29 @@
     }
 
     /// Logs an owner's answer. The line links the id of the request to that of the attempt.
-    fn log_asked(
+    fn log_result(
         &self,
         attempt: AttemptId,
         target: &TargetName,
-        asked: &Asked,
+        result: &PermitResult,
         alternatives: &[TargetName],
     ) {
-        let (answer, reason) = match asked {
-            Asked::Granted(_) => ("granted", None),
-            Asked::Redirect(_) => ("redirected", None),
-            Asked::Refused(reason, _) => ("refused", Some(reason.as_str())),
-            Asked::NoOwner => ("no_owner", Some("the owner is unknown or unreachable")),
-            Asked::Late => (
+        let (answer, reason) = match result {
+            PermitResult::Granted(_) => ("granted", None),
+            PermitResult::Redirect(_) => ("redirected", None),
+            PermitResult::Refused(reason, _) => ("refused", Some(reason.as_str())),
+            PermitResult::NoOwner => ("no_owner", Some("the owner is unknown or unreachable")),
+            PermitResult::Late => (
                 "late",
                 Some("the deadline passed while waiting for the permit"),
             ),
         };
-        let sent_on = match asked {
-            Asked::Redirect(to) => joined(to),
-            Asked::Granted(_) | Asked::Refused(..) | Asked::NoOwner | Asked::Late => String::new(),
+        let sent_on = match result {
+            PermitResult::Redirect(to) => joined(to),
+            PermitResult::Granted(_)
+            | PermitResult::Refused(..)
+            | PermitResult::NoOwner
+            | PermitResult::Late => String::new(),
         };
         slog::info!(self.traffic.parts.log, "routing";
             "request" => %self.req.id,
