--- a/crates/chervilshunt_daemon/src/traffic/permits.rs
+++ b/crates/chervilshunt_daemon/src/traffic/permits.rs
@@ -81,26 +81,22 @@
                 guard.forget();
                 PermitResult::Refused(reason, Duration::from_millis(retry_after_ms))
             }
-            Ok(Err(Unreached::NeverSeen)) => {
+            Ok(Err(NoAnswer::NotReceived)) => {
                 guard.forget();
                 PermitResult::NoOwner
             }
             // The owner may have queued or granted the request: dropping the guard withdraws it.
-            Ok(Err(Unreached::MaybeSeen)) => PermitResult::NoOwner,
+            Ok(Err(NoAnswer::MaybeReceived)) => PermitResult::NoOwner,
             Err(_elapsed) => PermitResult::Late,
         }
     }
 
-    async fn answer(
-        &self,
-        req: PermitRequest,
-        deadline: Moment,
-    ) -> Result<PermitAnswer, Unreached> {
+    async fn answer(&self, req: PermitRequest, deadline: Moment) -> Result<PermitAnswer, NoAnswer> {
         let routing = self.inner.links.routing.get();
         let owner = routing
             .owners
             .get(&req.target)
-            .ok_or(Unreached::NeverSeen)?;
+            .ok_or(NoAnswer::NotReceived)?;
         if *owner == self.inner.links.me {
             let (tx, rx) = oneshot::channel();
             let ask = AskPermit {
@@ -112,10 +108,10 @@
                 .control
                 .send(ask)
                 .await
-                .map_err(|_closed| Unreached::NeverSeen)?;
-            return rx.await.map_err(|_dropped| Unreached::MaybeSeen);
+                .map_err(|_closed| NoAnswer::NotReceived)?;
+            return rx.await.map_err(|_dropped| NoAnswer::MaybeReceived);
         }
-        let peer = self.inner.links.peer(owner).ok_or(Unreached::NeverSeen)?;
+        let peer = self.inner.links.peer(owner).ok_or(NoAnswer::NotReceived)?;
         let timeout = now().until(deadline);
         match self
             .inner
@@ -129,12 +125,12 @@
             .await
         {
             // An answer to a different request does not show how the owner handled this one.
-            Ok(PeerMessage::PermitAnswered(answer)) => {
-                answer.join(&req).map_err(|_crossed| Unreached::MaybeSeen)
-            }
-            Ok(_other) => Err(Unreached::MaybeSeen),
-            Err(error) if error.is_unhandled() => Err(Unreached::NeverSeen),
-            Err(_error) => Err(Unreached::MaybeSeen),
+            Ok(PeerMessage::PermitAnswered(answer)) => answer
+                .join(&req)
+                .map_err(|_crossed| NoAnswer::MaybeReceived),
+            Ok(_other) => Err(NoAnswer::MaybeReceived),
+            Err(error) if error.is_unhandled() => Err(NoAnswer::NotReceived),
+            Err(_error) => Err(NoAnswer::MaybeReceived),
         }
     }
 
@@ -194,9 +190,9 @@
 }
 
 /// The reason why there is no answer from an owner: whether it can have received the request.
-enum Unreached {
-    NeverSeen,
-    MaybeSeen,
+enum NoAnswer {
+    NotReceived,
+    MaybeReceived,
 }
 
 /// A permit, or a pending request for one, that is released when dropped.
