--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -39,12 +39,12 @@
 /// A failed attempt.
 struct Failed {
     problem: Problem,
-    again: Again,
+    retry: RetryRule,
 }
 
 /// Whether a failed attempt may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Again {
+enum RetryRule {
     /// The call did not run and may be retried at any target, including the same one.
     Anywhere,
     /// The call did not run and may be retried at another target.
@@ -87,12 +87,12 @@
                 Ok(answered) => return Ok(run.answered(answered, slot)),
                 Err(failed) => failed,
             };
-            let harmless = match failed.again {
-                Again::Anywhere | Again::Elsewhere => true,
-                Again::ElsewhereIfIdempotent => run.req.idempotent,
-                Again::Never => false,
+            let retryable = match failed.retry {
+                RetryRule::Anywhere | RetryRule::Elsewhere => true,
+                RetryRule::ElsewhereIfIdempotent => run.req.idempotent,
+                RetryRule::Never => false,
             };
-            if !harmless || tries >= MAX_TRIES || run.req.left(now()).is_zero() {
+            if !retryable || tries >= MAX_TRIES || run.req.left(now()).is_zero() {
                 return Err(failed.problem.after(may_have_run));
             }
             if !self.try_retry(failed.problem.reason.as_str()) {
@@ -130,7 +130,7 @@
             let problem = Problem::not_run(Reason::NoTarget, detail).retry_after(UNREACHED_RETRY);
             return Err(Failed {
                 problem,
-                again: Again::Elsewhere,
+                retry: RetryRule::Elsewhere,
             });
         };
         if !permit.is_usable(now()) {
@@ -141,7 +141,7 @@
             .retry_after(UNREACHED_RETRY);
             return Err(Failed {
                 problem,
-                again: Again::Anywhere,
+                retry: RetryRule::Anywhere,
             });
         }
         let client = self.traffic.parts.engines.client(address);
@@ -167,7 +167,7 @@
                 {
                     claim.did_not_run();
                 }
-                if failed.again != Again::Anywhere && !self.avoid.contains(&target) {
+                if failed.retry != RetryRule::Anywhere && !self.avoid.contains(&target) {
                     self.avoid.push(target);
                 }
                 permit.ended(release_outcome(&error));
@@ -229,7 +229,7 @@
 fn final_failure(problem: Problem) -> Failed {
     Failed {
         problem,
-        again: Again::Never,
+        retry: RetryRule::Never,
     }
 }
 
@@ -248,12 +248,12 @@
         EngineError::BrokenOff { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
         _ => Reason::TargetFailed,
     };
-    let (problem, again) = match error.outcome() {
+    let (problem, retry) = match error.outcome() {
         Ran::NotRun => (Problem::not_run(reason, detail), after_not_run(error)),
         // Nothing has been relayed yet, so the caller can't have received a part of the answer.
         Ran::Unknown | Ran::CutShort => (
             Problem::unknown(reason, detail),
-            Again::ElsewhereIfIdempotent,
+            RetryRule::ElsewhereIfIdempotent,
         ),
     };
     debug_assert!(
@@ -262,18 +262,18 @@
     );
     Failed {
         problem: problem.retry_after(UNREACHED_RETRY),
-        again,
+        retry,
     }
 }
 
-fn after_not_run(error: &EngineError) -> Again {
+fn after_not_run(error: &EngineError) -> RetryRule {
     match error {
-        EngineError::AdapterMissing { .. } => Again::Anywhere,
+        EngineError::AdapterMissing { .. } => RetryRule::Anywhere,
         EngineError::Refused { status, .. } if status.is_client_error() => match status.as_u16() {
-            408 | 425 | 429 => Again::Elsewhere,
-            _ => Again::Never,
+            408 | 425 | 429 => RetryRule::Elsewhere,
+            _ => RetryRule::Never,
         },
-        _ => Again::Elsewhere,
+        _ => RetryRule::Elsewhere,
     }
 }
 
