--- a/crates/chervilshunt_daemon/src/traffic/caller.rs
+++ b/crates/chervilshunt_daemon/src/traffic/caller.rs
@@ -86,11 +86,11 @@
         deployment: &Deployment,
     ) -> Result<Self, Problem> {
         let completion = Completion::parse(body)?;
-        let named = named_model(&completion.model, deployment)?;
-        let service = engine_service(&named.service, deployment)?;
+        let resolved = resolve_model(&completion.model, deployment)?;
+        let service = engine_service(&resolved.service, deployment)?;
         let (class, weight) = class_and_weight(
             &head,
-            named.priority.as_ref().unwrap_or(&service.priority),
+            resolved.priority.as_ref().unwrap_or(&service.priority),
             deployment,
         );
         let mut headers = HeaderMap::new();
@@ -105,8 +105,8 @@
             arrived: head.arrived,
             deadline: deadline(&head, service),
             idempotent: service.idempotent,
-            service: named.service,
-            model: named.model,
+            service: resolved.service,
+            model: resolved.model,
             engine_model: Some(completion.model.clone()),
             prompt_tokens: completion.prompt_tokens,
             max_tokens: completion.max_tokens,
@@ -176,13 +176,13 @@
 }
 
 /// The service, adapter version and priority that a model name refers to.
-struct Named {
+struct ResolvedModel {
     service: ServiceName,
     model: Option<AdapterVersion>,
     priority: Option<PriorityName>,
 }
 
-fn named_model(model: &str, deployment: &Deployment) -> Result<Named, Problem> {
+fn resolve_model(model: &str, deployment: &Deployment) -> Result<ResolvedModel, Problem> {
     let base = deployment
         .services
         .iter()
@@ -191,7 +191,7 @@
             ServiceKind::Plain => false,
         });
     if let Some((service, _)) = base {
-        return Ok(Named {
+        return Ok(ResolvedModel {
             service: service.clone(),
             model: None,
             priority: None,
@@ -210,7 +210,7 @@
         );
         return Err(Problem::not_run(Reason::UnknownModel, detail));
     }
-    Ok(Named {
+    Ok(ResolvedModel {
         service: adapter.service.clone(),
         model: Some(named),
         priority: adapter.priority.clone(),
