--- a/crates/chervilshunt_daemon/src/traffic/serve.rs
+++ b/crates/chervilshunt_daemon/src/traffic/serve.rs
@@ -125,7 +125,7 @@
         let id = request_id(req.headers());
         match self.answer(req, peer, &id).await {
             Ok(mut res) => {
-                self.sign(&mut res, &id);
+                self.set_identity_headers(&mut res, &id);
                 res
             }
             Err(problem) => whole(self.refuse(&problem, &id)),
@@ -136,12 +136,12 @@
     pub(super) fn refuse(&self, problem: &Problem, id: &RequestId) -> Response<Bytes> {
         self.report(problem, id);
         let mut res = problem.to_response(id);
-        self.sign(&mut res, id);
+        self.set_identity_headers(&mut res, id);
         res
     }
 
     /// Sets the response headers that identify the request and the entry instance.
-    fn sign<B>(&self, res: &mut Response<B>, id: &RequestId) {
+    fn set_identity_headers<B>(&self, res: &mut Response<B>, id: &RequestId) {
         set_header(res, REQUEST_ID, id.as_str());
         set_header(res, SERVED_BY, self.parts.settings.instance.id.as_str());
     }
