--- a/crates/chervilshunt_daemon/src/traffic/caller.rs
+++ b/crates/chervilshunt_daemon/src/traffic/caller.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(crate) struct Head {
     /// The headers that this system defines or interprets.
-    pub(crate) ours: RequestHeaders,
+    pub(crate) parsed: RequestHeaders,
     /// The peer address of the connection: the caller's, or that of a load balancer in front of it.
     pub(crate) peer: SocketAddr,
     /// When the request arrived.
@@ -116,8 +116,8 @@
             path: head.path,
             headers,
             body: completion.into_engine_body(class),
-            id: head.ours.id,
-            key: head.ours.key,
+            id: head.parsed.id,
+            key: head.parsed.key,
         })
     }
 
@@ -164,8 +164,8 @@
             path: head.path,
             headers: head.forwarded,
             body,
-            id: head.ours.id,
-            key: head.ours.key,
+            id: head.parsed.id,
+            key: head.parsed.key,
         })
     }
 
@@ -237,7 +237,7 @@
 fn class_and_weight(head: &Head, default: &PriorityName, deployment: &Deployment) -> (Class, u32) {
     let priority = deployment.priorities.get(default);
     let class = head
-        .ours
+        .parsed
         .class
         .or(priority.map(|priority| priority.class))
         .unwrap_or(Class::Live);
@@ -245,11 +245,11 @@
 }
 
 fn caller_name(head: &Head) -> CallerName {
-    let given = head.ours.caller.clone();
+    let given = head.parsed.caller.clone();
     given.unwrap_or_else(|| CallerName::new(head.peer.ip().to_string()))
 }
 
 fn deadline(head: &Head, service: &Service) -> Moment {
     let default = Duration::from_millis(service.deadline_ms);
-    head.arrived + head.ours.deadline.unwrap_or(default)
+    head.arrived + head.parsed.deadline.unwrap_or(default)
 }
--- a/crates/chervilshunt_daemon/src/traffic/serve.rs
+++ b/crates/chervilshunt_daemon/src/traffic/serve.rs
@@ -159,7 +159,7 @@
         if plain_service.is_none() {
             check_completion(path, &parts.method)?;
         }
-        let ours = RequestHeaders::read(&parts.headers, id.clone())?;
+        let parsed = RequestHeaders::read(&parts.headers, id.clone())?;
         let slot = self.open_slot()?;
         let body = read_body(&parts.headers, body, self.limits()).await?;
         let routing = self.parts.routing.get();
@@ -173,7 +173,7 @@
         let rest = plain_service.as_ref().map_or(path, |(_, rest)| rest);
         let target_path = target_path(rest, parts.uri.query())?;
         let head = Head {
-            ours,
+            parsed,
             peer,
             arrived,
             method: parts.method,
