--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -170,7 +170,7 @@
                 if failed.retry != RetryRule::Anywhere && !self.avoid.contains(&target) {
                     self.avoid.push(target);
                 }
-                permit.ended(release_outcome(&error));
+                permit.set_outcome(release_outcome(&error));
                 Err(failed)
             }
         }
--- a/crates/chervilshunt_daemon/src/traffic/permits.rs
+++ b/crates/chervilshunt_daemon/src/traffic/permits.rs
@@ -254,7 +254,7 @@
     }
 
     /// Records the outcome of the call, which is reported with the release.
-    pub(crate) fn ended(&mut self, outcome: ReleaseOutcome) {
+    pub(crate) fn set_outcome(&mut self, outcome: ReleaseOutcome) {
         self.outcome = outcome;
     }
 }
--- a/crates/chervilshunt_daemon/src/traffic/relay.rs
+++ b/crates/chervilshunt_daemon/src/traffic/relay.rs
@@ -139,7 +139,7 @@
         }
         let tokens = self.body.summary().tokens();
         metrics::answered(relay.class, tokens, now().since(relay.arrived));
-        relay.permit.ended(ReleaseOutcome::Finished {
+        relay.permit.set_outcome(ReleaseOutcome::Finished {
             tokens,
             first_byte_ms: millis(relay.first_byte),
             total_ms: millis(now().since(relay.opened)),
@@ -150,7 +150,7 @@
     /// stream with an error event, any other answer with an error.
     fn broken_off(&mut self, error: EngineError) -> Option<Result<Frame<Bytes>, RelayError>> {
         let mut relay = self.relay.take()?;
-        relay.permit.ended(ReleaseOutcome::TargetFailed);
+        relay.permit.set_outcome(ReleaseOutcome::TargetFailed);
         let problem = Problem::cut_short(Reason::BrokenOff, error.to_string());
         relay.traffic.report(&problem, &relay.request);
         if relay.stream {
