--- a/crates/chervilshunt_daemon/src/traffic/place.rs
+++ b/crates/chervilshunt_daemon/src/traffic/place.rs
@@ -14,14 +14,14 @@
 use crate::routing::Routing;
 
 /// The number of targets that are ranked in one round.
-const TARGETS_A_ROUND: usize = 4;
+const TARGETS_PER_ROUND: usize = 4;
 /// The maximum number of redirects that a request follows in one round.
 const MAX_HOPS: u8 = 3;
 /// The delay before the next round when no owner granted a permit.
 const ROUND_PAUSE: Duration = Duration::from_millis(100);
 /// How long a live request tries to obtain a permit. Replacing a failed owner takes a lease
 /// duration, and it is better to ask the caller to retry than to keep it waiting for that.
-const LIVE_PATIENCE: Duration = Duration::from_secs(2);
+const LIVE_PERMIT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The `Retry-After` when the deadline has passed in a queue.
 const LATE_RETRY: Duration = Duration::from_secs(5);
 
@@ -29,7 +29,7 @@
     /// Requests a permit in rounds until one is granted or the request has to be refused.
     pub(super) async fn permit(&self) -> Result<HeldPermit, Problem> {
         let give_up = match self.req.class {
-            Class::Live => self.req.deadline.min(now() + LIVE_PATIENCE),
+            Class::Live => self.req.deadline.min(now() + LIVE_PERMIT_TIMEOUT),
             Class::Deferrable => self.req.deadline,
         };
         loop {
@@ -167,10 +167,10 @@
         };
         let key = self.req.model.clone().unwrap_or_else(|| self.spread_key());
         let fresh = active().filter(|name| !self.avoid.contains(name));
-        let ranked = rank_targets(&key, fresh, TARGETS_A_ROUND);
+        let ranked = rank_targets(&key, fresh, TARGETS_PER_ROUND);
         if ranked.is_empty() {
             // An attempt has failed at each of them; one may have recovered by now.
-            return rank_targets(&key, active(), TARGETS_A_ROUND)
+            return rank_targets(&key, active(), TARGETS_PER_ROUND)
                 .into_iter()
                 .cloned()
                 .collect();
