--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -92,7 +92,7 @@
                 RetryRule::ElsewhereIfIdempotent => run.req.idempotent,
                 RetryRule::Never => false,
             };
-            if !retryable || tries >= MAX_TRIES || run.req.left(now()).is_zero() {
+            if !retryable || tries >= MAX_TRIES || run.req.time_left(now()).is_zero() {
                 return Err(failed.problem.after(may_have_run));
             }
             if !self.try_retry(failed.problem.reason.as_str()) {
@@ -181,7 +181,7 @@
             Some(model) => Expect::Model(model.as_str().into()),
             None => Expect::Anything,
         };
-        let head = self.req.left(now());
+        let head = self.req.time_left(now());
         Call {
             method: self.req.method.clone(),
             path: self.req.path.clone(),
--- a/crates/chervilshunt_daemon/src/traffic/caller.rs
+++ b/crates/chervilshunt_daemon/src/traffic/caller.rs
@@ -170,7 +170,7 @@
     }
 
     /// Returns the time that is left until the deadline.
-    pub(crate) fn left(&self, now: Moment) -> Duration {
+    pub(crate) fn time_left(&self, now: Moment) -> Duration {
         now.until(self.deadline)
     }
 }
--- a/crates/chervilshunt_daemon/src/traffic/place.rs
+++ b/crates/chervilshunt_daemon/src/traffic/place.rs
@@ -189,7 +189,7 @@
         hops: u8,
         avoid: SmallVec<[TargetName; 4]>,
     ) -> PermitRequest {
-        let left = self.req.left(now());
+        let left = self.req.time_left(now());
         PermitRequest {
             attempt: AttemptId::random(),
             entry: self.traffic.parts.settings.instance.id.clone(),
