--- a/crates/chervilshunt_daemon/src/keyed.rs
+++ b/crates/chervilshunt_daemon/src/keyed.rs
@@ -7,7 +7,7 @@
 use chervilshunt_model::AttemptId;
 
 /// The number of ended attempts that are kept.
-const REMEMBERED: usize = 50_000;
+const MAX_ENDED_ATTEMPTS: usize = 50_000;
 
 /// The attempts of this process to run requests with an idempotency key.
 ///
@@ -21,7 +21,7 @@
 struct Tries {
     running: HashSet<AttemptId>,
     ended: HashMap<AttemptId, ClaimOutcome>,
-    forgot: bool,
+    discarded: bool,
 }
 
 /// The state of an attempt.
@@ -43,9 +43,9 @@
     pub(crate) fn end(&self, attempt: AttemptId, outcome: ClaimOutcome) {
         let mut tries = self.lock();
         tries.running.remove(&attempt);
-        if tries.ended.len() >= REMEMBERED {
+        if tries.ended.len() >= MAX_ENDED_ATTEMPTS {
             tries.ended.clear();
-            tries.forgot = true;
+            tries.discarded = true;
         }
         tries.ended.insert(attempt, outcome);
     }
@@ -58,7 +58,7 @@
         }
         let outcome = match tries.ended.get(&attempt) {
             Some(outcome) => outcome.clone(),
-            None if tries.forgot => ClaimOutcome::Unknown,
+            None if tries.discarded => ClaimOutcome::Unknown,
             None => ClaimOutcome::NotRun,
         };
         TryState::Ended(outcome)
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -20,7 +20,7 @@
 const STOPPED_RETRY: Duration = Duration::from_secs(1);
 /// The number of instances that are queried concurrently, so that one query does not open 370
 /// connections at once.
-const ASKED_AT_A_TIME: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// Runs operators' statements.
 #[derive(Clone, Debug)]
@@ -181,8 +181,8 @@
         for (done, statement) in statements.into_iter().enumerate() {
             let result = match statement {
                 Statement::Show(show) => {
-                    let (rows, mut unheard) = self.show(&show, req.local).await;
-                    silent.append(&mut unheard);
+                    let (rows, mut unreachable) = self.show(&show, req.local).await;
+                    silent.append(&mut unreachable);
                     StatementResult::Rows(rows)
                 }
                 Statement::Change(group) => {
@@ -251,7 +251,7 @@
             return (reports, Vec::new());
         }
         let routing = self.routing.get();
-        let limit = Arc::new(tokio::sync::Semaphore::new(ASKED_AT_A_TIME));
+        let limit = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_QUERIES));
         let mut asked = tokio::task::JoinSet::new();
         for peer in routing.peers().filter(|peer| peer.instance != self.me) {
             let (mesh, limit) = (self.mesh.clone(), Arc::clone(&limit));
