--- a/crates/chervilshunt_daemon/src/traffic/front.rs
+++ b/crates/chervilshunt_daemon/src/traffic/front.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::greeting::{Version, version};
+use super::greeting::{Version, detect_version};
 use super::serve::Traffic;
 use super::slow_head;
 
@@ -58,13 +58,13 @@
     stop: CancellationToken,
 ) {
     drop(stream.set_nodelay(true));
-    let spoken = tokio::select! {
+    let detected = tokio::select! {
         biased;
-        spoken = version(&stream, traffic.limits().header_timeout) => spoken,
+        detected = detect_version(&stream, traffic.limits().header_timeout) => detected,
         () = stop.cancelled() => None,
     };
     // Connection errors are ignored: each request releases its resources when it is dropped.
-    match spoken {
+    match detected {
         Some(Version::Http1) => serve_http1(stream, peer, traffic, stop).await,
         // Boxed, because this future is larger and most connections are HTTP/1.1.
         Some(Version::Http2) => drop(Box::pin(serve_http2(stream, peer, traffic, stop)).await),
--- a/crates/chervilshunt_daemon/src/traffic/greeting.rs
+++ b/crates/chervilshunt_daemon/src/traffic/greeting.rs
@@ -28,12 +28,12 @@
 /// enough such callers would exhaust the sockets. Once the version is known, hyper's own limits
 /// apply. hyper can detect the version too, but without such a limit; it also separates the first
 /// bytes from the rest of the head, which doubles its read buffer.
-pub(super) async fn version(stream: &TcpStream, limit: Duration) -> Option<Version> {
-    let told = tokio::time::timeout(limit, tell(stream)).await;
-    told.ok()?.ok()
+pub(super) async fn detect_version(stream: &TcpStream, limit: Duration) -> Option<Version> {
+    let detected = tokio::time::timeout(limit, peek_version(stream)).await;
+    detected.ok()?.ok()
 }
 
-async fn tell(stream: &TcpStream) -> io::Result<Version> {
+async fn peek_version(stream: &TcpStream) -> io::Result<Version> {
     let mut buf = [0; HTTP2_PREFACE.len()];
     loop {
         let length = stream.peek(&mut buf).await?;
