--- a/crates/chervilshunt_daemon/tests/callers_answers.rs
+++ b/crates/chervilshunt_daemon/tests/callers_answers.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use support::endless::{ENDLESS, Endless};
-use support::http::{Answered, BOUND, Open, Speaks, open, post, request, send};
+use support::http::{BOUND, OpenResponse, Protocol, ReceivedResponse, open, post, request, send};
 use support::serial::{Alone, alone};
 
 fn options() -> FleetOptions {
@@ -32,7 +32,7 @@
 }
 
 /// Returns the text of a completion, streamed or not.
-fn text_of(answer: &Answered) -> String {
+fn text_of(answer: &ReceivedResponse) -> String {
     let text = |document: &Value| {
         let choice = &document["choices"][0];
         let places = [
@@ -57,7 +57,7 @@
 }
 
 /// Returns the JSON values of a stream's `data` lines.
-fn data_of(answer: &Answered) -> Vec<Value> {
+fn data_of(answer: &ReceivedResponse) -> Vec<Value> {
     let data = answer
         .text
         .lines()
@@ -75,7 +75,7 @@
 
 #[rstest]
 fn a_completion_is_complete_and_from_the_requested_model(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("i1", "i2")] entry: &str,
     #[values(false, true)] stream: bool,
 ) {
@@ -112,14 +112,14 @@
         });
         let headers = [("x-request-id", id.as_str())];
         let req = post(to, "/v1/chat/completions", &headers, &body.to_string());
-        let answer = send(to, Speaks::Http1, req).await;
+        let answer = send(to, Protocol::Http1, req).await;
         assert_eq!(text_of(&answer), tokens(&model_name(0), &id, 3));
     });
 }
 
 #[rstest]
 fn a_plain_service_gets_method_path_query_and_body(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("GET", "POST", "PUT", "DELETE")] method: &str,
 ) {
     alone(options, async |test| {
@@ -139,7 +139,7 @@
 // so the caller gets an error event, and neither a `[DONE]` nor a restarted stream.
 #[rstest]
 fn an_interrupted_stream_ends_with_an_error_event(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
     alone(options, async |test| {
         test.fault_engines(json!({"cut_after_tokens": 3})).await;
@@ -183,7 +183,7 @@
         let body = completion(&model_name(1), 4, false);
         let headers = [("x-request-id", "half")];
         let req = post(to, "/v1/completions", &headers, &body);
-        let answer = send(to, Speaks::Http1, req).await;
+        let answer = send(to, Protocol::Http1, req).await;
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
         let problem = answer.json();
         assert_eq!(problem["outcome"], "unknown");
@@ -205,7 +205,7 @@
             let id = format!("other-{number}");
             let headers = [("x-request-id", id.as_str())];
             let req = post(to, "/v1/completions", &headers, &body);
-            let answer = send(to, Speaks::Http1, req).await;
+            let answer = send(to, Protocol::Http1, req).await;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert_eq!(text_of(&answer), tokens(&model_name(number), &id, 4));
         }
@@ -229,7 +229,7 @@
             let body = completion(&model_name(number), 4, false);
             let headers = [("x-request-id", id.as_str()), ("prefer", "wait=8")];
             let req = post(to, "/v1/completions", &headers, &body);
-            let answer = send(to, Speaks::Http1, req).await;
+            let answer = send(to, Protocol::Http1, req).await;
             let runs = test.runs(&id).await;
             if answer.status == StatusCode::OK {
                 continue;
@@ -301,7 +301,7 @@
         round += 1;
         let answers = together(test, &format!("sound-{round}")).await;
         let from = |engine: &str| {
-            let served = |answer: &Answered| {
+            let served = |answer: &ReceivedResponse| {
                 answer.status == StatusCode::OK && answer.header("x-target") == Some(engine)
             };
             answers.iter().filter(|(.., it)| served(it)).count()
@@ -318,7 +318,7 @@
 }
 
 /// Sends ten concurrent requests over all models; returns the id, model and answer of each.
-async fn together(test: &Alone, name: &str) -> Vec<(String, String, Answered)> {
+async fn together(test: &Alone, name: &str) -> Vec<(String, String, ReceivedResponse)> {
     const AT_A_TIME: usize = 10;
     let to = test.fleet.instances()["i1"].callers();
     let calls = (0..AT_A_TIME).map(async |call| {
@@ -327,7 +327,7 @@
         let body = completion(&model, 4, false);
         let headers = [("x-request-id", id.as_str())];
         let req = post(to, "/v1/completions", &headers, &body);
-        let answer = send(to, Speaks::Http1, req).await;
+        let answer = send(to, Protocol::Http1, req).await;
         (id, model, answer)
     });
     join_all(calls).await
@@ -346,7 +346,7 @@
             let headers = [("x-request-id", id.as_str())];
             let body = completion(&model, 3, stream);
             let req = post(to, "/v1/completions", &headers, &body);
-            let answer = send(to, Speaks::Http1, req).await;
+            let answer = send(to, Protocol::Http1, req).await;
             if answer.status == StatusCode::OK {
                 assert_eq!(text_of(&answer), tokens(&model, &id, 3));
             } else {
@@ -374,7 +374,7 @@
         let calls = test.stat("desk-1", "calls").await;
         let headers = [("x-request-id", fault)];
         let req = post(to, "/services/desk/finish", &headers, "boat 7, 14:03");
-        let answer = send(to, Speaks::Http1, req).await;
+        let answer = send(to, Protocol::Http1, req).await;
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
         assert_eq!(answer.json()["outcome"], "unknown");
         assert_eq!(test.stat("desk-1", "calls").await, calls + 1);
@@ -386,7 +386,7 @@
 // must be released, or the adapter would stay pinned in its slot.
 #[rstest]
 fn a_caller_that_disconnects_cancels_its_stream(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("i1", "i2")] entry: &str,
 ) {
     alone(options, async |test| {
@@ -412,7 +412,7 @@
 // a bound per stream. When the callers disconnect, all permits are released.
 #[rstest]
 fn callers_that_do_not_read_apply_back_pressure_to_the_engine(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
     const STREAMS: usize = 100;
     /// The maximum resident memory per stream, in KiB.
@@ -449,10 +449,10 @@
 
 async fn open_streams(
     to: std::net::SocketAddr,
-    speaks: Speaks,
+    speaks: Protocol,
     body: &str,
     count: usize,
-) -> Vec<Open> {
+) -> Vec<OpenResponse> {
     let mut streams = Vec::new();
     for _ in 0..count {
         let stream = open(to, speaks, post(to, "/v1/completions", &[], body)).await;
--- a/crates/chervilshunt_daemon/tests/callers_limits.rs
+++ b/crates/chervilshunt_daemon/tests/callers_limits.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use tokio_util::task::AbortOnDropHandle;
 
-use support::http::{Answered, BOUND, Open, Speaks, open, post, send};
+use support::http::{BOUND, OpenResponse, Protocol, ReceivedResponse, open, post, send};
 use support::serial::{Alone, alone};
 
 const OPEN_REQUESTS: usize = 5;
@@ -45,18 +45,23 @@
     test.fleet.instances()["i1"].callers()
 }
 
-async fn fill_the_batch(test: &Alone) -> Open {
+async fn fill_the_batch(test: &Alone) -> OpenResponse {
     let to = entry(test);
-    let running = open(to, Speaks::Http1, post(to, "/v1/completions", &[], &long())).await;
+    let running = open(
+        to,
+        Protocol::Http1,
+        post(to, "/v1/completions", &[], &long()),
+    )
+    .await;
     assert_eq!(running.response.status(), StatusCode::OK);
     running
 }
 
 /// Sends a request that waits in the queue.
-fn wait_in_queue(test: &Alone, priority: &'static str) -> AbortOnDropHandle<Answered> {
+fn wait_in_queue(test: &Alone, priority: &'static str) -> AbortOnDropHandle<ReceivedResponse> {
     let to = entry(test);
     let req = post(to, "/v1/completions", &[("priority", priority)], &long());
-    AbortOnDropHandle::new(tokio::spawn(send(to, Speaks::Http1, req)))
+    AbortOnDropHandle::new(tokio::spawn(send(to, Protocol::Http1, req)))
 }
 
 async fn wait_for_waiting(test: &Alone, count: usize) {
@@ -74,7 +79,7 @@
     wait_for_waiting(test, 0).await;
 }
 
-fn assert_refused(answer: &Answered, status: u16, reason: &str, outcome: &str) {
+fn assert_refused(answer: &ReceivedResponse, status: u16, reason: &str, outcome: &str) {
     assert_eq!(answer.status, status, "{}", answer.text);
     let problem = answer.json();
     assert_eq!(problem["reason"], reason);
@@ -102,7 +107,7 @@
         let body = long();
         let refused = send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &headers, &body),
         )
         .await;
@@ -115,7 +120,7 @@
 // The limit of open requests is reached. One more is refused before its body is read.
 #[rstest]
 fn one_open_request_too_many_is_refused_at_once(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
     alone(options, async |test| {
         let running = fill_the_batch(&test).await;
@@ -146,7 +151,7 @@
         let headers = [("prefer", "wait=1"), ("x-request-id", "late")];
         let late = send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &headers, &long()),
         )
         .await;
@@ -177,7 +182,7 @@
         test.fault(target, json!({"freeze": true})).await;
         let to = entry(&test);
         let headers = [("prefer", "wait=1")];
-        let hung = send(to, Speaks::Http1, post(to, path, &headers, &long())).await;
+        let hung = send(to, Protocol::Http1, post(to, path, &headers, &long())).await;
         assert_refused(&hung, 504, "target_timeout", "unknown");
         test.fault(target, json!({"freeze": false})).await;
         wait_for_nothing(&test).await;
@@ -211,7 +216,7 @@
             .expect("it is accepted");
         let to = entry(&test);
         let req = post(to, "/services/desk/slips", &[], "x");
-        let refused = send(to, Speaks::Http1, req).await;
+        let refused = send(to, Protocol::Http1, req).await;
         statements
             .run("resume target desk-1")
             .await
--- a/crates/chervilshunt_daemon/tests/callers_refusals.rs
+++ b/crates/chervilshunt_daemon/tests/callers_refusals.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use support::http::{Answered, Speaks, post, request, send};
-use support::raw::Raw;
+use support::http::{Protocol, ReceivedResponse, post, request, send};
+use support::raw::RawConnection;
 use support::shared;
 
 /// The maximum request body size of the instance, in bytes.
@@ -44,7 +44,7 @@
 }
 
 /// Checks the members of a problem document: those of RFC 9457 and those that this system adds.
-fn assert_problem(answer: &Answered, status: u16, reason: &str) -> Value {
+fn assert_problem(answer: &ReceivedResponse, status: u16, reason: &str) -> Value {
     let document = answer.json();
     assert_eq!(answer.status, status, "{document}");
     assert_eq!(
@@ -85,7 +85,7 @@
     #[case] path: &str,
     #[case] status: u16,
     #[case] reason: &str,
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
     let fleet = fleet();
     shared::runtime().block_on(async {
@@ -136,7 +136,7 @@
     let fleet = fleet();
     shared::runtime().block_on(async {
         let to = fleet.instances()["i1"].callers();
-        let answer = send(to, Speaks::Http1, post(to, path, &[], body)).await;
+        let answer = send(to, Protocol::Http1, post(to, path, &[], body)).await;
         let document = assert_problem(&answer, status, reason);
         assert_eq!(answer.header("retry-after"), None, "{document}");
         assert_targets_untouched(&fleet).await;
@@ -158,7 +158,7 @@
 #[case::empty_caller(&[("x-caller", "")])]
 fn a_wrong_header_is_refused(
     #[case] headers: &[(&str, &str)],
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
     let fleet = fleet();
     shared::runtime().block_on(async {
@@ -173,7 +173,7 @@
 
 #[rstest]
 fn a_body_over_the_limit_is_refused_whether_announced_or_not(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("/v1/completions", "/services/desk/scores")] path: &str,
 ) {
     let fleet = fleet();
@@ -192,7 +192,7 @@
 fn a_chunked_body_over_the_limit_is_refused() {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         raw.write(
             b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
               transfer-encoding: chunked\r\n\r\n",
@@ -216,7 +216,7 @@
 fn a_body_that_does_not_arrive_is_refused_in_time() {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         raw.write(
             b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
               content-length: 100\r\n\r\n{\"model\":",
@@ -235,7 +235,7 @@
 fn a_body_with_broken_chunks_is_refused() {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         raw.write(
             b"POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
               transfer-encoding: chunked\r\n\r\nnot hexadecimal\r\n",
@@ -258,7 +258,7 @@
 fn a_malformed_head_is_refused_by_its_status(#[case] head: String, #[case] status: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         let text = format!("POST /v1/completions HTTP/1.1\r\nhost: x\r\n{head}\r\n");
         raw.write(text.as_bytes()).await;
         let answer = raw.read_to_end().await;
@@ -280,7 +280,7 @@
 fn a_head_that_does_not_arrive_is_refused_in_time(#[case] head: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         raw.write(head.as_bytes()).await;
         let answer = raw.read_to_end().await;
         assert!(
@@ -307,7 +307,7 @@
 fn a_head_that_does_not_arrive_closes_the_connection(#[case] head: &str) {
     let fleet = fleet();
     shared::runtime().block_on(async {
-        let mut raw = Raw::connect(fleet.instances()["i1"].callers()).await;
+        let mut raw = RawConnection::connect(fleet.instances()["i1"].callers()).await;
         raw.write(head.as_bytes()).await;
         let ended = raw.read_to_end_within(Duration::from_secs(10)).await;
         ended.expect("the connection is held open");
--- a/crates/chervilshunt_daemon/tests/operators.rs
+++ b/crates/chervilshunt_daemon/tests/operators.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use support::http::{BOUND, Open, Speaks, open, post};
+use support::http::{BOUND, OpenResponse, Protocol, open, post};
 use support::serial::{Alone, alone};
 
 fn options() -> FleetOptions {
@@ -66,13 +66,13 @@
     reply.unwrap_or_else(|error| panic!("{error}"))
 }
 
-async fn running_stream(test: &Alone, instance: &str) -> Open {
+async fn running_stream(test: &Alone, instance: &str) -> OpenResponse {
     let to = test.fleet.instances()[instance].callers();
     let body =
         json!({"model": model_name(0), "prompt": "x", "max_tokens": 100_000, "stream": true});
     open(
         to,
-        Speaks::Http1,
+        Protocol::Http1,
         post(to, "/v1/completions", &[], &body.to_string()),
     )
     .await
@@ -207,7 +207,7 @@
         let body = json!({"model": model_name(2), "prompt": "x", "max_tokens": 1});
         let send = || {
             let req = post(to, "/v1/completions", &[], &body.to_string());
-            tokio::spawn(support::http::send(to, Speaks::Http1, req))
+            tokio::spawn(support::http::send(to, Protocol::Http1, req))
         };
         let waiting = [send(), send()];
         let question = format!("show loads where version = {}", model_name(2));
--- a/crates/chervilshunt_daemon/tests/operators_seeing.rs
+++ b/crates/chervilshunt_daemon/tests/operators_seeing.rs
@@ -9,7 +9,7 @@
 use http::StatusCode;
 use serde_json::{Value, json};
 
-use support::http::{BOUND, Speaks, open, post, send};
+use support::http::{BOUND, Protocol, open, post, send};
 use support::serial::{Alone, alone, metric};
 
 const METRICS_PAGE: &str = include_str!("../../../docs/operators/metrics.md");
@@ -42,12 +42,12 @@
         let headers = [("x-request-id", id.as_str()), ("priority", priority)];
         answers.spawn(send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &headers, &body.to_string()),
         ));
         answers.spawn(send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/services/desk/slips", &[], "x"),
         ));
     }
@@ -56,7 +56,7 @@
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     }
     let to = test.fleet.instances()["i1"].callers();
-    let refused = send(to, Speaks::Http1, post(to, "/nothing", &[], "")).await;
+    let refused = send(to, Protocol::Http1, post(to, "/nothing", &[], "")).await;
     assert_eq!(refused.status, StatusCode::NOT_FOUND);
 }
 
@@ -121,7 +121,7 @@
             json!({"model": model_name(0), "prompt": "x", "max_tokens": 400, "stream": true});
         let stream = open(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &[], &body.to_string()),
         )
         .await;
--- a/crates/chervilshunt_daemon/tests/shutdown.rs
+++ b/crates/chervilshunt_daemon/tests/shutdown.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use support::http::{BOUND, Speaks, open, post, read};
+use support::http::{BOUND, Protocol, open, post, read};
 
 async fn start(shutdown_ms: u64) -> Fleet {
     Fleet::start(FleetOptions {
@@ -49,7 +49,7 @@
     let endless =
         json!({"model": model_name(0), "prompt": "x", "max_tokens": 1_000_000, "stream": true});
     let req = post(to, "/v1/completions", &[], &endless.to_string());
-    let stream = open(to, Speaks::Http1, req).await;
+    let stream = open(to, Protocol::Http1, req).await;
     assert_eq!(stream.response.status(), StatusCode::OK);
     let reading = tokio::spawn(read(stream));
 
--- a/crates/chervilshunt_daemon/tests/support/http.rs
+++ b/crates/chervilshunt_daemon/tests/support/http.rs
@@ -21,7 +21,7 @@
 
 /// The protocol of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Speaks {
+pub(crate) enum Protocol {
     /// HTTP/1.1.
     Http1,
     /// HTTP/2 with prior knowledge.
@@ -30,7 +30,7 @@
 
 /// A response, which may be incomplete.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct ReceivedResponse {
     /// The status.
     pub(crate) status: StatusCode,
     /// The headers.
@@ -41,7 +41,7 @@
     pub(crate) whole: bool,
 }
 
-impl Answered {
+impl ReceivedResponse {
     /// Returns the body as JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
@@ -55,7 +55,7 @@
 
 /// A response whose body has not been read; dropping it closes the connection.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct OpenResponse {
     /// The response with its unread body.
     pub(crate) response: Response<Incoming>,
     _connection: AbortOnDropHandle<()>,
@@ -63,7 +63,11 @@
 
 /// Sends a request over a new connection and returns as soon as the response head has been
 /// received.
-pub(crate) async fn open(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Open {
+pub(crate) async fn open(
+    to: SocketAddr,
+    speaks: Protocol,
+    req: Request<Full<Bytes>>,
+) -> OpenResponse {
     tokio::time::timeout(BOUND, try_open(to, speaks, req))
         .await
         .expect("no response head within the bound")
@@ -71,7 +75,11 @@
 }
 
 /// Sends a request and reads the whole response.
-pub(crate) async fn send(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Answered {
+pub(crate) async fn send(
+    to: SocketAddr,
+    speaks: Protocol,
+    req: Request<Full<Bytes>>,
+) -> ReceivedResponse {
     let open = open(to, speaks, req).await;
     tokio::time::timeout(BOUND, read(open))
         .await
@@ -79,7 +87,7 @@
 }
 
 /// Reads a response to its end.
-pub(crate) async fn read(open: Open) -> Answered {
+pub(crate) async fn read(open: OpenResponse) -> ReceivedResponse {
     let (head, mut body) = open.response.into_parts();
     let mut bytes = Vec::new();
     let mut whole = true;
@@ -93,7 +101,7 @@
             }
         }
     }
-    Answered {
+    ReceivedResponse {
         status: head.status,
         headers: head.headers,
         text: String::from_utf8_lossy(&bytes).into_owned(),
@@ -103,18 +111,18 @@
 
 async fn try_open(
     to: SocketAddr,
-    speaks: Speaks,
+    speaks: Protocol,
     req: Request<Full<Bytes>>,
-) -> Result<Open, hyper::Error> {
+) -> Result<OpenResponse, hyper::Error> {
     let stream = TcpStream::connect(to).await.expect("the port is open");
     let io = TokioIo::new(stream);
     let (response, connection) = match speaks {
-        Speaks::Http1 => {
+        Protocol::Http1 => {
             let (mut sender, connection) = http1::handshake(io).await?;
             let connection = tokio::spawn(async move { drop(connection.await) });
             (sender.send_request(req).await?, connection)
         }
-        Speaks::Http2 => {
+        Protocol::Http2 => {
             let mut builder = http2::Builder::new(TokioExecutor::new());
             builder
                 .initial_stream_window_size(WINDOW)
@@ -124,7 +132,7 @@
             (sender.send_request(req).await?, connection)
         }
     };
-    Ok(Open {
+    Ok(OpenResponse {
         response,
         _connection: AbortOnDropHandle::new(connection),
     })
--- a/crates/chervilshunt_daemon/tests/support/raw.rs
+++ b/crates/chervilshunt_daemon/tests/support/raw.rs
@@ -10,11 +10,11 @@
 
 /// A TCP connection.
 #[derive(Debug)]
-pub(crate) struct Raw {
+pub(crate) struct RawConnection {
     stream: TcpStream,
 }
 
-impl Raw {
+impl RawConnection {
     /// Opens a connection.
     pub(crate) async fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.expect("the port is open");
--- a/crates/chervilshunt_daemon/tests/targets_lost.rs
+++ b/crates/chervilshunt_daemon/tests/targets_lost.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use support::http::{Speaks, post, send};
+use support::http::{Protocol, post, send};
 use support::serial::{Alone, alone};
 
 const ENGINES: usize = 2;
@@ -57,7 +57,7 @@
             let to = test.fleet.instances()[id].callers();
             let body = json!({"model": model_name(0), "prompt": "x", "max_tokens": 5});
             let req = post(to, "/v1/completions", &[], &body.to_string());
-            let answer = send(to, Speaks::Http1, req).await;
+            let answer = send(to, Protocol::Http1, req).await;
             assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
             let problem = answer.json();
             assert_eq!(problem["outcome"], "not_run", "{problem}");
