--- a/crates/chervilshunt_daemon/tests/callers_answers.rs
+++ b/crates/chervilshunt_daemon/tests/callers_answers.rs
@@ -218,7 +218,7 @@
 #[test]
 fn a_refused_retry_does_not_hide_that_the_first_attempt_ran() {
     alone(options, async |test| {
-        until_sound(&test).await;
+        wait_until_healthy(&test).await;
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
         let broken = json!({"restart": true, "load_fails": 1.0});
         test.fault("engine-2", broken).await;
@@ -253,7 +253,7 @@
             .await;
         test.fault("engine-2", json!({"load_fails": 0.0})).await;
         // The owner retries failed loads only after a delay.
-        until_sound(&test).await;
+        wait_until_healthy(&test).await;
     });
 }
 
@@ -269,13 +269,13 @@
     /// The time after which a breaker no longer counts earlier calls.
     const WINDOW: Duration = Duration::from_secs(11);
     alone(options, async |test| {
-        until_sound(&test).await;
+        wait_until_healthy(&test).await;
         tokio::time::sleep(WINDOW).await;
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
         let failed = "chervilshunt_retries_total{reason=\"broken_off\"}";
         let before = test.metric("i1", failed).await;
         for round in 0..ROUNDS {
-            for (id, model, answer) in together(&test, &format!("grey-{round}")).await {
+            for (id, model, answer) in send_concurrently(&test, &format!("grey-{round}")).await {
                 assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
                 assert_eq!(text_of(&answer), tokens(&model, &id, 4));
             }
@@ -285,13 +285,13 @@
         assert!(retried <= MOST_FAILED, "{retried} calls failed");
         test.fault("engine-1", json!({"cut_after_tokens": -1}))
             .await;
-        until_sound(&test).await;
+        wait_until_healthy(&test).await;
     });
 }
 
 /// Waits until both engines get and answer calls again, because earlier tests may have opened their
 /// breakers.
-async fn until_sound(test: &Alone) {
+async fn wait_until_healthy(test: &Alone) {
     /// The number of calls to each engine that a breaker evaluates before it opens.
     const SOUND_ROUNDS: u32 = 4;
     const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
@@ -299,7 +299,7 @@
     let mut round = 0;
     for _ in 0..200 {
         round += 1;
-        let answers = together(test, &format!("sound-{round}")).await;
+        let answers = send_concurrently(test, &format!("sound-{round}")).await;
         let from = |engine: &str| {
             let served = |answer: &ReceivedResponse| {
                 answer.status == StatusCode::OK && answer.header("x-target") == Some(engine)
@@ -318,7 +318,7 @@
 }
 
 /// Sends ten concurrent requests over all models; returns the id, model and answer of each.
-async fn together(test: &Alone, name: &str) -> Vec<(String, String, ReceivedResponse)> {
+async fn send_concurrently(test: &Alone, name: &str) -> Vec<(String, String, ReceivedResponse)> {
     const AT_A_TIME: usize = 10;
     let to = test.fleet.instances()["i1"].callers();
     let calls = (0..AT_A_TIME).map(async |call| {
@@ -427,11 +427,11 @@
         let body = completion(ENDLESS, 1_000_000, true);
         // The first streams allocate pools and threads that are kept.
         let first = open_streams(to, speaks, &body, 10).await;
-        settled(&engine).await;
+        wait_until_stalled(&engine).await;
         let before = resident_kib(&test);
         let bytes_before = engine.bytes();
         let streams = open_streams(to, speaks, &body, STREAMS).await;
-        settled(&engine).await;
+        wait_until_stalled(&engine).await;
         let grown = resident_kib(&test).saturating_sub(before);
         let taken = (engine.bytes() - bytes_before) / STREAMS as u64;
         println!("{speaks:?}: {grown} KiB for {STREAMS} streams, {taken} bytes taken of each");
@@ -463,7 +463,7 @@
 }
 
 /// Waits until nothing more is read from the engine's streams.
-async fn settled(engine: &Endless) {
+async fn wait_until_stalled(engine: &Endless) {
     let still = || async {
         let before = engine.bytes();
         tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/chervilshunt_daemon/tests/operators_seeing.rs
+++ b/crates/chervilshunt_daemon/tests/operators_seeing.rs
@@ -29,7 +29,7 @@
 }
 
 /// Sends requests of both classes for all adapters and to the plain service, and an invalid one.
-async fn little_load(test: &Alone) {
+async fn send_mixed_load(test: &Alone) {
     let mut answers = tokio::task::JoinSet::new();
     for number in 0..6 * ADAPTERS {
         let entry = ["i1", "i2"][number % 2];
@@ -83,7 +83,7 @@
 #[test]
 fn metrics_match_the_documented_list() {
     alone(options, async |test| {
-        little_load(&test).await;
+        send_mixed_load(&test).await;
         let text = all_metrics(&test).await;
         let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
         let exported: BTreeSet<&str> = types.filter_map(|line| line.split(' ').next()).collect();
@@ -108,7 +108,7 @@
 fn metrics_count_what_happened() {
     alone(options, async |test| {
         let before = all_metrics(&test).await;
-        little_load(&test).await;
+        send_mixed_load(&test).await;
         let answered = all_metrics(&test).await;
         let first_byte = metric(&answered, "chervilshunt_first_byte_seconds_sum");
         let answers = metric(&answered, "chervilshunt_answer_seconds_sum");
@@ -160,7 +160,7 @@
 #[test]
 fn log_lines_show_each_decision() {
     alone(options, async |test| {
-        little_load(&test).await;
+        send_mixed_load(&test).await;
         let lines = log_lines(&test).await;
         let of = |msg: &str| {
             lines
--- a/crates/chervilshunt_daemon/tests/support/endless.rs
+++ b/crates/chervilshunt_daemon/tests/support/endless.rs
@@ -38,9 +38,9 @@
 }
 
 /// Counts a stream as open until dropped.
-struct Counted(Arc<Counts>);
+struct OpenStreamGuard(Arc<Counts>);
 
-impl Drop for Counted {
+impl Drop for OpenStreamGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
@@ -102,7 +102,7 @@
         " chair".repeat(20),
     ));
     counts.open.fetch_add(1, Ordering::Relaxed);
-    let counted = Counted(counts);
+    let counted = OpenStreamGuard(counts);
     let events = stream::repeat_with(move || {
         let taken = event.len() as u64;
         counted.0.bytes.fetch_add(taken, Ordering::Relaxed);
