--- a/crates/chervilshunt_daemon/tests/callers_answers.rs
+++ b/crates/chervilshunt_daemon/tests/callers_answers.rs
@@ -13,7 +13,7 @@
 
 use support::endless::{ENDLESS, Endless};
 use support::http::{BOUND, OpenResponse, Protocol, ReceivedResponse, open, post, request, send};
-use support::serial::{Alone, alone};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 fn options() -> FleetOptions {
     FleetOptions {
@@ -79,7 +79,7 @@
     #[values("i1", "i2")] entry: &str,
     #[values(false, true)] stream: bool,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let to = test.fleet.instances()[entry].callers();
         for number in 0..2 {
             let model = model_name(number);
@@ -103,7 +103,7 @@
 
 #[rstest]
 fn a_chat_completion_is_complete(#[values(false, true)] stream: bool) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let to = test.fleet.instances()["i1"].callers();
         let id = format!("chat-{stream}");
         let body = json!({
@@ -122,7 +122,7 @@
     #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("GET", "POST", "PUT", "DELETE")] method: &str,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let to = test.fleet.instances()["i2"].callers();
         let path = "/services/desk/slips/7?late=yes";
         let answer = send(to, speaks, request(method, to, path, &[], "two wardrobes")).await;
@@ -141,7 +141,7 @@
 fn an_interrupted_stream_ends_with_an_error_event(
     #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fault_engines(json!({"cut_after_tokens": 3})).await;
         let to = test.fleet.instances()["i1"].callers();
         let id = format!("cut-{speaks:?}");
@@ -177,7 +177,7 @@
 // it a limited number of times and then reports an unknown outcome, because it did run.
 #[test]
 fn an_interrupted_answer_is_retried_and_then_reported_as_unknown() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fault_engines(json!({"cut_after_tokens": 2})).await;
         let to = test.fleet.instances()["i1"].callers();
         let body = completion(&model_name(1), 4, false);
@@ -197,7 +197,7 @@
 // One engine interrupts its answers, the other does not. The retry hides that from the caller.
 #[test]
 fn an_interrupted_answer_is_replaced_by_another_engines() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
         let to = test.fleet.instances()["i1"].callers();
         for number in 0..4 {
@@ -217,7 +217,7 @@
 // engine ran the request.
 #[test]
 fn a_refused_retry_does_not_hide_that_the_first_attempt_ran() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         wait_until_healthy(&test).await;
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
         let broken = json!({"restart": true, "load_fails": 1.0});
@@ -268,7 +268,7 @@
     const MOST_FAILED: f64 = 40.0;
     /// The time after which a breaker no longer counts earlier calls.
     const WINDOW: Duration = Duration::from_secs(11);
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         wait_until_healthy(&test).await;
         tokio::time::sleep(WINDOW).await;
         test.fault("engine-1", json!({"cut_after_tokens": 2})).await;
@@ -291,7 +291,7 @@
 
 /// Waits until both engines get and answer calls again, because earlier tests may have opened their
 /// breakers.
-async fn wait_until_healthy(test: &Alone) {
+async fn wait_until_healthy(test: &ExclusiveFleet) {
     /// The number of calls to each engine that a breaker evaluates before it opens.
     const SOUND_ROUNDS: u32 = 4;
     const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
@@ -318,7 +318,10 @@
 }
 
 /// Sends ten concurrent requests over all models; returns the id, model and answer of each.
-async fn send_concurrently(test: &Alone, name: &str) -> Vec<(String, String, ReceivedResponse)> {
+async fn send_concurrently(
+    test: &ExclusiveFleet,
+    name: &str,
+) -> Vec<(String, String, ReceivedResponse)> {
     const AT_A_TIME: usize = 10;
     let to = test.fleet.instances()["i1"].callers();
     let calls = (0..AT_A_TIME).map(async |call| {
@@ -337,7 +340,7 @@
 // checks the model name in the answer before it relays anything.
 #[rstest]
 fn an_answer_from_another_model_is_never_relayed(#[values(false, true)] stream: bool) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let to = test.fleet.instances()["i1"].callers();
         for number in 0..4 {
             let model = model_name(number);
@@ -368,7 +371,7 @@
 #[case::before_it_ran("cut_before_run", 0)]
 #[case::after_it_ran("lose_answers", 1)]
 fn a_call_that_may_have_run_is_not_retried(#[case] fault: &str, #[case] runs: u64) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fault("desk-1", json!({fault: 1})).await;
         let to = test.fleet.instances()["i1"].callers();
         let calls = test.stat("desk-1", "calls").await;
@@ -389,7 +392,7 @@
     #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
     #[values("i1", "i2")] entry: &str,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let to = test.fleet.instances()[entry].callers();
         let body = completion(&model_name(2), 100_000, true);
         let stream = open(to, speaks, post(to, "/v1/completions", &[], &body)).await;
@@ -420,7 +423,7 @@
     /// The maximum number of bytes between the engine and the caller, in the buffers of the kernel,
     /// the instance and the caller.
     const BYTES_A_STREAM: u64 = 1024 * 1024;
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let engine = Endless::start().await;
         create_endless(&test, &engine).await;
         let to = test.fleet.instances()["i1"].callers();
@@ -474,7 +477,7 @@
         .expect("the engine is not held back");
 }
 
-fn resident_kib(test: &Alone) -> u64 {
+fn resident_kib(test: &ExclusiveFleet) -> u64 {
     let pid = test.fleet.instances()["i1"].process.id().expect("it runs");
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("it runs");
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -484,7 +487,7 @@
         .expect("a number")
 }
 
-async fn create_endless(test: &Alone, engine: &Endless) {
+async fn create_endless(test: &ExclusiveFleet, engine: &Endless) {
     let text = format!(
         "{{ create service {ENDLESS} kind=engine base_model={ENDLESS} priority=prompt \
          deadline_ms=20000; create target {ENDLESS} service={ENDLESS} address={} zone=zone-a \
@@ -503,7 +506,7 @@
         .expect("nobody owns the target");
 }
 
-async fn delete_endless(test: &Alone) {
+async fn delete_endless(test: &ExclusiveFleet) {
     change(
         test,
         &format!("{{ delete target {ENDLESS}; delete service {ENDLESS} }}"),
@@ -511,7 +514,7 @@
     .await;
 }
 
-async fn change(test: &Alone, text: &str) {
+async fn change(test: &ExclusiveFleet, text: &str) {
     let statements = test.fleet.statements().expect("an instance is ready");
     statements
         .run(text)
--- a/crates/chervilshunt_daemon/tests/callers_limits.rs
+++ b/crates/chervilshunt_daemon/tests/callers_limits.rs
@@ -12,7 +12,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use support::http::{BOUND, OpenResponse, Protocol, ReceivedResponse, open, post, send};
-use support::serial::{Alone, alone};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 const OPEN_REQUESTS: usize = 5;
 const QUEUE_LIVE: usize = 1;
@@ -41,11 +41,11 @@
         .to_string()
 }
 
-fn entry(test: &Alone) -> SocketAddr {
+fn entry(test: &ExclusiveFleet) -> SocketAddr {
     test.fleet.instances()["i1"].callers()
 }
 
-async fn fill_the_batch(test: &Alone) -> OpenResponse {
+async fn fill_the_batch(test: &ExclusiveFleet) -> OpenResponse {
     let to = entry(test);
     let running = open(
         to,
@@ -58,13 +58,16 @@
 }
 
 /// Sends a request that waits in the queue.
-fn wait_in_queue(test: &Alone, priority: &'static str) -> AbortOnDropHandle<ReceivedResponse> {
+fn wait_in_queue(
+    test: &ExclusiveFleet,
+    priority: &'static str,
+) -> AbortOnDropHandle<ReceivedResponse> {
     let to = entry(test);
     let req = post(to, "/v1/completions", &[("priority", priority)], &long());
     AbortOnDropHandle::new(tokio::spawn(send(to, Protocol::Http1, req)))
 }
 
-async fn wait_for_waiting(test: &Alone, count: usize) {
+async fn wait_for_waiting(test: &ExclusiveFleet, count: usize) {
     let waiting = || async {
         let rows = test.show("show targets where name = engine-1").await;
         (rows.first()?["waiting"].as_str()?.parse() == Ok(count)).then_some(())
@@ -74,7 +77,7 @@
 }
 
 /// Waits until the requests of a test have ended.
-async fn wait_for_nothing(test: &Alone) {
+async fn wait_for_nothing(test: &ExclusiveFleet) {
     test.wait_for_none("show permits").await;
     wait_for_waiting(test, 0).await;
 }
@@ -95,7 +98,7 @@
 #[case::live("u=1", QUEUE_LIVE)]
 #[case::deferrable("u=6", QUEUE_DEFERRABLE)]
 fn a_full_queue_refuses_at_once(#[case] priority: &'static str, #[case] bound: usize) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let mut waiting = Vec::new();
         for count in 1..=bound {
@@ -122,7 +125,7 @@
 fn one_open_request_too_many_is_refused_at_once(
     #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let mut waiting = Vec::new();
         waiting.push(wait_in_queue(&test, "u=1"));
@@ -145,7 +148,7 @@
 // clear that it can't be met, the caller is told that nothing ran.
 #[test]
 fn a_deadline_that_passes_in_the_queue_is_reported_at_once() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let to = entry(&test);
         let headers = [("prefer", "wait=1"), ("x-request-id", "late")];
@@ -175,7 +178,7 @@
     #[case] target: &str,
     #[case] path: &str,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         // The engine has loaded the adapter by then, so that only the call itself hangs.
         drop(fill_the_batch(&test).await);
         wait_for_nothing(&test).await;
@@ -193,7 +196,7 @@
 // or an engine would run it although nobody reads the answer.
 #[test]
 fn a_caller_that_disconnects_while_waiting_leaves_the_queue() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let waiting = wait_in_queue(&test, "u=1");
         wait_for_waiting(&test, 1).await;
@@ -208,7 +211,7 @@
 // about two seconds, not at their deadlines.
 #[test]
 fn a_service_without_targets_refuses() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let statements = test.fleet.statements().expect("an instance is ready");
         statements
             .run("drain target desk-1")
--- a/crates/chervilshunt_daemon/tests/operators.rs
+++ b/crates/chervilshunt_daemon/tests/operators.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use support::http::{BOUND, OpenResponse, Protocol, open, post};
-use support::serial::{Alone, alone};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 fn options() -> FleetOptions {
     FleetOptions {
@@ -38,7 +38,7 @@
     }
 }
 
-async fn ctl(test: &Alone, instance: &str, arguments: &[&str]) -> Run {
+async fn ctl(test: &ExclusiveFleet, instance: &str, arguments: &[&str]) -> Run {
     let program = test.fleet.binaries.ctl().expect("it is built");
     let server = test.fleet.instances()[instance].operators().to_string();
     let child = tokio::process::Command::new(program)
@@ -57,7 +57,7 @@
 }
 
 /// Posts a body to an instance's operators' port, with a longer timeout than a change may take.
-async fn statements(test: &Alone, instance: &str, body: &Value) -> Reply {
+async fn statements(test: &ExclusiveFleet, instance: &str, body: &Value) -> Reply {
     let address = test.fleet.instances()[instance].operators();
     let http = HttpClient::new(2 * BOUND);
     let reply = http
@@ -66,7 +66,7 @@
     reply.unwrap_or_else(|error| panic!("{error}"))
 }
 
-async fn running_stream(test: &Alone, instance: &str) -> OpenResponse {
+async fn running_stream(test: &ExclusiveFleet, instance: &str) -> OpenResponse {
     let to = test.fleet.instances()[instance].callers();
     let body =
         json!({"model": model_name(0), "prompt": "x", "max_tokens": 100_000, "stream": true});
@@ -82,7 +82,7 @@
 // one granted to the other, and the adapter that its engine has loaded.
 #[rstest]
 fn each_instance_answers_for_the_whole_deployment(#[values("i1", "i2")] instance: &str) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let stream = running_stream(&test, instance).await;
         for table in Table::ALL {
             let run = ctl(&test, instance, &["show", table.as_str()]).await;
@@ -201,7 +201,7 @@
 // A load is in progress, and two requests wait for it.
 #[test]
 fn a_load_in_progress_is_shown_with_its_waiters() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fault("engine-1", json!({"load_slow_ms": 2_000})).await;
         let to = test.fleet.instances()["i1"].callers();
         let body = json!({"model": model_name(2), "prompt": "x", "max_tokens": 1});
@@ -239,7 +239,7 @@
 // same id. Without the id, a second target would be drained, or the second attempt refused.
 #[test]
 fn a_change_that_is_sent_again_takes_effect_once() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let id = "6f1a9c2e-4b7d-4e0f-8a3c-5d6e7f8091a2";
         let text = "create site annex cap_watts=10; show sites; create site shed cap_watts=11";
         let body = json!({"text": text, "id": id});
@@ -291,7 +291,7 @@
     #[case] status: u16,
     #[case] kind: &str,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let reply = statements(&test, "i1", &body).await;
         assert_eq!(reply.status, status, "{}", reply.text);
         let problem = reply.json();
@@ -316,7 +316,7 @@
 // answered without the instance and list it as unreachable.
 #[test]
 fn an_unreachable_instance_is_listed() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         test.fleet.freeze("i2").expect("it runs");
         let shown = ctl(&test, "i1", &["show", "instances"]).await;
         let refused = ctl(&test, "i1", &["create", "site", "annex", "cap_watts=10"]).await;
@@ -377,7 +377,7 @@
 // and then reports the outcome.
 #[test]
 fn the_outcome_of_a_change_is_reported_after_an_outage() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let begun = json!({
             "lose_answer_after_write": 1, "lose_answers_of": ["configheads"], "down_after_lost": true,
         });
@@ -415,12 +415,12 @@
     });
 }
 
-async fn set_platform(test: &Alone, faults: Value) {
+async fn set_platform(test: &ExclusiveFleet, faults: Value) {
     let set = test.fleet.set_faults("platform", faults).await;
     set.unwrap_or_else(|error| panic!("{error}"));
 }
 
-async fn platform_faults(test: &Alone) -> Value {
+async fn platform_faults(test: &ExclusiveFleet) -> Value {
     let faults = test.fleet.faults("platform").await;
     faults.unwrap_or_else(|error| panic!("{error}"))
 }
--- a/crates/chervilshunt_daemon/tests/operators_seeing.rs
+++ b/crates/chervilshunt_daemon/tests/operators_seeing.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use support::http::{BOUND, Protocol, open, post, send};
-use support::serial::{Alone, alone, metric};
+use support::serial::{ExclusiveFleet, metric, run_exclusively};
 
 const METRICS_PAGE: &str = include_str!("../../../docs/operators/metrics.md");
 const LOGS_PAGE: &str = include_str!("../../../docs/operators/logs.md");
@@ -29,7 +29,7 @@
 }
 
 /// Sends requests of both classes for all adapters and to the plain service, and an invalid one.
-async fn send_mixed_load(test: &Alone) {
+async fn send_mixed_load(test: &ExclusiveFleet) {
     let mut answers = tokio::task::JoinSet::new();
     for number in 0..6 * ADAPTERS {
         let entry = ["i1", "i2"][number % 2];
@@ -61,7 +61,7 @@
 }
 
 /// Returns the concatenated metrics of all instances.
-async fn all_metrics(test: &Alone) -> String {
+async fn all_metrics(test: &ExclusiveFleet) -> String {
     test.metrics("i1").await + &test.metrics("i2").await
 }
 
@@ -82,7 +82,7 @@
 
 #[test]
 fn metrics_match_the_documented_list() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         send_mixed_load(&test).await;
         let text = all_metrics(&test).await;
         let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
@@ -106,7 +106,7 @@
 // was partly filled.
 #[test]
 fn metrics_count_what_happened() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let before = all_metrics(&test).await;
         send_mixed_load(&test).await;
         let answered = all_metrics(&test).await;
@@ -159,7 +159,7 @@
 // attempt and the reason.
 #[test]
 fn log_lines_show_each_decision() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         send_mixed_load(&test).await;
         let lines = log_lines(&test).await;
         let of = |msg: &str| {
@@ -215,7 +215,7 @@
 }
 
 /// Returns the log lines of all instances, once those of the last request have been written.
-async fn log_lines(test: &Alone) -> Vec<Value> {
+async fn log_lines(test: &ExclusiveFleet) -> Vec<Value> {
     let fleet = Arc::clone(&test.fleet);
     let last = format!("seen-{}", 6 * ADAPTERS - 1);
     let read = || async {
--- a/crates/chervilshunt_daemon/tests/support/serial.rs
+++ b/crates/chervilshunt_daemon/tests/support/serial.rs
@@ -9,33 +9,35 @@
 use super::http::BOUND;
 use super::shared;
 
-static ALONE: Mutex<()> = Mutex::const_new(());
+static EXCLUSIVE: Mutex<()> = Mutex::const_new(());
 
 /// Exclusive access to the shared fleet.
 #[derive(Debug)]
-pub(crate) struct Alone {
+pub(crate) struct ExclusiveFleet {
     pub(crate) fleet: Arc<Fleet>,
     _lock: MutexGuard<'static, ()>,
 }
 
 /// Runs a test with exclusive access to the fleet of this binary and all faults cleared.
-pub(crate) fn alone<F>(options: impl FnOnce() -> FleetOptions, test: impl FnOnce(Alone) -> F)
-where
+pub(crate) fn run_exclusively<F>(
+    options: impl FnOnce() -> FleetOptions,
+    test: impl FnOnce(ExclusiveFleet) -> F,
+) where
     F: Future<Output = ()>,
 {
     // Taken before the lock, so that the fleet is kept while other tests wait for it.
     let fleet = shared::fleet(options);
     shared::runtime().block_on(async {
-        let alone = Alone {
+        let exclusive = ExclusiveFleet {
             fleet,
-            _lock: ALONE.lock().await,
+            _lock: EXCLUSIVE.lock().await,
         };
-        alone.heal().await;
-        test(alone).await;
+        exclusive.clear_faults().await;
+        test(exclusive).await;
     });
 }
 
-impl Drop for Alone {
+impl Drop for ExclusiveFleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
             shared::keep_logs(&self.fleet);
@@ -43,9 +45,9 @@
     }
 }
 
-impl Alone {
+impl ExclusiveFleet {
     /// Clears all faults, including those that a failed test has left behind.
-    async fn heal(&self) {
+    async fn clear_faults(&self) {
         let engine = json!({
             "down": false, "slow_ms": 0, "freeze": false, "cut_after_tokens": -1, "wrong_model": false,
             "answer_late_ms": 0, "load_fails": 0.0, "load_slow_ms": 0,
--- a/crates/chervilshunt_daemon/tests/targets_lost.rs
+++ b/crates/chervilshunt_daemon/tests/targets_lost.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use support::http::{Protocol, post, send};
-use support::serial::{Alone, alone};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 const ENGINES: usize = 2;
 
@@ -22,7 +22,7 @@
     }
 }
 
-async fn wait_for_reachable(test: &Alone, reachable: bool, count: usize) {
+async fn wait_for_reachable(test: &ExclusiveFleet, reachable: bool, count: usize) {
     let question = format!("show targets where reachable = {reachable}");
     test.wait_for_rows(&question, count).await;
 }
@@ -35,7 +35,7 @@
 #[case::refuses_connections(json!({"down": true}), json!({"down": false}))]
 #[case::hangs(json!({"freeze": true}), json!({"freeze": false}))]
 fn a_lost_engine_is_detected_without_calls(#[case] lost: Value, #[case] back: Value) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         wait_for_reachable(&test, true, ENGINES).await;
         test.fault("engine-1", lost).await;
         wait_for_reachable(&test, false, 1).await;
@@ -49,7 +49,7 @@
 // operators would then look for a fault of the instances.
 #[test]
 fn callers_are_told_that_no_engine_accepts_the_request() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         wait_for_reachable(&test, true, ENGINES).await;
         test.fault_engines(json!({"down": true})).await;
         wait_for_reachable(&test, false, ENGINES).await;
