--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -11,7 +11,7 @@
 
 use super::actor::Control;
 use super::steps::{Step, Steps};
-use crate::keyed::TryState;
+use crate::keyed::AttemptState;
 use crate::wire::{ClaimEnded, PeerMessage, TryAsked};
 
 /// The shards of the idempotency keys. All instances have to agree, and a claim is looked for in its
@@ -142,8 +142,8 @@
     /// Returns how a try of this process ended, unless it still runs.
     pub(super) fn try_ended(&self, asked: &TryAsked) -> Option<ClaimEnded> {
         match self.cx.tries.state(asked.attempt) {
-            TryState::Running => None,
-            TryState::Ended(outcome) => Some(ClaimEnded {
+            AttemptState::Running => None,
+            AttemptState::Ended(outcome) => Some(ClaimEnded {
                 key: asked.key,
                 attempt: asked.attempt,
                 outcome,
--- a/crates/chervilshunt_daemon/src/control/context.rs
+++ b/crates/chervilshunt_daemon/src/control/context.rs
@@ -8,7 +8,7 @@
 use chervilshunt_model::{InstanceId, Moment};
 use chervilshunt_platform::Platform;
 
-use crate::keyed::KeyedTries;
+use crate::keyed::KeyedAttempts;
 use crate::routing::SharedRouting;
 use crate::traffic::HeldPermits;
 use crate::wire::PeerMessage;
@@ -43,7 +43,7 @@
     /// Permits that the traffic threads hold.
     pub(crate) held: HeldPermits,
     /// Keyed tries that the traffic threads run or have run.
-    pub(crate) tries: KeyedTries,
+    pub(crate) tries: KeyedAttempts,
 }
 
 impl Context {
--- a/crates/chervilshunt_daemon/src/keyed.rs
+++ b/crates/chervilshunt_daemon/src/keyed.rs
@@ -15,10 +15,10 @@
 /// it ended, and asks the process that made the attempt. An attempt that is not recorded here did
 /// not run, as long as no ended attempt has been discarded; after that its outcome is unknown.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct KeyedTries(Arc<Mutex<Tries>>);
+pub(crate) struct KeyedAttempts(Arc<Mutex<Attempts>>);
 
 #[derive(Debug, Default)]
-struct Tries {
+struct Attempts {
     running: HashSet<AttemptId>,
     ended: HashMap<AttemptId, ClaimOutcome>,
     discarded: bool,
@@ -26,14 +26,14 @@
 
 /// The state of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum TryState {
+pub(crate) enum AttemptState {
     /// The attempt has not ended.
     Running,
     /// The attempt has ended with this outcome.
     Ended(ClaimOutcome),
 }
 
-impl KeyedTries {
+impl KeyedAttempts {
     /// Records an attempt; called before its claim is requested.
     pub(crate) fn begin(&self, attempt: AttemptId) {
         self.lock().running.insert(attempt);
@@ -41,30 +41,30 @@
 
     /// Records the outcome of an attempt.
     pub(crate) fn end(&self, attempt: AttemptId, outcome: ClaimOutcome) {
-        let mut tries = self.lock();
-        tries.running.remove(&attempt);
-        if tries.ended.len() >= MAX_ENDED_ATTEMPTS {
-            tries.ended.clear();
-            tries.discarded = true;
+        let mut attempts = self.lock();
+        attempts.running.remove(&attempt);
+        if attempts.ended.len() >= MAX_ENDED_ATTEMPTS {
+            attempts.ended.clear();
+            attempts.discarded = true;
         }
-        tries.ended.insert(attempt, outcome);
+        attempts.ended.insert(attempt, outcome);
     }
 
     /// Returns the state of an attempt.
-    pub(crate) fn state(&self, attempt: AttemptId) -> TryState {
-        let tries = self.lock();
-        if tries.running.contains(&attempt) {
-            return TryState::Running;
+    pub(crate) fn state(&self, attempt: AttemptId) -> AttemptState {
+        let attempts = self.lock();
+        if attempts.running.contains(&attempt) {
+            return AttemptState::Running;
         }
-        let outcome = match tries.ended.get(&attempt) {
+        let outcome = match attempts.ended.get(&attempt) {
             Some(outcome) => outcome.clone(),
-            None if tries.discarded => ClaimOutcome::Unknown,
+            None if attempts.discarded => ClaimOutcome::Unknown,
             None => ClaimOutcome::NotRun,
         };
-        TryState::Ended(outcome)
+        AttemptState::Ended(outcome)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Tries> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Attempts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/chervilshunt_daemon/src/run.rs
+++ b/crates/chervilshunt_daemon/src/run.rs
@@ -18,7 +18,7 @@
 use xtra::prelude::*;
 
 use crate::control::{Begin, Context, Control, FromPeer};
-use crate::keyed::KeyedTries;
+use crate::keyed::KeyedAttempts;
 use crate::lease_timing::LeaseTiming;
 use crate::operators::{Health, Operators, Statements, serve_operators};
 use crate::routing::SharedRouting;
@@ -114,7 +114,7 @@
 
     let routing = SharedRouting::default();
     let held = HeldPermits::default();
-    let tries = KeyedTries::default();
+    let tries = KeyedAttempts::default();
     let cx = Context {
         settings: Arc::clone(&settings),
         log: log.clone(),
--- a/crates/chervilshunt_daemon/src/traffic/claims.rs
+++ b/crates/chervilshunt_daemon/src/traffic/claims.rs
@@ -15,7 +15,7 @@
 use super::now;
 use super::problem::{Problem, Reason};
 use crate::control::{AskClaim, CLAIM_SHARDS, ClaimReply, EndClaim};
-use crate::keyed::KeyedTries;
+use crate::keyed::KeyedAttempts;
 use crate::wire::{ClaimEnded, PeerMessage};
 
 /// The time limit for a claim keeper's answer; the keeper's own limit is shorter.
@@ -40,13 +40,13 @@
 #[derive(Debug)]
 struct Inner {
     links: Links,
-    tries: KeyedTries,
+    tries: KeyedAttempts,
     in_outage: KeyedDuringOutage,
 }
 
 impl Claims {
     /// Creates the client, which all requests share.
-    pub(crate) fn new(links: Links, tries: KeyedTries, in_outage: KeyedDuringOutage) -> Self {
+    pub(crate) fn new(links: Links, tries: KeyedAttempts, in_outage: KeyedDuringOutage) -> Self {
         let inner = Inner {
             links,
             tries,
