--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -110,7 +110,7 @@
         | PeerMessage::ClaimAsked(_)
         | PeerMessage::ClaimAnswered(_)
         | PeerMessage::ClaimEnded(_)
-        | PeerMessage::TryAsked(..)
+        | PeerMessage::AttemptAsked(..)
         | PeerMessage::Done
         | PeerMessage::NotHolder => return None,
     };
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -12,7 +12,7 @@
 use super::actor::Control;
 use super::steps::{Step, Steps};
 use crate::keyed::AttemptState;
-use crate::wire::{ClaimEnded, PeerMessage, TryAsked};
+use crate::wire::{AttemptQuery, ClaimEnded, PeerMessage};
 
 /// The shards of the idempotency keys. All instances have to agree, and a claim is looked for in its
 /// key's shard: change it only while no keyed request can be retried.
@@ -111,7 +111,7 @@
                     key,
                     attempt,
                 } => {
-                    self.ask_entry(entry, TryAsked { key, attempt }, steps);
+                    self.ask_entry(entry, AttemptQuery { key, attempt }, steps);
                 }
                 ClaimAction::Superseded => {
                     slog::warn!(self.cx.log, "claim keeper superseded"; "shard" => shard);
@@ -128,19 +128,19 @@
     }
 
     /// Asks the instance that runs a claimed try what became of it.
-    fn ask_entry(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
+    fn ask_entry(&self, entry: Holder, asked: AttemptQuery, steps: &mut Steps) {
         if entry == *self.coordinator.me() {
             steps.extend(self.try_ended(&asked).map(claim_ended_step));
         } else if entry.instance != *self.cx.me() {
             self.cx.send(
                 &entry.instance,
-                PeerMessage::TryAsked(entry.incarnation, asked),
+                PeerMessage::AttemptAsked(entry.incarnation, asked),
             );
         }
     }
 
     /// Returns how a try of this process ended, unless it still runs.
-    pub(super) fn try_ended(&self, asked: &TryAsked) -> Option<ClaimEnded> {
+    pub(super) fn try_ended(&self, asked: &AttemptQuery) -> Option<ClaimEnded> {
         match self.cx.tries.state(asked.attempt) {
             AttemptState::Running => None,
             AttemptState::Ended(outcome) => Some(ClaimEnded {
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -81,7 +81,7 @@
                     },
                 );
             }
-            PeerMessage::TryAsked(incarnation, asked) => {
+            PeerMessage::AttemptAsked(incarnation, asked) => {
                 // Another run of this instance knows nothing of the try.
                 if self.coordinator.me().incarnation == incarnation
                     && let Some(ended) = self.try_ended(&asked)
--- a/crates/chervilshunt_daemon/src/wire.rs
+++ b/crates/chervilshunt_daemon/src/wire.rs
@@ -74,7 +74,7 @@
     ClaimEnded(ClaimEnded),
     /// Requests the outcome of a claimed attempt from the incarnation that it was granted to.
     #[serde(rename = "y")]
-    TryAsked(Incarnation, TryAsked),
+    AttemptAsked(Incarnation, AttemptQuery),
     /// Asks whether this revision or a later one is in force on the receiver; answered by `Done` or
     /// `NotHolder`.
     #[serde(rename = "v")]
@@ -103,7 +103,7 @@
             Self::ClaimAsked(_)
             | Self::ClaimAnswered(_)
             | Self::ClaimEnded(_)
-            | Self::TryAsked(..) => "claims",
+            | Self::AttemptAsked(..) => "claims",
             Self::InForceAsked(_) | Self::Coord(_) => "coordination",
             Self::Done | Self::NotHolder => "acknowledgements",
         }
@@ -123,7 +123,7 @@
 
 /// A claim keeper's query for the outcome of a claimed attempt.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct TryAsked {
+pub(crate) struct AttemptQuery {
     /// The claimed key.
     pub(crate) key: ClaimKey,
     /// The attempt.
