--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -7,7 +7,7 @@
 use chervilshunt_model::{SiteName, StoreName, TargetName};
 
 use super::steps::Step;
-use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
+use crate::wire::{PeerMessage, PowerDemand, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
 
 /// Returns the role that a message is for, with the event that it is there.
 pub(super) fn addressed(message: PeerMessage) -> Option<(Role, Step)> {
@@ -62,7 +62,7 @@
             let event = OwnerEvent::TurnGranted { order, queue_wait };
             to_owner(target, event)
         }
-        PeerMessage::Demanded(Demanded {
+        PeerMessage::Demanded(PowerDemand {
             site,
             target,
             live_watts,
--- a/crates/chervilshunt_daemon/src/control/carry_out.rs
+++ b/crates/chervilshunt_daemon/src/control/carry_out.rs
@@ -16,7 +16,7 @@
 use super::messages::{EngineNews, FromEngine};
 use super::steps::{Step, Steps};
 use crate::facts::millis;
-use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
+use crate::wire::{PeerMessage, PowerDemand, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
 
 impl Control {
     pub(super) fn carry_out_owner(
@@ -81,7 +81,7 @@
                 live_watts,
                 deferrable_watts,
             } => {
-                let demanded = Demanded {
+                let demanded = PowerDemand {
                     site,
                     target: target.clone(),
                     live_watts,
--- a/crates/chervilshunt_daemon/src/wire.rs
+++ b/crates/chervilshunt_daemon/src/wire.rs
@@ -50,7 +50,7 @@
     TurnGranted(TurnGranted),
     /// To a power allocator: the power that an owner's target could use.
     #[serde(rename = "d")]
-    Demanded(Demanded),
+    Demanded(PowerDemand),
     /// To an owner: the power share of its target.
     #[serde(rename = "s")]
     ShareSet(Share),
@@ -184,7 +184,7 @@
 
 /// The power that a target could use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Demanded {
+pub(crate) struct PowerDemand {
     /// The name of the site.
     pub(crate) site: SiteName,
     /// The name of the target.
