--- a/crates/chervilshunt_daemon/src/control/address.rs
+++ b/crates/chervilshunt_daemon/src/control/address.rs
@@ -7,7 +7,7 @@
 use chervilshunt_model::{SiteName, StoreName, TargetName};
 
 use super::steps::Step;
-use crate::wire::{Demanded, PeerMessage, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
+use crate::wire::{PeerMessage, PowerDemand, Share, TurnAsked, TurnEnded, TurnGranted, TurnHeld};
 
 /// Returns the role that a message is addressed to and the event that it stands for, or `None` if
 /// the message is not addressed to a role's state machine.
@@ -63,7 +63,7 @@
             let event = OwnerEvent::TurnGranted { order, queue_wait };
             to_owner(target, event)
         }
-        PeerMessage::Demanded(Demanded {
+        PeerMessage::Demanded(PowerDemand {
             site,
             target,
             live_watts,
@@ -111,7 +111,7 @@
         | PeerMessage::ClaimAsked(_)
         | PeerMessage::ClaimAnswered(_)
         | PeerMessage::ClaimEnded(_)
-        | PeerMessage::TryAsked(..)
+        | PeerMessage::AttemptAsked(..)
         | PeerMessage::Done
         | PeerMessage::NotHolder => return None,
     };
--- a/crates/chervilshunt_daemon/src/control/claims.rs
+++ b/crates/chervilshunt_daemon/src/control/claims.rs
@@ -11,8 +11,8 @@
 
 use super::actor::Control;
 use super::steps::{Step, Steps};
-use crate::keyed::TryState;
-use crate::wire::{ClaimEnded, PeerMessage, TryAsked};
+use crate::keyed::AttemptState;
+use crate::wire::{AttemptQuery, ClaimEnded, PeerMessage};
 
 /// Number of shards that idempotency keys are divided into.
 ///
@@ -121,7 +121,7 @@
                     key,
                     attempt,
                 } => {
-                    self.query_attempt(entry, TryAsked { key, attempt }, steps);
+                    self.query_attempt(entry, AttemptQuery { key, attempt }, steps);
                 }
                 ClaimAction::Superseded => {
                     slog::warn!(self.cx.log, "claim keeper superseded"; "shard" => shard);
@@ -138,22 +138,22 @@
     }
 
     /// Asks the instance that runs a claimed attempt whether and how it ended.
-    fn query_attempt(&self, entry: Holder, asked: TryAsked, steps: &mut Steps) {
+    fn query_attempt(&self, entry: Holder, asked: AttemptQuery, steps: &mut Steps) {
         if entry == *self.coordinator.me() {
             steps.extend(self.try_ended(&asked).map(claim_ended_step));
         } else if entry.instance != *self.cx.me() {
             self.cx.send(
                 &entry.instance,
-                PeerMessage::TryAsked(entry.incarnation, asked),
+                PeerMessage::AttemptAsked(entry.incarnation, asked),
             );
         }
     }
 
     /// Returns how an attempt of this process ended, or `None` while it is running.
-    pub(super) fn try_ended(&self, asked: &TryAsked) -> Option<ClaimEnded> {
+    pub(super) fn try_ended(&self, asked: &AttemptQuery) -> Option<ClaimEnded> {
         match self.cx.tries.state(asked.attempt) {
-            TryState::Running => None,
-            TryState::Ended(outcome) => Some(ClaimEnded {
+            AttemptState::Running => None,
+            AttemptState::Ended(outcome) => Some(ClaimEnded {
                 key: asked.key,
                 attempt: asked.attempt,
                 outcome,
--- a/crates/chervilshunt_daemon/src/control/peers.rs
+++ b/crates/chervilshunt_daemon/src/control/peers.rs
@@ -81,7 +81,7 @@
                     },
                 );
             }
-            PeerMessage::TryAsked(incarnation, asked) => {
+            PeerMessage::AttemptAsked(incarnation, asked) => {
                 // A different run of this instance has no record of the attempt.
                 if self.coordinator.me().incarnation == incarnation
                     && let Some(ended) = self.try_ended(&asked)
--- a/crates/chervilshunt_daemon/src/operators/statements.rs
+++ b/crates/chervilshunt_daemon/src/operators/statements.rs
@@ -1,4 +1,4 @@
-//! Operators' statements: questions to the whole deployment, and changes.
+//! Operators' statements: queries over the whole deployment, and configuration changes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,30 +9,31 @@
 use serde::{Deserialize, Serialize};
 use xtra::prelude::*;
 
-use super::tables::{Rows, Sources, Told};
+use super::tables::{InstanceReport, Rows, Sources};
 use crate::control::{
     Control, GetFacts, ProposalOutcome, ProposalRefusal, ProposalRefusalKind, Propose,
 };
 use crate::routing::SharedRouting;
 use crate::wire::PeerMessage;
 
-/// The time that an instance has to answer a question.
+/// The time limit for an instance's answer to a query.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to ask another instance about a change that this one can't end.
+/// The retry delay for a change that was interrupted because this instance stopped.
 const STOPPED_RETRY: Duration = Duration::from_secs(1);
-/// Instances that are asked at a time, so that a question does not open 370 connections at once.
-const ASKED_AT_A_TIME: usize = 32;
+/// The number of instances that are queried concurrently, so that one query does not open 370
+/// connections at once.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// Answers operators' statements.
+/// Runs operators' statements.
 #[derive(Clone, Debug)]
 pub(crate) struct Statements {
-    /// This instance.
+    /// The id of this instance.
     pub(crate) me: InstanceId,
-    /// The control state.
+    /// The control actor.
     pub(crate) control: Address<Control>,
-    /// The way to other instances.
+    /// Connections to other instances.
     pub(crate) mesh: Mesh<PeerMessage>,
-    /// What is in force.
+    /// The current routing snapshot.
     pub(crate) routing: SharedRouting,
 }
 
@@ -42,15 +43,15 @@
     text: String,
     #[serde(default)]
     local: bool,
-    /// The id of the script's first change group, by which a change whose outcome is unknown is
-    /// sent again without taking effect twice.
+    /// The id of the script's first change group. A change whose outcome is unknown can be sent
+    /// again under the same id without taking effect twice.
     #[serde(default)]
     id: Option<String>,
 }
 
 impl Request {
-    /// Returns the id for the script's first change group: the client's, or a new one; none if the
-    /// client's can't be read.
+    /// Returns the id of the script's first change group: the client's or a new one, or none if the
+    /// client's id is malformed.
     fn change_id(&self) -> Option<ChangeId> {
         match &self.id {
             Some(text) => ChangeId::parse(text),
@@ -74,7 +75,7 @@
     Accepted { accepted: Revision, changed: usize },
 }
 
-/// Why a script was refused, as a problem document.
+/// The refusal of a script, rendered as a problem document.
 #[derive(Debug, Serialize)]
 pub(crate) struct Refusal {
     r#type: &'static str,
@@ -87,27 +88,27 @@
     column: Option<usize>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     expected: Vec<String>,
-    /// What is known of the refused statement.
+    /// Whether the refused statement may have taken effect.
     outcome: StatementOutcome,
-    /// Statements before the refused one, which have taken effect.
+    /// The number of statements before the refused one; they have taken effect.
     done: usize,
-    /// When trying again is worth it.
+    /// The time after which a retry may succeed.
     #[serde(skip)]
     pub(crate) retry_after: Option<Duration>,
 }
 
-/// What is known of a statement that was refused.
+/// Whether a refused statement may have taken effect.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum StatementOutcome {
-    /// It has not taken effect, and won't by this try.
+    /// It has not taken effect and, unless sent again, never will.
     NotRun,
-    /// It may have taken effect, or may yet.
+    /// It may have taken effect, or may still do so.
     Unknown,
 }
 
 impl Refusal {
-    /// Makes the refusal of a request that can't be read.
+    /// Creates the refusal of a malformed request.
     pub(crate) fn malformed(detail: String) -> Self {
         Self {
             r#type: "/problems/bad_statement",
@@ -157,17 +158,18 @@
 }
 
 impl Statements {
-    /// Runs a script, statement by statement.
+    /// Runs a script one statement at a time.
     ///
     /// # Errors
-    /// Refuses the whole script if it does not parse, and stops at the first refused change.
+    /// Returns a refusal if the script does not parse, in which case no statement runs, or at the
+    /// first change that is refused.
     pub(crate) async fn run(&self, body: &[u8]) -> Result<Answer, Refusal> {
         let req: Request = serde_json::from_slice(body).map_err(|error| {
             Refusal::malformed(format!("send {{\"text\": \"STATEMENTS\"}}: {error}"))
         })?;
         let statements = parse(&req.text).map_err(|errors| {
             let Some(first) = errors.first() else {
-                return Refusal::malformed("the text does not parse".to_owned());
+                return Refusal::malformed("the statements could not be parsed".to_owned());
             };
             Refusal {
                 line: Some(first.line),
@@ -181,7 +183,7 @@
             }
         })?;
         let Some(id) = req.change_id() else {
-            return Err(Refusal::malformed("\"id\" takes a UUID".to_owned()));
+            return Err(Refusal::malformed("\"id\" must be a UUID".to_owned()));
         };
         let mut groups = 0;
         let mut results = Vec::new();
@@ -189,8 +191,8 @@
         for (done, statement) in statements.into_iter().enumerate() {
             let result = match statement {
                 Statement::Show(show) => {
-                    let (rows, mut unheard) = self.show(&show, req.local).await;
-                    silent.append(&mut unheard);
+                    let (rows, mut unreachable) = self.show(&show, req.local).await;
+                    silent.append(&mut unreachable);
                     StatementResult::Rows(rows)
                 }
                 Statement::Change(group) => {
@@ -219,11 +221,12 @@
     }
 
     async fn propose(&self, set: chervilshunt_model::ChangeSet) -> ProposalOutcome {
-        // An instance that ends may have begun the change, and another then ends it.
+        // If this instance stops after it began the change, another instance completes it.
         let stopped = || {
             ProposalOutcome::Refused(ProposalRefusal {
                 kind: ProposalRefusalKind::Unknown,
-                detail: "the instance ended; ask another one, under the same id".to_owned(),
+                detail: "the instance is stopping; retry at another instance with the same id"
+                    .to_owned(),
                 retry_after: Some(STOPPED_RETRY),
             })
         };
@@ -235,29 +238,30 @@
 
     async fn show(&self, show: &Show, local: bool) -> (Rows, Vec<InstanceId>) {
         let routing = self.routing.get();
-        let (told, silent) = self.ask_all(show.table, local).await;
+        let (reports, silent) = self.ask_all(show.table, local).await;
         let sources = Sources {
             here: &self.me,
             deployment: &routing.deployment,
             owners: &routing.owners,
-            told: &told,
+            reports: &reports,
             now: Instant::now(),
         };
         (sources.show(show), silent)
     }
 
-    /// Asks all live instances for what they know, as far as the table shows it.
-    async fn ask_all(&self, table: Table, local: bool) -> (Vec<Told>, Vec<InstanceId>) {
-        let mut told = Vec::new();
+    /// Collects from all live instances the state that the table shows, and returns it with the
+    /// instances that did not answer.
+    async fn ask_all(&self, table: Table, local: bool) -> (Vec<InstanceReport>, Vec<InstanceId>) {
+        let mut reports = Vec::new();
         let asked_at = Instant::now();
         if let Ok(facts) = self.control.send(GetFacts).await {
-            told.push(Told { facts, asked_at });
+            reports.push(InstanceReport { facts, asked_at });
         }
         if local {
-            return (told, Vec::new());
+            return (reports, Vec::new());
         }
         let routing = self.routing.get();
-        let limit = Arc::new(tokio::sync::Semaphore::new(ASKED_AT_A_TIME));
+        let limit = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_QUERIES));
         let mut asked = tokio::task::JoinSet::new();
         for peer in routing.peers().filter(|peer| peer.instance != self.me) {
             let (mesh, limit) = (self.mesh.clone(), Arc::clone(&limit));
@@ -268,7 +272,7 @@
                     .request(&peer, PeerMessage::FactsAsked(table), ANSWER_TIMEOUT)
                     .await;
                 match answer {
-                    Ok(PeerMessage::Facts(facts)) => Ok(Told {
+                    Ok(PeerMessage::Facts(facts)) => Ok(InstanceReport {
                         facts: *facts,
                         asked_at,
                     }),
@@ -279,12 +283,12 @@
         let mut silent = Vec::new();
         while let Some(answer) = asked.join_next().await {
             match answer {
-                Ok(Ok(one)) => told.push(one),
+                Ok(Ok(one)) => reports.push(one),
                 Ok(Err(instance)) => silent.push(instance),
                 Err(_panicked) => {}
             }
         }
-        told.sort_by(|left, right| left.facts.instance.cmp(&right.facts.instance));
-        (told, silent)
+        reports.sort_by(|left, right| left.facts.instance.cmp(&right.facts.instance));
+        (reports, silent)
     }
 }
--- a/crates/chervilshunt_daemon/src/operators/tables.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables.rs
@@ -1,4 +1,4 @@
-//! Rows for operators: objects of the configuration joined with what instances know of them.
+//! Query results for operators: configuration objects joined with the state that instances report.
 
 mod row;
 #[cfg(test)]
@@ -17,39 +17,39 @@
 use self::row::{Origin, Presence, Row, by_name};
 use crate::facts::{AdapterFacts, InstanceFacts, TargetFacts};
 
-/// The answer to one question.
+/// The result of one query.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Rows {
     columns: Vec<&'static str>,
     rows: Vec<Vec<Option<String>>>,
 }
 
-/// What one instance said, and how long ago.
+/// The state reported by one instance.
 #[derive(Clone, Debug)]
-pub(crate) struct Told {
-    /// What it said.
+pub(crate) struct InstanceReport {
+    /// The reported state.
     pub(crate) facts: InstanceFacts,
-    /// When it was asked: what it said may be that old.
+    /// When the instance was asked, which is the earliest time that the state can date from.
     pub(crate) asked_at: Instant,
 }
 
-/// What is shown of a question: the configuration in force here and what the instances told.
+/// The data that a query reads: the local configuration and the instances' reports.
 #[derive(Debug)]
 pub(crate) struct Sources<'a> {
-    /// The instance that answers.
+    /// The instance that runs the query.
     pub(crate) here: &'a InstanceId,
-    /// The configuration in force here.
+    /// The configuration in force on this instance.
     pub(crate) deployment: &'a Deployment,
-    /// The instance that owns each target, as far as it is known here.
+    /// The owner of each target, as far as this instance knows it.
     pub(crate) owners: &'a HashMap<TargetName, InstanceId>,
-    /// What the instances told, this one among them.
-    pub(crate) told: &'a [Told],
-    /// The present time.
+    /// The reports of all instances that answered, including this one.
+    pub(crate) reports: &'a [InstanceReport],
+    /// The current time.
     pub(crate) now: Instant,
 }
 
 impl Sources<'_> {
-    /// Answers a question.
+    /// Runs a query.
     pub(crate) fn show(&self, show: &Show) -> Rows {
         let columns: Vec<&'static str> = show
             .table
@@ -95,9 +95,9 @@
             }
             Table::Targets => self.targets(),
             Table::Instances => self
-                .told
+                .reports
                 .iter()
-                .map(|told| self.instance_row(told))
+                .map(|report| self.instance_row(report))
                 .collect(),
             Table::Permits => self.permits(),
             Table::Loads => self.loads(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Starts the row of an object of the configuration in force here.
+    /// Starts a row for an object of this instance's configuration.
     fn configured(&self, name: impl ToString) -> Row {
         let origin = Origin {
             from: self.here.to_string(),
@@ -116,33 +116,38 @@
         Row::new(origin).cell("name", name)
     }
 
-    /// Starts a row from what an instance told.
-    fn origin_of(&self, told: &Told) -> Origin {
+    /// Returns the origin of a row that is filled from an instance's report.
+    fn origin_of(&self, report: &InstanceReport) -> Origin {
         Origin {
-            from: told.facts.instance.to_string(),
-            age: self.now.saturating_duration_since(told.asked_at),
+            from: report.facts.instance.to_string(),
+            age: self.now.saturating_duration_since(report.asked_at),
         }
     }
 
-    /// Returns each owned target with the instance that told of it.
-    /// Returns what owners said of their targets.
+    /// Returns each owned target with the report that contains it.
     ///
-    /// Of two that both say that they own one, the first has lost the platform and does not know yet
-    /// that it was superseded; the other has the higher epoch.
-    fn owned(&self) -> impl Iterator<Item = (&Told, &TargetFacts)> {
-        let said = || {
-            let told = self.told.iter();
-            told.flat_map(|told| told.facts.targets.iter().map(move |facts| (told, facts)))
+    /// If two instances report the same target, the one with the lower epoch has lost contact with
+    /// the platform and does not know yet that it was superseded, so only the higher epoch is kept.
+    fn owned(&self) -> impl Iterator<Item = (&InstanceReport, &TargetFacts)> {
+        let reported = || {
+            let reports = self.reports.iter();
+            reports.flat_map(|report| {
+                report
+                    .facts
+                    .targets
+                    .iter()
+                    .map(move |facts| (report, facts))
+            })
         };
         let mut epochs = HashMap::new();
-        for (_, facts) in said() {
+        for (_, facts) in reported() {
             let highest = epochs.entry(&facts.target).or_insert(facts.epoch);
             *highest = facts.epoch.max(*highest);
         }
-        said().filter(move |(_, facts)| epochs.get(&facts.target) == Some(&facts.epoch))
+        reported().filter(move |(_, facts)| epochs.get(&facts.target) == Some(&facts.epoch))
     }
 
-    /// Returns where each adapter version is present.
+    /// Returns the targets and states of each adapter version.
     fn presence(&self) -> BTreeMap<&AdapterVersion, Vec<(&TargetName, Presence)>> {
         let mut presence: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for (_, target) in self.owned() {
@@ -221,17 +226,17 @@
     fn targets(&self) -> Vec<Row> {
         let row = |(name, target): (&TargetName, &Target)| {
             let owner = self.owned().find(|(_, facts)| facts.target == *name);
-            let Some((told, facts)) = owner else {
-                // Who owns it is known here also while the owner does not answer.
+            let Some((report, facts)) = owner else {
+                // The owner is known from the local routing even if it did not answer.
                 let row = self.configured(name).fields(target);
                 return row.optional("owner", self.owners.get(name));
             };
             let adapters = facts.adapters.iter();
             let loaded = adapters.filter(|held| Presence::of(held.state) == Presence::Loaded);
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(target)
-                .cell("owner", &told.facts.instance)
+                .cell("owner", &report.facts.instance)
                 .cell("epoch", facts.epoch)
                 .cell("reachable", facts.reachable)
                 .cell("running", facts.running)
@@ -243,15 +248,15 @@
     }
 
     fn permits(&self) -> Vec<Row> {
-        let permits = self.owned().flat_map(|(told, facts)| {
+        let permits = self.owned().flat_map(|(report, facts)| {
             facts
                 .permits
                 .iter()
-                .map(move |permit| (told, &facts.target, permit))
+                .map(move |permit| (report, &facts.target, permit))
         });
         permits
-            .map(|(told, target, permit)| {
-                let row = Row::new(self.origin_of(told))
+            .map(|(report, target, permit)| {
+                let row = Row::new(self.origin_of(report))
                     .cell("attempt", permit.attempt)
                     .cell("target", target)
                     .cell("class", permit.class)
@@ -263,14 +268,14 @@
     }
 
     fn loads(&self) -> Vec<Row> {
-        let held = self.owned().flat_map(|(told, facts)| {
+        let held = self.owned().flat_map(|(report, facts)| {
             facts
                 .adapters
                 .iter()
-                .map(move |held| (told, &facts.target, held))
+                .map(move |held| (report, &facts.target, held))
         });
-        held.map(|(told, target, held)| {
-            Row::new(self.origin_of(told))
+        held.map(|(report, target, held)| {
+            Row::new(self.origin_of(report))
                 .cell("target", target)
                 .cell("version", &held.model)
                 .cell("state", Presence::of(held.state).as_str())
@@ -281,23 +286,23 @@
         .collect()
     }
 
-    /// Tells of the changes as the instance does that has seen the newest head.
+    /// Lists configuration changes as reported by the instance with the newest configuration head.
     fn changes(&self) -> Vec<Row> {
         let newest = self
-            .told
+            .reports
             .iter()
-            .max_by_key(|told| told.facts.changes.generation);
-        let Some(told) = newest else {
+            .max_by_key(|report| report.facts.changes.generation);
+        let Some(report) = newest else {
             return Vec::new();
         };
-        let changes = &told.facts.changes;
+        let changes = &report.facts.changes;
         let over = changes.outcomes.iter().map(|(id, revision)| {
             let state = revision.map_or("given_up", |revision| self.spread_of(revision));
             (*id, *revision, state)
         });
         let pending = changes.pending.map(|id| (id, None, "pending"));
         let row = |(id, revision, state): (ChangeId, Option<Revision>, &'static str)| {
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("id", id)
                 .optional("revision", revision)
                 .cell("state", state)
@@ -306,18 +311,21 @@
         over.chain(pending).map(row).collect()
     }
 
-    /// Says how far an accepted change has come.
+    /// Returns the state of an accepted change: in force once all instances that answered have it.
     fn spread_of(&self, revision: Revision) -> &'static str {
-        let in_force = self.told.iter().all(|told| told.facts.revision >= revision);
+        let in_force = self
+            .reports
+            .iter()
+            .all(|report| report.facts.revision >= revision);
         if in_force { "in_force" } else { "accepted" }
     }
 
-    /// Returns the objects that a change concerns, if the instance remembers that proposed it.
+    /// Returns the number of objects in a change, if the instance that proposed it still has it.
     fn changed_by(&self, id: ChangeId) -> Option<usize> {
         let proposed = self
-            .told
+            .reports
             .iter()
-            .flat_map(|told| &told.facts.changes.changed);
+            .flat_map(|report| &report.facts.changes.changed);
         proposed
             .into_iter()
             .find(|(proposed, _)| *proposed == id)
@@ -326,55 +334,61 @@
 
     fn sites(&self) -> Vec<Row> {
         let row = |(name, site): (&SiteName, &Site)| {
-            let allocators = self
-                .told
-                .iter()
-                .flat_map(|told| told.facts.allocators.iter().map(move |facts| (told, facts)));
+            let allocators = self.reports.iter().flat_map(|report| {
+                report
+                    .facts
+                    .allocators
+                    .iter()
+                    .map(move |facts| (report, facts))
+            });
             let allocator = allocators
                 .into_iter()
                 .find(|(_, facts)| facts.site == *name);
-            let Some((told, facts)) = allocator else {
+            let Some((report, facts)) = allocator else {
                 return self.configured(name).fields(site);
             };
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(site)
                 .cell("granted_watts", format!("{:.0}", facts.committed_watts))
-                .cell("allocator", &told.facts.instance)
+                .cell("allocator", &report.facts.instance)
         };
         self.deployment.sites.iter().map(row).collect()
     }
 
     fn stores(&self) -> Vec<Row> {
         let row = |(name, store): (&StoreName, &WeightStore)| {
-            let schedulers = self
-                .told
-                .iter()
-                .flat_map(|told| told.facts.schedulers.iter().map(move |facts| (told, facts)));
+            let schedulers = self.reports.iter().flat_map(|report| {
+                report
+                    .facts
+                    .schedulers
+                    .iter()
+                    .map(move |facts| (report, facts))
+            });
             let scheduler = schedulers
                 .into_iter()
                 .find(|(_, facts)| facts.store == *name);
-            let Some((told, facts)) = scheduler else {
+            let Some((report, facts)) = scheduler else {
                 return self.configured(name).fields(store);
             };
-            Row::new(self.origin_of(told))
+            Row::new(self.origin_of(report))
                 .cell("name", name)
                 .fields(store)
-                .cell("scheduler", &told.facts.instance)
+                .cell("scheduler", &report.facts.instance)
                 .cell("in_progress", facts.in_progress)
                 .cell("waiting", facts.waiting)
         };
         self.deployment.stores.iter().map(row).collect()
     }
 
-    fn instance_row(&self, told: &Told) -> Row {
-        let facts = &told.facts;
+    fn instance_row(&self, report: &InstanceReport) -> Row {
+        let facts = &report.facts;
         let state = match (facts.stopping, facts.takes_work) {
             (true, _) => "draining",
             (false, true) => "ready",
             (false, false) => "pending",
         };
-        Row::new(self.origin_of(told))
+        Row::new(self.origin_of(report))
             .cell("name", &facts.instance)
             .cell("zone", &facts.zone)
             .cell("region", &facts.region)
--- a/crates/chervilshunt_daemon/src/operators/tables/tests.rs
+++ b/crates/chervilshunt_daemon/src/operators/tables/tests.rs
@@ -1,4 +1,4 @@
-//! Every table as it is shown of a made-up deployment.
+//! The output of every table for a sample deployment.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use super::{Rows, Sources, Told};
+use super::{InstanceReport, Rows, Sources};
 use crate::facts::InstanceFacts;
 
 const DEPLOYMENT: &str = "{
@@ -104,7 +104,7 @@
     })
 }
 
-/// Shows a table as an instance would that asked one other a while ago.
+/// Runs a query with one report of age 0 and one that is 34 ms old.
 fn shown(question: &str) -> Rows {
     let statements = parse(question).unwrap();
     let Some(Statement::Show(show)) = statements.first() else {
@@ -117,40 +117,39 @@
     rows_from(show, |facts| facts)
 }
 
-/// Shows a table of what is left of the instances' facts.
+/// Runs a query on the instances' state after `left` has been applied to it.
 fn rows_from(show: &Show, left: impl Fn(InstanceFacts) -> InstanceFacts) -> Rows {
     let asked_at = Instant::now();
-    let told = |facts: Value, age: u64| Told {
+    let report = |facts: Value, age: u64| InstanceReport {
         facts: left(serde_json::from_value(facts).unwrap()),
         asked_at: asked_at + Duration::from_millis(100 - age),
     };
-    let told = [told(entry_1(), 0), told(entry_2(), 34)];
+    let reports = [report(entry_1(), 0), report(entry_2(), 34)];
     let sources = Sources {
         here: &InstanceId::new("entry-1"),
         deployment: &deployment(),
         owners: &HashMap::from([("desk-1".into(), InstanceId::new("entry-3"))]),
-        told: &told,
+        reports: &reports,
         now: asked_at + Duration::from_millis(100),
     };
     sources.show(show)
 }
 
-/// An operator would see a table with holes. Instances tell only what the table shows, so that a
-/// question is not answered with all that each of them knows; a part left out of one table too many
-/// shows here.
+/// Instances report only the state that the queried table shows, to limit the size of their
+/// answers. If too much were removed, cells of the table would be empty.
 #[test]
-fn every_table_is_whole_from_what_instances_tell_for_it() {
+fn every_table_is_complete_with_the_state_reported_for_it() {
     for table in Table::ALL {
         let statements = parse(&format!("show {}", table.as_str())).unwrap();
         let Some(Statement::Show(show)) = statements.first() else {
             panic!("the question is a show");
         };
-        let told = rows_from(show, |facts| facts.shown_by(table));
-        assert_eq!(told, rows_of(show), "{}", table.as_str());
+        let reported = rows_from(show, |facts| facts.shown_by(table));
+        assert_eq!(reported, rows_of(show), "{}", table.as_str());
     }
 }
 
-/// Facts of an instance in full load: four targets with 16 adapters and 16 permits each.
+/// Returns the state of a fully loaded instance: four targets with 16 adapters and 16 permits each.
 fn full_load() -> InstanceFacts {
     let mut facts = entry_1();
     let mut target = facts["targets"][0].clone();
@@ -167,11 +166,14 @@
 #[case::changes(Table::Changes, 1_000)]
 #[case::targets(Table::Targets, 8_000)]
 #[case::permits(Table::Permits, 11_000)]
-fn an_instance_in_full_load_tells_few_bytes(#[case] table: Table, #[case] bound: usize) {
+fn a_fully_loaded_instance_reports_few_bytes(#[case] table: Table, #[case] bound: usize) {
     let bytes = |facts: &InstanceFacts| serde_json::to_string(facts).unwrap().len();
     let whole = bytes(&full_load());
-    let told = bytes(&full_load().shown_by(table));
-    assert!(told <= bound && told < whole, "{told} of {whole} bytes");
+    let reported = bytes(&full_load().shown_by(table));
+    assert!(
+        reported <= bound && reported < whole,
+        "{reported} of {whole} bytes"
+    );
 }
 
 fn text(rows: &Rows) -> String {
@@ -198,7 +200,7 @@
     insta::assert_snapshot!(shown_tables);
 }
 
-// Conditions see what is shown, also of the columns that each table ends with.
+// Conditions apply to the values as shown, including the two columns that end each table.
 #[rstest]
 #[case("show targets where owner = entry-2", &["lm-2"])]
 #[case("show targets where reachable = none", &["desk-1"])]
@@ -215,18 +217,18 @@
     assert_eq!(rows.rows.iter().map(first).collect::<Vec<_>>(), names);
 }
 
-/// An instance that has lost the platform still says that it owns a target which another has taken
-/// over. Operators see the owner of the higher epoch, whichever answered first.
+/// An instance that has lost contact with the platform still reports a target that another instance
+/// has taken over. The owner with the higher epoch is shown, whichever answered first.
 #[rstest]
 #[case::superseded_first(["entry-1", "entry-2"])]
 #[case::superseded_last(["entry-2", "entry-1"])]
-fn of_two_that_say_they_own_a_target_the_later_epoch_is_shown(#[case] order: [&str; 2]) {
+fn of_two_reported_owners_the_higher_epoch_is_shown(#[case] order: [&str; 2]) {
     let now = Instant::now();
-    let told = order.map(|instance| {
+    let reports = order.map(|instance| {
         let mut facts = entry_2();
         facts["instance"] = instance.into();
         facts["targets"][0]["epoch"] = if instance == "entry-1" { 3 } else { 4 }.into();
-        Told {
+        InstanceReport {
             facts: serde_json::from_value(facts).unwrap(),
             asked_at: now,
         }
@@ -235,7 +237,7 @@
         here: &InstanceId::new("entry-1"),
         deployment: &deployment(),
         owners: &HashMap::new(),
-        told: &told,
+        reports: &reports,
         now,
     };
     let statements = parse("show targets where name = lm-2").unwrap();
--- a/crates/chervilshunt_daemon/src/traffic/attempt.rs
+++ b/crates/chervilshunt_daemon/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! A request's tries: a permit, a call, and what may be tried again.
+//! A request's attempts: obtaining a permit, calling the target, and retrying where it is safe.
 
 use std::time::Duration;
 
@@ -19,54 +19,54 @@
 use super::relay::{Relay, relayed};
 use super::serve::{OpenSlot, Traffic};
 
-/// Tries of one request, the first included.
+/// The maximum number of attempts for one request, including the first.
 const MAX_TRIES: u32 = 4;
-/// When a caller should come back if no owner or target could be reached.
+/// The `Retry-After` if no owner or target could be reached.
 pub(super) const UNREACHED_RETRY: Duration = Duration::from_secs(2);
-/// When a caller should come back if the budget of retries is spent.
+/// The `Retry-After` if the retry budget is exhausted.
 const BUDGET_RETRY: Duration = Duration::from_secs(1);
 
-/// A try that has the first piece of its answer.
+/// An attempt that has received the first piece of its answer.
 struct Answered {
     permit: HeldPermit,
     answer: Answer,
     /// When the call to the target was opened.
     opened: Moment,
-    /// The time from there to the first piece.
+    /// The time from opening the call to the first piece of the answer.
     first_byte: Duration,
 }
 
-/// One failed try.
+/// A failed attempt.
 struct Failed {
     problem: Problem,
-    again: Again,
+    retry: RetryRule,
 }
 
-/// Whether a failed try may be repeated.
+/// Whether a failed attempt may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Again {
-    /// It did not run: at this target too.
+enum RetryRule {
+    /// The call did not run and may be retried at any target, including the same one.
     Anywhere,
-    /// It did not run: at another target.
+    /// The call did not run and may be retried at another target.
     Elsewhere,
-    /// It may have run: at another target, if the request is idempotent.
+    /// The call may have run and may be retried at another target if the request is idempotent.
     ElsewhereIfIdempotent,
-    /// The answer would be the same.
+    /// A retry would fail in the same way.
     Never,
 }
 
-/// A request with what its tries have in common.
+/// A request and the state that its attempts share.
 pub(super) struct Run<'a> {
     pub(super) traffic: &'a Traffic,
     pub(super) req: CallerRequest,
-    /// Its claim, if it is keyed and may run only once.
+    /// The idempotency claim, if the request is keyed and not idempotent.
     claim: Option<Claim>,
-    /// Targets that have failed the request.
+    /// Targets at which an attempt of this request has failed.
     pub(super) avoid: Vec<TargetName>,
 }
 
 impl Traffic {
-    /// Answers a request from a target, trying again where that can do no harm.
+    /// Sends a request to a target, retrying failed attempts where that is safe.
     pub(super) async fn run(
         &self,
         req: CallerRequest,
@@ -87,18 +87,18 @@
                 Ok(answered) => return Ok(run.answered(answered, slot)),
                 Err(failed) => failed,
             };
-            let harmless = match failed.again {
-                Again::Anywhere | Again::Elsewhere => true,
-                Again::ElsewhereIfIdempotent => run.req.idempotent,
-                Again::Never => false,
+            let retryable = match failed.retry {
+                RetryRule::Anywhere | RetryRule::Elsewhere => true,
+                RetryRule::ElsewhereIfIdempotent => run.req.idempotent,
+                RetryRule::Never => false,
             };
-            if !harmless || tries >= MAX_TRIES || run.req.left(now()).is_zero() {
+            if !retryable || tries >= MAX_TRIES || run.req.time_left(now()).is_zero() {
                 return Err(failed.problem.after(may_have_run));
             }
             if !self.try_retry(failed.problem.reason.as_str()) {
                 return Err(failed.problem.retry_after(BUDGET_RETRY).after(may_have_run));
             }
-            slog::info!(self.parts.log, "trying again";
+            slog::info!(self.parts.log, "retrying";
                 "request" => %run.req.id,
                 "try" => tries,
                 "reason" => failed.problem.reason.as_str(),
@@ -113,7 +113,7 @@
 }
 
 impl Run<'_> {
-    /// Makes one try: a permit and a call.
+    /// Makes one attempt: obtains a permit and calls the target.
     async fn once(&mut self) -> Result<Answered, Failed> {
         let asked_at = now();
         let mut permit = self.permit().await.map_err(final_failure)?;
@@ -130,15 +130,18 @@
             let problem = Problem::not_run(Reason::NoTarget, detail).retry_after(UNREACHED_RETRY);
             return Err(Failed {
                 problem,
-                again: Again::Elsewhere,
+                retry: RetryRule::Elsewhere,
             });
         };
         if !permit.is_usable(now()) {
-            let problem = Problem::not_run(Reason::NoTarget, "the permit came too late to be used")
-                .retry_after(UNREACHED_RETRY);
+            let problem = Problem::not_run(
+                Reason::NoTarget,
+                "the permit expired before it could be used",
+            )
+            .retry_after(UNREACHED_RETRY);
             return Err(Failed {
                 problem,
-                again: Again::Anywhere,
+                retry: RetryRule::Anywhere,
             });
         }
         let client = self.traffic.parts.engines.client(address);
@@ -164,10 +167,10 @@
                 {
                     claim.did_not_run();
                 }
-                if failed.again != Again::Anywhere && !self.avoid.contains(&target) {
+                if failed.retry != RetryRule::Anywhere && !self.avoid.contains(&target) {
                     self.avoid.push(target);
                 }
-                permit.ended(release_outcome(&error));
+                permit.set_outcome(release_outcome(&error));
                 Err(failed)
             }
         }
@@ -178,7 +181,7 @@
             Some(model) => ExpectedAnswer::Model(model.as_str().into()),
             None => ExpectedAnswer::Any,
         };
-        let head = self.req.left(now());
+        let head = self.req.time_left(now());
         Call {
             method: self.req.method.clone(),
             path: self.req.path.clone(),
@@ -226,11 +229,11 @@
 fn final_failure(problem: Problem) -> Failed {
     Failed {
         problem,
-        again: Again::Never,
+        retry: RetryRule::Never,
     }
 }
 
-/// Turns a failed call into what the caller may be told and what may be tried again.
+/// Maps a failed call to the problem for the caller and the retry rule.
 fn failed_call(error: &EngineError) -> Failed {
     let detail = error.to_string();
     let reason = match error {
@@ -245,32 +248,32 @@
         EngineError::Truncated { .. } | EngineError::FailedMidway { .. } => Reason::BrokenOff,
         _ => Reason::TargetFailed,
     };
-    let (problem, again) = match error.outcome() {
+    let (problem, retry) = match error.outcome() {
         Ran::NotRun => (Problem::not_run(reason, detail), after_not_run(error)),
-        // Nothing has been handed on, so that the caller can't have seen a part of the answer.
+        // Nothing has been relayed yet, so the caller can't have received a part of the answer.
         Ran::Unknown | Ran::CutShort => (
             Problem::unknown(reason, detail),
-            Again::ElsewhereIfIdempotent,
+            RetryRule::ElsewhereIfIdempotent,
         ),
     };
     debug_assert!(
         problem.outcome != Outcome::CutShort,
-        "no byte has been handed on"
+        "no byte has been relayed"
     );
     Failed {
         problem: problem.retry_after(UNREACHED_RETRY),
-        again,
+        retry,
     }
 }
 
-fn after_not_run(error: &EngineError) -> Again {
+fn after_not_run(error: &EngineError) -> RetryRule {
     match error {
-        EngineError::AdapterMissing { .. } => Again::Anywhere,
+        EngineError::AdapterMissing { .. } => RetryRule::Anywhere,
         EngineError::Refused { status, .. } if status.is_client_error() => match status.as_u16() {
-            408 | 425 | 429 => Again::Elsewhere,
-            _ => Again::Never,
+            408 | 425 | 429 => RetryRule::Elsewhere,
+            _ => RetryRule::Never,
         },
-        _ => Again::Elsewhere,
+        _ => RetryRule::Elsewhere,
     }
 }
 
--- a/crates/chervilshunt_daemon/tests/callers_limits.rs
+++ b/crates/chervilshunt_daemon/tests/callers_limits.rs
@@ -1,5 +1,5 @@
-//! What callers get when there is no room, no time or no target left: an answer at once that says
-//! whether the request ran and when to come back.
+//! The answers when no capacity, no time or no target is left: an immediate problem that states
+//! whether the request ran and when to retry.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use serde_json::json;
 use tokio_util::task::AbortOnDropHandle;
 
-use support::http::{Answered, BOUND, Open, Speaks, open, post, send};
-use support::serial::{Alone, alone};
+use support::http::{BOUND, OpenResponse, Protocol, ReceivedResponse, open, post, send};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 const OPEN_REQUESTS: usize = 5;
 const QUEUE_LIVE: usize = 1;
 const QUEUE_DEFERRABLE: usize = 3;
 
-/// One instance before one engine that runs a single sequence.
+/// One instance with one engine that runs a single sequence at a time.
 fn options() -> FleetOptions {
     FleetOptions {
         instances: 1,
@@ -35,31 +35,39 @@
     }
 }
 
-/// A stream that outlasts its test.
+/// Returns the body of a request whose stream outlasts the test.
 fn long() -> String {
     json!({"model": model_name(0), "prompt": "x", "max_tokens": 1_000_000, "stream": true})
         .to_string()
 }
 
-fn entry(test: &Alone) -> SocketAddr {
+fn entry(test: &ExclusiveFleet) -> SocketAddr {
     test.fleet.instances()["i1"].callers()
 }
 
-async fn fill_the_batch(test: &Alone) -> Open {
+async fn fill_the_batch(test: &ExclusiveFleet) -> OpenResponse {
     let to = entry(test);
-    let running = open(to, Speaks::Http1, post(to, "/v1/completions", &[], &long())).await;
+    let running = open(
+        to,
+        Protocol::Http1,
+        post(to, "/v1/completions", &[], &long()),
+    )
+    .await;
     assert_eq!(running.response.status(), StatusCode::OK);
     running
 }
 
-/// Sends a request that will wait for room.
-fn wait_in_queue(test: &Alone, priority: &'static str) -> AbortOnDropHandle<Answered> {
+/// Sends a request that waits in the queue.
+fn wait_in_queue(
+    test: &ExclusiveFleet,
+    priority: &'static str,
+) -> AbortOnDropHandle<ReceivedResponse> {
     let to = entry(test);
     let req = post(to, "/v1/completions", &[("priority", priority)], &long());
-    AbortOnDropHandle::new(tokio::spawn(send(to, Speaks::Http1, req)))
+    AbortOnDropHandle::new(tokio::spawn(send(to, Protocol::Http1, req)))
 }
 
-async fn wait_for_waiting(test: &Alone, count: usize) {
+async fn wait_for_waiting(test: &ExclusiveFleet, count: usize) {
     let waiting = || async {
         let rows = test.show("show targets where name = engine-1").await;
         (rows.first()?["waiting"].as_str()?.parse() == Ok(count)).then_some(())
@@ -68,13 +76,13 @@
     assert!(seen.is_some(), "{:?}", test.show("show targets").await);
 }
 
-/// Waits until nothing is left of a test.
-async fn wait_for_nothing(test: &Alone) {
+/// Waits until the requests of a test have ended.
+async fn wait_for_nothing(test: &ExclusiveFleet) {
     test.wait_for_none("show permits").await;
     wait_for_waiting(test, 0).await;
 }
 
-fn assert_refused(answer: &Answered, status: u16, reason: &str, outcome: &str) {
+fn assert_refused(answer: &ReceivedResponse, status: u16, reason: &str, outcome: &str) {
     assert_eq!(answer.status, status, "{}", answer.text);
     let problem = answer.json();
     assert_eq!(problem["reason"], reason);
@@ -83,15 +91,14 @@
     assert!(retry_after.parse::<u64>().is_ok_and(|seconds| seconds > 0));
 }
 
-// One request runs and as many wait as may. The next one is told at once that the queue is full,
-// not held until its deadline: it could only fail later, and its caller would know less. Live and
-// deferrable requests have bounds of their own, so that a backlog of reviews leaves room for live
-// work.
+// One request runs and the queue is full. The next request is refused at once instead of being held
+// until its deadline, when it could only fail later and tell its caller less. Live and deferrable
+// requests have separate limits, so that a backlog of deferrable work leaves room for live work.
 #[rstest]
 #[case::live("u=1", QUEUE_LIVE)]
 #[case::deferrable("u=6", QUEUE_DEFERRABLE)]
 fn a_full_queue_refuses_at_once(#[case] priority: &'static str, #[case] bound: usize) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let mut waiting = Vec::new();
         for count in 1..=bound {
@@ -103,7 +110,7 @@
         let body = long();
         let refused = send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &headers, &body),
         )
         .await;
@@ -113,12 +120,12 @@
     });
 }
 
-// As many requests are open as may be. One more gets its answer before its body is even read.
+// The limit of open requests is reached. One more is refused before its body is read.
 #[rstest]
 fn one_open_request_too_many_is_refused_at_once(
-    #[values(Speaks::Http1, Speaks::Http2)] speaks: Speaks,
+    #[values(Protocol::Http1, Protocol::Http2)] speaks: Protocol,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let mut waiting = Vec::new();
         waiting.push(wait_in_queue(&test, "u=1"));
@@ -137,17 +144,17 @@
     });
 }
 
-// The request waits for a seat that does not come free. At its deadline, or as soon as it is plain
-// that it can't be kept, the caller is told that nothing ran.
+// The request waits for capacity that does not become free. At its deadline, or as soon as it is
+// clear that it can't be met, the caller is told that nothing ran.
 #[test]
-fn a_deadline_that_passes_in_the_queue_is_told_at_once() {
-    alone(options, async |test| {
+fn a_deadline_that_passes_in_the_queue_is_reported_at_once() {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let to = entry(&test);
         let headers = [("prefer", "wait=1"), ("x-request-id", "late")];
         let late = send(
             to,
-            Speaks::Http1,
+            Protocol::Http1,
             post(to, "/v1/completions", &headers, &long()),
         )
         .await;
@@ -162,8 +169,8 @@
     });
 }
 
-// The target took the call and hangs. At the deadline the caller is told that the outcome is not
-// known: the call may still run when the target comes back.
+// The target accepts the call and hangs. At the deadline the outcome is reported as unknown,
+// because the call may still run when the target recovers.
 #[rstest]
 #[case::an_engine("engine-1", "/v1/completions")]
 #[case::a_plain_service("desk-1", "/services/desk/slips")]
@@ -171,25 +178,25 @@
     #[case] target: &str,
     #[case] path: &str,
 ) {
-    alone(options, async |test| {
-        // The engine has the adapter by then, so that only the call itself hangs.
+    run_exclusively(options, async |test| {
+        // The engine has loaded the adapter by then, so that only the call itself hangs.
         drop(fill_the_batch(&test).await);
         wait_for_nothing(&test).await;
         test.fault(target, json!({"freeze": true})).await;
         let to = entry(&test);
         let headers = [("prefer", "wait=1")];
-        let hung = send(to, Speaks::Http1, post(to, path, &headers, &long())).await;
+        let hung = send(to, Protocol::Http1, post(to, path, &headers, &long())).await;
         assert_refused(&hung, 504, "target_timeout", "unknown");
         test.fault(target, json!({"freeze": false})).await;
         wait_for_nothing(&test).await;
     });
 }
 
-// The caller hangs up while its request waits for room. The request has to leave the queue too: it
-// would get a seat, and an engine would generate for nobody.
+// The caller disconnects while its request waits in the queue. The request has to leave the queue,
+// or an engine would run it although nobody reads the answer.
 #[test]
-fn a_caller_that_goes_away_while_it_waits_leaves_the_queue() {
-    alone(options, async |test| {
+fn a_caller_that_disconnects_while_waiting_leaves_the_queue() {
+    run_exclusively(options, async |test| {
         let running = fill_the_batch(&test).await;
         let waiting = wait_in_queue(&test, "u=1");
         wait_for_waiting(&test, 1).await;
@@ -200,11 +207,11 @@
     });
 }
 
-// All targets of a service are drained. New requests are told that nothing ran and when to come
-// back, in about two seconds and not at their deadlines.
+// All targets of a service are drained. New requests are refused with "not run" and a retry time in
+// about two seconds, not at their deadlines.
 #[test]
 fn a_service_without_targets_refuses() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let statements = test.fleet.statements().expect("an instance is ready");
         statements
             .run("drain target desk-1")
@@ -212,7 +219,7 @@
             .expect("it is accepted");
         let to = entry(&test);
         let req = post(to, "/services/desk/slips", &[], "x");
-        let refused = send(to, Speaks::Http1, req).await;
+        let refused = send(to, Protocol::Http1, req).await;
         statements
             .run("resume target desk-1")
             .await
--- a/crates/chervilshunt_daemon/tests/operators.rs
+++ b/crates/chervilshunt_daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port of real instances, asked by `chervilshuntctl` and directly.
+//! The operators' port of running instances, through `chervilshuntctl` and directly.
 
 mod support;
 
@@ -11,8 +11,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use support::http::{BOUND, Open, Speaks, open, post};
-use support::serial::{Alone, alone};
+use support::http::{BOUND, OpenResponse, Protocol, open, post};
+use support::serial::{ExclusiveFleet, run_exclusively};
 
 fn options() -> FleetOptions {
     FleetOptions {
@@ -24,7 +24,7 @@
     }
 }
 
-/// What a run of the command-line tool brought.
+/// The output and exit code of a run of the command-line tool.
 #[derive(Debug)]
 struct Run {
     code: Option<i32>,
@@ -38,7 +38,7 @@
     }
 }
 
-async fn ctl(test: &Alone, instance: &str, arguments: &[&str]) -> Run {
+async fn ctl(test: &ExclusiveFleet, instance: &str, arguments: &[&str]) -> Run {
     let program = test.fleet.binaries.ctl().expect("it is built");
     let server = test.fleet.instances()[instance].operators().to_string();
     let child = tokio::process::Command::new(program)
@@ -56,8 +56,8 @@
     }
 }
 
-/// Sends a body to the operators' port of an instance, bounded by more than a change may take.
-async fn statements(test: &Alone, instance: &str, body: &Value) -> Reply {
+/// Posts a body to an instance's operators' port, with a longer timeout than a change may take.
+async fn statements(test: &ExclusiveFleet, instance: &str, body: &Value) -> Reply {
     let address = test.fleet.instances()[instance].operators();
     let http = HttpClient::new(2 * BOUND);
     let reply = http
@@ -66,23 +66,23 @@
     reply.unwrap_or_else(|error| panic!("{error}"))
 }
 
-async fn running_stream(test: &Alone, instance: &str) -> Open {
+async fn running_stream(test: &ExclusiveFleet, instance: &str) -> OpenResponse {
     let to = test.fleet.instances()[instance].callers();
     let body =
         json!({"model": model_name(0), "prompt": "x", "max_tokens": 100_000, "stream": true});
     open(
         to,
-        Speaks::Http1,
+        Protocol::Http1,
         post(to, "/v1/completions", &[], &body.to_string()),
     )
     .await
 }
 
-// Whichever instance is asked, the answer is of the whole deployment: both instances and the roles
-// that they hold, the permit that one gave to the other, the adapter that its engine holds.
+// Every instance answers for the whole deployment: both instances and their roles, the permit that
+// one granted to the other, and the adapter that its engine has loaded.
 #[rstest]
 fn each_instance_answers_for_the_whole_deployment(#[values("i1", "i2")] instance: &str) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let stream = running_stream(&test, instance).await;
         for table in Table::ALL {
             let run = ctl(&test, instance, &["show", table.as_str()]).await;
@@ -108,7 +108,7 @@
     });
 }
 
-/// Checks the cells that only running instances can fill.
+/// Checks the cells whose values come from running instances.
 fn check_rows(table: Table, entry: &str, rows: &[Value]) {
     let is_number = |cell: &Value| {
         cell.as_str()
@@ -144,7 +144,7 @@
                 (&engine["running"], &engine["waiting"]),
                 (&json!("1"), &json!("0"))
             );
-            // Another test may have loaded its adapter before.
+            // Another test may have loaded its adapter already.
             assert!(is_number(&engine["loaded"]) && engine["loaded"] != "0");
         }
         Table::Permits => {
@@ -198,16 +198,16 @@
     }
 }
 
-// A load takes a while, and two requests wait for it meanwhile.
+// A load is in progress, and two requests wait for it.
 #[test]
-fn a_load_in_progress_is_shown_with_who_waits_for_it() {
-    alone(options, async |test| {
+fn a_load_in_progress_is_shown_with_its_waiters() {
+    run_exclusively(options, async |test| {
         test.fault("engine-1", json!({"load_slow_ms": 2_000})).await;
         let to = test.fleet.instances()["i1"].callers();
         let body = json!({"model": model_name(2), "prompt": "x", "max_tokens": 1});
         let send = || {
             let req = post(to, "/v1/completions", &[], &body.to_string());
-            tokio::spawn(support::http::send(to, Speaks::Http1, req))
+            tokio::spawn(support::http::send(to, Protocol::Http1, req))
         };
         let waiting = [send(), send()];
         let question = format!("show loads where version = {}", model_name(2));
@@ -235,11 +235,11 @@
     });
 }
 
-// The answer to a change was lost, and the operator sends it again under the same id, to another
-// instance. Without the id a second target would be drained, or the second try refused.
+// The answer to a change was lost, and the operator sends it again to another instance with the
+// same id. Without the id, a second target would be drained, or the second attempt refused.
 #[test]
 fn a_change_that_is_sent_again_takes_effect_once() {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let id = "6f1a9c2e-4b7d-4e0f-8a3c-5d6e7f8091a2";
         let text = "create site annex cap_watts=10; show sites; create site shed cap_watts=11";
         let body = json!({"text": text, "id": id});
@@ -264,7 +264,7 @@
         let ids: Vec<_> = of_script.map(|row| row["id"].clone()).collect();
         assert_eq!(ids.len(), 2);
         assert_eq!(ids[0], id.replace('-', ""));
-        // Refused under an id of its own: the site is there.
+        // Refused under a new id, because the site exists already.
         let other = statements(
             &test,
             "i1",
@@ -291,7 +291,7 @@
     #[case] status: u16,
     #[case] kind: &str,
 ) {
-    alone(options, async |test| {
+    run_exclusively(options, async |test| {
         let reply = statements(&test, "i1", &body).await;
         assert_eq!(reply.status, status, "{}", reply.text);
         let problem = reply.json();
@@ -312,11 +312,11 @@
     });
 }
 
-// One instance hangs. It can't acknowledge, so a change is given up: it would not be in force there.
-// Questions are answered without it, and name it.
+// One instance hangs. It can't acknowledge a change, so the change is abandoned. Queries are
+// answered without the instance and list it as unreachable.
 #[test]
-fn an_instance_that_does_not_answer_is_named() {
-    alone(options, async |test| {
+fn an_unreachable_instance_is_listed() {
+    run_exclusively(options, async |test| {
         test.fleet.freeze("i2").expect("it runs");
         let shown = ctl(&test, "i1", &["show", "instances"]).await;
         let refused = ctl(&test, "i1", &["create", "site", "annex", "cap_watts=10"]).await;
@@ -372,11 +372,12 @@
     });
 }
 
-// The platform takes the write that begins a change, loses its answer, and is gone. Nobody can know
-// whether the change will take effect; the tool asks on until the platform is back, and then says so.
+// The platform accepts the write that begins a change, loses its answer, and becomes unavailable.
+// Whether the change takes effect is unknown; the tool keeps retrying until the platform is back,
+// and then reports the outcome.
 #[test]
-fn the_outcome_of_a_change_is_learnt_after_an_outage() {
-    alone(options, async |test| {
+fn the_outcome_of_a_change_is_reported_after_an_outage() {
+    run_exclusively(options, async |test| {
         let begun = json!({
             "lose_answer_after_write": 1, "lose_answers_of": ["configheads"], "down_after_lost": true,
         });
@@ -388,7 +389,7 @@
             wait_until(BOUND, down)
                 .await
                 .expect("the change is not begun");
-            // Longer than the instance keeps the operator waiting before it calls the outcome unknown.
+            // Longer than the instance waits before it reports the outcome as unknown.
             tokio::time::sleep(Duration::from_secs(12)).await;
             let healed = json!({"down": "no", "lose_answers_of": [], "down_after_lost": false});
             set_platform(&test, healed).await;
@@ -414,12 +415,12 @@
     });
 }
 
-async fn set_platform(test: &Alone, faults: Value) {
+async fn set_platform(test: &ExclusiveFleet, faults: Value) {
     let set = test.fleet.set_faults("platform", faults).await;
     set.unwrap_or_else(|error| panic!("{error}"));
 }
 
-async fn platform_faults(test: &Alone) -> Value {
+async fn platform_faults(test: &ExclusiveFleet) -> Value {
     let faults = test.fleet.faults("platform").await;
     faults.unwrap_or_else(|error| panic!("{error}"))
 }
--- a/crates/chervilshunt_daemon/tests/support/http.rs
+++ b/crates/chervilshunt_daemon/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks HTTP/1.1 or HTTP/2 without an upgrade.
+//! An HTTP client for HTTP/1.1, and for HTTP/2 with prior knowledge.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,73 +13,81 @@
 use tokio::net::TcpStream;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bounds every wait, so that a fault fails a test in place of hanging it.
+/// The bound of every wait, so that a fault fails the test instead of blocking it.
 pub(crate) const BOUND: Duration = Duration::from_secs(20);
 
-/// What a caller that speaks HTTP/2 takes without having read it, in bytes.
+/// The flow-control window of an HTTP/2 client, in bytes.
 const WINDOW: u32 = 64 * 1024;
 
-/// How a caller speaks.
+/// The protocol of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Speaks {
+pub(crate) enum Protocol {
     /// HTTP/1.1.
     Http1,
-    /// HTTP/2 by prior knowledge.
+    /// HTTP/2 with prior knowledge.
     Http2,
 }
 
-/// An answer as far as it came.
+/// A response, which may be incomplete.
 #[derive(Debug)]
-pub(crate) struct Answered {
-    /// Its status.
+pub(crate) struct ReceivedResponse {
+    /// The status.
     pub(crate) status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub(crate) headers: HeaderMap,
-    /// What came of its body.
+    /// The part of the body that was received.
     pub(crate) text: String,
-    /// Whether the body ended as it should.
+    /// Whether the body ended without an error.
     pub(crate) whole: bool,
 }
 
-impl Answered {
+impl ReceivedResponse {
     /// Returns the body as JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 
-    /// Returns a header's text, or nothing.
+    /// Returns the text of a header, if it is present.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// An open answer; dropping it closes the connection.
+/// A response whose body has not been read; dropping it closes the connection.
 #[derive(Debug)]
-pub(crate) struct Open {
-    /// The answer with its body still to be read.
+pub(crate) struct OpenResponse {
+    /// The response with its unread body.
     pub(crate) response: Response<Incoming>,
     _connection: AbortOnDropHandle<()>,
 }
 
-/// Sends a request over a connection of its own and returns as soon as the head of the answer is
-/// there.
-pub(crate) async fn open(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Open {
+/// Sends a request over a new connection and returns as soon as the response head has been
+/// received.
+pub(crate) async fn open(
+    to: SocketAddr,
+    speaks: Protocol,
+    req: Request<Full<Bytes>>,
+) -> OpenResponse {
     tokio::time::timeout(BOUND, try_open(to, speaks, req))
         .await
-        .expect("no head of an answer within the bound")
-        .expect("no answer")
+        .expect("no response head within the bound")
+        .expect("no response")
 }
 
-/// Sends a request and reads the whole answer.
-pub(crate) async fn send(to: SocketAddr, speaks: Speaks, req: Request<Full<Bytes>>) -> Answered {
+/// Sends a request and reads the whole response.
+pub(crate) async fn send(
+    to: SocketAddr,
+    speaks: Protocol,
+    req: Request<Full<Bytes>>,
+) -> ReceivedResponse {
     let open = open(to, speaks, req).await;
     tokio::time::timeout(BOUND, read(open))
         .await
-        .expect("no end of the answer within the bound")
+        .expect("no end of the response within the bound")
 }
 
-/// Reads an answer to its end.
-pub(crate) async fn read(open: Open) -> Answered {
+/// Reads a response to its end.
+pub(crate) async fn read(open: OpenResponse) -> ReceivedResponse {
     let (head, mut body) = open.response.into_parts();
     let mut bytes = Vec::new();
     let mut whole = true;
@@ -93,7 +101,7 @@
             }
         }
     }
-    Answered {
+    ReceivedResponse {
         status: head.status,
         headers: head.headers,
         text: String::from_utf8_lossy(&bytes).into_owned(),
@@ -103,18 +111,18 @@
 
 async fn try_open(
     to: SocketAddr,
-    speaks: Speaks,
+    speaks: Protocol,
     req: Request<Full<Bytes>>,
-) -> Result<Open, hyper::Error> {
+) -> Result<OpenResponse, hyper::Error> {
     let stream = TcpStream::connect(to).await.expect("the port is open");
     let io = TokioIo::new(stream);
     let (response, connection) = match speaks {
-        Speaks::Http1 => {
+        Protocol::Http1 => {
             let (mut sender, connection) = http1::handshake(io).await?;
             let connection = tokio::spawn(async move { drop(connection.await) });
             (sender.send_request(req).await?, connection)
         }
-        Speaks::Http2 => {
+        Protocol::Http2 => {
             let mut builder = http2::Builder::new(TokioExecutor::new());
             builder
                 .initial_stream_window_size(WINDOW)
@@ -124,13 +132,13 @@
             (sender.send_request(req).await?, connection)
         }
     };
-    Ok(Open {
+    Ok(OpenResponse {
         response,
         _connection: AbortOnDropHandle::new(connection),
     })
 }
 
-/// Makes a request with a JSON body.
+/// Creates a request with a JSON body.
 pub(crate) fn post(
     to: SocketAddr,
     path: &str,
@@ -140,7 +148,7 @@
     request("POST", to, path, headers, body)
 }
 
-/// Makes a request.
+/// Creates a request.
 pub(crate) fn request(
     method: &str,
     to: SocketAddr,
