--- a/crates/chervilshunt_query/src/error.rs
+++ b/crates/chervilshunt_query/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a script, as data, and how it is shown.
+//! Errors in a script, as data and rendered for a terminal.
 
 use std::fmt::Write as _;
 use std::ops::Range;
@@ -8,17 +8,17 @@
 /// One error in a script.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryError {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
-    /// How many characters are meant; 0 at the end of the text.
+    /// The length of the marked range in characters; 0 at the end of the text, line or statement.
     pub length: usize,
-    /// What stands there.
+    /// What was found at this position.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed at this position; empty if there is no list of alternatives.
     pub expected: Vec<String>,
-    /// What to do, where there is more to say.
+    /// An explanation or advice, if there is any.
     pub hint: Option<String>,
 }
 
@@ -32,10 +32,10 @@
         let before = text.get(..span.start).unwrap_or(text);
         let line_start = before.rfind('\n').map_or(0, |index| index + 1);
         let after = text.get(span.start..).unwrap_or_default();
-        let meant = text.get(span).unwrap_or_default();
-        let meant = meant.lines().next().unwrap_or_default();
-        let found = if !meant.is_empty() {
-            meant
+        let marked = text.get(span).unwrap_or_default();
+        let marked = marked.lines().next().unwrap_or_default();
+        let found = if !marked.is_empty() {
+            marked
         } else if after.trim().is_empty() {
             "the end of the text"
         } else if after.starts_with(['\n', '\r']) {
@@ -46,7 +46,7 @@
         Self {
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
-            length: meant.chars().count(),
+            length: marked.chars().count(),
             found: found.to_owned(),
             expected,
             hint,
@@ -54,9 +54,9 @@
     }
 }
 
-/// Shows errors with their line of the text and a caret below the place.
+/// Renders errors, each with its line of the text and carets below the marked range.
 ///
-/// `origin` names where the text came from, such as a file or `command line`.
+/// `origin` names the source of the text, such as a file or `command line`.
 pub fn render_errors(text: &str, origin: &str, errors: &[QueryError]) -> String {
     let shown: Vec<_> = errors
         .iter()
@@ -67,7 +67,7 @@
 
 fn render_one(text: &str, origin: &str, error: &QueryError) -> String {
     let line = text.lines().nth(error.line - 1).unwrap_or_default();
-    // A tab takes the width that the terminal gives it in the line above.
+    // Tabs are kept so that the carets align with the line above at any tab width.
     let indent: String = line
         .chars()
         .take(error.column - 1)
@@ -82,7 +82,7 @@
         error.line,
         error.column,
         error.found,
-        listed(&error.expected),
+        join_alternatives(&error.expected),
     );
     if let Some(hint) = &error.hint {
         let _ = writeln!(shown, "{margin} = {hint}");
@@ -90,7 +90,7 @@
     shown
 }
 
-fn listed(expected: &[String]) -> String {
+fn join_alternatives(expected: &[String]) -> String {
     match expected {
         [] => "something else".to_owned(),
         [one] => one.clone(),
--- a/crates/chervilshunt_query/src/fields/mod.rs
+++ b/crates/chervilshunt_query/src/fields/mod.rs
@@ -1,4 +1,4 @@
-//! The fields of each kind of object: how they are read, printed and shown.
+//! The fields of each kind of object: their specification, parsing and printing.
 
 mod read;
 mod specs;
--- a/crates/chervilshunt_query/src/fields/read.rs
+++ b/crates/chervilshunt_query/src/fields/read.rs
@@ -1,4 +1,4 @@
-//! From assignments as written to objects and patches.
+//! Converts parsed assignments to objects and patches.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::error::QueryError;
 use crate::syntax::Assignment;
 
-/// Takes the assignments of one change apart and notes what is wrong with them.
+/// Reads the assignments of one change as an object or patch, and records errors in them.
 pub(crate) struct Reader<'a> {
     text: &'a str,
     kind: ObjectKind,
@@ -24,7 +24,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// Starts with the assignments of a change that ends at byte `end` of the text.
+    /// Creates a reader for the assignments of a change that ends at byte `end` of the text.
     pub(crate) fn new(
         text: &'a str,
         kind: ObjectKind,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Notes fields that are unknown, given twice or not to be set.
+    /// Records an error for each field that is unknown, given twice, or not settable if
+    /// `settable_only`.
     pub(crate) fn check_names(&mut self, settable_only: bool) {
         let specs = specs::of(self.kind);
         let known: Vec<_> = specs
@@ -123,7 +124,7 @@
         })
     }
 
-    /// Notes a base model that is given for a plain service.
+    /// Records an error if a base model is given for a plain service.
     fn no_base_model(&mut self) -> Option<Arc<str>> {
         let given = self.assignment("base_model");
         if let Some((_, value_span)) = given {
@@ -229,7 +230,7 @@
         })
     }
 
-    /// Reads a field that is given or has a default; notes it if it is missing or bad.
+    /// Reads a field, or its default; records an error if it is missing without a default or invalid.
     fn required<T>(&mut self, field: &str, parse: fn(&str) -> Option<T>) -> Option<T> {
         if self.assignment(field).is_some() {
             return self.given(field, parse);
@@ -245,14 +246,14 @@
         value
     }
 
-    /// Reads a field if it is given; notes it if it is bad.
+    /// Reads a field if it is given; records an error if its value is invalid.
     fn given<T>(&mut self, field: &str, parse: fn(&str) -> Option<T>) -> Option<T> {
         let (value, span) = self.assignment(field)?;
         let parsed = parse(&value);
         if parsed.is_none() {
             let spec = self.spec(field);
             let expected = vec![spec.allowed.to_owned()];
-            let hint = format!("{value:?} is no value of {}", spec.name);
+            let hint = format!("{value:?} is not a valid value of {}", spec.name);
             let error = QueryError::at(self.text, span, expected, Some(hint));
             self.errors.push(error);
         }
@@ -272,7 +273,7 @@
         specs::of(self.kind)
             .iter()
             .find(|spec| spec.name == field)
-            .expect("a field that is read is in the table of fields")
+            .expect("every field that is read is in the table of fields")
     }
 }
 
@@ -300,7 +301,8 @@
     }
 }
 
-/// A target of a plain service has no store; its name is empty then.
+/// Parses the name of a weight store; the name is empty for a target of a plain service, which has no
+/// store.
 fn store(value: &str) -> Option<StoreName> {
     match value {
         "" => None,
--- a/crates/chervilshunt_query/src/fields/specs.rs
+++ b/crates/chervilshunt_query/src/fields/specs.rs
@@ -1,21 +1,21 @@
-//! The table of fields: what each allows, and whether it may be left out or set.
+//! The table of fields: the allowed values of each, its default, and whether `set` may change it.
 
 use chervilshunt_model::ObjectKind;
 
-/// The value of a field that names no object.
+/// The value of a field that refers to no object.
 pub(crate) const NONE: &str = "none";
 
-/// The value of a target's `lifecycle` that takes no new work.
+/// The value of `lifecycle` for a target that takes no new work.
 pub(crate) const DRAINING: &str = "draining";
 
 /// A field of a kind of object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FieldSpec {
-    /// The name that the language uses.
+    /// The name in the language.
     pub name: &'static str,
-    /// What is allowed, in words.
+    /// The allowed values, described for operators.
     pub allowed: &'static str,
-    /// The value that `create` takes when none is given; the field is required if there is none.
+    /// The value that `create` uses if none is given; a field without a default is required.
     pub default: Option<&'static str>,
     /// Whether `set` may change it.
     pub settable: bool,
--- a/crates/chervilshunt_query/src/fields/write.rs
+++ b/crates/chervilshunt_query/src/fields/write.rs
@@ -1,4 +1,4 @@
-//! From objects and patches to the text of their fields.
+//! Converts objects and patches to the text of their fields.
 
 use chervilshunt_model::{
     Adapter, AdapterPatch, Fencing, Lifecycle, Priority, PriorityChoice, PriorityPatch, Service,
@@ -11,13 +11,13 @@
 /// The text of one field of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldText {
-    /// The field.
+    /// The name of the field.
     pub field: &'static str,
-    /// Its text; none if the object has no value for it.
+    /// The text of its value; `None` if the object has no value for it.
     pub text: Option<String>,
 }
 
-/// Objects and patches whose fields have a text form.
+/// An object or patch whose fields can be written as text.
 pub trait FieldTexts {
     /// Returns the texts of the fields, in the order in which they are printed.
     fn field_texts(&self) -> Vec<FieldText>;
@@ -34,7 +34,7 @@
     FieldText { field, text: None }
 }
 
-/// Collects the fields that a patch holds.
+/// Collects the fields that a patch sets.
 #[derive(Default)]
 struct PatchTexts(Vec<FieldText>);
 
--- a/crates/chervilshunt_query/src/lib.rs
+++ b/crates/chervilshunt_query/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' language: text to typed statements and back.
+//! The operators' language: parses scripts into typed statements and prints statements as text.
 //!
-//! [`parse`] reads a script and gives statements whose changes are those of
-//! [`chervilshunt_model::Change`], or all errors with line, column and what was expected.
-//! [`Statement`] prints as text that parses to itself. `docs/LANGUAGE.md` gives the language whole.
+//! [`parse`] returns statements whose changes are [`chervilshunt_model::Change`]s, or all errors, each
+//! with its line, its column and what was expected. A printed [`Statement`] parses back to an equal
+//! statement. `docs/LANGUAGE.md` specifies the language.
 
 mod error;
 mod fields;
@@ -18,10 +18,10 @@
 pub use statement::{ChangeGroup, Condition, Op, Show, Statement};
 pub use table::{AGE_COLUMN, FROM_COLUMN, Table};
 
-/// Reads a script: statements with `;` between them.
+/// Parses a script: statements separated by `;`.
 ///
 /// # Errors
-/// Gives all errors that were found, in the order of the text.
+/// Returns all errors that were found, in the order of the text.
 pub fn parse(text: &str) -> Result<Vec<Statement>, Vec<QueryError>> {
     resolve::parse(text)
 }
--- a/crates/chervilshunt_query/src/print.rs
+++ b/crates/chervilshunt_query/src/print.rs
@@ -1,4 +1,4 @@
-//! Statements as text that parses to themselves.
+//! Prints statements as text that parses back to equal statements.
 
 use std::fmt;
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Returns the patch that draining and resuming stand for.
+/// Returns the patch that `drain target` and `resume target` are short for.
 pub(crate) fn to_lifecycle(lifecycle: Lifecycle) -> TargetPatch {
     TargetPatch {
         lifecycle: Some(lifecycle),
@@ -113,7 +113,7 @@
     Some(format!(" {}={}", field.field, word(&field.text?)))
 }
 
-/// Writes a name or value, in quotes where it needs them.
+/// Writes a name or value, quoted if it is empty or holds characters that a word can't.
 fn word(text: &str) -> String {
     if !text.is_empty() && text.chars().all(is_word_char) {
         text.to_owned()
--- a/crates/chervilshunt_query/src/resolve.rs
+++ b/crates/chervilshunt_query/src/resolve.rs
@@ -1,4 +1,4 @@
-//! From syntax to typed statements.
+//! Resolves parsed syntax to typed statements.
 
 use chervilshunt_model::{
     AdapterVersion, Change, Edit, Lifecycle, ObjectKind, Revision, Target, TargetPatch,
@@ -15,13 +15,13 @@
 use crate::token::{self, Spanned, Token};
 use crate::{ChangeGroup, Condition, Show, Statement, Table};
 
-/// Reads a script.
+/// Parses and resolves a script; returns all errors in the order of the text.
 pub(crate) fn parse(text: &str) -> Result<Vec<Statement>, Vec<QueryError>> {
     let (tokens, char_errors) = token::lexer().parse(text).into_output_errors();
     if !char_errors.is_empty() {
         return Err(char_errors
             .iter()
-            .map(|error| unreadable_text(text, error))
+            .map(|error| lexer_error(text, error))
             .collect());
     }
     let tokens = tokens.unwrap_or_default();
@@ -46,18 +46,18 @@
     Err(resolver.errors)
 }
 
-fn unreadable_text(text: &str, error: &Rich<'_, char>) -> QueryError {
+fn lexer_error(text: &str, error: &Rich<'_, char>) -> QueryError {
     let span = error.span();
     let quoted = text[..span.start()].matches('"').count() % 2 == 1;
     let (expected, hint) = if quoted {
         (
-            "\" at the end of the text in quotes",
-            "a text in quotes ends on its line; in it, write \\\" \\\\ \\n \\r \\t for \
-             quote, backslash, newline, return and tab",
+            "\" at the end of the quoted text",
+            "a quoted text ends on the line where it starts; in it, write \\\" \\\\ \\n \\r \\t for \
+             quote, backslash, newline, carriage return and tab",
         )
     } else {
         (
-            "a word, a text in quotes, ; { } = != or ~",
+            "a word, a quoted text, ; { } = != or ~",
             "put a name or value that holds other characters in quotes",
         )
     };
@@ -74,7 +74,7 @@
     let mut expected: Vec<_> = error.expected().filter_map(pattern_text).collect();
     expected.sort();
     expected.dedup();
-    // Where a statement may start, another semicolon is allowed, but helps nobody.
+    // Where a statement may start, another semicolon is allowed too, but is no useful suggestion.
     let starts = expected.iter().any(|word| word == "drain");
     let semicolon = Token::Semicolon.to_string();
     if starts {
@@ -197,7 +197,8 @@
         })
     }
 
-    /// Notes a `set` that can't mean anything; returns whether the change can be read on.
+    /// Records an error for a `set` of a version or without fields; returns whether the change can be
+    /// read further.
     fn may_set(&mut self, change: &RawChange) -> bool {
         if change.verb != Verb::Set {
             return true;
@@ -218,7 +219,7 @@
         true
     }
 
-    /// Reads the name of a version; other kinds have none.
+    /// Parses the name of a version, `ADAPTER@VERSION`; returns `None` for other kinds of objects.
     fn version_name(&mut self, change: &RawChange) -> Option<AdapterVersion> {
         if change.kind != ObjectKind::Version {
             return None;
@@ -240,7 +241,7 @@
     }
 }
 
-/// Reads what happens to an object; draining and resuming are a target's own.
+/// Reads the edit of an object; returns `None` for `drain` and `resume`, which only targets have.
 fn edit<'a, O, P>(
     verb: Verb,
     reader: &mut Reader<'a>,
--- a/crates/chervilshunt_query/src/statement.rs
+++ b/crates/chervilshunt_query/src/statement.rs
@@ -4,13 +4,13 @@
 
 use crate::Table;
 
-/// The text by which `where` names a cell that holds nothing.
+/// The text that `where` compares with for an empty cell.
 pub(crate) const NONE: &str = "none";
 
 /// One statement of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Statement {
-    /// A question.
+    /// A query.
     Show(Show),
     /// Changes that take effect together or not at all.
     Change(ChangeGroup),
@@ -21,12 +21,12 @@
 pub struct Show {
     /// The table.
     pub table: Table,
-    /// What has to hold of a row, all of it.
+    /// The conditions that a row must all satisfy.
     pub conditions: Vec<Condition>,
 }
 
 impl Show {
-    /// Returns whether a row is to be shown; `cell` gives the row's cell of a column.
+    /// Returns whether a row satisfies all conditions; `cell` returns the row's cell of a column.
     pub fn matches<'a>(&self, cell: impl Fn(&str) -> Option<&'a str>) -> bool {
         self.conditions
             .iter()
@@ -34,14 +34,14 @@
     }
 }
 
-/// What has to hold of one cell.
+/// A condition on one cell of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// The column.
     pub column: String,
-    /// How the cell is compared.
+    /// The comparison.
     pub op: Op,
-    /// What it is compared with.
+    /// The value that the cell is compared with.
     pub value: String,
 }
 
@@ -55,28 +55,29 @@
     }
 }
 
-/// How a cell is compared.
+/// A comparison of a cell with a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
-    /// `=`: the cell is the value.
+    /// `=`: the cell equals the value.
     Equal,
-    /// `!=`: the cell is another.
+    /// `!=`: the cell differs from the value.
     NotEqual,
-    /// `~`: the cell begins with the value.
+    /// `~`: the cell starts with the value.
     Prefix,
 }
 
 /// Changes that take effect together or not at all.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeGroup {
-    /// The revision that has to be in force.
+    /// The revision that must be in force for the changes to be accepted; any if `None`.
     pub expected: Option<Revision>,
-    /// The changes in their order; at least one.
+    /// The changes in the order in which they apply; at least one.
     pub changes: Vec<Change>,
 }
 
 impl ChangeGroup {
-    /// Gives the group an id, by which it is recognised when its answer is lost.
+    /// Returns the group as a change set with an id, so that it is recognised if it is sent again after
+    /// its answer was lost.
     pub fn into_change_set(self, id: ChangeId) -> ChangeSet {
         ChangeSet {
             id,
--- a/crates/chervilshunt_query/src/syntax.rs
+++ b/crates/chervilshunt_query/src/syntax.rs
@@ -1,4 +1,4 @@
-//! From tokens to syntax: statements whose fields and values are still text.
+//! Parses tokens into syntax: statements whose fields and values are still unchecked text.
 
 use chervilshunt_model::ObjectKind;
 use chumsky::input::{Input as _, ValueInput};
@@ -8,7 +8,7 @@
 use crate::statement::Op;
 use crate::token::{Spanned, Token};
 
-/// A statement as written.
+/// A parsed statement, before names and values are checked.
 #[derive(Clone, Debug)]
 pub(crate) enum Syntax {
     Show {
@@ -19,11 +19,11 @@
         expected: Option<Spanned<String>>,
         changes: Vec<RawChange>,
     },
-    /// What stands in place of a statement that could not be read.
+    /// The placeholder for a statement that could not be parsed.
     Unreadable,
 }
 
-/// A condition as written.
+/// A parsed condition, before its column is checked.
 #[derive(Clone, Debug)]
 pub(crate) struct RawCondition {
     pub(crate) column: Spanned<String>,
@@ -31,25 +31,25 @@
     pub(crate) value: Spanned<String>,
 }
 
-/// A change as written.
+/// A parsed change, before its name and fields are checked.
 #[derive(Clone, Debug)]
 pub(crate) struct RawChange {
     pub(crate) verb: Verb,
     pub(crate) kind: ObjectKind,
     pub(crate) name: Spanned<String>,
     pub(crate) assignments: Vec<Assignment>,
-    /// The end of the change, where missing fields would stand.
+    /// The byte offset of the end of the change, where errors on missing fields point.
     pub(crate) end: usize,
 }
 
-/// `FIELD=VALUE` as written.
+/// A parsed `FIELD=VALUE`, before either is checked.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     pub(crate) field: Spanned<String>,
     pub(crate) value: Spanned<String>,
 }
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verb {
     Create,
@@ -61,7 +61,7 @@
 
 type Error<'tokens, 'src> = extra::Err<Rich<'tokens, Token<'src>>>;
 
-/// Reads tokens as statements; gives what could be read beside the errors.
+/// Parses tokens into statements; returns those that could be parsed, and the errors.
 pub(crate) fn parse<'tokens, 'src: 'tokens>(
     tokens: &'tokens [Spanned<Token<'src>>],
     text_len: usize,
@@ -78,15 +78,16 @@
 {
     let semicolons = just(Token::Semicolon).repeated();
     statement()
-        .recover_with(via_parser(unreadable()))
+        .recover_with(via_parser(invalid_statement()))
         .separated_by(just(Token::Semicolon).repeated().at_least(1))
         .collect()
         .padded_by(semicolons)
         .then_ignore(end())
 }
 
-/// Skips to the end of a statement, over whole groups in braces.
-fn unreadable<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>>
+/// Recovers from a syntax error: skips to the end of the statement, over whole groups in braces.
+fn invalid_statement<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>>
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
--- a/crates/chervilshunt_query/src/table.rs
+++ b/crates/chervilshunt_query/src/table.rs
@@ -1,22 +1,22 @@
-//! What `show` can show.
+//! The tables that `show` can query.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The column that names the instance that said so.
+/// The column with the name of the instance that reported the row.
 pub const FROM_COLUMN: &str = "from";
 
-/// The column that says how old a row is, in milliseconds.
+/// The column with the age of a row in milliseconds.
 pub const AGE_COLUMN: &str = "age_ms";
 
-/// What `show` can show.
+/// A table that `show` can query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Table {
-    /// Adapters, each with the state that its versions have together.
+    /// Adapters, each with the combined state of its versions.
     Adapters,
-    /// Versions, each with its state: loaded, pending, draining or idle.
+    /// Adapter versions, each with its state: loaded, pending, draining or idle.
     Versions,
     /// Services.
     Services,
@@ -24,22 +24,22 @@
     Targets,
     /// Instances of the system with the roles that they hold.
     Instances,
-    /// Permits that are out.
+    /// Permits that are held.
     Permits,
     /// Adapter versions in the slots of targets: loaded, pending or draining.
     Loads,
-    /// Changes of configuration that were accepted of late, or are on their way.
+    /// Configuration changes that were accepted recently or are in progress.
     Changes,
     /// Priorities.
     Priorities,
-    /// Sites with their power.
+    /// Sites with their power caps and grants.
     Sites,
-    /// Weight stores with the loads in progress.
+    /// Weight stores with their loads in progress.
     Stores,
 }
 
 impl Table {
-    /// All tables, in the order in which the language's page lists them.
+    /// All tables, in the order in which `docs/LANGUAGE.md` lists them.
     pub const ALL: [Self; 11] = [
         Self::Adapters,
         Self::Versions,
@@ -54,7 +54,7 @@
         Self::Stores,
     ];
 
-    /// Returns the name that the language uses.
+    /// Returns the table's name in the language.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Adapters => "adapters",
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns whether `where` may name the column.
+    /// Returns whether the table has the column, and `where` may thus use it.
     pub fn has_column(self, name: &str) -> bool {
         self.columns().contains(&name) || name == FROM_COLUMN || name == AGE_COLUMN
     }
--- a/crates/chervilshunt_query/src/token.rs
+++ b/crates/chervilshunt_query/src/token.rs
@@ -1,18 +1,18 @@
-//! From text to tokens.
+//! Splits text into tokens.
 
 use std::fmt;
 
 use chumsky::prelude::*;
 
-/// A token, and the bytes of the text that it stands for.
+/// An item, such as a token, with its byte range in the text.
 pub(crate) type Spanned<T> = (T, SimpleSpan);
 
-/// The smallest parts of the language.
+/// A token of the language.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Token<'src> {
-    /// A keyword, name, field or value; which of them is known from where it stands.
+    /// A keyword, name, field or value; the parser decides which from the position.
     Word(&'src str),
-    /// A name or value in quotes, without them and with its escapes resolved.
+    /// A quoted name or value, without the quotes and with its escapes resolved.
     Quoted(String),
     /// `;`
     Semicolon,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns whether a character may stand in a word without quotes.
+/// Returns whether a character is allowed in an unquoted word.
 pub(crate) const fn is_word_char(c: char) -> bool {
     c.is_ascii_alphanumeric()
         || matches!(
@@ -52,7 +52,7 @@
         )
 }
 
-/// Puts a text in quotes, with escapes.
+/// Quotes and escapes a text.
 pub(crate) fn quote(text: &str) -> String {
     let mut quoted = String::with_capacity(text.len() + 2);
     quoted.push('"');
@@ -70,7 +70,7 @@
     quoted
 }
 
-/// Reads a text as tokens; white space and comments separate them.
+/// Returns the lexer, which splits a text into tokens separated by white space and comments.
 pub(crate) fn lexer<'src>()
 -> impl Parser<'src, &'src str, Vec<Spanned<Token<'src>>>, extra::Err<Rich<'src, char>>> {
     let word = any()
--- a/crates/chervilshunt_query/tests/language_page.rs
+++ b/crates/chervilshunt_query/tests/language_page.rs
@@ -1,4 +1,4 @@
-//! The page of the language says what the code does.
+//! Checks that `docs/LANGUAGE.md` and the page of recipes agree with the code.
 
 use chervilshunt_model::{ChangeId, Deployment, ObjectKind, Revision};
 use chervilshunt_query::{FieldSpec, Statement, Table, fields_of, parse, render_errors};
@@ -14,7 +14,8 @@
         .collect()
 }
 
-/// The examples build on each other: all changes of the page apply, in its order.
+/// The examples of the page build on each other, so their changes are applied in order to one
+/// deployment.
 #[test]
 fn examples_apply_in_order() {
     let mut deployment = Deployment::default();
--- a/crates/chervilshunt_query/tests/round_trip.rs
+++ b/crates/chervilshunt_query/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Properties of the language: it never panics, and what it prints it reads back.
+//! Property tests: the parser never panics, and printed statements parse back to equal statements.
 
 use chervilshunt_model::{
     Adapter, AdapterPatch, AdapterVersion, Change, Class, Edit, Fencing, Lifecycle, Priority,
@@ -15,10 +15,11 @@
 
 const SEED: u64 = 7;
 
-/// Any text but an empty one; names with strange characters are refused later, by the deployment.
+/// Generates any text but an empty one or `none`; the deployment, not the parser, refuses names with
+/// unusual characters.
 fn name() -> impl Strategy<Value = String> {
     prop_oneof![4 => "[a-z0-9._-]{1,12}", 1 => "\\PC{1,8}", 1 => "[\"\\\\\n\t\r #;={}]{1,6}"]
-        .prop_filter("none names no object", |name| name != "none")
+        .prop_filter("none refers to no object", |name| name != "none")
 }
 
 fn name_of<T: for<'a> From<&'a str> + std::fmt::Debug>() -> impl Strategy<Value = T> {
@@ -223,8 +224,8 @@
     })
 }
 
-/// Scripts that are nearly right reach further into the parser than random texts do.
-fn nearly_a_script() -> impl Strategy<Value = String> {
+/// Generates sequences of valid words, which get further into the parser than random text does.
+fn almost_valid_script() -> impl Strategy<Value = String> {
     let word = select(vec![
         "show",
         "create",
@@ -285,12 +286,12 @@
     }
 
     #[test]
-    fn nearly_right_scripts_never_panic(text in nearly_a_script()) {
+    fn almost_valid_scripts_never_panic(text in almost_valid_script()) {
         check_errors(&text);
     }
 }
 
-/// Errors point into the text, and what is no error prints and parses to itself.
+/// Checks that errors point into the text, and that valid statements survive printing and parsing.
 fn check_errors(text: &str) {
     match parse(text) {
         Ok(statements) => {
--- a/crates/chervilshunt_query/tests/statements.rs
+++ b/crates/chervilshunt_query/tests/statements.rs
@@ -1,4 +1,4 @@
-//! What statements mean, and how errors in them read.
+//! Tests of what statements parse to, and of the error texts for invalid ones.
 
 use chervilshunt_model::{
     AdapterVersion, Change, Edit, Fencing, Lifecycle, Revision, TargetPatch, Version,
@@ -27,7 +27,7 @@
 fn show(text: &str) -> Show {
     match only(text) {
         Statement::Show(show) => show,
-        Statement::Change(group) => panic!("{group} is no question"),
+        Statement::Change(group) => panic!("{group} is no query"),
     }
 }
 
@@ -62,7 +62,7 @@
     else {
         panic!("a target is created");
     };
-    // A target that is not known to check fencing numbers has to be treated as one that does not.
+    // Unless configured, a target must be assumed not to check fencing tokens.
     assert_eq!(target.fencing, Fencing::Ignores);
     assert_eq!(target.lifecycle, Lifecycle::Active);
     assert_eq!((target.slots, target.idle_watts), (0, 0.0));
@@ -201,7 +201,7 @@
     "several",
     "show slots;\ndrain target lm-1;\nset site mill cap_watts=x; { delete adapter; drain target lm-2 }; show targets where a = b"
 )]
-fn errors_point_at_the_place(#[case] name: &str, #[case] text: &str) {
+fn errors_point_at_their_position(#[case] name: &str, #[case] text: &str) {
     let errors = parse(text).expect_err("the script has faults");
     insta::assert_snapshot!(name, render_errors(text, "script", &errors));
 }
