--- a/crates/chervilshunt_config/src/check.rs
+++ b/crates/chervilshunt_config/src/check.rs
@@ -1,4 +1,4 @@
-//! From text to checked settings, with all that is wrong listed at once.
+//! Parses and validates the text of a settings file, and collects all problems in one pass.
 
 use std::net::SocketAddr;
 use std::num::NonZero;
@@ -14,14 +14,14 @@
 
 use crate::error::{Problem, SettingsError, WrongSnafu};
 use crate::keys::{MAX_NAME_LEN, SECTIONS, Shape, find_key, find_section};
-use crate::locate::{Place, duplicates, place_at, place_of};
+use crate::locate::{Position, duplicates, position_at, position_of};
 use crate::raw::{RawLease, RawLimits, RawPlatform, RawSettings};
 use crate::settings::{
     Addresses, Advertise, InstanceSettings, KeyedDuringOutage, LeaseSettings, Limits, LogLevel,
     LogSettings, OutageSettings, PlatformSettings, QueueBounds, RuntimeSettings, Settings,
 };
 
-/// Comments and trailing commas are all that goes beyond JSON, so that editors' JSONC modes agree.
+/// Only comments and trailing commas are allowed beyond JSON, as in the JSONC modes of editors.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -32,10 +32,10 @@
     allow_unary_plus_numbers: false,
 };
 
-/// Sections hold keys, and keys hold no objects.
+/// The depth of a key's path: `section.key`; the values of keys are not objects.
 const KEY_DEPTH: usize = 2;
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 pub(crate) fn check(text: &str, file: &str) -> Result<Settings, SettingsError> {
     let (settings, problems) = resolve_text(text);
     match settings {
@@ -48,16 +48,22 @@
     let root = match parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS) {
         Ok(parsed) => parsed.value,
         Err(error) => {
-            let place = place_at(text, error.range().start);
-            return (None, vec![no_json(place, &error.kind().to_string())]);
+            let position = position_at(text, error.range().start);
+            return (None, vec![not_json(position, &error.kind().to_string())]);
         }
     };
     let Some(root) = root else {
-        return (None, vec![no_json(place_at(text, 0), "the file is empty")]);
+        return (
+            None,
+            vec![not_json(position_at(text, 0), "the file is empty")],
+        );
     };
     if root.as_object().is_none() {
-        let place = place_at(text, root.start());
-        return (None, vec![no_json(place, "the file holds no object")]);
+        let position = position_at(text, root.start());
+        return (
+            None,
+            vec![not_json(position, "the file does not hold a JSON object")],
+        );
     }
     let mut checker = Checker {
         text,
@@ -65,7 +71,7 @@
         problems: Vec::new(),
     };
     for (path, offset) in duplicates(&root) {
-        checker.problem_at(place_at(text, offset), &path, "the key stands here again");
+        checker.problem_at(position_at(text, offset), &path, "duplicate key");
     }
     let raw = checker.read_raw();
     let settings = checker.resolve(&raw);
@@ -74,10 +80,10 @@
     (Some(settings), problems)
 }
 
-fn no_json(place: Place, message: &str) -> Problem {
+fn not_json(position: Position, message: &str) -> Problem {
     Problem {
-        line: place.line,
-        column: place.column,
+        line: position.line,
+        column: position.column,
         key: String::new(),
         message: message.to_owned(),
         allowed: "one JSON object, with comments and trailing commas".to_owned(),
@@ -91,13 +97,13 @@
 }
 
 impl Checker<'_> {
-    /// Reads all that can be read, and notes what can't.
+    /// Deserializes all valid values, and records a problem for each of the others.
     ///
-    /// Deserialization stops at the first error; taking out what it stopped at and trying again
-    /// gives all errors in one go.
+    /// Deserialization stops at the first error, so the offending value is removed and
+    /// deserialization repeated until it succeeds; this finds all errors in one run.
     fn read_raw(&mut self) -> RawSettings {
         let mut value = Value::from(self.root.clone());
-        self.take_out_non_objects(&mut value);
+        self.remove_non_objects(&mut value);
         loop {
             let error = match serde_path_to_error::deserialize::<_, RawSettings>(&value) {
                 Ok(raw) => return raw,
@@ -110,20 +116,20 @@
                 return RawSettings::default();
             };
             let message = if names.len() == KEY_DEPTH && find_key(&path).is_some() {
-                format!("{removed} can't be taken")
+                format!("invalid value {removed}")
             } else {
-                "there is no such key".to_owned()
+                "unknown key".to_owned()
             };
             self.problem(&path, &message);
         }
     }
 
-    /// Takes out sections that are no objects: serde would read an array as a struct.
-    fn take_out_non_objects(&mut self, value: &mut Value) {
+    /// Removes sections that are not objects, because serde would accept an array as a struct.
+    fn remove_non_objects(&mut self, value: &mut Value) {
         for section in SECTIONS {
             let found = value.get(section.name);
             if found.is_some_and(|found| !found.is_object()) {
-                self.problem(section.name, "the section is no object");
+                self.problem(section.name, "the section is not an object");
                 remove(value, &[section.name]);
             }
         }
@@ -175,9 +181,9 @@
         for (index, (path, address)) in named.iter().enumerate() {
             let earlier = named[..index]
                 .iter()
-                .find(|(_, other)| clash(*address, *other));
+                .find(|(_, other)| conflicts(*address, *other));
             if let Some((other_path, other)) = earlier {
-                let message = format!("{address} clashes with {other_path}, which is {other}");
+                let message = format!("{address} conflicts with {other_path}, which is {other}");
                 self.problem(path, &message);
             }
         }
@@ -219,7 +225,7 @@
             renew_every: self.millis("lease.renew_ms", raw.renew_ms),
             margin: self.millis("lease.margin_ms", raw.margin_ms),
         };
-        // One lost renewal must not cost an instance its roles.
+        // An instance must keep its roles if a single renewal is lost.
         if lease.renew_every * 2 + lease.margin > lease.duration {
             let message = format!(
                 "{} ms is too short: two renewals of {} ms and the margin of {} ms don't fit into it",
@@ -238,7 +244,7 @@
             batch_efficiency: self.number("policy.batch_efficiency", raw.policy.batch_efficiency),
         };
         if weights.load_stalls == 0.0 && weights.batch_efficiency == 0.0 {
-            let message = "both weights are 0, so that nothing decides; give one of them a value";
+            let message = "both weights are 0; set at least one above 0";
             self.problem("policy.load_stalls", message);
         }
         weights
@@ -257,7 +263,7 @@
         };
         let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if name.is_empty() || name.len() > MAX_NAME_LEN || !name.chars().all(allowed) {
-            self.problem(path, &format!("{name:?} is no name"));
+            self.problem(path, &format!("{name:?} is not a valid name"));
         }
         name.to_owned()
     }
@@ -271,36 +277,36 @@
 
     fn advertised(&mut self, path: &str, raw: Option<SocketAddr>) -> Option<SocketAddr> {
         if let Some(address) = raw.filter(|address| address.port() == 0) {
-            self.problem(path, &format!("nobody can connect to {address}"));
+            self.problem(path, &format!("no instance can connect to {address}"));
         }
         raw
     }
 
-    /// Notes that a required key is absent, and returns the default of one that isn't required.
+    /// Returns the default of a key that is absent; records a problem if the key is required.
     fn absent(&mut self, path: &str) -> &'static str {
         match find_key(path).map(|key| key.shape) {
             Some(Shape::Name { default }) => default,
             _ => {
-                self.problem(path, "the key is missing");
+                self.problem(path, "missing required key");
                 ""
             }
         }
     }
 
     fn millis(&mut self, path: &str, raw: Option<u64>) -> Duration {
-        Duration::from_millis(self.whole(path, raw))
+        Duration::from_millis(self.integer(path, raw))
     }
 
     fn count(&mut self, path: &str, raw: Option<u64>) -> usize {
-        usize::try_from(self.whole(path, raw)).unwrap_or(usize::MAX)
+        usize::try_from(self.integer(path, raw)).unwrap_or(usize::MAX)
     }
 
-    fn whole(&mut self, path: &str, raw: Option<u64>) -> u64 {
-        let Some(Shape::Whole {
+    fn integer(&mut self, path: &str, raw: Option<u64>) -> u64 {
+        let Some(Shape::Integer {
             default, min, max, ..
         }) = find_key(path).map(|key| key.shape)
         else {
-            unreachable!("{path} is no whole number in the table of keys");
+            unreachable!("{path} is not an integer in the table of keys");
         };
         let value = raw.unwrap_or(default);
         if value < min || value > max {
@@ -311,7 +317,7 @@
 
     fn number(&mut self, path: &str, raw: Option<f64>) -> f64 {
         let Some(Shape::Number { default, min, max }) = find_key(path).map(|key| key.shape) else {
-            unreachable!("{path} is no number in the table of keys");
+            unreachable!("{path} is not a number in the table of keys");
         };
         let value = raw.unwrap_or(default);
         if !(min..=max).contains(&value) {
@@ -321,21 +327,21 @@
     }
 
     fn problem(&mut self, path: &str, message: &str) {
-        let place = place_of(self.text, self.root, path);
-        self.problem_at(place, path, message);
+        let position = position_of(self.text, self.root, path);
+        self.problem_at(position, path, message);
     }
 
-    fn problem_at(&mut self, place: Place, path: &str, message: &str) {
-        // What could not be read counts as absent later on; the first finding tells more, and so
-        // does one on the whole section.
+    fn problem_at(&mut self, position: Position, path: &str, message: &str) {
+        // A value that could not be read is treated as absent later and would be reported again. The
+        // first problem of the key, or one of its whole section, is more specific.
         let section = path.split('.').next().unwrap_or(path);
-        let known = |problem: &Problem| problem.key == path || problem.key == section;
-        if self.problems.iter().any(known) {
+        let reported = |problem: &Problem| problem.key == path || problem.key == section;
+        if self.problems.iter().any(reported) {
             return;
         }
         self.problems.push(Problem {
-            line: place.line,
-            column: place.column,
+            line: position.line,
+            column: position.column,
             key: path.to_owned(),
             message: message.to_owned(),
             allowed: allowed_at(path),
@@ -343,8 +349,8 @@
     }
 }
 
-/// Returns whether two listeners can't both be opened.
-fn clash(one: SocketAddr, other: SocketAddr) -> bool {
+/// Returns whether two listeners can't both be opened because their addresses overlap.
+fn conflicts(one: SocketAddr, other: SocketAddr) -> bool {
     let same_ip =
         one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() != 0 && one.port() == other.port() && same_ip
@@ -357,7 +363,7 @@
     }
 }
 
-/// Says what is allowed at a path: the values of a key, or the keys of a section.
+/// Describes what is allowed at a path: the values of a key, or the keys of a section.
 fn allowed_at(path: &str) -> String {
     if let Some(key) = find_key(path) {
         return key.shape.allowed();
@@ -375,7 +381,7 @@
     }
 }
 
-/// Takes out the value that the names lead to, if it is there.
+/// Removes the value at a path of names; returns it if it existed.
 fn remove(value: &mut Value, names: &[&str]) -> Option<Value> {
     let (last, parents) = names.split_last()?;
     let parent = parents
--- a/crates/chervilshunt_config/src/defaults.rs
+++ b/crates/chervilshunt_config/src/defaults.rs
@@ -1,10 +1,11 @@
-//! The file of defaults.
+//! The commented file of default settings.
 
 use crate::keys::{Key, SECTIONS, Section};
 
-/// Writes a commented settings file that holds every key with its default.
+/// Returns a commented settings file that holds every key with its default.
 ///
-/// Keys without a default hold an example and say so. [`crate::Settings::parse`] accepts the file.
+/// Required keys have no default; they hold an example, and their comment says so.
+/// [`crate::Settings::parse`] accepts the file.
 pub fn print_defaults() -> String {
     let sections: Vec<_> = SECTIONS.iter().map(section_text).collect();
     format!(
--- a/crates/chervilshunt_config/src/error.rs
+++ b/crates/chervilshunt_config/src/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with a settings file.
+//! Errors in a settings file.
 
 use std::fmt;
 
 use snafu::Snafu;
 
-/// Why settings were not taken.
+/// Why settings could not be loaded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
@@ -15,33 +15,33 @@
          one with --print-defaults"
     ))]
     Read {
-        /// The file.
+        /// The path or name of the file.
         file: String,
-        /// Why it can't be read.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file was read, but some of it can't be taken.
+    /// The file was read, but its content is invalid.
     #[snafu(display("{}", Listed { file, problems }))]
     Wrong {
-        /// The file.
+        /// The path or name of the file.
         file: String,
-        /// All that is wrong, in the order of the file.
+        /// All problems, in the order of the file.
         problems: Vec<Problem>,
     },
 }
 
-/// One thing that is wrong with a settings file.
+/// One problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The line, from 1.
+    /// The line, starting at 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
-    /// The key, as `section.key`; empty if the text is no JSON.
+    /// The path of the key, as `section.key`, or the section; empty if the text is not a JSON object.
     pub key: String,
-    /// What is wrong.
+    /// The problem.
     pub message: String,
-    /// What is allowed there.
+    /// The values or keys that are allowed at this position.
     pub allowed: String,
 }
 
--- a/crates/chervilshunt_config/src/keys.rs
+++ b/crates/chervilshunt_config/src/keys.rs
@@ -1,8 +1,8 @@
-//! The table of keys: what each is for, its default and what it allows.
+//! The table of keys: the purpose, default and allowed values of each.
 //!
-//! Checks, error texts and the file of defaults all read this table, so that they can't disagree.
+//! Validation, error texts and the file of defaults all use this table, so that they agree.
 
-/// One section of the file.
+/// A section of the file.
 #[derive(Debug)]
 pub(crate) struct Section {
     pub(crate) name: &'static str,
@@ -10,7 +10,7 @@
     pub(crate) keys: &'static [Key],
 }
 
-/// One key of a section.
+/// A key of a section.
 #[derive(Debug)]
 pub(crate) struct Key {
     pub(crate) name: &'static str,
@@ -18,27 +18,27 @@
     pub(crate) shape: Shape,
 }
 
-/// What a key allows.
+/// The type, bounds and default of a key's value.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Shape {
-    /// A name that has to be given; the example stands in the file of defaults.
+    /// A required name; the file of defaults shows the example.
     RequiredName { example: &'static str },
     /// A name with a default.
     Name { default: &'static str },
-    /// An `IP:PORT` that has to be given.
+    /// A required `IP:PORT`; the file of defaults shows the example.
     RequiredAddress { example: &'static str },
-    /// An `IP:PORT` that may be left out.
+    /// An optional `IP:PORT`.
     OptionalAddress,
-    /// A whole number.
-    Whole {
+    /// An integer within bounds, both included.
+    Integer {
         default: u64,
         min: u64,
         max: u64,
         unit: &'static str,
     },
-    /// A number.
+    /// A number within bounds, both included.
     Number { default: f64, min: f64, max: f64 },
-    /// One of some words.
+    /// One of a fixed set of words.
     Word {
         default: &'static str,
         words: &'static [&'static str],
@@ -46,7 +46,7 @@
 }
 
 impl Shape {
-    /// Says in words what is allowed.
+    /// Describes the allowed values for operators.
     pub(crate) fn allowed(self) -> String {
         match self {
             Self::RequiredName { .. } | Self::Name { .. } => {
@@ -58,7 +58,7 @@
             Self::OptionalAddress => {
                 "null, or a text \"IP:PORT\" or \"[IPv6]:PORT\" with a port above 0".to_owned()
             }
-            Self::Whole { min, max, unit, .. } => {
+            Self::Integer { min, max, unit, .. } => {
                 format!("a whole number from {min} to {max}{unit}")
             }
             Self::Number { min, max, .. } => format!("a number from {min} to {max}"),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Writes the default, or the example of a required key, as JSON.
+    /// Returns the default, or the example of a required key, as JSON.
     pub(crate) fn default_json(self) -> String {
         match self {
             Self::RequiredName { example: text }
@@ -77,12 +77,12 @@
             | Self::Name { default: text }
             | Self::Word { default: text, .. } => format!("\"{text}\""),
             Self::OptionalAddress => "null".to_owned(),
-            Self::Whole { default, .. } => default.to_string(),
+            Self::Integer { default, .. } => default.to_string(),
             Self::Number { default, .. } => format!("{default:?}"),
         }
     }
 
-    /// Returns whether the key has to be given.
+    /// Returns whether the key is required.
     pub(crate) const fn required(self) -> bool {
         matches!(
             self,
@@ -91,7 +91,7 @@
     }
 }
 
-/// The longest name, in bytes; Kubernetes allows no longer one for an object.
+/// The maximum length of a name in bytes, which is that of the name of a Kubernetes object.
 pub(crate) const MAX_NAME_LEN: usize = 253;
 
 const MS: &str = " (milliseconds)";
@@ -106,8 +106,8 @@
     }
 }
 
-const fn whole(default: u64, min: u64, max: u64, unit: &'static str) -> Shape {
-    Shape::Whole {
+const fn integer(default: u64, min: u64, max: u64, unit: &'static str) -> Shape {
+    Shape::Integer {
         default,
         min,
         max,
@@ -119,11 +119,11 @@
     Shape::Number { default, min, max }
 }
 
-/// All sections in the order in which they are printed.
+/// All sections, in the order in which they are printed.
 pub(crate) const SECTIONS: &[Section] = &[
     Section {
         name: "instance",
-        comment: "Who this instance is and where it stands.",
+        comment: "The identity and location of this instance.",
         keys: &[
             key(
                 "id",
@@ -173,7 +173,7 @@
     },
     Section {
         name: "advertise",
-        comment: "What others are told instead, where they can't use the addresses above.",
+        comment: "Addresses that others use to connect, where they can't use the ones above.",
         keys: &[key(
             "peers",
             "Where other instances connect; null is addresses.peers.",
@@ -182,7 +182,7 @@
     },
     Section {
         name: "platform",
-        comment: "The platform's object service, which holds all that has to last.",
+        comment: "The platform's object service, which stores all persistent state.",
         keys: &[
             key(
                 "address",
@@ -201,7 +201,7 @@
             key(
                 "timeout_ms",
                 "How long a call may take; then its outcome counts as unknown and is read back.",
-                whole(2_000, 50, 60_000, MS),
+                integer(2_000, 50, 60_000, MS),
             ),
             key(
                 "calls_per_second",
@@ -217,47 +217,47 @@
             key(
                 "body_bytes",
                 "The longest body of a request; a longer one gets 413.",
-                whole(1_048_576, 1_024, 67_108_864, BYTES),
+                integer(1_048_576, 1_024, 67_108_864, BYTES),
             ),
             key(
                 "header_bytes",
                 "The longest head of a request; a longer one gets 431.",
-                whole(8_192, 8_192, 1_048_576, BYTES),
+                integer(8_192, 8_192, 1_048_576, BYTES),
             ),
             key(
                 "header_timeout_ms",
                 "How long the head of a request may take to arrive.",
-                whole(5_000, 100, 120_000, MS),
+                integer(5_000, 100, 120_000, MS),
             ),
             key(
                 "body_timeout_ms",
                 "How long the body of a request may take to arrive; then the caller gets 408.",
-                whole(10_000, 100, 600_000, MS),
+                integer(10_000, 100, 600_000, MS),
             ),
             key(
                 "open_requests",
                 "The most requests open at a time; one more gets 429 and Retry-After.",
-                whole(2_000, 1, 1_000_000, COUNT),
+                integer(2_000, 1, 1_000_000, COUNT),
             ),
             key(
                 "queue_live",
                 "The most live requests that wait for one target.",
-                whole(64, 1, 100_000, COUNT),
+                integer(64, 1, 100_000, COUNT),
             ),
             key(
                 "queue_deferrable",
                 "The most deferrable requests that wait for one target.",
-                whole(512, 1, 100_000, COUNT),
+                integer(512, 1, 100_000, COUNT),
             ),
             key(
                 "stream_buffer_bytes",
                 "The most of an answer that is held for a slow caller; then the target waits.",
-                whole(8_192, 1_024, 1_048_576, BYTES),
+                integer(8_192, 1_024, 1_048_576, BYTES),
             ),
             key(
                 "shutdown_ms",
                 "How long a graceful shutdown waits for open streams before it cuts them.",
-                whole(600_000, 0, 86_400_000, MS),
+                integer(600_000, 0, 86_400_000, MS),
             ),
             key(
                 "retry_budget_ratio",
@@ -267,34 +267,34 @@
             key(
                 "permit_window_ms",
                 "The time within which a permit has to be used.",
-                whole(1_000, 50, 10_000, MS),
+                integer(1_000, 50, 10_000, MS),
             ),
         ],
     },
     Section {
         name: "lease",
-        comment: "The lease by which this instance shows that it lives. Equal on all instances.",
+        comment: "The lease that this instance renews to show that it is alive. Equal on all instances.",
         keys: &[
             key(
                 "duration_ms",
                 "How long after its last renewal others take its roles over.",
-                whole(15_000, 500, 300_000, MS),
+                integer(15_000, 500, 300_000, MS),
             ),
             key(
                 "renew_ms",
                 "How often it is renewed; two renewals and the margin fit into the duration.",
-                whole(5_000, 50, 100_000, MS),
+                integer(5_000, 50, 100_000, MS),
             ),
             key(
                 "margin_ms",
                 "How much earlier than its end the holder stops giving orders.",
-                whole(1_500, 10, 60_000, MS),
+                integer(1_500, 10, 60_000, MS),
             ),
         ],
     },
     Section {
         name: "policy",
-        comment: "What the deployment minds most; only the ratio counts. Equal on all instances.",
+        comment: "Weights of the scheduling policy; only their ratio counts. Equal on all instances.",
         keys: &[
             key(
                 "load_stalls",
@@ -310,7 +310,7 @@
     },
     Section {
         name: "outage",
-        comment: "What happens while the platform is out of reach.",
+        comment: "Behaviour while the platform is unreachable.",
         keys: &[key(
             "keyed_requests",
             "A non-idempotent request with a key: \"refuse\" it at once, or \"queue\" it.",
@@ -326,7 +326,7 @@
         keys: &[key(
             "traffic_threads",
             "Threads that carry traffic, beside the one for control state; 0 is one a core.",
-            whole(0, 0, 1_024, COUNT),
+            integer(0, 0, 1_024, COUNT),
         )],
     },
     Section {
--- a/crates/chervilshunt_config/src/locate.rs
+++ b/crates/chervilshunt_config/src/locate.rs
@@ -1,27 +1,27 @@
-//! Where in the file a key stands.
+//! Finds the positions of keys in the file.
 
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 
-/// A place in a text, both parts from 1.
+/// A position in a text; line and column start at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     pub(crate) line: usize,
     pub(crate) column: usize,
 }
 
-/// Turns a byte offset into line and column; the column counts characters.
-pub(crate) fn place_at(text: &str, offset: usize) -> Place {
+/// Converts a byte offset to a line and a column in characters.
+pub(crate) fn position_at(text: &str, offset: usize) -> Position {
     let before = text.get(..offset).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |index| index + 1);
-    Place {
+    Position {
         line: before.matches('\n').count() + 1,
         column: before[line_start..].chars().count() + 1,
     }
 }
 
-/// Finds the place of the key at `path`, or of the innermost part of it that is there.
-pub(crate) fn place_of(text: &str, root: &Value<'_>, path: &str) -> Place {
+/// Returns the position of the key at `path`, or of the innermost part of the path that exists.
+pub(crate) fn position_of(text: &str, root: &Value<'_>, path: &str) -> Position {
     let mut offset = root.start();
     let mut value = Some(root);
     for name in path.split('.') {
@@ -34,10 +34,11 @@
         offset = property.range.start;
         value = Some(&property.value);
     }
-    place_at(text, offset)
+    position_at(text, offset)
 }
 
-/// Finds keys that stand twice in the same object, with their paths and offsets.
+/// Finds keys that occur more than once in the same object; returns the path and byte offset of each
+/// repetition.
 pub(crate) fn duplicates(root: &Value<'_>) -> Vec<(String, usize)> {
     let mut found = Vec::new();
     if let Some(object) = root.as_object() {
--- a/crates/chervilshunt_config/src/raw.rs
+++ b/crates/chervilshunt_config/src/raw.rs
@@ -1,4 +1,4 @@
-//! Settings as written: everything may be absent, nothing unknown may be there.
+//! Settings as they are deserialized: every key is optional, unknown keys are errors.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod tests;
 
-/// A settings file as written.
+/// A settings file before validation.
 ///
-/// `Serialize` is there for a test: each field here has to have its entry in the table of keys.
+/// `Serialize` is derived for a test, which checks that each field has an entry in the table of keys.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawSettings {
--- a/crates/chervilshunt_config/src/raw/tests.rs
+++ b/crates/chervilshunt_config/src/raw/tests.rs
@@ -1,4 +1,4 @@
-//! The raw settings and the table of keys know the same keys.
+//! Checks that the raw settings and the table of keys hold the same keys.
 
 use std::collections::BTreeSet;
 
--- a/crates/chervilshunt_config/src/settings.rs
+++ b/crates/chervilshunt_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings, as the daemon uses them.
+//! Validated settings, as the daemon uses them.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,55 +13,55 @@
 use crate::check;
 use crate::error::{ReadSnafu, SettingsError};
 
-/// Everything that one instance learns from its settings; all values are within their bounds.
+/// The settings of an instance; all values are within their bounds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who this instance is and where it stands.
+    /// The identity and location of this instance.
     pub instance: InstanceSettings,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub addresses: Addresses,
-    /// What others are told of where it listens.
+    /// The addresses that others use to connect to it.
     pub advertise: Advertise,
-    /// How it reaches the platform's object service.
+    /// The connection to the platform's object service.
     pub platform: PlatformSettings,
-    /// Bounds on what callers may use.
+    /// Limits on the resources that callers use.
     pub limits: Limits,
-    /// The lease that it renews to show that it lives.
+    /// The lease that it renews to show that it is alive.
     pub lease: LeaseSettings,
-    /// What the deployment minds most.
+    /// The weights of the scheduling policy.
     pub policy: PolicyWeights,
-    /// What happens while the platform is out of reach.
+    /// The behaviour while the platform is unreachable.
     pub outage: OutageSettings,
-    /// Threads of the process.
+    /// The threads of the process.
     pub runtime: RuntimeSettings,
-    /// What it writes to its log.
+    /// The settings of its log.
     pub log: LogSettings,
 }
 
 impl Settings {
-    /// Reads and checks the settings file at `path`.
+    /// Reads and validates the settings file at `path`.
     ///
     /// # Errors
-    /// Fails if the file can't be read, or lists all that is wrong with it.
+    /// Returns an error if the file can't be read, or one that lists all problems in it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).context(ReadSnafu { file: &file })?;
         Self::parse(&text, &file)
     }
 
-    /// Checks the text of a settings file; `file` is the name that errors give.
+    /// Parses and validates the text of a settings file; `file` is its name in errors.
     ///
     /// # Errors
-    /// Lists all that is wrong with the text.
+    /// Returns an error that lists all problems in the text.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsError> {
         check::check(text, file)
     }
 }
 
-/// Who an instance is and where it stands.
+/// The identity and location of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceSettings {
-    /// Its name, unlike that of any other instance.
+    /// Its name, which is unique among all instances.
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -69,63 +69,64 @@
     pub region: RegionName,
 }
 
-/// The addresses that an instance listens on; port 0 takes any free port.
+/// The addresses that an instance listens on; with port 0 the system chooses a free port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where callers send requests.
+    /// The address for requests of callers.
     pub callers: SocketAddr,
-    /// Where other instances connect.
+    /// The address for connections of other instances.
     pub peers: SocketAddr,
-    /// Where operators send statements.
+    /// The address for statements of operators.
     pub operators: SocketAddr,
 }
 
-/// What others are told of where an instance listens.
+/// The addresses that others use to connect to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Advertise {
-    /// Where other instances connect, if it is not the address that the instance listens on.
+    /// The address for connections of other instances, if they can't use the one that the instance
+    /// listens on.
     pub peers: Option<SocketAddr>,
 }
 
-/// How the platform's object service is reached.
+/// The connection to the platform's object service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
     /// Its address.
     pub address: SocketAddr,
     /// The namespace that holds the deployment's objects.
     pub namespace: Arc<str>,
-    /// How long a call may take.
+    /// The time-out of a call.
     pub timeout: Duration,
-    /// The most calls that this instance makes a second.
+    /// The maximum number of calls per second of this instance.
     pub calls_per_second: f64,
 }
 
-/// Bounds on what callers may use of an instance.
+/// Limits on the resources of an instance that callers use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The longest head of a request, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// How long the head of a request may take to arrive.
+    /// The time within which the head of a request must arrive.
     pub header_timeout: Duration,
-    /// How long the body of a request may take to arrive.
+    /// The time within which the body of a request must arrive.
     pub body_timeout: Duration,
-    /// The most requests that are open at a time.
+    /// The maximum number of open requests.
     pub open_requests: usize,
-    /// The most requests that wait for one target.
+    /// The maximum number of requests that wait for one target.
     pub queue: QueueBounds,
-    /// The most of an answer that is held for a slow caller, in bytes.
+    /// The maximum size of the part of an answer that is buffered for a slow caller, in bytes.
     pub stream_buffer_bytes: usize,
-    /// How long a graceful shutdown waits for open streams.
+    /// The time that a graceful shutdown waits for open streams.
     pub shutdown: Duration,
-    /// The most retries, as a share of first tries.
+    /// The maximum number of retries, as a ratio to first attempts.
     pub retry_budget_ratio: f64,
-    /// The time within which a permit has to be used.
+    /// The time within which a permit must be used.
     pub permit_window: Duration,
 }
 
-/// The most requests of each class that wait for one target.
+/// The maximum number of requests of each class that wait for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueBounds {
     /// For live requests.
@@ -134,61 +135,61 @@
     pub deferrable: usize,
 }
 
-/// The lease that an instance renews to show that it lives.
+/// The lease that an instance renews to show that it is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// How long the lease holds from before its renewal was sent.
+    /// The duration of the lease, counted from just before its renewal is sent.
     pub duration: Duration,
-    /// How often it is renewed.
+    /// The interval between renewals.
     pub renew_every: Duration,
-    /// How much earlier than the lease's end the holder stops relying on it.
+    /// The time before the end of the lease at which the holder stops relying on it.
     pub margin: Duration,
 }
 
-/// What happens while the platform is out of reach.
+/// The behaviour while the platform is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageSettings {
-    /// What a keyed, non-idempotent request gets.
+    /// How non-idempotent requests with an idempotency key are handled.
     pub keyed_requests: KeyedDuringOutage,
 }
 
-/// What a keyed, non-idempotent request gets while its claim can't be recorded.
+/// How a non-idempotent request with an idempotency key is handled while its claim can't be recorded.
 ///
-/// There is no choice to run it unrecorded: a second instance could then run it again.
+/// There is no option to run it unrecorded, because a second instance could then run it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyedDuringOutage {
-    /// It is refused at once as not run, and told when to come back.
+    /// It is refused at once as not run, with the time after which to retry.
     Refuse,
-    /// It waits for the platform until its deadline, within the queue's bound.
+    /// It waits for the platform until its deadline, within the limit of the queue.
     Queue,
 }
 
-/// Threads of the process.
+/// The threads of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuntimeSettings {
-    /// Threads that carry traffic, beside the one for control state.
+    /// The number of threads for traffic, in addition to the one for control state.
     pub traffic_threads: usize,
 }
 
-/// What an instance writes to its log.
+/// The settings of an instance's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogSettings {
     /// The least severe level that is written.
     pub level: LogLevel,
 }
 
-/// How severe a log line is; decisions are written at `Info`.
+/// The severity of a log line; decisions are logged at `Info`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
     /// Something has failed.
     Error,
-    /// Something may fail soon, or was worked round.
+    /// Something may fail soon, or a fault was worked around.
     Warning,
     /// Decisions and changes of state.
     Info,
-    /// Details for the search for a fault.
+    /// Details for debugging.
     Debug,
     /// Every message.
     Trace,
--- a/crates/chervilshunt_config/tests/settings.rs
+++ b/crates/chervilshunt_config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What a settings file gives, and how errors in it read.
+//! Tests of the settings that a file results in, and of the error texts for invalid files.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 
 fn errors(text: &str) -> String {
     Settings::parse(text, "entry.jsonc")
-        .expect_err("the text has faults")
+        .expect_err("the text is invalid")
         .to_string()
 }
 
 #[test]
 fn smallest_file_takes_defaults() {
-    let settings = Settings::parse(SMALLEST, "entry.jsonc").expect("the file is whole");
+    let settings = Settings::parse(SMALLEST, "entry.jsonc").expect("the file is valid");
     assert_eq!(settings.instance.zone.as_str(), "herning");
     assert_eq!(settings.lease.duration, Duration::from_secs(15));
     assert_eq!(settings.lease.renew_every, Duration::from_secs(5));
@@ -37,7 +37,7 @@
     let printed = print_defaults();
     insta::assert_snapshot!(printed);
     let from_printed = Settings::parse(&printed, "defaults").expect("defaults are accepted");
-    let from_smallest = Settings::parse(SMALLEST, "entry.jsonc").expect("the file is whole");
+    let from_smallest = Settings::parse(SMALLEST, "entry.jsonc").expect("the file is valid");
     assert_eq!(
         Settings {
             instance: from_smallest.instance.clone(),
@@ -69,7 +69,7 @@
       "runtime": {"traffic_threads": 23},
       "log": {"level": "trace"},
     }"#;
-    let settings = Settings::parse(text, "entry.jsonc").expect("the file is whole");
+    let settings = Settings::parse(text, "entry.jsonc").expect("the file is valid");
     insta::assert_debug_snapshot!(settings);
 }
 
@@ -99,7 +99,7 @@
   "log": {"level": "loud"},
 }"#
 )]
-fn errors_name_place_key_and_what_is_allowed(#[case] name: &str, #[case] text: &str) {
+fn errors_name_position_key_and_allowed_values(#[case] name: &str, #[case] text: &str) {
     insta::assert_snapshot!(name, errors(text));
 }
 
--- a/crates/chervilshunt_config/tests/settings_page.rs
+++ b/crates/chervilshunt_config/tests/settings_page.rs
@@ -1,11 +1,11 @@
-//! The operators' page of settings says what the printed defaults say.
+//! Checks that the operators' page of settings agrees with the printed defaults.
 
 use chervilshunt_config::{Settings, print_defaults};
 
 const PAGE: &str = include_str!("../../../docs/operators/settings.md");
 const ALLOWED: &str = "Allowed: ";
 
-/// Turns the printed defaults into the rows of the page's table.
+/// Converts the printed defaults to the rows of the page's table.
 fn rows() -> Vec<String> {
     let printed = print_defaults();
     let mut section = "";
