--- a/crates/chervilshunt_ctl/src/answer.rs
+++ b/crates/chervilshunt_ctl/src/answer.rs
@@ -1,16 +1,16 @@
-//! What an instance answers to a statement; see `docs/INTERFACES.md`.
+//! Requests to and answers from an instance's operators' port; see `docs/INTERFACES.md`.
 
 use chervilshunt_model::ChangeId;
 use serde::{Deserialize, Serialize};
 
 use crate::client::Reply;
 
-/// The body of a statement that is sent.
+/// The body of a request with statements.
 #[derive(Debug, Serialize)]
-pub(crate) struct Question<'a> {
+pub(crate) struct StatementRequest<'a> {
     pub(crate) text: &'a str,
     pub(crate) local: bool,
-    /// By which an instance recognises a change that was sent before.
+    /// The id of a change, by which an instance recognises one that was sent before.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) id: Option<ChangeId>,
 }
@@ -20,23 +20,23 @@
 pub(crate) struct Answer {
     /// The revision in force.
     pub(crate) revision: u64,
-    /// A result for each statement.
+    /// The result of each statement.
     pub(crate) results: Vec<StatementResult>,
     /// The instances that did not answer.
     #[serde(default)]
     pub(crate) silent: Vec<String>,
 }
 
-/// What came of one statement.
+/// The result of one statement.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(untagged)]
 pub(crate) enum StatementResult {
-    /// Of `show`.
+    /// The rows of a `show` statement.
     Rows {
         columns: Vec<String>,
         rows: Vec<Vec<Option<String>>>,
     },
-    /// Of changes.
+    /// The new revision and the number of changes of an accepted change statement.
     Accepted { accepted: u64, changed: u64 },
 }
 
@@ -52,20 +52,21 @@
 }
 
 impl Problem {
-    /// Reads a refusal; one that is not of an instance leaves all members empty.
+    /// Parses a refusal; all members are empty if the body is not a problem document, such as that of a
+    /// gateway in between.
     pub(crate) fn of(reply: &Reply) -> Self {
         serde_json::from_slice(&reply.body).unwrap_or_default()
     }
 
-    /// Returns the best that is there to be told as the reason.
+    /// Returns the reason to show: the detail, else the title, else the status of the reply.
     pub(crate) fn reason(&self, reply: &Reply) -> String {
         let texts = [&self.detail, &self.title];
-        let said = texts.into_iter().find(|text| !text.is_empty());
-        said.map_or_else(|| reply.status.to_string(), String::clone)
+        let text = texts.into_iter().find(|text| !text.is_empty());
+        text.map_or_else(|| reply.status.to_string(), String::clone)
     }
 }
 
-/// What a refusal says of the statement's effect.
+/// Whether a refused statement took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Outcome {
--- a/crates/chervilshunt_ctl/src/client.rs
+++ b/crates/chervilshunt_ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! The call to an instance's operators' port.
+//! The HTTP client for an instance's operators' port.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 
 const STATEMENTS_PATH: &str = "/v1/statements";
 
-/// The longest answer; 170,000 adapters with all columns are some 20 MB.
+/// The maximum size of an answer; 170,000 adapters with all columns are about 20 MB.
 const MAX_ANSWER_BYTES: usize = 256 << 20;
 
-/// How long a connection may take to open.
+/// The time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came back.
+/// The HTTP response to a statement.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -30,31 +30,31 @@
 }
 
 impl Reply {
-    /// Returns when the server wants to be asked again.
+    /// Returns the delay after which the server asks for a retry, if it is given in seconds.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
         let seconds = self.retry_after.as_ref()?.parse().ok()?;
         Some(Duration::from_secs(seconds))
     }
 }
 
-/// Why nothing came back.
+/// Why no complete response was received.
 #[derive(Debug, Snafu)]
 pub(crate) enum CallError {
-    /// No byte of the statement has left.
+    /// The connection failed; nothing was sent.
     #[snafu(display("{source}"))]
     Unreachable { source: std::io::Error },
-    /// No byte of the statement has left.
+    /// The connection was not opened in time; nothing was sent.
     #[snafu(display("no connection within {} s", CONNECT_TIMEOUT.as_secs()))]
     ConnectTimeout,
-    /// The statement may have arrived.
+    /// The exchange failed; the statement may have been received.
     #[snafu(display("{source}"))]
     Broken { source: hyper::Error },
-    /// The statement may have arrived.
-    #[snafu(display("the answer broke off: {source}"))]
+    /// The body of the answer could not be read; the statement may have been received.
+    #[snafu(display("the answer could not be read to its end: {source}"))]
     Body {
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// The statement may have arrived.
+    /// No answer was received in time; the statement may have been received.
     #[snafu(display("no answer within {} s", limit.as_secs_f64()))]
     AnswerTimeout { limit: Duration },
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Sends the body of a statement and waits for its answer.
+/// Sends a request with statements and waits for the answer, for at most `limit`.
 pub(crate) async fn call(
     server: SocketAddr,
     body: Bytes,
--- a/crates/chervilshunt_ctl/src/exit.rs
+++ b/crates/chervilshunt_ctl/src/exit.rs
@@ -1,8 +1,8 @@
-//! How a run ends.
+//! The exit codes of the tool.
 
 use std::process::ExitCode;
 
-/// How a run ends; scripts tell the cases apart by its number.
+/// The exit code of a run, by which scripts distinguish the outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
@@ -10,13 +10,13 @@
     Done = 0,
     /// A statement was refused; it has not taken effect.
     Refused = 1,
-    /// The command line or a statement can't be read; nothing was sent.
+    /// The command line or a statement is invalid; nothing was sent.
     Usage = 2,
-    /// The server can't be reached, or did not answer a question; nothing has changed.
+    /// The server can't be reached, or did not answer a query; nothing has changed.
     Unreachable = 3,
-    /// A change was sent, but its answer did not come: it may have taken effect.
+    /// A change was sent, but its outcome could not be determined: it may have taken effect.
     Unknown = 4,
-    /// The server answered something that this tool does not understand.
+    /// The answer of the server could not be parsed.
     BadAnswer = 5,
 }
 
--- a/crates/chervilshunt_ctl/src/lib.rs
+++ b/crates/chervilshunt_ctl/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command-line tool.
 //!
 //! It reads statements from its arguments, a script on standard input or an interactive prompt,
-//! checks them without a server, sends them one by one to an instance and shows what comes back.
+//! checks their syntax locally, sends them one by one to an instance and prints the answers.
 //! See `docs/operators/ctl.md`.
 
 mod answer;
@@ -21,7 +21,7 @@
 use crate::options::{Command, Options};
 use crate::session::Session;
 
-/// The environment variable that gives the server when the command line does not.
+/// The environment variable with the server's address, used if the command line gives none.
 pub const SERVER_VARIABLE: &str = "CHERVILSHUNT_SERVER";
 
 /// Runs the tool; `server` is the value of [`SERVER_VARIABLE`].
--- a/crates/chervilshunt_ctl/src/main.rs
+++ b/crates/chervilshunt_ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool: reads its arguments and standard input, and leaves the rest to the library.
+//! The binary of the command-line tool: passes its arguments and environment to the library.
 
 use std::process::ExitCode;
 
--- a/crates/chervilshunt_ctl/src/options.rs
+++ b/crates/chervilshunt_ctl/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line, resolved in one step from raw to checked.
+//! Parsing and validation of the command line.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 
 use crate::SERVER_VARIABLE;
 
-/// What `--help` shows.
+/// The output of `--help`.
 pub(crate) const HELP: &str = "\
 chervilshuntctl [OPTIONS] [STATEMENTS]
 
-Asks and changes a deployment. Statements come from the arguments, from a script on
+Queries and changes a deployment. Statements come from the arguments, from a script on
 standard input, or from a prompt if standard input is a terminal. The language:
 docs/LANGUAGE.md. Examples:
 
@@ -26,28 +26,28 @@
   --server IP:PORT   the operators' address of any instance
                      (default: CHERVILSHUNT_SERVER from the environment)
   --json             write each answer as one line of JSON
-  --local            ask only the server itself, not the whole deployment
+  --local            query only the server itself, not the whole deployment
   --check            only check the statements; needs no server
   --timeout SECONDS  how long to wait for an answer (default 30)
-  --settle SECONDS   how long to ask for the outcome of a change whose answer did not come
+  --settle SECONDS   how long to resend a change whose answer was lost, to get its outcome
                      (default 60)
-  --id UUID          the id of the change, to ask for the outcome of one sent before
+  --id UUID          the id of the change, to get the outcome of one sent before
   -h, --help         show this text
   -V, --version      show the version
 
 Exit codes:
   0  everything was answered and accepted
   1  a statement was refused and has not taken effect
-  2  the command line or a statement can't be read; nothing was sent
-  3  the server can't be reached, or did not answer a question; nothing has changed
-  4  a change was sent, and its outcome could not be learnt: it may have taken effect
-  5  the server answered something that this tool does not understand
+  2  the command line or a statement is invalid; nothing was sent
+  3  the server can't be reached, or did not answer a query; nothing has changed
+  4  a change was sent, and its outcome could not be determined: it may have taken effect
+  5  the answer of the server could not be parsed
 ";
 
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 const DEFAULT_SETTLE: Duration = Duration::from_secs(60);
 
-/// What the command line asks for.
+/// The action that the command line selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     Help,
@@ -55,44 +55,44 @@
     Run(Options),
 }
 
-/// Checked options.
+/// Validated options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Options {
-    /// None only if nothing is to be sent.
+    /// The server's address; may be `None` only with `check`, when nothing is sent.
     pub(crate) server: Option<SocketAddr>,
     pub(crate) json: bool,
     pub(crate) local: bool,
     pub(crate) check: bool,
     pub(crate) timeout: Duration,
-    /// How long a change whose outcome is not known is sent again.
+    /// The time during which a change with an unknown outcome is sent again.
     pub(crate) settle: Duration,
-    /// The id of the change; a new one unless it was sent before.
+    /// The id of a change that was sent before; if `None`, each change gets a new one.
     pub(crate) id: Option<ChangeId>,
-    /// The statements among the arguments.
+    /// The statements given as arguments.
     pub(crate) statements: Option<String>,
 }
 
-/// Why a command line can't be taken.
+/// Why a command line is invalid.
 #[derive(Debug, Snafu)]
 pub(crate) enum OptionsError {
     #[snafu(display("{source}"))]
     Arguments { source: lexopt::Error },
-    #[snafu(display("{origin} is {value:?}, which is no IP:PORT such as 10.0.0.7:8082"))]
+    #[snafu(display("{origin} is {value:?}, which is not an IP:PORT such as 10.0.0.7:8082"))]
     Server { origin: &'static str, value: String },
     #[snafu(display(
-        "there is no server; give the operators' address of any instance with --server IP:PORT or \
-         in {SERVER_VARIABLE}"
+        "no server given; set the operators' address of any instance with --server IP:PORT or in \
+         {SERVER_VARIABLE}"
     ))]
     NoServer,
-    #[snafu(display("--timeout is {value:?}, which is no number of seconds above 0"))]
+    #[snafu(display("--timeout is {value:?}, which is not a number of seconds above 0"))]
     Timeout { value: String },
-    #[snafu(display("--settle is {value:?}, which is no number of seconds from 0"))]
+    #[snafu(display("--settle is {value:?}, which is not a number of seconds, at least 0"))]
     Settle { value: String },
-    #[snafu(display("--id is {value:?}, which is no UUID"))]
+    #[snafu(display("--id is {value:?}, which is not a UUID"))]
     Id { value: String },
 }
 
-/// Options as written.
+/// Options before validation.
 #[derive(Default)]
 struct RawOptions {
     server: Option<String>,
@@ -105,7 +105,7 @@
     words: Vec<String>,
 }
 
-/// Reads a command line; `server` is the value of [`SERVER_VARIABLE`].
+/// Parses and validates a command line; `server` is the value of [`SERVER_VARIABLE`].
 pub(crate) fn parse(
     arguments: impl Iterator<Item = OsString>,
     server: Option<OsString>,
--- a/crates/chervilshunt_ctl/src/prompt.rs
+++ b/crates/chervilshunt_ctl/src/prompt.rs
@@ -15,7 +15,7 @@
 const PROMPT: &str = "chervilshunt> ";
 const QUIT_WORDS: [&str; 2] = ["quit", "exit"];
 
-/// Keeps the input open until its braces are closed, so that a group may take several lines.
+/// Continues the input on the next line while a brace is open, so that a group may span lines.
 struct GroupHelper;
 
 impl Validator for GroupHelper {
@@ -31,7 +31,7 @@
     }
 }
 
-/// At the end of the text there is no character that an error could mean.
+/// Returns whether an error is at the end of the input, where it marks no characters.
 const fn is_at_end(error: &QueryError) -> bool {
     error.length == 0
 }
@@ -48,14 +48,14 @@
 
 impl Helper for GroupHelper {}
 
-/// Reads and runs scripts until the end of the input.
+/// Reads and runs scripts until the end of the input or `quit`.
 ///
-/// A refusal does not end the session; the exit code is that of the last script.
+/// A refused statement does not end the session; the exit code is that of the last script.
 pub(crate) fn run(session: &Session) -> Exit {
     let mut editor = match Editor::with_history(Config::default(), MemHistory::new()) {
         Ok(editor) => editor,
         Err(error) => {
-            eprintln!("chervilshuntctl: the terminal can't be used: {error}");
+            eprintln!("chervilshuntctl: can't use the terminal: {error}");
             return Exit::Usage;
         }
     };
@@ -68,7 +68,7 @@
             Err(ReadlineError::Interrupted) => continue,
             Err(ReadlineError::Eof) => return exit,
             Err(error) => {
-                eprintln!("chervilshuntctl: the terminal can't be read: {error}");
+                eprintln!("chervilshuntctl: can't read from the terminal: {error}");
                 return Exit::Usage;
             }
         };
@@ -78,7 +78,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        // The history is a convenience; a line that it does not take is run all the same.
+        // The history is optional; a line that can't be added to it is run anyway.
         let _added = editor.add_history_entry(&line);
         exit = session.run_script(&line, "prompt");
     }
--- a/crates/chervilshunt_ctl/src/session.rs
+++ b/crates/chervilshunt_ctl/src/session.rs
@@ -1,4 +1,4 @@
-//! Running scripts: check first, then send statement by statement.
+//! Running scripts: the whole script is checked first, then its statements are sent one by one.
 
 use std::io::Write as _;
 
@@ -7,7 +7,7 @@
 use chervilshunt_query::{Statement, parse, render_errors};
 use tokio::runtime::Runtime;
 
-use crate::answer::{Answer, Problem, Question};
+use crate::answer::{Answer, Problem, StatementRequest};
 use crate::client::{self, CallError, Reply};
 use crate::exit::Exit;
 use crate::options::Options;
@@ -28,7 +28,7 @@
         Self { options, runtime }
     }
 
-    /// Checks a script and sends its statements; stops at the first that is not accepted.
+    /// Checks a script and sends its statements; stops at the first that does not succeed.
     pub(crate) fn run_script(&self, text: &str, origin: &str) -> Exit {
         let statements = match parse(text) {
             Ok(statements) => statements,
@@ -72,21 +72,22 @@
         id: Option<ChangeId>,
     ) -> Result<Reply, CallError> {
         let text = statement.to_string();
-        let question = Question {
+        let request = StatementRequest {
             text: &text,
             local: self.options.local,
             id,
         };
-        let body = serde_json::to_vec(&question).expect("a question is text and a flag");
+        let body =
+            serde_json::to_vec(&request).expect("a request holds only text, a flag and an id");
         let server = self
             .options
             .server
-            .expect("options have a server unless they only check");
+            .expect("options have a server unless they are for --check");
         let call = client::call(server, Bytes::from(body), self.options.timeout);
         self.runtime.block_on(call)
     }
 
-    /// Shows what came back of a statement whose outcome is known.
+    /// Prints the answer to a statement, or why there is none, once its outcome is known.
     pub(crate) fn show(&self, statement: &Statement, result: &Result<Reply, CallError>) -> Exit {
         match result {
             Ok(reply) if reply.status.is_success() => self.show_answer(reply),
@@ -117,7 +118,7 @@
         if !answer.silent.is_empty() {
             let names: Vec<_> = answer.silent.iter().map(|name| printable(name)).collect();
             eprintln!(
-                "chervilshuntctl: no answer from {}; what they alone know is missing above",
+                "chervilshuntctl: no answer from {}; rows that only they can report are missing above",
                 names.join(", ")
             );
         }
@@ -129,7 +130,7 @@
         let server = server.unwrap_or_default();
         if error.may_have_run() {
             eprintln!(
-                "chervilshuntctl: {server} did not answer: {error}; ask again, or ask another \
+                "chervilshuntctl: {server} did not answer: {error}; try again, or use another \
                  instance with --server"
             );
         } else {
@@ -142,7 +143,7 @@
     }
 }
 
-/// Writes to standard output; a reader that has gone, such as `head`, is no failure.
+/// Writes to standard output; ignores errors, since a reader such as `head` may close the pipe early.
 fn write_out(text: &str) {
     let mut stdout = std::io::stdout().lock();
     let _written = stdout
--- a/crates/chervilshunt_ctl/src/settle.rs
+++ b/crates/chervilshunt_ctl/src/settle.rs
@@ -1,7 +1,7 @@
-//! Sending a change until its outcome is known.
+//! Sends a change repeatedly until its outcome is known.
 //!
-//! The id that a change is sent under tells an instance that it has seen it before, so that sending
-//! it again asks for its outcome and never makes it twice. See `docs/operators/ctl.md`.
+//! A change carries an id by which an instance recognises it, so that sending it again returns its
+//! outcome and never applies it twice. See `docs/operators/ctl.md`.
 
 use std::time::{Duration, Instant};
 
@@ -14,19 +14,20 @@
 use crate::session::Session;
 use crate::show::printable;
 
-/// The pause before a change is sent again, unless the answer asks for another.
-const PAUSE: Duration = Duration::from_secs(1);
-/// The type of a refusal that says nothing of an earlier try.
+/// The delay before a change is sent again, unless the answer has a `Retry-After`.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// The problem type of an attempt that was not begun, which leaves the outcome of earlier ones open.
 const NOT_BEGUN: &str = "/problems/change_not_begun";
 
-/// Why the outcome of a change is not known, and when to ask for it again.
+/// Why the outcome of a change is unknown, and the delay before it is sent again.
 struct Unsettled {
     why: String,
     pause: Duration,
 }
 
 impl Session {
-    /// Sends a change, and sends it again under the same id for as long as its outcome is not known.
+    /// Sends a change, and resends it under the same id until its outcome is known or the time of
+    /// `--settle` is over.
     pub(crate) fn settle(&self, statement: &Statement) -> Exit {
         let id = self.options.id.unwrap_or_else(ChangeId::random);
         let mut until = None;
@@ -46,8 +47,8 @@
             let end = *until.get_or_insert(now + self.options.settle);
             if now + unsettled.pause >= end {
                 eprintln!(
-                    "chervilshuntctl: its outcome is unknown; send it again to this or another \
-                     instance with --id {id} to learn it"
+                    "chervilshuntctl: its outcome is unknown; to get it, send the change again \
+                     to this or another instance with --id {id}"
                 );
                 return Exit::Unknown;
             }
@@ -56,27 +57,31 @@
     }
 }
 
-/// Says whether the outcome is not known; `before` if it was not after an earlier try.
+/// Returns why the outcome is unknown, or `None` if it is known; `before` is whether it was unknown
+/// after an earlier attempt.
 fn unsettled(result: &Result<Reply, CallError>, before: bool) -> Option<Unsettled> {
     let reply = match result {
         Ok(reply) if reply.status.is_success() => return None,
         Ok(reply) => reply,
         Err(error) if error.may_have_run() || before => {
             let why = format!("no answer: {error}");
-            return Some(Unsettled { why, pause: PAUSE });
+            return Some(Unsettled {
+                why,
+                pause: RETRY_DELAY,
+            });
         }
         Err(_not_sent) => return None,
     };
     let problem = Problem::of(reply);
     let unknown = match problem.outcome {
         Some(Outcome::Unknown | Outcome::CutShort) => true,
-        // That this try was not begun says nothing of an earlier one.
+        // That this attempt was not begun does not tell whether an earlier one took effect.
         Some(Outcome::NotRun) => before && problem.kind == NOT_BEGUN,
-        // A gateway in between that fails says nothing of what happened behind it.
+        // An error of a gateway in between does not tell whether the instance applied the change.
         None => reply.status.is_server_error(),
     };
     unknown.then(|| Unsettled {
         why: format!("{} ({})", problem.reason(reply), reply.status.as_u16()),
-        pause: reply.retry_after().unwrap_or(PAUSE),
+        pause: reply.retry_after().unwrap_or(RETRY_DELAY),
     })
 }
--- a/crates/chervilshunt_ctl/src/show.rs
+++ b/crates/chervilshunt_ctl/src/show.rs
@@ -1,13 +1,13 @@
-//! Answers as text.
+//! Formats answers as text.
 
 use comfy_table::{Table, presets};
 
 use crate::answer::StatementResult;
 
-/// The text of a cell that holds nothing; `where` asks for it by the same word.
+/// The text of an empty cell; `where` compares empty cells with the same word.
 const NONE: &str = "none";
 
-/// Shows what came of one statement.
+/// Formats the result of one statement.
 pub(crate) fn result_text(result: &StatementResult) -> String {
     match result {
         StatementResult::Rows { columns, rows } => rows_text(columns, rows),
@@ -38,7 +38,7 @@
     printable(cell.unwrap_or(NONE))
 }
 
-/// Escapes control characters: a name must not be able to steer the terminal.
+/// Escapes control characters, so that a name can't send control sequences to the terminal.
 pub(crate) fn printable(text: &str) -> String {
     text.chars()
         .map(|c| {
--- a/crates/chervilshunt_ctl/tests/ctl.rs
+++ b/crates/chervilshunt_ctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! The tool as a process against a small server that speaks the operators' port.
+//! Runs the tool as a process against a small server that stands in for an operators' port.
 
 use std::io::Write as _;
 use std::net::{SocketAddr, TcpListener};
@@ -15,10 +15,10 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// An id that a change is sent under.
+/// The id of a change.
 const ID: &str = "6f1a9c2e4b7d4e0f8a3c5d6e7f8091a2";
 
-/// What the server does with one statement.
+/// How the server reacts to one statement.
 #[derive(Clone, Debug)]
 enum Reaction {
     Answer(u16, &'static str, String),
@@ -58,7 +58,7 @@
     })
 }
 
-/// A server that reacts to each statement as told and keeps what it was sent.
+/// A server that reacts to each statement as configured, and records the requests.
 struct Server {
     address: SocketAddr,
     received: Arc<Mutex<Vec<Value>>>,
@@ -77,7 +77,7 @@
 
     fn texts(&self) -> Vec<String> {
         let received = self.received.lock().expect("no test thread panicked");
-        let text = |question: &Value| question["text"].as_str().map(ToOwned::to_owned);
+        let text = |request: &Value| request["text"].as_str().map(ToOwned::to_owned);
         received.iter().filter_map(text).collect()
     }
 }
@@ -96,7 +96,7 @@
             let service = service_fn(move |req| react(req, reaction.clone(), Arc::clone(&seen)));
             let connection = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service);
-            // A connection that the test lets break off ends with an error here.
+            // A connection that the reaction closes without an answer ends with an error.
             let _ended = connection.await;
         }
     });
@@ -114,8 +114,8 @@
         .collect()
         .await
         .expect("the tool sends a body");
-    let question = serde_json::from_slice(&body.to_bytes()).expect("the body is JSON");
-    seen.lock().expect("no panic").push(question);
+    let request = serde_json::from_slice(&body.to_bytes()).expect("the body is JSON");
+    seen.lock().expect("no panic").push(request);
     let response = Response::builder();
     let response = match reaction {
         Reaction::Answer(status, kind, body) => response
@@ -129,7 +129,7 @@
         Reaction::CloseWithoutAnswer => return Err("the connection is closed"),
         Reaction::NeverAnswer => return std::future::pending().await,
     };
-    Ok(response.expect("the response is whole"))
+    Ok(response.expect("the response is valid"))
 }
 
 fn run(arguments: &[&str], input: &str) -> Output {
@@ -155,7 +155,7 @@
     child.wait_with_output().expect("the tool ends")
 }
 
-/// Shows a run as an operator sees it, with the server's port left out.
+/// Formats the exit code and output of a run, with the server's address replaced.
 fn shown(output: &Output, server: Option<&Server>) -> String {
     let text = format!(
         "exit code {}\n-- stdout --\n{}-- stderr --\n{}",
@@ -207,7 +207,7 @@
     insta::assert_snapshot!(name, shown(&run(arguments, input), None));
 }
 
-/// The caller's script stops where it is refused: what follows may rest on what was refused.
+/// A script stops at the first refused statement, because later statements may depend on it.
 #[test]
 fn script_stops_at_the_first_refusal() {
     let refusal = problem(
@@ -236,9 +236,9 @@
     )
 }
 
-/// The answer to a change does not come, or says that nobody knows. The tool sends the change again
-/// under the same id until somebody does: that it could not be begun a second time says nothing of
-/// the first.
+/// The answer to a change is lost, or says that the outcome is unknown. The tool resends the change
+/// under the same id until the outcome is known. A `change_not_begun` answer to a later attempt does
+/// not tell whether the first one took effect.
 #[rstest]
 #[case::accepted(vec![Reaction::CloseWithoutAnswer, unknown(), ok(&accepted(8, 1))], 0)]
 #[case::given_up(vec![unknown(), not_run("/problems/change_given_up")], 1)]
@@ -266,13 +266,13 @@
     let received = server.received.lock().expect("no panic");
     assert_eq!(received.len(), tries);
     assert!(received[0]["id"].is_string());
-    assert!(received.iter().all(|question| *question == received[0]));
+    assert!(received.iter().all(|request| *request == received[0]));
 }
 
 #[test]
 fn unreachable_server_is_named() {
-    // A socket that is bound but does not listen refuses connections and keeps its port, which
-    // would otherwise go to the server of another test.
+    // A socket that is bound but does not listen refuses connections, and keeps its port from being
+    // given to the server of another test.
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket can be opened");
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     socket.bind(any_port).expect("a port is free");
