--- a/crates/chervilshunt_start/src/control.rs
+++ b/crates/chervilshunt_start/src/control.rs
@@ -1,4 +1,4 @@
-//! The thread of the control state.
+//! The control thread, which runs the actor that owns the control state.
 
 use chervilshunt_mesh::Inbound;
 use tokio::sync::mpsc;
@@ -6,10 +6,10 @@
 
 use crate::error::StartError;
 
-/// Runs what `make` gives on a thread of its own, apart from all traffic.
+/// Runs the future that `make` returns on a new thread with its own runtime, separate from traffic.
 ///
 /// # Errors
-/// Fails if the system gives no thread.
+/// Returns an error if the runtime or the thread can't be created.
 pub fn on_control_thread<F>(make: impl FnOnce() -> F + Send + 'static) -> Result<(), StartError>
 where
     F: Future<Output = ()>,
@@ -23,10 +23,11 @@
     Ok(())
 }
 
-/// Hands what peers send to the control actor, in its order.
+/// Forwards messages of peers to the control actor, in the order in which they are received.
 ///
-/// It doesn't wait until a message has been taken in, only for room in the mailbox: with a change of
-/// threads and back for each message, an instance that hears of hundreds of others did little else.
+/// It waits only for room in the mailbox, not until the actor has handled a message: that would take
+/// two context switches per message, which kept an instance with hundreds of peers mostly busy
+/// switching threads.
 pub fn forward<A, T, M>(
     mut inbound: mpsc::Receiver<Inbound<M>>,
     control: Address<A>,
--- a/crates/chervilshunt_start/src/error.rs
+++ b/crates/chervilshunt_start/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a program could not start.
+//! Errors at the start of a program.
 
 use std::net::SocketAddr;
 
@@ -13,29 +13,29 @@
     /// A port can't be opened.
     #[snafu(display("can't listen on {address} (addresses.{key}): {source}"))]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// The key in the settings.
+        /// The key in the section `addresses` of the settings.
         key: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The port for other instances can't be opened.
     #[snafu(display("addresses.peers: {source}"), context(false))]
     Peers {
-        /// What the transport said.
+        /// The error of the mesh.
         source: MeshError,
     },
-    /// Threads or signals can't be had.
+    /// Threads, a runtime or signal handlers can't be set up.
     #[snafu(display("can't start threads: {source}"), context(false))]
     Threads {
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The metrics can't be set up.
     #[snafu(display("can't set up metrics: {reason}"))]
     Metrics {
-        /// What the library said.
+        /// The error text of the metrics library.
         reason: String,
     },
 }
--- a/crates/chervilshunt_start/src/lib.rs
+++ b/crates/chervilshunt_start/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every serving program does at its start: ports, metrics and the control thread.
+//! Start-up code that all serving programs share: ports, metrics and the control thread.
 //!
-//! The product's daemon and the program on the users' platform differ in what they serve, and share
-//! how they come up.
+//! The product's daemon and the program on the users' platform serve different requests, but start in
+//! the same way.
 
 mod control;
 mod error;
--- a/crates/chervilshunt_start/src/metrics.rs
+++ b/crates/chervilshunt_start/src/metrics.rs
@@ -1,13 +1,14 @@
-//! Installing the recorder of metrics.
+//! Installs the metrics recorder.
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
 use crate::error::{MetricsSnafu, StartError};
 
-/// Installs the recorder; `buckets` are the upper bounds of latency histograms, in seconds.
+/// Installs the global metrics recorder; `buckets` are the upper bounds of latency histograms, in
+/// seconds.
 ///
 /// # Errors
-/// Fails if there is a recorder already, or no buckets are given.
+/// Returns an error if a recorder is installed already, or if no buckets are given.
 pub fn install_metrics(buckets: &[f64]) -> Result<PrometheusHandle, StartError> {
     let builder = PrometheusBuilder::new().set_buckets(buckets);
     let installed = builder.and_then(PrometheusBuilder::install_recorder);
--- a/crates/chervilshunt_start/src/ports.rs
+++ b/crates/chervilshunt_start/src/ports.rs
@@ -1,4 +1,4 @@
-//! Opening ports.
+//! Opens listening sockets.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 
 use crate::error::{ListenSnafu, StartError};
 
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// Opens a port whose address the settings give under `addresses.{key}`; connections to it hold at
-/// most `send_buffer` bytes in the system for their peer.
+/// Listens on an address that the settings give under `addresses.{key}`; if `send_buffer` is given, it
+/// is the size of the send buffer of accepted connections, in bytes.
 ///
 /// # Errors
-/// Fails if the system does not give the port.
+/// Returns an error if the socket can't be opened or bound.
 pub fn listen(
     address: SocketAddr,
     key: &'static str,
@@ -25,10 +25,10 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        // A restarted instance gets its port back while old connections still linger.
+        // Allows a restarted instance to bind its port while old connections are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
         if let Some(bytes) = send_buffer {
-            // Accepted connections inherit it.
+            // Accepted connections inherit the size of the listening socket's send buffer.
             socket.set_send_buffer_size(u32::try_from(bytes).unwrap_or(u32::MAX))?;
         }
         socket.bind(address)?;
