--- a/crates/chervilshunt_query/src/resolve.rs
+++ b/crates/chervilshunt_query/src/resolve.rs
@@ -10,7 +10,7 @@
 use crate::error::QueryError;
 use crate::fields::Reader;
 use crate::print::to_lifecycle;
-use crate::syntax::{self, RawChange, RawCondition, Syntax, Verb};
+use crate::syntax::{self, RawChange, RawCondition, RawStatement, Verb};
 use crate::table::{AGE_COLUMN, FROM_COLUMN};
 use crate::token::{self, Spanned, Token};
 use crate::{ChangeGroup, Condition, Show, Statement, Table};
@@ -101,16 +101,16 @@
 }
 
 impl Resolver<'_> {
-    fn statement(&mut self, statement: Syntax) -> Option<Statement> {
+    fn statement(&mut self, statement: RawStatement) -> Option<Statement> {
         match statement {
-            Syntax::Show { table, conditions } => {
+            RawStatement::Show { table, conditions } => {
                 let conditions: Vec<_> = conditions
                     .into_iter()
                     .map(|condition| self.condition(table, condition))
                     .collect();
                 Some(Statement::Show(Show { table, conditions }))
             }
-            Syntax::Changes { expected, changes } => {
+            RawStatement::Changes { expected, changes } => {
                 let expected = expected.and_then(|text| self.revision(&text));
                 let changes = changes
                     .into_iter()
@@ -118,7 +118,7 @@
                     .collect();
                 Some(Statement::Change(ChangeGroup { expected, changes }))
             }
-            Syntax::Unreadable => None,
+            RawStatement::Invalid => None,
         }
     }
 
--- a/crates/chervilshunt_query/src/syntax.rs
+++ b/crates/chervilshunt_query/src/syntax.rs
@@ -10,7 +10,7 @@
 
 /// A parsed statement, before names and values are checked.
 #[derive(Clone, Debug)]
-pub(crate) enum Syntax {
+pub(crate) enum RawStatement {
     Show {
         table: Table,
         conditions: Vec<RawCondition>,
@@ -20,7 +20,7 @@
         changes: Vec<RawChange>,
     },
     /// The placeholder for a statement that could not be parsed.
-    Unreadable,
+    Invalid,
 }
 
 /// A parsed condition, before its column is checked.
@@ -65,14 +65,15 @@
 pub(crate) fn parse<'tokens, 'src: 'tokens>(
     tokens: &'tokens [Spanned<Token<'src>>],
     text_len: usize,
-) -> (Vec<Syntax>, Vec<Rich<'tokens, Token<'src>>>) {
+) -> (Vec<RawStatement>, Vec<Rich<'tokens, Token<'src>>>) {
     let end = SimpleSpan::from(text_len..text_len);
     let input = tokens.split_token_span(end);
     let (statements, errors) = script().parse(input).into_output_errors();
     (statements.unwrap_or_default(), errors)
 }
 
-fn script<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Vec<Syntax>, Error<'tokens, 'src>>
+fn script<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, Vec<RawStatement>, Error<'tokens, 'src>>
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -87,7 +88,7 @@
 
 /// Recovers from a syntax error: skips to the end of the statement, over whole groups in braces.
 fn invalid_statement<'tokens, 'src: 'tokens, I>()
--> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>>
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>>
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -99,11 +100,11 @@
         .or(other)
         .repeated()
         .at_least(1)
-        .to(Syntax::Unreadable)
+        .to(RawStatement::Invalid)
 }
 
 fn statement<'tokens, 'src: 'tokens, I>()
--> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>> + Clone
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>> + Clone
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -121,11 +122,12 @@
     let changes = guard
         .or_not()
         .then(group.or(one))
-        .map(|(expected, changes)| Syntax::Changes { expected, changes });
+        .map(|(expected, changes)| RawStatement::Changes { expected, changes });
     show().or(changes)
 }
 
-fn show<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>> + Clone
+fn show<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>> + Clone
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -148,7 +150,7 @@
     keyword("show")
         .ignore_then(table)
         .then(conditions.or_not())
-        .map(|(table, conditions)| Syntax::Show {
+        .map(|(table, conditions)| RawStatement::Show {
             table,
             conditions: conditions.unwrap_or_default(),
         })
