--- a/crates/chervilshunt_config/src/check.rs
+++ b/crates/chervilshunt_config/src/check.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use serde_path_to_error::Segment;
 
-use crate::error::{Problem, SettingsError, WrongSnafu};
+use crate::error::{InvalidSnafu, Problem, SettingsError};
 use crate::keys::{MAX_NAME_LEN, SECTIONS, Shape, find_key, find_section};
 use crate::locate::{Position, duplicates, position_at, position_of};
 use crate::raw::{RawLease, RawLimits, RawPlatform, RawSettings};
@@ -40,7 +40,7 @@
     let (settings, problems) = resolve_text(text);
     match settings {
         Some(settings) if problems.is_empty() => Ok(settings),
-        _ => WrongSnafu { file, problems }.fail(),
+        _ => InvalidSnafu { file, problems }.fail(),
     }
 }
 
--- a/crates/chervilshunt_config/src/error.rs
+++ b/crates/chervilshunt_config/src/error.rs
@@ -22,7 +22,7 @@
     },
     /// The file was read, but its content is invalid.
     #[snafu(display("{}", Listed { file, problems }))]
-    Wrong {
+    Invalid {
         /// The path or name of the file.
         file: String,
         /// All problems, in the order of the file.
