--- a/crates/chervilshunt_config/src/check.rs
+++ b/crates/chervilshunt_config/src/check.rs
@@ -332,8 +332,8 @@
     }
 
     fn problem_at(&mut self, position: Position, path: &str, message: &str) {
-        // A value that could not be read is treated as absent later and would be reported again. The
-        // first problem of the key, or one of its whole section, is more specific.
+        // A value that could not be read is treated as absent later and would be reported again.
+        // The first problem of the key, or one of its whole section, is more specific.
         let section = path.split('.').next().unwrap_or(path);
         let reported = |problem: &Problem| problem.key == path || problem.key == section;
         if self.problems.iter().any(reported) {
--- a/crates/chervilshunt_config/src/error.rs
+++ b/crates/chervilshunt_config/src/error.rs
@@ -37,7 +37,8 @@
     pub line: usize,
     /// The column in characters, starting at 1.
     pub column: usize,
-    /// The path of the key, as `section.key`, or the section; empty if the text is not a JSON object.
+    /// The path of the key, as `section.key`, or the section; empty if the text is not a JSON
+    /// object.
     pub key: String,
     /// The problem.
     pub message: String,
--- a/crates/chervilshunt_config/src/lib.rs
+++ b/crates/chervilshunt_config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings of the daemon: JSON with comments, parsed and validated in one step.
 //!
 //! [`Settings::load`] reads a file and returns either settings that are complete and within their
-//! bounds, or a list of all problems in the file. [`print_defaults`] returns a commented file to start
-//! from. See `docs/operators/settings.md` and `docs/design/configuration-format.md`.
+//! bounds, or a list of all problems in the file. [`print_defaults`] returns a commented file to
+//! start from. See `docs/operators/settings.md` and `docs/design/configuration-format.md`.
 
 mod check;
 mod defaults;
--- a/crates/chervilshunt_config/src/locate.rs
+++ b/crates/chervilshunt_config/src/locate.rs
@@ -37,8 +37,8 @@
     position_at(text, offset)
 }
 
-/// Finds keys that occur more than once in the same object; returns the path and byte offset of each
-/// repetition.
+/// Finds keys that occur more than once in the same object; returns the path and byte offset of
+/// each repetition.
 pub(crate) fn duplicates(root: &Value<'_>) -> Vec<(String, usize)> {
     let mut found = Vec::new();
     if let Some(object) = root.as_object() {
--- a/crates/chervilshunt_config/src/raw.rs
+++ b/crates/chervilshunt_config/src/raw.rs
@@ -11,7 +11,8 @@
 
 /// A settings file before validation.
 ///
-/// `Serialize` is derived for a test, which checks that each field has an entry in the table of keys.
+/// `Serialize` is derived for a test, which checks that each field has an entry in the table of
+/// keys.
 #[derive(Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct RawSettings {
--- a/crates/chervilshunt_config/src/settings.rs
+++ b/crates/chervilshunt_config/src/settings.rs
@@ -153,7 +153,8 @@
     pub keyed_requests: KeyedDuringOutage,
 }
 
-/// How a non-idempotent request with an idempotency key is handled while its claim can't be recorded.
+/// How a non-idempotent request with an idempotency key is handled while its claim can't be
+/// recorded.
 ///
 /// There is no option to run it unrecorded, because a second instance could then run it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/chervilshunt_ctl/src/answer.rs
+++ b/crates/chervilshunt_ctl/src/answer.rs
@@ -52,8 +52,8 @@
 }
 
 impl Problem {
-    /// Parses a refusal; all members are empty if the body is not a problem document, such as that of a
-    /// gateway in between.
+    /// Parses a refusal; all members are empty if the body is not a problem document, such as that
+    /// of a gateway in between.
     pub(crate) fn of(reply: &Reply) -> Self {
         serde_json::from_slice(&reply.body).unwrap_or_default()
     }
--- a/crates/chervilshunt_ctl/src/session.rs
+++ b/crates/chervilshunt_ctl/src/session.rs
@@ -143,7 +143,8 @@
     }
 }
 
-/// Writes to standard output; ignores errors, since a reader such as `head` may close the pipe early.
+/// Writes to standard output; ignores errors, since a reader such as `head` may close the pipe
+/// early.
 fn write_out(text: &str) {
     let mut stdout = std::io::stdout().lock();
     let _written = stdout
--- a/crates/chervilshunt_ctl/src/settle.rs
+++ b/crates/chervilshunt_ctl/src/settle.rs
@@ -16,7 +16,8 @@
 
 /// The delay before a change is sent again, unless the answer has a `Retry-After`.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// The problem type of an attempt that was not begun, which leaves the outcome of earlier ones open.
+/// The problem type of an attempt that was not begun, which leaves the outcome of earlier ones
+/// open.
 const NOT_BEGUN: &str = "/problems/change_not_begun";
 
 /// Why the outcome of a change is unknown, and the delay before it is sent again.
--- a/crates/chervilshunt_ctl/tests/ctl.rs
+++ b/crates/chervilshunt_ctl/tests/ctl.rs
@@ -237,8 +237,8 @@
 }
 
 /// The answer to a change is lost, or says that the outcome is unknown. The tool resends the change
-/// under the same id until the outcome is known. A `change_not_begun` answer to a later attempt does
-/// not tell whether the first one took effect.
+/// under the same id until the outcome is known. A `change_not_begun` answer to a later attempt
+/// does not tell whether the first one took effect.
 #[rstest]
 #[case::accepted(vec![Reaction::CloseWithoutAnswer, unknown(), ok(&accepted(8, 1))], 0)]
 #[case::given_up(vec![unknown(), not_run("/problems/change_given_up")], 1)]
--- a/crates/chervilshunt_log/src/lib.rs
+++ b/crates/chervilshunt_log/src/lib.rs
@@ -6,8 +6,8 @@
 use slog::{Drain, FnValue, Level, Logger, PushFnValue, Record, o};
 use slog_async::OverflowStrategy;
 
-/// The capacity of the queue of lines. When it is full, lines are dropped and counted, so that a slow
-/// reader of the log never delays a request.
+/// The capacity of the queue of lines. When it is full, lines are dropped and counted, so that a
+/// slow reader of the log never delays a request.
 const QUEUE_CAPACITY_LINES: usize = 16_384;
 
 /// Creates the log, and a guard that writes the queued lines when it is dropped.
@@ -32,8 +32,8 @@
     (log, guard)
 }
 
-/// Returns the Unix time in seconds, rounded to milliseconds; log readers merge the lines of several
-/// instances by it.
+/// Returns the Unix time in seconds, rounded to milliseconds; log readers merge the lines of
+/// several instances by it.
 fn timestamp() -> f64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0.0, |since| (since.as_secs_f64() * 1e3).round() / 1e3)
--- a/crates/chervilshunt_query/src/fields/read.rs
+++ b/crates/chervilshunt_query/src/fields/read.rs
@@ -230,7 +230,8 @@
         })
     }
 
-    /// Reads a field, or its default; records an error if it is missing without a default or invalid.
+    /// Reads a field, or its default; records an error if it is missing without a default or
+    /// invalid.
     fn required<T>(&mut self, field: &str, parse: fn(&str) -> Option<T>) -> Option<T> {
         if self.assignment(field).is_some() {
             return self.given(field, parse);
@@ -301,8 +302,8 @@
     }
 }
 
-/// Parses the name of a weight store; the name is empty for a target of a plain service, which has no
-/// store.
+/// Parses the name of a weight store; the name is empty for a target of a plain service, which has
+/// no store.
 fn store(value: &str) -> Option<StoreName> {
     match value {
         "" => None,
--- a/crates/chervilshunt_query/src/lib.rs
+++ b/crates/chervilshunt_query/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' language: parses scripts into typed statements and prints statements as text.
 //!
-//! [`parse`] returns statements whose changes are [`chervilshunt_model::Change`]s, or all errors, each
-//! with its line, its column and what was expected. A printed [`Statement`] parses back to an equal
-//! statement. `docs/LANGUAGE.md` specifies the language.
+//! [`parse`] returns statements whose changes are [`chervilshunt_model::Change`]s, or all errors,
+//! each with its line, its column and what was expected. A printed [`Statement`] parses back to an
+//! equal statement. `docs/LANGUAGE.md` specifies the language.
 
 mod error;
 mod fields;
--- a/crates/chervilshunt_query/src/resolve.rs
+++ b/crates/chervilshunt_query/src/resolve.rs
@@ -197,8 +197,8 @@
         })
     }
 
-    /// Records an error for a `set` of a version or without fields; returns whether the change can be
-    /// read further.
+    /// Records an error for a `set` of a version or without fields; returns whether the change can
+    /// be read further.
     fn may_set(&mut self, change: &RawChange) -> bool {
         if change.verb != Verb::Set {
             return true;
--- a/crates/chervilshunt_query/src/statement.rs
+++ b/crates/chervilshunt_query/src/statement.rs
@@ -76,8 +76,8 @@
 }
 
 impl ChangeGroup {
-    /// Returns the group as a change set with an id, so that it is recognised if it is sent again after
-    /// its answer was lost.
+    /// Returns the group as a change set with an id, so that it is recognised if it is sent again
+    /// after its answer was lost.
     pub fn into_change_set(self, id: ChangeId) -> ChangeSet {
         ChangeSet {
             id,
--- a/crates/chervilshunt_query/tests/round_trip.rs
+++ b/crates/chervilshunt_query/tests/round_trip.rs
@@ -15,8 +15,8 @@
 
 const SEED: u64 = 7;
 
-/// Generates any text but an empty one or `none`; the deployment, not the parser, refuses names with
-/// unusual characters.
+/// Generates any text but an empty one or `none`; the deployment, not the parser, refuses names
+/// with unusual characters.
 fn name() -> impl Strategy<Value = String> {
     prop_oneof![4 => "[a-z0-9._-]{1,12}", 1 => "\\PC{1,8}", 1 => "[\"\\\\\n\t\r #;={}]{1,6}"]
         .prop_filter("none refers to no object", |name| name != "none")
--- a/crates/chervilshunt_start/src/control.rs
+++ b/crates/chervilshunt_start/src/control.rs
@@ -25,8 +25,8 @@
 
 /// Forwards messages of peers to the control actor, in the order in which they are received.
 ///
-/// It waits only for room in the mailbox, not until the actor has handled a message: that would take
-/// two context switches per message, which kept an instance with hundreds of peers mostly busy
+/// It waits only for room in the mailbox, not until the actor has handled a message: that would
+/// take two context switches per message, which kept an instance with hundreds of peers mostly busy
 /// switching threads.
 pub fn forward<A, T, M>(
     mut inbound: mpsc::Receiver<Inbound<M>>,
--- a/crates/chervilshunt_start/src/lib.rs
+++ b/crates/chervilshunt_start/src/lib.rs
@@ -1,7 +1,7 @@
 //! Start-up code that all serving programs share: ports, metrics and the control thread.
 //!
-//! The product's daemon and the program on the users' platform serve different requests, but start in
-//! the same way.
+//! The product's daemon and the program on the users' platform serve different requests, but start
+//! in the same way.
 
 mod control;
 mod error;
--- a/crates/chervilshunt_start/src/ports.rs
+++ b/crates/chervilshunt_start/src/ports.rs
@@ -10,8 +10,8 @@
 /// The maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// Listens on an address that the settings give under `addresses.{key}`; if `send_buffer` is given, it
-/// is the size of the send buffer of accepted connections, in bytes.
+/// Listens on an address that the settings give under `addresses.{key}`; if `send_buffer` is given,
+/// it is the size of the send buffer of accepted connections, in bytes.
 ///
 /// # Errors
 /// Returns an error if the socket can't be opened or bound.
