--- a/crates/chervilshunt_config/src/error.rs
+++ b/crates/chervilshunt_config/src/error.rs
@@ -21,7 +21,7 @@
         source: std::io::Error,
     },
     /// The file was read, but its content is invalid.
-    #[snafu(display("{}", Listed { file, problems }))]
+    #[snafu(display("{}", ProblemList { file, problems }))]
     Invalid {
         /// The path or name of the file.
         file: String,
@@ -46,12 +46,12 @@
     pub allowed: String,
 }
 
-struct Listed<'a> {
+struct ProblemList<'a> {
     file: &'a str,
     problems: &'a [Problem],
 }
 
-impl fmt::Display for Listed<'_> {
+impl fmt::Display for ProblemList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, problem) in self.problems.iter().enumerate() {
             if index > 0 {
