--- a/crates/chervilshunt_query/src/syntax.rs
+++ b/crates/chervilshunt_query/src/syntax.rs
@@ -1,4 +1,4 @@
-//! From tokens to syntax: statements whose fields and values are still text.
+//! Parses tokens into syntax: statements whose fields and values are still unchecked text.
 
 use chervilshunt_model::ObjectKind;
 use chumsky::input::{Input as _, ValueInput};
@@ -8,9 +8,9 @@
 use crate::statement::Op;
 use crate::token::{Spanned, Token};
 
-/// A statement as written.
+/// A parsed statement, before names and values are checked.
 #[derive(Clone, Debug)]
-pub(crate) enum Syntax {
+pub(crate) enum RawStatement {
     Show {
         table: Table,
         conditions: Vec<RawCondition>,
@@ -19,11 +19,11 @@
         expected: Option<Spanned<String>>,
         changes: Vec<RawChange>,
     },
-    /// What stands in place of a statement that could not be read.
-    Unreadable,
+    /// The placeholder for a statement that could not be parsed.
+    Invalid,
 }
 
-/// A condition as written.
+/// A parsed condition, before its column is checked.
 #[derive(Clone, Debug)]
 pub(crate) struct RawCondition {
     pub(crate) column: Spanned<String>,
@@ -31,25 +31,25 @@
     pub(crate) value: Spanned<String>,
 }
 
-/// A change as written.
+/// A parsed change, before its name and fields are checked.
 #[derive(Clone, Debug)]
 pub(crate) struct RawChange {
     pub(crate) verb: Verb,
     pub(crate) kind: ObjectKind,
     pub(crate) name: Spanned<String>,
     pub(crate) assignments: Vec<Assignment>,
-    /// The end of the change, where missing fields would stand.
+    /// The byte offset of the end of the change, where errors on missing fields point.
     pub(crate) end: usize,
 }
 
-/// `FIELD=VALUE` as written.
+/// A parsed `FIELD=VALUE`, before either is checked.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     pub(crate) field: Spanned<String>,
     pub(crate) value: Spanned<String>,
 }
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verb {
     Create,
@@ -61,32 +61,34 @@
 
 type Error<'tokens, 'src> = extra::Err<Rich<'tokens, Token<'src>>>;
 
-/// Reads tokens as statements; gives what could be read beside the errors.
+/// Parses tokens into statements; returns those that could be parsed, and the errors.
 pub(crate) fn parse<'tokens, 'src: 'tokens>(
     tokens: &'tokens [Spanned<Token<'src>>],
     text_len: usize,
-) -> (Vec<Syntax>, Vec<Rich<'tokens, Token<'src>>>) {
+) -> (Vec<RawStatement>, Vec<Rich<'tokens, Token<'src>>>) {
     let end = SimpleSpan::from(text_len..text_len);
     let input = tokens.split_token_span(end);
     let (statements, errors) = script().parse(input).into_output_errors();
     (statements.unwrap_or_default(), errors)
 }
 
-fn script<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Vec<Syntax>, Error<'tokens, 'src>>
+fn script<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, Vec<RawStatement>, Error<'tokens, 'src>>
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
     let semicolons = just(Token::Semicolon).repeated();
     statement()
-        .recover_with(via_parser(unreadable()))
+        .recover_with(via_parser(invalid_statement()))
         .separated_by(just(Token::Semicolon).repeated().at_least(1))
         .collect()
         .padded_by(semicolons)
         .then_ignore(end())
 }
 
-/// Skips to the end of a statement, over whole groups in braces.
-fn unreadable<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>>
+/// Recovers from a syntax error: skips to the end of the statement, over whole groups in braces.
+fn invalid_statement<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>>
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -98,11 +100,11 @@
         .or(other)
         .repeated()
         .at_least(1)
-        .to(Syntax::Unreadable)
+        .to(RawStatement::Invalid)
 }
 
 fn statement<'tokens, 'src: 'tokens, I>()
--> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>> + Clone
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>> + Clone
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -120,11 +122,12 @@
     let changes = guard
         .or_not()
         .then(group.or(one))
-        .map(|(expected, changes)| Syntax::Changes { expected, changes });
+        .map(|(expected, changes)| RawStatement::Changes { expected, changes });
     show().or(changes)
 }
 
-fn show<'tokens, 'src: 'tokens, I>() -> impl Parser<'tokens, I, Syntax, Error<'tokens, 'src>> + Clone
+fn show<'tokens, 'src: 'tokens, I>()
+-> impl Parser<'tokens, I, RawStatement, Error<'tokens, 'src>> + Clone
 where
     I: ValueInput<'tokens, Token = Token<'src>, Span = SimpleSpan>,
 {
@@ -147,7 +150,7 @@
     keyword("show")
         .ignore_then(table)
         .then(conditions.or_not())
-        .map(|(table, conditions)| Syntax::Show {
+        .map(|(table, conditions)| RawStatement::Show {
             table,
             conditions: conditions.unwrap_or_default(),
         })
