--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -1,34 +1,35 @@
-//! Continuous batching: which sequences run, and what each step does to them.
+//! Continuous batching: admits queued sequences and advances the running ones by one token per
+//! step.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// A completion on its way through the engine.
+/// A completion that is queued or running in the engine.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) request_id: Arc<str>,
-    /// The model that the request named.
+    /// The model named in the request.
     pub(crate) asked: Arc<str>,
-    /// The model that is to serve it; another one than `asked` only by a fault.
+    /// The model that serves the sequence; differs from `asked` only under the `wrong_model` fault.
     pub(crate) chosen: Arc<str>,
     pub(crate) max_tokens: u32,
     progress: Mutex<Progress>,
 }
 
-/// How far a sequence has come.
+/// The progress of a sequence.
 #[derive(Debug, Default)]
 struct Progress {
     produced: u32,
-    /// The model that served from each of these tokens on.
+    /// The models that served the sequence, each with the first token that it served.
     served: Vec<Served>,
-    /// The client went away, or the engine restarted.
+    /// Whether the client disconnected or the engine restarted.
     abandoned: bool,
     waker: Option<Waker>,
 }
 
-/// From which token on a model served a sequence.
+/// A model together with the first token that it served.
 #[derive(Clone, Debug)]
 pub(crate) struct Served {
     pub(crate) from_token: u32,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Ends the sequence early; the next step takes it out of the batch.
+    /// Cancels the sequence; it leaves the batch at the next step.
     pub(crate) fn abandon(&self) {
         let waker = {
             let mut progress = self.lock();
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Waits until more than `taken` tokens are there; none once the sequence was abandoned.
+    /// Waits until more than `taken` tokens have been produced. Resolves to `None` if the sequence
+    /// was cancelled before that.
     pub(crate) fn poll_tokens(&self, taken: u32, cx: &mut Context<'_>) -> Poll<Option<u32>> {
         let mut progress = self.lock();
         if progress.produced > taken {
@@ -71,7 +73,8 @@
         Poll::Pending
     }
 
-    /// Produces every token at once, without the batch, so that a relay can be measured.
+    /// Produces all tokens at once and bypasses the batch, so that a proxy's relay throughput can
+    /// be measured.
     pub(crate) fn finish_at_once(&self) {
         let mut progress = self.lock();
         progress.produced = self.max_tokens;
@@ -81,7 +84,7 @@
         });
     }
 
-    /// Returns the model that served the token with this number, and since when.
+    /// Returns the model that served the token with this index, and the first token that it served.
     pub(crate) fn server_of(&self, token: u32) -> Option<Served> {
         let progress = self.lock();
         let mut latest_first = progress.served.iter().rev();
@@ -90,7 +93,7 @@
             .cloned()
     }
 
-    /// Returns the models that served it so far.
+    /// Returns the models that have served the sequence so far, in order.
     pub(crate) fn servers(&self) -> Vec<Arc<str>> {
         let progress = self.lock();
         let served = progress.served.iter();
@@ -101,7 +104,8 @@
         self.lock().abandoned
     }
 
-    /// Adds a token served by `model` and says whether the sequence is complete.
+    /// Records a token served by `model`, and returns whether the model changed and whether the
+    /// sequence is complete.
     fn advance(&self, model: &Arc<str>) -> Advance {
         let mut progress = self.lock();
         let changed = progress
@@ -130,18 +134,18 @@
     }
 }
 
-/// What a step did to a sequence.
+/// The effect of a step on one sequence.
 #[derive(Clone, Copy, Debug)]
 struct Advance {
-    /// Another model served this token than the one before.
+    /// Whether a different model served this token than the previous one.
     changed: bool,
     finished: bool,
 }
 
-/// The place of a waiting sequence: lower priority numbers first, then in order of arrival.
+/// The key of a queued sequence: lower priority numbers first, then order of arrival.
 type QueuePlace = (i64, u64);
 
-/// The sequences that run and wait.
+/// The running and queued sequences.
 #[derive(Debug)]
 pub(crate) struct Batch {
     limit: usize,
@@ -150,12 +154,12 @@
     arrivals: u64,
 }
 
-/// What happened to a sequence in a step, for the record of runs.
+/// An event of a step that goes into the run records.
 #[derive(Clone, Debug)]
 pub(crate) enum BatchNote {
-    /// It began to run.
+    /// The sequence left the queue and started running.
     Began(Arc<Sequence>),
-    /// This model serves it from here on.
+    /// The model serves the sequence from this token on.
     ServedBy(Arc<Sequence>, Arc<str>),
 }
 
@@ -186,7 +190,7 @@
         self.waiting.insert((priority, self.arrivals), sequence);
     }
 
-    /// Takes out what was abandoned and fills the batch from those that wait.
+    /// Removes cancelled sequences and fills the batch from the queue.
     pub(crate) fn admit(&mut self, notes: &mut Vec<BatchNote>) {
         self.running.retain(|sequence| !sequence.is_abandoned());
         self.waiting.retain(|_, sequence| !sequence.is_abandoned());
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Advances each running sequence by one token and returns the number of tokens.
+    /// Advances each running sequence by one token and returns the number of tokens produced.
     pub(crate) fn step(
         &mut self,
         serving: impl Fn(&Sequence) -> Arc<str>,
@@ -217,7 +221,7 @@
         tokens
     }
 
-    /// Abandons everything, as a restart does.
+    /// Cancels all running and queued sequences, as an engine restart does.
     pub(crate) fn clear(&mut self) {
         for sequence in self.running.drain(..) {
             sequence.abandon();
@@ -228,7 +232,7 @@
     }
 }
 
-/// How long a step with `running` sequences takes.
+/// Returns the duration of a step with `running` sequences.
 pub(crate) fn step_time(fixed: Duration, per_sequence: Duration, running: usize) -> Duration {
     fixed + per_sequence * u32::try_from(running).unwrap_or(u32::MAX)
 }
--- a/crates/chervilshunt_standin/src/engine/cache.rs
+++ b/crates/chervilshunt_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine and its events, which come late and with gaps.
+//! The engine's prefix cache and its event log, which is served with a delay and may have gaps.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,12 +10,12 @@
 use super::state::Engine;
 use crate::serve::{self, AnswerBody};
 
-/// Cache events that are kept; who asks later than that sees a gap.
+/// Number of cache events kept. A client that asks for older ones sees a gap.
 const KEPT_CACHE_EVENTS: usize = 4_096;
-/// Cache events that one answer gives.
+/// Maximum number of cache events in one response.
 const CACHE_EVENTS_PER_ANSWER: usize = 512;
 
-/// A change of the prefix cache.
+/// A change to the prefix cache.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct CacheEvent {
     sequence: u64,
@@ -23,7 +23,7 @@
     prefix: u64,
 }
 
-/// What happened to a prefix.
+/// The kind of change to a prefix.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum CacheEventKind {
@@ -31,13 +31,13 @@
     Removed,
 }
 
-/// The prefix cache and its events.
+/// A prefix cache with least-recently-used eviction, and the log of its events.
 #[derive(Debug)]
 pub(crate) struct CacheLog {
     limit: usize,
     next_sequence: u64,
     uses: u64,
-    /// Cached prefixes with the number of their last use.
+    /// Cached prefixes, each with the value of `uses` at its last use.
     cached: HashMap<u64, u64>,
     events: VecDeque<(Instant, CacheEvent)>,
 }
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Notes the use of a prefix; an event that isn't told leaves a gap in the numbers.
+    /// Records the use of a prefix. If `told` is false, the events are dropped, which leaves a gap
+    /// in the sequence numbers.
     pub(crate) fn store(&mut self, prefix: u64, told: bool, now: Instant) {
         self.uses += 1;
         if self.cached.insert(prefix, self.uses).is_some() {
@@ -94,7 +95,8 @@
     }
 }
 
-/// Gives the cache events after a number, late.
+/// Returns the cache events after the sequence number in the query that are at least as old as the
+/// report lag.
 pub(crate) fn cache_events(engine: &Engine, uri: &Uri) -> Response<AnswerBody> {
     let query = uri.query().unwrap_or_default();
     let after = query
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Completions and chats: from the request's body to the answer.
+//! Handlers for completions and chat completions.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -16,20 +16,22 @@
 use super::stream::{TokenStream, token_text};
 use crate::serve::{self, ATTEMPT_ID, Answer, Cut, REQUEST_ID, header_text};
 
-/// A header of the stand-in's own: `0` gives out every token as fast as the connection takes them.
+/// A header specific to the stand-in: with the value `0`, all tokens are sent as fast as the
+/// connection accepts them.
 const STEP_MS: HeaderName = HeaderName::from_static("x-step-ms");
 
-/// The number of tokens of a request that names none, as in OpenAI's API.
+/// Number of tokens generated if the request does not set `max_tokens`; the same default as
+/// OpenAI's API.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Which of the two forms of the API a call uses.
+/// The API endpoint that a call uses: text completion or chat completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Style {
     Text,
     Chat,
 }
 
-/// The members of a request's body that the stand-in heeds.
+/// The fields of a request body that the stand-in reads; others are ignored.
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
     model: Arc<str>,
@@ -44,7 +46,7 @@
     priority: i64,
 }
 
-/// A completion that the engine is asked for.
+/// A completion request as submitted to the engine.
 #[derive(Debug)]
 pub(crate) struct Order {
     pub(crate) request_id: Arc<str>,
@@ -52,11 +54,11 @@
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
     pub(crate) priority: i64,
-    /// Skips the batch.
+    /// Whether all tokens are produced immediately, without the batch.
     pub(crate) at_once: bool,
 }
 
-/// Answers a completion or a chat.
+/// Responds to a completion or chat completion.
 pub(crate) async fn answer(engine: &Engine, req: Request<Incoming>, style: Style) -> Answer {
     engine.lock().meter.count.completions += 1;
     let headers = req.headers().clone();
@@ -97,7 +99,7 @@
     Ok(serve::echo_ids(&headers, response))
 }
 
-/// A call whose sequence has been queued.
+/// A call whose sequence has been queued or is complete.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: String,
@@ -107,7 +109,7 @@
     pub(crate) running: Running,
 }
 
-/// Takes the sequence out of the batch when the client goes away.
+/// Cancels the sequence when dropped, for example because the client disconnected.
 #[derive(Debug)]
 pub(crate) struct Running(pub(crate) Arc<Sequence>);
 
@@ -118,7 +120,8 @@
 }
 
 impl Call {
-    /// Waits for the first token, so that an error before it can still be the answer's head.
+    /// Waits for the first token before it sends the response head, so that a call that fails
+    /// before it is cut off without a response.
     async fn stream(self) -> Answer {
         self.wait_for(1).await?;
         if self.cut_after == Some(0) {
@@ -177,7 +180,8 @@
         })
     }
 
-    /// Returns a model other than the one asked for if such a one served any token.
+    /// Returns the first model other than the requested one that served any token, or else the
+    /// requested model.
     fn model_shown(&self) -> Arc<str> {
         let sequence = &self.running.0;
         sequence
--- a/crates/chervilshunt_standin/src/engine/slots.rs
+++ b/crates/chervilshunt_standin/src/engine/slots.rs
@@ -2,26 +2,27 @@
 
 use std::sync::Arc;
 
-/// The adapters that are loaded, in the order in which they were.
+/// The loaded adapters, in load order, and the slots reserved for loads in progress.
 #[derive(Debug)]
 pub(crate) struct Slots {
     limit: usize,
     loaded: Vec<Arc<str>>,
-    /// Slots that loads in progress have reserved.
+    /// The slots reserved by loads in progress.
     loading: Vec<(LoadTicket, Arc<str>)>,
     next_ticket: u64,
 }
 
-/// Tells one load from another of the same adapter that began after a restart.
+/// Identifies a load, so that one that began before a restart is not mistaken for a later load of
+/// the same adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LoadTicket(u64);
 
-/// Why a slot could not be reserved.
+/// The reason why a slot could not be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlotRefusal {
-    /// The adapter is loaded already, or being loaded.
+    /// The adapter is already loaded or loading.
     Present,
-    /// Every slot is taken.
+    /// All slots are loaded or reserved.
     Full,
 }
 
@@ -43,7 +44,7 @@
         self.loaded.iter().find(|loaded| &***loaded == adapter)
     }
 
-    /// Reserves a slot, so that two loads side by side can't take the same one.
+    /// Reserves a slot, so that concurrent loads cannot take the same one.
     pub(crate) fn reserve(&mut self, adapter: &Arc<str>) -> Result<LoadTicket, SlotRefusal> {
         let loading = self.loading.iter().any(|(_, loading)| loading == adapter);
         if loading || self.loaded.contains(adapter) {
@@ -58,7 +59,8 @@
         Ok(ticket)
     }
 
-    /// Ends a load and says whether the adapter is there now; a restart forgets loads.
+    /// Ends a load and returns whether the adapter is now loaded. Loads that began before a restart
+    /// are ignored.
     pub(crate) fn settle(&mut self, ticket: LoadTicket, succeeded: bool) -> bool {
         let Some(place) = self.loading.iter().position(|(other, _)| *other == ticket) else {
             return false;
@@ -70,7 +72,7 @@
         succeeded
     }
 
-    /// Frees the adapter's slot and says whether it held it.
+    /// Frees the adapter's slot and returns whether the adapter was loaded.
     pub(crate) fn unload(&mut self, adapter: &str) -> bool {
         let before = self.loaded.len();
         self.loaded.retain(|loaded| &**loaded != adapter);
--- a/crates/chervilshunt_standin/src/engine/stream.rs
+++ b/crates/chervilshunt_standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The bodies of the engine's answers, token by token.
+//! Streaming response bodies and the text of tokens.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,17 +12,18 @@
 use super::completion::{Call, Style};
 use crate::serve::Cut;
 
-/// What ends an SSE stream of OpenAI's API.
+/// The event that ends an SSE stream of OpenAI's API.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// An SSE stream with one event for each token.
+/// An SSE stream with one event per token.
 #[derive(Debug)]
 pub(crate) struct TokenStream {
     call: Call,
-    /// What each event begins with, up to the model's name.
+    /// The start of each event, up to the model name.
     head: String,
     taken: u32,
-    /// The cut waits for one poll, so that what went before it is flushed.
+    /// Whether the poll that precedes a cut has passed. The cut waits for it so that the preceding
+    /// events are flushed.
     flushed: bool,
     done: bool,
 }
@@ -110,7 +111,8 @@
     }
 }
 
-/// Returns the text of a token: numbered, and with the model named wherever it changes.
+/// Returns the text of a token, which contains its number. The first token, and each one served by
+/// a different model than the one before, also names the model.
 pub(crate) fn token_text(sequence: &Sequence, token: u32) -> String {
     let begun = sequence
         .server_of(token)
