--- a/crates/chervilshunt_standin/src/engine/command.rs
+++ b/crates/chervilshunt_standin/src/engine/command.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Command line of the engine stand-in as a separate process.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 usage: chervilshunt_standin engine [OPTIONS]
 
   --listen IP:PORT          address of the API (127.0.0.1:0)
-  --control IP:PORT         address that answers /standin/ also while connections are refused
+  --control IP:PORT         address that serves /standin/ even while connections are refused
   --base-model NAME         name of the base model (base)
-  --slots N                 adapters held at a time (4)
-  --max-batch N             sequences run at a time (16)
-  --step-ms N               fixed part of a step's time (5)
-  --step-us-per-sequence N  part of a step's time that each sequence adds (0)
-  --weights IP:PORT         weight store that loads come from
-  --load-ms N               time of a load without a weight store (20)
-  --idle-watts N            power of a step that runs nothing (100)
-  --watts-per-sequence N    power that each running sequence adds (25)
-  --report-lag-ms N         age of load reports and cache events (200)
-  --no-fencing              carry out orders whatever their fencing number
-  --cached-prefixes N       prompt prefixes that the cache holds (64)
-  --seed N                  seed of what is random in faults";
+  --slots N                 adapters loaded at the same time (4)
+  --max-batch N             sequences running at the same time (16)
+  --step-ms N               fixed duration of a step (5)
+  --step-us-per-sequence N  time that each running sequence adds to a step (0)
+  --weights IP:PORT         weight store from which adapters are loaded
+  --load-ms N               duration of a load without a weight store (20)
+  --idle-watts N            power drawn while no sequence runs (100)
+  --watts-per-sequence N    power added by each running sequence (25)
+  --report-lag-ms N         delay of load reports and cache events (200)
+  --no-fencing              carry out orders regardless of their fencing number
+  --cached-prefixes N       capacity of the prefix cache, in prompt prefixes (64)
+  --seed N                  seed of the random faults";
 
-/// Runs the stand-in until the process is ended.
+/// Runs the stand-in until the process exits.
 pub fn run(parser: Parser) -> ExitCode {
     command::run(parser, USAGE, parse, async |cfg| {
         Ok(start_engine(cfg).await?.addresses())
--- a/crates/chervilshunt_standin/src/engine/config.rs
+++ b/crates/chervilshunt_standin/src/engine/config.rs
@@ -1,41 +1,41 @@
-//! What an engine stand-in is told at its start.
+//! Configuration of an engine stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an engine stand-in is told at its start.
+/// Configuration of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineStandinConfig {
-    /// Where to listen; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Where to answer its own paths also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
     /// The name of the base model.
     pub base_model: Arc<str>,
-    /// Adapters that it holds at a time.
+    /// Maximum number of adapters loaded at the same time.
     pub slots: usize,
-    /// Sequences that it runs at a time.
+    /// Maximum number of sequences running at the same time.
     pub max_batch: usize,
-    /// The fixed part of a step's time.
+    /// Fixed duration of a step.
     pub step: Duration,
-    /// The part of a step's time that each running sequence adds.
+    /// Time that each running sequence adds to a step.
     pub step_per_sequence: Duration,
-    /// The weight store that loads come from; without one a load takes `load_time`.
+    /// The weight store from which adapters are loaded; without one, a load takes `load_time`.
     pub weights: Option<SocketAddr>,
-    /// The time of a load without a weight store.
+    /// Duration of a load without a weight store.
     pub load_time: Duration,
-    /// Power of a step that runs no sequence, in watts.
+    /// Power drawn while no sequence runs, in watts.
     pub idle_watts: f64,
-    /// Power that each running sequence adds, in watts.
+    /// Power added by each running sequence, in watts.
     pub watts_per_sequence: f64,
-    /// How old load reports and cache events are when they are given out.
+    /// Delay with which load reports and cache events become visible.
     pub report_lag: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// Prompt prefixes that the cache holds.
+    /// Capacity of the prefix cache, in prompt prefixes.
     pub cached_prefixes: usize,
-    /// Seeds what is random in faults.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
--- a/crates/chervilshunt_standin/src/engine/faults.rs
+++ b/crates/chervilshunt_standin/src/engine/faults.rs
@@ -4,44 +4,45 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A change of fault switches; what is absent stays as it is.
+/// A partial update of the fault switches; absent fields leave their switch unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaultChange {
-    /// Refuses connections and cuts those that are there.
+    /// Refuses new connections and closes the existing ones.
     pub down: Option<bool>,
-    /// Refuses connections for this long, then takes them again.
+    /// Refuses connections for this many milliseconds, then accepts them again.
     pub down_ms: Option<u64>,
-    /// Adds to each step.
+    /// Added to the duration of each step, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Hangs: steps stop and calls go unanswered until it is taken back.
+    /// Stops stepping and leaves calls unanswered until it is switched off.
     pub freeze: Option<bool>,
-    /// Starts anew once: adapters, running work and the fencing number are gone.
+    /// Restarts the engine once: loaded adapters, running sequences and the fencing number are
+    /// lost.
     pub restart: Option<bool>,
-    /// The share of loads that fail, 0 to 1.
+    /// The fraction of loads that fail, from 0 to 1.
     pub load_fails: Option<f64>,
-    /// Adds to each load.
+    /// Added to the duration of each load, in milliseconds.
     pub load_slow_ms: Option<u64>,
-    /// Carries out orders whatever their fencing number.
+    /// Carries out orders regardless of their fencing number.
     pub ignore_fencing: Option<bool>,
-    /// Replaces the age of load reports and cache events.
+    /// Overrides the delay of load reports and cache events, in milliseconds.
     pub late_reports_ms: Option<u64>,
-    /// Cuts each stream after this many tokens, and each whole answer half-way; a negative number
-    /// takes it back.
+    /// Closes the connection of each stream after this many tokens, and of each non-streaming
+    /// response half-way through its body. A negative number switches the fault off.
     pub cut_after_tokens: Option<i64>,
-    /// Serves the next completion by another adapter, or by the base model.
+    /// Serves the next completion with a different adapter, or with the base model.
     pub wrong_model: Option<bool>,
-    /// Holds back each finished answer to a completion or an order.
+    /// Delays each finished response to a completion or an order, in milliseconds.
     pub answer_late_ms: Option<u64>,
-    /// Carries out orders and then cuts the connection in place of the answer.
+    /// Carries out orders, then closes the connection instead of responding.
     pub lose_order_answers: Option<bool>,
-    /// Answers each unload order with 500.
+    /// Responds to each unload order with 500.
     pub refuse_unload: Option<bool>,
-    /// The share of cache events that are left out, 0 to 1.
+    /// The fraction of cache events that are dropped, from 0 to 1.
     pub cache_event_gaps: Option<f64>,
 }
 
-/// The faults in force.
+/// The faults currently in effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) slow: Duration,
@@ -59,7 +60,8 @@
 }
 
 impl Faults {
-    /// Merges the lasting switches of `change`; the port's and the one-shot ones are the engine's.
+    /// Applies the persistent switches of `change`. The switches of the port and the one-shot ones
+    /// are applied by the engine.
     pub(crate) fn merge(&mut self, change: &EngineFaultChange) {
         set_millis(&mut self.slow, change.slow_ms);
         set(&mut self.frozen, change.freeze);
--- a/crates/chervilshunt_standin/src/engine/meter.rs
+++ b/crates/chervilshunt_standin/src/engine/meter.rs
@@ -1,4 +1,4 @@
-//! Counts what an engine does, and adds up its modelled power.
+//! Counters of the engine and its modelled power and energy.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,45 +7,46 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Changes of power that are kept; at a step of 5 ms, some minutes of a busy engine.
+/// Number of power changes kept. At 5 ms per step this covers a few minutes of a busy engine.
 const KEPT_POWER_CHANGES: usize = 65_536;
 
-/// The counters of an engine stand-in.
+/// Statistics of an engine stand-in.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineStats {
-    /// Calls and orders by kind.
+    /// Counters of calls, orders and steps.
     #[serde(flatten)]
     pub count: EngineCounts,
-    /// Sequences running.
+    /// Number of running sequences.
     pub running: usize,
-    /// Sequences waiting.
+    /// Number of queued sequences.
     pub waiting: usize,
-    /// Adapters loaded.
+    /// Names of the loaded adapters.
     pub loaded: Vec<Arc<str>>,
-    /// Power drawn now, in watts.
+    /// Current power, in watts.
     pub watts: f64,
-    /// The highest power drawn so far, in watts.
+    /// The highest power so far, in watts.
     pub highest_watts: f64,
-    /// Energy drawn so far, in joules.
+    /// Energy consumed so far, in joules.
     pub joules: f64,
 }
 
-/// Counts of an engine stand-in since its start; restarts don't reset them.
+/// Counters of an engine stand-in since the process started; the `restart` fault does not reset
+/// them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Completions and chats asked for.
+    /// Completion and chat requests received.
     pub completions: u64,
-    /// Of these, ones for an adapter that was not loaded.
+    /// Requests for an adapter that was not loaded.
     pub adapters_missing: u64,
-    /// Steps taken.
+    /// Steps executed.
     pub steps: u64,
     /// Tokens generated.
     pub tokens: u64,
-    /// The most sequences in one step.
+    /// The highest number of sequences running in one step.
     pub highest_batch: u64,
-    /// Orders to load.
+    /// Load orders received.
     pub load_orders: u64,
-    /// Orders to unload.
+    /// Unload orders received.
     pub unload_orders: u64,
     /// Loads that succeeded.
     pub loads: u64,
@@ -53,17 +54,17 @@
     pub failed_loads: u64,
     /// Unloads carried out.
     pub unloads: u64,
-    /// Of these, ones of an adapter that was serving a sequence.
+    /// Unloads of an adapter that was serving a running sequence.
     pub unloads_while_serving: u64,
-    /// Orders that came with an old fencing number.
+    /// Orders with an outdated fencing number, whether refused or carried out.
     pub stale_orders: u64,
-    /// Of these, ones that were refused for it.
+    /// Orders refused because of an outdated fencing number.
     pub fenced_orders: u64,
-    /// Restarts.
+    /// Restarts caused by the `restart` fault.
     pub restarts: u64,
 }
 
-/// Counts, and adds up power and energy.
+/// Updates the counters and integrates the modelled power into energy.
 #[derive(Debug)]
 pub(crate) struct Meter {
     pub(crate) count: EngineCounts,
@@ -76,19 +77,18 @@
     changes: VecDeque<PowerChange>,
 }
 
-/// From when on an engine drew this power.
+/// A change in the power drawn by an engine.
 ///
-/// The changes of several engines on one machine, laid side by side, give the power that they drew
-/// together at each time.
+/// Merging the changes of several engines on one machine by time gives their combined power.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PowerChange {
-    /// The time, in microseconds since 1970.
+    /// The time of the change, in microseconds since the Unix epoch.
     pub unix_micros: u64,
-    /// The power from then on, in watts.
+    /// The power from this time on, in watts.
     pub watts: f64,
 }
 
-/// Returns the highest power that several engines drew together at any one time, in watts.
+/// Returns the highest combined power of several engines at any one time, in watts.
 pub fn highest_power_together(engines: &[Vec<PowerChange>]) -> f64 {
     let mut changes: Vec<(PowerChange, usize)> = Vec::new();
     for (engine, list) in engines.iter().enumerate() {
@@ -123,7 +123,7 @@
         meter
     }
 
-    /// Notes the number of running sequences, which sets the power from `now` on.
+    /// Sets the number of running sequences, which determines the power from `now` on.
     pub(crate) fn set_running(&mut self, running: usize, now: Instant) {
         self.joules += self.watts * (now - self.since).as_secs_f64();
         self.since = now;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the changes of power, oldest first.
+    /// Returns the recorded power changes, oldest first.
     pub(crate) fn power_changes(&self) -> Vec<PowerChange> {
         self.changes.iter().copied().collect()
     }
--- a/crates/chervilshunt_standin/src/engine/mod.rs
+++ b/crates/chervilshunt_standin/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a model engine as vLLM's HTTP server shows it.
+//! A stand-in for an LLM engine with the HTTP API of vLLM's server.
 //!
-//! It batches continuously: each step advances every running sequence by one token, and takes a
-//! fixed time and a time per sequence. Nothing is computed; what matters is that an answer tells
-//! truthfully which adapter served each token.
+//! It implements continuous batching: each step advances every running sequence by one token and
+//! takes a fixed time plus a time per sequence. No model is evaluated; what matters is that a
+//! response states correctly which adapter served each token.
 
 mod batch;
 mod cache;
@@ -32,12 +32,12 @@
 use crate::runs::Runs;
 use crate::serve::{self, Port};
 
-/// A running engine stand-in; it serves until the runtime ends.
+/// A running engine stand-in; it serves until the runtime shuts down.
 #[derive(Clone, Debug)]
 pub struct EngineStandin {
-    /// Where it listens.
+    /// Address of the API.
     pub address: SocketAddr,
-    /// Where its own paths are answered also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
     engine: Arc<state::Engine>,
 }
@@ -50,36 +50,36 @@
         }
     }
 
-    /// Changes the faults in force, as `POST /standin/faults` does.
+    /// Updates the fault switches, as `POST /standin/faults` does.
     pub fn set_faults(&self, change: &EngineFaultChange) {
         self.engine.set_faults(change);
     }
 
-    /// Returns what became of the requests with this id.
+    /// Returns the run record of the requests with this id.
     pub fn runs(&self, request_id: &str) -> RunRecord {
         self.engine.runs.get(request_id)
     }
 
-    /// Returns every request's record.
+    /// Returns the run records of all requests.
     pub fn all_runs(&self) -> &Runs {
         &self.engine.runs
     }
 
-    /// Returns the counters, as `GET /standin/stats` does.
+    /// Returns the statistics, as `GET /standin/stats` does.
     pub fn stats(&self) -> EngineStats {
         self.engine.stats()
     }
 
-    /// Returns the changes of its power, oldest first, as `GET /standin/power` does.
+    /// Returns the recorded power changes, oldest first, as `GET /standin/power` does.
     pub fn power_changes(&self) -> Vec<PowerChange> {
         self.engine.power_changes()
     }
 }
 
-/// Starts an engine stand-in on the present runtime.
+/// Starts an engine stand-in on the current Tokio runtime.
 ///
 /// # Errors
-/// Fails if its address can't be listened on.
+/// Fails if one of its addresses cannot be bound.
 pub async fn start_engine(cfg: EngineStandinConfig) -> io::Result<EngineStandin> {
     let (listen, control) = (cfg.listen, cfg.control);
     let port = Port::new();
--- a/crates/chervilshunt_standin/src/engine/orders.rs
+++ b/crates/chervilshunt_standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload adapters, and the list of what is loaded.
+//! Handlers for load and unload orders, and the list of loaded models.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +16,20 @@
 
 const FENCING_TOKEN: &str = "x-fencing-token";
 
-/// The body of an order to load.
+/// The body of a load order.
 #[derive(Debug, Deserialize)]
 struct LoadBody {
     lora_name: Arc<str>,
     lora_path: Arc<str>,
 }
 
-/// The body of an order to unload.
+/// The body of an unload order.
 #[derive(Debug, Deserialize)]
 struct UnloadBody {
     lora_name: Arc<str>,
 }
 
-/// Loads an adapter into a free slot.
+/// Loads an adapter into a free slot, unless the order is fenced off or no slot is free.
 pub(crate) async fn load(engine: Arc<Engine>, req: Request<Incoming>) -> Answer {
     let headers = req.headers().clone();
     engine.lock().meter.count.load_orders += 1;
@@ -45,7 +45,7 @@
         Ok(ticket) => ticket,
         Err(refusal) => return Ok(refuse_slot(refusal, &body.lora_name)),
     };
-    // A load goes on when the client that ordered it goes away.
+    // The load continues if the client that ordered it disconnects.
     let loading = tokio::spawn(carry_out_load(Arc::clone(&engine), ticket, body.lora_path));
     let loaded = loading.await.unwrap_or(false);
     let response = if loaded {
@@ -86,7 +86,7 @@
     loaded
 }
 
-/// Unloads an adapter, whether or not it serves a sequence at the moment, as vLLM does.
+/// Unloads an adapter even while it serves a running sequence, as vLLM does.
 pub(crate) async fn unload(engine: &Engine, req: Request<Incoming>) -> Answer {
     let headers = req.headers().clone();
     engine.lock().meter.count.unload_orders += 1;
@@ -104,7 +104,7 @@
 fn carry_out_unload(engine: &Engine, adapter: &Arc<str>) -> Response<AnswerBody> {
     let mut state = engine.lock();
     if state.faults.refuse_unload {
-        let message = "the stand-in refuses to unload";
+        let message = "unload refused by the stand-in's refuse_unload fault";
         return error(
             StatusCode::INTERNAL_SERVER_ERROR,
             "InternalServerError",
@@ -122,7 +122,7 @@
     serve::text(StatusCode::OK, message)
 }
 
-/// Lists the base model and each loaded adapter.
+/// Lists the base model and all loaded adapters.
 pub(crate) fn models(engine: &Engine) -> Response<AnswerBody> {
     let base = &*engine.cfg.base_model;
     let state = engine.lock();
@@ -134,7 +134,8 @@
     serve::json(StatusCode::OK, &json!({"object": "list", "data": data}))
 }
 
-/// Refuses an order with an old fencing number, and remembers the highest.
+/// Refuses an order whose fencing number is lower than the highest one seen so far; otherwise
+/// stores its number as the highest.
 fn refuse_fencing(engine: &Engine, headers: &HeaderMap) -> Option<Response<AnswerBody>> {
     let token = headers
         .get(FENCING_TOKEN)
--- a/crates/chervilshunt_standin/src/engine/reports.rs
+++ b/crates/chervilshunt_standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! The load reports of an engine, which come late.
+//! The engine's load reports, which are served with a delay.
 
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -11,10 +11,10 @@
 use super::state::{Engine, State};
 use crate::serve::{self, AnswerBody};
 
-/// Load reports that are kept; older ones are of use to no lag that a test sets.
+/// Number of load reports kept. Older ones are not needed for any report lag that the tests set.
 const KEPT_REPORTS: usize = 2_000;
 
-/// What the engine was like when a report was taken.
+/// A snapshot of the engine's load.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Report {
     running: usize,
@@ -24,7 +24,7 @@
     taken_unix: f64,
 }
 
-/// Takes a report.
+/// Takes a load report of the current state.
 pub(crate) fn take(state: &State, max_batch: usize) -> Report {
     let mut running_adapters: Vec<_> = state.batch.running_models().cloned().collect();
     running_adapters.sort_unstable();
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reports by the time at which they were taken.
+/// The recent load reports with the times at which they were taken.
 #[derive(Debug, Default)]
 pub(crate) struct ReportLog {
     reports: VecDeque<(Instant, Report)>,
@@ -53,7 +53,7 @@
         self.reports.push_back((now, report));
     }
 
-    /// Returns the newest report that is at least `lag` old, or else the oldest.
+    /// Returns the newest report that is at least `lag` old, or else the oldest one kept.
     fn lagging(&self, lag: Duration, now: Instant) -> Report {
         let mut newest_first = self.reports.iter().rev();
         newest_first
@@ -64,7 +64,7 @@
     }
 }
 
-/// Gives the lagging load report as Prometheus text.
+/// Returns the delayed load report in the Prometheus text format.
 pub(crate) fn metrics(engine: &Engine) -> Response<AnswerBody> {
     let state = engine.lock();
     let lag = state.faults.report_lag.unwrap_or(engine.cfg.report_lag);
@@ -78,7 +78,7 @@
         ("num_requests_waiting", report.waiting as f64),
         ("kv_cache_usage_perc", usage),
     ] {
-        // Writing to a string can't fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(out, "# TYPE vllm:{name} gauge");
         let _ = writeln!(
             out,
--- a/crates/chervilshunt_standin/src/engine/routes.rs
+++ b/crates/chervilshunt_standin/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The dispatch of the engine's paths.
+//! Request routing of the engine stand-in.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::{EngineFaultChange, cache, completion, orders, reports};
 use crate::serve::{self, Answer, AnswerBody, Cut};
 
-/// Answers one call.
+/// Routes one request to its handler.
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Answer {
     if req.uri().path().starts_with(serve::OWN_PATHS) {
         return answer_own(&engine, req).await;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads a JSON body; what can't be read is answered as vLLM does.
+/// Reads a JSON request body. A malformed body yields the error response that vLLM would send.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     req: Request<Incoming>,
 ) -> Result<Result<T, Response<AnswerBody>>, Cut> {
@@ -70,7 +70,7 @@
         .map_err(|err| error(StatusCode::BAD_REQUEST, "BadRequestError", &err.to_string())))
 }
 
-/// Returns an error in the form of OpenAI's API.
+/// Returns an error response in the format of OpenAI's API.
 pub(crate) fn error(status: StatusCode, kind: &str, message: &str) -> Response<AnswerBody> {
     let body = json!({
         "error": {"message": message, "type": kind, "param": null, "code": status.as_u16()}
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's state, and the tasks that step its batch and take its load reports.
+//! The engine's state and its background tasks, which step the batch and take load reports.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use crate::runs::Runs;
 use crate::serve::Port;
 
-/// How often a load report is taken.
+/// Interval between load reports.
 const REPORT_PERIOD: Duration = Duration::from_millis(20);
 
-/// An engine, shared by its connections and its stepping task.
+/// An engine, shared by its connections and background tasks.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) cfg: EngineStandinConfig,
@@ -32,7 +32,7 @@
     work: Notify,
 }
 
-/// All that changes.
+/// The mutable state of an engine.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) faults: Faults,
@@ -46,7 +46,7 @@
 }
 
 impl State {
-    /// Says yes with probability `share`.
+    /// Returns `true` with probability `share`, clamped to 0 to 1.
     pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.rng.random_bool(share.clamp(0.0, 1.0))
     }
@@ -77,7 +77,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts the tasks that step the batch and take load reports.
+    /// Starts the background tasks that step the batch and take load reports.
     pub(crate) fn start_background(self: &Arc<Self>) {
         tokio::spawn(Arc::clone(self).step_forever());
         tokio::spawn(Arc::clone(self).report_forever());
@@ -116,9 +116,9 @@
         self.lock().meter.power_changes()
     }
 
-    /// Queues a completion and notes its prompt in the prefix cache.
+    /// Queues a completion and records its prompt in the prefix cache.
     ///
-    /// Returns none if the model is neither loaded nor the base model.
+    /// Returns `None` if the model is neither the base model nor a loaded adapter.
     pub(crate) fn submit(&self, order: completion::Order) -> Option<Arc<Sequence>> {
         let sequence = {
             let mut state = self.lock();
@@ -172,12 +172,14 @@
             }
             self.port.thawed().await;
             self.end_step();
-            // A late timer shortens the next step, so that the rate holds; a freeze doesn't count.
+            // A late timer shortens the next step, so that the step rate is kept on average. Time
+            // spent frozen is not made up for.
             last_end = end.max(Instant::now() - step);
         }
     }
 
-    /// Fills the batch and returns how long its step takes; none if there is nothing to run.
+    /// Fills the batch from the queue and returns the duration of its next step, or `None` if
+    /// nothing runs.
     fn begin_step(&self) -> Option<Duration> {
         let mut notes = Vec::new();
         let mut state = self.lock();
