--- a/crates/chervilshunt_standin/src/plain/command.rs
+++ b/crates/chervilshunt_standin/src/plain/command.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Command line of the plain-service stand-in as a separate process.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 usage: chervilshunt_standin plain [OPTIONS]
 
   --listen IP:PORT   address of the service (127.0.0.1:0)
-  --control IP:PORT  address that answers /standin/ also while connections are refused
-  --delay-ms N       time that each call takes (5)";
+  --control IP:PORT  address that serves /standin/ even while connections are refused
+  --delay-ms N       duration of each call (5)";
 
-/// Runs the stand-in until the process is ended.
+/// Runs the stand-in until the process exits.
 pub fn run(parser: Parser) -> ExitCode {
     command::run(parser, USAGE, parse, async |cfg| {
         Ok(start_plain(cfg).await?.addresses())
--- a/crates/chervilshunt_standin/src/plain/mod.rs
+++ b/crates/chervilshunt_standin/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: it takes any call and counts how often each one ran.
+//! A stand-in for a plain HTTP service: it accepts any call and counts how often each request ran.
 
 mod command;
 
@@ -19,14 +19,14 @@
 use crate::runs::Runs;
 use crate::serve::{self, Answer, Cut, Port, REQUEST_ID, header_text};
 
-/// What a plain-service stand-in is told at its start.
+/// Configuration of a plain-service stand-in.
 #[derive(Clone, Debug)]
 pub struct PlainStandinConfig {
-    /// Where to listen; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Where to answer its own paths also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
-    /// How long each call takes.
+    /// Duration of each call.
     pub delay: Duration,
 }
 
@@ -40,47 +40,47 @@
     }
 }
 
-/// A change of fault switches; what is absent stays as it is.
+/// A partial update of the fault switches; absent fields leave their switch unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlainFaultChange {
-    /// Refuses connections and cuts those that are there.
+    /// Refuses new connections and closes the existing ones.
     pub down: Option<bool>,
-    /// Refuses connections for this long, then takes them again.
+    /// Refuses connections for this many milliseconds, then accepts them again.
     pub down_ms: Option<u64>,
-    /// Adds to each call.
+    /// Added to the duration of each call, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Hangs: calls go unanswered until it is taken back.
+    /// Leaves calls unanswered until it is switched off.
     pub freeze: Option<bool>,
-    /// Runs this many calls and cuts the connection in place of the answer.
+    /// Runs this many calls and closes the connection instead of responding.
     pub lose_answers: Option<u32>,
-    /// Cuts this many calls off before they run.
+    /// Closes the connection of this many calls before they run.
     pub cut_before_run: Option<u32>,
-    /// Sends half of this many answers and cuts the connection.
+    /// Closes the connection half-way through the response body of this many calls.
     pub cut_answers: Option<u32>,
-    /// Answers this many calls with 503 and `Retry-After: 1`, without running them.
+    /// Responds to this many calls with 503 and `Retry-After: 1`, without running them.
     pub refuse: Option<u32>,
 }
 
-/// The counters of a plain-service stand-in.
+/// Counters of a plain-service stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainStats {
-    /// Calls that arrived.
+    /// Calls received.
     pub calls: u64,
-    /// Calls that ran.
+    /// Calls executed.
     pub runs: u64,
-    /// Calls whose answer was lost or cut.
+    /// Executed calls whose response was lost or truncated.
     pub lost_answers: u64,
     /// Calls that were refused or cut off before they ran.
     pub not_run: u64,
 }
 
-/// A running plain-service stand-in; it serves until the runtime ends.
+/// A running plain-service stand-in; it serves until the runtime shuts down.
 #[derive(Clone, Debug)]
 pub struct PlainStandin {
-    /// Where it listens.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Where its own paths are answered also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
     service: Arc<Service>,
 }
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Changes the faults in force, as `POST /standin/faults` does.
+    /// Updates the fault switches, as `POST /standin/faults` does.
     pub fn set_faults(&self, change: &PlainFaultChange) {
         self.service.set_faults(change);
     }
 
-    /// Returns what became of the requests with this id.
+    /// Returns the run record of the requests with this id.
     pub fn runs(&self, request_id: &str) -> RunRecord {
         self.service.runs.get(request_id)
     }
@@ -109,10 +109,10 @@
     }
 }
 
-/// Starts a plain-service stand-in on the present runtime.
+/// Starts a plain-service stand-in on the current Tokio runtime.
 ///
 /// # Errors
-/// Fails if its address can't be listened on.
+/// Fails if one of its addresses cannot be bound.
 pub async fn start_plain(cfg: PlainStandinConfig) -> io::Result<PlainStandin> {
     let port = Port::new();
     let (listen, control) = (cfg.listen, cfg.control);
@@ -152,7 +152,7 @@
     refuse: u32,
 }
 
-/// What the faults in force do to one call.
+/// The effect of the current faults on one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Answered,
--- a/crates/chervilshunt_standin/src/runs.rs
+++ b/crates/chervilshunt_standin/src/runs.rs
@@ -1,33 +1,35 @@
-//! How often each request truly ran, so that a test can see one that ran twice or not at all.
+//! Counts how often each request was executed, so that a test can detect one that ran twice or not
+//! at all.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use serde::{Deserialize, Serialize};
 
-/// What became of the requests with one id.
+/// The executions of the requests with one id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// How often a request with this id began to run.
+    /// How often a request with this id started to run.
     pub runs: u32,
-    /// The models that served it, in the order in which each first did; empty for plain services.
+    /// The models that served it, in the order of first use; empty for plain services.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
 }
 
-/// The runs of every request, by request id.
+/// The run records of all requests, by request id.
 #[derive(Clone, Debug, Default)]
 pub struct Runs {
     records: Arc<Mutex<HashMap<Arc<str>, RunRecord>>>,
 }
 
 impl Runs {
-    /// Returns what became of the requests with this id; the default if there was none.
+    /// Returns the run record of the requests with this id, or the default record if there was
+    /// none.
     pub fn get(&self, request_id: &str) -> RunRecord {
         self.lock().get(request_id).cloned().unwrap_or_default()
     }
 
-    /// Returns every record.
+    /// Returns all run records.
     pub fn all(&self) -> HashMap<Arc<str>, RunRecord> {
         self.lock().clone()
     }
