--- a/crates/chervilshunt_standin/src/platform/answer.rs
+++ b/crates/chervilshunt_standin/src/platform/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the object API, errors among them.
+//! Responses of the object API, including errors.
 
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -10,17 +10,18 @@
 use super::path::Collection;
 use super::store::{Page, StoreError};
 
-/// About as long as what API servers say of a name, so that measured bytes are not too few.
+/// About as long as the description that Kubernetes API servers send, so that measured byte counts
+/// are not too low.
 const NAME_DESCRIPTION: &str = "The name by which calls mean this object among all objects of its \
     kind in its namespace. Whoever creates the object chooses it, unless the kind lets the server \
     make one up; the server refuses a second object of the same name. It stays as it is for as long \
     as the object is there, so that whoever has it can go on to use it in paths and in references \
     from other objects. Letters, digits and a few marks are allowed in it.";
 
-/// The body of every answer; an error in it breaks the connection off.
+/// The response body type; an error in the body closes the connection.
 pub(crate) type AnswerBody = BoxBody<Bytes, std::io::Error>;
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub(crate) fn json_answer(status: StatusCode, body: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut answer = Response::new(full(body));
     *answer.status_mut() = status;
@@ -31,7 +32,8 @@
     answer
 }
 
-/// Returns a `Status` object as the API server sends it for every failure.
+/// Returns a `Status` object, as the Kubernetes API server sends it for every failure. Responses
+/// with 429 and 503 carry `Retry-After: 1`.
 pub(crate) fn failure(status: StatusCode, reason: &str, message: &str) -> Response<AnswerBody> {
     let mut answer = json_answer(status, status_json(status, reason, message));
     if matches!(
@@ -45,7 +47,7 @@
     answer
 }
 
-/// Returns the answer to a call that the store refused.
+/// Returns the error response for a store error.
 pub(crate) fn refusal(
     collection: &Collection,
     name: &str,
@@ -112,7 +114,7 @@
     text
 }
 
-/// Returns the JSON of a list as a table, whose rows have no objects.
+/// Returns the JSON of a list as a table whose rows contain no objects.
 fn table_json(page: &Page, shape: Shape) -> String {
     let columns = if shape == Shape::Table { 2 } else { 1 };
     let rows = page.objects.iter().map(|object| {
--- a/crates/chervilshunt_standin/src/platform/call.rs
+++ b/crates/chervilshunt_standin/src/platform/call.rs
@@ -1,4 +1,4 @@
-//! A call as its head says it.
+//! Parsing of the request head of a call.
 
 use http::{HeaderMap, Method, header};
 
@@ -6,29 +6,30 @@
 use super::path::{Collection, ObjectPath, Query};
 use super::store::Stored;
 
-/// The header by which a client says which instance it is, so that a fault can hit it alone.
+/// The header with which a client identifies its instance, so that faults can be limited to it.
 const INSTANCE_HEADER: &str = "x-instance";
 
-/// How a client asks for metadata alone, as Kubernetes has it.
+/// The `Accept` parameter that requests metadata only, as in Kubernetes.
 const METADATA_ONLY: &str = "as=PartialObjectMetadata";
 
-/// How a client asks for a table, as Kubernetes has it.
+/// The `Accept` parameter that requests a table, as in Kubernetes.
 const TABLE: &str = "as=Table";
 
-/// The plural of the kind whose definition has a column for the version.
+/// The plural of the only resource that is served as a table; its definition has a column for the
+/// version.
 const TABLE_KIND: &str = "assignments";
 
-/// What an answer shows of an object.
+/// The representation of objects in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Shape {
     Whole,
     Metadata,
     Table,
-    /// A table without the column for the version.
+    /// A table without the version column.
     TableOfNames,
 }
 
-/// A call as its head says it.
+/// Parsing of the request head of a call.
 pub(crate) struct Call {
     pub(crate) verb: Verb,
     pub(crate) path: ObjectPath,
@@ -42,7 +43,7 @@
         self.path.name.as_deref().unwrap_or_default()
     }
 
-    /// Returns as much of an object as the client wants to see.
+    /// Returns the JSON of an object in the representation that the client requested.
     pub(crate) fn shown(&self, object: &Stored) -> String {
         match self.shape {
             Shape::Metadata => object.metadata_json.clone(),
@@ -51,7 +52,7 @@
     }
 }
 
-/// What a call does.
+/// The operation of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verb {
     Get,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Returns the instance that a call names; empty if it names none.
+/// Returns the instance named in the request headers, or an empty string.
 pub(crate) fn instance_of(headers: &HeaderMap) -> String {
     let value = headers
         .get(INSTANCE_HEADER)
@@ -99,7 +100,7 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// Returns what a call asks to see of each object.
+/// Returns the representation that a call requests and the `tables` fault permits.
 pub(crate) fn shape_of(headers: &HeaderMap, collection: &Collection, tables: Tables) -> Shape {
     let accept = headers.get(header::ACCEPT);
     let accept = accept.and_then(|value| value.to_str().ok());
--- a/crates/chervilshunt_standin/src/platform/command.rs
+++ b/crates/chervilshunt_standin/src/platform/command.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Command line of the platform stand-in as a separate process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,12 +13,12 @@
 usage: chervilshunt_standin platform [OPTIONS]
 
   --listen IP:PORT          address of the object API (127.0.0.1:0)
-  --control IP:PORT         address that answers /standin/ also while connections are refused
-  --bookmark-interval-ms N  how often a watch gets a bookmark (1000)
-  --history N               changes kept for watches to resume from (50000)
-  --seed N                  seed of the share of calls that fail";
+  --control IP:PORT         address that serves /standin/ even while connections are refused
+  --bookmark-interval-ms N  interval between the bookmarks of a watch (1000)
+  --history N               number of changes kept for watches to resume from (50000)
+  --seed N                  seed of the random call failures";
 
-/// Runs the stand-in until the process is ended.
+/// Runs the stand-in until the process exits.
 pub fn run(parser: Parser) -> ExitCode {
     let options = match parse(parser) {
         Ok(Some(options)) => options,
--- a/crates/chervilshunt_standin/src/platform/faults.rs
+++ b/crates/chervilshunt_standin/src/platform/faults.rs
@@ -1,92 +1,98 @@
-//! The faults that the stand-in can be told to have.
+//! Fault injection for the platform stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// How the platform is down.
+/// The kind of outage of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Down {
-    /// It is up.
+    /// The platform is up.
     #[default]
     No,
-    /// Connections are refused, and those open are closed; only the control address answers.
+    /// Refuses new connections and closes the open ones; only the control address responds.
     ///
-    /// Where [`Faults::only`] names instances, their connections are accepted and closed instead.
+    /// If [`Faults::only`] names instances, their connections are accepted and then closed instead.
     Refuse,
-    /// Every call is answered with 503, and open watches break.
+    /// Responds to every call with 503 and breaks open watches.
     Unavailable,
 }
 
-/// How lists are answered that ask for a table.
+/// The response to lists that request a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Tables {
-    /// By a table with a column for the version, for assignments.
+    /// For assignments, a table with a version column.
     #[default]
     Full,
-    /// By a table without that column.
+    /// For assignments, a table without the version column.
     NoVersion,
-    /// By the next form that the call names.
+    /// The next representation that the request accepts.
     None,
 }
 
-/// The faults in force.
+/// The faults currently in effect.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Faults {
-    /// Whether and how the platform is down.
+    /// The kind of outage, if any.
     pub down: Down,
-    /// How long each call waits before it takes effect, in milliseconds.
+    /// Delay before each call takes effect, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes take effect and then close the connection without an answer.
+    /// Number of subsequent writes that take effect and then close the connection without a
+    /// response.
     pub lose_answer_after_write: u64,
-    /// The resources, by plural, whose writes lose their answers; all if it is empty.
+    /// The resources, by plural, whose writes lose their responses; all resources if empty.
     ///
-    /// Instances renew leases all the time: without it, which write loses its answer is chance.
+    /// Instances renew leases continuously, so without this filter it is random which write loses
+    /// its response.
     pub lose_answers_of: Vec<String>,
-    /// Whether the platform answers 503 from the moment at which the last of those answers is lost.
+    /// Whether `down` changes to `unavailable` at the moment when the last of those responses is
+    /// lost.
     ///
-    /// Whoever threw [`Faults::down`] by a call of its own would race the client's next call.
+    /// Setting [`Faults::down`] by a separate call would race with the client's next call.
     pub down_after_lost: bool,
-    /// So many of the next changes are never told by a watch.
+    /// Number of subsequent changes that are omitted from all watches.
     pub watch_gap: u64,
-    /// Open watches end with `Expired`, and no version is recent enough to start one from.
+    /// Ends open watches with `Expired` and rejects new ones, whatever their start version.
     pub expire_watches: bool,
-    /// Lists show the collection as it was before so many of its last changes.
+    /// Lists show the collection as it was before this many of its latest changes.
     pub stale_reads: u64,
-    /// Reads of one object show it as it was before so many of the collection's last changes.
+    /// Reads of a single object show it as it was before this many of the collection's latest
+    /// changes.
     pub stale_gets: u64,
-    /// Calls are accepted and stay unanswered, and watches fall silent. As with a process that is
-    /// stopped and continued, writes that came meanwhile take effect once it is lifted.
+    /// Accepts calls without responding, and stops sending on watches. As with a process that is
+    /// suspended and resumed, writes received in the meantime take effect once the fault is
+    /// cleared.
     pub freeze: bool,
-    /// The share of calls that are answered with 503 before they take effect, from 0 to 1.
+    /// The fraction of calls that receive 503 before they take effect, from 0 to 1.
     pub fail_ratio: f64,
-    /// Reads a second beyond which calls are answered with 429; 0 for no bound.
+    /// Reads per second beyond which calls receive 429; 0 means no limit.
     pub reads_per_second: u32,
-    /// Writes a second beyond which calls are answered with 429; 0 for no bound.
+    /// Writes per second beyond which calls receive 429; 0 means no limit.
     pub writes_per_second: u32,
-    /// Instances whose connections are closed without an answer.
+    /// Instances whose connections are closed without a response.
     pub cut: Vec<String>,
-    /// The instances that the other faults hit; all if it is empty.
+    /// The instances affected by the other faults; all instances if empty.
     pub only: Vec<String>,
-    /// How long a change of an EndpointSlice stays unseen by readers, in milliseconds.
+    /// Delay until readers see a change to an EndpointSlice, in milliseconds.
     pub instance_list_lag_ms: u64,
-    /// How lists are answered that ask for a table.
+    /// The response to lists that request a table.
     pub tables: Tables,
 }
 
 impl Faults {
-    /// Says whether an instance's connections are closed without an answer.
+    /// Returns whether the connections of an instance are closed without a response.
     pub(crate) fn cuts(&self, instance: &str) -> bool {
         self.cut.iter().any(|cut| cut == instance)
             || (self.down == Down::Refuse && self.hits(instance))
     }
 
-    /// Says whether the faults other than `cut` hit an instance.
+    /// Returns whether the faults other than `cut` affect an instance.
     pub(crate) fn hits(&self, instance: &str) -> bool {
         self.only.is_empty() || self.only.iter().any(|only| only == instance)
     }
 
-    /// Uses up one lost answer if a write of the resource by the instance loses its answer.
+    /// Returns whether this write by the instance loses its response, and if so decrements the
+    /// number of responses still to lose.
     pub(crate) fn loses_answer(&mut self, instance: &str, resource: &str) -> bool {
         let of = &self.lose_answers_of;
         let named = of.is_empty() || of.iter().any(|plural| plural == resource);
@@ -100,12 +106,12 @@
         true
     }
 
-    /// Says whether the platform refuses every connection.
+    /// Returns whether all connections are refused.
     pub(crate) fn refuses_all(&self) -> bool {
         self.down == Down::Refuse && self.only.is_empty()
     }
 
-    /// Merges a patch into the faults in force.
+    /// Applies a patch to the current faults.
     pub(crate) fn merge(&mut self, patch: FaultPatch) {
         fn set<T>(field: &mut T, value: Option<T>) {
             if let Some(value) = value {
@@ -135,7 +141,8 @@
     }
 }
 
-/// A change to the faults in force, as posted to `/standin/faults`; fields left out stay as is.
+/// A partial update of the faults, as posted to `/standin/faults`; absent fields leave their fault
+/// unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultPatch {
--- a/crates/chervilshunt_standin/src/platform/mod.rs
+++ b/crates/chervilshunt_standin/src/platform/mod.rs
@@ -1,9 +1,10 @@
-//! The platform's object API: objects with versions, conditional updates, lists and watches.
+//! A stand-in for the platform's object API: versioned objects, conditional updates, lists and
+//! watches.
 //!
-//! It keeps everything in memory and serves any group, version, namespace and plural alike, in the
-//! manner of Kubernetes' API server. What it is for are its [`Faults`]: an outage, an answer that
-//! is lost after the write took effect, a gap in a watch, a stale list, and so on, for all clients
-//! or for some.
+//! It keeps all objects in memory and serves any group, version, namespace and plural, in the
+//! manner of the Kubernetes API server. Its purpose is fault injection (see [`Faults`]): an outage,
+//! a response lost after its write took effect, a gap in a watch, a stale list, and others, for all
+//! clients or only for some.
 
 mod answer;
 mod call;
--- a/crates/chervilshunt_standin/src/platform/path.rs
+++ b/crates/chervilshunt_standin/src/platform/path.rs
@@ -1,6 +1,6 @@
-//! Paths and queries of the object API.
+//! Parsing of paths and query strings of the object API.
 
-/// The objects of one kind in one namespace.
+/// A collection: all objects of one resource in one namespace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Collection {
     pub(crate) group: String,
@@ -10,7 +10,7 @@
 }
 
 impl Collection {
-    /// Returns `group/version`, which objects carry as their `apiVersion`.
+    /// Returns `group/version`, the `apiVersion` of the collection's objects.
     pub(crate) fn api_version(&self) -> String {
         if self.group.is_empty() {
             self.version.clone()
@@ -20,16 +20,16 @@
     }
 }
 
-/// What a path below the API server names.
+/// The collection or object that a request path names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ObjectPath {
     pub(crate) collection: Collection,
-    /// The object; none if the path names the collection.
+    /// The object's name, or `None` if the path names the collection.
     pub(crate) name: Option<String>,
 }
 
 impl ObjectPath {
-    /// Reads `/apis/GROUP/VERSION/namespaces/NS/PLURAL[/NAME]`, or `/api/v1/…` of the core group.
+    /// Parses `/apis/GROUP/VERSION/namespaces/NS/PLURAL[/NAME]`, or `/api/v1/…` for the core group.
     pub(crate) fn parse(path: &str) -> Option<Self> {
         let mut parts = path.strip_prefix('/')?.split('/');
         let group = match parts.next()? {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The parameters of a list or watch.
+/// The query parameters of a list or watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Query {
     pub(crate) watch: bool,
@@ -74,16 +74,16 @@
 }
 
 impl Query {
-    /// Reads a query string.
+    /// Parses a query string. Unknown parameters are ignored.
     ///
     /// # Errors
-    /// Fails with a sentence that names the parameter at fault.
+    /// Fails with a message that names the invalid parameter.
     pub(crate) fn parse(text: &str) -> Result<Self, String> {
         let mut query = Self::default();
         for (key, value) in form_urlencoded::parse(text.as_bytes()) {
             let number = || {
                 let parsed = value.parse::<u64>();
-                parsed.map_err(|err| format!("{key} is no number: {err}"))
+                parsed.map_err(|err| format!("{key} is not a number: {err}"))
             };
             match key.as_ref() {
                 "watch" => query.watch = is_true(&value),
@@ -104,7 +104,7 @@
     }
 }
 
-/// A selector of labels by equality, all of which have to hold.
+/// A label selector made of equality terms, all of which must match.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Selector(Vec<(String, String)>);
 
@@ -116,20 +116,23 @@
                 let (key, value) = term
                     .split_once("==")
                     .or_else(|| term.split_once('='))
-                    .ok_or_else(|| format!("labelSelector takes KEY=VALUE only, not `{term}`"))?;
+                    .ok_or_else(|| {
+                        format!("labelSelector supports only KEY=VALUE terms, not `{term}`")
+                    })?;
                 Ok((key.trim().to_owned(), value.trim().to_owned()))
             })
             .collect::<Result<_, String>>()
             .map(Self)
     }
 
-    /// Says whether the labels meet every term.
+    /// Returns whether the labels match every term.
     pub(crate) fn matches(&self, labels: &[(String, String)]) -> bool {
         self.0.iter().all(|term| labels.contains(term))
     }
 }
 
-/// Where a list that was cut at its limit goes on: the version it shows and the last name told.
+/// The continuation of a list that was truncated at its limit: the revision that it shows and the
+/// last name returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Continue {
     pub(crate) revision: u64,
@@ -137,7 +140,7 @@
 }
 
 impl Continue {
-    /// Writes the token that the client gives back.
+    /// Returns the continuation token for the client.
     pub(crate) fn token(&self) -> String {
         format!("{}.{}", self.revision, self.last)
     }
--- a/crates/chervilshunt_standin/src/platform/rate.rs
+++ b/crates/chervilshunt_standin/src/platform/rate.rs
@@ -1,16 +1,17 @@
-//! The bound on calls a second, beyond which the platform turns them away.
+//! Rate limit for calls to the platform.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The calls of the last second.
+/// A sliding window with the times of the calls admitted in the last second.
 #[derive(Debug, Default)]
 pub(crate) struct RateWindow(VecDeque<Instant>);
 
 impl RateWindow {
-    /// Says whether one more call fits under `per_second`; 0 is no bound.
+    /// Returns whether one more call is within `per_second`, and counts it if so. A limit of 0
+    /// admits every call.
     pub(crate) fn admits(&mut self, per_second: u32, now: Instant) -> bool {
         if per_second == 0 {
             return true;
