--- a/crates/chervilshunt_standin/src/platform/handler.rs
+++ b/crates/chervilshunt_standin/src/platform/handler.rs
@@ -1,4 +1,5 @@
-//! One call to the object API: its faults first, then its effect, then its answer.
+//! Handling of one call to the object API: faults are applied first, then the operation, then the
+//! response is sent.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -23,18 +24,18 @@
 use super::store::{Store, StoreError, Stored, Write};
 use super::watch::WatchSession;
 
-/// The largest object that the platform takes, in bytes.
+/// Maximum size of an object, in bytes.
 const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
-/// The plural of the resource that lags.
+/// The plural of the resource that `instance_list_lag_ms` delays.
 const INSTANCE_LIST: &str = "endpointslices";
 
-/// The state behind every connection.
+/// The state shared by all connections.
 #[derive(Debug)]
 pub(crate) struct Api {
     store: Mutex<Store>,
     pub(crate) faults: watch::Sender<Faults>,
-    /// Told at each write, so that watches look again.
+    /// Updated with the new revision after each write; wakes the watches.
     pub(crate) written: watch::Sender<u64>,
     pub(crate) counters: Arc<Counters>,
     pub(crate) bookmark_interval: Duration,
@@ -42,7 +43,7 @@
     rng: Mutex<ChaCha8Rng>,
 }
 
-/// The call breaks off without an answer.
+/// The result of a call; an error closes the connection without a response.
 pub(crate) type Answered = io::Result<Response<AnswerBody>>;
 
 impl Api {
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Locks the store; it is never held across an await.
+    /// Locks the store. The guard must not be held across an await.
     pub(crate) fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.store)
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Answered {
         if req.uri().path().starts_with("/standin/") {
             return self.control(req).await;
@@ -102,8 +103,8 @@
             Ok(body) => body,
             Err(answer) => return Ok(*answer),
         };
-        // A write goes on after its client went away, as it does in a server that was slow or
-        // stopped: what a client has given up on may still take effect.
+        // A write continues after its client disconnects, as in a server that was slow or
+        // suspended: a write that the client has given up on may still take effect.
         let task = tokio::spawn(self.call(call, body));
         task.await.unwrap_or_else(|_err| Err(broken()))
     }
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Brings about the faults that come before the call's effect.
+    /// Applies the faults that precede the call's operation, and returns the error response if the
+    /// call fails by one of them.
     async fn suffer(&self, call: &Call) -> io::Result<Option<Response<AnswerBody>>> {
         let mut faults = self.faults.subscribe();
         let frozen = |faults: &Faults| faults.freeze && faults.hits(&call.instance);
@@ -136,7 +138,7 @@
             || (state.fail_ratio > 0.0 && lock(&self.rng).random::<f64>() < state.fail_ratio);
         if failed {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            let message = "the platform is down";
+            let message = "the platform is unavailable";
             return Ok(Some(failure(status, "ServiceUnavailable", message)));
         }
         let per_second = if call.verb.writes() {
@@ -264,7 +266,8 @@
         lost
     }
 
-    /// Returns the revision that a read shows, which lies back where it lags or is stale.
+    /// Returns the revision that a read shows. It is older than the current one if the collection
+    /// lags or the read is stale.
     fn read_revision(&self, call: &Call, faults: &Faults, stale: u64) -> u64 {
         let store = self.store();
         let collection = &call.path.collection;
@@ -281,7 +284,7 @@
         visible.min(store.revision_before(collection, stale))
     }
 
-    /// Returns how long a write to a collection stays unseen.
+    /// Returns the delay until readers see a write to a collection.
     pub(crate) fn lag(&self, collection: &Collection, faults: &Faults, instance: &str) -> Duration {
         if collection.plural == INSTANCE_LIST && faults.hits(instance) {
             Duration::from_millis(faults.instance_list_lag_ms)
@@ -320,7 +323,8 @@
     }
 }
 
-/// Reads a JSON body; none is null. The inner error is the answer to a bad one.
+/// Reads a JSON body; an empty body yields null. The inner error is the response to an invalid
+/// body.
 async fn read_body(req: Request<Incoming>) -> io::Result<Result<Value, Box<Response<AnswerBody>>>> {
     let bytes = match Limited::new(req.into_body(), MAX_OBJECT_BYTES)
         .collect()
@@ -329,7 +333,7 @@
         Ok(body) => body.to_bytes(),
         Err(err) if err.is::<http_body_util::LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            let message = "the object is larger than a megabyte";
+            let message = "the object is larger than 1 MiB";
             let answer = failure(status, "RequestEntityTooLarge", message);
             return Ok(Err(Box::new(answer)));
         }
@@ -339,7 +343,7 @@
         return Ok(Ok(Value::Null));
     }
     Ok(serde_json::from_slice(&bytes).map_err(|err| {
-        let problem = format!("the body is no JSON: {err}");
+        let problem = format!("the body is not valid JSON: {err}");
         Box::new(failure(StatusCode::BAD_REQUEST, "BadRequest", &problem))
     }))
 }
--- a/crates/chervilshunt_standin/src/platform/server.rs
+++ b/crates/chervilshunt_standin/src/platform/server.rs
@@ -1,4 +1,5 @@
-//! Sockets of the stand-in, and the handle by which tests run it in their own process.
+//! The stand-in's listeners and connections, and the handle with which tests run it in their own
+//! process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,18 +20,19 @@
 use super::handler::Api;
 use super::stats::{Counters, Stats};
 
-/// How the stand-in is set up.
+/// Configuration of the platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where the object API listens.
+    /// Address of the object API; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Where `/standin/…` answers also while the object API refuses connections.
+    /// Address that serves `/standin/…` even while the object API refuses connections.
     pub control: SocketAddr,
-    /// How often each watch gets a bookmark. Kubernetes' API server sends one about every minute.
+    /// Interval between the bookmarks of a watch. The Kubernetes API server sends one about every
+    /// minute.
     pub bookmark_interval: Duration,
-    /// How many changes are kept for watches to resume from.
+    /// Number of changes kept for watches to resume from.
     pub history: usize,
-    /// The seed of the share of calls that fail.
+    /// Seed of the random call failures.
     pub seed: u64,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// A running stand-in; dropping it closes every connection.
+/// A running stand-in. Dropping it closes all connections.
 #[derive(Debug)]
 pub struct PlatformHandle {
     api: Arc<Api>,
@@ -57,32 +59,32 @@
 }
 
 impl PlatformHandle {
-    /// Returns where the object API listens.
+    /// Returns the address of the object API.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns where `/standin/…` answers also while the object API refuses connections.
+    /// Returns the address that serves `/standin/…` even while the object API refuses connections.
     pub const fn control(&self) -> SocketAddr {
         self.control
     }
 
-    /// Returns the faults in force.
+    /// Returns the faults currently in effect.
     pub fn faults(&self) -> Faults {
         self.api.faults.borrow().clone()
     }
 
-    /// Merges a patch into the faults in force.
+    /// Applies a patch to the current faults.
     pub fn set_faults(&self, patch: FaultPatch) {
         self.api.faults.send_modify(|faults| faults.merge(patch));
     }
 
-    /// Lifts every fault.
+    /// Clears all faults.
     pub fn lift_faults(&self) {
         self.api.faults.send_replace(Faults::default());
     }
 
-    /// Returns what has been counted so far.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> Stats {
         self.api.counters.snapshot()
     }
@@ -94,10 +96,10 @@
     }
 }
 
-/// Starts the stand-in on the current runtime.
+/// Starts the stand-in on the current Tokio runtime.
 ///
 /// # Errors
-/// Fails if an address can't be listened on.
+/// Fails if one of its addresses cannot be bound.
 pub async fn start_platform(options: PlatformOptions) -> io::Result<PlatformHandle> {
     let api = Arc::new(Api::new(
         options.history,
@@ -119,7 +121,7 @@
     Ok(handle)
 }
 
-/// Serves the object API; while it refuses connections, its port is closed.
+/// Serves the object API. Its port is closed while the `down` fault refuses all connections.
 async fn serve(api: Arc<Api>, listener: TcpListener, stop: CancellationToken) {
     let Ok(address) = listener.local_addr() else {
         return;
@@ -175,14 +177,14 @@
     let counters = Arc::clone(&api.counters);
     let io = TokioIo::new(CountedStream { stream, counters });
     let service = service_fn(move |req| Arc::clone(&api).handle(req));
-    // A connection that a fault breaks off is no error of the stand-in.
+    // Connections closed by a fault end with an error, which is expected here.
     let _ended = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(io, service)
         .await;
 }
 
-/// A connection whose bytes are counted.
+/// A connection that counts the bytes read and written.
 struct CountedStream {
     stream: TcpStream,
     counters: Arc<Counters>,
--- a/crates/chervilshunt_standin/src/platform/stats.rs
+++ b/crates/chervilshunt_standin/src/platform/stats.rs
@@ -1,4 +1,5 @@
-//! Counters of the stand-in: calls by kind and by instance, open watches, bytes on the wire.
+//! Counters of the stand-in: calls by verb, resource and instance, open watches, and bytes
+//! transferred.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,50 +7,50 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the stand-in has counted since it started.
+/// The counters of the stand-in since it started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Every call by verb, resource and instance.
+    /// The number of calls by verb, resource and instance.
     pub calls: Vec<CallCount>,
-    /// Watches open now.
+    /// Number of watches currently open.
     pub open_watches: u64,
     /// Writes that took effect.
     pub writes: u64,
-    /// Bytes read from connections, heads included.
+    /// Bytes read from connections, including request heads.
     pub bytes_in: u64,
-    /// Bytes written to connections, heads included.
+    /// Bytes written to connections, including response heads.
     pub bytes_out: u64,
 }
 
 impl Stats {
-    /// Returns the number of calls with a verb, in all.
+    /// Returns the total number of calls with a verb.
     pub fn calls_of(&self, verb: &str) -> u64 {
         let calls = self.calls.iter().filter(|count| count.verb == verb);
         calls.map(|count| count.calls).sum()
     }
 
-    /// Returns the number of calls by an instance, in all.
+    /// Returns the total number of calls by an instance.
     pub fn calls_by(&self, instance: &str) -> u64 {
         let calls = self.calls.iter().filter(|count| count.instance == instance);
         calls.map(|count| count.calls).sum()
     }
 
-    /// Returns the number of calls in all.
+    /// Returns the total number of calls.
     pub fn total_calls(&self) -> u64 {
         self.calls.iter().map(|count| count.calls).sum()
     }
 }
 
-/// Calls of one kind by one instance, however they ended.
+/// The number of calls by verb, resource and instance, whatever their outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCount {
     /// `get`, `list`, `watch`, `create`, `update` or `delete`.
     pub verb: String,
     /// The plural of the resource.
     pub resource: String,
-    /// The instance, as its `X-Instance` header says; empty without one.
+    /// The instance from the `X-Instance` header; empty without one.
     pub instance: String,
-    /// How many.
+    /// The number of calls.
     pub calls: u64,
 }
 
@@ -71,13 +72,13 @@
         *calls.entry(key).or_default() += 1;
     }
 
-    /// Counts a watch as open until the guard is dropped.
+    /// Counts a watch as open until the returned guard is dropped.
     pub(crate) fn open_watch(self: &std::sync::Arc<Self>) -> OpenWatch {
         self.open_watches.fetch_add(1, Ordering::Relaxed);
         OpenWatch(std::sync::Arc::clone(self))
     }
 
-    /// Returns the counters as they stand.
+    /// Returns the current values of the counters.
     pub(crate) fn snapshot(&self) -> Stats {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
         let calls = calls.iter().map(|((verb, resource, instance), calls)| {
@@ -99,7 +100,7 @@
     }
 }
 
-/// Keeps a watch counted as open.
+/// A guard that counts a watch as open.
 #[derive(Debug)]
 pub(crate) struct OpenWatch(std::sync::Arc<Counters>);
 
--- a/crates/chervilshunt_standin/src/platform/store.rs
+++ b/crates/chervilshunt_standin/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! Objects in memory with their history, from which lists of the past and watches are served.
+//! An in-memory object store with a history of changes, which serves reads at past revisions and
+//! watches.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,18 +9,18 @@
 
 use super::path::{Collection, Continue, Selector};
 
-/// One version of one object, with its JSON ready to be sent.
+/// One version of an object, with its JSON already serialized.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Stored {
     pub(crate) name: String,
     pub(crate) revision: u64,
     pub(crate) labels: Vec<(String, String)>,
     pub(crate) json: String,
-    /// The object's metadata alone, for lists that ask for no more.
+    /// The object's metadata only, for lists that request no more.
     pub(crate) metadata_json: String,
 }
 
-/// One write, with the object before and after it.
+/// One write, with the object's state before and after it.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) revision: u64,
@@ -27,26 +28,26 @@
     pub(crate) collection: Arc<Collection>,
     pub(crate) before: Option<Arc<Stored>>,
     pub(crate) after: Option<Arc<Stored>>,
-    /// The object at its deletion, as watches tell it.
+    /// The object at its deletion, as sent to watches.
     pub(crate) deleted: Option<Arc<Stored>>,
-    /// Whether watches miss it.
+    /// Whether watches omit the change.
     pub(crate) hidden: bool,
 }
 
-/// Why the store refused a call.
+/// The reason why the store rejected a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StoreError {
     NotFound,
     AlreadyExists,
-    /// The object has another version than the call named.
+    /// The object's version differs from the one that the call expects.
     Conflict,
-    /// The version asked for lies before the history that is kept.
+    /// The requested version is older than the history that is kept.
     Expired,
-    /// The object is malformed; says how.
+    /// The object is malformed; holds the description of the problem.
     Invalid(String),
 }
 
-/// What a list shows.
+/// One page of a list.
 #[derive(Debug)]
 pub(crate) struct Page {
     pub(crate) revision: u64,
@@ -55,19 +56,19 @@
     pub(crate) remaining: usize,
 }
 
-/// All objects and the last changes to them.
+/// All objects and their most recent changes.
 #[derive(Debug)]
 pub(crate) struct Store {
     revision: u64,
     collections: BTreeMap<Arc<Collection>, BTreeMap<String, Arc<Stored>>>,
     history: VecDeque<Change>,
     history_bound: usize,
-    /// The last revision whose successors are all still in the history.
+    /// The oldest revision whose later changes are all still in the history.
     oldest: u64,
 }
 
 impl Store {
-    /// Starts empty; `history_bound` changes are kept.
+    /// Creates an empty store that keeps the latest `history_bound` changes.
     pub(crate) const fn new(history_bound: usize) -> Self {
         Self {
             revision: 1,
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Returns the number of the last write.
+    /// Returns the revision of the latest write.
     pub(crate) const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the last revision whose write lies at or before `at`.
+    /// Returns the revision of the latest write made at or before `at`.
     pub(crate) fn revision_at(&self, at: Instant) -> u64 {
         let visible = self.history.partition_point(|change| change.at <= at);
         visible
@@ -92,7 +93,7 @@
             .map_or(self.oldest, |change| change.revision)
     }
 
-    /// Returns when the first write after `revision` was made.
+    /// Returns the time of the first write after `revision`.
     pub(crate) fn next_write_after(&self, revision: u64) -> Option<Instant> {
         let seen = self
             .history
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns one object as it stood at a revision.
+    /// Returns an object as of a revision.
     pub(crate) fn get(
         &self,
         collection: &Collection,
@@ -135,7 +136,7 @@
         object.cloned().ok_or(StoreError::NotFound)
     }
 
-    /// Returns objects in name order as they stood at a revision.
+    /// Returns the objects that match a selector, in name order, as of a revision.
     pub(crate) fn list(
         &self,
         collection: &Collection,
@@ -202,7 +203,7 @@
         Ok(self.put(collection, draft, write))
     }
 
-    /// Replaces an object; only if it has the version that `object` carries, where it carries one.
+    /// Replaces an object. If `object` carries a version, it must match the current one.
     pub(crate) fn update(
         &mut self,
         collection: &Collection,
@@ -212,7 +213,7 @@
     ) -> Result<Arc<Stored>, StoreError> {
         let draft = Draft::parse(object)?;
         if draft.name != name {
-            let problem = format!("the object is named {}, the path {name}", draft.name);
+            let problem = format!("the object is named {}, the path names {name}", draft.name);
             return Err(StoreError::Invalid(problem));
         }
         let current = self.current(collection, name).ok_or(StoreError::NotFound)?;
@@ -222,7 +223,7 @@
         Ok(self.put(collection, draft, write))
     }
 
-    /// Deletes an object; only if it has the version given, where one is given.
+    /// Deletes an object. If a version is given, it must match the current one.
     pub(crate) fn delete(
         &mut self,
         collection: &Collection,
@@ -314,7 +315,7 @@
     }
 }
 
-/// When a write is made, and whether watches miss it.
+/// The time of a write, and whether watches omit it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Write {
     pub(crate) at: Instant,
@@ -322,17 +323,17 @@
 }
 
 impl Change {
-    /// Returns the name of the object that changed.
+    /// Returns the name of the changed object.
     pub(crate) fn name(&self) -> &str {
         let object = self.after.as_ref().or(self.before.as_ref());
         object.map_or("", |object| &object.name)
     }
 }
 
-/// An object that a client sent.
+/// A parsed object from a client, not yet stored.
 struct Draft {
     name: String,
-    /// The version that the object has to have.
+    /// The version that the stored object is expected to have.
     revision: Option<u64>,
     labels: Vec<(String, String)>,
     object: Map<String, Value>,
@@ -342,7 +343,7 @@
     fn parse(object: Value) -> Result<Self, StoreError> {
         let invalid = |problem: &str| StoreError::Invalid(problem.to_owned());
         let Value::Object(object) = object else {
-            return Err(invalid("the body is no JSON object"));
+            return Err(invalid("the body is not a JSON object"));
         };
         let metadata = object.get("metadata");
         let field = |name: &str| metadata.and_then(|metadata| metadata.get(name));
--- a/crates/chervilshunt_standin/src/platform/watch.rs
+++ b/crates/chervilshunt_standin/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: changes as JSON lines, with bookmarks, until the client or a fault ends them.
+//! Watches, which stream changes and bookmarks as JSON lines until the client or a fault ends them.
 
 use std::io;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use super::stats::OpenWatch;
 use super::store::{Change, StoreError, Stored};
 
-/// Events that wait for a client which reads slowly.
+/// Number of events buffered for a client that reads slowly.
 const BUFFERED_EVENTS: usize = 64;
 
-/// One client's watch of one collection.
+/// A client's watch on one collection.
 pub(crate) struct WatchSession {
     pub(crate) api: Arc<Api>,
     pub(crate) collection: Collection,
@@ -34,18 +34,19 @@
     pub(crate) ends_at: Option<Instant>,
 }
 
-/// Why a watch ends.
+/// The reason why a watch ends.
 enum End {
-    /// The client went away, or the time that it asked for is over.
+    /// The client disconnected, or the requested duration has elapsed.
     Closed,
-    /// The connection breaks.
+    /// A fault breaks the connection.
     Broken,
-    /// The version that the watch stands at is no longer in the history.
+    /// The watch's current revision is no longer in the history, or the `expire_watches` fault ends
+    /// the watch.
     Expired,
 }
 
 impl WatchSession {
-    /// Starts the watch and returns the answer that carries it.
+    /// Starts the watch and returns the streaming response.
     pub(crate) fn start(self) -> Response<AnswerBody> {
         let (tx, rx) = mpsc::channel(BUFFERED_EVENTS);
         let guard = self.api.counters.open_watch();
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Returns the end that a fault brings about.
+    /// Returns the reason for ending the watch if a fault in effect ends it.
     fn end_by(&self, faults: &Faults) -> Option<End> {
         let hit = faults.hits(&self.instance);
         if faults.cuts(&self.instance) || (hit && faults.down == Down::Unavailable) {
@@ -122,7 +123,8 @@
         (hit && faults.expire_watches).then_some(End::Expired)
     }
 
-    /// Sends what a look at the store gave; says whether the client is still there.
+    /// Sends the events that were read, and a bookmark if `bookmark` is set. Returns whether the
+    /// client is still connected.
     async fn tell(&self, lines: &Lines, step: &Step, bookmark: bool) -> bool {
         for event in &step.events {
             if !lines.send(event.kind, &event.object.json).await {
@@ -132,7 +134,7 @@
         !bookmark || lines.send("BOOKMARK", &self.bookmark(step.upto)).await
     }
 
-    /// Reads the events that have become visible after revision `at`.
+    /// Reads the events that became visible after revision `at`.
     fn read(&self, at: u64, faults: &Faults) -> Result<Step, StoreError> {
         let lag = self.api.lag(&self.collection, faults, &self.instance);
         let hit = faults.hits(&self.instance);
@@ -162,7 +164,7 @@
         })
     }
 
-    /// Returns the event that a change is to a watch with this selector.
+    /// Returns the event that a change causes on this watch, considering its selector.
     fn event(&self, change: &Change) -> Option<Event> {
         let matching = |object: &Option<Arc<Stored>>| {
             let object = object.as_ref()?;
@@ -191,11 +193,11 @@
     }
 }
 
-/// What a look at the store gave.
+/// The result of one read from the store.
 struct Step {
     events: Vec<Event>,
     upto: u64,
-    /// When the next write that lags becomes visible.
+    /// The time when the next delayed write becomes visible.
     next_visible: Option<Instant>,
 }
 
@@ -204,13 +206,13 @@
     object: Arc<Stored>,
 }
 
-/// The stream of lines to the client.
+/// The stream of JSON lines to the client.
 struct Lines {
     tx: mpsc::Sender<io::Result<Frame<Bytes>>>,
 }
 
 impl Lines {
-    /// Sends an event; says whether the client is still there.
+    /// Sends an event and returns whether the client is still connected.
     async fn send(&self, kind: &str, object: &str) -> bool {
         let line = format!("{{\"type\":\"{kind}\",\"object\":{object}}}\n");
         self.tx.send(Ok(Frame::data(line.into()))).await.is_ok()
@@ -221,7 +223,7 @@
         let _sent = self.tx.send(Err(broken)).await;
     }
 
-    /// Waits for other faults; says whether the client is still there.
+    /// Waits until the faults change and returns whether the client is still connected.
     async fn wait_for_change(&self, faults: &mut watch::Receiver<Faults>) -> bool {
         tokio::select! {
             changed = faults.changed() => changed.is_ok(),
