--- a/crates/chervilshunt_standin/src/serve.rs
+++ b/crates/chervilshunt_standin/src/serve.rs
@@ -1,4 +1,5 @@
-//! The HTTP server under each stand-in, with the faults that concern connections.
+//! The HTTP server used by the engine, plain-service and weight-store stand-ins, with faults at the
+//! connection level.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -27,30 +28,30 @@
 
 use crate::command::Addresses;
 
-/// Paths below this are the stand-in's own; faults leave them alone.
+/// Prefix of the stand-in's control paths, which faults do not affect.
 pub(crate) const OWN_PATHS: &str = "/standin/";
 
-/// How long to wait before trying to open a port again that something else holds.
+/// Delay between attempts to bind a port that is still in use.
 const REBIND_PAUSE: Duration = Duration::from_millis(10);
 
 /// The header with the id of a request.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// The header with the id of one try of a request.
+/// The header with the id of one attempt of a request.
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
 
-/// The body of a stand-in's answers.
+/// The response body type of a stand-in.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
 
-/// An answer, or the wish to cut the connection without one.
+/// A response, or [`Cut`] to close the connection without one.
 pub(crate) type Answer = Result<Response<AnswerBody>, Cut>;
 
-/// Makes the server close the connection where it stands.
+/// An error that makes the server close the connection immediately.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Cut;
 
 impl fmt::Display for Cut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the stand-in cuts the connection")
+        f.write_str("connection closed by a stand-in fault")
     }
 }
 
@@ -65,11 +66,11 @@
 /// The state of a stand-in's port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PortState {
-    /// Whether connections are taken.
+    /// Whether connections are accepted.
     open: bool,
-    /// Raised to cut every connection that was there before.
+    /// Incremented to close all connections that were accepted before.
     generation: u64,
-    /// Whether calls hang without an answer.
+    /// Whether calls are held without a response.
     frozen: bool,
 }
 
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Closes the port, so that connecting is refused, or opens it again.
+    /// Closes the port, so that connections are refused, or opens it again.
     pub(crate) fn set_open(&self, open: bool) {
         self.state.send_if_modified(|state| {
             let changed = state.open != open;
@@ -101,12 +102,12 @@
         });
     }
 
-    /// Cuts every connection.
+    /// Closes all current connections.
     pub(crate) fn cut_connections(&self) {
         self.state.send_modify(|state| state.generation += 1);
     }
 
-    /// Changes what the fault switches of all stand-ins have in common.
+    /// Applies the fault switches that stand-ins have in common.
     pub(crate) fn change(&self, freeze: Option<bool>, down: Option<bool>, down_ms: Option<u64>) {
         if let Some(frozen) = freeze {
             self.state.send_modify(|state| state.frozen = frozen);
@@ -124,18 +125,18 @@
         }
     }
 
-    /// Waits until the stand-in isn't frozen.
+    /// Waits until the stand-in is not frozen.
     pub(crate) async fn thawed(&self) {
         let mut rx = self.state.subscribe();
-        // The sender lives in `self`, so that the wait can't fail.
+        // The wait cannot fail because `self` holds the sender.
         let _state = rx.wait_for(|state| !state.frozen).await;
     }
 }
 
-/// Listens on `address` and serves each call with `handler` until the runtime ends.
+/// Listens on `address` and serves each call with `handler` until the runtime shuts down.
 ///
-/// A second port at `control` stays open through every fault; whoever knows it calls the stand-in's
-/// own paths there.
+/// The second address, `control`, is not affected by faults and serves the control paths at all
+/// times.
 pub(crate) async fn listen<H, F>(
     address: SocketAddr,
     control: SocketAddr,
@@ -162,7 +163,7 @@
     Ok(opened)
 }
 
-/// Takes connections for as long as `port` lives in a handler or handle.
+/// Accepts connections for as long as a handler or handle holds `port`.
 async fn accept_calls<H, F>(listener: TcpListener, address: SocketAddr, port: Port, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -215,7 +216,8 @@
 {
     let _best_effort = stream.set_nodelay(true);
     let born = state.borrow().generation;
-    // The answer to the call that set a fault would otherwise be cut by that very fault.
+    // A connection whose latest call was to a control path is shut down gracefully. Otherwise a
+    // fault would cut off the response to the call that set it.
     let own_call = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&own_call);
     let service = service_fn(move |req: Request<Incoming>| {
@@ -238,7 +240,7 @@
 }
 
 async fn generation_after(state: &mut watch::Receiver<PortState>, born: u64) {
-    // Without a sender nothing cuts the connection any more.
+    // Without a sender, nothing closes the connection any more.
     if state
         .wait_for(|state| state.generation != born)
         .await
@@ -248,7 +250,7 @@
     }
 }
 
-/// Returns a whole JSON answer.
+/// Returns a complete JSON response.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(text));
@@ -260,19 +262,19 @@
     response
 }
 
-/// Returns a whole text answer.
+/// Returns a complete text response.
 pub(crate) fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
     response
 }
 
-/// Returns a body that holds `data`.
+/// Returns a body with the given data.
 pub(crate) fn full(data: impl Into<Bytes>) -> AnswerBody {
     Full::new(data.into()).map_err(Cut::from).boxed_unsync()
 }
 
-/// Returns an answer that promises its whole length and is cut half-way.
+/// Returns a response whose `Content-Length` covers the whole body, but which is cut off half-way.
 pub(crate) fn cut_halfway(whole: &str) -> Response<AnswerBody> {
     let part = whole.as_bytes()[..whole.len() / 2].to_vec();
     let body = CutBody {
@@ -286,7 +288,7 @@
     response
 }
 
-/// Copies the ids of a call to its answer.
+/// Copies the request and attempt ids from the request headers to the response.
 pub(crate) fn echo_ids(
     asked: &HeaderMap,
     mut response: Response<AnswerBody>,
@@ -299,13 +301,13 @@
     response
 }
 
-/// Returns a header as text, or nothing.
+/// Returns a header as text, or an empty string if it is missing or not text.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     let value = headers.get(name).and_then(|value| value.to_str().ok());
     value.unwrap_or_default()
 }
 
-/// Reads a change of fault switches; one that can't be read is answered with 400.
+/// Reads an update of fault switches. A malformed one yields a 400 response.
 pub(crate) async fn read_faults<T: DeserializeOwned>(
     req: Request<Incoming>,
 ) -> Result<Result<T, Response<AnswerBody>>, Cut> {
@@ -316,7 +318,7 @@
         .map_err(|err| text(StatusCode::BAD_REQUEST, err.to_string())))
 }
 
-/// A body that promises its whole length and is cut before it.
+/// A body that announces its full length but is cut off before the end.
 #[derive(Debug)]
 struct CutBody {
     part: Option<Bytes>,
--- a/crates/chervilshunt_standin/src/weights/command.rs
+++ b/crates/chervilshunt_standin/src/weights/command.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process of its own.
+//! Command line of the weight-store stand-in as a separate process.
 
 use std::process::ExitCode;
 
@@ -11,12 +11,12 @@
 usage: chervilshunt_standin weights [OPTIONS]
 
   --listen IP:PORT      address of the store (127.0.0.1:0)
-  --control IP:PORT     address that answers /standin/ also while connections are refused
-  --concurrency N       loads that run at full speed side by side (2)
-  --loads-per-second N  loads a second in all (6)
-  --seed N              seed of what is random in faults";
+  --control IP:PORT     address that serves /standin/ even while connections are refused
+  --concurrency N       concurrent loads that run at full speed (2)
+  --loads-per-second N  total rate of loads per second (6)
+  --seed N              seed of the random faults";
 
-/// Runs the stand-in until the process is ended.
+/// Runs the stand-in until the process exits.
 pub fn run(parser: Parser) -> ExitCode {
     command::run(parser, USAGE, parse, async |cfg| {
         Ok(start_weights(cfg).await?.addresses())
--- a/crates/chervilshunt_standin/src/weights/mod.rs
+++ b/crates/chervilshunt_standin/src/weights/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a rate-limited weight store.
 //!
-//! Up to its concurrency, loads run side by side at full speed; beyond that they share the rate, so
-//! that more of them at once gain nothing and each takes longer.
+//! Up to the configured concurrency, loads run in parallel at full speed. Beyond that they share
+//! the total rate, so more concurrent loads do not raise the throughput and each one takes longer.
 
 mod command;
 #[cfg(test)]
@@ -27,21 +27,22 @@
 use crate::command::Addresses;
 use crate::serve::{self, Answer, Port};
 
-/// How often a load in progress looks how many others share the rate.
+/// Interval at which a load in progress re-reads the number of active loads and updates its
+/// progress.
 const PROGRESS_PERIOD: Duration = Duration::from_millis(5);
 
-/// What a weight-store stand-in is told at its start.
+/// Configuration of a weight-store stand-in.
 #[derive(Clone, Debug)]
 pub struct WeightsStandinConfig {
-    /// Where to listen; port 0 takes a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Where to answer its own paths also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
-    /// Loads that run at full speed side by side.
+    /// Number of concurrent loads that run at full speed.
     pub concurrency: u32,
-    /// Loads a second in all.
+    /// Total rate of loads per second.
     pub loads_per_second: f64,
-    /// Seeds what is random in faults.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -57,22 +58,22 @@
     }
 }
 
-/// A change of fault switches; what is absent stays as it is.
+/// A partial update of the fault switches; absent fields leave their switch unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WeightsFaultChange {
-    /// Refuses connections and cuts those that are there.
+    /// Refuses new connections and closes the existing ones.
     pub down: Option<bool>,
-    /// The share of loads that fail, 0 to 1.
+    /// The fraction of loads that fail, from 0 to 1.
     pub load_fails: Option<f64>,
-    /// Adds to each load.
+    /// Added to the duration of each load, in milliseconds.
     pub slow_ms: Option<u64>,
 }
 
-/// The counters of a weight-store stand-in.
+/// Counters of a weight-store stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsStats {
-    /// Loads asked for.
+    /// Loads requested.
     pub asked: u64,
     /// Loads that succeeded.
     pub loads: u64,
@@ -80,16 +81,16 @@
     pub failed_loads: u64,
     /// Loads in progress.
     pub active: u32,
-    /// The most loads that were in progress at a time.
+    /// The highest number of concurrent loads.
     pub highest_active: u32,
 }
 
-/// A running weight-store stand-in; it serves until the runtime ends.
+/// A running weight-store stand-in; it serves until the runtime shuts down.
 #[derive(Clone, Debug)]
 pub struct WeightsStandin {
-    /// Where it listens.
+    /// Address of the weight store.
     pub address: SocketAddr,
-    /// Where its own paths are answered also while connections to the other are refused.
+    /// Address that serves `/standin/…` even while connections to the main address are refused.
     pub control: SocketAddr,
     store: Arc<Store>,
 }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Changes the faults in force, as `POST /standin/faults` does.
+    /// Updates the fault switches, as `POST /standin/faults` does.
     pub fn set_faults(&self, change: &WeightsFaultChange) {
         self.store.set_faults(change);
     }
@@ -113,10 +114,10 @@
     }
 }
 
-/// Starts a weight-store stand-in on the present runtime.
+/// Starts a weight-store stand-in on the current Tokio runtime.
 ///
 /// # Errors
-/// Fails if its address can't be listened on.
+/// Fails if one of its addresses cannot be bound.
 pub async fn start_weights(cfg: WeightsStandinConfig) -> io::Result<WeightsStandin> {
     let port = Port::new();
     let (listen, control) = (cfg.listen, cfg.control);
@@ -133,7 +134,7 @@
     })
 }
 
-/// Asks a weight store for weights and says whether they came.
+/// Fetches weights from a weight store and returns whether it succeeded.
 pub(crate) async fn fetch(store: SocketAddr, source: &str) -> bool {
     let client: Client<_, Empty<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     let uri = format!("http://{store}/weights/{source}");
@@ -161,7 +162,7 @@
     rng: ChaCha8Rng,
 }
 
-/// Counts a load as in progress until it ends, also when its client goes away.
+/// A guard that counts a load as active until it ends, even if its client disconnects.
 struct ActiveLoad<'a>(&'a Store);
 
 impl Drop for ActiveLoad<'_> {
@@ -207,7 +208,7 @@
         ActiveLoad(self)
     }
 
-    /// Returns the speed of one load while this many are active, in loads a second.
+    /// Returns the current speed of one load, in loads per second.
     fn speed(&self) -> f64 {
         let active = self.lock().stats.active.max(self.cfg.concurrency).max(1);
         self.cfg.loads_per_second / f64::from(active)
--- a/crates/chervilshunt_standin/src/weights/tests.rs
+++ b/crates/chervilshunt_standin/src/weights/tests.rs
@@ -1,4 +1,4 @@
-//! Loads beyond the store's concurrency share its rate.
+//! Tests that loads beyond the store's concurrency share its total rate.
 
 use rstest::rstest;
 
