--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine stand-in batches, counts and tells the truth about what served, as tests rely on.
+//! Tests that the engine stand-in batches sequences, counts events and reports the serving model
+//! correctly, which other tests rely on.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use rstest::rstest;
 
 const EPOCH: Epoch = Epoch::new(1);
-/// Only keeps a test that fails from hanging.
+/// Only keeps a failing test from hanging.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 async fn start(cfg: EngineStandinConfig) -> (EngineStandin, EngineClient) {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Reads an answer to its end, which has to come within [`PATIENCE`].
+/// Reads a response to its end, which must come within [`PATIENCE`].
 async fn finish(mut answer: Answer) -> Result<(), EngineError> {
     let read = async {
         while let Some(frame) = answer.body.frame().await {
@@ -59,7 +60,7 @@
         .expect("the answer ends in time")
 }
 
-/// Waits until something holds, which has to be within [`PATIENCE`].
+/// Waits until a condition holds, which must happen within [`PATIENCE`].
 async fn until(mut holds: impl FnMut() -> bool) {
     let waited = async {
         while !holds() {
@@ -71,8 +72,8 @@
         .expect("it comes to hold in time");
 }
 
-/// Eight sequences on a batch of three: never more than three run, all advance together, and the
-/// power is bounded by the batch.
+/// With eight sequences and a batch limit of three, at most three run at a time, they advance
+/// together, and the power is bounded by the batch limit.
 #[tokio::test]
 async fn batch_and_power_are_bounded() {
     let cfg = EngineStandinConfig {
@@ -110,7 +111,7 @@
     assert!((highest - 130.0).abs() < 1e-9);
 }
 
-/// Of two engines, each at its peak at another time, the power together stays below both peaks.
+/// The combined power of engines that peak at different times is below the sum of their peaks.
 #[test]
 fn power_together_is_summed_at_each_time() {
     let changes = |list: &[(u64, f64)]| -> Vec<PowerChange> {
@@ -127,7 +128,7 @@
     assert!((highest_power_together(&[one.clone(), one]) - 100.0).abs() < 1e-9);
 }
 
-/// One sequence fills the batch while three wait: they run by priority, then in order of arrival.
+/// While one sequence fills the batch, queued ones are ordered by priority, then by arrival.
 #[tokio::test]
 async fn priorities_order_those_that_wait() {
     let cfg = EngineStandinConfig {
@@ -169,8 +170,9 @@
     assert_eq!(order, ["urgent", "second", "third", "last"]);
 }
 
-/// An adapter is unloaded while it serves, as by an owner that lost track of its permits: the very
-/// next token is served by the base model, and the answer, the runs and the counters all show it.
+/// An adapter is unloaded while it serves a sequence, as an owner would do that lost track of its
+/// permits. The next token is served by the base model, and the response, the run record and the
+/// counters all show it.
 #[tokio::test]
 async fn eviction_while_serving_is_visible() {
     let (engine, client) = start(EngineStandinConfig::default()).await;
@@ -195,7 +197,7 @@
     assert_eq!(engine.stats().count.unloads_while_serving, 1);
 }
 
-/// The same request id twice, as after a retry: the count shows it.
+/// A request id that is sent twice, as after a retry, is counted twice.
 #[tokio::test]
 async fn runs_are_counted_by_request() {
     let (engine, client) = start(EngineStandinConfig::default()).await;
@@ -213,7 +215,7 @@
     assert_eq!(engine.runs("never").runs, 0);
 }
 
-/// Slots are a hard limit: the engine evicts nothing of its own accord.
+/// An engine with no free slot refuses a load; it never evicts an adapter on its own.
 #[tokio::test]
 async fn full_engine_refuses_to_load() {
     let (engine, client) = start(EngineStandinConfig {
@@ -235,7 +237,8 @@
     assert_eq!(engine.stats().loaded.len(), 2);
 }
 
-/// What each fault does to an order to load, and whether the adapter is there afterwards.
+/// Checks the outcome of a load order under each fault, and whether the adapter is loaded
+/// afterwards.
 #[rstest]
 #[case::load_fails(
     EngineFaultChange { load_fails: Some(1.0), ..EngineFaultChange::default() }, "refused", false
@@ -270,7 +273,7 @@
     );
 }
 
-/// Whoever orders a load may go away; the load goes on, as in a real engine.
+/// A load continues after the client that ordered it disconnects, as in a real engine.
 #[tokio::test]
 async fn load_goes_on_without_its_client() {
     let (engine, client) = start(EngineStandinConfig::default()).await;
@@ -289,8 +292,8 @@
     until(|| engine.stats().loaded.len() == 1).await;
 }
 
-/// Targets that ignore the fencing number carry out a late order of an old owner; the counter shows
-/// that one came.
+/// An outdated order of a former owner is counted, both by targets that check the fencing number
+/// and by those that ignore it and carry the order out.
 #[rstest]
 #[case::checks(false, 1, 1)]
 #[case::ignores(true, 1, 0)]
@@ -312,8 +315,8 @@
     assert_eq!(unloaded.is_ok(), ignores);
 }
 
-/// A restart forgets adapters and fencing numbers and cuts what runs; a load that was under way
-/// then does not fill a slot afterwards.
+/// A restart clears the adapters and the fencing number and cuts running sequences. A load in
+/// progress at the restart must not fill a slot afterwards.
 #[tokio::test]
 async fn restart_forgets_everything() {
     let (engine, client) = start(EngineStandinConfig::default()).await;
@@ -358,7 +361,7 @@
         .expect("loads");
 }
 
-/// Faults are taken back through the control port while the other one refuses connections.
+/// Faults can be cleared through the control port while the main port refuses connections.
 #[tokio::test]
 async fn control_port_stays_open() {
     let (engine, client) = start(EngineStandinConfig::default()).await;
@@ -385,7 +388,7 @@
     while client.inventory().await.is_err() {}
 }
 
-/// Cache events that are left out leave a jump in the numbers.
+/// Dropped cache events leave a gap in the sequence numbers.
 #[tokio::test]
 async fn cache_events_have_gaps() {
     let cfg = EngineStandinConfig {
@@ -417,7 +420,8 @@
     );
 }
 
-/// Loads come from the weight store: it counts them, and its failures are the engine's.
+/// Loads use the weight store, which counts them; a failed load of the store fails the engine's
+/// load.
 #[tokio::test]
 async fn loads_come_from_the_weight_store() {
     let cfg = WeightsStandinConfig {
