--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -48,7 +48,7 @@
 
 /// A completion request as submitted to the engine.
 #[derive(Debug)]
-pub(crate) struct Order {
+pub(crate) struct CompletionRequest {
     pub(crate) request_id: Arc<str>,
     pub(crate) model: Arc<str>,
     pub(crate) prompt: String,
@@ -69,7 +69,7 @@
     let model = Arc::clone(&body.model);
     let prompt = prompt_text(&body);
     let prompt_tokens = prompt.split_whitespace().count();
-    let order = Order {
+    let request = CompletionRequest {
         request_id: header_text(&headers, &REQUEST_ID).into(),
         model: body.model,
         prompt,
@@ -77,7 +77,7 @@
         priority: body.priority,
         at_once: headers.get(STEP_MS).is_some_and(|value| value == "0"),
     };
-    let Some(sequence) = engine.submit(order) else {
+    let Some(sequence) = engine.submit(request) else {
         engine.lock().meter.count.adapters_missing += 1;
         let message = format!("The model `{model}` does not exist.");
         let refusal = error(StatusCode::NOT_FOUND, "NotFoundError", &message);
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -119,30 +119,30 @@
     /// Queues a completion and records its prompt in the prefix cache.
     ///
     /// Returns `None` if the model is neither the base model nor a loaded adapter.
-    pub(crate) fn submit(&self, order: completion::Order) -> Option<Arc<Sequence>> {
+    pub(crate) fn submit(&self, request: completion::CompletionRequest) -> Option<Arc<Sequence>> {
         let sequence = {
             let mut state = self.lock();
-            let known = *order.model == *self.cfg.base_model;
-            if !known && state.slots.find(&order.model).is_none() {
+            let known = *request.model == *self.cfg.base_model;
+            if !known && state.slots.find(&request.model).is_none() {
                 return None;
             }
-            let mut sequence = Sequence::new(order.request_id, order.model, order.max_tokens);
+            let mut sequence = Sequence::new(request.request_id, request.model, request.max_tokens);
             if std::mem::take(&mut state.faults.wrong_model) {
                 sequence.chosen = self.another_model(&state.slots, &sequence.asked);
             }
             let sequence = Arc::new(sequence);
             let gaps = state.faults.cache_event_gaps;
             let told = !state.chance(gaps);
-            let prefix = prefix_hash(&sequence.asked, order.prompt.as_bytes());
+            let prefix = prefix_hash(&sequence.asked, request.prompt.as_bytes());
             state.cache.store(prefix, told, Instant::now());
-            if order.at_once {
+            if request.at_once {
                 sequence.finish_at_once();
             } else {
-                state.batch.push(order.priority, Arc::clone(&sequence));
+                state.batch.push(request.priority, Arc::clone(&sequence));
             }
             sequence
         };
-        if order.at_once {
+        if request.at_once {
             self.runs.begin(&sequence.request_id);
             self.runs.served_by(&sequence.request_id, &sequence.chosen);
         }
