--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -89,7 +89,7 @@
         style,
         prompt_tokens,
         cut_after,
-        running: Running(sequence),
+        sequence_guard: CancelOnDrop(sequence),
     };
     let response = if body.stream {
         call.stream().await?
@@ -106,14 +106,14 @@
     pub(crate) style: Style,
     pub(crate) prompt_tokens: usize,
     pub(crate) cut_after: Option<u32>,
-    pub(crate) running: Running,
+    pub(crate) sequence_guard: CancelOnDrop,
 }
 
 /// Cancels the sequence when dropped, for example because the client disconnected.
 #[derive(Debug)]
-pub(crate) struct Running(pub(crate) Arc<Sequence>);
+pub(crate) struct CancelOnDrop(pub(crate) Arc<Sequence>);
 
-impl Drop for Running {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         self.0.abandon();
     }
@@ -134,7 +134,7 @@
     }
 
     async fn whole(self, engine: &Engine) -> Answer {
-        self.wait_for(self.running.0.max_tokens).await?;
+        self.wait_for(self.sequence_guard.0.max_tokens).await?;
         let late = engine.lock().faults.answer_late;
         tokio::time::sleep(late).await;
         let body = self.whole_body().to_string();
@@ -150,7 +150,7 @@
     }
 
     async fn wait_for(&self, tokens: u32) -> Result<(), Cut> {
-        let sequence = &self.running.0;
+        let sequence = &self.sequence_guard.0;
         poll_fn(|cx| sequence.poll_tokens(tokens - 1, cx))
             .await
             .map(|_| ())
@@ -158,7 +158,7 @@
     }
 
     fn whole_body(&self) -> Value {
-        let sequence = &self.running.0;
+        let sequence = &self.sequence_guard.0;
         let text: String = (0..sequence.max_tokens)
             .map(|token| token_text(sequence, token))
             .collect();
@@ -183,7 +183,7 @@
     /// Returns the first model other than the requested one that served any token, or else the
     /// requested model.
     fn model_shown(&self) -> Arc<str> {
-        let sequence = &self.running.0;
+        let sequence = &self.sequence_guard.0;
         sequence
             .servers()
             .into_iter()
@@ -192,7 +192,7 @@
     }
 
     pub(crate) fn usage(&self) -> Value {
-        let generated = self.running.0.max_tokens;
+        let generated = self.sequence_guard.0.max_tokens;
         json!({
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": generated,
