--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -25,7 +25,7 @@
     /// The models that served the sequence, each with the first token that it served.
     served: Vec<Served>,
     /// Whether the client disconnected or the engine restarted.
-    abandoned: bool,
+    cancelled: bool,
     waker: Option<Waker>,
 }
 
@@ -48,10 +48,10 @@
     }
 
     /// Cancels the sequence; it leaves the batch at the next step.
-    pub(crate) fn abandon(&self) {
+    pub(crate) fn cancel(&self) {
         let waker = {
             let mut progress = self.lock();
-            progress.abandoned = true;
+            progress.cancelled = true;
             progress.waker.take()
         };
         if let Some(waker) = waker {
@@ -66,7 +66,7 @@
         if progress.produced > taken {
             return Poll::Ready(Some(progress.produced));
         }
-        if progress.abandoned {
+        if progress.cancelled {
             return Poll::Ready(None);
         }
         progress.waker = Some(cx.waker().clone());
@@ -100,8 +100,8 @@
         served.map(|served| Arc::clone(&served.model)).collect()
     }
 
-    fn is_abandoned(&self) -> bool {
-        self.lock().abandoned
+    fn is_cancelled(&self) -> bool {
+        self.lock().cancelled
     }
 
     /// Records a token served by `model`, and returns whether the model changed and whether the
@@ -192,8 +192,8 @@
 
     /// Removes cancelled sequences and fills the batch from the queue.
     pub(crate) fn admit(&mut self, notes: &mut Vec<BatchNote>) {
-        self.running.retain(|sequence| !sequence.is_abandoned());
-        self.waiting.retain(|_, sequence| !sequence.is_abandoned());
+        self.running.retain(|sequence| !sequence.is_cancelled());
+        self.waiting.retain(|_, sequence| !sequence.is_cancelled());
         while self.running.len() < self.limit {
             let Some((_, sequence)) = self.waiting.pop_first() else {
                 return;
@@ -224,10 +224,10 @@
     /// Cancels all running and queued sequences, as an engine restart does.
     pub(crate) fn clear(&mut self) {
         for sequence in self.running.drain(..) {
-            sequence.abandon();
+            sequence.cancel();
         }
         while let Some((_, sequence)) = self.waiting.pop_first() {
-            sequence.abandon();
+            sequence.cancel();
         }
     }
 }
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -115,7 +115,7 @@
 
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        self.0.abandon();
+        self.0.cancel();
     }
 }
 
