--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -11,9 +11,9 @@
 pub(crate) struct Sequence {
     pub(crate) request_id: Arc<str>,
     /// The model named in the request.
-    pub(crate) asked: Arc<str>,
-    /// The model that serves the sequence; differs from `asked` only under the `wrong_model` fault.
-    pub(crate) chosen: Arc<str>,
+    pub(crate) requested_model: Arc<str>,
+    /// The model that serves the sequence; differs from `requested_model` only under the `wrong_model` fault.
+    pub(crate) serving_model: Arc<str>,
     pub(crate) max_tokens: u32,
     progress: Mutex<Progress>,
 }
@@ -37,11 +37,11 @@
 }
 
 impl Sequence {
-    pub(crate) fn new(request_id: Arc<str>, asked: Arc<str>, max_tokens: u32) -> Self {
+    pub(crate) fn new(request_id: Arc<str>, requested_model: Arc<str>, max_tokens: u32) -> Self {
         Self {
             request_id,
-            chosen: Arc::clone(&asked),
-            asked,
+            serving_model: Arc::clone(&requested_model),
+            requested_model,
             max_tokens: max_tokens.max(1),
             progress: Mutex::default(),
         }
@@ -80,7 +80,7 @@
         progress.produced = self.max_tokens;
         progress.served.push(Served {
             from_token: 0,
-            model: Arc::clone(&self.chosen),
+            model: Arc::clone(&self.serving_model),
         });
     }
 
@@ -182,7 +182,7 @@
     }
 
     pub(crate) fn running_models(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.running.iter().map(|sequence| &sequence.chosen)
+        self.running.iter().map(|sequence| &sequence.serving_model)
     }
 
     pub(crate) fn push(&mut self, priority: i64, sequence: Arc<Sequence>) {
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -187,8 +187,8 @@
         sequence
             .servers()
             .into_iter()
-            .find(|model| *model != sequence.asked)
-            .unwrap_or_else(|| Arc::clone(&sequence.asked))
+            .find(|model| *model != sequence.requested_model)
+            .unwrap_or_else(|| Arc::clone(&sequence.requested_model))
     }
 
     pub(crate) fn usage(&self) -> Value {
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -128,12 +128,13 @@
             }
             let mut sequence = Sequence::new(request.request_id, request.model, request.max_tokens);
             if std::mem::take(&mut state.faults.wrong_model) {
-                sequence.chosen = self.another_model(&state.slots, &sequence.asked);
+                sequence.serving_model =
+                    self.another_model(&state.slots, &sequence.requested_model);
             }
             let sequence = Arc::new(sequence);
             let gaps = state.faults.cache_event_gaps;
             let told = !state.chance(gaps);
-            let prefix = prefix_hash(&sequence.asked, request.prompt.as_bytes());
+            let prefix = prefix_hash(&sequence.requested_model, request.prompt.as_bytes());
             state.cache.store(prefix, told, Instant::now());
             if request.at_once {
                 sequence.finish_at_once();
@@ -144,14 +145,18 @@
         };
         if request.at_once {
             self.runs.begin(&sequence.request_id);
-            self.runs.served_by(&sequence.request_id, &sequence.chosen);
+            self.runs
+                .served_by(&sequence.request_id, &sequence.serving_model);
         }
         self.work.notify_one();
         Some(sequence)
     }
 
-    fn another_model(&self, slots: &Slots, asked: &Arc<str>) -> Arc<str> {
-        let mut others = slots.loaded().iter().filter(|loaded| *loaded != asked);
+    fn another_model(&self, slots: &Slots, requested_model: &Arc<str>) -> Arc<str> {
+        let mut others = slots
+            .loaded()
+            .iter()
+            .filter(|loaded| *loaded != requested_model);
         Arc::clone(others.next().unwrap_or(&self.cfg.base_model))
     }
 
@@ -199,7 +204,7 @@
         let slots = &state.slots;
         let base = &self.cfg.base_model;
         let serving =
-            |sequence: &Sequence| Arc::clone(slots.find(&sequence.chosen).unwrap_or(base));
+            |sequence: &Sequence| Arc::clone(slots.find(&sequence.serving_model).unwrap_or(base));
         let tokens = state.batch.step(serving, &mut notes);
         state.meter.step(tokens);
         let running = state.batch.running();
--- a/crates/chervilshunt_standin/src/engine/stream.rs
+++ b/crates/chervilshunt_standin/src/engine/stream.rs
@@ -46,10 +46,10 @@
     }
 
     fn event(&self, token: u32) -> Bytes {
-        let sequence = &self.call.running.0;
+        let sequence = &self.call.sequence_guard.0;
         let last = token + 1 == sequence.max_tokens;
         let model = sequence.server_of(token).map_or_else(
-            || Value::from(&*sequence.asked),
+            || Value::from(&*sequence.requested_model),
             |served| Value::from(&*served.model),
         );
         let text = Value::from(token_text(sequence, token));
@@ -97,11 +97,11 @@
         {
             return self.poll_cut(cx);
         }
-        if self.taken == self.call.running.0.max_tokens {
+        if self.taken == self.call.sequence_guard.0.max_tokens {
             self.done = true;
             return Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(DONE)))));
         }
-        let produced = ready!(self.call.running.0.poll_tokens(self.taken, cx));
+        let produced = ready!(self.call.sequence_guard.0.poll_tokens(self.taken, cx));
         if produced.is_none() {
             return Poll::Ready(Some(Err(Cut)));
         }
@@ -120,7 +120,7 @@
     match (begun, token) {
         (Some(served), 0) => head_text(&served.model, &sequence.request_id),
         (Some(served), _) => format!(" served={} TOKEN_{}", served.model, token - 1),
-        (None, 0) => head_text(&sequence.asked, &sequence.request_id),
+        (None, 0) => head_text(&sequence.requested_model, &sequence.request_id),
         (None, _) => format!(" TOKEN_{}", token - 1),
     }
 }
