--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns the model that served the token with this index, and the first token that it served.
-    pub(crate) fn server_of(&self, token: u32) -> Option<Served> {
+    pub(crate) fn served_at(&self, token: u32) -> Option<Served> {
         let progress = self.lock();
         let mut latest_first = progress.served.iter().rev();
         latest_first
@@ -94,7 +94,7 @@
     }
 
     /// Returns the models that have served the sequence so far, in order.
-    pub(crate) fn servers(&self) -> Vec<Arc<str>> {
+    pub(crate) fn served_models(&self) -> Vec<Arc<str>> {
         let progress = self.lock();
         let served = progress.served.iter();
         served.map(|served| Arc::clone(&served.model)).collect()
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -185,7 +185,7 @@
     fn model_shown(&self) -> Arc<str> {
         let sequence = &self.sequence_guard.0;
         sequence
-            .servers()
+            .served_models()
             .into_iter()
             .find(|model| *model != sequence.requested_model)
             .unwrap_or_else(|| Arc::clone(&sequence.requested_model))
--- a/crates/chervilshunt_standin/src/engine/stream.rs
+++ b/crates/chervilshunt_standin/src/engine/stream.rs
@@ -48,7 +48,7 @@
     fn event(&self, token: u32) -> Bytes {
         let sequence = &self.call.sequence_guard.0;
         let last = token + 1 == sequence.max_tokens;
-        let model = sequence.server_of(token).map_or_else(
+        let model = sequence.served_at(token).map_or_else(
             || Value::from(&*sequence.requested_model),
             |served| Value::from(&*served.model),
         );
@@ -115,7 +115,7 @@
 /// a different model than the one before, also names the model.
 pub(crate) fn token_text(sequence: &Sequence, token: u32) -> String {
     let begun = sequence
-        .server_of(token)
+        .served_at(token)
         .filter(|served| served.from_token == token);
     match (begun, token) {
         (Some(served), 0) => head_text(&served.model, &sequence.request_id),
