--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -75,7 +75,7 @@
 
     /// Produces all tokens at once and bypasses the batch, so that a proxy's relay throughput can
     /// be measured.
-    pub(crate) fn finish_at_once(&self) {
+    pub(crate) fn finish_without_batch(&self) {
         let mut progress = self.lock();
         progress.produced = self.max_tokens;
         progress.served.push(Served {
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -55,7 +55,7 @@
     pub(crate) max_tokens: u32,
     pub(crate) priority: i64,
     /// Whether all tokens are produced immediately, without the batch.
-    pub(crate) at_once: bool,
+    pub(crate) bypass_batch: bool,
 }
 
 /// Responds to a completion or chat completion.
@@ -75,7 +75,7 @@
         prompt,
         max_tokens: body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         priority: body.priority,
-        at_once: headers.get(STEP_MS).is_some_and(|value| value == "0"),
+        bypass_batch: headers.get(STEP_MS).is_some_and(|value| value == "0"),
     };
     let Some(sequence) = engine.submit(request) else {
         engine.lock().meter.count.adapters_missing += 1;
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -136,14 +136,14 @@
             let told = !state.chance(gaps);
             let prefix = prefix_hash(&sequence.requested_model, request.prompt.as_bytes());
             state.cache.store(prefix, told, Instant::now());
-            if request.at_once {
-                sequence.finish_at_once();
+            if request.bypass_batch {
+                sequence.finish_without_batch();
             } else {
                 state.batch.push(request.priority, Arc::clone(&sequence));
             }
             sequence
         };
-        if request.at_once {
+        if request.bypass_batch {
             self.runs.begin(&sequence.request_id);
             self.runs
                 .served_by(&sequence.request_id, &sequence.serving_model);
