--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -143,13 +143,13 @@
 }
 
 /// The key of a queued sequence: lower priority numbers first, then order of arrival.
-type QueuePlace = (i64, u64);
+type QueueKey = (i64, u64);
 
 /// The running and queued sequences.
 #[derive(Debug)]
 pub(crate) struct Batch {
     limit: usize,
-    waiting: BTreeMap<QueuePlace, Arc<Sequence>>,
+    waiting: BTreeMap<QueueKey, Arc<Sequence>>,
     running: Vec<Arc<Sequence>>,
     arrivals: u64,
 }
