--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -156,9 +156,9 @@
 
 /// An event of a step that goes into the run records.
 #[derive(Clone, Debug)]
-pub(crate) enum BatchNote {
+pub(crate) enum BatchEvent {
     /// The sequence left the queue and started running.
-    Began(Arc<Sequence>),
+    Started(Arc<Sequence>),
     /// The model serves the sequence from this token on.
     ServedBy(Arc<Sequence>, Arc<str>),
 }
@@ -191,14 +191,14 @@
     }
 
     /// Removes cancelled sequences and fills the batch from the queue.
-    pub(crate) fn admit(&mut self, notes: &mut Vec<BatchNote>) {
+    pub(crate) fn admit(&mut self, events: &mut Vec<BatchEvent>) {
         self.running.retain(|sequence| !sequence.is_cancelled());
         self.waiting.retain(|_, sequence| !sequence.is_cancelled());
         while self.running.len() < self.limit {
             let Some((_, sequence)) = self.waiting.pop_first() else {
                 return;
             };
-            notes.push(BatchNote::Began(Arc::clone(&sequence)));
+            events.push(BatchEvent::Started(Arc::clone(&sequence)));
             self.running.push(sequence);
         }
     }
@@ -207,14 +207,14 @@
     pub(crate) fn step(
         &mut self,
         serving: impl Fn(&Sequence) -> Arc<str>,
-        notes: &mut Vec<BatchNote>,
+        events: &mut Vec<BatchEvent>,
     ) -> usize {
         let tokens = self.running.len();
         self.running.retain(|sequence| {
             let model = serving(sequence);
             let advance = sequence.advance(&model);
             if advance.changed {
-                notes.push(BatchNote::ServedBy(Arc::clone(sequence), model));
+                events.push(BatchEvent::ServedBy(Arc::clone(sequence), model));
             }
             !advance.finished
         });
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::batch::{Batch, BatchNote, Sequence, step_time};
+use super::batch::{Batch, BatchEvent, Sequence, step_time};
 use super::cache::CacheLog;
 use super::faults::Faults;
 use super::meter::{EngineStats, Meter, PowerChange};
@@ -186,38 +186,38 @@
     /// Fills the batch from the queue and returns the duration of its next step, or `None` if
     /// nothing runs.
     fn begin_step(&self) -> Option<Duration> {
-        let mut notes = Vec::new();
+        let mut events = Vec::new();
         let mut state = self.lock();
-        state.batch.admit(&mut notes);
+        state.batch.admit(&mut events);
         let running = state.batch.running();
         state.meter.set_running(running, Instant::now());
         let slow = state.faults.slow;
         drop(state);
-        self.record(notes);
+        self.record(events);
         (running > 0).then(|| step_time(self.cfg.step, self.cfg.step_per_sequence, running) + slow)
     }
 
     fn end_step(&self) {
-        let mut notes = Vec::new();
+        let mut events = Vec::new();
         let mut guard = self.lock();
         let state = &mut *guard;
         let slots = &state.slots;
         let base = &self.cfg.base_model;
         let serving =
             |sequence: &Sequence| Arc::clone(slots.find(&sequence.serving_model).unwrap_or(base));
-        let tokens = state.batch.step(serving, &mut notes);
+        let tokens = state.batch.step(serving, &mut events);
         state.meter.step(tokens);
         let running = state.batch.running();
         state.meter.set_running(running, Instant::now());
         drop(guard);
-        self.record(notes);
+        self.record(events);
     }
 
-    fn record(&self, notes: Vec<BatchNote>) {
-        for note in notes {
-            match note {
-                BatchNote::Began(sequence) => self.runs.begin(&sequence.request_id),
-                BatchNote::ServedBy(sequence, model) => {
+    fn record(&self, events: Vec<BatchEvent>) {
+        for event in events {
+            match event {
+                BatchEvent::Started(sequence) => self.runs.begin(&sequence.request_id),
+                BatchEvent::ServedBy(sequence, model) => {
                     self.runs.served_by(&sequence.request_id, &model);
                 }
             }
