--- a/crates/chervilshunt_standin/src/engine/cache.rs
+++ b/crates/chervilshunt_standin/src/engine/cache.rs
@@ -53,21 +53,21 @@
         }
     }
 
-    /// Records the use of a prefix. If `told` is false, the events are dropped, which leaves a gap
+    /// Records the use of a prefix. If `emit` is false, the events are dropped, which leaves a gap
     /// in the sequence numbers.
-    pub(crate) fn store(&mut self, prefix: u64, told: bool, now: Instant) {
+    pub(crate) fn store(&mut self, prefix: u64, emit: bool, now: Instant) {
         self.uses += 1;
         if self.cached.insert(prefix, self.uses).is_some() {
             return;
         }
-        self.push(CacheEventKind::Stored, prefix, told, now);
+        self.push(CacheEventKind::Stored, prefix, emit, now);
         if self.cached.len() <= self.limit {
             return;
         }
         let oldest = self.cached.iter().min_by_key(|(_, used)| **used);
         if let Some(oldest) = oldest.map(|(prefix, _)| *prefix) {
             self.cached.remove(&oldest);
-            self.push(CacheEventKind::Removed, oldest, told, now);
+            self.push(CacheEventKind::Removed, oldest, emit, now);
         }
     }
 
@@ -77,10 +77,10 @@
         self.next_sequence = 1;
     }
 
-    fn push(&mut self, kind: CacheEventKind, prefix: u64, told: bool, now: Instant) {
+    fn push(&mut self, kind: CacheEventKind, prefix: u64, emit: bool, now: Instant) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        if !told {
+        if !emit {
             return;
         }
         if self.events.len() == KEPT_CACHE_EVENTS {
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -133,9 +133,9 @@
             }
             let sequence = Arc::new(sequence);
             let gaps = state.faults.cache_event_gaps;
-            let told = !state.chance(gaps);
+            let emit = !state.chance(gaps);
             let prefix = prefix_hash(&sequence.requested_model, request.prompt.as_bytes());
-            state.cache.store(prefix, told, Instant::now());
+            state.cache.store(prefix, emit, Instant::now());
             if request.bypass_batch {
                 sequence.finish_without_batch();
             } else {
