--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -162,7 +162,7 @@
         let text: String = (0..sequence.max_tokens)
             .map(|token| token_text(sequence, token))
             .collect();
-        let model = self.model_shown();
+        let model = self.reported_model();
         let (object, choice) = match self.style {
             Style::Text => (
                 "text_completion",
@@ -182,7 +182,7 @@
 
     /// Returns the first model other than the requested one that served any token, or else the
     /// requested model.
-    fn model_shown(&self) -> Arc<str> {
+    fn reported_model(&self) -> Arc<str> {
         let sequence = &self.sequence_guard.0;
         sequence
             .served_models()
