--- a/crates/chervilshunt_standin/src/engine/orders.rs
+++ b/crates/chervilshunt_standin/src/engine/orders.rs
@@ -80,7 +80,7 @@
         }
     };
     let mut state = engine.lock();
-    let loaded = state.slots.settle(ticket, fetched && !fails);
+    let loaded = state.slots.finish_load(ticket, fetched && !fails);
     state.meter.count.loads += u64::from(loaded);
     state.meter.count.failed_loads += u64::from(!loaded);
     loaded
--- a/crates/chervilshunt_standin/src/engine/slots.rs
+++ b/crates/chervilshunt_standin/src/engine/slots.rs
@@ -61,11 +61,11 @@
 
     /// Ends a load and returns whether the adapter is now loaded. Loads that began before a restart
     /// are ignored.
-    pub(crate) fn settle(&mut self, ticket: LoadTicket, succeeded: bool) -> bool {
-        let Some(place) = self.loading.iter().position(|(other, _)| *other == ticket) else {
+    pub(crate) fn finish_load(&mut self, ticket: LoadTicket, succeeded: bool) -> bool {
+        let Some(index) = self.loading.iter().position(|(other, _)| *other == ticket) else {
             return false;
         };
-        let (_, adapter) = self.loading.swap_remove(place);
+        let (_, adapter) = self.loading.swap_remove(index);
         if succeeded {
             self.loaded.push(adapter);
         }
