--- a/crates/chervilshunt_standin/src/engine/meter.rs
+++ b/crates/chervilshunt_standin/src/engine/meter.rs
@@ -89,7 +89,7 @@
 }
 
 /// Returns the highest combined power of several engines at any one time, in watts.
-pub fn highest_power_together(engines: &[Vec<PowerChange>]) -> f64 {
+pub fn peak_combined_power(engines: &[Vec<PowerChange>]) -> f64 {
     let mut changes: Vec<(PowerChange, usize)> = Vec::new();
     for (engine, list) in engines.iter().enumerate() {
         changes.extend(list.iter().map(|change| (*change, engine)));
--- a/crates/chervilshunt_standin/src/engine/mod.rs
+++ b/crates/chervilshunt_standin/src/engine/mod.rs
@@ -25,7 +25,7 @@
 pub use command::run;
 pub use config::EngineStandinConfig;
 pub use faults::EngineFaultChange;
-pub use meter::{EngineCounts, EngineStats, PowerChange, highest_power_together};
+pub use meter::{EngineCounts, EngineStats, PowerChange, peak_combined_power};
 
 use crate::RunRecord;
 use crate::command::Addresses;
--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -7,7 +7,7 @@
 use chervilshunt_engine::{Answer, Call, EngineClient, EngineError, ExpectedAnswer, Limits};
 use chervilshunt_model::{AdapterVersion, AttemptId, Epoch, RequestId};
 use chervilshunt_standin::engine::{
-    EngineFaultChange, EngineStandin, EngineStandinConfig, PowerChange, highest_power_together,
+    EngineFaultChange, EngineStandin, EngineStandinConfig, PowerChange, peak_combined_power,
     start_engine,
 };
 use chervilshunt_standin::weights::{WeightsFaultChange, WeightsStandinConfig, start_weights};
@@ -107,7 +107,7 @@
     );
     assert!((stats.highest_watts - 130.0).abs() < 1e-9 && (stats.watts - 100.0).abs() < 1e-9);
     assert!(stats.joules > 0.0);
-    let highest = highest_power_together(&[engine.power_changes()]);
+    let highest = peak_combined_power(&[engine.power_changes()]);
     assert!((highest - 130.0).abs() < 1e-9);
 }
 
@@ -124,8 +124,8 @@
     };
     let one = changes(&[(0, 10.0), (5, 50.0), (9, 10.0)]);
     let other = changes(&[(0, 10.0), (9, 40.0), (12, 10.0)]);
-    assert!((highest_power_together(&[one.clone(), other]) - 60.0).abs() < 1e-9);
-    assert!((highest_power_together(&[one.clone(), one]) - 100.0).abs() < 1e-9);
+    assert!((peak_combined_power(&[one.clone(), other]) - 60.0).abs() < 1e-9);
+    assert!((peak_combined_power(&[one.clone(), one]) - 100.0).abs() < 1e-9);
 }
 
 /// While one sequence fills the batch, queued ones are ordered by priority, then by arrival.
