--- a/crates/chervilshunt_standin/src/engine/routes.rs
+++ b/crates/chervilshunt_standin/src/engine/routes.rs
@@ -17,7 +17,7 @@
     if req.uri().path().starts_with(serve::OWN_PATHS) {
         return answer_own(&engine, req).await;
     }
-    engine.port.thawed().await;
+    engine.port.until_unfrozen().await;
     let path = req.uri().path().to_owned();
     match (req.method(), path.as_str()) {
         (&Method::POST, "/v1/completions") => {
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -163,7 +163,7 @@
     async fn step_forever(self: Arc<Self>) {
         let mut last_end = Instant::now();
         loop {
-            self.port.thawed().await;
+            self.port.until_unfrozen().await;
             let Some(step) = self.begin_step() else {
                 self.work.notified().await;
                 last_end = Instant::now();
@@ -175,7 +175,7 @@
             } else {
                 tokio::time::sleep_until(end).await;
             }
-            self.port.thawed().await;
+            self.port.until_unfrozen().await;
             self.end_step();
             // A late timer shortens the next step, so that the step rate is kept on average. Time
             // spent frozen is not made up for.
--- a/crates/chervilshunt_standin/src/plain/mod.rs
+++ b/crates/chervilshunt_standin/src/plain/mod.rs
@@ -201,7 +201,7 @@
     if req.uri().path().starts_with(serve::OWN_PATHS) {
         return answer_own(&service, req).await;
     }
-    service.port.thawed().await;
+    service.port.until_unfrozen().await;
     let fate = {
         let mut state = service.lock();
         state.stats.calls += 1;
--- a/crates/chervilshunt_standin/src/serve.rs
+++ b/crates/chervilshunt_standin/src/serve.rs
@@ -126,7 +126,7 @@
     }
 
     /// Waits until the stand-in is not frozen.
-    pub(crate) async fn thawed(&self) {
+    pub(crate) async fn until_unfrozen(&self) {
         let mut rx = self.state.subscribe();
         // The wait cannot fail because `self` holds the sender.
         let _state = rx.wait_for(|state| !state.frozen).await;
