--- a/crates/chervilshunt_standin/src/engine/routes.rs
+++ b/crates/chervilshunt_standin/src/engine/routes.rs
@@ -14,8 +14,8 @@
 
 /// Routes one request to its handler.
 pub(crate) async fn answer(engine: Arc<Engine>, req: Request<Incoming>) -> Answer {
-    if req.uri().path().starts_with(serve::OWN_PATHS) {
-        return answer_own(&engine, req).await;
+    if req.uri().path().starts_with(serve::CONTROL_PREFIX) {
+        return answer_control(&engine, req).await;
     }
     engine.port.until_unfrozen().await;
     let path = req.uri().path().to_owned();
@@ -39,7 +39,7 @@
     }
 }
 
-async fn answer_own(engine: &Arc<Engine>, req: Request<Incoming>) -> Answer {
+async fn answer_control(engine: &Arc<Engine>, req: Request<Incoming>) -> Answer {
     match (req.method(), req.uri().path()) {
         (&Method::POST, "/standin/faults") => {
             match serve::read_faults::<EngineFaultChange>(req).await? {
--- a/crates/chervilshunt_standin/src/plain/mod.rs
+++ b/crates/chervilshunt_standin/src/plain/mod.rs
@@ -198,8 +198,8 @@
 }
 
 async fn answer(service: Arc<Service>, req: Request<Incoming>) -> Answer {
-    if req.uri().path().starts_with(serve::OWN_PATHS) {
-        return answer_own(&service, req).await;
+    if req.uri().path().starts_with(serve::CONTROL_PREFIX) {
+        return answer_control(&service, req).await;
     }
     service.port.until_unfrozen().await;
     let fate = {
@@ -252,7 +252,7 @@
     }
 }
 
-async fn answer_own(service: &Arc<Service>, req: Request<Incoming>) -> Answer {
+async fn answer_control(service: &Arc<Service>, req: Request<Incoming>) -> Answer {
     match (req.method(), req.uri().path()) {
         (&Method::POST, "/standin/faults") => {
             let change = match serve::read_faults::<PlainFaultChange>(req).await? {
--- a/crates/chervilshunt_standin/src/serve.rs
+++ b/crates/chervilshunt_standin/src/serve.rs
@@ -29,7 +29,7 @@
 use crate::command::Addresses;
 
 /// Prefix of the stand-in's control paths, which faults do not affect.
-pub(crate) const OWN_PATHS: &str = "/standin/";
+pub(crate) const CONTROL_PREFIX: &str = "/standin/";
 
 /// Delay between attempts to bind a port that is still in use.
 const REBIND_PAUSE: Duration = Duration::from_millis(10);
@@ -218,10 +218,13 @@
     let born = state.borrow().generation;
     // A connection whose latest call was to a control path is shut down gracefully. Otherwise a
     // fault would cut off the response to the call that set it.
-    let own_call = Arc::new(AtomicBool::new(false));
-    let seen = Arc::clone(&own_call);
+    let control_call = Arc::new(AtomicBool::new(false));
+    let seen = Arc::clone(&control_call);
     let service = service_fn(move |req: Request<Incoming>| {
-        seen.store(req.uri().path().starts_with(OWN_PATHS), Ordering::Relaxed);
+        seen.store(
+            req.uri().path().starts_with(CONTROL_PREFIX),
+            Ordering::Relaxed,
+        );
         handler(req)
     });
     let connection = http1::Builder::new()
@@ -233,7 +236,7 @@
         _ended = &mut connection => return,
         () = generation_after(&mut state, born) => {}
     }
-    if own_call.load(Ordering::Relaxed) {
+    if control_call.load(Ordering::Relaxed) {
         connection.as_mut().graceful_shutdown();
         let _ended = connection.await;
     }
