--- a/crates/chervilshunt_standin/src/plain/mod.rs
+++ b/crates/chervilshunt_standin/src/plain/mod.rs
@@ -154,7 +154,7 @@
 
 /// The effect of the current faults on one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum FaultEffect {
     Answered,
     CutBeforeRun,
     Refused,
@@ -163,20 +163,20 @@
 }
 
 impl State {
-    fn decide(&mut self) -> Fate {
-        let places = [
-            (&mut self.cut_before_run, Fate::CutBeforeRun),
-            (&mut self.refuse, Fate::Refused),
-            (&mut self.lose_answers, Fate::AnswerLost),
-            (&mut self.cut_answers, Fate::AnswerCut),
+    fn decide(&mut self) -> FaultEffect {
+        let switches = [
+            (&mut self.cut_before_run, FaultEffect::CutBeforeRun),
+            (&mut self.refuse, FaultEffect::Refused),
+            (&mut self.lose_answers, FaultEffect::AnswerLost),
+            (&mut self.cut_answers, FaultEffect::AnswerCut),
         ];
-        for (left, fate) in places {
+        for (left, effect) in switches {
             if *left > 0 {
                 *left -= 1;
-                return fate;
+                return effect;
             }
         }
-        Fate::Answered
+        FaultEffect::Answered
     }
 }
 
@@ -202,25 +202,28 @@
         return answer_control(&service, req).await;
     }
     service.port.until_unfrozen().await;
-    let fate = {
+    let effect = {
         let mut state = service.lock();
         state.stats.calls += 1;
-        let fate = state.decide();
-        state.stats.not_run += u64::from(matches!(fate, Fate::CutBeforeRun | Fate::Refused));
-        fate
+        let effect = state.decide();
+        state.stats.not_run += u64::from(matches!(
+            effect,
+            FaultEffect::CutBeforeRun | FaultEffect::Refused
+        ));
+        effect
     };
-    if fate == Fate::CutBeforeRun {
+    if effect == FaultEffect::CutBeforeRun {
         return Err(Cut);
     }
-    run_call(&service, req, fate).await
+    run_call(&service, req, effect).await
 }
 
-async fn run_call(service: &Service, req: Request<Incoming>, fate: Fate) -> Answer {
+async fn run_call(service: &Service, req: Request<Incoming>, effect: FaultEffect) -> Answer {
     let (parts, body) = req.into_parts();
     let Ok(body) = body.collect().await else {
         return Err(Cut);
     };
-    if fate == Fate::Refused {
+    if effect == FaultEffect::Refused {
         let mut response = serve::text(StatusCode::SERVICE_UNAVAILABLE, "busy");
         let seconds = http::HeaderValue::from_static("1");
         response.headers_mut().insert("retry-after", seconds);
@@ -230,7 +233,7 @@
     let slow = {
         let mut state = service.lock();
         state.stats.runs += 1;
-        state.stats.lost_answers += u64::from(fate != Fate::Answered);
+        state.stats.lost_answers += u64::from(effect != FaultEffect::Answered);
         state.slow
     };
     service.runs.begin(&request_id);
@@ -242,10 +245,10 @@
         "runs": service.runs.get(&request_id).runs,
         "body": String::from_utf8_lossy(&body.to_bytes()),
     });
-    match fate {
-        Fate::AnswerLost => Err(Cut),
-        Fate::AnswerCut => Ok(serve::cut_halfway(&text.to_string())),
-        Fate::Answered | Fate::CutBeforeRun | Fate::Refused => {
+    match effect {
+        FaultEffect::AnswerLost => Err(Cut),
+        FaultEffect::AnswerCut => Ok(serve::cut_halfway(&text.to_string())),
+        FaultEffect::Answered | FaultEffect::CutBeforeRun | FaultEffect::Refused => {
             let response = serve::json(StatusCode::OK, &text);
             Ok(serve::echo_ids(&parts.headers, response))
         }
