--- a/crates/chervilshunt_standin/src/platform/handler.rs
+++ b/crates/chervilshunt_standin/src/platform/handler.rs
@@ -110,7 +110,7 @@
     }
 
     async fn call(self: Arc<Self>, call: Call, body: Value) -> Answered {
-        if let Some(answer) = self.suffer(&call).await? {
+        if let Some(answer) = self.apply_faults(&call).await? {
             return Ok(answer);
         }
         match call.verb {
@@ -123,7 +123,7 @@
 
     /// Applies the faults that precede the call's operation, and returns the error response if the
     /// call fails by one of them.
-    async fn suffer(&self, call: &Call) -> io::Result<Option<Response<AnswerBody>>> {
+    async fn apply_faults(&self, call: &Call) -> io::Result<Option<Response<AnswerBody>>> {
         let mut faults = self.faults.subscribe();
         let frozen = |faults: &Faults| faults.freeze && faults.hits(&call.instance);
         let thawed = faults.wait_for(|faults| !frozen(faults)).await;
