--- a/crates/chervilshunt_standin/src/platform/handler.rs
+++ b/crates/chervilshunt_standin/src/platform/handler.rs
@@ -44,7 +44,7 @@
 }
 
 /// The result of a call; an error closes the connection without a response.
-pub(crate) type Answered = io::Result<Response<AnswerBody>>;
+pub(crate) type CallResult = io::Result<Response<AnswerBody>>;
 
 impl Api {
     pub(crate) fn new(history: usize, bookmark_interval: Duration, seed: u64) -> Self {
@@ -65,7 +65,7 @@
     }
 
     /// Handles one call.
-    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Answered {
+    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> CallResult {
         if req.uri().path().starts_with("/standin/") {
             return self.control(req).await;
         }
@@ -109,7 +109,7 @@
         task.await.unwrap_or_else(|_err| Err(broken()))
     }
 
-    async fn call(self: Arc<Self>, call: Call, body: Value) -> Answered {
+    async fn call(self: Arc<Self>, call: Call, body: Value) -> CallResult {
         if let Some(answer) = self.apply_faults(&call).await? {
             return Ok(answer);
         }
@@ -213,7 +213,7 @@
         session.start()
     }
 
-    fn write(&self, call: &Call, body: Value) -> Answered {
+    fn write(&self, call: &Call, body: Value) -> CallResult {
         let written = self.apply(call, body);
         let name = call.name();
         let object = match written {
@@ -293,7 +293,7 @@
         }
     }
 
-    async fn control(&self, req: Request<Incoming>) -> Answered {
+    async fn control(&self, req: Request<Incoming>) -> CallResult {
         let method = req.method().clone();
         let path = req.uri().path().to_owned();
         match (&method, path.as_str()) {
