--- a/crates/chervilshunt_standin/src/platform/call.rs
+++ b/crates/chervilshunt_standin/src/platform/call.rs
@@ -4,7 +4,7 @@
 
 use super::faults::Tables;
 use super::path::{Collection, ObjectPath, Query};
-use super::store::Stored;
+use super::store::StoredObject;
 
 /// The header with which a client identifies its instance, so that faults can be limited to it.
 const INSTANCE_HEADER: &str = "x-instance";
@@ -44,7 +44,7 @@
     }
 
     /// Returns the JSON of an object in the representation that the client requested.
-    pub(crate) fn shown(&self, object: &Stored) -> String {
+    pub(crate) fn shown(&self, object: &StoredObject) -> String {
         match self.shape {
             Shape::Metadata => object.metadata_json.clone(),
             Shape::Whole | Shape::Table | Shape::TableOfNames => object.json.clone(),
--- a/crates/chervilshunt_standin/src/platform/handler.rs
+++ b/crates/chervilshunt_standin/src/platform/handler.rs
@@ -21,7 +21,7 @@
 use super::path::{Collection, ObjectPath, Query};
 use super::rate::RateWindow;
 use super::stats::Counters;
-use super::store::{Store, StoreError, Stored, Write};
+use super::store::{Store, StoreError, StoredObject, Write};
 use super::watch::WatchSession;
 
 /// Maximum size of an object, in bytes.
@@ -233,7 +233,7 @@
         Ok(json_answer(status, call.shown(&object)))
     }
 
-    fn apply(&self, call: &Call, body: Value) -> Result<Arc<Stored>, StoreError> {
+    fn apply(&self, call: &Call, body: Value) -> Result<Arc<StoredObject>, StoreError> {
         let collection = &call.path.collection;
         let mut store = self.store();
         let hidden = self.faults.borrow().watch_gap > 0;
--- a/crates/chervilshunt_standin/src/platform/store.rs
+++ b/crates/chervilshunt_standin/src/platform/store.rs
@@ -11,7 +11,7 @@
 
 /// One version of an object, with its JSON already serialized.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct Stored {
+pub(crate) struct StoredObject {
     pub(crate) name: String,
     pub(crate) revision: u64,
     pub(crate) labels: Vec<(String, String)>,
@@ -26,10 +26,10 @@
     pub(crate) revision: u64,
     pub(crate) at: Instant,
     pub(crate) collection: Arc<Collection>,
-    pub(crate) before: Option<Arc<Stored>>,
-    pub(crate) after: Option<Arc<Stored>>,
+    pub(crate) before: Option<Arc<StoredObject>>,
+    pub(crate) after: Option<Arc<StoredObject>>,
     /// The object at its deletion, as sent to watches.
-    pub(crate) deleted: Option<Arc<Stored>>,
+    pub(crate) deleted: Option<Arc<StoredObject>>,
     /// Whether watches omit the change.
     pub(crate) hidden: bool,
 }
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub(crate) struct Page {
     pub(crate) revision: u64,
-    pub(crate) objects: Vec<Arc<Stored>>,
+    pub(crate) objects: Vec<Arc<StoredObject>>,
     pub(crate) next: Option<Continue>,
     pub(crate) remaining: usize,
 }
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub(crate) struct Store {
     revision: u64,
-    collections: BTreeMap<Arc<Collection>, BTreeMap<String, Arc<Stored>>>,
+    collections: BTreeMap<Arc<Collection>, BTreeMap<String, Arc<StoredObject>>>,
     history: VecDeque<Change>,
     history_bound: usize,
     /// The oldest revision whose later changes are all still in the history.
@@ -122,7 +122,7 @@
         collection: &Collection,
         name: &str,
         at: u64,
-    ) -> Result<Arc<Stored>, StoreError> {
+    ) -> Result<Arc<StoredObject>, StoreError> {
         let changed = self
             .changes_after(collection, at)?
             .find(|change| change.name() == name);
@@ -191,7 +191,7 @@
         collection: &Collection,
         object: Value,
         write: Write,
-    ) -> Result<Arc<Stored>, StoreError> {
+    ) -> Result<Arc<StoredObject>, StoreError> {
         let draft = Draft::parse(object)?;
         if draft.revision.is_some() {
             let problem = "resourceVersion should not be set on objects to be created";
@@ -210,7 +210,7 @@
         name: &str,
         object: Value,
         write: Write,
-    ) -> Result<Arc<Stored>, StoreError> {
+    ) -> Result<Arc<StoredObject>, StoreError> {
         let draft = Draft::parse(object)?;
         if draft.name != name {
             let problem = format!("the object is named {}, the path names {name}", draft.name);
@@ -230,7 +230,7 @@
         name: &str,
         expected: Option<u64>,
         write: Write,
-    ) -> Result<Arc<Stored>, StoreError> {
+    ) -> Result<Arc<StoredObject>, StoreError> {
         let current = self.current(collection, name).ok_or(StoreError::NotFound)?;
         if expected.is_some_and(|expected| expected != current.revision) {
             return Err(StoreError::Conflict);
@@ -256,11 +256,11 @@
         Ok(deleted)
     }
 
-    fn current(&self, collection: &Collection, name: &str) -> Option<&Arc<Stored>> {
+    fn current(&self, collection: &Collection, name: &str) -> Option<&Arc<StoredObject>> {
         self.collections.get(collection)?.get(name)
     }
 
-    fn put(&mut self, collection: &Collection, draft: Draft, write: Write) -> Arc<Stored> {
+    fn put(&mut self, collection: &Collection, draft: Draft, write: Write) -> Arc<StoredObject> {
         self.revision += 1;
         let name = draft.name.clone();
         let object = Arc::new(draft.store(collection, self.revision));
@@ -299,7 +299,7 @@
         &self,
         collection: &Collection,
         revision: u64,
-    ) -> Result<BTreeMap<String, Arc<Stored>>, StoreError> {
+    ) -> Result<BTreeMap<String, Arc<StoredObject>>, StoreError> {
         let mut objects = self
             .collections
             .get(collection)
@@ -373,7 +373,7 @@
         })
     }
 
-    fn store(mut self, collection: &Collection, revision: u64) -> Stored {
+    fn store(mut self, collection: &Collection, revision: u64) -> StoredObject {
         let api_version = collection.api_version();
         self.object
             .entry("apiVersion")
@@ -387,7 +387,7 @@
             "metadata": metadata,
         })
         .to_string();
-        Stored {
+        StoredObject {
             name: self.name,
             revision,
             labels: self.labels,
--- a/crates/chervilshunt_standin/src/platform/watch.rs
+++ b/crates/chervilshunt_standin/src/platform/watch.rs
@@ -18,7 +18,7 @@
 use super::handler::Api;
 use super::path::{Collection, Selector};
 use super::stats::OpenWatch;
-use super::store::{Change, StoreError, Stored};
+use super::store::{Change, StoreError, StoredObject};
 
 /// Number of events buffered for a client that reads slowly.
 const BUFFERED_EVENTS: usize = 64;
@@ -166,7 +166,7 @@
 
     /// Returns the event that a change causes on this watch, considering its selector.
     fn event(&self, change: &Change) -> Option<Event> {
-        let matching = |object: &Option<Arc<Stored>>| {
+        let matching = |object: &Option<Arc<StoredObject>>| {
             let object = object.as_ref()?;
             self.selector
                 .matches(&object.labels)
@@ -203,7 +203,7 @@
 
 struct Event {
     kind: &'static str,
-    object: Arc<Stored>,
+    object: Arc<StoredObject>,
 }
 
 /// The stream of JSON lines to the client.
