--- a/crates/chervilshunt_standin/src/platform/watch.rs
+++ b/crates/chervilshunt_standin/src/platform/watch.rs
@@ -61,7 +61,7 @@
     }
 
     async fn run(self, tx: mpsc::Sender<io::Result<Frame<Bytes>>>, _guard: OpenWatch) {
-        let lines = Lines { tx };
+        let lines = LineSender { tx };
         match self.follow(&lines).await {
             End::Closed => {}
             End::Broken => lines.break_off().await,
@@ -72,7 +72,7 @@
         }
     }
 
-    async fn follow(&self, lines: &Lines) -> End {
+    async fn follow(&self, lines: &LineSender) -> End {
         let mut faults = self.api.faults.subscribe();
         let mut written = self.api.written.subscribe();
         let mut at = self.from;
@@ -125,7 +125,7 @@
 
     /// Sends the events that were read, and a bookmark if `bookmark` is set. Returns whether the
     /// client is still connected.
-    async fn tell(&self, lines: &Lines, step: &Step, bookmark: bool) -> bool {
+    async fn tell(&self, lines: &LineSender, step: &Step, bookmark: bool) -> bool {
         for event in &step.events {
             if !lines.send(event.kind, &event.object.json).await {
                 return false;
@@ -207,11 +207,11 @@
 }
 
 /// The stream of JSON lines to the client.
-struct Lines {
+struct LineSender {
     tx: mpsc::Sender<io::Result<Frame<Bytes>>>,
 }
 
-impl Lines {
+impl LineSender {
     /// Sends an event and returns whether the client is still connected.
     async fn send(&self, kind: &str, object: &str) -> bool {
         let line = format!("{{\"type\":\"{kind}\",\"object\":{object}}}\n");
