--- a/crates/chervilshunt_standin/src/platform/watch.rs
+++ b/crates/chervilshunt_standin/src/platform/watch.rs
@@ -89,18 +89,18 @@
                 continue;
             }
             written.borrow_and_update();
-            let Ok(step) = self.read(at, &state) else {
+            let Ok(visible) = self.read(at, &state) else {
                 return End::Expired;
             };
-            at = step.upto;
+            at = visible.upto;
             let bookmark_due = self.bookmarks && Instant::now() >= next_bookmark;
-            if !self.tell(lines, &step, bookmark_due).await {
+            if !self.send_events(lines, &visible, bookmark_due).await {
                 return End::Closed;
             }
             if Instant::now() >= next_bookmark {
                 next_bookmark = Instant::now() + self.api.bookmark_interval;
             }
-            let wake_at = [step.next_visible, self.ends_at].into_iter().flatten();
+            let wake_at = [visible.next_visible, self.ends_at].into_iter().flatten();
             let wake_at = wake_at.fold(next_bookmark, Instant::min);
             tokio::select! {
                 changed = written.changed() => if changed.is_err() { return End::Closed },
@@ -125,17 +125,22 @@
 
     /// Sends the events that were read, and a bookmark if `bookmark` is set. Returns whether the
     /// client is still connected.
-    async fn tell(&self, lines: &LineSender, step: &Step, bookmark: bool) -> bool {
-        for event in &step.events {
+    async fn send_events(
+        &self,
+        lines: &LineSender,
+        visible: &VisibleChanges,
+        bookmark: bool,
+    ) -> bool {
+        for event in &visible.events {
             if !lines.send(event.kind, &event.object.json).await {
                 return false;
             }
         }
-        !bookmark || lines.send("BOOKMARK", &self.bookmark(step.upto)).await
+        !bookmark || lines.send("BOOKMARK", &self.bookmark(visible.upto)).await
     }
 
     /// Reads the events that became visible after revision `at`.
-    fn read(&self, at: u64, faults: &Faults) -> Result<Step, StoreError> {
+    fn read(&self, at: u64, faults: &Faults) -> Result<VisibleChanges, StoreError> {
         let lag = self.api.lag(&self.collection, faults, &self.instance);
         let hit = faults.hits(&self.instance);
         let store = self.api.store();
@@ -157,7 +162,7 @@
             .next_write_after(upto)
             .map(|write| write + lag)
             .filter(|_| lag > Duration::ZERO);
-        Ok(Step {
+        Ok(VisibleChanges {
             events,
             upto,
             next_visible,
@@ -194,7 +199,7 @@
 }
 
 /// The result of one read from the store.
-struct Step {
+struct VisibleChanges {
     events: Vec<Event>,
     upto: u64,
     /// The time when the next delayed write becomes visible.
