--- a/crates/chervilshunt_platform/tests/fuzz.rs
+++ b/crates/chervilshunt_platform/tests/fuzz.rs
@@ -138,5 +138,5 @@
 }
 
 fn lift(standin: &PlatformHandle) {
-    standin.lift_faults();
+    standin.clear_faults();
 }
--- a/crates/chervilshunt_platform/tests/retries.rs
+++ b/crates/chervilshunt_platform/tests/retries.rs
@@ -102,7 +102,7 @@
         matches!(late, Err(PlatformError::OutcomeUnknown { .. })),
         "{late:?}"
     );
-    standin.lift_faults();
+    standin.clear_faults();
     within(async {
         while standin.stats().writes < 2 {
             tokio::task::yield_now().await;
--- a/crates/chervilshunt_platform/tests/watch.rs
+++ b/crates/chervilshunt_platform/tests/watch.rs
@@ -120,7 +120,7 @@
         .delete(ASSIGNMENTS, "b", None)
         .await
         .expect("it is there");
-    standin.lift_faults();
+    standin.clear_faults();
 
     assert_eq!(applied(&mut rx).await, ("a".into(), 2));
     assert_eq!(deleted(&mut rx).await, "b");
@@ -146,7 +146,7 @@
     standin.set_faults(only_watcher(frozen));
     assert_eq!(stalled(&mut rx).await, StallReason::Silence);
     update(&writer, &mut a, 2).await;
-    standin.lift_faults();
+    standin.clear_faults();
     assert_eq!(applied(&mut rx).await, ("a".into(), 2));
 }
 
@@ -167,7 +167,7 @@
     };
     standin.set_faults(frozen);
     assert_eq!(stalled(&mut rx).await, StallReason::Outage);
-    standin.lift_faults();
+    standin.clear_faults();
     synced(&mut rx).await;
     assert_eq!(standin.stats().calls_of("watch"), 1);
 }
@@ -303,7 +303,7 @@
             }
             WatchEvent::Deleted { name } => {
                 received.push(format!("{name} deleted"));
-                standin.lift_faults();
+                standin.clear_faults();
             }
             WatchEvent::Synced { .. } => break,
             WatchEvent::Stalled { .. } => {}
@@ -335,7 +335,7 @@
     for value in 2..=9 {
         update(&writer, &mut a, value).await;
     }
-    standin.lift_faults();
+    standin.clear_faults();
     assert_eq!(applied(&mut rx).await, ("a".into(), 9));
 }
 
@@ -360,7 +360,7 @@
     };
     standin.set_faults(only_watcher(old));
     assert_eq!(stalled(&mut rx).await, StallReason::OldList);
-    standin.lift_faults();
+    standin.clear_faults();
     match within(rx.recv()).await.expect("the watch goes on") {
         WatchEvent::Synced { .. } => {}
         event => panic!("received {event:?} though nothing has changed"),
--- a/crates/chervilshunt_standin/src/platform/server.rs
+++ b/crates/chervilshunt_standin/src/platform/server.rs
@@ -80,7 +80,7 @@
     }
 
     /// Clears all faults.
-    pub fn lift_faults(&self) {
+    pub fn clear_faults(&self) {
         self.api.faults.send_replace(Faults::default());
     }
 
