--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -17,7 +17,7 @@
 
 const EPOCH: Epoch = Epoch::new(1);
 /// Only keeps a failing test from hanging.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn start(cfg: EngineStandinConfig) -> (EngineStandin, EngineClient) {
     let engine = start_engine(cfg).await.expect("start");
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads a response to its end, which must come within [`PATIENCE`].
+/// Reads a response to its end, which must come within [`TEST_TIMEOUT`].
 async fn finish(mut answer: Answer) -> Result<(), EngineError> {
     let read = async {
         while let Some(frame) = answer.body.frame().await {
@@ -55,19 +55,19 @@
         }
         Ok(())
     };
-    tokio::time::timeout(PATIENCE, read)
+    tokio::time::timeout(TEST_TIMEOUT, read)
         .await
         .expect("the answer ends in time")
 }
 
-/// Waits until a condition holds, which must happen within [`PATIENCE`].
+/// Waits until a condition holds, which must happen within [`TEST_TIMEOUT`].
 async fn until(mut holds: impl FnMut() -> bool) {
     let waited = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waited)
+    tokio::time::timeout(TEST_TIMEOUT, waited)
         .await
         .expect("it comes to hold in time");
 }
