--- a/crates/chervilshunt_standin/tests/engine.rs
+++ b/crates/chervilshunt_standin/tests/engine.rs
@@ -113,7 +113,7 @@
 
 /// The combined power of engines that peak at different times is below the sum of their peaks.
 #[test]
-fn power_together_is_summed_at_each_time() {
+fn combined_power_is_summed_at_each_time() {
     let changes = |list: &[(u64, f64)]| -> Vec<PowerChange> {
         let list = list.iter();
         list.map(|(unix_micros, watts)| PowerChange {
@@ -130,7 +130,7 @@
 
 /// While one sequence fills the batch, queued ones are ordered by priority, then by arrival.
 #[tokio::test]
-async fn priorities_order_those_that_wait() {
+async fn priorities_order_queued_sequences() {
     let cfg = EngineStandinConfig {
         max_batch: 1,
         step: Duration::from_millis(1),
