--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -12,7 +12,8 @@
     pub(crate) request_id: Arc<str>,
     /// The model named in the request.
     pub(crate) requested_model: Arc<str>,
-    /// The model that serves the sequence; differs from `requested_model` only under the `wrong_model` fault.
+    /// The model selected to serve the sequence; differs from `requested_model` only under the
+    /// `wrong_model` fault. If it is unloaded meanwhile, the base model serves instead.
     pub(crate) serving_model: Arc<str>,
     pub(crate) max_tokens: u32,
     progress: Mutex<Progress>,
