--- a/crates/chervilshunt_standin/src/serve.rs
+++ b/crates/chervilshunt_standin/src/serve.rs
@@ -215,7 +215,7 @@
     F: Future<Output = Answer> + Send + 'static,
 {
     let _best_effort = stream.set_nodelay(true);
-    let born = state.borrow().generation;
+    let initial_generation = state.borrow().generation;
     // A connection whose latest call was to a control path is shut down gracefully. Otherwise a
     // fault would cut off the response to the call that set it.
     let control_call = Arc::new(AtomicBool::new(false));
@@ -234,7 +234,7 @@
     tokio::pin!(connection);
     tokio::select! {
         _ended = &mut connection => return,
-        () = generation_after(&mut state, born) => {}
+        () = generation_after(&mut state, initial_generation) => {}
     }
     if control_call.load(Ordering::Relaxed) {
         connection.as_mut().graceful_shutdown();
@@ -242,10 +242,10 @@
     }
 }
 
-async fn generation_after(state: &mut watch::Receiver<PortState>, born: u64) {
+async fn generation_after(state: &mut watch::Receiver<PortState>, initial_generation: u64) {
     // Without a sender, nothing closes the connection any more.
     if state
-        .wait_for(|state| state.generation != born)
+        .wait_for(|state| state.generation != initial_generation)
         .await
         .is_err()
     {
