--- a/crates/chervilshunt_standin/src/platform/call.rs
+++ b/crates/chervilshunt_standin/src/platform/call.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the JSON of an object in the representation that the client requested.
-    pub(crate) fn shown(&self, object: &StoredObject) -> String {
+    pub(crate) fn object_json(&self, object: &StoredObject) -> String {
         match self.shape {
             Shape::Metadata => object.metadata_json.clone(),
             Shape::Whole | Shape::Table | Shape::TableOfNames => object.json.clone(),
--- a/crates/chervilshunt_standin/src/platform/handler.rs
+++ b/crates/chervilshunt_standin/src/platform/handler.rs
@@ -160,7 +160,7 @@
         let name = call.name();
         let at = self.read_revision(call, &faults, faults.stale_gets);
         match self.store().get(&call.path.collection, name, at) {
-            Ok(object) => json_answer(StatusCode::OK, call.shown(&object)),
+            Ok(object) => json_answer(StatusCode::OK, call.object_json(&object)),
             Err(err) => refusal(&call.path.collection, name, &err),
         }
     }
@@ -230,7 +230,7 @@
             Verb::Create => StatusCode::CREATED,
             Verb::Get | Verb::List | Verb::Watch | Verb::Update | Verb::Delete => StatusCode::OK,
         };
-        Ok(json_answer(status, call.shown(&object)))
+        Ok(json_answer(status, call.object_json(&object)))
     }
 
     fn apply(&self, call: &Call, body: Value) -> Result<Arc<StoredObject>, StoreError> {
