--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -94,7 +94,7 @@
     let response = if body.stream {
         call.stream().await?
     } else {
-        call.whole(engine).await?
+        call.non_streaming(engine).await?
     };
     Ok(serve::echo_ids(&headers, response))
 }
@@ -133,11 +133,11 @@
         Ok(response)
     }
 
-    async fn whole(self, engine: &Engine) -> Answer {
+    async fn non_streaming(self, engine: &Engine) -> Answer {
         self.wait_for(self.sequence_guard.0.max_tokens).await?;
         let late = engine.lock().faults.answer_late;
         tokio::time::sleep(late).await;
-        let body = self.whole_body().to_string();
+        let body = self.response_body().to_string();
         match self.cut_after {
             None => {}
             Some(0) => return Err(Cut),
@@ -157,7 +157,7 @@
             .ok_or(Cut)
     }
 
-    fn whole_body(&self) -> Value {
+    fn response_body(&self) -> Value {
         let sequence = &self.sequence_guard.0;
         let text: String = (0..sequence.max_tokens)
             .map(|token| token_text(sequence, token))
