--- a/crates/chervilshunt_standin/src/engine/meter.rs
+++ b/crates/chervilshunt_standin/src/engine/meter.rs
@@ -30,8 +30,7 @@
     pub joules: f64,
 }
 
-/// Counters of an engine stand-in since the process started; the `restart` fault does not reset
-/// them.
+/// Counters of an engine stand-in since it was started; the `restart` fault does not reset them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
     /// Completion and chat requests received.
--- a/crates/chervilshunt_standin/src/serve.rs
+++ b/crates/chervilshunt_standin/src/serve.rs
@@ -28,7 +28,8 @@
 
 use crate::command::Addresses;
 
-/// Prefix of the stand-in's control paths, which faults do not affect.
+/// Prefix of the stand-in's control paths. Calls to them are exempt from faults, but the main port
+/// refuses them too while it is closed.
 pub(crate) const CONTROL_PREFIX: &str = "/standin/";
 
 /// Delay between attempts to bind a port that is still in use.
@@ -135,8 +136,8 @@
 
 /// Listens on `address` and serves each call with `handler` until the runtime shuts down.
 ///
-/// The second address, `control`, is not affected by faults and serves the control paths at all
-/// times.
+/// A second port at `control` stays open through every fault, so that the control paths can be
+/// called there at any time.
 pub(crate) async fn listen<H, F>(
     address: SocketAddr,
     control: SocketAddr,
