--- a/crates/chervilshunt_standin/src/engine/batch.rs
+++ b/crates/chervilshunt_standin/src/engine/batch.rs
@@ -1,34 +1,36 @@
-//! Continuous batching: which sequences run, and what each step does to them.
+//! Continuous batching: admits queued sequences and advances the running ones by one token per
+//! step.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-/// A completion on its way through the engine.
+/// A completion that is queued or running in the engine.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) request_id: Arc<str>,
-    /// The model that the request named.
-    pub(crate) asked: Arc<str>,
-    /// The model that is to serve it; another one than `asked` only by a fault.
-    pub(crate) chosen: Arc<str>,
+    /// The model named in the request.
+    pub(crate) requested_model: Arc<str>,
+    /// The model selected to serve the sequence; differs from `requested_model` only under the
+    /// `wrong_model` fault. If it is unloaded meanwhile, the base model serves instead.
+    pub(crate) serving_model: Arc<str>,
     pub(crate) max_tokens: u32,
     progress: Mutex<Progress>,
 }
 
-/// How far a sequence has come.
+/// The progress of a sequence.
 #[derive(Debug, Default)]
 struct Progress {
     produced: u32,
-    /// The model that served from each of these tokens on.
+    /// The models that served the sequence, each with the first token that it served.
     served: Vec<Served>,
-    /// The client went away, or the engine restarted.
-    abandoned: bool,
+    /// Whether the client disconnected or the engine restarted.
+    cancelled: bool,
     waker: Option<Waker>,
 }
 
-/// From which token on a model served a sequence.
+/// A model together with the first token that it served.
 #[derive(Clone, Debug)]
 pub(crate) struct Served {
     pub(crate) from_token: u32,
@@ -36,21 +38,21 @@
 }
 
 impl Sequence {
-    pub(crate) fn new(request_id: Arc<str>, asked: Arc<str>, max_tokens: u32) -> Self {
+    pub(crate) fn new(request_id: Arc<str>, requested_model: Arc<str>, max_tokens: u32) -> Self {
         Self {
             request_id,
-            chosen: Arc::clone(&asked),
-            asked,
+            serving_model: Arc::clone(&requested_model),
+            requested_model,
             max_tokens: max_tokens.max(1),
             progress: Mutex::default(),
         }
     }
 
-    /// Ends the sequence early; the next step takes it out of the batch.
-    pub(crate) fn abandon(&self) {
+    /// Cancels the sequence; it leaves the batch at the next step.
+    pub(crate) fn cancel(&self) {
         let waker = {
             let mut progress = self.lock();
-            progress.abandoned = true;
+            progress.cancelled = true;
             progress.waker.take()
         };
         if let Some(waker) = waker {
@@ -58,31 +60,33 @@
         }
     }
 
-    /// Waits until more than `taken` tokens are there; none once the sequence was abandoned.
+    /// Waits until more than `taken` tokens have been produced. Resolves to `None` if the sequence
+    /// was cancelled before that.
     pub(crate) fn poll_tokens(&self, taken: u32, cx: &mut Context<'_>) -> Poll<Option<u32>> {
         let mut progress = self.lock();
         if progress.produced > taken {
             return Poll::Ready(Some(progress.produced));
         }
-        if progress.abandoned {
+        if progress.cancelled {
             return Poll::Ready(None);
         }
         progress.waker = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Produces every token at once, without the batch, so that a relay can be measured.
-    pub(crate) fn finish_at_once(&self) {
+    /// Produces all tokens at once and bypasses the batch, so that a proxy's relay throughput can
+    /// be measured.
+    pub(crate) fn finish_without_batch(&self) {
         let mut progress = self.lock();
         progress.produced = self.max_tokens;
         progress.served.push(Served {
             from_token: 0,
-            model: Arc::clone(&self.chosen),
+            model: Arc::clone(&self.serving_model),
         });
     }
 
-    /// Returns the model that served the token with this number, and since when.
-    pub(crate) fn server_of(&self, token: u32) -> Option<Served> {
+    /// Returns the model that served the token with this index, and the first token that it served.
+    pub(crate) fn served_at(&self, token: u32) -> Option<Served> {
         let progress = self.lock();
         let mut latest_first = progress.served.iter().rev();
         latest_first
@@ -90,18 +94,19 @@
             .cloned()
     }
 
-    /// Returns the models that served it so far.
-    pub(crate) fn servers(&self) -> Vec<Arc<str>> {
+    /// Returns the models that have served the sequence so far, in order.
+    pub(crate) fn served_models(&self) -> Vec<Arc<str>> {
         let progress = self.lock();
         let served = progress.served.iter();
         served.map(|served| Arc::clone(&served.model)).collect()
     }
 
-    fn is_abandoned(&self) -> bool {
-        self.lock().abandoned
+    fn is_cancelled(&self) -> bool {
+        self.lock().cancelled
     }
 
-    /// Adds a token served by `model` and says whether the sequence is complete.
+    /// Records a token served by `model`, and returns whether the model changed and whether the
+    /// sequence is complete.
     fn advance(&self, model: &Arc<str>) -> Advance {
         let mut progress = self.lock();
         let changed = progress
@@ -130,32 +135,32 @@
     }
 }
 
-/// What a step did to a sequence.
+/// The effect of a step on one sequence.
 #[derive(Clone, Copy, Debug)]
 struct Advance {
-    /// Another model served this token than the one before.
+    /// Whether a different model served this token than the previous one.
     changed: bool,
     finished: bool,
 }
 
-/// The place of a waiting sequence: lower priority numbers first, then in order of arrival.
-type QueuePlace = (i64, u64);
+/// The key of a queued sequence: lower priority numbers first, then order of arrival.
+type QueueKey = (i64, u64);
 
-/// The sequences that run and wait.
+/// The running and queued sequences.
 #[derive(Debug)]
 pub(crate) struct Batch {
     limit: usize,
-    waiting: BTreeMap<QueuePlace, Arc<Sequence>>,
+    waiting: BTreeMap<QueueKey, Arc<Sequence>>,
     running: Vec<Arc<Sequence>>,
     arrivals: u64,
 }
 
-/// What happened to a sequence in a step, for the record of runs.
+/// An event of a step that goes into the run records.
 #[derive(Clone, Debug)]
-pub(crate) enum BatchNote {
-    /// It began to run.
-    Began(Arc<Sequence>),
-    /// This model serves it from here on.
+pub(crate) enum BatchEvent {
+    /// The sequence left the queue and started running.
+    Started(Arc<Sequence>),
+    /// The model serves the sequence from this token on.
     ServedBy(Arc<Sequence>, Arc<str>),
 }
 
@@ -178,7 +183,7 @@
     }
 
     pub(crate) fn running_models(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.running.iter().map(|sequence| &sequence.chosen)
+        self.running.iter().map(|sequence| &sequence.serving_model)
     }
 
     pub(crate) fn push(&mut self, priority: i64, sequence: Arc<Sequence>) {
@@ -186,49 +191,49 @@
         self.waiting.insert((priority, self.arrivals), sequence);
     }
 
-    /// Takes out what was abandoned and fills the batch from those that wait.
-    pub(crate) fn admit(&mut self, notes: &mut Vec<BatchNote>) {
-        self.running.retain(|sequence| !sequence.is_abandoned());
-        self.waiting.retain(|_, sequence| !sequence.is_abandoned());
+    /// Removes cancelled sequences and fills the batch from the queue.
+    pub(crate) fn admit(&mut self, events: &mut Vec<BatchEvent>) {
+        self.running.retain(|sequence| !sequence.is_cancelled());
+        self.waiting.retain(|_, sequence| !sequence.is_cancelled());
         while self.running.len() < self.limit {
             let Some((_, sequence)) = self.waiting.pop_first() else {
                 return;
             };
-            notes.push(BatchNote::Began(Arc::clone(&sequence)));
+            events.push(BatchEvent::Started(Arc::clone(&sequence)));
             self.running.push(sequence);
         }
     }
 
-    /// Advances each running sequence by one token and returns the number of tokens.
+    /// Advances each running sequence by one token and returns the number of tokens produced.
     pub(crate) fn step(
         &mut self,
         serving: impl Fn(&Sequence) -> Arc<str>,
-        notes: &mut Vec<BatchNote>,
+        events: &mut Vec<BatchEvent>,
     ) -> usize {
         let tokens = self.running.len();
         self.running.retain(|sequence| {
             let model = serving(sequence);
             let advance = sequence.advance(&model);
             if advance.changed {
-                notes.push(BatchNote::ServedBy(Arc::clone(sequence), model));
+                events.push(BatchEvent::ServedBy(Arc::clone(sequence), model));
             }
             !advance.finished
         });
         tokens
     }
 
-    /// Abandons everything, as a restart does.
+    /// Cancels all running and queued sequences, as an engine restart does.
     pub(crate) fn clear(&mut self) {
         for sequence in self.running.drain(..) {
-            sequence.abandon();
+            sequence.cancel();
         }
         while let Some((_, sequence)) = self.waiting.pop_first() {
-            sequence.abandon();
+            sequence.cancel();
         }
     }
 }
 
-/// How long a step with `running` sequences takes.
+/// Returns the duration of a step with `running` sequences.
 pub(crate) fn step_time(fixed: Duration, per_sequence: Duration, running: usize) -> Duration {
     fixed + per_sequence * u32::try_from(running).unwrap_or(u32::MAX)
 }
--- a/crates/chervilshunt_standin/src/engine/completion.rs
+++ b/crates/chervilshunt_standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Completions and chats: from the request's body to the answer.
+//! Handlers for completions and chat completions.
 
 use std::future::poll_fn;
 use std::sync::Arc;
@@ -16,20 +16,22 @@
 use super::stream::{TokenStream, token_text};
 use crate::serve::{self, ATTEMPT_ID, Answer, Cut, REQUEST_ID, header_text};
 
-/// A header of the stand-in's own: `0` gives out every token as fast as the connection takes them.
+/// A header specific to the stand-in: with the value `0`, all tokens are sent as fast as the
+/// connection accepts them.
 const STEP_MS: HeaderName = HeaderName::from_static("x-step-ms");
 
-/// The number of tokens of a request that names none, as in OpenAI's API.
+/// Number of tokens generated if the request does not set `max_tokens`; the same default as
+/// OpenAI's API.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Which of the two forms of the API a call uses.
+/// The API endpoint that a call uses: text completion or chat completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Style {
     Text,
     Chat,
 }
 
-/// The members of a request's body that the stand-in heeds.
+/// The fields of a request body that the stand-in reads; others are ignored.
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
     model: Arc<str>,
@@ -44,19 +46,19 @@
     priority: i64,
 }
 
-/// A completion that the engine is asked for.
+/// A completion request as submitted to the engine.
 #[derive(Debug)]
-pub(crate) struct Order {
+pub(crate) struct CompletionRequest {
     pub(crate) request_id: Arc<str>,
     pub(crate) model: Arc<str>,
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
     pub(crate) priority: i64,
-    /// Skips the batch.
-    pub(crate) at_once: bool,
+    /// Whether all tokens are produced immediately, without the batch.
+    pub(crate) bypass_batch: bool,
 }
 
-/// Answers a completion or a chat.
+/// Responds to a completion or chat completion.
 pub(crate) async fn answer(engine: &Engine, req: Request<Incoming>, style: Style) -> Answer {
     engine.lock().meter.count.completions += 1;
     let headers = req.headers().clone();
@@ -67,15 +69,15 @@
     let model = Arc::clone(&body.model);
     let prompt = prompt_text(&body);
     let prompt_tokens = prompt.split_whitespace().count();
-    let order = Order {
+    let request = CompletionRequest {
         request_id: header_text(&headers, &REQUEST_ID).into(),
         model: body.model,
         prompt,
         max_tokens: body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         priority: body.priority,
-        at_once: headers.get(STEP_MS).is_some_and(|value| value == "0"),
+        bypass_batch: headers.get(STEP_MS).is_some_and(|value| value == "0"),
     };
-    let Some(sequence) = engine.submit(order) else {
+    let Some(sequence) = engine.submit(request) else {
         engine.lock().meter.count.adapters_missing += 1;
         let message = format!("The model `{model}` does not exist.");
         let refusal = error(StatusCode::NOT_FOUND, "NotFoundError", &message);
@@ -87,38 +89,39 @@
         style,
         prompt_tokens,
         cut_after,
-        running: Running(sequence),
+        sequence_guard: CancelOnDrop(sequence),
     };
     let response = if body.stream {
         call.stream().await?
     } else {
-        call.whole(engine).await?
+        call.non_streaming(engine).await?
     };
     Ok(serve::echo_ids(&headers, response))
 }
 
-/// A call whose sequence has been queued.
+/// A call whose sequence has been queued or is complete.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) id: String,
     pub(crate) style: Style,
     pub(crate) prompt_tokens: usize,
     pub(crate) cut_after: Option<u32>,
-    pub(crate) running: Running,
+    pub(crate) sequence_guard: CancelOnDrop,
 }
 
-/// Takes the sequence out of the batch when the client goes away.
+/// Cancels the sequence when dropped, for example because the client disconnected.
 #[derive(Debug)]
-pub(crate) struct Running(pub(crate) Arc<Sequence>);
+pub(crate) struct CancelOnDrop(pub(crate) Arc<Sequence>);
 
-impl Drop for Running {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        self.0.abandon();
+        self.0.cancel();
     }
 }
 
 impl Call {
-    /// Waits for the first token, so that an error before it can still be the answer's head.
+    /// Waits for the first token before it sends the response head, so that a call that fails
+    /// before it is cut off without a response.
     async fn stream(self) -> Answer {
         self.wait_for(1).await?;
         if self.cut_after == Some(0) {
@@ -130,11 +133,11 @@
         Ok(response)
     }
 
-    async fn whole(self, engine: &Engine) -> Answer {
-        self.wait_for(self.running.0.max_tokens).await?;
+    async fn non_streaming(self, engine: &Engine) -> Answer {
+        self.wait_for(self.sequence_guard.0.max_tokens).await?;
         let late = engine.lock().faults.answer_late;
         tokio::time::sleep(late).await;
-        let body = self.whole_body().to_string();
+        let body = self.response_body().to_string();
         match self.cut_after {
             None => {}
             Some(0) => return Err(Cut),
@@ -147,19 +150,19 @@
     }
 
     async fn wait_for(&self, tokens: u32) -> Result<(), Cut> {
-        let sequence = &self.running.0;
+        let sequence = &self.sequence_guard.0;
         poll_fn(|cx| sequence.poll_tokens(tokens - 1, cx))
             .await
             .map(|_| ())
             .ok_or(Cut)
     }
 
-    fn whole_body(&self) -> Value {
-        let sequence = &self.running.0;
+    fn response_body(&self) -> Value {
+        let sequence = &self.sequence_guard.0;
         let text: String = (0..sequence.max_tokens)
             .map(|token| token_text(sequence, token))
             .collect();
-        let model = self.model_shown();
+        let model = self.reported_model();
         let (object, choice) = match self.style {
             Style::Text => (
                 "text_completion",
@@ -177,18 +180,19 @@
         })
     }
 
-    /// Returns a model other than the one asked for if such a one served any token.
-    fn model_shown(&self) -> Arc<str> {
-        let sequence = &self.running.0;
+    /// Returns the first model other than the requested one that served any token, or else the
+    /// requested model.
+    fn reported_model(&self) -> Arc<str> {
+        let sequence = &self.sequence_guard.0;
         sequence
-            .servers()
+            .served_models()
             .into_iter()
-            .find(|model| *model != sequence.asked)
-            .unwrap_or_else(|| Arc::clone(&sequence.asked))
+            .find(|model| *model != sequence.requested_model)
+            .unwrap_or_else(|| Arc::clone(&sequence.requested_model))
     }
 
     pub(crate) fn usage(&self) -> Value {
-        let generated = self.running.0.max_tokens;
+        let generated = self.sequence_guard.0.max_tokens;
         json!({
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": generated,
--- a/crates/chervilshunt_standin/src/engine/state.rs
+++ b/crates/chervilshunt_standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's state, and the tasks that step its batch and take its load reports.
+//! The engine's state and its background tasks, which step the batch and take load reports.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::batch::{Batch, BatchNote, Sequence, step_time};
+use super::batch::{Batch, BatchEvent, Sequence, step_time};
 use super::cache::CacheLog;
 use super::faults::Faults;
 use super::meter::{EngineStats, Meter, PowerChange};
@@ -19,10 +19,10 @@
 use crate::runs::Runs;
 use crate::serve::Port;
 
-/// How often a load report is taken.
+/// Interval between load reports.
 const REPORT_PERIOD: Duration = Duration::from_millis(20);
 
-/// An engine, shared by its connections and its stepping task.
+/// An engine, shared by its connections and background tasks.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) cfg: EngineStandinConfig,
@@ -32,7 +32,7 @@
     work: Notify,
 }
 
-/// All that changes.
+/// The mutable state of an engine.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) faults: Faults,
@@ -46,7 +46,7 @@
 }
 
 impl State {
-    /// Says yes with probability `share`.
+    /// Returns `true` with probability `share`, clamped to 0 to 1.
     pub(crate) fn chance(&mut self, share: f64) -> bool {
         self.rng.random_bool(share.clamp(0.0, 1.0))
     }
@@ -77,7 +77,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts the tasks that step the batch and take load reports.
+    /// Starts the background tasks that step the batch and take load reports.
     pub(crate) fn start_background(self: &Arc<Self>) {
         tokio::spawn(Arc::clone(self).step_forever());
         tokio::spawn(Arc::clone(self).report_forever());
@@ -116,49 +116,54 @@
         self.lock().meter.power_changes()
     }
 
-    /// Queues a completion and notes its prompt in the prefix cache.
+    /// Queues a completion and records its prompt in the prefix cache.
     ///
-    /// Returns none if the model is neither loaded nor the base model.
-    pub(crate) fn submit(&self, order: completion::Order) -> Option<Arc<Sequence>> {
+    /// Returns `None` if the model is neither the base model nor a loaded adapter.
+    pub(crate) fn submit(&self, request: completion::CompletionRequest) -> Option<Arc<Sequence>> {
         let sequence = {
             let mut state = self.lock();
-            let known = *order.model == *self.cfg.base_model;
-            if !known && state.slots.find(&order.model).is_none() {
+            let known = *request.model == *self.cfg.base_model;
+            if !known && state.slots.find(&request.model).is_none() {
                 return None;
             }
-            let mut sequence = Sequence::new(order.request_id, order.model, order.max_tokens);
+            let mut sequence = Sequence::new(request.request_id, request.model, request.max_tokens);
             if std::mem::take(&mut state.faults.wrong_model) {
-                sequence.chosen = self.another_model(&state.slots, &sequence.asked);
+                sequence.serving_model =
+                    self.another_model(&state.slots, &sequence.requested_model);
             }
             let sequence = Arc::new(sequence);
             let gaps = state.faults.cache_event_gaps;
-            let told = !state.chance(gaps);
-            let prefix = prefix_hash(&sequence.asked, order.prompt.as_bytes());
-            state.cache.store(prefix, told, Instant::now());
-            if order.at_once {
-                sequence.finish_at_once();
+            let emit = !state.chance(gaps);
+            let prefix = prefix_hash(&sequence.requested_model, request.prompt.as_bytes());
+            state.cache.store(prefix, emit, Instant::now());
+            if request.bypass_batch {
+                sequence.finish_without_batch();
             } else {
-                state.batch.push(order.priority, Arc::clone(&sequence));
+                state.batch.push(request.priority, Arc::clone(&sequence));
             }
             sequence
         };
-        if order.at_once {
+        if request.bypass_batch {
             self.runs.begin(&sequence.request_id);
-            self.runs.served_by(&sequence.request_id, &sequence.chosen);
+            self.runs
+                .served_by(&sequence.request_id, &sequence.serving_model);
         }
         self.work.notify_one();
         Some(sequence)
     }
 
-    fn another_model(&self, slots: &Slots, asked: &Arc<str>) -> Arc<str> {
-        let mut others = slots.loaded().iter().filter(|loaded| *loaded != asked);
+    fn another_model(&self, slots: &Slots, requested_model: &Arc<str>) -> Arc<str> {
+        let mut others = slots
+            .loaded()
+            .iter()
+            .filter(|loaded| *loaded != requested_model);
         Arc::clone(others.next().unwrap_or(&self.cfg.base_model))
     }
 
     async fn step_forever(self: Arc<Self>) {
         let mut last_end = Instant::now();
         loop {
-            self.port.thawed().await;
+            self.port.until_unfrozen().await;
             let Some(step) = self.begin_step() else {
                 self.work.notified().await;
                 last_end = Instant::now();
@@ -170,47 +175,49 @@
             } else {
                 tokio::time::sleep_until(end).await;
             }
-            self.port.thawed().await;
+            self.port.until_unfrozen().await;
             self.end_step();
-            // A late timer shortens the next step, so that the rate holds; a freeze doesn't count.
+            // A late timer shortens the next step, so that the step rate is kept on average. Time
+            // spent frozen is not made up for.
             last_end = end.max(Instant::now() - step);
         }
     }
 
-    /// Fills the batch and returns how long its step takes; none if there is nothing to run.
+    /// Fills the batch from the queue and returns the duration of its next step, or `None` if
+    /// nothing runs.
     fn begin_step(&self) -> Option<Duration> {
-        let mut notes = Vec::new();
+        let mut events = Vec::new();
         let mut state = self.lock();
-        state.batch.admit(&mut notes);
+        state.batch.admit(&mut events);
         let running = state.batch.running();
         state.meter.set_running(running, Instant::now());
         let slow = state.faults.slow;
         drop(state);
-        self.record(notes);
+        self.record(events);
         (running > 0).then(|| step_time(self.cfg.step, self.cfg.step_per_sequence, running) + slow)
     }
 
     fn end_step(&self) {
-        let mut notes = Vec::new();
+        let mut events = Vec::new();
         let mut guard = self.lock();
         let state = &mut *guard;
         let slots = &state.slots;
         let base = &self.cfg.base_model;
         let serving =
-            |sequence: &Sequence| Arc::clone(slots.find(&sequence.chosen).unwrap_or(base));
-        let tokens = state.batch.step(serving, &mut notes);
+            |sequence: &Sequence| Arc::clone(slots.find(&sequence.serving_model).unwrap_or(base));
+        let tokens = state.batch.step(serving, &mut events);
         state.meter.step(tokens);
         let running = state.batch.running();
         state.meter.set_running(running, Instant::now());
         drop(guard);
-        self.record(notes);
+        self.record(events);
     }
 
-    fn record(&self, notes: Vec<BatchNote>) {
-        for note in notes {
-            match note {
-                BatchNote::Began(sequence) => self.runs.begin(&sequence.request_id),
-                BatchNote::ServedBy(sequence, model) => {
+    fn record(&self, events: Vec<BatchEvent>) {
+        for event in events {
+            match event {
+                BatchEvent::Started(sequence) => self.runs.begin(&sequence.request_id),
+                BatchEvent::ServedBy(sequence, model) => {
                     self.runs.served_by(&sequence.request_id, &model);
                 }
             }
--- a/crates/chervilshunt_standin/src/engine/stream.rs
+++ b/crates/chervilshunt_standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The bodies of the engine's answers, token by token.
+//! Streaming response bodies and the text of tokens.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -12,17 +12,18 @@
 use super::completion::{Call, Style};
 use crate::serve::Cut;
 
-/// What ends an SSE stream of OpenAI's API.
+/// The event that ends an SSE stream of OpenAI's API.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// An SSE stream with one event for each token.
+/// An SSE stream with one event per token.
 #[derive(Debug)]
 pub(crate) struct TokenStream {
     call: Call,
-    /// What each event begins with, up to the model's name.
+    /// The start of each event, up to the model name.
     head: String,
     taken: u32,
-    /// The cut waits for one poll, so that what went before it is flushed.
+    /// Whether the poll that precedes a cut has passed. The cut waits for it so that the preceding
+    /// events are flushed.
     flushed: bool,
     done: bool,
 }
@@ -45,10 +46,10 @@
     }
 
     fn event(&self, token: u32) -> Bytes {
-        let sequence = &self.call.running.0;
+        let sequence = &self.call.sequence_guard.0;
         let last = token + 1 == sequence.max_tokens;
-        let model = sequence.server_of(token).map_or_else(
-            || Value::from(&*sequence.asked),
+        let model = sequence.served_at(token).map_or_else(
+            || Value::from(&*sequence.requested_model),
             |served| Value::from(&*served.model),
         );
         let text = Value::from(token_text(sequence, token));
@@ -96,11 +97,11 @@
         {
             return self.poll_cut(cx);
         }
-        if self.taken == self.call.running.0.max_tokens {
+        if self.taken == self.call.sequence_guard.0.max_tokens {
             self.done = true;
             return Poll::Ready(Some(Ok(Frame::data(Bytes::from_static(DONE)))));
         }
-        let produced = ready!(self.call.running.0.poll_tokens(self.taken, cx));
+        let produced = ready!(self.call.sequence_guard.0.poll_tokens(self.taken, cx));
         if produced.is_none() {
             return Poll::Ready(Some(Err(Cut)));
         }
@@ -110,15 +111,16 @@
     }
 }
 
-/// Returns the text of a token: numbered, and with the model named wherever it changes.
+/// Returns the text of a token, which contains its number. The first token, and each one served by
+/// a different model than the one before, also names the model.
 pub(crate) fn token_text(sequence: &Sequence, token: u32) -> String {
     let begun = sequence
-        .server_of(token)
+        .served_at(token)
         .filter(|served| served.from_token == token);
     match (begun, token) {
         (Some(served), 0) => head_text(&served.model, &sequence.request_id),
         (Some(served), _) => format!(" served={} TOKEN_{}", served.model, token - 1),
-        (None, 0) => head_text(&sequence.asked, &sequence.request_id),
+        (None, 0) => head_text(&sequence.requested_model, &sequence.request_id),
         (None, _) => format!(" TOKEN_{}", token - 1),
     }
 }
