--- a/crates/chervilshunt_standin/src/check/client.rs
+++ b/crates/chervilshunt_standin/src/check/client.rs
@@ -1,4 +1,4 @@
-//! The client that sends requests.
+//! HTTP client that sends planned requests and verifies the responses.
 
 use std::time::{Duration, Instant};
 
@@ -17,23 +17,23 @@
 use super::verdict::{Record, Timing, Verdict, Violation, ViolationKind};
 use super::{Api, Call, CompletionCall, RequestPlan, Route};
 
-/// The time that opening a connection may take.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Urgencies (RFC 9218) that stand for the two classes.
+/// Values of the `priority` header (RFC 9218 urgency) for the two classes.
 const LIVE_PRIORITY: &str = "u=2";
 const DEFERRABLE_PRIORITY: &str = "u=6";
 
-/// How a client speaks to instances.
+/// Connection options of a [`Client`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientOptions {
-    /// Whether it speaks HTTP/2 in place of HTTP/1.1.
+    /// Whether to use HTTP/2 instead of HTTP/1.1.
     pub http2: bool,
-    /// Whether each request gets a connection of its own.
+    /// Whether to open a new connection for each request.
     pub fresh_connections: bool,
 }
 
-/// A caller that checks its answers.
+/// A client that verifies every response.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: HyperClient<HttpConnector, Full<Bytes>>,
@@ -46,7 +46,7 @@
 }
 
 impl Client {
-    /// Makes a client; clones share its connections.
+    /// Creates a client. Clones share its connection pool.
     pub fn new(options: ClientOptions) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -63,16 +63,16 @@
         }
     }
 
-    /// Sends one request and hands out its answer unread, to measure rather than to check.
+    /// Sends one request and returns the response unread and unchecked, for measurements.
     ///
     /// # Errors
-    /// Says what happened if no head of an answer came.
+    /// Returns a description of the failure if no response head was received.
     pub async fn open(&self, plan: &RequestPlan) -> Result<Response<Incoming>, String> {
         let response = self.inner.request(request(plan)).await;
         response.map_err(|error| with_sources(&error))
     }
 
-    /// Sends one request and checks what comes back.
+    /// Sends one request and verifies the response.
     pub async fn send(&self, plan: RequestPlan) -> Record {
         let start = Instant::now();
         let mut timing = Timing::default();
@@ -90,7 +90,7 @@
             }
             Err(_) => Verdict::Violated(Violation::new(
                 ViolationKind::Overdue,
-                format!("no end within {:?}", plan.patience),
+                format!("response not complete within {:?}", plan.patience),
             )),
         };
         timing.total = start.elapsed();
@@ -130,7 +130,7 @@
     }
     builder
         .body(Full::new(body))
-        .expect("plans hold only what can stand in a request")
+        .expect("a plan contains only valid URI and header values")
 }
 
 fn completion(call: &CompletionCall) -> (String, Bytes) {
--- a/crates/chervilshunt_standin/src/check/exchange.rs
+++ b/crates/chervilshunt_standin/src/check/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer, read and checked as it comes in.
+//! One request and its response, verified while it is read.
 
 use std::error::Error as StdError;
 use std::time::Instant;
@@ -19,10 +19,10 @@
 use super::verdict::{Answer, Timing, Verdict, Violation, ViolationKind};
 use super::{Api, Call, CompletionCall, RequestPlan, Route};
 
-/// What ends a stream of OpenAI's API.
+/// Data of the event that terminates a stream in the OpenAI API.
 const DONE: &str = "[DONE]";
 
-/// Why an answer was not read to its end.
+/// Why a response could not be read completely.
 #[derive(Debug)]
 pub(crate) enum Failure {
     Violation(Violation),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
 pub(crate) struct Exchange<'a> {
     pub(crate) plan: &'a RequestPlan,
@@ -43,7 +43,7 @@
     pub(crate) timing: &'a mut Timing,
 }
 
-/// The members of a completion, whole or one event of a stream, that are checked.
+/// The checked fields of a completion object or of one chunk of a stream.
 #[derive(Debug, Deserialize)]
 struct Completion {
     #[serde(default)]
@@ -70,7 +70,7 @@
     completion_tokens: u32,
 }
 
-/// What a completion has said so far.
+/// The content of a completion accumulated so far.
 #[derive(Debug, Default)]
 struct Gathered {
     text: String,
@@ -116,10 +116,10 @@
         self.check_headers(&head.headers, None)?;
         let body = collect(body).await?;
         let echoed: serde_json::Value = serde_json::from_slice(&body)
-            .map_err(|error| malformed(format!("no JSON of the plain service: {error}")))?;
+            .map_err(|error| malformed(format!("plain service sent invalid JSON: {error}")))?;
         let id = &*self.plan.request_id;
         if echoed["request"] != id {
-            let detail = format!("the answer to request {}", echoed["request"]);
+            let detail = format!("response belongs to request {}", echoed["request"]);
             return Err(Violation::new(ViolationKind::WrongRequest, detail).into());
         }
         Ok(Verdict::Answered(answer(&head.headers, 0)))
@@ -135,7 +135,7 @@
         self.check_headers(&head.headers, Some(call))?;
         let body = collect(body).await?;
         let completion: Completion = serde_json::from_slice(&body)
-            .map_err(|error| malformed(format!("no completion: {error}")))?;
+            .map_err(|error| malformed(format!("invalid completion object: {error}")))?;
         let mut gathered = Gathered::default();
         gathered.take(call, completion);
         gathered.check(call, &self.plan.request_id)?;
@@ -151,7 +151,7 @@
         self.check_headers(&head.headers, Some(call))?;
         let kind = head.headers.get(CONTENT_TYPE);
         if !kind.is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream")) {
-            return Err(malformed(format!("a stream of content type {kind:?}")).into());
+            return Err(malformed(format!("stream has content type {kind:?}")).into());
         }
         let data = BodyStream::new(body)
             .filter_map(async |frame| frame.map(|frame| frame.into_data().ok()).transpose());
@@ -174,15 +174,15 @@
             }
             last = now;
             let completion: Completion = serde_json::from_str(&event.data)
-                .map_err(|error| malformed(format!("no chunk: {error}: {}", event.data)))?;
+                .map_err(|error| malformed(format!("invalid chunk: {error}: {}", event.data)))?;
             gathered.take(call, completion);
         }
         let got = gathered.text.split_whitespace().count();
-        let detail = format!("the stream ended after {got} words without {DONE} or an error event");
+        let detail = format!("stream ended after {got} words without {DONE} or an error event");
         Err(Violation::new(ViolationKind::WrongTokens, detail).into())
     }
 
-    /// Notes the time of the first token; returns whether there was one already.
+    /// Records the time of the first token. Returns whether one was already recorded.
     fn note_first(&mut self) -> bool {
         let first = self.timing.first.is_none();
         if first {
@@ -208,11 +208,11 @@
             if !headers.contains_key(name) {
                 return Err(Violation::new(
                     ViolationKind::WrongHeader,
-                    format!("no {name}"),
+                    format!("header {name} is missing"),
                 ));
             }
         }
-        // A base model has no version. The header may name the adapter too.
+        // A base model has no version. The header may hold `adapter@version` or the version alone.
         let model = call.map(|call| &*call.model);
         let version = model.and_then(|model| Some(model.split_once('@')?.1));
         let said = text(headers, "x-adapter-version");
@@ -222,7 +222,7 @@
                 Err(Violation::new(ViolationKind::WrongModel, detail))
             }
             (Some(_), None) => {
-                let detail = "no x-adapter-version";
+                let detail = "header x-adapter-version is missing";
                 Err(Violation::new(ViolationKind::WrongHeader, detail))
             }
             _ => Ok(()),
@@ -252,15 +252,15 @@
     fn check(&self, call: &CompletionCall, request_id: &str) -> Result<(), Violation> {
         check_text(call, request_id, &self.text)?;
         if let Some(model) = &self.wrong_model {
-            let detail = format!("the answer's model is {model}");
+            let detail = format!("response names model {model}");
             return Err(Violation::new(ViolationKind::WrongModel, detail));
         }
         if !self.finished {
-            return Err(malformed("no finish_reason".to_owned()));
+            return Err(malformed("finish_reason is missing".to_owned()));
         }
         let tokens = self.usage.as_ref().map(|usage| usage.completion_tokens);
         if tokens != Some(call.max_tokens) {
-            let detail = format!("{} tokens, usage says {tokens:?}", call.max_tokens);
+            let detail = format!("{} tokens, usage reports {tokens:?}", call.max_tokens);
             return Err(Violation::new(ViolationKind::WrongUsage, detail));
         }
         Ok(())
@@ -278,7 +278,7 @@
             sent: true,
             detail: with_sources(&error),
         }),
-        Some(Err(error)) => Err(malformed(format!("no event stream: {error}")).into()),
+        Some(Err(error)) => Err(malformed(format!("invalid event stream: {error}")).into()),
     }
 }
 
@@ -308,7 +308,7 @@
     Violation::new(ViolationKind::Malformed, detail)
 }
 
-/// Writes an error with what caused it.
+/// Formats an error followed by its chain of sources.
 pub(crate) fn with_sources(error: &dyn StdError) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/chervilshunt_standin/src/check/mod.rs
+++ b/crates/chervilshunt_standin/src/check/mod.rs
@@ -1,8 +1,9 @@
-//! A caller that checks every answer, for the quickstart, the load tool and the fault tool.
+//! A client that verifies every response, for the quickstart, the load tool and the fault tool.
 //!
-//! [`Client::send`] makes one request and says whether the answer is whole and the one that the
-//! request named, a refusal that states its outcome, or a violation of a promise. Whether a refusal
-//! was true shows only afterwards: [`settle`] compares all records with what the stand-ins ran.
+//! [`Client::send`] makes one request and classifies the result: a complete response from the
+//! requested adapter version, a well-formed refusal with its outcome, a broken connection, or a
+//! violation of a guarantee. Whether a refusal was true can only be checked afterwards: [`settle`]
+//! compares all records with the runs that the stand-ins recorded.
 
 mod client;
 mod exchange;
--- a/crates/chervilshunt_standin/src/check/plan.rs
+++ b/crates/chervilshunt_standin/src/check/plan.rs
@@ -1,4 +1,4 @@
-//! What a caller is about to ask for.
+//! Descriptions of the requests to send.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,29 +7,29 @@
 use chervilshunt_model::Class;
 use serde::{Deserialize, Serialize};
 
-/// One request, complete enough to check its answer.
+/// One request, with everything that is needed to verify its response.
 #[derive(Clone, Debug)]
 pub struct RequestPlan {
-    /// Where it goes.
+    /// The address to send it to.
     pub to: SocketAddr,
-    /// What stands at that address.
+    /// The kind of server at that address.
     pub route: Route,
-    /// The request's id, unique within a run; a repeated try of a keyed request keeps it.
+    /// The request id, unique within a run. Retries of a request keep it.
     pub request_id: Arc<str>,
-    /// What is called.
+    /// The call to make.
     pub call: Call,
-    /// The class that is asked for.
+    /// The requested class.
     pub class: Class,
     /// The idempotency key, if any.
     pub key: Option<Arc<str>>,
-    /// The deadline that is asked for; none leaves it to the service.
+    /// The requested deadline. `None` leaves it to the service's default.
     pub deadline: Option<Duration>,
-    /// The time after which the caller calls the answer overdue.
+    /// The client's timeout: a response that is not complete by then counts as overdue.
     pub patience: Duration,
 }
 
 impl RequestPlan {
-    /// Returns whether more than one run would break a promise.
+    /// Returns whether running the request more than once would violate a guarantee.
     pub const fn runs_at_most_once(&self) -> bool {
         match &self.call {
             Call::Completion(_) => self.key.is_some(),
@@ -38,41 +38,41 @@
     }
 }
 
-/// What stands at the address that a request goes to.
+/// The kind of server that a request is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Route {
     /// An instance of the system.
     System,
-    /// An engine stand-in itself, for comparison.
+    /// An engine stand-in without the system in between, for comparison.
     Direct,
 }
 
-/// What is called.
+/// The call that a request makes.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// A completion by an adapter version.
+    /// A completion from an adapter version or a base model.
     Completion(CompletionCall),
-    /// A call of a plain service.
+    /// A call to a plain service.
     Plain(PlainCall),
 }
 
-/// A completion by an adapter version.
+/// A completion from an adapter version or a base model.
 #[derive(Clone, Debug)]
 pub struct CompletionCall {
-    /// `adapter@version`, or a base model.
+    /// `adapter@version`, or the name of a base model.
     pub model: Arc<str>,
-    /// Which of the two forms of the API is used.
+    /// The endpoint to use.
     pub api: Api,
-    /// Whether the answer comes as a stream.
+    /// Whether to request a streamed response.
     pub stream: bool,
-    /// The number of tokens that the answer has to have.
+    /// The exact number of tokens that the response must have.
     pub max_tokens: u32,
     /// The prompt.
     pub prompt: Arc<str>,
 }
 
-/// The two forms of OpenAI's API.
+/// The completion endpoints of the OpenAI API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Api {
@@ -82,15 +82,15 @@
     Chat,
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
-    /// The service.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// The path below the service, with its leading slash.
+    /// The path within the service, with a leading slash.
     pub path: Arc<str>,
-    /// The body that is posted.
+    /// The request body.
     pub body: Arc<str>,
-    /// Whether the service allows the call to be repeated.
+    /// Whether the call is idempotent and may be repeated.
     pub idempotent: bool,
 }
--- a/crates/chervilshunt_standin/src/check/refusal.rs
+++ b/crates/chervilshunt_standin/src/check/refusal.rs
@@ -1,4 +1,4 @@
-//! Checks that a refusal is of the published form.
+//! Parses refusals and checks that they have the documented form.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::verdict::{Outcome, Refusal, Violation, ViolationKind};
 
-/// A problem document (RFC 9457) with the members that `docs/INTERFACES.md` promises.
+/// A problem document (RFC 9457) with the fields that `docs/INTERFACES.md` specifies.
 #[derive(Debug, Deserialize)]
 struct Problem {
     r#type: String,
@@ -21,7 +21,7 @@
     request_id: Arc<str>,
 }
 
-/// Reads a refusal from the head and body of an answer.
+/// Parses a refusal from the head and body of a response.
 pub(crate) fn read_refusal(
     status: StatusCode,
     headers: &HeaderMap,
@@ -41,7 +41,7 @@
     if refusal.status != status.as_u16() {
         let said = refusal.status;
         return Err(malformed(format!(
-            "status {status}, the problem says {said}"
+            "status {status}, the problem document has status {said}"
         )));
     }
     refusal.retry_after = retry_after(headers)?;
@@ -55,19 +55,19 @@
     Ok(refusal)
 }
 
-/// Reads a problem document, as the body of a refusal or the last event of a broken stream.
+/// Parses a problem document: the body of a refusal or the last event of an aborted stream.
 pub(crate) fn read_problem(body: &[u8], request_id: &str) -> Result<Refusal, Violation> {
     let problem: Problem = serde_json::from_slice(body).map_err(|error| {
         let shown = String::from_utf8_lossy(body);
-        malformed(format!("no problem document ({error}): {shown}"))
+        malformed(format!("invalid problem document ({error}): {shown}"))
     })?;
     if problem.r#type.is_empty() || problem.title.is_empty() {
         return Err(malformed(
-            "a problem document without type or title".to_owned(),
+            "problem document without type or title".to_owned(),
         ));
     }
     if *problem.request_id != *request_id {
-        let detail = format!("a refusal for request {}", problem.request_id);
+        let detail = format!("refusal belongs to request {}", problem.request_id);
         return Err(Violation::new(ViolationKind::WrongRequest, detail));
     }
     Ok(Refusal {
--- a/crates/chervilshunt_standin/src/check/settle.rs
+++ b/crates/chervilshunt_standin/src/check/settle.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what truly ran.
+//! Compares the responses that callers received with what the stand-ins ran.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -13,28 +13,29 @@
 use super::{Call, CompletionCall};
 use crate::RunRecord;
 
-/// What the stand-ins ran, by request id.
+/// The runs that stand-ins recorded, by request id.
 pub type RunLog = HashMap<Arc<str>, RunRecord>;
 
-/// A violation with the request that it concerns.
+/// A violation and the request that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The request.
+    /// The id of the request.
     pub request_id: Arc<str>,
-    /// What is wrong.
+    /// The violation.
     pub violation: Violation,
 }
 
-/// Asks every stand-in what it ran and adds it up.
+/// Fetches the recorded runs of every stand-in and merges them.
 ///
 /// # Errors
-/// Says which stand-in did not answer; without its runs nothing can be settled.
+/// Returns a message that names the stand-in whose runs could not be fetched. Without them the
+/// records can't be checked.
 pub async fn fetch_runs(standins: &[SocketAddr]) -> Result<RunLog, String> {
     let client: HyperClient<_, Empty<Bytes>> =
         HyperClient::builder(TokioExecutor::new()).build_http();
     let mut runs = RunLog::new();
     for standin in standins {
-        let failed = |problem: String| format!("{standin} does not tell its runs: {problem}");
+        let failed = |problem: String| format!("can't fetch the runs of {standin}: {problem}");
         let uri = format!("http://{standin}/standin/runs")
             .parse()
             .map_err(|error| failed(format!("{error}")))?;
@@ -51,7 +52,7 @@
     Ok(runs)
 }
 
-/// Adds the runs of one stand-in to those of others.
+/// Merges the runs of one stand-in into those of others.
 fn add(runs: &mut RunLog, log: RunLog) {
     for (request_id, record) in log {
         let sum = runs.entry(request_id).or_default();
@@ -60,9 +61,9 @@
     }
 }
 
-/// Returns every violation: those that callers saw, and those that show only in the runs.
+/// Returns all violations: those that the client detected, and those that only the runs reveal.
 ///
-/// Records with the same request id are tries of one request.
+/// Records with the same request id are attempts of one request.
 pub fn settle(records: &[Record], runs: &RunLog) -> Vec<Finding> {
     let mut tries: BTreeMap<&Arc<str>, Vec<&Record>> = BTreeMap::new();
     for record in records {
@@ -92,7 +93,7 @@
     let mut violations = Vec::new();
     let mut violated = |kind, detail: String| violations.push(Violation::new(kind, detail));
     if tries.iter().all(|record| says_not_run(record)) && run.runs > 0 {
-        let detail = format!("told \"not run\", ran {} times", run.runs);
+        let detail = format!("reported as \"not run\", ran {} times", run.runs);
         violated(ViolationKind::FalseNotRun, detail);
     }
     if tries.iter().any(|record| record.plan.runs_at_most_once()) && run.runs > 1 {
@@ -104,7 +105,7 @@
             continue;
         }
         if run.runs == 0 {
-            let detail = "answered, but nothing ran".to_owned();
+            let detail = "answered, but no stand-in ran it".to_owned();
             violated(ViolationKind::AnswerWithoutRun, detail);
         } else if let Call::Completion(CompletionCall { model, .. }) = &record.plan.call
             && !run.models.contains(model)
@@ -116,7 +117,8 @@
     violations
 }
 
-/// Returns whether the caller was told, or knows by itself, that nothing ran.
+/// Returns whether the caller could conclude that the request did not run: it was refused as not
+/// run, or never sent.
 fn says_not_run(record: &Record) -> bool {
     match &record.verdict {
         Verdict::Refused(refusal) => refusal.outcome == Outcome::NotRun,
--- a/crates/chervilshunt_standin/src/check/text.rs
+++ b/crates/chervilshunt_standin/src/check/text.rs
@@ -1,16 +1,16 @@
-//! Compares the text of a completion with what the engine stand-in has to have produced.
+//! Compares the text of a completion with the text that the engine stand-in must have produced.
 
 use super::CompletionCall;
 use super::verdict::{Violation, ViolationKind};
 
-/// The words by which the stand-in tells what truly served.
+/// Prefixes of the words in which the stand-in states the model and the request that it served.
 const SERVED: &str = "served=";
 const REQUEST: &str = "request=";
 
-/// How much of a wrong text a report shows.
+/// Length to which a wrong text is truncated in reports, in characters.
 const SHOWN_CHARS: usize = 80;
 
-/// Returns the only right text of a completion.
+/// Returns the expected text of a completion.
 pub(crate) fn expected_text(call: &CompletionCall, request_id: &str) -> String {
     let mut text = format!("{SERVED}{} {REQUEST}{request_id}", call.model);
     for token in 0..call.max_tokens.saturating_sub(1) {
@@ -19,7 +19,10 @@
     text
 }
 
-/// Says what is wrong with a text, if anything.
+/// Checks the text of a completion.
+///
+/// # Errors
+/// Returns the violation if the text differs from the expected one.
 pub(crate) fn check_text(
     call: &CompletionCall,
     request_id: &str,
@@ -39,7 +42,7 @@
     let words = text.split_whitespace().count();
     let wanted = call.max_tokens + 1;
     let detail = format!(
-        "asked {} for {wanted} words, got {words}: {shown}…",
+        "expected {wanted} words from {}, got {words}: {shown}…",
         call.model
     );
     Err(Violation::new(kind, detail))
--- a/crates/chervilshunt_standin/src/check/verdict.rs
+++ b/crates/chervilshunt_standin/src/check/verdict.rs
@@ -1,4 +1,4 @@
-//! What became of a request, as its caller saw it.
+//! The result of a request as its caller observed it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,75 +8,75 @@
 
 use super::RequestPlan;
 
-/// A request with what became of it.
+/// A request with its result.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// What was asked.
+    /// The request.
     pub plan: RequestPlan,
-    /// What came of it.
+    /// Its result.
     pub verdict: Verdict,
-    /// How long it took.
+    /// Its durations.
     pub timing: Timing,
 }
 
-/// What a caller can say of its answer alone.
+/// The result of a request, judged by its response alone.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The whole answer came, from the adapter version that was named.
+    /// A complete response was received from the requested adapter version.
     Answered(Answer),
-    /// A well-formed refusal came.
+    /// A well-formed refusal was received.
     Refused(Refusal),
-    /// The connection broke: the caller knows no more than whether the request may have left.
+    /// The connection failed. Only whether the request may have been sent is known.
     Disconnected {
         /// Whether the request may have reached the instance.
         sent: bool,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// A promise was broken.
+    /// A guarantee was violated.
     Violated(Violation),
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// Tokens of the answer; 0 for a plain service.
+    /// Number of tokens in the response; 0 for a plain service.
     pub tokens: u32,
-    /// The instance that served it, as it says itself.
+    /// The instance that served it, from the `x-served-by` header.
     pub served_by: Option<Arc<str>>,
-    /// The target that served it.
+    /// The target that served it, from the `x-target` header.
     pub target: Option<Arc<str>>,
 }
 
 /// A well-formed refusal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What it says of the request.
+    /// What it states about the execution of the request.
     pub outcome: Outcome,
-    /// Its status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Why.
+    /// The reason code.
     pub reason: Arc<str>,
-    /// What it says in words.
+    /// The human-readable detail.
     pub detail: String,
-    /// When asking again may help.
+    /// The value of `Retry-After`, if present.
     pub retry_after: Option<Duration>,
 }
 
-/// What a refusal says of the request.
+/// What a refusal states about the execution of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Nothing ran and nothing will.
+    /// It did not run and will not run.
     NotRun,
     /// It may have run.
     Unknown,
-    /// It ran, and the answer broke off.
+    /// It ran, but the response was aborted.
     CutShort,
 }
 
 impl Outcome {
-    /// Returns the name that problem documents use.
+    /// Returns the name used in problem documents.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -86,12 +86,12 @@
     }
 }
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The kind of violation.
     pub kind: ViolationKind,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -110,34 +110,34 @@
     }
 }
 
-/// Which promise was broken.
+/// The kinds of violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// Another adapter version served the answer, or a part of it.
+    /// Another adapter version produced the response or a part of it.
     WrongModel,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     WrongRequest,
-    /// Tokens are missing, doubled or out of order, or the stream ended without its end mark.
+    /// Tokens are missing, duplicated or out of order, or the stream ended without `[DONE]`.
     WrongTokens,
-    /// The usage does not agree with the tokens.
+    /// The reported usage does not match the number of tokens.
     WrongUsage,
-    /// A header that the answer has to have is missing or wrong.
+    /// A required response header is missing or wrong.
     WrongHeader,
-    /// The answer or refusal is not of the published form.
+    /// The response or refusal does not have the documented form.
     Malformed,
-    /// No answer came although the time for it had passed.
+    /// The response was not complete within the client's timeout.
     Overdue,
-    /// A refusal says "not run" of a request that ran.
+    /// A request that ran was refused as "not run".
     FalseNotRun,
-    /// A request that may run at most once ran more often.
+    /// A request that may run at most once ran more than once.
     DoubleRun,
-    /// An answered request never ran, or another model served it, as the stand-ins counted.
+    /// The stand-ins recorded no run of an answered request, or only runs of other models.
     AnswerWithoutRun,
 }
 
 impl ViolationKind {
-    /// Returns the name that reports use.
+    /// Returns the name used in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::WrongModel => "wrong_model",
@@ -154,13 +154,13 @@
     }
 }
 
-/// How long a request took, counted from the moment at which it was handed to the client.
+/// Durations of a request, measured from the moment at which it was passed to the client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timing {
-    /// Until the first token of a stream, or the head of a whole answer.
+    /// Time to the first token of a stream, or to the head of a response that is not streamed.
     pub first: Option<Duration>,
-    /// Until the end.
+    /// Time to the end of the response.
     pub total: Duration,
-    /// The longest pause between two tokens of a stream.
+    /// The longest gap between two tokens of a stream.
     pub longest_gap: Duration,
 }
--- a/crates/chervilshunt_standin/src/command.rs
+++ b/crates/chervilshunt_standin/src/command.rs
@@ -1,4 +1,4 @@
-//! What the command lines of the stand-ins have in common.
+//! Code that the command lines of all stand-ins share.
 
 use std::future::Future;
 use std::io;
@@ -8,18 +8,19 @@
 use lexopt::Parser;
 use serde_json::json;
 
-/// Where a stand-in listens.
+/// The listening addresses of a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Addresses {
-    /// Where the thing that it stands in for would listen.
+    /// The address of the simulated server.
     pub(crate) main: SocketAddr,
-    /// Where its own paths are answered also while connections to the other are refused.
+    /// The address of the control endpoints, which stays reachable while the main one refuses
+    /// connections.
     pub(crate) control: SocketAddr,
 }
 
-/// Runs a stand-in until the process is ended.
+/// Runs a stand-in until the process is terminated.
 ///
-/// `parse` gives none if help was asked for.
+/// `parse` returns `None` if help was requested.
 pub(crate) fn run<C, F>(
     mut parser: Parser,
     usage: &str,
