--- a/crates/chervilshunt_standin/src/fleet/binaries.rs
+++ b/crates/chervilshunt_standin/src/fleet/binaries.rs
@@ -1,4 +1,4 @@
-//! Where the programs of the workspace are.
+//! Locates and builds the executables of the workspace.
 
 use std::env;
 use std::path::{Path, PathBuf};
@@ -18,24 +18,25 @@
     "chervilshunt_standin",
 ];
 
-/// The folder of test binaries below the folder of programs.
+/// Cargo's directory for test binaries, inside the directory with the executables.
 const TEST_FOLDER: &str = "deps";
 
-/// The programs that a fleet starts.
+/// The executables that a fleet starts.
 #[derive(Clone, Debug)]
 pub struct Binaries {
     folder: PathBuf,
 }
 
 impl Binaries {
-    /// Finds the programs beside the running one, after cargo has brought them up to date.
+    /// Locates the executables in the directory of the running one, after building them.
     ///
-    /// `cargo run -p chervilshunt_standin` builds the stand-ins alone, and `cargo test` of one
-    /// crate no program of another. Run by cargo, this therefore has cargo build them with the
-    /// running program's profile, once a process; else they have to be there.
+    /// `cargo run -p chervilshunt_standin` builds only the stand-ins, and `cargo test` of one crate
+    /// does not build the executables of other crates. If the `CARGO` variable is set, this method
+    /// therefore runs `cargo build` with the profile of the running executable, once per process.
+    /// Otherwise the executables must already exist.
     ///
     /// # Errors
-    /// Fails if the build fails.
+    /// Returns an error if the build fails or the path of the running executable is unknown.
     pub fn locate() -> Result<Self, FleetError> {
         static BUILT: OnceLock<bool> = OnceLock::new();
 
@@ -63,7 +64,7 @@
     /// Returns the path of `chervilshuntd`.
     ///
     /// # Errors
-    /// Fails if it isn't there.
+    /// Returns an error if the file does not exist.
     pub fn daemon(&self) -> Result<PathBuf, FleetError> {
         self.program(DAEMON)
     }
@@ -71,7 +72,7 @@
     /// Returns the path of `chervilshuntctl`.
     ///
     /// # Errors
-    /// Fails if it isn't there.
+    /// Returns an error if the file does not exist.
     pub fn ctl(&self) -> Result<PathBuf, FleetError> {
         self.program(CTL)
     }
@@ -79,7 +80,7 @@
     /// Returns the path of `chervilshunt_standin`.
     ///
     /// # Errors
-    /// Fails if it isn't there.
+    /// Returns an error if the file does not exist.
     pub fn standin(&self) -> Result<PathBuf, FleetError> {
         self.program(STANDIN)
     }
--- a/crates/chervilshunt_standin/src/fleet/deployment.rs
+++ b/crates/chervilshunt_standin/src/fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! The objects that a fleet starts with.
+//! The initial configuration of a fleet.
 
 use std::ffi::OsString;
 use std::fmt::Write as _;
@@ -8,13 +8,13 @@
 use super::registry::Endpoint;
 use super::start::{FleetOptions, TargetKind};
 
-/// The service of the engines.
+/// Name of the service that the engines belong to.
 const ENGINE_SERVICE: &str = "assistant";
 
-/// The service of the plain targets.
+/// Name of the service that the plain targets belong to.
 pub(crate) const PLAIN_SERVICE: &str = "desk";
 
-/// The base model of the engines.
+/// Name of the engines' base model.
 const BASE_MODEL: &str = "base";
 
 const SITE: &str = "hall";
@@ -23,12 +23,12 @@
 const IDLE_WATTS: f64 = 100.0;
 const WATTS_PER_SEQUENCE: f64 = 25.0;
 
-/// Returns the name of an adapter by number, from 0.
+/// Returns the name of the adapter with this number, counted from 0.
 pub fn adapter_name(number: usize) -> String {
     format!("adapter-{number:04}")
 }
 
-/// Returns the model name by which a request asks for the first version of an adapter.
+/// Returns the model name with which a request selects the first version of an adapter.
 pub fn model_name(number: usize) -> String {
     format!("{}@v1", adapter_name(number))
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Writes the command line of an engine stand-in.
+/// Returns the command-line arguments of an engine stand-in.
 pub(crate) fn engine_args(
     options: &FleetOptions,
     weights: &Process,
@@ -60,7 +60,7 @@
     Ok(args)
 }
 
-/// Writes the statements that create everything in one atomic change.
+/// Returns the statements that create all objects in one atomic change.
 pub(crate) fn statements<'a>(
     options: &FleetOptions,
     targets: impl Iterator<Item = (TargetKind, &'a Endpoint)>,
@@ -90,7 +90,7 @@
     text
 }
 
-/// Writes the statement that creates an adapter version.
+/// Returns the statement that creates an adapter version.
 pub fn create_version(model: &str) -> String {
     format!("create version {model} source=store/{model};\n")
 }
--- a/crates/chervilshunt_standin/src/fleet/error.rs
+++ b/crates/chervilshunt_standin/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a fleet.
+//! Errors of the process harness.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,36 +9,36 @@
 use http::StatusCode;
 use snafu::Snafu;
 
-/// Why a fleet could not do what it was asked.
+/// An error of a fleet operation.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum FleetError {
-    /// A program is neither beside the running one nor can cargo build it.
+    /// An executable is missing and could not be built.
     #[snafu(display(
         "{program} is missing in {}; run this through cargo, or `cargo build --workspace` first",
         folder.display()
     ))]
     MissingProgram {
-        /// The program.
+        /// The name of the executable.
         program: &'static str,
-        /// Where it was looked for.
+        /// The directory that was searched.
         folder: PathBuf,
     },
 
-    /// Cargo could not build the programs.
+    /// `cargo build` failed.
     #[snafu(display("cargo build ended with {status}"))]
     Build {
-        /// How cargo ended.
+        /// The exit status of cargo.
         status: ExitStatus,
     },
 
-    /// A file or folder can't be used.
+    /// A file or directory could not be accessed.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 
@@ -47,66 +47,66 @@
     Spawn {
         /// The name of the process.
         process: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 
-    /// A process could not be sent a signal.
-    #[snafu(display("can't signal {process}: {source}"))]
+    /// A signal could not be sent to a process.
+    #[snafu(display("can't send a signal to {process}: {source}"))]
     SignalProcess {
         /// The name of the process.
         process: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 
-    /// A process ended although it was needed.
-    #[snafu(display("{process} ended ({status}) before {awaited}; its log ends with:\n{tail}"))]
+    /// A process exited before an awaited event.
+    #[snafu(display("{process} exited ({status}) before {awaited}; its log ends with:\n{tail}"))]
     Ended {
         /// The name of the process.
         process: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
-        /// What was awaited of it.
+        /// The awaited event.
         awaited: String,
         /// The last lines of its log.
         tail: String,
     },
 
-    /// Something did not come about in time.
+    /// An awaited event did not occur within the time limit.
     #[snafu(display("{process}: no {awaited} within {bound:?}; its log ends with:\n{tail}"))]
     TimedOut {
         /// The name of the process.
         process: String,
-        /// What was awaited of it.
+        /// The awaited event.
         awaited: String,
-        /// How long it was waited for.
+        /// The time limit.
         bound: Duration,
         /// The last lines of its log.
         tail: String,
     },
 
-    /// A call got no answer.
+    /// An HTTP request got no complete response.
     #[snafu(display("{call} at {address}: {problem}"))]
     Call {
-        /// Method and path.
+        /// The method and path.
         call: String,
-        /// Where it went.
+        /// The address it was sent to.
         address: SocketAddr,
-        /// What happened.
+        /// Description of the failure.
         problem: String,
     },
 
-    /// A call got another status than the one it has to get.
+    /// An HTTP request that must succeed got another status than 2xx.
     #[snafu(display("{call} at {address}: {status}: {body}"))]
     Refused {
-        /// Method and path.
+        /// The method and path.
         call: String,
-        /// Where it went.
+        /// The address it was sent to.
         address: SocketAddr,
-        /// The status that came.
+        /// The status of the response.
         status: StatusCode,
-        /// The body that came.
+        /// The body of the response.
         body: String,
     },
 
@@ -117,17 +117,17 @@
         name: String,
     },
 
-    /// A target doesn't tell what it ran, so that nothing can be settled.
+    /// The runs of a target could not be fetched, so the records can't be checked.
     #[snafu(display("{problem}"))]
     Runs {
-        /// What happened.
+        /// Description of the failure.
         problem: String,
     },
 
-    /// A socket of the harness itself can't be opened.
+    /// The harness could not open a listening socket of its own.
     #[snafu(display("can't listen on loopback: {source}"))]
     Listen {
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
--- a/crates/chervilshunt_standin/src/fleet/http.rs
+++ b/crates/chervilshunt_standin/src/fleet/http.rs
@@ -1,4 +1,4 @@
-//! A small client for the fleet's own calls.
+//! A small HTTP client for the harness's own requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,26 +13,27 @@
 
 use super::error::{CallSnafu, FleetError, RefusedSnafu};
 
-/// How long a call may take unless it is told otherwise.
+/// Default timeout of a request.
 const CALL_BOUND: Duration = Duration::from_secs(10);
 
-/// What a call was answered with.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its body as text.
+    /// The body as text.
     pub text: String,
 }
 
 impl Reply {
-    /// Returns the body as JSON, or null if it is none.
+    /// Returns the body parsed as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 }
 
-/// A client that opens a connection for each call, so that a cut one can't spoil the next.
+/// An HTTP client that opens a new connection for each request, so that a connection cut by a fault
+/// can't fail the next request.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
@@ -46,7 +47,7 @@
 }
 
 impl HttpClient {
-    /// Makes a client whose calls may take so long.
+    /// Creates a client whose requests time out after `bound`.
     pub fn new(bound: Duration) -> Self {
         let inner = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(0)
@@ -54,10 +55,10 @@
         Self { inner, bound }
     }
 
-    /// Makes a call and returns the answer whatever its status.
+    /// Sends a request and returns the response regardless of its status.
     ///
     /// # Errors
-    /// Fails if no whole answer comes in time.
+    /// Returns an error if no complete response is received within the timeout.
     pub async fn call(
         &self,
         method: Method,
@@ -78,14 +79,15 @@
         match tokio::time::timeout(self.bound, exchange).await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(problem)) => Err(failed(problem)),
-            Err(_elapsed) => Err(failed(format!("no answer within {:?}", self.bound))),
+            Err(_elapsed) => Err(failed(format!("no response within {:?}", self.bound))),
         }
     }
 
-    /// Makes a call that has to succeed, and returns the JSON of its answer.
+    /// Sends a request that must succeed, and returns the JSON body of the response.
     ///
     /// # Errors
-    /// Fails if no whole answer comes in time, or one of another status than 2xx.
+    /// Returns an error if no complete response is received within the timeout, or if its status is
+    /// not 2xx.
     pub async fn json(
         &self,
         method: Method,
@@ -129,7 +131,7 @@
     }
 }
 
-/// Writes an error with its causes: hyper's own texts name only the outermost.
+/// Formats an error with its chain of sources: hyper's messages describe only the outermost error.
 fn describe(err: impl std::error::Error) -> String {
     let mut text = err.to_string();
     let mut cause = err.source();
--- a/crates/chervilshunt_standin/src/fleet/operators.rs
+++ b/crates/chervilshunt_standin/src/fleet/operators.rs
@@ -1,4 +1,4 @@
-//! Statements at an operators' port.
+//! Runs statements through the operators' port of an instance.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 const PATH: &str = "/v1/statements";
 
-/// Sends operators' statements to one instance.
+/// A client for the operators' statements of one instance.
 #[derive(Clone, Debug)]
 pub struct Statements {
     http: HttpClient,
@@ -18,15 +18,15 @@
 }
 
 impl Statements {
-    /// Sends to the operators' port at `address`.
+    /// Creates a client for the operators' port at `address`.
     pub const fn new(http: HttpClient, address: SocketAddr) -> Self {
         Self { http, address }
     }
 
-    /// Runs statements that have to be accepted, and returns the answer's JSON.
+    /// Runs statements that must be accepted, and returns the JSON body of the response.
     ///
     /// # Errors
-    /// Fails if no whole answer comes, or a refusal.
+    /// Returns an error if no complete response is received or the statements are refused.
     pub async fn run(&self, text: &str) -> Result<Value, FleetError> {
         let body = json!({"text": text, "local": false});
         self.http
@@ -34,10 +34,10 @@
             .await
     }
 
-    /// Runs statements that this instance answers from what it knows itself.
+    /// Runs statements that the instance answers from its local state.
     ///
     /// # Errors
-    /// Fails if no whole answer comes, or a refusal.
+    /// Returns an error if no complete response is received or the statements are refused.
     pub async fn run_local(&self, text: &str) -> Result<Value, FleetError> {
         let body = json!({"text": text, "local": true});
         self.http
@@ -45,10 +45,10 @@
             .await
     }
 
-    /// Runs statements and returns the answer whatever it is.
+    /// Runs statements and returns the response regardless of its status.
     ///
     /// # Errors
-    /// Fails if no whole answer comes.
+    /// Returns an error if no complete response is received.
     pub async fn try_run(&self, text: &str) -> Result<Reply, FleetError> {
         let body = json!({"text": text, "local": false});
         self.http
