--- a/crates/chervilshunt_standin/src/fleet/link.rs
+++ b/crates/chervilshunt_standin/src/fleet/link.rs
@@ -1,8 +1,8 @@
-//! Links between instances that can be cut, slowed or silenced.
+//! TCP forwarders that inject network faults between instances: partitions, delays and black holes.
 //!
-//! Each instance advertises the address of a forwarder in place of its peers' port. The forwarder
-//! asks the kernel which child process opened a connection, so that the link of one pair can be
-//! cut while the others stay.
+//! Each instance advertises the address of a forwarder instead of its own peer port. The forwarder
+//! looks up in `/proc` which child process opened a connection, so that the link between one pair
+//! of instances can be cut while the others stay open.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -18,23 +18,23 @@
 
 use super::error::{FleetError, ListenSnafu};
 
-/// The bytes that a forwarder holds at most in one direction.
+/// Buffer size of a forwarder per connection and direction.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a link does.
+/// How a link treats traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// It carries everything at once.
+    /// Forwards all bytes immediately.
     Open,
-    /// It closes its connections and takes no new ones.
+    /// Closes existing connections and new ones as soon as they are accepted.
     Cut,
-    /// It carries everything after a delay.
+    /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// It takes connections and bytes and carries nothing.
+    /// Accepts connections but forwards no bytes until the mode changes.
     BlackHole,
 }
 
-/// A link between two instances, or of one instance with all others.
+/// The link between two instances, or all links of one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Link {
     a: String,
@@ -42,7 +42,7 @@
 }
 
 impl Link {
-    /// The link between two instances, in both directions.
+    /// Selects the link between two instances, in both directions.
     pub fn between(a: &str, b: &str) -> Self {
         Self {
             a: a.to_owned(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// All links of one instance with its peers.
+    /// Selects all links between one instance and its peers.
     pub fn all_of(id: &str) -> Self {
         Self {
             a: id.to_owned(),
@@ -69,7 +69,7 @@
 
 type Rules = Vec<(Link, LinkMode)>;
 
-/// The forwarders of a fleet.
+/// Link rules and process ids shared by the forwarders of a fleet.
 #[derive(Debug)]
 pub(crate) struct Links {
     rules: watch::Sender<Rules>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Sets what a link does, in place of what was set for it before.
+    /// Sets the mode of a link, replacing an earlier mode of the same link.
     pub(crate) fn set(&self, link: Link, mode: LinkMode) {
         self.rules.send_modify(|rules| {
             rules.retain(|(other, _)| *other != link);
@@ -94,12 +94,12 @@
         });
     }
 
-    /// Opens all links.
+    /// Resets all links to [`LinkMode::Open`].
     pub(crate) fn heal(&self) {
         self.rules.send_modify(Vec::clear);
     }
 
-    /// Opens a forwarder for the peers' port of an instance that is yet to start.
+    /// Starts a forwarder for the peer port of an instance that has not been started yet.
     pub(crate) async fn open(&self, to: &str) -> Result<Forwarder, FleetError> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
@@ -121,14 +121,14 @@
         })
     }
 
-    /// Says which process an instance is.
+    /// Records the process id of an instance.
     pub(crate) fn set_pid(&self, id: &str, pid: u32) {
         let mut pids = self.pids.lock().unwrap_or_else(PoisonError::into_inner);
         pids.insert(id.to_owned(), pid);
     }
 }
 
-/// Stands for the peers' port of one instance.
+/// Accepts connections in place of the peer port of one instance.
 #[derive(Debug)]
 pub(crate) struct Forwarder {
     address: SocketAddr,
@@ -141,7 +141,7 @@
         self.address
     }
 
-    /// Says where the instance truly listens.
+    /// Sets the address on which the instance itself listens.
     pub(crate) fn lead_to(&self, destination: SocketAddr) {
         self.destination.send_replace(Some(destination));
     }
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Follows what the rules say of connections from an instance.
+    /// Returns the current mode for connections from an instance, updated when the rules change.
     fn modes(&self, from: Option<String>) -> watch::Receiver<LinkMode> {
         let mut rules = self.rules.clone();
         let to = Arc::clone(&self.to);
@@ -208,7 +208,7 @@
         rx
     }
 
-    /// Finds the instance whose process holds the other end of a connection.
+    /// Returns the instance whose process owns the remote end of a connection.
     fn instance_at(&self, from: SocketAddr) -> Option<String> {
         let inode = socket_inode(from, self.address)?;
         let pids = self.pids.lock().unwrap_or_else(PoisonError::into_inner);
@@ -224,7 +224,7 @@
         if let LinkMode::Delay(delay) = now {
             tokio::time::sleep(delay).await;
         }
-        // Bytes wait for the link to open, as TCP would send them again after a black hole.
+        // Bytes are held back until the black hole ends, as TCP would retransmit them then.
         drop(mode.wait_for(|mode| *mode != LinkMode::BlackHole).await);
         if tx.write_all(&buf[..read]).await.is_err() {
             return;
@@ -233,19 +233,20 @@
     let _best_effort = tx.shutdown().await;
 }
 
-/// Finds the socket of a connection in the kernel's table, by its own and its far end.
+/// Looks up the inode of a connection's socket in `/proc/net/tcp`, by local and remote address.
 fn socket_inode(own: SocketAddr, far: SocketAddr) -> Option<String> {
     let table = std::fs::read_to_string("/proc/net/tcp").ok()?;
     let (own, far) = (table_form(own)?, table_form(far)?);
     table.lines().find_map(|line| {
         let mut fields = line.split_whitespace().skip(1);
         (fields.next()? == own && fields.next()? == far).then_some(())?;
-        // The inode stands six columns after the two addresses.
+        // After the two addresses, six columns precede the inode.
         fields.nth(6).map(str::to_owned)
     })
 }
 
-/// Writes an address as the kernel's table does: its four bytes as a little-endian number.
+/// Formats an address as in `/proc/net/tcp`: the four bytes read as a little-endian number, in
+/// hexadecimal.
 fn table_form(address: SocketAddr) -> Option<String> {
     let SocketAddr::V4(v4) = address else {
         return None;
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -1,8 +1,8 @@
-//! Mixed load from callers who check every answer.
+//! Generates mixed load and verifies every response.
 //!
-//! Arrivals are open-loop: a slow answer holds up no other request. A caller goes to another
-//! instance where a connection is not taken, comes back after a refusal that says `not_run`, and
-//! repeats what may have run only if it is idempotent or has a key.
+//! Arrivals are open-loop: a slow response delays no other request. A request is retried on a
+//! randomly chosen instance if the connection could not be opened, or after a refusal with outcome
+//! `not_run`. If it may have run, it is retried only if it is idempotent or has an idempotency key.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -26,54 +26,54 @@
     Route, Verdict,
 };
 
-/// How uneven the popularity of adapters is.
+/// Exponent of the Zipf distribution of adapter popularity.
 const SKEW: f64 = 1.1;
 
-/// Tokens of most answers.
+/// Tokens requested by most completions.
 const TOKENS: Range<u32> = 4..40;
 
-/// Tokens of a long answer: a few seconds at the fleet's usual step, so that many a fault meets
-/// streams that pin their adapters.
+/// Tokens requested by long completions. They take a few seconds at the fleet's default step time,
+/// so that faults often occur during streams that keep their adapters in use.
 const LONG_TOKENS: Range<u32> = 400..1_200;
 
-/// The longest wait before a refused request comes back: whoever comes back before the time that
-/// the refusal names is refused again.
+/// Upper limit of the wait before a refused request is retried. It is long because a retry before
+/// the time given in `Retry-After` is refused again.
 const LONGEST_PAUSE: Duration = Duration::from_secs(20);
 
-/// The wait before a caller tries another instance.
+/// Wait before a retry that needs no `Retry-After`, and before looking again for an instance.
 const NEXT_INSTANCE_PAUSE: Duration = Duration::from_millis(50);
 
-/// What load to make.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Requests a second.
+    /// Mean arrival rate, in requests per second.
     pub rate: f64,
-    /// Seeds arrivals, adapters, kinds and instances.
+    /// Seed of the arrival times and of the choice of adapters, kinds of request and instances.
     pub seed: u64,
-    /// The models asked for, the most popular first.
+    /// The models to request, most popular first.
     pub models: Vec<Arc<str>>,
-    /// Of a hundred requests, how many ask for a long answer if they are completions.
+    /// Percentage of completions that request a long response.
     pub long_percent: u32,
-    /// How often a request is sent at most.
+    /// Maximum number of attempts per request.
     pub tries: u32,
-    /// How long a caller waits for the end of one answer.
+    /// The client's timeout for one complete response.
     pub patience: Duration,
 }
 
-/// One try of a request with what became of it.
+/// One attempt of a request, with its result.
 #[derive(Clone, Debug)]
 pub struct Try {
-    /// The instance that it was sent to.
+    /// The id of the instance that it was sent to.
     pub instance: String,
     /// When it ended.
     pub ended: Instant,
-    /// Whether the caller leaves it at that.
+    /// Whether no further attempt of the request follows.
     pub last: bool,
-    /// What became of it.
+    /// The request and its result.
     pub record: Record,
 }
 
-/// Load that runs until it is stopped.
+/// A load generator that runs until it is stopped.
 #[derive(Debug)]
 pub struct Load {
     shared: Arc<Shared>,
@@ -91,7 +91,7 @@
 }
 
 impl Load {
-    /// Starts to send requests to these instances.
+    /// Starts sending requests to `instances`.
     pub fn start(options: LoadOptions, instances: Vec<(String, SocketAddr)>) -> Self {
         let load = Self::idle(options, instances);
         let arrivals = AbortOnDropHandle::new(tokio::spawn(arrive(Arc::clone(&load.shared))));
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Makes load without arrivals, to send requests one by one.
+    /// Creates a load generator without arrivals, for sending individual requests.
     pub fn idle(options: LoadOptions, instances: Vec<(String, SocketAddr)>) -> Self {
-        // A connection for each request: one that is kept may have been cut meanwhile, and the
-        // request sent on it would end in an error that no fault of the system explains.
+        // Each request opens a new connection: a pooled one may have been cut meanwhile, and a
+        // request sent on it would fail although the system has no fault.
         let client = Client::new(ClientOptions {
             fresh_connections: true,
             ..Default::default()
@@ -123,43 +123,43 @@
         }
     }
 
-    /// Replaces the instances that requests are balanced over.
+    /// Replaces the instances among which requests are distributed.
     pub fn set_instances(&self, instances: Vec<(String, SocketAddr)>) {
         *lock(&self.shared.instances) = instances;
     }
 
-    /// Makes a model the most popular one.
+    /// Adds a model as the most popular one.
     pub fn add_model(&self, model: Arc<str>) {
         lock(&self.shared.models).insert(0, model);
     }
 
-    /// Turns popularity round: the coldest models become the busiest.
+    /// Reverses the popularity ranking: the least popular models become the most popular.
     pub fn shift_popularity(&self) {
         lock(&self.shared.models).reverse();
     }
 
-    /// Returns every try so far, in the order in which they ended.
+    /// Returns all attempts so far, in the order in which they ended.
     pub fn tries(&self) -> Vec<Try> {
         lock(&self.shared.tries).clone()
     }
 
-    /// Returns the number of requests that wait for their end.
+    /// Returns the number of requests in flight.
     pub fn open(&self) -> usize {
         self.shared.open.load(Ordering::Relaxed)
     }
 
-    /// Sends one request beside the load to an instance, and notes what became of it.
+    /// Sends one additional request to an instance, without retries, and records the result.
     pub async fn send(&self, instance: &str, req: RequestPlan) -> Verdict {
         self.shared.send_once(instance, req).await
     }
 
-    /// Does the same on a task of its own.
+    /// Like [`send`](Self::send), but in a spawned task.
     pub fn spawn(&self, instance: &str, req: RequestPlan) -> JoinHandle<Verdict> {
         let (shared, instance) = (Arc::clone(&self.shared), instance.to_owned());
         tokio::spawn(async move { shared.send_once(&instance, req).await })
     }
 
-    /// Stops arrivals and waits for every request to end; says whether all have within `bound`.
+    /// Stops arrivals and waits for the requests in flight. Returns whether all ended within `bound`.
     pub async fn stop(&mut self, bound: Duration) -> bool {
         self.arrivals = None;
         let look = || async { (self.open() == 0).then_some(()) };
@@ -175,7 +175,7 @@
         verdict
     }
 
-    /// Sends a request, again and again as far as that is safe, and notes each try.
+    /// Sends a request, retries it as long as that is safe, and records each attempt.
     async fn follow(&self, mut req: RequestPlan, mut rng: ChaCha8Rng) {
         let mut tries_left = self.options.tries;
         loop {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Returns how long to wait before a request may be sent again; none if it may not.
+/// Returns the wait before a retry, or `None` if the request must not be retried.
 fn pause_before_retry(req: &RequestPlan, verdict: &Verdict) -> Option<Duration> {
     let may_repeat = match &req.call {
         Call::Completion(_) => true,
@@ -247,8 +247,8 @@
     }
 }
 
-/// Draws the next request: three quarters completions, a fifth of all deferrable, the rest calls
-/// of the plain service of which half have a key.
+/// Draws the next request: 75% are completions (20% of all requests are deferrable completions),
+/// 25% are calls to the plain service, of which about half have an idempotency key.
 fn draw(
     options: &LoadOptions,
     models: &[Arc<str>],
@@ -277,7 +277,7 @@
     req
 }
 
-/// Plans a completion; where it goes is yet to be filled in.
+/// Builds the plan of a completion. The caller must set the address.
 pub fn completion(id: &str, model: &str, tokens: u32, api: Api, stream: bool) -> RequestPlan {
     plan(
         id,
@@ -291,7 +291,8 @@
     )
 }
 
-/// Plans a call that may run at most once, with or without a key.
+/// Builds the plan of a call that may run at most once, with or without an idempotency key. The
+/// caller must set the address.
 pub fn entry(id: &str, keyed: bool) -> RequestPlan {
     let call = Call::Plain(PlainCall {
         service: PLAIN_SERVICE.into(),
