--- a/crates/chervilshunt_standin/src/fleet/mod.rs
+++ b/crates/chervilshunt_standin/src/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! A whole deployment as separate processes on loopback, for the quickstart, fault runs and tests.
+//! Runs a complete deployment as separate processes on loopback, for the quickstart, fault runs and
+//! tests.
 //!
-//! [`Fleet`] starts stand-ins and instances of `chervilshuntd`, and does the platform's own job for
-//! them: it keeps the instance list. It can kill, freeze, terminate and replace each process and
-//! cut the links between instances. Every wait is bounded; what runs out of time is reported with
-//! the process, what was awaited and the last lines of its log. Processes end by their own handle
-//! when the fleet is dropped, also when a test panics.
+//! [`Fleet`] starts stand-ins and instances of `chervilshuntd`. In place of the platform it also
+//! maintains the list of endpoints. It can pause any process, kill, terminate and replace instances,
+//! and cut the links between them. Every wait has a time limit; a timeout is reported with the
+//! process, the awaited event and the last lines of the log. Each child process is killed through
+//! its own handle when the fleet is dropped, including when a test panics.
 
 mod binaries;
 mod deployment;
--- a/crates/chervilshunt_standin/src/fleet/process.rs
+++ b/crates/chervilshunt_standin/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One child process with its log.
+//! A child process and its log file.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -18,25 +18,25 @@
 };
 use super::wait::LOOK_EVERY;
 
-/// How long a process may take to say where it listens.
+/// Time limit for a process to announce its addresses.
 const START_BOUND: Duration = Duration::from_secs(20);
 
-/// Lines of a log that an error shows.
+/// Number of log lines included in an error.
 const TAIL_LINES: usize = 12;
 
-/// The longest line of a log that an error shows, in characters.
+/// Length to which log lines in an error are truncated, in characters.
 const TAIL_WIDTH: usize = 400;
 
-/// What a process can be sent.
+/// The signals that a process can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends it at once (`SIGKILL`).
+    /// Kills it immediately (`SIGKILL`).
     Kill,
-    /// Asks it to end gracefully (`SIGTERM`).
+    /// Requests a graceful shutdown (`SIGTERM`).
     Terminate,
     /// Pauses it (`SIGSTOP`).
     Freeze,
-    /// Continues it (`SIGCONT`).
+    /// Resumes it (`SIGCONT`).
     Thaw,
 }
 
@@ -51,25 +51,27 @@
     }
 }
 
-/// A child process; dropping it kills it.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
     child: Child,
     log: PathBuf,
-    /// Where in the log this process begins: one that starts again under its name appends to it.
+    /// Byte offset in the log at which the output of this process begins: a process restarted under
+    /// the same name appends to the existing file.
     log_from: usize,
     addresses: BTreeMap<String, SocketAddr>,
 }
 
 impl Process {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it announces its listening addresses.
     ///
-    /// Standard output and errors go to the file `NAME.log` in `folder`: through a pipe, a harness
-    /// that is slow to read would hold the process up.
+    /// Standard output and standard error go to the file `NAME.log` in `folder`. With a pipe, the
+    /// process would block while the harness is slow to read.
     ///
     /// # Errors
-    /// Fails if it can't be started, ends, or doesn't listen within 20 seconds.
+    /// Returns an error if the program can't be started, exits early, or announces no address within
+    /// 20 seconds.
     pub async fn start(
         name: &str,
         program: &Path,
@@ -94,31 +96,35 @@
             addresses: BTreeMap::new(),
         };
         let found = process
-            .await_log("word of where it listens", START_BOUND, listening)
+            .await_log(
+                "announcement of its listening addresses",
+                START_BOUND,
+                listening,
+            )
             .await?;
         process.addresses = found;
         Ok(process)
     }
 
-    /// Returns the name.
+    /// Returns the name given to the process at its start.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns the process id, unless it has ended.
+    /// Returns the process id, or `None` once the process has been reaped.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Returns the file that its output goes to.
+    /// Returns the path of the log file.
     pub fn log(&self) -> &Path {
         &self.log
     }
 
-    /// Returns the address that it announced under `key`.
+    /// Returns the address that the process announced under `key`.
     ///
     /// # Errors
-    /// Fails if it announced none.
+    /// Returns an error if it announced no such address.
     pub fn address(&self, key: &str) -> Result<SocketAddr, FleetError> {
         self.addresses.get(key).copied().context(TimedOutSnafu {
             process: &self.name,
@@ -128,12 +134,12 @@
         })
     }
 
-    /// Sends a signal, if the process hasn't ended.
+    /// Sends a signal. Does nothing if the process has been reaped.
     ///
     /// # Errors
-    /// Fails if the system refuses it.
+    /// Returns an error if the operating system rejects the signal.
     pub fn signal(&self, signal: Signal) -> Result<(), FleetError> {
-        // An id is there only until the child was waited for, so that it can't be another's.
+        // `id` returns `None` once the child was reaped, so the pid can't have been reused.
         let pid = self
             .child
             .id()
@@ -148,29 +154,29 @@
             })
     }
 
-    /// Returns how it ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits until it has ended.
+    /// Waits until the process has exited.
     ///
     /// # Errors
-    /// Fails if it still runs after `bound`.
+    /// Returns an error if it is still running after `bound`.
     pub async fn wait_end(&mut self, bound: Duration) -> Result<ExitStatus, FleetError> {
         let status = tokio::time::timeout(bound, self.child.wait()).await;
         status.ok().and_then(Result::ok).context(TimedOutSnafu {
             process: &self.name,
-            awaited: "end",
+            awaited: "exit",
             bound,
             tail: self.tail(),
         })
     }
 
-    /// Waits until `find` finds something in a line of the log.
+    /// Polls the log until `find` returns a value for one of its JSON lines.
     ///
     /// # Errors
-    /// Fails if the process ends or nothing was found within `bound`.
+    /// Returns an error if the process exits first or no line matches within `bound`.
     pub async fn await_log<T>(
         &mut self,
         awaited: &str,
@@ -179,7 +185,7 @@
     ) -> Result<T, FleetError> {
         let end = tokio::time::Instant::now() + bound;
         loop {
-            // Looking for the end first: what it wrote before is in the file by then.
+            // Check for the exit before reading the log, so that everything the process wrote is read.
             let ended = self.ended();
             if let Some(found) = self.log_lines().iter().find_map(&find) {
                 return Ok(found);
@@ -206,7 +212,7 @@
         }
     }
 
-    /// Returns the lines that this process wrote to its log and that are JSON.
+    /// Returns the JSON lines that this process wrote to its log.
     pub fn log_lines(&self) -> Vec<Value> {
         self.log_text()
             .lines()
@@ -230,12 +236,13 @@
     }
 }
 
-/// Reads a log; one that isn't there yet is empty.
+/// Reads a log file. Returns no bytes if it does not exist yet or can't be read.
 fn read_log(path: &Path) -> Vec<u8> {
     std::fs::read(path).unwrap_or_default()
 }
 
-/// Opens a log to append to, so that output and errors don't write over each other.
+/// Opens a log file in append mode, so that standard output and standard error don't overwrite each
+/// other.
 fn open_log(path: &Path) -> Result<File, FleetError> {
     OpenOptions::new()
         .create(true)
@@ -244,10 +251,10 @@
         .context(FileSnafu { path })
 }
 
-/// Reads the addresses from a line that says where a process listens.
+/// Parses the addresses from the line that announces them; returns `None` for other lines.
 ///
-/// Stand-ins write `{"listening":"IP:PORT",…}`; `chervilshuntd` writes a log line with the message
-/// `listening` and a field for each port.
+/// Stand-ins print `{"listening":"IP:PORT",…}`; `chervilshuntd` logs the message `listening` with a
+/// field for each port.
 fn listening(line: &Value) -> Option<BTreeMap<String, SocketAddr>> {
     let fields = line.as_object()?;
     if !fields.contains_key("listening") && fields.get("msg")? != "listening" {
--- a/crates/chervilshunt_standin/src/fleet/promise.rs
+++ b/crates/chervilshunt_standin/src/fleet/promise.rs
@@ -1,4 +1,4 @@
-//! The promises, and what was found out about each.
+//! The guarantees of the system, and the results of checking them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,36 +12,36 @@
 use super::start::{Fleet, TargetKind};
 use crate::check::{Call, Finding, Outcome, Record, Verdict, ViolationKind, fetch_runs, settle};
 
-/// What must always hold.
+/// A guarantee that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Promise {
-    /// Every answer comes from the adapter and version that the request named.
+    /// Every response comes from the adapter and version that the request named.
     RightVersion,
-    /// An adapter that serves a request is never evicted.
+    /// An adapter is never evicted while it serves a request.
     NoEvictionInUse,
-    /// A caller gets the whole answer to its own request.
+    /// A caller receives the complete response to its own request.
     WholeOwnAnswer,
-    /// A refusal says what became of the request, and `not_run` is true.
+    /// A refusal states the outcome of the request, and `not_run` is true.
     TrueRefusals,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// A leaving target gets no new work after a few seconds.
+    /// A draining or terminating target receives no new requests after a few seconds.
     NoWorkForLeaving,
-    /// A graceful shutdown cuts off no request.
+    /// A graceful shutdown interrupts no request.
     GracefulShutdown,
-    /// An accepted configuration is in force everywhere within seconds and never reverts.
+    /// An accepted configuration takes effect at every instance within seconds and never reverts.
     ConfigurationHolds,
-    /// The power drawn stays under the site's cap.
+    /// The power draw stays within the site's cap.
     PowerCap,
-    /// Deferrable work waits rather than fails.
+    /// Deferrable requests wait instead of failing.
     DeferrableWaits,
-    /// Where nothing has failed, every request gets its answer.
+    /// Without faults, every request is answered.
     Answered,
 }
 
 impl Promise {
-    /// All promises, in the order of reports.
+    /// All guarantees, in the order used in reports.
     pub const ALL: [Self; 11] = [
         Self::RightVersion,
         Self::NoEvictionInUse,
@@ -56,7 +56,7 @@
         Self::Answered,
     ];
 
-    /// Returns the text that reports show.
+    /// Returns the description used in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::RightVersion => "answers come from the adapter and version named",
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the promise that a violation breaks.
+    /// Returns the guarantee that a kind of violation breaks.
     pub const fn broken_by(kind: ViolationKind) -> Self {
         match kind {
             ViolationKind::WrongModel => Self::RightVersion,
@@ -95,7 +95,7 @@
     }
 }
 
-/// How often each promise was checked, and what broke it.
+/// Number of checks per guarantee, and the violations found.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     checks: BTreeMap<Promise, u64>,
@@ -103,12 +103,12 @@
 }
 
 impl Evidence {
-    /// Counts checks of a promise that found nothing wrong yet.
+    /// Adds to the number of checks of a guarantee.
     pub fn checked(&mut self, promise: Promise, times: u64) {
         *self.checks.entry(promise).or_default() += times;
     }
 
-    /// Counts one check, and its finding if it didn't hold.
+    /// Counts one check, and records the finding if the check failed.
     pub fn check(&mut self, promise: Promise, held: bool, finding: impl FnOnce() -> String) {
         self.checked(promise, 1);
         if !held {
@@ -116,17 +116,17 @@
         }
     }
 
-    /// Notes that a promise was broken.
+    /// Records a violation of a guarantee.
     pub fn broken(&mut self, promise: Promise, finding: String) {
         self.violations.push((promise, finding));
     }
 
-    /// Returns how often a promise was checked.
+    /// Returns the number of checks of a guarantee.
     pub fn checks(&self, promise: Promise) -> u64 {
         self.checks.get(&promise).copied().unwrap_or_default()
     }
 
-    /// Returns what broke a promise.
+    /// Returns the violations of a guarantee.
     pub fn findings(&self, promise: Promise) -> impl Iterator<Item = &str> {
         let of_promise = self
             .violations
@@ -135,15 +135,15 @@
         of_promise.map(|(_, finding)| finding.as_str())
     }
 
-    /// Returns everything that was broken.
+    /// Returns all violations in the order in which they were recorded.
     pub fn violations(&self) -> &[(Promise, String)] {
         &self.violations
     }
 
-    /// Holds what callers were told against what the targets ran.
+    /// Compares the responses that callers received with the runs and counters of the targets.
     ///
     /// # Errors
-    /// Fails if a target doesn't tell its runs.
+    /// Returns an error if the runs or counters of a target can't be fetched.
     pub async fn gather(&mut self, fleet: &Fleet, tries: &[Try]) -> Result<(), FleetError> {
         let controls = fleet.target_controls()?;
         let runs = fetch_runs(&controls).await.map_err(FleetError::runs)?;
@@ -188,16 +188,16 @@
         self.checked(Promise::NoEvictionInUse, unloads);
         let while_serving = stats["unloads_while_serving"].as_u64().unwrap_or_default();
         if while_serving > 0 {
-            let finding = format!("{target} unloaded {while_serving} adapters while they served");
+            let finding = format!("{target} unloaded {while_serving} adapters that were in use");
             self.broken(Promise::NoEvictionInUse, finding);
         }
     }
 
-    /// Counts orders, none of which may be carried out once a later owner has given one.
+    /// Checks that the target executed no order of a superseded owner.
     ///
-    /// An order of a superseded owner may evict what the later one has just granted. An eviction
-    /// under a stream shows that only if the two meet within the stream; the order itself always
-    /// shows it.
+    /// Such an order may evict an adapter whose use the later owner has just granted. The
+    /// eviction counter detects this only if the unload happens during a stream; the order counters
+    /// always detect it.
     fn count_orders(&mut self, target: &str, stats: &Value) {
         let count = |name: &str| stats[name].as_u64().unwrap_or_default();
         self.checked(
@@ -206,12 +206,12 @@
         );
         let carried_out = count("stale_orders") - count("fenced_orders");
         if carried_out > 0 {
-            let finding = format!("{target} carried out {carried_out} orders of an earlier owner");
+            let finding = format!("{target} executed {carried_out} orders of a superseded owner");
             self.broken(Promise::NoEvictionInUse, finding);
         }
     }
 
-    /// Checks that every request got its answer in the end, as it has to where nothing has failed.
+    /// Checks that every request was eventually answered, which must hold in a run without faults.
     pub fn check_answered(&mut self, tries: &[Try]) {
         for one in tries.iter().filter(|one| one.last) {
             let promise = match one.record.plan.class {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Writes what became of a request in one line.
+/// Formats the result of a request in one line.
 pub fn describe(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Answered(_) => "answered".to_owned(),
--- a/crates/chervilshunt_standin/src/fleet/registry.rs
+++ b/crates/chervilshunt_standin/src/fleet/registry.rs
@@ -1,4 +1,4 @@
-//! The platform's own job: to keep the list of instances and targets.
+//! Maintains the list of instances and targets (`EndpointSlice` objects) in place of the platform.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,42 +14,42 @@
 use super::http::HttpClient;
 use super::wait::wait_until;
 
-/// How long a write to the platform may take.
+/// Timeout of a request to the platform.
 const WRITE_BOUND: Duration = Duration::from_secs(2);
 
-/// How long to wait before a failed write is tried again.
+/// Wait before a failed write is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Whether an endpoint takes work.
+/// The state in which an endpoint is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It answers, but its readiness probe fails.
+    /// It responds, but its readiness probe fails.
     Unready,
-    /// It leaves: it finishes what it has and takes nothing new.
+    /// It is terminating: it finishes its open requests and accepts no new ones.
     Leaving,
 }
 
-/// An instance or a target in the list.
+/// A listed instance or target.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its name.
+    /// The name of the instance or target.
     pub name: String,
-    /// The service whose list it is in.
+    /// The service under which it is listed.
     pub service: String,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: String,
-    /// Its ports by name; all have one IP address.
+    /// The addresses by port name. All have the same IP address.
     pub ports: BTreeMap<&'static str, SocketAddr>,
-    /// Whether it takes work.
+    /// The listed state.
     pub condition: Condition,
 }
 
 impl Endpoint {
-    /// Writes the slice that holds this endpoint alone.
+    /// Returns an `EndpointSlice` object that contains only this endpoint.
     ///
-    /// Ports belong to the slice, so that endpoints with ports of their own can't share one.
+    /// Ports are a property of the slice, so endpoints with different ports can't share one.
     fn slice(&self) -> Value {
         let ip = self
             .ports
@@ -88,7 +88,7 @@
     }
 }
 
-/// Keeps the list as it should be, and writes what changes until the platform has taken it.
+/// Writes the list of endpoints to the platform, and retries each change until it is accepted.
 #[derive(Debug)]
 pub struct Registry {
     state: Arc<State>,
@@ -100,13 +100,13 @@
     http: HttpClient,
     collection: String,
     platform: SocketAddr,
-    /// Slices that the platform has not taken yet; none where the slice has to go.
+    /// Changes that the platform has not accepted yet, by slice name. `None` deletes the slice.
     pending: Mutex<BTreeMap<String, Option<Value>>>,
     changed: Notify,
 }
 
 impl Registry {
-    /// Starts to keep the list at a platform.
+    /// Starts a task that writes changes to a platform.
     pub fn start(platform: SocketAddr, namespace: &str) -> Self {
         let state = Arc::new(State {
             http: HttpClient::new(WRITE_BOUND),
@@ -119,17 +119,17 @@
         Self { state, _task: task }
     }
 
-    /// Puts an endpoint into the list as it is now.
+    /// Adds or updates an endpoint.
     pub fn set(&self, endpoint: &Endpoint) {
         self.change(endpoint.slice_name(), Some(endpoint.slice()));
     }
 
-    /// Takes an endpoint off the list.
+    /// Removes an endpoint.
     pub fn remove(&self, endpoint: &Endpoint) {
         self.change(endpoint.slice_name(), None);
     }
 
-    /// Waits until the platform has taken every change; says whether it has within `bound`.
+    /// Waits until the platform has accepted every change. Returns whether it did within `bound`.
     pub async fn settled(&self, bound: Duration) -> bool {
         let look = || async { self.state.pending().is_empty().then_some(()) };
         wait_until(bound, look).await.is_some()
@@ -187,7 +187,7 @@
             continue;
         }
         let mut pending = state.pending();
-        // It may have changed again while it was being written.
+        // The slice may have changed again during the write.
         if pending.get(&name) == Some(&slice) {
             pending.remove(&name);
         }
--- a/crates/chervilshunt_standin/src/fleet/settings.rs
+++ b/crates/chervilshunt_standin/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of instances.
+//! Writes the settings files of instances.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 
 use super::error::{FileSnafu, FleetError};
 
-/// What differs between the instances of a fleet.
+/// The settings of one instance.
 #[derive(Debug)]
 pub(crate) struct InstanceSettings<'a> {
     pub(crate) id: &'a str,
@@ -16,9 +16,9 @@
     pub(crate) region: &'a str,
     pub(crate) platform: SocketAddr,
     pub(crate) namespace: &'a str,
-    /// The address for peers, where it isn't the one that the instance listens on.
+    /// The address to advertise to peers, if it differs from the listening address.
     pub(crate) advertise: Option<SocketAddr>,
-    /// Keys that the fleet's owner sets, in the shape of the file.
+    /// Additional settings in the format of the file. They override the generated ones.
     pub(crate) extra: &'a Value,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Lays `patch` over `value`, object by object.
+/// Merges `patch` into `value` recursively. Values of `patch` take precedence.
 fn merge(value: &mut Value, patch: &Value) {
     let Value::Object(patch) = patch else {
         *value = patch.clone();
--- a/crates/chervilshunt_standin/src/fleet/start.rs
+++ b/crates/chervilshunt_standin/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! The fleet itself: what it consists of and what can be done to it.
+//! The fleet: its configuration, processes and operations.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,47 +25,47 @@
 /// The namespace of all objects.
 const NAMESPACE: &str = "chervilshunt";
 
-/// The service that the system's own instances are listed under.
+/// The service under which the instances of `chervilshuntd` are listed.
 const INSTANCE_SERVICE: &str = "chervilshunt";
 
-/// How long an instance may take to become ready.
+/// Time limit for an instance to become ready.
 const READY_BOUND: Duration = Duration::from_secs(30);
 
-/// How long the platform may take to take a change of the list.
+/// Time limit for the platform to accept changes of the list.
 const LIST_BOUND: Duration = Duration::from_secs(10);
 
-/// How long a killed process may take to be gone.
+/// Time limit for a killed process to exit.
 const KILL_BOUND: Duration = Duration::from_secs(5);
 
-/// Where processes keep their logs and settings unless they are to be kept.
+/// Name prefix of the temporary directory for logs and settings.
 const FOLDER_PREFIX: &str = "chervilshunt-fleet-";
 
-/// What a fleet consists of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Instances of `chervilshuntd`.
+    /// Number of `chervilshuntd` instances.
     pub instances: usize,
-    /// Engine targets.
+    /// Number of engine targets.
     pub engines: usize,
-    /// Plain targets.
+    /// Number of plain targets.
     pub plains: usize,
-    /// Adapters, each with version `v1`.
+    /// Number of adapters, each with version `v1`.
     pub adapters: usize,
-    /// Slots of each engine.
+    /// Number of adapter slots of each engine.
     pub slots: u32,
-    /// Sequences that an engine runs at a time.
+    /// Maximum number of sequences that an engine runs concurrently.
     pub max_batch: u32,
-    /// The time of an engine's step.
+    /// Duration of an engine step.
     pub step: Duration,
-    /// The site's cap on power, in watts.
+    /// Power cap of the site, in watts.
     pub cap_watts: f64,
-    /// Whether engines refuse old fencing numbers.
+    /// Whether engines reject outdated fencing tokens.
     pub engines_check_fencing: bool,
-    /// Whether links between instances can be cut.
+    /// Whether the links between instances run through forwarders, so that they can be cut or delayed.
     pub links: bool,
-    /// Availability zones, given out in turn.
+    /// Availability zones, assigned in round-robin order.
     pub zones: Vec<String>,
-    /// Settings laid over those of each instance, in the shape of the file.
+    /// Settings that override those of each instance, in the format of the settings file.
     pub settings: Value,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// What a target stands for.
+/// The kind of server that a target simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetKind {
     /// A model engine.
@@ -97,48 +97,49 @@
     Plain,
 }
 
-/// A target with its process.
+/// A target and its process.
 #[derive(Debug)]
 pub struct Target {
-    /// Its process.
+    /// The child process.
     pub process: Process,
-    /// What it stands for.
+    /// The kind of server that it simulates.
     pub kind: TargetKind,
-    /// Its entry in the list.
+    /// Its entry in the list of endpoints.
     pub endpoint: Endpoint,
 }
 
-/// An instance with its process.
+/// An instance of `chervilshuntd` and its process.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its process.
+    /// The child process.
     pub process: Process,
-    /// Its entry in the list.
+    /// Its entry in the list of endpoints.
     pub endpoint: Endpoint,
     _forwarder: Option<Forwarder>,
 }
 
 impl Instance {
-    /// Returns the address for callers.
+    /// Returns the address of the callers' port.
     pub fn callers(&self) -> SocketAddr {
         self.endpoint.ports["callers"]
     }
 
-    /// Returns the address for operators.
+    /// Returns the address of the operators' port.
     pub fn operators(&self) -> SocketAddr {
         self.endpoint.ports["operators"]
     }
 }
 
-/// A whole deployment as separate processes on loopback.
+/// A complete deployment as separate processes on loopback.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The programs.
+    /// The executables.
     pub binaries: Binaries,
-    /// The client for the fleet's own calls.
+    /// The client for the harness's own requests.
     pub http: HttpClient,
     options: FleetOptions,
-    // Fields drop in this order: processes end before the folder with their logs goes.
+    // Fields drop in this order: processes are killed before the directory with their logs is
+    // removed.
     instances: BTreeMap<String, Instance>,
     targets: BTreeMap<String, Target>,
     weights: Process,
@@ -150,10 +151,11 @@
 }
 
 impl Fleet {
-    /// Starts everything, creates the objects and waits until each instance is ready.
+    /// Starts all processes, waits until each instance is ready and creates the configuration
+    /// objects.
     ///
     /// # Errors
-    /// Fails with the process that didn't do its part, and the last lines of its log.
+    /// Returns an error that names the process or request that failed.
     pub async fn start(options: FleetOptions) -> Result<Self, FleetError> {
         let mut fleet = Self::start_standins(options).await?;
         for _ in 0..fleet.options.instances {
@@ -165,12 +167,12 @@
         Ok(fleet)
     }
 
-    /// Starts the stand-ins alone.
+    /// Starts only the stand-ins.
     ///
     /// # Errors
-    /// Fails with the process that didn't do its part.
+    /// Returns an error that names the process that failed.
     pub async fn start_standins(options: FleetOptions) -> Result<Self, FleetError> {
-        // Cargo's build blocks, and nothing else runs yet.
+        // The build blocks this thread, which is acceptable as nothing else runs yet.
         let binaries = Binaries::locate()?;
         let folder = tempfile::Builder::new()
             .prefix(FOLDER_PREFIX)
@@ -218,10 +220,10 @@
         deployment::statements(&self.options, targets)
     }
 
-    /// Starts one more instance, puts it into the list and returns its id.
+    /// Starts one more instance, lists it and returns its id.
     ///
     /// # Errors
-    /// Fails if it doesn't listen.
+    /// Returns an error if the instance does not start or announces no addresses.
     pub async fn add_instance(&mut self) -> Result<String, FleetError> {
         self.started += 1;
         let id = format!("i{}", self.started);
@@ -301,28 +303,25 @@
         Ok(())
     }
 
-    /// Returns the options that the fleet was started with.
+    /// Returns the options with which the fleet was started.
     pub const fn options(&self) -> &FleetOptions {
         &self.options
     }
 
-    /// Returns the folder with logs and settings.
-    ///
-    /// # Panics
-    /// Never: it is taken only when the fleet is dropped.
+    /// Returns the directory that contains logs and settings.
     pub fn folder(&self) -> &Path {
         self.folder.as_ref().map_or(Path::new("."), TempDir::path)
     }
 
-    /// Returns the address of the platform.
+    /// Returns the address of the platform stand-in.
     ///
     /// # Errors
-    /// Fails if it announced none.
+    /// Returns an error if it announced none.
     pub fn platform(&self) -> Result<SocketAddr, FleetError> {
         self.platform.address("listening")
     }
 
-    /// Returns the instances by id, leaving ones too.
+    /// Returns the instances by id, including those that are shutting down.
     pub const fn instances(&self) -> &BTreeMap<String, Instance> {
         &self.instances
     }
@@ -332,7 +331,8 @@
         &self.targets
     }
 
-    /// Returns the instances that the platform's balancer gives requests to, in id order.
+    /// Returns the instances that the platform's load balancer would send requests to: those listed
+    /// as ready, in id order.
     pub fn balanced(&self) -> Vec<(String, SocketAddr)> {
         self.instances
             .iter()
@@ -341,10 +341,10 @@
             .collect()
     }
 
-    /// Returns the operators' port of the first instance that takes requests.
+    /// Returns a client for the operators' port of the first instance listed as ready.
     ///
     /// # Errors
-    /// Fails if there is none.
+    /// Returns an error if there is none.
     pub fn statements(&self) -> Result<Statements, FleetError> {
         let mut ready = self
             .instances
@@ -356,10 +356,10 @@
         Ok(Statements::new(self.http.clone(), first.operators()))
     }
 
-    /// Returns the operators' port of one instance.
+    /// Returns a client for the operators' port of one instance.
     ///
     /// # Errors
-    /// Fails if there is no such instance.
+    /// Returns an error if there is no such instance.
     pub fn statements_at(&self, id: &str) -> Result<Statements, FleetError> {
         Ok(Statements::new(
             self.http.clone(),
@@ -367,10 +367,10 @@
         ))
     }
 
-    /// Waits until each listed instance says that it is ready.
+    /// Waits until each instance listed as ready passes its readiness check.
     ///
     /// # Errors
-    /// Fails with the first that doesn't within 30 seconds.
+    /// Returns an error for the first instance that is not ready within 30 seconds.
     pub async fn wait_ready(&mut self) -> Result<(), FleetError> {
         self.registry.settled(LIST_BOUND).await;
         let ids: Vec<_> = self.balanced().into_iter().map(|(id, _)| id).collect();
@@ -380,15 +380,16 @@
         Ok(())
     }
 
-    /// Waits until the platform has the list as it should be; says whether it has within `bound`.
+    /// Waits until the platform has accepted all changes of the list of endpoints. Returns whether it
+    /// did within `bound`.
     pub async fn listed(&self, bound: Duration) -> bool {
         self.registry.settled(bound).await
     }
 
-    /// Waits until one instance says that it is ready.
+    /// Waits until one instance passes its readiness check.
     ///
     /// # Errors
-    /// Fails if it doesn't within 30 seconds.
+    /// Returns an error if there is no such instance or it is not ready within 30 seconds.
     pub async fn wait_instance_ready(&self, id: &str) -> Result<(), FleetError> {
         let instance = self.instance(id)?;
         let address = instance.operators();
@@ -406,10 +407,10 @@
         })
     }
 
-    /// Kills an instance; the platform takes it off the list.
+    /// Kills an instance and removes it from the list.
     ///
     /// # Errors
-    /// Fails if there is no such instance.
+    /// Returns an error if there is no such instance or it does not exit within 5 seconds.
     pub async fn kill(&mut self, id: &str) -> Result<(), FleetError> {
         let mut instance = self
             .instances
@@ -421,45 +422,45 @@
         Ok(())
     }
 
-    /// Kills an instance and starts one under a new id in its place; returns the new id.
+    /// Kills an instance, starts another under a new id and returns that id.
     ///
     /// # Errors
-    /// Fails if there is no such instance, or the new one doesn't listen.
+    /// Returns an error if there is no such instance or the new one does not start.
     pub async fn replace(&mut self, id: &str) -> Result<String, FleetError> {
         self.kill(id).await?;
         self.add_instance().await
     }
 
-    /// Kills an instance and starts it again under its own id.
+    /// Kills an instance and restarts it under the same id.
     ///
     /// # Errors
-    /// Fails if there is no such instance, or it doesn't listen.
+    /// Returns an error if there is no such instance or it does not start again.
     pub async fn restart(&mut self, id: &str) -> Result<(), FleetError> {
         let zone = self.instance(id)?.endpoint.zone.clone();
         self.kill(id).await?;
         self.start_instance(id, &zone).await
     }
 
-    /// Pauses a process of the fleet.
+    /// Pauses a process of the fleet with `SIGSTOP`.
     ///
     /// # Errors
-    /// Fails if there is no such process.
+    /// Returns an error if there is no such process or the signal is rejected.
     pub fn freeze(&self, name: &str) -> Result<(), FleetError> {
         self.process(name)?.signal(Signal::Freeze)
     }
 
-    /// Continues a paused process.
+    /// Resumes a paused process with `SIGCONT`.
     ///
     /// # Errors
-    /// Fails if there is no such process.
+    /// Returns an error if there is no such process or the signal is rejected.
     pub fn thaw(&self, name: &str) -> Result<(), FleetError> {
         self.process(name)?.signal(Signal::Thaw)
     }
 
-    /// Asks an instance to end gracefully; the platform lists it as leaving at once.
+    /// Requests the graceful shutdown of an instance and lists it as leaving immediately.
     ///
     /// # Errors
-    /// Fails if there is no such instance.
+    /// Returns an error if there is no such instance or the signal is rejected.
     pub fn terminate(&mut self, id: &str) -> Result<(), FleetError> {
         let instance = self
             .instances
@@ -470,10 +471,10 @@
         instance.process.signal(Signal::Terminate)
     }
 
-    /// Waits until an instance that was asked to end has ended, and takes it off the list.
+    /// Waits until a terminated instance has exited, and removes it from the list.
     ///
     /// # Errors
-    /// Fails if it still runs after `bound`.
+    /// Returns an error if there is no such instance or it is still running after `bound`.
     pub async fn wait_terminated(
         &mut self,
         id: &str,
@@ -489,10 +490,10 @@
         Ok(status)
     }
 
-    /// Changes what the list says of a target.
+    /// Changes the listed condition of a target.
     ///
     /// # Errors
-    /// Fails if there is no such target.
+    /// Returns an error if there is no such target.
     pub fn list_target(&mut self, name: &str, condition: Condition) -> Result<(), FleetError> {
         let target = self.targets.get_mut(name).context(UnknownSnafu { name })?;
         target.endpoint.condition = condition;
@@ -500,22 +501,22 @@
         Ok(())
     }
 
-    /// Sets what a link between instances does.
+    /// Sets the mode of a link between instances.
     ///
-    /// It has an effect only where [`FleetOptions::links`] is set.
+    /// This has no effect unless [`FleetOptions::links`] is set.
     pub fn set_link(&self, link: Link, mode: LinkMode) {
         self.links.set(link, mode);
     }
 
-    /// Opens all links between instances.
+    /// Resets all links between instances to normal operation.
     pub fn heal_links(&self) {
         self.links.heal();
     }
 
-    /// Throws fault switches of a stand-in: `platform`, `weights` or a target.
+    /// Changes the injected faults of a stand-in: `platform`, `weights` or a target.
     ///
     /// # Errors
-    /// Fails if there is no such stand-in or it refuses the switches.
+    /// Returns an error if there is no such stand-in or it rejects the change.
     pub async fn set_faults(&self, name: &str, faults: Value) -> Result<(), FleetError> {
         let address = self.control(name)?;
         let path = "/standin/faults";
@@ -525,10 +526,10 @@
         Ok(())
     }
 
-    /// Returns the faults of a stand-in that are in force.
+    /// Returns the active faults of a stand-in.
     ///
     /// # Errors
-    /// Fails if there is no such stand-in or it doesn't answer.
+    /// Returns an error if there is no such stand-in or the request fails.
     pub async fn faults(&self, name: &str) -> Result<Value, FleetError> {
         let address = self.control(name)?;
         self.http
@@ -536,10 +537,10 @@
             .await
     }
 
-    /// Returns a stand-in's counters.
+    /// Returns the counters of a stand-in.
     ///
     /// # Errors
-    /// Fails if there is no such stand-in or it doesn't answer.
+    /// Returns an error if there is no such stand-in or the request fails.
     pub async fn stats(&self, name: &str) -> Result<Value, FleetError> {
         let address = self.control(name)?;
         self.http
@@ -547,15 +548,15 @@
             .await
     }
 
-    /// Returns the addresses at which targets tell what they ran.
+    /// Returns the control addresses of all targets, from which their runs can be fetched.
     ///
     /// # Errors
-    /// Fails if a target announced none.
+    /// Returns an error if a target announced no address.
     pub fn target_controls(&self) -> Result<Vec<SocketAddr>, FleetError> {
         self.targets.keys().map(|name| self.control(name)).collect()
     }
 
-    /// Keeps logs and settings after the fleet has ended, and returns their folder.
+    /// Keeps the directory with logs and settings after the fleet is dropped, and returns its path.
     pub fn keep_logs(&mut self) -> std::path::PathBuf {
         let path = self.folder().to_owned();
         if let Some(folder) = &mut self.folder {
@@ -564,10 +565,10 @@
         path
     }
 
-    /// Returns an instance.
+    /// Returns the instance with this id.
     ///
     /// # Errors
-    /// Fails if there is none of this id.
+    /// Returns an error if there is no such instance.
     pub fn instance(&self, id: &str) -> Result<&Instance, FleetError> {
         self.instances.get(id).context(UnknownSnafu { name: id })
     }
@@ -584,7 +585,7 @@
         }
     }
 
-    /// Returns the address at which a stand-in takes its own calls.
+    /// Returns the control address of a stand-in, or its main address if it has none.
     fn control(&self, name: &str) -> Result<SocketAddr, FleetError> {
         let process = self.process(name)?;
         process
@@ -597,7 +598,7 @@
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!(
-                "logs of the fleet are kept in {}",
+                "the fleet's logs are kept in {}",
                 self.keep_logs().display()
             );
         }
--- a/crates/chervilshunt_standin/src/fleet/wait.rs
+++ b/crates/chervilshunt_standin/src/fleet/wait.rs
@@ -1,16 +1,16 @@
-//! Bounded waits.
+//! Polling with a time limit.
 
 use std::future::Future;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long to wait between two looks.
+/// Interval between two polls.
 pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// Looks again and again until `look` finds something, for at most `bound`.
+/// Polls `look` until it returns a value, for at most `bound`.
 ///
-/// Returns nothing if the time ran out.
+/// Returns `None` if the time limit is exceeded.
 pub async fn wait_until<T, F, Fut>(bound: Duration, mut look: F) -> Option<T>
 where
     F: FnMut() -> Fut,
