--- a/crates/chervilshunt_standin/src/lib.rs
+++ b/crates/chervilshunt_standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small fakes of what stands round the system, with switches for their faults.
+//! Stand-ins for the servers around the system, with fault injection, and tools that test with them.
 //!
-//! Each runs as a process of its own (`chervilshunt_standin platform|…`) or inside a test. See
-//! `docs/INTERFACES.md` for what they speak.
+//! Each stand-in runs as a separate process (`chervilshunt_standin platform|…`) or inside a test.
+//! `docs/INTERFACES.md` describes their interfaces.
 
 pub mod check;
 pub mod engine;
--- a/crates/chervilshunt_standin/src/main.rs
+++ b/crates/chervilshunt_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one stand-in as a process of its own.
+//! Command line that runs one stand-in or the quickstart.
 
 use std::process::ExitCode;
 
@@ -14,7 +14,7 @@
             println!("{USAGE}");
             return ExitCode::SUCCESS;
         }
-        Ok(_) => return usage("name a stand-in"),
+        Ok(_) => return usage("the name of a stand-in is required"),
         Err(err) => return usage(&err.to_string()),
     };
     match name.to_str() {
@@ -23,7 +23,7 @@
         Some("plain") => chervilshunt_standin::plain::run(parser),
         Some("weights") => chervilshunt_standin::weights::run(parser),
         Some("quickstart") => chervilshunt_standin::quickstart::run(parser),
-        _ => usage("there is no such stand-in"),
+        _ => usage("unknown stand-in"),
     }
 }
 
--- a/crates/chervilshunt_standin/src/quickstart/command.rs
+++ b/crates/chervilshunt_standin/src/quickstart/command.rs
@@ -1,4 +1,4 @@
-//! The quickstart's command line.
+//! Command line of the quickstart.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 const USAGE: &str = "\
 usage: chervilshunt_standin quickstart [OPTIONS]
 
-  --stay       go on running after the table, until Ctrl-C
-  --seconds N  seconds of load (20)
-  --rate N     requests a second (60)
-  --seed N     seed of the load (1)
+  --stay       keep running after the report, until Ctrl-C
+  --seconds N  duration of the load in seconds (20)
+  --rate N     requests per second (60)
+  --seed N     random seed of the load (1)
 
-Exits with 0 only if every promise held.";
+Exits with status 0 only if every promise held.";
 
-/// What the quickstart was asked for.
+/// Command-line options of the quickstart.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Options {
     pub(crate) stay: bool,
@@ -28,7 +28,7 @@
     pub(crate) seed: u64,
 }
 
-/// Runs the quickstart.
+/// Parses the command line, runs the quickstart and returns its exit code.
 pub fn run(parser: Parser) -> ExitCode {
     let options = match parse(parser) {
         Ok(Some(options)) => options,
@@ -53,7 +53,7 @@
 
 #[tokio::main]
 async fn demonstrate(options: Options) -> Result<bool, FleetError> {
-    // Dropping the run on Ctrl-C ends every process that it started.
+    // On Ctrl-C the future is dropped, which kills every process that it started.
     tokio::select! {
         held = run_script(options) => held,
         _interrupt = tokio::signal::ctrl_c() => Ok(false),
--- a/crates/chervilshunt_standin/src/quickstart/mod.rs
+++ b/crates/chervilshunt_standin/src/quickstart/mod.rs
@@ -1,8 +1,8 @@
-//! The quickstart: a whole deployment on loopback under mixed load, with every answer checked.
+//! The quickstart: a complete deployment on loopback under mixed load, with every response verified.
 //!
-//! While callers send requests it adds an adapter version and uses it at once at every instance,
-//! drains a target and shuts an instance down gracefully. At the end it compares what callers were
-//! told with what the stand-ins ran, and prints a table of promises.
+//! Under load it adds an adapter version and requests it immediately from every instance, drains a
+//! target and shuts an instance down gracefully. At the end it compares the responses that callers
+//! received with the runs that the stand-ins recorded, and prints a table of guarantees.
 
 mod command;
 mod report;
--- a/crates/chervilshunt_standin/src/quickstart/report.rs
+++ b/crates/chervilshunt_standin/src/quickstart/report.rs
@@ -1,4 +1,4 @@
-//! What the quickstart prints.
+//! Output of the quickstart.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::check::{Outcome, Verdict};
 use crate::fleet::{Evidence, Fleet, FleetError, Promise, Try, describe};
 
-/// Findings of one promise that are printed.
+/// Maximum number of findings printed per guarantee.
 const SHOWN_FINDINGS: usize = 5;
 
-/// What became of the tries so far.
+/// Number of attempts so far, by result.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     answered: u64,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Prints one line of progress.
+/// Prints a progress line.
 pub(crate) fn print_progress(at: Duration, tries: &[Try], open: usize) {
     let counts = Counts::of(tries);
     println!(
@@ -46,12 +46,12 @@
     );
 }
 
-/// Prints something that was done.
+/// Prints an event with the time since the start.
 pub(crate) fn print_event(at: Duration, event: &str) {
     println!("{:>4} s  -- {event}", at.as_secs());
 }
 
-/// Prints why requests were not answered, with their numbers.
+/// Prints the reasons why attempts were not answered, with the number of attempts for each.
 pub(crate) fn print_refusals(tries: &[Try]) {
     let mut reasons = BTreeMap::<String, u64>::new();
     for one in tries {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Prints the table of promises; says whether all held.
+/// Prints the table of guarantees and returns whether all held.
 pub(crate) fn print_table(evidence: &Evidence) -> bool {
     println!("\n{:<56}{:>8}{:>8}", "promise", "checks", "broken");
     let mut held = true;
@@ -90,7 +90,7 @@
     held
 }
 
-/// Prints the addresses, and lines to try.
+/// Prints the addresses and example commands.
 pub(crate) fn print_addresses(fleet: &Fleet, model: &str) -> Result<(), FleetError> {
     println!("\nplatform   {}", fleet.platform()?);
     for (name, target) in fleet.targets() {
@@ -107,7 +107,7 @@
     let ctl = fleet.binaries.ctl()?;
     let ctl = ctl.display();
     println!(
-        "\nTo try:\n\
+        "\nExample commands:\n\
          curl -N http://{callers}/v1/completions -H 'content-type: application/json' \\\n  \
          -d '{{\"model\":\"{model}\",\"prompt\":\"Which chairs are missing?\",\"stream\":true}}'\n\
          curl -X POST http://{callers}/services/desk/entries -H 'idempotency-key: \"boat-7\"' \
@@ -116,7 +116,7 @@
          {ctl} --server {operators} 'show loads'\n\
          {ctl} --server {operators} 'show instances'\n\
          {ctl} --server {operators} 'create version adapter-0001@v2 source=store/adapter-0001@v2'\n\
-         \nlogs in {}; Ctrl-C ends everything",
+         \nlogs are in {}; press Ctrl-C to stop all processes",
         fleet.folder().display(),
     );
     Ok(())
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -1,4 +1,4 @@
-//! What the quickstart does, in its order.
+//! The sequence of steps that the quickstart performs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,49 +16,49 @@
     create_version, describe, model_name,
 };
 
-/// The version that the quickstart adds while it runs.
+/// The adapter version that the quickstart adds under load.
 pub(crate) const NEW_VERSION: &str = "adapter-0000@v2";
 
-/// The site's cap, below the 2,000 W that four engines with full batches would draw.
+/// Power cap of the site, below the 2,000 W that four engines with full batches would draw.
 const CAP_WATTS: f64 = 1_200.0;
 
-/// The target that it drains.
+/// The target that the quickstart drains.
 const DRAINED: &str = "engine-4";
 
-/// How long an accepted configuration may take to be in force at every instance.
+/// Time limit for an accepted configuration to take effect at every instance.
 const IN_FORCE_BOUND: Duration = Duration::from_secs(5);
 
-/// How long a leaving target may still get new work.
+/// Time during which a draining target may still receive new requests.
 const DRAIN_BOUND: Duration = Duration::from_secs(3);
 
-/// How long a graceful shutdown may take; the longest answer takes far less.
+/// Time limit for a graceful shutdown. The longest response takes far less.
 const SHUTDOWN_BOUND: Duration = Duration::from_secs(30);
 
-/// How long requests may take to end after the load.
+/// Time limit for requests in flight to end after arrivals have stopped.
 const END_BOUND: Duration = Duration::from_secs(60);
 
-/// Streams that are open at the instance that is shut down.
+/// Number of streams opened at the instance before it is shut down.
 const OPEN_STREAMS: usize = 4;
 
-/// Tokens of those streams: several seconds' worth.
+/// Tokens of each of those streams, so that it lasts a few seconds.
 const LONG: u32 = 400;
 
-/// How long they are given to begin.
+/// Wait for those streams to start before the shutdown.
 const OPENING: Duration = Duration::from_millis(500);
 
-/// A query whose answer's revision is all that matters.
+/// A cheap query, sent only for the revision in its response.
 const REVISION_QUERY: &str = "show sites";
 
-/// Tokens of the answers that the script asks for itself.
+/// Tokens of the completions that request the new version.
 const TOKENS: u32 = 8;
 
-/// How often a request of the load is sent at most.
+/// Maximum number of attempts per request of the load.
 const TRIES: u32 = 5;
 
-/// How long a caller waits for the end of one answer.
+/// The client's timeout for one complete response.
 const PATIENCE: Duration = Duration::from_secs(40);
 
-/// A deployment under load.
+/// The state of a quickstart run: a deployment under load and the results so far.
 #[derive(Debug)]
 pub(crate) struct Script {
     options: Options,
@@ -66,7 +66,7 @@
     load: Load,
     started: Instant,
     evidence: Evidence,
-    /// The revision that was accepted, and when.
+    /// The revision of the accepted change and the time of its acceptance.
     accepted: Option<(u64, Instant)>,
     /// The highest revision that each instance has reported.
     revisions: BTreeMap<String, u64>,
@@ -75,7 +75,7 @@
 impl Script {
     /// Starts the deployment and the load.
     pub(crate) async fn start(options: Options) -> Result<Self, FleetError> {
-        println!("starting a platform, four engines, a plain service and three instances …");
+        println!("starting the platform, four engines, a plain service and three instances …");
         let fleet = Fleet::start(FleetOptions {
             instances: 3,
             engines: 4,
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Runs to the end, and returns what was found out about each promise.
+    /// Runs all steps and returns the results of the checks.
     pub(crate) async fn run(&mut self) -> Result<Evidence, FleetError> {
         let fifth = self.options.load / 5;
         self.watch_until(fifth).await;
@@ -115,9 +115,9 @@
         self.stop_instance().await?;
         self.watch_until(fifth * 5).await;
         let ended = self.load.stop(END_BOUND).await;
-        self.event("the load has ended");
+        self.event("load stopped");
         let open = self.load.open();
-        let of_all = || format!("{open} requests had no end after {END_BOUND:?}");
+        let of_all = || format!("{open} requests still in flight after {END_BOUND:?}");
         self.evidence.check(Promise::WholeOwnAnswer, ended, of_all);
 
         self.check_drained(drained).await?;
@@ -129,7 +129,7 @@
         Ok(self.evidence.clone())
     }
 
-    /// Shows progress each second until a point of the load.
+    /// Prints progress and checks revisions and power every second, until `at` after the start.
     async fn watch_until(&mut self, at: Duration) {
         let end = self.started + at;
         while Instant::now() < end {
@@ -145,7 +145,7 @@
         print_event(self.started.elapsed(), event);
     }
 
-    /// Adds an adapter version and asks every instance for it as soon as it is accepted.
+    /// Adds an adapter version and requests it from every instance as soon as it is accepted.
     async fn change_configuration(&mut self) -> Result<(), FleetError> {
         let sent = Instant::now();
         let accepted = self
@@ -182,11 +182,11 @@
         Ok(())
     }
 
-    /// Drains a target; returns the completions that it had been asked for 3 s later.
+    /// Drains a target and returns its number of completions 3 s later.
     async fn drain_target(&mut self) -> Result<u64, FleetError> {
         let drain = format!("drain target {DRAINED}");
         self.fleet.statements()?.run(&drain).await?;
-        self.event(&format!("{DRAINED} drains"));
+        self.event(&format!("{DRAINED} is draining"));
         self.watch_until(self.started.elapsed() + DRAIN_BOUND).await;
         self.completions(DRAINED).await
     }
@@ -199,12 +199,17 @@
     async fn check_drained(&mut self, after_bound: u64) -> Result<(), FleetError> {
         let at_end = self.completions(DRAINED).await?;
         let rested = at_end == after_bound;
-        let more = || format!("{DRAINED} got {} more completions", at_end - after_bound);
+        let more = || {
+            format!(
+                "{DRAINED} received {} more completions",
+                at_end - after_bound
+            )
+        };
         self.evidence.check(Promise::NoWorkForLeaving, rested, more);
         Ok(())
     }
 
-    /// Shuts an instance down while it has requests.
+    /// Gracefully shuts down an instance that has open streams.
     async fn stop_instance(&mut self) -> Result<(), FleetError> {
         let Some((id, _)) = self.fleet.balanced().pop() else {
             return Ok(());
@@ -213,12 +218,12 @@
         self.fleet.terminate(&id)?;
         self.load.set_instances(self.fleet.balanced());
         self.event(&format!(
-            "{id} is asked to shut down with {} streams open",
+            "requested the shutdown of {id} with {} open streams",
             streams.len()
         ));
         let status = self.fleet.wait_terminated(&id, SHUTDOWN_BOUND).await?;
-        self.event(&format!("{id} has ended ({status})"));
-        let clean = || format!("{id} ended with {status}");
+        self.event(&format!("{id} exited ({status})"));
+        let clean = || format!("{id} exited with {status}");
         self.evidence
             .check(Promise::GracefulShutdown, status.success(), clean);
 
@@ -228,7 +233,7 @@
             let told = verdict
                 .as_ref()
                 .map_or_else(|| "failed".to_owned(), describe);
-            let cut = || format!("a stream open at {id}: {told}");
+            let cut = || format!("open stream at {id}: {told}");
             self.evidence.check(Promise::GracefulShutdown, whole, cut);
         }
         let tries = self.load.tries();
@@ -241,7 +246,7 @@
         Ok(())
     }
 
-    /// Opens streams at an instance that last for a while, and waits until they have begun.
+    /// Opens long streams at an instance and gives them time to start.
     async fn open_streams(&self, id: &str) -> Result<Vec<JoinHandle<Verdict>>, FleetError> {
         let address = self.fleet.instance(id)?.callers();
         let streams = (0..OPEN_STREAMS).map(|number| {
@@ -254,8 +259,8 @@
         Ok(streams)
     }
 
-    /// Asks each instance for its revision: it must never be lower than before, nor lower than an
-    /// accepted one whose time has come.
+    /// Checks the revision of each instance: it must not be lower than one that the instance reported
+    /// before, nor lower than an accepted one whose time limit for taking effect has passed.
     async fn watch_revisions(&mut self) {
         for id in self.fleet.instances().keys().cloned().collect::<Vec<_>>() {
             let Ok(statements) = self.fleet.statements_at(&id) else {
@@ -265,7 +270,7 @@
                 Some((revision, at)) if at.elapsed() > IN_FORCE_BOUND => revision,
                 Some(_) | None => 0,
             };
-            // An instance that leaves may be gone by now; the shutdown's own checks see to it.
+            // A terminating instance may have exited already; the checks of the shutdown cover it.
             let Ok(answer) = statements.run_local(REVISION_QUERY).await else {
                 continue;
             };
@@ -273,13 +278,13 @@
             let seen = self.revisions.entry(id.clone()).or_default();
             let least = due.max(*seen);
             *seen = revision.max(*seen);
-            let behind = || format!("{id} has revision {revision} after {least}");
+            let behind = || format!("{id} has revision {revision}, expected at least {least}");
             self.evidence
                 .check(Promise::ConfigurationHolds, revision >= least, behind);
         }
     }
 
-    /// Adds up what the engines draw now, by their own meters.
+    /// Checks that the sum of the power draw reported by the engines is within the site's cap.
     async fn watch_power(&mut self) {
         let engines = self.fleet.targets().iter();
         let engines = engines.filter(|(_, target)| target.kind == TargetKind::Engine);
@@ -292,7 +297,7 @@
     }
 }
 
-/// Says whether a caller got neither its whole answer nor a refusal before anything ran.
+/// Returns whether an attempt that may have run received no complete response.
 fn was_cut(verdict: &Verdict) -> bool {
     match verdict {
         Verdict::Answered(_) | Verdict::Disconnected { sent: false, .. } => false,
