--- a/crates/chervilshunt_standin/src/fleet/tests.rs
+++ b/crates/chervilshunt_standin/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the harness itself: a harness that can't cut a link proves nothing.
+//! Tests of the harness: fault tests are meaningless if, for example, it does not really cut links.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,13 +21,13 @@
 use super::settings::InstanceSettings;
 use super::start::{FleetOptions, TargetKind};
 
-/// How long a byte that has to arrive may take.
+/// Time limit for a byte that must arrive.
 const ARRIVES: Duration = Duration::from_secs(10);
 
-/// How long is waited for a byte that must not arrive.
+/// How long the tests wait for a byte that must not arrive.
 const STAYS_AWAY: Duration = Duration::from_millis(200);
 
-/// Starts a server that sends back what it gets.
+/// Starts an echo server.
 async fn echo() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,7 +42,7 @@
     address
 }
 
-/// Opens links in which this process is instance `a`, with a forwarder for instance `b`.
+/// Creates links with a forwarder to instance `b`. This process acts as instance `a`.
 async fn links() -> (Links, Forwarder) {
     let links = Links::new();
     links.set_pid("a", std::process::id());
@@ -51,7 +51,7 @@
     (links, forwarder)
 }
 
-/// Sends a byte and says whether it comes back within `bound`.
+/// Sends a byte and returns whether it is echoed within `bound`.
 async fn echoes(stream: &mut TcpStream, bound: Duration) -> bool {
     let exchange = async {
         stream.write_all(b"x").await?;
@@ -77,7 +77,7 @@
     assert!(echoes(&mut old, ARRIVES).await);
 
     links.set(link, LinkMode::Cut);
-    // The cut is a message to the forwarder: wait until it has come through.
+    // The forwarder applies the cut asynchronously; wait until it has closed the connection.
     if broken {
         let end = tokio::time::timeout(ARRIVES, old.read_u8()).await;
         assert!(end.expect("the connection stays open").is_err());
@@ -111,7 +111,7 @@
     assert!(echoes(&mut stream, ARRIVES).await);
 }
 
-/// Starts a shell in place of a program, which is enough to see how its end is reported.
+/// Starts a shell script as the child process.
 async fn shell(script: &str, folder: &Path) -> Result<Process, FleetError> {
     let args = ["-c".into(), script.into()];
     Process::start("shell", Path::new("/bin/sh"), &args, folder).await
@@ -157,8 +157,9 @@
     process.signal(Signal::Kill).unwrap();
 }
 
-// What the harness sees: an instance that starts again under its name seems to refuse connections.
-// Its log goes on in the file of the run before, whose first line announces ports that are closed.
+// A restarted instance appended to the log of its previous run. The harness read the addresses from
+// the first announcement in the file, and the instance seemed to refuse connections, because those
+// ports were closed.
 #[tokio::test]
 async fn a_process_that_starts_again_is_found_at_its_new_address() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/chervilshunt_standin/tests/check.rs
+++ b/crates/chervilshunt_standin/tests/check.rs
@@ -1,4 +1,4 @@
-//! The checking caller finds what is wrong with answers, and takes the right ones.
+//! The checking client accepts correct responses and detects each kind of violation.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -108,12 +108,12 @@
     )
 }
 
-/// Answers one connection with fixed bytes.
+/// Starts a server that answers one connection with fixed bytes.
 async fn fixed(bytes: String) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("the client connects");
         let mut buf = [0; 4_096];
--- a/crates/chervilshunt_standin/tests/fleet.rs
+++ b/crates/chervilshunt_standin/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The process harness with real stand-ins: what it starts it can pause, and ends.
+//! The process harness starts, pauses and kills real stand-in processes.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const BOUND: Duration = Duration::from_secs(10);
 
-/// Says whether a process is there and isn't only waiting to be reaped.
+/// Returns whether a process exists and is not a zombie.
 fn runs(pid: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     !status.is_empty() && !status.contains(") Z ")
@@ -43,15 +43,15 @@
     };
     wait_until(BOUND, stopped)
         .await
-        .expect("the engine is not paused");
+        .expect("the engine should be paused");
     fleet.thaw("engine-2").unwrap();
     fleet.stats("engine-2").await.unwrap();
 
-    // A paused process has to end too.
+    // Dropping the fleet must also kill a paused process.
     fleet.freeze("engine-2").unwrap();
     drop(fleet);
     let ended = || async { (!runs(pid)).then_some(()) };
     wait_until(BOUND, ended)
         .await
-        .expect("the engine outlives its fleet");
+        .expect("the engine should end with its fleet");
 }
--- a/crates/chervilshunt_standin/tests/registry.rs
+++ b/crates/chervilshunt_standin/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The instance list that the harness keeps, as the platform's stand-in shows it.
+//! The list of endpoints that the harness maintains, as served by the platform stand-in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,8 +63,9 @@
     assert!(items(platform.address()).await.is_empty());
 }
 
-/// The platform is down when an instance leaves. The list has to say so once it is up again, else
-/// a test would see an instance get work for another reason than the one it looks for.
+/// A change made while the platform is down must be written once it is up again. Otherwise the list
+/// is outdated, and a fault test sees an instance receive requests because of the harness rather
+/// than because of the system.
 #[tokio::test]
 async fn a_change_during_an_outage_is_written_after_it() {
     let platform = start_platform(PlatformOptions::default()).await.unwrap();
