--- a/crates/chervilshunt_standin/src/check/exchange.rs
+++ b/crates/chervilshunt_standin/src/check/exchange.rs
@@ -72,7 +72,7 @@
 
 /// The content of a completion accumulated so far.
 #[derive(Debug, Default)]
-struct Gathered {
+struct CompletionContent {
     text: String,
     usage: Option<Usage>,
     finished: bool,
@@ -112,7 +112,7 @@
 
     async fn plain(mut self, response: Response<Incoming>) -> Result<Verdict, Failure> {
         let (head, body) = response.into_parts();
-        self.note_first();
+        self.record_first_token();
         self.check_headers(&head.headers, None)?;
         let body = collect(body).await?;
         let echoed: serde_json::Value = serde_json::from_slice(&body)
@@ -131,14 +131,14 @@
         response: Response<Incoming>,
     ) -> Result<Verdict, Failure> {
         let (head, body) = response.into_parts();
-        self.note_first();
+        self.record_first_token();
         self.check_headers(&head.headers, Some(call))?;
         let body = collect(body).await?;
         let completion: Completion = serde_json::from_slice(&body)
             .map_err(|error| malformed(format!("invalid completion object: {error}")))?;
-        let mut gathered = Gathered::default();
-        gathered.take(call, completion);
-        gathered.check(call, &self.plan.request_id)?;
+        let mut content = CompletionContent::default();
+        content.take(call, completion);
+        content.check(call, &self.plan.request_id)?;
         Ok(Verdict::Answered(answer(&head.headers, call.max_tokens)))
     }
 
@@ -157,7 +157,7 @@
             .filter_map(async |frame| frame.map(|frame| frame.into_data().ok()).transpose());
         let data = std::pin::pin!(data);
         let mut events = EventStream::new(data);
-        let mut gathered = Gathered::default();
+        let mut content = CompletionContent::default();
         let mut last = Instant::now();
         while let Some(event) = next_event(&mut events).await? {
             if event.event == "error" {
@@ -165,25 +165,25 @@
                 return Ok(Verdict::Refused(refusal));
             }
             if event.data == DONE {
-                gathered.check(call, &self.plan.request_id)?;
+                content.check(call, &self.plan.request_id)?;
                 return Ok(Verdict::Answered(answer(&head.headers, call.max_tokens)));
             }
             let now = Instant::now();
-            if self.note_first() {
+            if self.record_first_token() {
                 self.timing.longest_gap = self.timing.longest_gap.max(now - last);
             }
             last = now;
             let completion: Completion = serde_json::from_str(&event.data)
                 .map_err(|error| malformed(format!("invalid chunk: {error}: {}", event.data)))?;
-            gathered.take(call, completion);
+            content.take(call, completion);
         }
-        let got = gathered.text.split_whitespace().count();
+        let got = content.text.split_whitespace().count();
         let detail = format!("stream ended after {got} words without {DONE} or an error event");
         Err(Violation::new(ViolationKind::WrongTokens, detail).into())
     }
 
     /// Records the time of the first token. Returns whether one was already recorded.
-    fn note_first(&mut self) -> bool {
+    fn record_first_token(&mut self) -> bool {
         let first = self.timing.first.is_none();
         if first {
             self.timing.first = Some(self.start.elapsed());
@@ -230,7 +230,7 @@
     }
 }
 
-impl Gathered {
+impl CompletionContent {
     fn take(&mut self, call: &CompletionCall, completion: Completion) {
         if let Some(model) = completion.model.filter(|model| **model != *call.model) {
             self.wrong_model = Some(model);
