--- a/crates/chervilshunt_standin/tests/check.rs
+++ b/crates/chervilshunt_standin/tests/check.rs
@@ -54,7 +54,7 @@
 #[case::whole(false, Api::Text)]
 #[case::whole_chat(false, Api::Chat)]
 #[tokio::test]
-async fn right_answers_are_taken(#[case] stream: bool, #[case] api: Api) {
+async fn correct_responses_are_accepted(#[case] stream: bool, #[case] api: Api) {
     let engine = engine().await;
     let record = Client::default()
         .send(plan(engine.address, stream, api))
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_stream_is_no_answer() {
+async fn a_cut_stream_counts_as_disconnected() {
     let engine = engine().await;
     engine.set_faults(&EngineFaultChange {
         cut_after_tokens: Some(2),
@@ -163,7 +163,7 @@
     ViolationKind::Malformed
 )]
 #[tokio::test]
-async fn wrong_answers_are_found(#[case] bytes: String, #[case] kind: ViolationKind) {
+async fn violations_are_detected(#[case] bytes: String, #[case] kind: ViolationKind) {
     let mut plan = plan(fixed(bytes).await, true, Api::Text);
     plan.route = Route::System;
     let record = Client::default().send(plan).await;
@@ -184,7 +184,7 @@
         problem("", 502, "r1", "cut_short").split_once("\r\n\r\n").unwrap().1),
     Outcome::CutShort, None)]
 #[tokio::test]
-async fn refusals_are_read(
+async fn refusals_are_parsed(
     #[case] bytes: String,
     #[case] outcome: Outcome,
     #[case] seconds: Option<u64>,
--- a/crates/chervilshunt_standin/tests/fleet.rs
+++ b/crates/chervilshunt_standin/tests/fleet.rs
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn stand_ins_are_started_listed_paused_and_ended() {
+async fn stand_ins_are_started_listed_paused_and_killed() {
     let fleet = Fleet::start_standins(FleetOptions::default())
         .await
         .unwrap();
