--- a/crates/chervilshunt_standin/src/fleet/link.rs
+++ b/crates/chervilshunt_standin/src/fleet/link.rs
@@ -142,7 +142,7 @@
     }
 
     /// Sets the address on which the instance itself listens.
-    pub(crate) fn lead_to(&self, destination: SocketAddr) {
+    pub(crate) fn set_destination(&self, destination: SocketAddr) {
         self.destination.send_replace(Some(destination));
     }
 }
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -162,8 +162,8 @@
     /// Stops arrivals and waits for the requests in flight. Returns whether all ended within `bound`.
     pub async fn stop(&mut self, bound: Duration) -> bool {
         self.arrivals = None;
-        let look = || async { (self.open() == 0).then_some(()) };
-        wait_until(bound, look).await.is_some()
+        let poll = || async { (self.open() == 0).then_some(()) };
+        wait_until(bound, poll).await.is_some()
     }
 }
 
@@ -171,12 +171,12 @@
     async fn send_once(&self, instance: &str, req: RequestPlan) -> Verdict {
         let record = self.client.send(req).await;
         let verdict = record.verdict.clone();
-        self.note(instance, record, true);
+        self.record(instance, record, true);
         verdict
     }
 
     /// Sends a request, retries it as long as that is safe, and records each attempt.
-    async fn follow(&self, mut req: RequestPlan, mut rng: ChaCha8Rng) {
+    async fn send_with_retries(&self, mut req: RequestPlan, mut rng: ChaCha8Rng) {
         let mut tries_left = self.options.tries;
         loop {
             let chosen = lock(&self.instances).choose(&mut rng).cloned();
@@ -188,7 +188,7 @@
             let record = self.client.send(req.clone()).await;
             tries_left = tries_left.saturating_sub(1);
             let pause = pause_before_retry(&req, &record.verdict).filter(|_| tries_left > 0);
-            self.note(&instance, record, pause.is_none());
+            self.record(&instance, record, pause.is_none());
             let Some(pause) = pause else {
                 return;
             };
@@ -196,7 +196,7 @@
         }
     }
 
-    fn note(&self, instance: &str, record: Record, last: bool) {
+    fn record(&self, instance: &str, record: Record, last: bool) {
         let instance = instance.to_owned();
         let ended = Instant::now();
         lock(&self.tries).push(Try {
@@ -241,7 +241,7 @@
         let shared = Arc::clone(&shared);
         shared.open.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            shared.follow(req, rng).await;
+            shared.send_with_retries(req, rng).await;
             shared.open.fetch_sub(1, Ordering::Relaxed);
         });
     }
--- a/crates/chervilshunt_standin/src/fleet/process.rs
+++ b/crates/chervilshunt_standin/src/fleet/process.rs
@@ -16,7 +16,7 @@
 use super::error::{
     EndedSnafu, FileSnafu, FleetError, SignalProcessSnafu, SpawnSnafu, TimedOutSnafu,
 };
-use super::wait::LOOK_EVERY;
+use super::wait::POLL_INTERVAL;
 
 /// Time limit for a process to announce its addresses.
 const START_BOUND: Duration = Duration::from_secs(20);
@@ -208,7 +208,7 @@
                 }
                 .fail();
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/chervilshunt_standin/src/fleet/registry.rs
+++ b/crates/chervilshunt_standin/src/fleet/registry.rs
@@ -115,7 +115,7 @@
             pending: Mutex::default(),
             changed: Notify::new(),
         });
-        let task = AbortOnDropHandle::new(tokio::spawn(keep(Arc::clone(&state))));
+        let task = AbortOnDropHandle::new(tokio::spawn(write_pending(Arc::clone(&state))));
         Self { state, _task: task }
     }
 
@@ -131,8 +131,8 @@
 
     /// Waits until the platform has accepted every change. Returns whether it did within `bound`.
     pub async fn settled(&self, bound: Duration) -> bool {
-        let look = || async { self.state.pending().is_empty().then_some(()) };
-        wait_until(bound, look).await.is_some()
+        let poll = || async { self.state.pending().is_empty().then_some(()) };
+        wait_until(bound, poll).await.is_some()
     }
 
     fn change(&self, name: String, slice: Option<Value>) {
@@ -171,7 +171,7 @@
     }
 }
 
-async fn keep(state: Arc<State>) {
+async fn write_pending(state: Arc<State>) {
     loop {
         let next = state
             .pending()
--- a/crates/chervilshunt_standin/src/fleet/start.rs
+++ b/crates/chervilshunt_standin/src/fleet/start.rs
@@ -254,7 +254,7 @@
             ports.insert(name, process.address(name)?);
         }
         if let Some(forwarder) = &forwarder {
-            forwarder.lead_to(ports["peers"]);
+            forwarder.set_destination(ports["peers"]);
             ports.insert("peers", forwarder.address());
         }
         if let Some(pid) = process.id() {
@@ -393,13 +393,13 @@
     pub async fn wait_instance_ready(&self, id: &str) -> Result<(), FleetError> {
         let instance = self.instance(id)?;
         let address = instance.operators();
-        let look = || async {
+        let poll = || async {
             let reply = self.http.call(Method::GET, address, "/readyz", None).await;
             reply
                 .is_ok_and(|reply| reply.status == StatusCode::OK)
                 .then_some(())
         };
-        wait_until(READY_BOUND, look).await.context(TimedOutSnafu {
+        wait_until(READY_BOUND, poll).await.context(TimedOutSnafu {
             process: id,
             awaited: "readiness",
             bound: READY_BOUND,
--- a/crates/chervilshunt_standin/src/fleet/tests.rs
+++ b/crates/chervilshunt_standin/src/fleet/tests.rs
@@ -22,10 +22,10 @@
 use super::start::{FleetOptions, TargetKind};
 
 /// Time limit for a byte that must arrive.
-const ARRIVES: Duration = Duration::from_secs(10);
+const ARRIVAL_BOUND: Duration = Duration::from_secs(10);
 
 /// How long the tests wait for a byte that must not arrive.
-const STAYS_AWAY: Duration = Duration::from_millis(200);
+const ABSENCE_WAIT: Duration = Duration::from_millis(200);
 
 /// Starts an echo server.
 async fn echo() -> SocketAddr {
@@ -47,7 +47,7 @@
     let links = Links::new();
     links.set_pid("a", std::process::id());
     let forwarder = links.open("b").await.unwrap();
-    forwarder.lead_to(echo().await);
+    forwarder.set_destination(echo().await);
     (links, forwarder)
 }
 
@@ -68,26 +68,26 @@
 #[case::another_pair(Link::between("c", "b"), false)]
 #[case::all_of_another(Link::all_of("c"), false)]
 #[tokio::test]
-async fn a_cut_breaks_old_and_new_connections_of_its_link_alone(
+async fn a_cut_breaks_existing_and_new_connections_of_only_its_link(
     #[case] link: Link,
     #[case] broken: bool,
 ) {
     let (links, forwarder) = links().await;
     let mut old = TcpStream::connect(forwarder.address()).await.unwrap();
-    assert!(echoes(&mut old, ARRIVES).await);
+    assert!(echoes(&mut old, ARRIVAL_BOUND).await);
 
     links.set(link, LinkMode::Cut);
     // The forwarder applies the cut asynchronously; wait until it has closed the connection.
     if broken {
-        let end = tokio::time::timeout(ARRIVES, old.read_u8()).await;
+        let end = tokio::time::timeout(ARRIVAL_BOUND, old.read_u8()).await;
         assert!(end.expect("the connection stays open").is_err());
     }
     let mut new = TcpStream::connect(forwarder.address()).await.unwrap();
-    assert_eq!(echoes(&mut new, ARRIVES).await, !broken);
+    assert_eq!(echoes(&mut new, ARRIVAL_BOUND).await, !broken);
 
     links.heal();
     let mut healed = TcpStream::connect(forwarder.address()).await.unwrap();
-    assert!(echoes(&mut healed, ARRIVES).await);
+    assert!(echoes(&mut healed, ARRIVAL_BOUND).await);
 }
 
 #[tokio::test]
@@ -95,20 +95,20 @@
     let (links, forwarder) = links().await;
     links.set(Link::between("a", "b"), LinkMode::BlackHole);
     let mut stream = TcpStream::connect(forwarder.address()).await.unwrap();
-    assert!(!echoes(&mut stream, STAYS_AWAY).await);
+    assert!(!echoes(&mut stream, ABSENCE_WAIT).await);
 
     links.heal();
-    let arrived = tokio::time::timeout(ARRIVES, stream.read_u8()).await;
+    let arrived = tokio::time::timeout(ARRIVAL_BOUND, stream.read_u8()).await;
     assert_eq!(arrived.unwrap().unwrap(), b'x');
 }
 
 #[tokio::test]
-async fn a_delay_holds_bytes_up() {
+async fn a_delayed_link_delays_bytes() {
     let (links, forwarder) = links().await;
-    links.set(Link::all_of("b"), LinkMode::Delay(STAYS_AWAY * 2));
+    links.set(Link::all_of("b"), LinkMode::Delay(ABSENCE_WAIT * 2));
     let mut stream = TcpStream::connect(forwarder.address()).await.unwrap();
-    assert!(!echoes(&mut stream, STAYS_AWAY).await);
-    assert!(echoes(&mut stream, ARRIVES).await);
+    assert!(!echoes(&mut stream, ABSENCE_WAIT).await);
+    assert!(echoes(&mut stream, ARRIVAL_BOUND).await);
 }
 
 /// Starts a shell script as the child process.
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_process_that_ends_early_is_reported_with_its_last_words() {
+async fn a_process_that_exits_early_is_reported_with_the_end_of_its_log() {
     let folder = tempfile::tempdir().unwrap();
     let err = shell("echo out of paper >&2; exit 3", folder.path())
         .await
@@ -152,7 +152,7 @@
     assert!(process.address("other").is_err());
 
     process.signal(Signal::Kill).unwrap();
-    process.wait_end(ARRIVES).await.unwrap();
+    process.wait_end(ARRIVAL_BOUND).await.unwrap();
     assert_eq!(process.id(), None);
     process.signal(Signal::Kill).unwrap();
 }
@@ -161,7 +161,7 @@
 // the first announcement in the file, and the instance seemed to refuse connections, because those
 // ports were closed.
 #[tokio::test]
-async fn a_process_that_starts_again_is_found_at_its_new_address() {
+async fn a_restarted_process_is_found_at_its_new_address() {
     let folder = tempfile::tempdir().unwrap();
     for port in [5, 6] {
         let line = format!(r#"{{"listening":"127.0.0.1:{port}"}}"#);
@@ -170,12 +170,12 @@
         let address = process.address("listening").unwrap();
         assert_eq!(address, SocketAddr::from(([127, 0, 0, 1], port)));
         process.signal(Signal::Kill).unwrap();
-        process.wait_end(ARRIVES).await.unwrap();
+        process.wait_end(ARRIVAL_BOUND).await.unwrap();
     }
 }
 
 #[tokio::test]
-async fn settings_of_instances_are_accepted_with_what_is_laid_over_them() {
+async fn generated_settings_are_valid_and_contain_the_overrides() {
     let folder = tempfile::tempdir().unwrap();
     let peers = SocketAddr::from(([127, 0, 0, 1], 7));
     let settings = InstanceSettings {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn the_first_deployment_is_one_change_that_can_be_applied() {
+fn the_initial_deployment_is_a_single_valid_change() {
     let options = FleetOptions {
         adapters: 3,
         ..FleetOptions::default()
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -23,7 +23,7 @@
 const CAP_WATTS: f64 = 1_200.0;
 
 /// The target that the quickstart drains.
-const DRAINED: &str = "engine-4";
+const DRAINED_TARGET: &str = "engine-4";
 
 /// Time limit for an accepted configuration to take effect at every instance.
 const IN_FORCE_BOUND: Duration = Duration::from_secs(5);
@@ -41,10 +41,10 @@
 const OPEN_STREAMS: usize = 4;
 
 /// Tokens of each of those streams, so that it lasts a few seconds.
-const LONG: u32 = 400;
+const STREAM_TOKENS: u32 = 400;
 
 /// Wait for those streams to start before the shutdown.
-const OPENING: Duration = Duration::from_millis(500);
+const STREAM_START_WAIT: Duration = Duration::from_millis(500);
 
 /// A cheap query, sent only for the revision in its response.
 const REVISION_QUERY: &str = "show sites";
@@ -184,11 +184,11 @@
 
     /// Drains a target and returns its number of completions 3 s later.
     async fn drain_target(&mut self) -> Result<u64, FleetError> {
-        let drain = format!("drain target {DRAINED}");
+        let drain = format!("drain target {DRAINED_TARGET}");
         self.fleet.statements()?.run(&drain).await?;
-        self.event(&format!("{DRAINED} is draining"));
+        self.event(&format!("{DRAINED_TARGET} is draining"));
         self.watch_until(self.started.elapsed() + DRAIN_BOUND).await;
-        self.completions(DRAINED).await
+        self.completions(DRAINED_TARGET).await
     }
 
     async fn completions(&self, target: &str) -> Result<u64, FleetError> {
@@ -197,11 +197,11 @@
     }
 
     async fn check_drained(&mut self, after_bound: u64) -> Result<(), FleetError> {
-        let at_end = self.completions(DRAINED).await?;
+        let at_end = self.completions(DRAINED_TARGET).await?;
         let rested = at_end == after_bound;
         let more = || {
             format!(
-                "{DRAINED} received {} more completions",
+                "{DRAINED_TARGET} received {} more completions",
                 at_end - after_bound
             )
         };
@@ -251,11 +251,17 @@
         let address = self.fleet.instance(id)?.callers();
         let streams = (0..OPEN_STREAMS).map(|number| {
             let model = model_name(number);
-            let req = completion(&format!("leaving-{number}"), &model, LONG, Api::Text, true);
+            let req = completion(
+                &format!("leaving-{number}"),
+                &model,
+                STREAM_TOKENS,
+                Api::Text,
+                true,
+            );
             self.load.spawn(id, RequestPlan { to: address, ..req })
         });
         let streams = streams.collect();
-        tokio::time::sleep(OPENING).await;
+        tokio::time::sleep(STREAM_START_WAIT).await;
         Ok(streams)
     }
 
