--- a/crates/chervilshunt_bench/src/faults/report.rs
+++ b/crates/chervilshunt_bench/src/faults/report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use chervilshunt_standin::check::{Outcome, Verdict};
-use chervilshunt_standin::fleet::{Evidence, Promise, Try};
+use chervilshunt_standin::fleet::{Attempt, Evidence, Promise};
 use serde::Serialize;
 
 use super::change::Operators;
@@ -71,7 +71,7 @@
     pub(crate) fn new(
         options: &Options,
         episodes: &[Episode],
-        tries: &[Try],
+        tries: &[Attempt],
         operators: &Operators,
         evidence: &Evidence,
     ) -> Self {
@@ -148,7 +148,7 @@
 }
 
 impl Requests {
-    fn of(tries: &[Try]) -> Self {
+    fn of(tries: &[Attempt]) -> Self {
         let mut requests = Self::default();
         for one in tries {
             requests.tries += 1;
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -5,8 +5,8 @@
 
 use chervilshunt_standin::check::{Api, RequestPlan, Verdict};
 use chervilshunt_standin::fleet::{
-    Evidence, Fleet, FleetOptions, Load, LoadOptions, Promise, Try, completion, describe, entry,
-    model_name, wait_until,
+    Attempt, Evidence, Fleet, FleetOptions, Load, LoadOptions, Promise, completion, describe,
+    entry, model_name, wait_until,
 };
 use serde_json::{Value, json};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -188,7 +188,7 @@
     }
 
     /// Ends the load, checks every promise, and returns all tries.
-    pub(crate) async fn finish(mut self) -> Vec<Try> {
+    pub(crate) async fn finish(mut self) -> Vec<Attempt> {
         let ended = self.load.stop(PATIENCE * 2).await;
         assert!(ended, "{} requests have no end", self.load.open());
         let tries = self.load.tries();
@@ -229,7 +229,7 @@
 }
 
 /// Returns the last tries that were not answered, in words.
-pub(crate) fn unanswered(tries: &[Try]) -> Vec<String> {
+pub(crate) fn unanswered(tries: &[Attempt]) -> Vec<String> {
     let last = tries
         .iter()
         .filter(|one| one.last && !answered(&one.record.verdict));
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_standin::check::{Call, Verdict};
 use chervilshunt_standin::fleet::{
-    FleetOptions, Statements, Try, create_version, describe, model_name, wait_until,
+    Attempt, FleetOptions, Statements, create_version, describe, model_name, wait_until,
 };
 use rstest::rstest;
 use serde_json::json;
@@ -186,7 +186,7 @@
 }
 
 /// Returns the completions of the load that were not answered in the end, in words.
-fn completions_given_up(tries: &[Try]) -> Vec<String> {
+fn completions_given_up(tries: &[Attempt]) -> Vec<String> {
     let of_load = tries
         .iter()
         .filter(|one| one.last && one.record.plan.request_id.starts_with('q'));
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -62,7 +62,7 @@
 
 /// One attempt of a request, with its result.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// The id of the instance that it was sent to.
     pub instance: String,
     /// When it ended.
@@ -86,7 +86,7 @@
     client: Client,
     instances: Mutex<Vec<(String, SocketAddr)>>,
     models: Mutex<Vec<Arc<str>>>,
-    tries: Mutex<Vec<Try>>,
+    tries: Mutex<Vec<Attempt>>,
     open: AtomicUsize,
 }
 
@@ -139,7 +139,7 @@
     }
 
     /// Returns all attempts so far, in the order in which they ended.
-    pub fn tries(&self) -> Vec<Try> {
+    pub fn tries(&self) -> Vec<Attempt> {
         lock(&self.shared.tries).clone()
     }
 
@@ -199,7 +199,7 @@
     fn record(&self, instance: &str, record: Record, last: bool) {
         let instance = instance.to_owned();
         let ended = Instant::now();
-        lock(&self.tries).push(Try {
+        lock(&self.tries).push(Attempt {
             instance,
             ended,
             last,
--- a/crates/chervilshunt_standin/src/fleet/mod.rs
+++ b/crates/chervilshunt_standin/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 pub use error::FleetError;
 pub use http::{HttpClient, Reply};
 pub use link::{Link, LinkMode};
-pub use load::{Load, LoadOptions, Try, completion, entry};
+pub use load::{Attempt, Load, LoadOptions, completion, entry};
 pub use operators::Statements;
 pub use process::{Process, Signal};
 pub use promise::{Evidence, Promise, describe};
--- a/crates/chervilshunt_standin/src/fleet/promise.rs
+++ b/crates/chervilshunt_standin/src/fleet/promise.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::error::FleetError;
-use super::load::Try;
+use super::load::Attempt;
 use super::start::{Fleet, TargetKind};
 use crate::check::{Call, Finding, Outcome, Record, Verdict, ViolationKind, fetch_runs, settle};
 
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// Returns an error if the runs or counters of a target can't be fetched.
-    pub async fn gather(&mut self, fleet: &Fleet, tries: &[Try]) -> Result<(), FleetError> {
+    pub async fn gather(&mut self, fleet: &Fleet, tries: &[Attempt]) -> Result<(), FleetError> {
         let controls = fleet.target_controls()?;
         let runs = fetch_runs(&controls).await.map_err(FleetError::runs)?;
         let records: Vec<_> = tries.iter().map(|one| one.record.clone()).collect();
@@ -212,7 +212,7 @@
     }
 
     /// Checks that every request was eventually answered, which must hold in a run without faults.
-    pub fn check_answered(&mut self, tries: &[Try]) {
+    pub fn check_answered(&mut self, tries: &[Attempt]) {
         for one in tries.iter().filter(|one| one.last) {
             let promise = match one.record.plan.class {
                 Class::Live => Promise::Answered,
--- a/crates/chervilshunt_standin/src/quickstart/report.rs
+++ b/crates/chervilshunt_standin/src/quickstart/report.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::check::{Outcome, Verdict};
-use crate::fleet::{Evidence, Fleet, FleetError, Promise, Try, describe};
+use crate::fleet::{Attempt, Evidence, Fleet, FleetError, Promise, describe};
 
 /// Maximum number of findings printed per guarantee.
 const SHOWN_FINDINGS: usize = 5;
@@ -19,7 +19,7 @@
 }
 
 impl Counts {
-    pub(crate) fn of(tries: &[Try]) -> Self {
+    pub(crate) fn of(tries: &[Attempt]) -> Self {
         let mut counts = Self::default();
         for one in tries {
             match &one.record.verdict {
@@ -34,7 +34,7 @@
 }
 
 /// Prints a progress line.
-pub(crate) fn print_progress(at: Duration, tries: &[Try], open: usize) {
+pub(crate) fn print_progress(at: Duration, tries: &[Attempt], open: usize) {
     let counts = Counts::of(tries);
     println!(
         "{:>4} s  answered {:>5}  open {open:>3}  refused {:>3}  disconnected {:>3}  wrong {:>3}",
@@ -52,7 +52,7 @@
 }
 
 /// Prints the reasons why attempts were not answered, with the number of attempts for each.
-pub(crate) fn print_refusals(tries: &[Try]) {
+pub(crate) fn print_refusals(tries: &[Attempt]) {
     let mut reasons = BTreeMap::<String, u64>::new();
     for one in tries {
         let reason = match &one.record.verdict {
