--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -135,7 +135,7 @@
     /// What a target broke off, or what ran into another fault, is told in a problem document; a
     /// connection without an end is the instance's own doing.
     fn check_not_cut(&mut self, id: &str) {
-        for one in self.load.tries().iter().filter(|one| one.instance == id) {
+        for one in self.load.attempts().iter().filter(|one| one.instance == id) {
             let cut = match &one.record.verdict {
                 Verdict::Disconnected { sent, .. } => *sent,
                 Verdict::Refused(refusal) => {
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -136,7 +136,7 @@
         let open = self.load.open();
         let finding = || format!("{open} requests had no end {END_BOUND:?} after the last fault");
         self.evidence.check(Promise::WholeOwnAnswer, ended, finding);
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await?;
         Ok(Report::new(
             options,
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -191,7 +191,7 @@
     pub(crate) async fn finish(mut self) -> Vec<Attempt> {
         let ended = self.load.stop(PATIENCE * 2).await;
         assert!(ended, "{} requests have no end", self.load.open());
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await.unwrap();
         let broken: Vec<_> = self.evidence.violations().iter().take(10).collect();
         assert!(broken.is_empty(), "promises were broken: {broken:#?}");
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns all attempts so far, in the order in which they ended.
-    pub fn tries(&self) -> Vec<Attempt> {
+    pub fn attempts(&self) -> Vec<Attempt> {
         lock(&self.shared.tries).clone()
     }
 
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -122,7 +122,7 @@
 
         self.check_drained(drained).await?;
         self.watch_revisions().await;
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await?;
         self.evidence.check_answered(&tries);
         print_refusals(&tries);
@@ -135,7 +135,11 @@
         while Instant::now() < end {
             let second = Instant::now() + Duration::from_secs(1);
             tokio::time::sleep_until(second.min(end)).await;
-            print_progress(self.started.elapsed(), &self.load.tries(), self.load.open());
+            print_progress(
+                self.started.elapsed(),
+                &self.load.attempts(),
+                self.load.open(),
+            );
             self.watch_revisions().await;
             self.watch_power().await;
         }
@@ -236,7 +240,7 @@
             let cut = || format!("open stream at {id}: {told}");
             self.evidence.check(Promise::GracefulShutdown, whole, cut);
         }
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         let at_instance = tries.iter().filter(|one| one.instance == id);
         let broken = at_instance.filter(|one| was_cut(&one.record.verdict));
         for one in broken {
