--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -104,7 +104,7 @@
                 .map(|number| model_name(number).into())
                 .collect(),
             long_percent: LONG_PERCENT,
-            tries: TRIES,
+            max_attempts: TRIES,
             patience: PATIENCE,
         };
         let load = Load::start(load_options, fleet.balanced());
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -60,7 +60,7 @@
             rate,
             seed: 1,
             models: models.collect(),
-            tries: TRIES,
+            max_attempts: TRIES,
             patience: PATIENCE,
         };
         let load = Load::start(load_options, fleet.balanced());
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -55,7 +55,7 @@
     /// Percentage of completions that request a long response.
     pub long_percent: u32,
     /// Maximum number of attempts per request.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// The client's timeout for one complete response.
     pub patience: Duration,
 }
@@ -177,7 +177,7 @@
 
     /// Sends a request, retries it as long as that is safe, and records each attempt.
     async fn send_with_retries(&self, mut req: RequestPlan, mut rng: ChaCha8Rng) {
-        let mut tries_left = self.options.tries;
+        let mut tries_left = self.options.max_attempts;
         loop {
             let chosen = lock(&self.instances).choose(&mut rng).cloned();
             let Some((instance, address)) = chosen else {
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -89,7 +89,7 @@
             rate: options.rate,
             seed: options.seed,
             models: models.collect(),
-            tries: TRIES,
+            max_attempts: TRIES,
             patience: PATIENCE,
         };
         let load = Load::start(load_options, fleet.balanced());
