--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -159,7 +159,7 @@
     ///
     /// The answers are looked at when faults are healed: one that is paused answers only then.
     fn ask_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
-        for (id, address) in fleet.balanced() {
+        for (id, address) in fleet.ready_instances() {
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
             let req = RequestPlan {
                 to: address,
@@ -192,7 +192,7 @@
     /// nowhere.
     pub(crate) async fn check(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
         self.check_asked(evidence).await;
-        for (id, _) in fleet.balanced() {
+        for (id, _) in fleet.ready_instances() {
             let Ok(statements) = fleet.statements_at(&id) else {
                 continue;
             };
@@ -271,7 +271,7 @@
 }
 
 fn any(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Option<Statements> {
-    let instances = fleet.balanced();
+    let instances = fleet.ready_instances();
     let (id, _) = instances.choose(rng)?;
     fleet.statements_at(id).ok()
 }
--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -103,7 +103,7 @@
             }
             _ => {}
         }
-        self.load.set_instances(self.fleet.balanced());
+        self.load.set_instances(self.fleet.ready_instances());
         Ok(())
     }
 
@@ -126,7 +126,7 @@
             _ => return Ok(()),
         }
         self.fleet.wait_ready().await?;
-        self.load.set_instances(self.fleet.balanced());
+        self.load.set_instances(self.fleet.ready_instances());
         Ok(())
     }
 
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -135,7 +135,11 @@
         taken: &[String],
         rng: &mut ChaCha8Rng,
     ) -> Option<Self> {
-        let ids: Vec<_> = fleet.balanced().into_iter().map(|(id, _)| id).collect();
+        let ids: Vec<_> = fleet
+            .ready_instances()
+            .into_iter()
+            .map(|(id, _)| id)
+            .collect();
         let free: Vec<_> = ids
             .iter()
             .filter(|id| !taken.contains(id))
--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -50,7 +50,7 @@
 
 /// Sends probes to every instance, and says which were not answered promptly.
 async fn send_round(fleet: &Fleet, load: &Load, name: &str) -> Vec<String> {
-    let instances = fleet.balanced();
+    let instances = fleet.ready_instances();
     let probes = instances.iter().flat_map(|(id, address)| {
         let models = (0..MODELS).map(move |number| {
             let probe = format!("{name}-{id}-{number}");
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -107,7 +107,7 @@
             max_attempts: TRIES,
             patience: PATIENCE,
         };
-        let load = Load::start(load_options, fleet.balanced());
+        let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
             fleet,
             load,
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -63,7 +63,7 @@
             max_attempts: TRIES,
             patience: PATIENCE,
         };
-        let load = Load::start(load_options, fleet.balanced());
+        let load = Load::start(load_options, fleet.ready_instances());
         Self {
             fleet,
             load,
@@ -160,7 +160,7 @@
 
     /// Returns an instance that is none of these.
     pub(crate) fn another(&self, but: &[&str]) -> String {
-        let mut ids = self.fleet.balanced().into_iter().map(|(id, _)| id);
+        let mut ids = self.fleet.ready_instances().into_iter().map(|(id, _)| id);
         ids.find(|id| !but.contains(&id.as_str()))
             .expect("an instance is left")
     }
--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -41,7 +41,7 @@
     }
     let balanced = case
         .fleet
-        .balanced()
+        .ready_instances()
         .into_iter()
         .filter(|(id, _)| id != "i4");
     case.load.set_instances(balanced.collect());
@@ -91,7 +91,7 @@
     case.run_for(Duration::from_millis(400)).await;
     case.fleet.kill("i4").await.unwrap();
     case.fleet.kill("i3").await.unwrap();
-    case.load.set_instances(case.fleet.balanced());
+    case.load.set_instances(case.fleet.ready_instances());
     case.fault("desk-1", json!({"slow_ms": 0})).await;
     for (entry, first) in entries {
         first.await.unwrap();
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -78,7 +78,7 @@
         case.fleet.freeze(&entry).unwrap();
     }
     case.fleet.kill(&holder).await.unwrap();
-    let mut left = case.fleet.balanced();
+    let mut left = case.fleet.ready_instances();
     left.retain(|(id, _)| *id != entry || !entry_paused);
     case.load.set_instances(left);
     case.owner(&witness, "engine-1", Some(&holder)).await;
--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -82,7 +82,7 @@
     if platform_down {
         case.fault("platform", json!({"down": "unavailable"})).await;
     }
-    case.load.set_instances(case.fleet.balanced());
+    case.load.set_instances(case.fleet.ready_instances());
     let status = case.fleet.wait_terminated("i2", BOUND).await.unwrap();
     for stream in streams {
         let verdict = stream.await.unwrap();
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -77,7 +77,7 @@
 
     drop(racing);
     heal(&case).await;
-    let left = case.fleet.balanced().into_iter().map(|(id, _)| id);
+    let left = case.fleet.ready_instances().into_iter().map(|(id, _)| id);
     let left: Vec<_> = left.collect();
     let dead = (!left.contains(&owner)).then_some(owner.as_str());
     case.owner(&witness, ENGINES[0], dead).await;
@@ -104,7 +104,7 @@
     match fault {
         Fault::OwnerKilled => {
             case.fleet.kill(owner).await.unwrap();
-            case.load.set_instances(case.fleet.balanced());
+            case.load.set_instances(case.fleet.ready_instances());
         }
         Fault::PlatformHangs => case.fault("platform", json!({"freeze": true})).await,
         Fault::AnswersLost => {
@@ -123,7 +123,7 @@
         }
         Fault::PopularityShifts => case.load.shift_popularity(),
         Fault::OperatorsRace => {
-            let ids = case.fleet.balanced().into_iter().map(|(id, _)| id);
+            let ids = case.fleet.ready_instances().into_iter().map(|(id, _)| id);
             let statements = ids.map(|id| case.fleet.statements_at(&id).unwrap());
             let races = statements.map(|it| AbortOnDropHandle::new(tokio::spawn(race(it))));
             let races = races.collect();
--- a/crates/chervilshunt_standin/src/fleet/start.rs
+++ b/crates/chervilshunt_standin/src/fleet/start.rs
@@ -333,7 +333,7 @@
 
     /// Returns the instances that the platform's load balancer would send requests to: those listed
     /// as ready, in id order.
-    pub fn balanced(&self) -> Vec<(String, SocketAddr)> {
+    pub fn ready_instances(&self) -> Vec<(String, SocketAddr)> {
         self.instances
             .iter()
             .filter(|(_, instance)| instance.endpoint.condition == Condition::Ready)
@@ -373,7 +373,11 @@
     /// Returns an error for the first instance that is not ready within 30 seconds.
     pub async fn wait_ready(&mut self) -> Result<(), FleetError> {
         self.registry.settled(LIST_BOUND).await;
-        let ids: Vec<_> = self.balanced().into_iter().map(|(id, _)| id).collect();
+        let ids: Vec<_> = self
+            .ready_instances()
+            .into_iter()
+            .map(|(id, _)| id)
+            .collect();
         for id in ids {
             self.wait_instance_ready(&id).await?;
         }
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -92,7 +92,7 @@
             max_attempts: TRIES,
             patience: PATIENCE,
         };
-        let load = Load::start(load_options, fleet.balanced());
+        let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
             options,
             fleet,
@@ -170,7 +170,7 @@
         self.evidence
             .check(Promise::ConfigurationHolds, in_time, late);
 
-        for (number, (id, address)) in self.fleet.balanced().into_iter().enumerate() {
+        for (number, (id, address)) in self.fleet.ready_instances().into_iter().enumerate() {
             let name = format!("new-version-{number}");
             let req = completion(&name, NEW_VERSION, TOKENS, Api::Text, true);
             let verdict = self
@@ -215,12 +215,12 @@
 
     /// Gracefully shuts down an instance that has open streams.
     async fn stop_instance(&mut self) -> Result<(), FleetError> {
-        let Some((id, _)) = self.fleet.balanced().pop() else {
+        let Some((id, _)) = self.fleet.ready_instances().pop() else {
             return Ok(());
         };
         let streams = self.open_streams(&id).await?;
         self.fleet.terminate(&id)?;
-        self.load.set_instances(self.fleet.balanced());
+        self.load.set_instances(self.fleet.ready_instances());
         self.event(&format!(
             "requested the shutdown of {id} with {} open streams",
             streams.len()
