--- a/crates/chervilshunt_standin/src/fleet/registry.rs
+++ b/crates/chervilshunt_standin/src/fleet/registry.rs
@@ -130,7 +130,7 @@
     }
 
     /// Waits until the platform has accepted every change. Returns whether it did within `bound`.
-    pub async fn settled(&self, bound: Duration) -> bool {
+    pub async fn wait_written(&self, bound: Duration) -> bool {
         let poll = || async { self.state.pending().is_empty().then_some(()) };
         wait_until(bound, poll).await.is_some()
     }
--- a/crates/chervilshunt_standin/src/fleet/start.rs
+++ b/crates/chervilshunt_standin/src/fleet/start.rs
@@ -372,7 +372,7 @@
     /// # Errors
     /// Returns an error for the first instance that is not ready within 30 seconds.
     pub async fn wait_ready(&mut self) -> Result<(), FleetError> {
-        self.registry.settled(LIST_BOUND).await;
+        self.registry.wait_written(LIST_BOUND).await;
         let ids: Vec<_> = self
             .ready_instances()
             .into_iter()
@@ -387,7 +387,7 @@
     /// Waits until the platform has accepted all changes of the list of endpoints. Returns whether it
     /// did within `bound`.
     pub async fn listed(&self, bound: Duration) -> bool {
-        self.registry.settled(bound).await
+        self.registry.wait_written(bound).await
     }
 
     /// Waits until one instance passes its readiness check.
--- a/crates/chervilshunt_standin/tests/registry.rs
+++ b/crates/chervilshunt_standin/tests/registry.rs
@@ -45,9 +45,9 @@
     let platform = start_platform(PlatformOptions::default()).await.unwrap();
     let registry = Registry::start(platform.address(), "test");
     registry.set(&endpoint(Condition::Ready));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     registry.set(&endpoint(condition));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
 
     let slices = items(platform.address()).await;
     assert_eq!(slices.len(), 1);
@@ -59,7 +59,7 @@
     );
 
     registry.remove(&endpoint(condition));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     assert!(items(platform.address()).await.is_empty());
 }
 
@@ -80,9 +80,9 @@
     };
     throw("unavailable").await;
     registry.set(&endpoint(Condition::Ready));
-    assert!(!registry.settled(Duration::from_millis(500)).await);
+    assert!(!registry.wait_written(Duration::from_millis(500)).await);
 
     throw("no").await;
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     assert_eq!(items(platform.address()).await.len(), 1);
 }
