--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -146,5 +146,5 @@
         let refused = case.count(engine, "fenced_orders").await;
         assert_eq!(stale, refused, "{engine} obeyed an order of an old epoch");
     }
-    assert!(case.fleet.listed(BOUND).await);
+    assert!(case.fleet.wait_listed(BOUND).await);
 }
--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -44,7 +44,7 @@
             case.fleet
                 .list_target("engine-1", Condition::Leaving)
                 .unwrap();
-            assert!(case.fleet.listed(BOUND).await);
+            assert!(case.fleet.wait_listed(BOUND).await);
         }
     }
     case.run_for(NO_MORE_AFTER).await;
--- a/crates/chervilshunt_standin/src/fleet/start.rs
+++ b/crates/chervilshunt_standin/src/fleet/start.rs
@@ -386,7 +386,7 @@
 
     /// Waits until the platform has accepted all changes of the list of endpoints. Returns whether it
     /// did within `bound`.
-    pub async fn listed(&self, bound: Duration) -> bool {
+    pub async fn wait_listed(&self, bound: Duration) -> bool {
         self.registry.wait_written(bound).await
     }
 
--- a/crates/chervilshunt_standin/tests/fleet.rs
+++ b/crates/chervilshunt_standin/tests/fleet.rs
@@ -22,7 +22,7 @@
         fleet.targets().keys().collect::<Vec<_>>(),
         ["desk-1", "engine-1", "engine-2"]
     );
-    assert!(fleet.listed(BOUND).await);
+    assert!(fleet.wait_listed(BOUND).await);
 
     fleet
         .set_faults("engine-1", json!({"load_fails": 0.5}))
