--- a/crates/chervilshunt_standin/src/fleet/promise.rs
+++ b/crates/chervilshunt_standin/src/fleet/promise.rs
@@ -112,12 +112,12 @@
     pub fn check(&mut self, promise: Promise, held: bool, finding: impl FnOnce() -> String) {
         self.checked(promise, 1);
         if !held {
-            self.broken(promise, finding());
+            self.record_violation(promise, finding());
         }
     }
 
     /// Records a violation of a guarantee.
-    pub fn broken(&mut self, promise: Promise, finding: String) {
+    pub fn record_violation(&mut self, promise: Promise, finding: String) {
         self.violations.push((promise, finding));
     }
 
@@ -155,7 +155,7 @@
         } in settle(&records, &runs)
         {
             let promise = Promise::broken_by(violation.kind);
-            self.broken(promise, format!("{request_id}: {violation}"));
+            self.record_violation(promise, format!("{request_id}: {violation}"));
         }
         for (name, target) in fleet.targets() {
             if target.kind == TargetKind::Engine {
@@ -189,7 +189,7 @@
         let while_serving = stats["unloads_while_serving"].as_u64().unwrap_or_default();
         if while_serving > 0 {
             let finding = format!("{target} unloaded {while_serving} adapters that were in use");
-            self.broken(Promise::NoEvictionInUse, finding);
+            self.record_violation(Promise::NoEvictionInUse, finding);
         }
     }
 
@@ -207,7 +207,7 @@
         let carried_out = count("stale_orders") - count("fenced_orders");
         if carried_out > 0 {
             let finding = format!("{target} executed {carried_out} orders of a superseded owner");
-            self.broken(Promise::NoEvictionInUse, finding);
+            self.record_violation(Promise::NoEvictionInUse, finding);
         }
     }
 
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -245,7 +245,8 @@
         let broken = at_instance.filter(|one| was_cut(&one.record.verdict));
         for one in broken {
             let finding = format!("at {id}: {}", describe(&one.record.verdict));
-            self.evidence.broken(Promise::GracefulShutdown, finding);
+            self.evidence
+                .record_violation(Promise::GracefulShutdown, finding);
         }
         Ok(())
     }
