--- a/crates/chervilshunt_standin/src/fleet/promise.rs
+++ b/crates/chervilshunt_standin/src/fleet/promise.rs
@@ -104,13 +104,13 @@
 
 impl Evidence {
     /// Adds to the number of checks of a guarantee.
-    pub fn checked(&mut self, promise: Promise, times: u64) {
+    pub fn add_checks(&mut self, promise: Promise, times: u64) {
         *self.checks.entry(promise).or_default() += times;
     }
 
     /// Counts one check, and records the finding if the check failed.
     pub fn check(&mut self, promise: Promise, held: bool, finding: impl FnOnce() -> String) {
-        self.checked(promise, 1);
+        self.add_checks(promise, 1);
         if !held {
             self.record_violation(promise, finding());
         }
@@ -171,21 +171,21 @@
         for record in records {
             match &record.verdict {
                 Verdict::Answered(_) => {
-                    self.checked(Promise::WholeOwnAnswer, 1);
+                    self.add_checks(Promise::WholeOwnAnswer, 1);
                     let served = matches!(record.plan.call, Call::Completion(_));
-                    self.checked(Promise::RightVersion, u64::from(served));
+                    self.add_checks(Promise::RightVersion, u64::from(served));
                 }
-                Verdict::Refused(_) => self.checked(Promise::TrueRefusals, 1),
+                Verdict::Refused(_) => self.add_checks(Promise::TrueRefusals, 1),
                 Verdict::Disconnected { .. } | Verdict::Violated(_) => {}
             }
             let once = record.plan.runs_at_most_once();
-            self.checked(Promise::AtMostOnce, u64::from(once));
+            self.add_checks(Promise::AtMostOnce, u64::from(once));
         }
     }
 
     fn count_evictions(&mut self, target: &str, stats: &Value) {
         let unloads = stats["unloads"].as_u64().unwrap_or_default();
-        self.checked(Promise::NoEvictionInUse, unloads);
+        self.add_checks(Promise::NoEvictionInUse, unloads);
         let while_serving = stats["unloads_while_serving"].as_u64().unwrap_or_default();
         if while_serving > 0 {
             let finding = format!("{target} unloaded {while_serving} adapters that were in use");
@@ -200,7 +200,7 @@
     /// always detect it.
     fn count_orders(&mut self, target: &str, stats: &Value) {
         let count = |name: &str| stats[name].as_u64().unwrap_or_default();
-        self.checked(
+        self.add_checks(
             Promise::NoEvictionInUse,
             count("load_orders") + count("unload_orders"),
         );
