--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -163,7 +163,7 @@
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
             let req = RequestPlan {
                 to: address,
-                patience: PATIENCE,
+                timeout: PATIENCE,
                 ..req
             };
             let sent = load.spawn(&id, req);
--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -74,7 +74,7 @@
     let name = std::sync::Arc::clone(&req.request_id);
     let req = RequestPlan {
         to: address,
-        patience: PATIENCE,
+        timeout: PATIENCE,
         ..req
     };
     let verdict = load.send(id, req).await;
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -105,7 +105,7 @@
                 .collect(),
             long_percent: LONG_PERCENT,
             max_attempts: TRIES,
-            patience: PATIENCE,
+            timeout: PATIENCE,
         };
         let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
--- a/crates/chervilshunt_bench/src/load/mix.rs
+++ b/crates/chervilshunt_bench/src/load/mix.rs
@@ -58,7 +58,7 @@
                 Class::Live
             },
             deadline: if deferrable { None } else { plan.deadline },
-            patience: plan.patience,
+            timeout: plan.patience,
         }
     }
 
--- a/crates/chervilshunt_bench/src/load/streams.rs
+++ b/crates/chervilshunt_bench/src/load/streams.rs
@@ -139,7 +139,7 @@
         class: Class::Live,
         key: None,
         deadline: Some(patience),
-        patience,
+        timeout: patience,
     }
 }
 
--- a/crates/chervilshunt_bench/src/load/summary/tests.rs
+++ b/crates/chervilshunt_bench/src/load/summary/tests.rs
@@ -38,7 +38,7 @@
         class: Class::Live,
         key: None,
         deadline: None,
-        patience: Duration::from_secs(1),
+        timeout: Duration::from_secs(1),
     };
     let record = Record {
         plan,
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -61,7 +61,7 @@
             seed: 1,
             models: models.collect(),
             max_attempts: TRIES,
-            patience: PATIENCE,
+            timeout: PATIENCE,
         };
         let load = Load::start(load_options, fleet.ready_instances());
         Self {
@@ -101,7 +101,7 @@
         let instance = self.fleet.instance(id).unwrap();
         RequestPlan {
             to: instance.callers(),
-            patience: PATIENCE,
+            timeout: PATIENCE,
             ..req
         }
     }
--- a/crates/chervilshunt_standin/src/check/client.rs
+++ b/crates/chervilshunt_standin/src/check/client.rs
@@ -82,7 +82,7 @@
             timing: &mut timing,
         };
         let checked = exchange.run(&self.inner, request(&plan));
-        let verdict = match tokio::time::timeout(plan.patience, checked).await {
+        let verdict = match tokio::time::timeout(plan.timeout, checked).await {
             Ok(Ok(verdict)) => verdict,
             Ok(Err(Failure::Violation(violation))) => Verdict::Violated(violation),
             Ok(Err(Failure::Disconnected { sent, detail })) => {
@@ -90,7 +90,7 @@
             }
             Err(_) => Verdict::Violated(Violation::new(
                 ViolationKind::Overdue,
-                format!("response not complete within {:?}", plan.patience),
+                format!("response not complete within {:?}", plan.timeout),
             )),
         };
         timing.total = start.elapsed();
--- a/crates/chervilshunt_standin/src/check/plan.rs
+++ b/crates/chervilshunt_standin/src/check/plan.rs
@@ -25,7 +25,7 @@
     /// The requested deadline. `None` leaves it to the service's default.
     pub deadline: Option<Duration>,
     /// The client's timeout: a response that is not complete by then counts as overdue.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 impl RequestPlan {
--- a/crates/chervilshunt_standin/src/fleet/load.rs
+++ b/crates/chervilshunt_standin/src/fleet/load.rs
@@ -57,7 +57,7 @@
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
     /// The client's timeout for one complete response.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// One attempt of a request, with its result.
@@ -273,7 +273,7 @@
         75..87 => entry(&id, true),
         _ => entry(&id, false),
     };
-    req.patience = options.patience;
+    req.timeout = options.timeout;
     req
 }
 
@@ -315,7 +315,7 @@
         class: Class::Live,
         key: None,
         deadline: None,
-        patience: Duration::from_secs(30),
+        timeout: Duration::from_secs(30),
     }
 }
 
--- a/crates/chervilshunt_standin/src/quickstart/script.rs
+++ b/crates/chervilshunt_standin/src/quickstart/script.rs
@@ -56,7 +56,7 @@
 const TRIES: u32 = 5;
 
 /// The client's timeout for one complete response.
-const PATIENCE: Duration = Duration::from_secs(40);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The state of a quickstart run: a deployment under load and the results so far.
 #[derive(Debug)]
@@ -90,7 +90,7 @@
             seed: options.seed,
             models: models.collect(),
             max_attempts: TRIES,
-            patience: PATIENCE,
+            timeout: RESPONSE_TIMEOUT,
         };
         let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
--- a/crates/chervilshunt_standin/tests/check.rs
+++ b/crates/chervilshunt_standin/tests/check.rs
@@ -35,7 +35,7 @@
         class: Class::Live,
         key: None,
         deadline: None,
-        patience: Duration::from_secs(20),
+        timeout: Duration::from_secs(20),
     }
 }
 
