--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -104,10 +104,10 @@
                 .map(|number| model_name(number).into())
                 .collect(),
             long_percent: LONG_PERCENT,
-            tries: TRIES,
-            patience: PATIENCE,
+            max_attempts: TRIES,
+            timeout: PATIENCE,
         };
-        let load = Load::start(load_options, fleet.balanced());
+        let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
             fleet,
             load,
@@ -136,7 +136,7 @@
         let open = self.load.open();
         let finding = || format!("{open} requests had no end {END_BOUND:?} after the last fault");
         self.evidence.check(Promise::WholeOwnAnswer, ended, finding);
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await?;
         Ok(Report::new(
             options,
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -5,8 +5,8 @@
 
 use chervilshunt_standin::check::{Api, RequestPlan, Verdict};
 use chervilshunt_standin::fleet::{
-    Evidence, Fleet, FleetOptions, Load, LoadOptions, Promise, Try, completion, describe, entry,
-    model_name, wait_until,
+    Attempt, Evidence, Fleet, FleetOptions, Load, LoadOptions, Promise, completion, describe,
+    entry, model_name, wait_until,
 };
 use serde_json::{Value, json};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
@@ -60,10 +60,10 @@
             rate,
             seed: 1,
             models: models.collect(),
-            tries: TRIES,
-            patience: PATIENCE,
+            max_attempts: TRIES,
+            timeout: PATIENCE,
         };
-        let load = Load::start(load_options, fleet.balanced());
+        let load = Load::start(load_options, fleet.ready_instances());
         Self {
             fleet,
             load,
@@ -101,7 +101,7 @@
         let instance = self.fleet.instance(id).unwrap();
         RequestPlan {
             to: instance.callers(),
-            patience: PATIENCE,
+            timeout: PATIENCE,
             ..req
         }
     }
@@ -160,7 +160,7 @@
 
     /// Returns an instance that is none of these.
     pub(crate) fn another(&self, but: &[&str]) -> String {
-        let mut ids = self.fleet.balanced().into_iter().map(|(id, _)| id);
+        let mut ids = self.fleet.ready_instances().into_iter().map(|(id, _)| id);
         ids.find(|id| !but.contains(&id.as_str()))
             .expect("an instance is left")
     }
@@ -188,10 +188,10 @@
     }
 
     /// Ends the load, checks every promise, and returns all tries.
-    pub(crate) async fn finish(mut self) -> Vec<Try> {
+    pub(crate) async fn finish(mut self) -> Vec<Attempt> {
         let ended = self.load.stop(PATIENCE * 2).await;
         assert!(ended, "{} requests have no end", self.load.open());
-        let tries = self.load.tries();
+        let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await.unwrap();
         let broken: Vec<_> = self.evidence.violations().iter().take(10).collect();
         assert!(broken.is_empty(), "promises were broken: {broken:#?}");
@@ -229,7 +229,7 @@
 }
 
 /// Returns the last tries that were not answered, in words.
-pub(crate) fn unanswered(tries: &[Try]) -> Vec<String> {
+pub(crate) fn unanswered(tries: &[Attempt]) -> Vec<String> {
     let last = tries
         .iter()
         .filter(|one| one.last && !answered(&one.record.verdict));
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -78,7 +78,7 @@
         case.fleet.freeze(&entry).unwrap();
     }
     case.fleet.kill(&holder).await.unwrap();
-    let mut left = case.fleet.balanced();
+    let mut left = case.fleet.ready_instances();
     left.retain(|(id, _)| *id != entry || !entry_paused);
     case.load.set_instances(left);
     case.owner(&witness, "engine-1", Some(&holder)).await;
@@ -146,5 +146,5 @@
         let refused = case.count(engine, "fenced_orders").await;
         assert_eq!(stale, refused, "{engine} obeyed an order of an old epoch");
     }
-    assert!(case.fleet.listed(BOUND).await);
+    assert!(case.fleet.wait_listed(BOUND).await);
 }
--- a/crates/chervilshunt_standin/src/fleet/wait.rs
+++ b/crates/chervilshunt_standin/src/fleet/wait.rs
@@ -1,29 +1,29 @@
-//! Bounded waits.
+//! Polling with a time limit.
 
 use std::future::Future;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long to wait between two looks.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval between two polls.
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks again and again until `look` finds something, for at most `bound`.
+/// Polls `poll` until it returns a value, for at most `bound`.
 ///
-/// Returns nothing if the time ran out.
-pub async fn wait_until<T, F, Fut>(bound: Duration, mut look: F) -> Option<T>
+/// Returns `None` if the time limit is exceeded.
+pub async fn wait_until<T, F, Fut>(bound: Duration, mut poll: F) -> Option<T>
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = Option<T>>,
 {
     let end = Instant::now() + bound;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return Some(found);
         }
         if Instant::now() >= end {
             return None;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/chervilshunt_standin/tests/registry.rs
+++ b/crates/chervilshunt_standin/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The instance list that the harness keeps, as the platform's stand-in shows it.
+//! The list of endpoints that the harness maintains, as served by the platform stand-in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -45,9 +45,9 @@
     let platform = start_platform(PlatformOptions::default()).await.unwrap();
     let registry = Registry::start(platform.address(), "test");
     registry.set(&endpoint(Condition::Ready));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     registry.set(&endpoint(condition));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
 
     let slices = items(platform.address()).await;
     assert_eq!(slices.len(), 1);
@@ -59,12 +59,13 @@
     );
 
     registry.remove(&endpoint(condition));
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     assert!(items(platform.address()).await.is_empty());
 }
 
-/// The platform is down when an instance leaves. The list has to say so once it is up again, else
-/// a test would see an instance get work for another reason than the one it looks for.
+/// A change made while the platform is down must be written once it is up again. Otherwise the list
+/// is outdated, and a fault test sees an instance receive requests because of the harness rather
+/// than because of the system.
 #[tokio::test]
 async fn a_change_during_an_outage_is_written_after_it() {
     let platform = start_platform(PlatformOptions::default()).await.unwrap();
@@ -79,9 +80,9 @@
     };
     throw("unavailable").await;
     registry.set(&endpoint(Condition::Ready));
-    assert!(!registry.settled(Duration::from_millis(500)).await);
+    assert!(!registry.wait_written(Duration::from_millis(500)).await);
 
     throw("no").await;
-    assert!(registry.settled(BOUND).await);
+    assert!(registry.wait_written(BOUND).await);
     assert_eq!(items(platform.address()).await.len(), 1);
 }
