--- a/crates/chervilshunt_bench/src/policy/mod.rs
+++ b/crates/chervilshunt_bench/src/policy/mod.rs
@@ -1,7 +1,8 @@
-//! The policy bench: the decisions of `chervilshunt_core` alone, in virtual time.
+//! The policy bench: a simulator that runs the decision logic of `chervilshunt_core` in virtual
+//! time.
 //!
-//! A fake engine and a fake weight store stand round it. No instances and no network are modelled,
-//! but for a short fixed delay of each message; see `docs/design/bench.md`.
+//! Engines and the weight store are simulated. Instances and the network are not modelled, except
+//! for a short fixed delay of each message; see `docs/design/bench.md`.
 
 mod aims;
 mod args;
