--- a/crates/chervilshunt_bench/src/policy/power.rs
+++ b/crates/chervilshunt_bench/src/policy/power.rs
@@ -1,27 +1,29 @@
-//! The meter of a site: what all engines draw at each step, against the cap in force.
+//! The power meter of a site: checks the power drawn by all engines against the cap.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// How long after a cut the old cap is still in force.
+/// How long the previous, higher cap still applies after the cap is lowered.
 ///
-/// No stream is cut off, so power falls as streams end: the longest answer has 1,024 tokens at a
-/// full batch's 34 ms a step, and its permit may have been granted just before the cut.
+/// Running streams are not cancelled, so power falls only as they end. The longest answer has
+/// 1,024 tokens at 34 ms per step of a full batch, and its permit may have been granted just before
+/// the cap was lowered.
 pub(crate) const CUT_GRACE: Duration = Duration::from_secs(45);
-/// Watts that rounding of sums may amount to.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for floating-point rounding when the draws are summed, in watts.
+const ROUNDING_WATTS: f64 = 1e-6;
 
-/// The meter of a site.
+/// Tracks the power drawn by the engines of a site and counts steps that exceed the cap.
 #[derive(Debug)]
 pub(crate) struct PowerMeter {
     draws: Vec<f64>,
     cap: f64,
     previous_cap: f64,
     cap_since: Moment,
-    /// Steps that began with more power in use than the cap in force.
+    /// Number of steps that began while the site drew more than the cap in force.
     pub(crate) exceeded_steps: u64,
-    /// How long after the last cut the new cap was last exceeded.
+    /// Time from the last lowering of the cap until the draw last exceeded it; `None` if the cap was
+    /// never lowered.
     pub(crate) settled_after: Option<Duration>,
 }
 
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Changes the cap.
+    /// Changes the cap, in watts.
     pub(crate) fn set_cap(&mut self, cap: f64, now: Moment) {
         self.previous_cap = self.cap;
         self.cap = cap;
@@ -47,16 +49,19 @@
         }
     }
 
-    /// Returns the cap as operators set it last.
+    /// Returns the cap that operators set last, in watts, even while the previous one still applies.
     pub(crate) const fn cap(&self) -> f64 {
         self.cap
     }
 
-    /// Notes what an engine draws from now on; a step that begins is checked against the cap.
+    /// Records what an engine draws from now on, in watts.
+    ///
+    /// A positive draw marks the start of a step, for which the total is checked against the cap in
+    /// force.
     pub(crate) fn set_draw(&mut self, engine: usize, watts: f64, now: Moment) {
         self.draws[engine] = watts;
-        let drawn = self.draws.iter().sum::<f64>() - ROUNDING;
-        if watts > 0.0 && drawn > self.in_force(now) {
+        let drawn = self.draws.iter().sum::<f64>() - ROUNDING_WATTS;
+        if watts > 0.0 && drawn > self.cap_in_force(now) {
             self.exceeded_steps += 1;
         }
         if self.cap < self.previous_cap && drawn > self.cap {
@@ -64,7 +69,7 @@
         }
     }
 
-    fn in_force(&self, now: Moment) -> f64 {
+    fn cap_in_force(&self, now: Moment) -> f64 {
         if now.since(self.cap_since) < CUT_GRACE {
             self.cap.max(self.previous_cap)
         } else {
