--- a/crates/chervilshunt_bench/src/policy/queue.rs
+++ b/crates/chervilshunt_bench/src/policy/queue.rs
@@ -1,11 +1,13 @@
-//! The queue of coming events, by time and then in the order in which they were pushed.
+//! The queue of scheduled events, ordered by time and then by insertion.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
 use chervilshunt_model::Moment;
 
-/// Events by time; two at the same time come out as they went in, so that a run has one outcome.
+/// A priority queue of events by time.
+///
+/// Events at the same time are popped in insertion order, which keeps runs deterministic.
 #[derive(Debug)]
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
@@ -20,7 +22,7 @@
         }
     }
 
-    /// Adds an event.
+    /// Schedules an event.
     pub(crate) fn push(&mut self, at: Moment, event: E) {
         self.pushed += 1;
         self.heap.push(Reverse(Entry {
@@ -30,7 +32,7 @@
         }));
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the earliest event with its time.
     pub(crate) fn pop(&mut self) -> Option<(Moment, E)> {
         let Reverse(entry) = self.heap.pop()?;
         Some((entry.at, entry.event))
