--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! What became of each request of a trace, with the time that it waited and was stalled.
+//! The state of each request of a trace, with the time for which it waited and was stalled.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,46 +7,48 @@
 
 use super::workload::{Trace, TraceRequest};
 
-/// How far a request has come.
+/// The phase of a request's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It has not arrived.
+    /// The request has not arrived yet.
     Coming,
-    /// It waits for leave to be sent to a target.
+    /// The request waits for permission to be sent to a target.
     Waiting,
-    /// Its call is open or on its way.
+    /// The call to the target is open or in transit.
     Called,
-    /// It is over.
+    /// The request was answered or failed.
     Done,
 }
 
-/// A request during a run.
+/// The state of one request during a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestState {
-    /// How far it has come.
+    /// The current phase.
     pub(crate) phase: Phase,
-    /// Since when its caller has waited.
+    /// The time since which its caller has been waiting.
     pub(crate) since: Moment,
-    /// The target that it waits at.
+    /// The target at which it waits.
     pub(crate) target: Option<usize>,
-    /// When the first step with it began.
+    /// The start of the first step that included it.
     pub(crate) started: Option<Moment>,
-    /// When it ended without an answer.
+    /// The time at which it failed without an answer.
     pub(crate) failed: Option<Moment>,
-    /// How long it was stalled, up to `stalled_since`.
+    /// Total stalled time, without the stall in progress since `stalled_since`.
     pub(crate) stalled: Duration,
-    /// How often it was refused.
+    /// Number of refusals.
     pub(crate) refusals: u32,
-    /// How long it waited outside every queue after refusals, up to `refused_since`.
+    /// Total time spent outside every queue after refusals, without the time since
+    /// `refused_since`.
     pub(crate) refused: Duration,
     stalled_since: Option<Moment>,
     refused_since: Option<Moment>,
 }
 
-/// All requests of a run, and what each of them waits for.
+/// All requests of a run and the adapters for which they wait.
 ///
-/// A live request is stalled while it waits at a target that does not hold its adapter; a
-/// deferrable one only while that target loads the adapter or has asked to.
+/// A live request is stalled while it waits at a target that does not hold its adapter. A
+/// deferrable request is stalled only while that target is loading the adapter or has requested to
+/// load it.
 #[derive(Debug)]
 pub(crate) struct Requests {
     states: Vec<RequestState>,
@@ -86,19 +88,21 @@
         &self.states[request as usize]
     }
 
-    /// Returns all states, in the order of the trace.
+    /// Returns the states of all requests, in the order of the trace.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.states.iter()
     }
 
-    /// Notes that a request arrived.
+    /// Records the arrival of a request.
     pub(crate) fn arrive(&mut self, request: u32, now: Moment) {
         let state = &mut self.states[request as usize];
         state.phase = Phase::Waiting;
         state.since = now;
     }
 
-    /// Notes that a request's call failed: it waits again, and from now on if it had begun.
+    /// Records that the call of a request failed, so that the request waits again.
+    ///
+    /// If a step had already included the request, its waiting time restarts now.
     pub(crate) fn arrive_again(&mut self, request: u32, now: Moment) {
         let state = &mut self.states[request as usize];
         state.phase = Phase::Waiting;
@@ -107,15 +111,17 @@
         }
     }
 
-    /// Notes that a request was refused: it goes on counting as waiting at the target that refused
-    /// it until it asks again, so that a refusal ends no stall.
+    /// Records that a request was refused.
+    ///
+    /// Until its next try it still counts as waiting at the target that refused it, so that a
+    /// refusal does not end a stall.
     pub(crate) fn refuse(&mut self, request: u32, now: Moment) {
         let state = &mut self.states[request as usize];
         state.refusals += 1;
         state.refused_since.get_or_insert(now);
     }
 
-    /// Notes the target that a request waits at.
+    /// Records the target at which a request waits.
     pub(crate) fn assign(&mut self, request: u32, req: &TraceRequest, target: usize, now: Moment) {
         self.unassign(request, req, now);
         self.states[request as usize].target = Some(target);
@@ -129,24 +135,24 @@
         }
     }
 
-    /// Notes that a request has leave, or is over.
+    /// Records that a request no longer waits at a target and moves it to `phase`.
     pub(crate) fn leave(&mut self, request: u32, req: &TraceRequest, phase: Phase, now: Moment) {
         self.unassign(request, req, now);
         self.states[request as usize].phase = phase;
     }
 
-    /// Notes that a request ended without an answer.
+    /// Records that a request ended without an answer.
     pub(crate) fn fail(&mut self, request: u32, req: &TraceRequest, now: Moment) {
         self.leave(request, req, Phase::Done, now);
         self.states[request as usize].failed = Some(now);
     }
 
-    /// Notes that the first step with a request began.
+    /// Records the start of the first step that includes a request.
     pub(crate) fn start(&mut self, request: u32, now: Moment) {
         self.states[request as usize].started = Some(now);
     }
 
-    /// Notes whether a target holds an adapter ready.
+    /// Records whether a target has an adapter loaded and ready.
     pub(crate) fn set_ready(
         &mut self,
         trace: &Trace,
@@ -159,7 +165,7 @@
         self.refresh(trace, target, adapter, now);
     }
 
-    /// Notes whether a target loads an adapter or has asked to.
+    /// Records whether a target is loading an adapter or has requested to load it.
     pub(crate) fn set_asked(
         &mut self,
         trace: &Trace,
@@ -172,7 +178,7 @@
         self.refresh(trace, target, adapter, now);
     }
 
-    /// Adds what is still being waited for to each request's stalled time.
+    /// Ends all stalls and refusals in progress at `now`, adding them to each request's totals.
     pub(crate) fn close(&mut self, now: Moment) {
         for state in &mut self.states {
             state.end_stall(now);
