--- a/crates/chervilshunt_bench/src/policy/run.rs
+++ b/crates/chervilshunt_bench/src/policy/run.rs
@@ -1,4 +1,4 @@
-//! One run of one policy.
+//! The policies, and single runs of them.
 
 use chervilshunt_core::{Mechanisms, PolicyWeights};
 
@@ -11,43 +11,46 @@
 use super::world::World;
 use super::{clairvoyant, informed};
 
-/// What decides.
+/// A policy that decides about placement and dispatch, or a bound to compare policies with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The product.
+    /// The decision logic of `chervilshunt_core` with all mechanisms.
     Chervilshunt,
-    /// Least recently used eviction, least outstanding holder, first come first served.
+    /// The baseline: least-recently-used eviction, dispatch to the holder with the fewest outstanding
+    /// requests, first come first served.
     Lru,
-    /// The same, but the target is the least outstanding one whatever it holds.
+    /// Like `Lru`, but dispatches to the target with the fewest outstanding requests, whichever
+    /// adapters it holds.
     LeastOutstanding,
-    /// The same, but the target is the one that the adapter's hash names.
+    /// Like `Lru`, but the adapter's hash selects the target.
     Static,
-    /// A lower bound on stalls, from knowing the trace.
+    /// A lower bound on stalls, computed with knowledge of the whole trace.
     Clairvoyant,
-    /// A lower bound on stalls, from knowing how popular each adapter is but not the trace.
+    /// A lower bound on stalls, computed with knowledge of each adapter's popularity but not of the
+    /// trace.
     Informed,
-    /// The product with one mechanism switched off.
+    /// The decision logic of `chervilshunt_core` with one mechanism switched off.
     Without(Mechanism),
 }
 
-/// A mechanism that can be switched off.
+/// A mechanism of `chervilshunt_core` that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mechanism {
-    /// Holding an adapter on several targets.
+    /// Replication of an adapter on several targets.
     Spread,
-    /// Eviction by the expected cost of loading again.
+    /// Eviction by the expected cost of reloading.
     CostEviction,
-    /// Turns to load by urgency.
+    /// Ordering of loads by urgency.
     Urgency,
-    /// Sharing permits between callers.
+    /// Fair sharing of permits between callers.
     Fairness,
-    /// Filling batches with deferrable work.
+    /// Filling up batches with deferrable work.
     Fill,
     /// Affinity to cached prefixes.
     Prefix,
-    /// Loads ahead of demand.
+    /// Loading adapters ahead of demand.
     Ahead,
-    /// Spare power to few targets.
+    /// Concentration of spare power on few targets.
     Packing,
 }
 
@@ -96,7 +99,7 @@
     }
 }
 
-/// What one run is of.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunSpec {
     /// The deployment.
@@ -105,13 +108,13 @@
     pub policy: Policy,
     /// The scenario.
     pub scenario: Scenario,
-    /// The seed of everything random.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Virtual seconds; the scenario's usual length if none.
+    /// Length of the run in virtual seconds; the scenario's default if `None`.
     pub seconds: Option<u64>,
-    /// By how much the rates of all requests are multiplied.
+    /// Factor by which all request rates are multiplied.
     pub load: f64,
-    /// What is minded most; the deployment's own weights if none.
+    /// Weights of the policy's goals; the deployment's own weights if `None`.
     pub weights: Option<PolicyWeights>,
 }
 
@@ -126,13 +129,15 @@
     }
 }
 
-/// Runs one policy in virtual time.
+/// Runs one policy in virtual time and returns its report.
 pub fn run_policy(spec: RunSpec) -> Report {
     run_timeline(spec).0
 }
 
-/// Runs one policy in virtual time and tells also what happened in each minute, as
-/// comma-separated values; a bound has none.
+/// Runs one policy in virtual time and returns its report with a per-minute timeline as
+/// comma-separated values.
+///
+/// The timeline of a bound is empty.
 pub fn run_timeline(spec: RunSpec) -> (Report, String) {
     let seconds = spec.seconds.unwrap_or(spec.scenario.usual_seconds());
     let schedule = Schedule::new(seconds);
