--- a/crates/chervilshunt_bench/src/policy/scenario.rs
+++ b/crates/chervilshunt_bench/src/policy/scenario.rs
@@ -1,39 +1,40 @@
-//! What happens to a deployment during a run.
+//! The scenarios: workload patterns and disturbances of a deployment during a run.
 
 use chervilshunt_model::Moment;
 
-/// When measuring begins, as a part of the run.
+/// Start of the measurement, as a fraction of the run.
 ///
-/// Engines start empty, and filling them at the store's rate takes up to eight minutes; what that
-/// costs is the matter of scenario `restart` alone.
-const WARM_UP_PART: f64 = 1.0 / 3.0;
-/// When the disturbance begins.
-const START_PART: f64 = 0.45;
-/// When the disturbance ends.
-const END_PART: f64 = 0.65;
-/// Length of a run where the scenario doesn't need a longer one, in seconds.
-const USUAL_SECONDS: u64 = 1_800;
-/// The hour within which adapters wake and sleep, and the warm-up before it, in seconds.
+/// Engines start empty, and filling them at the store's rate takes up to eight minutes. Only
+/// scenario `restart` measures the cost of that.
+const WARM_UP_FRACTION: f64 = 1.0 / 3.0;
+/// Start of the disturbance, as a fraction of the run.
+const START_FRACTION: f64 = 0.45;
+/// End of the disturbance, as a fraction of the run.
+const END_FRACTION: f64 = 0.65;
+/// Default length of a run, in seconds.
+const DEFAULT_SECONDS: u64 = 1_800;
+/// Default length of scenario `wake` in seconds: a warm-up of half an hour, then the hour within
+/// which adapters become active or idle.
 const WAKE_SECONDS: u64 = 5_400;
 
-/// One kind of day.
+/// A workload pattern or disturbance that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Scenario {
-    /// Nothing but skewed popularity.
+    /// Constant rates with skewed popularity, without disturbance.
     Steady,
-    /// Popularity moves to other adapters within two minutes, as after a night.
+    /// Popularity moves to other adapters within two minutes, as at the start of a working day.
     Shift,
-    /// 32% of the adapters wake up or fall asleep within an hour.
+    /// 32% of the adapters become active or idle within an hour.
     Wake,
     /// All engines restart at once and come back empty.
     Restart,
     /// Half of the loads fail.
     LoadFailures,
-    /// The power cap is cut by a third at a peak of live work.
+    /// The power cap is lowered by a third during a peak of live work.
     CapCut,
-    /// One caller queues deferrable work far beyond what can be run.
+    /// One caller submits far more deferrable work than the engines can run.
     DeferrableFlood,
-    /// One adapter gets as much live work again as half of all others.
+    /// One adapter gets additional live work, half as much as the live work of all adapters.
     AdapterFlood,
 }
 
@@ -71,7 +72,7 @@
             .find(|scenario| scenario.as_str() == text)
     }
 
-    /// Returns how long a run lasts unless the command line says otherwise, in seconds.
+    /// Returns the default length of a run, in seconds.
     pub(crate) const fn usual_seconds(self) -> u64 {
         match self {
             Self::Wake => WAKE_SECONDS,
@@ -81,32 +82,32 @@
             | Self::LoadFailures
             | Self::CapCut
             | Self::DeferrableFlood
-            | Self::AdapterFlood => USUAL_SECONDS,
+            | Self::AdapterFlood => DEFAULT_SECONDS,
         }
     }
 }
 
-/// The points in time of one run.
+/// The phases of one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
-    /// Measuring begins.
+    /// End of the warm-up and start of the measurement.
     pub(crate) warm: Moment,
-    /// The disturbance begins.
+    /// Start of the disturbance.
     pub(crate) start: Moment,
-    /// The disturbance ends.
+    /// End of the disturbance.
     pub(crate) end: Moment,
-    /// The run ends.
+    /// End of the run.
     pub(crate) stop: Moment,
 }
 
 impl Schedule {
-    /// Divides a run of `seconds`.
+    /// Divides a run of `seconds` into its phases.
     pub(crate) fn new(seconds: u64) -> Self {
         let at = |part: f64| Moment::from_millis((seconds as f64 * 1e3 * part) as u64);
         Self {
-            warm: at(WARM_UP_PART),
-            start: at(START_PART),
-            end: at(END_PART),
+            warm: at(WARM_UP_FRACTION),
+            start: at(START_FRACTION),
+            end: at(END_FRACTION),
             stop: at(1.0),
         }
     }
