--- a/crates/chervilshunt_bench/src/policy/store.rs
+++ b/crates/chervilshunt_bench/src/policy/store.rs
@@ -1,23 +1,24 @@
-//! A fake weight store: loads share its rate, and few of them at a time run at full speed.
+//! A simulated weight store with a total load rate that concurrent loads share.
 
 use std::time::Duration;
 
 use chervilshunt_model::Moment;
 
-/// A load in progress.
+/// Identifies a load in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LoadKey {
-    /// The engine that loads.
+    /// The engine that loads the adapter.
     pub(crate) engine: usize,
     /// The adapter.
     pub(crate) adapter: u32,
-    /// The engine's generation: a restart makes the load void.
+    /// The engine's generation at the start of the load; a restart invalidates the load.
     pub(crate) generation: u64,
 }
 
-/// A fake weight store.
+/// A simulated weight store.
 ///
-/// Its total rate stays the same however many loads run; beyond `concurrency` each gets slower.
+/// Up to `concurrency` loads run at full speed, each with an equal part of the total rate. With
+/// more loads the total rate stays the same and each load gets slower.
 #[derive(Debug)]
 pub(crate) struct WeightStore {
     loads_per_second: f64,
@@ -30,15 +31,15 @@
 #[derive(Debug)]
 struct Load {
     key: LoadKey,
-    /// What is left to be read, as a part of one adapter.
+    /// The part that is still to be read, as a fraction of one adapter.
     left: f64,
     fails: bool,
 }
 
-/// Work that is too small to be told from none; it stands for the rounding of float sums.
-const NOTHING_LEFT: f64 = 1e-6;
-/// How much of an adapter a load that fails reads.
-const FAILED_PART: f64 = 0.5;
+/// Remaining fraction below which a load counts as finished, to absorb floating-point rounding.
+const FINISHED_TOLERANCE: f64 = 1e-6;
+/// The fraction of an adapter that a failing load reads before it fails.
+const FAILED_LOAD_FRACTION: f64 = 0.5;
 
 impl WeightStore {
     pub(crate) const fn new(loads_per_second: f64, concurrency: u32) -> Self {
@@ -51,25 +52,25 @@
         }
     }
 
-    /// Begins a load.
+    /// Begins a load, which is going to fail if `fails` is set.
     pub(crate) fn begin(&mut self, key: LoadKey, fails: bool, now: Moment) {
         self.advance(now);
-        let left = if fails { FAILED_PART } else { 1.0 };
+        let left = if fails { FAILED_LOAD_FRACTION } else { 1.0 };
         self.loads.push(Load { key, left, fails });
     }
 
-    /// Drops the loads of an engine that went down.
+    /// Cancels the loads of an engine that went down.
     pub(crate) fn drop_engine(&mut self, engine: usize, now: Moment) {
         self.advance(now);
         self.loads.retain(|load| load.key.engine != engine);
     }
 
-    /// Takes out the loads that are over, each with whether it succeeded.
+    /// Removes and returns the finished loads, each with whether it succeeded.
     pub(crate) fn ended(&mut self, now: Moment) -> Vec<(LoadKey, bool)> {
         self.advance(now);
         let mut ended = Vec::new();
         self.loads.retain(|load| {
-            let over = load.left <= NOTHING_LEFT;
+            let over = load.left <= FINISHED_TOLERANCE;
             if over {
                 ended.push((load.key, !load.fails));
             }
@@ -78,7 +79,8 @@
         ended
     }
 
-    /// Returns when the next load ends, with a number by which a stale answer is known.
+    /// Returns the time at which the next load ends, with a generation number that tells whether this
+    /// prediction is still current.
     pub(crate) fn next_end(&mut self) -> Option<(Moment, u64)> {
         self.generation += 1;
         let least = self.loads.iter().map(|load| load.left).reduce(f64::min)?;
@@ -86,7 +88,7 @@
         Some((self.advanced + wait, self.generation))
     }
 
-    /// Says whether an answer of [`Self::next_end`] is the last one.
+    /// Returns whether `generation` is that of the latest prediction of [`Self::next_end`].
     pub(crate) const fn is_current(&self, generation: u64) -> bool {
         self.generation == generation
     }
