--- a/crates/chervilshunt_bench/src/policy/summary.rs
+++ b/crates/chervilshunt_bench/src/policy/summary.rs
@@ -1,4 +1,4 @@
-//! Medians over seeds, for the tables and the plots.
+//! Summaries of runs as medians over seeds, for the tables and the plots.
 
 use std::sync::Mutex;
 use std::thread;
@@ -19,50 +19,50 @@
     pub scenario: String,
     /// The policy.
     pub policy: String,
-    /// Median of the live requests that were stalled.
+    /// Median number of live requests that were stalled.
     pub stalls: f64,
-    /// Median of their stalled time, in seconds.
+    /// Median of the total stalled time of live requests, in seconds.
     pub stalled_s: f64,
-    /// Median of the 99th percentile of their stalled time, in milliseconds.
+    /// Median of the 99th percentile of the stalled time of stalled live requests, in milliseconds.
     pub stall_ms_p99: f64,
-    /// Median of the 99th percentile of live wait, in milliseconds.
+    /// Median of the 99th percentile of the wait of live requests, in milliseconds.
     pub live_wait_ms_p99: Option<f64>,
-    /// The same without the caller that floods.
+    /// Like `live_wait_ms_p99`, without the caller that causes a flood.
     pub other_callers_live_wait_ms_p99: Option<f64>,
-    /// Median of the live requests whose callers gave up.
+    /// Median number of live requests whose callers gave up.
     pub live_failed: Option<f64>,
-    /// Median of the live requests that were refused at least once.
+    /// Median number of live requests that were refused at least once.
     pub live_refused: Option<f64>,
-    /// Median of the time that live requests waited in all, in seconds, those included that were
-    /// refused or gave up.
+    /// Median of the total wait of live requests, in seconds, including requests that were refused or
+    /// whose callers gave up.
     pub live_wait_s: Option<f64>,
-    /// Median of the deferrable requests that were refused at least once.
+    /// Median number of deferrable requests that were refused at least once.
     pub deferrable_refused: Option<f64>,
-    /// Median of the deferrable requests that had not begun when the run ended.
+    /// Median number of deferrable requests that had not begun when the run ended.
     pub deferrable_unserved: Option<f64>,
-    /// Median of the deferrable requests' stalled time, in seconds.
+    /// Median of the total stalled time of deferrable requests, in seconds.
     pub deferrable_stalled_s: Option<f64>,
     /// Median of the longest wait of a deferrable request, in seconds.
     pub deferrable_oldest_s: Option<f64>,
-    /// Median of the deferrable requests that were answered.
+    /// Median number of deferrable requests that were answered.
     pub deferrable_done: Option<f64>,
-    /// Median of the loads.
+    /// Median number of loads.
     pub loads: Option<f64>,
-    /// Median of the evictions.
+    /// Median number of evictions.
     pub evictions: Option<f64>,
-    /// Median of the tokens of answers a step.
+    /// Median of the answer tokens per step.
     pub useful_tokens_per_step: Option<f64>,
-    /// Median of the energy for each token.
+    /// Median of the energy per token above the draw of parked accelerators, in joules.
     pub joules_per_token: Option<f64>,
-    /// Sum over all seeds of steps above the cap.
+    /// Number of steps above the power cap, over all seeds.
     pub cap_exceeded_steps: u64,
-    /// Sum over all seeds of evictions of an adapter in use.
+    /// Number of evictions of an adapter in use, over all seeds.
     pub pinned_evictions: u64,
-    /// Sum over all seeds of deferrable requests without an answer.
+    /// Number of deferrable requests that failed without an answer, over all seeds.
     pub deferrable_failed: u64,
 }
 
-/// Which runs make up a summary.
+/// The runs of a summary: all combinations of deployments, scenarios, policies and seeds.
 #[derive(Clone, Debug)]
 pub struct Matrix {
     /// The deployments.
@@ -73,16 +73,21 @@
     pub policies: Vec<Policy>,
     /// The seeds.
     pub seeds: Vec<u64>,
-    /// Virtual seconds; each scenario's usual length if none.
+    /// Length of each run in virtual seconds; each scenario's default if `None`.
     pub seconds: Option<u64>,
-    /// By how much the rates of all requests are multiplied.
+    /// Factor by which all request rates are multiplied.
     pub load: f64,
-    /// Runs side by side.
+    /// Number of runs in parallel.
     pub jobs: usize,
 }
 
 impl Matrix {
-    /// Runs everything; the outcome does not depend on the number of threads.
+    /// Runs all combinations and returns one row for each deployment, scenario and policy.
+    ///
+    /// The result does not depend on the number of threads.
+    ///
+    /// # Panics
+    /// Panics if a run panics.
     pub fn run(&self) -> Vec<Row> {
         let groups = self.groups();
         let per_group = self.seeds.len();
@@ -136,11 +141,11 @@
 }
 
 impl Row {
-    /// Sums up the reports of all seeds.
+    /// Summarizes the reports of all seeds.
     fn new(reports: &[Report]) -> Self {
         let first = &reports[0];
-        let of = |value: fn(&Report) -> f64| median(reports.iter().map(value).collect());
-        let maybe = |value: fn(&Report) -> Option<f64>| {
+        let median_of = |value: fn(&Report) -> f64| median(reports.iter().map(value).collect());
+        let median_if_all = |value: fn(&Report) -> Option<f64>| {
             let values: Option<Vec<f64>> = reports.iter().map(value).collect();
             values.map(median)
         };
@@ -149,23 +154,25 @@
             deployment: first.deployment.to_owned(),
             scenario: first.scenario.to_owned(),
             policy: first.policy.to_owned(),
-            stalls: of(|r| r.stalls as f64),
-            stalled_s: of(|r| r.stalled_ms_total / 1e3),
-            stall_ms_p99: of(|r| r.stall_ms_p99),
-            live_wait_ms_p99: maybe(|r| r.live_wait_ms_p99),
-            other_callers_live_wait_ms_p99: maybe(|r| r.other_callers_live_wait_ms_p99),
-            live_failed: maybe(|r| r.live_failed.map(|n| n as f64)),
-            live_refused: maybe(|r| r.live.map(|it| it.refused as f64)),
-            live_wait_s: maybe(|r| r.live.map(|it| it.wait_ms_total / 1e3)),
-            deferrable_refused: maybe(|r| r.deferrable.map(|it| it.refused as f64)),
-            deferrable_unserved: maybe(|r| r.deferrable.map(|it| it.unserved as f64)),
-            deferrable_stalled_s: maybe(|r| r.deferrable_stalled_ms_total.map(|ms| ms / 1e3)),
-            deferrable_oldest_s: maybe(|r| r.deferrable_oldest_ms.map(|ms| ms / 1e3)),
-            deferrable_done: maybe(|r| r.deferrable_done.map(|n| n as f64)),
-            loads: maybe(|r| r.loads.map(|n| n as f64)),
-            evictions: maybe(|r| r.evictions.map(|n| n as f64)),
-            useful_tokens_per_step: maybe(|r| r.useful_tokens_per_step),
-            joules_per_token: maybe(|r| r.joules_per_token),
+            stalls: median_of(|r| r.stalls as f64),
+            stalled_s: median_of(|r| r.stalled_ms_total / 1e3),
+            stall_ms_p99: median_of(|r| r.stall_ms_p99),
+            live_wait_ms_p99: median_if_all(|r| r.live_wait_ms_p99),
+            other_callers_live_wait_ms_p99: median_if_all(|r| r.other_callers_live_wait_ms_p99),
+            live_failed: median_if_all(|r| r.live_failed.map(|n| n as f64)),
+            live_refused: median_if_all(|r| r.live.map(|it| it.refused as f64)),
+            live_wait_s: median_if_all(|r| r.live.map(|it| it.wait_ms_total / 1e3)),
+            deferrable_refused: median_if_all(|r| r.deferrable.map(|it| it.refused as f64)),
+            deferrable_unserved: median_if_all(|r| r.deferrable.map(|it| it.unserved as f64)),
+            deferrable_stalled_s: median_if_all(|r| {
+                r.deferrable_stalled_ms_total.map(|ms| ms / 1e3)
+            }),
+            deferrable_oldest_s: median_if_all(|r| r.deferrable_oldest_ms.map(|ms| ms / 1e3)),
+            deferrable_done: median_if_all(|r| r.deferrable_done.map(|n| n as f64)),
+            loads: median_if_all(|r| r.loads.map(|n| n as f64)),
+            evictions: median_if_all(|r| r.evictions.map(|n| n as f64)),
+            useful_tokens_per_step: median_if_all(|r| r.useful_tokens_per_step),
+            joules_per_token: median_if_all(|r| r.joules_per_token),
             cap_exceeded_steps: sum(|r| r.cap_exceeded_steps),
             pinned_evictions: sum(|r| r.pinned_evictions),
             deferrable_failed: sum(|r| r.deferrable_failed),
