--- a/crates/chervilshunt_bench/src/policy/table.rs
+++ b/crates/chervilshunt_bench/src/policy/table.rs
@@ -1,4 +1,4 @@
-//! Tables in Markdown: the aims, and one table for each deployment and scenario.
+//! Rendering as Markdown: a table of the aims, and one table for each deployment and scenario.
 
 use std::fmt::Write;
 
@@ -15,11 +15,11 @@
 const AIMS_HEAD: &str = "| deployment | scenario | figure | measured | aim | |\n\
     | --- | --- | --- | ---: | ---: | --- |\n";
 
-/// Renders a table as Markdown; rows of one deployment and scenario stand together.
+/// Renders a table as Markdown; rows of one deployment and scenario have to be adjacent.
 pub fn render(table: &Table) -> String {
     let mut text = format!("Medians of seeds {:?}\n\n{AIMS_HEAD}", table.seeds);
     for aim in &table.aims {
-        aim_line(&mut text, aim);
+        write_aim(&mut text, aim);
     }
     let mut group = None;
     for (row, comparison) in table.rows.iter().zip(&table.comparisons) {
@@ -29,12 +29,12 @@
                 .expect("writing to a string can't fail");
             group = Some(this);
         }
-        line(&mut text, row, comparison);
+        write_row(&mut text, row, comparison);
     }
     text
 }
 
-fn aim_line(text: &mut String, aim: &Aim) {
+fn write_aim(text: &mut String, aim: &Aim) {
     let met = match aim.met {
         Some(true) => "met",
         Some(false) => "missed",
@@ -53,7 +53,7 @@
     .expect("writing to a string can't fail");
 }
 
-fn line(text: &mut String, row: &Row, comparison: &Comparison) {
+fn write_row(text: &mut String, row: &Row, comparison: &Comparison) {
     let cells = [
         row.policy.clone(),
         number(Some(row.stalled_s), 1),
--- a/crates/chervilshunt_bench/src/policy/table_args.rs
+++ b/crates/chervilshunt_bench/src/policy/table_args.rs
@@ -1,4 +1,4 @@
-//! The command line of a whole table.
+//! The command line of `policy-table`.
 
 use lexopt::prelude::*;
 use snafu::ResultExt;
@@ -13,24 +13,24 @@
 use super::summary::Matrix;
 use super::table::render;
 
-/// Seeds of the tables: other ones than those that the policy was tuned on, which are 1 to 20.
-const TABLE_SEEDS: std::ops::RangeInclusive<u64> = 101..=110;
-/// Runs side by side unless the command line says otherwise.
-const JOBS: usize = 4;
+/// Default seeds of the tables; they differ from seeds 1 to 20, with which the policy was tuned.
+const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 101..=110;
+/// Default number of runs in parallel.
+const DEFAULT_JOBS: usize = 4;
 
-/// Runs `policy-table` with the rest of the command line.
+/// Runs `policy-table` with the remaining arguments of the command line.
 ///
 /// # Errors
-/// Fails if an option is unknown or the table can't be written.
+/// Returns an error if an option is unknown, its value is invalid, or the table can't be serialized.
 pub fn run_table(mut args: lexopt::Parser) -> Result<(), PolicyError> {
     let mut matrix = Matrix {
         deployments: DeploymentKind::ALL.to_vec(),
         scenarios: Scenario::ALL.to_vec(),
         policies: Policy::ALL.to_vec(),
-        seeds: TABLE_SEEDS.collect(),
+        seeds: DEFAULT_SEEDS.collect(),
         seconds: None,
         load: 1.0,
-        jobs: JOBS,
+        jobs: DEFAULT_JOBS,
     };
     let mut json = false;
     while let Some(arg) = args.next().context(ArgsSnafu)? {
