--- a/crates/chervilshunt_bench/src/policy/timeline.rs
+++ b/crates/chervilshunt_bench/src/policy/timeline.rs
@@ -1,4 +1,4 @@
-//! What happened in each minute of a run, for finding out why a policy does as it does.
+//! Per-minute activity of a run, for analysing the behaviour of a policy.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,13 +9,12 @@
 use super::requests::Requests;
 use super::workload::Trace;
 
-/// Microseconds of one line.
-const MINUTE: u64 = 60_000_000;
+const MINUTE_MICROS: u64 = 60_000_000;
 
 const HEAD: &str = "minute,live,stalls,stall_ms_mean,live_wait_ms_mean,deferrable,\
     deferrable_wait_ms_mean,loads,evictions,steps,tokens,mean_watts\n";
 
-/// What engines and weight store did in one minute.
+/// The work of the engines and the weight store in one minute.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Work {
     pub(crate) loads: u64,
@@ -31,7 +30,7 @@
     minutes: Vec<Work>,
 }
 
-/// Counts and sums of the requests that arrived in one minute.
+/// Counts and total waits of the requests that arrived in one minute.
 #[derive(Clone, Copy, Debug, Default)]
 struct Arrived {
     live: u32,
@@ -43,7 +42,7 @@
 }
 
 impl Timeline {
-    /// Returns the work of the minute that is going on.
+    /// Returns the work of the minute that contains `now`.
     pub(crate) fn at(&mut self, now: Moment) -> &mut Work {
         let minute = minute(now);
         if self.minutes.len() <= minute {
@@ -52,7 +51,7 @@
         &mut self.minutes[minute]
     }
 
-    /// Renders one line of comma-separated values for each minute.
+    /// Renders a header and one line of comma-separated values for each minute.
     pub(crate) fn render(&self, trace: &Trace, requests: &Requests, stop: Moment) -> String {
         let arrived = arrived(trace, requests, stop, self.minutes.len());
         let mut text = String::from(HEAD);
@@ -64,7 +63,7 @@
                 tokens,
                 joules,
             } = work;
-            let watts = joules / (MINUTE as f64 / 1e6);
+            let watts = joules / (MINUTE_MICROS as f64 / 1e6);
             let stalled = mean(arrived.stalled, arrived.stalls);
             let live_wait = mean(arrived.live_wait, arrived.live);
             let deferrable_wait = mean(arrived.deferrable_wait, arrived.deferrable);
@@ -108,7 +107,7 @@
 }
 
 const fn minute(at: Moment) -> usize {
-    (at.as_micros() / MINUTE) as usize
+    (at.as_micros() / MINUTE_MICROS) as usize
 }
 
 fn mean(sum: Duration, count: u32) -> f64 {
