--- a/crates/chervilshunt_bench/src/policy/workload.rs
+++ b/crates/chervilshunt_bench/src/policy/workload.rs
@@ -1,4 +1,6 @@
-//! The trace of one run: every request with its time, adapter and length, the same for all policies.
+//! Generates the trace of a run: all requests with their times, adapters and lengths.
+//!
+//! The trace is the same for all policies.
 
 use std::time::Duration;
 
@@ -12,67 +14,69 @@
 use super::deployment::Sizes;
 use super::scenario::{Scenario, Schedule};
 
-/// Exponent of the popularity of live adapters.
+/// Zipf exponent of the popularity of live adapters.
 const LIVE_SKEW: f64 = 1.1;
-/// Exponent of the popularity of deferrable adapters.
+/// Zipf exponent of the popularity of deferrable adapters.
 const DEFERRABLE_SKEW: f64 = 0.9;
-/// Spread of the lengths of answers: the sigma of their logarithm.
-const LENGTH_SIGMA: f64 = 0.6;
-/// The most tokens of an answer to a live request.
+/// Sigma of the log-normal distributions of lengths and of plain call times.
+const LOG_NORMAL_SIGMA: f64 = 0.6;
+/// Maximum answer tokens of a live request.
 const MAX_LIVE_TOKENS: u32 = 512;
-/// The most tokens of an answer to a deferrable request.
+/// Maximum answer tokens of a deferrable request.
 const MAX_DEFERRABLE_TOKENS: u32 = 1_024;
-/// Mean prompt tokens that a request shares with others of its prefix.
+/// Prompt tokens that a request shares with others of its prefix.
 const SHARED_TOKENS: u32 = 480;
-/// Mean prompt tokens of a request's own.
+/// Mean number of prompt tokens that a request does not share.
 const OWN_TOKENS: f64 = 160.0;
-/// Prefixes that each adapter's requests begin with.
-const PREFIXES: u64 = 4;
-/// Callers of live work; their popularity is skewed as the adapters' is.
+/// Number of distinct prompt prefixes per adapter.
+const PREFIXES_PER_ADAPTER: u64 = 4;
+/// Number of callers. Live requests per caller follow a Zipf distribution.
 const CALLERS: u32 = 240;
-/// Mean time of a call of the plain service.
-const PLAIN_MICROS: f64 = 15_000.0;
-/// Within this time popularity moves in scenario `shift`.
+/// Mean duration of a call to the plain service, in microseconds.
+const PLAIN_CALL_MICROS: f64 = 15_000.0;
+/// Duration of the change of popularity in scenario `shift`.
 const SHIFT_TIME: Duration = Duration::from_secs(120);
-/// Adapters that wake or sleep in scenario `wake`, as a part of all.
-const WAKE_PART: f64 = 0.32;
-/// How much live work grows at the peak of scenario `cap-cut`.
+/// Adapters that become active or idle in scenario `wake`, as a fraction of the live adapters.
+const WAKE_FRACTION: f64 = 0.32;
+/// Factor on the rate of live work during the peak of scenario `cap-cut`.
 const PEAK_FACTOR: f64 = 1.25;
-/// How much deferrable work grows in scenario `deferrable-flood`.
+/// Factor on the rate of deferrable work in scenario `deferrable-flood`.
 const DEFERRABLE_FLOOD_FACTOR: f64 = 8.0;
-/// Live work of the one adapter in scenario `adapter-flood`, as a part of all other live work.
-const ADAPTER_FLOOD_PART: f64 = 0.5;
-/// The part of a flood that comes from one caller.
-const FLOOD_CALLER_PART: f64 = 0.8;
-/// The caller of a flood.
+/// Rate of the additional live work in scenario `adapter-flood`, as a fraction of the other live
+/// work.
+const ADAPTER_FLOOD_FRACTION: f64 = 0.5;
+/// The fraction of the additional work in scenario `adapter-flood` that comes from one caller.
+const FLOOD_CALLER_FRACTION: f64 = 0.8;
+/// The index of the caller that causes a flood.
 pub(crate) const FLOOD_CALLER: u32 = CALLERS;
 
 /// One request of a trace.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TraceRequest {
-    /// When it arrives.
+    /// Arrival time.
     pub(crate) at: Moment,
-    /// Its adapter; none for a call of the plain service.
+    /// The adapter; `None` for a call to the plain service.
     pub(crate) adapter: Option<u32>,
-    /// Whether it has to be prompt.
+    /// Whether the request is live or deferrable.
     pub(crate) class: Class,
-    /// Who sent it.
+    /// The caller that sent it.
     pub(crate) caller: u32,
-    /// The entry instance that it reaches.
+    /// The entry instance that receives it.
     pub(crate) entry: u32,
     /// Prompt tokens that it shares with others of its prefix.
     pub(crate) shared_tokens: u32,
-    /// Prompt tokens of its own.
+    /// Prompt tokens that it shares with no other request.
     pub(crate) own_tokens: u32,
-    /// Tokens of its answer, or microseconds of a call of the plain service.
+    /// Tokens of the answer; for a call to the plain service, its duration in microseconds.
     pub(crate) output: u32,
-    /// Hash of the prefix.
+    /// Hash of the prompt prefix.
     pub(crate) prefix: u64,
-    /// How many adapters were more popular when it arrived; none if popularity did not choose it.
+    /// Popularity rank of the adapter at the arrival, starting at 0 for the most popular one; `None`
+    /// if the adapter was not drawn by popularity.
     pub(crate) rank: Option<u32>,
 }
 
-/// All requests of one run, by time.
+/// All requests of one run, ordered by arrival time.
 #[derive(Debug)]
 pub(crate) struct Trace {
     /// The requests.
@@ -80,7 +84,7 @@
 }
 
 impl Trace {
-    /// Draws the requests of one run.
+    /// Generates the requests of one run from a seed.
     pub(crate) fn generate(
         sizes: &Sizes,
         scenario: Scenario,
@@ -106,16 +110,18 @@
     }
 }
 
-/// Which live adapter holds each rank of popularity, and how that changes.
+/// The live adapter at each popularity rank, and the scheduled changes of these ranks.
 struct Popularity {
     zipf: Zipf<f64>,
     holders: Vec<u32>,
-    /// Coming changes, the next one last: at a time, a rank gets another adapter.
+    /// Scheduled changes, each with its time, the rank and the rank's new adapter; the next change
+    /// is the last element.
     changes: Vec<(Moment, usize, u32)>,
 }
 
 impl Popularity {
-    /// Returns an adapter and its rank.
+    /// Applies the changes that are due, then draws an adapter by popularity and returns it with its
+    /// rank.
     fn draw(&mut self, now: Moment, rng: &mut ChaCha8Rng) -> (u32, u32) {
         while let Some((_, rank, adapter)) = self.changes.pop_if(|(at, _, _)| *at <= now) {
             self.holders[rank] = adapter;
@@ -155,24 +161,24 @@
     }
 
     fn shift_changes(&mut self, ranks: usize) -> Vec<(Moment, usize, u32)> {
-        let mut after: Vec<u32> = (0..self.sizes.live_adapters).collect();
-        after.shuffle(&mut self.rng);
+        let mut new_holders: Vec<u32> = (0..self.sizes.live_adapters).collect();
+        new_holders.shuffle(&mut self.rng);
         let until = SHIFT_TIME.as_micros() as u64;
         (0..ranks)
             .map(|rank| {
                 let delay = Duration::from_micros(self.rng.random_range(0..until));
-                (self.schedule.start + delay, rank, after[rank])
+                (self.schedule.start + delay, rank, new_holders[rank])
             })
             .collect()
     }
 
-    /// At random times a rank passes from its adapter, which falls asleep, to one that wakes up.
+    /// Schedules, at random times, that an active adapter becomes idle and an idle one takes over its
+    /// popularity rank.
     fn wake_changes(&mut self, holders: &mut Vec<u32>) -> Vec<(Moment, usize, u32)> {
-        let swaps = (f64::from(self.sizes.live_adapters) * WAKE_PART / 2.0) as usize;
-        let sleeping = holders.split_off(holders.len() - swaps);
+        let swaps = (f64::from(self.sizes.live_adapters) * WAKE_FRACTION / 2.0) as usize;
+        let idle = holders.split_off(holders.len() - swaps);
         let span = self.schedule.warm.as_micros()..self.schedule.stop.as_micros();
-        sleeping
-            .into_iter()
+        idle.into_iter()
             .map(|adapter| {
                 let at = Moment::from_micros(self.rng.random_range(span.clone()));
                 (at, self.rng.random_range(0..holders.len()), adapter)
@@ -181,11 +187,13 @@
     }
 
     fn live(&mut self, scenario: Scenario, popularity: &mut Popularity) {
-        let usual = self.sizes.live_per_second;
+        let base_rate = self.sizes.live_per_second;
         let peak = (self.schedule.start.as_micros() * 3 / 4, self.schedule.end);
         let rate = move |now: Moment| match scenario {
-            Scenario::CapCut if now.as_micros() >= peak.0 && now < peak.1 => usual * PEAK_FACTOR,
-            _ => usual,
+            Scenario::CapCut if now.as_micros() >= peak.0 && now < peak.1 => {
+                base_rate * PEAK_FACTOR
+            }
+            _ => base_rate,
         };
         let callers = zipf(CALLERS as usize, 1.0);
         for at in self.arrivals(rate) {
@@ -204,12 +212,12 @@
     }
 
     fn deferrable(&mut self, scenario: Scenario) {
-        let usual = self.sizes.deferrable_per_second / f64::from(self.sizes.burst);
+        let base_rate = self.sizes.deferrable_per_second / f64::from(self.sizes.burst);
         let (start, end) = (self.schedule.start, self.schedule.end);
         let flooded =
             move |now: Moment| scenario == Scenario::DeferrableFlood && now >= start && now < end;
         let rate = move |now: Moment| {
-            usual
+            base_rate
                 * if flooded(now) {
                     DEFERRABLE_FLOOD_FACTOR
                 } else {
@@ -233,20 +241,20 @@
         }
     }
 
-    /// One adapter's live work, most of it by one caller.
+    /// Generates additional live work for one adapter, most of it from one caller.
     fn adapter_flood(&mut self) {
-        let usual = self.sizes.live_per_second * ADAPTER_FLOOD_PART;
+        let base_rate = self.sizes.live_per_second * ADAPTER_FLOOD_FRACTION;
         let (start, end) = (self.schedule.start, self.schedule.end);
         let rate = move |now: Moment| {
             if now >= start && now < end {
-                usual
+                base_rate
             } else {
                 0.0
             }
         };
         let adapter = self.rng.random_range(0..self.sizes.live_adapters);
         for at in self.arrivals(rate) {
-            let caller = if self.rng.random_bool(FLOOD_CALLER_PART) {
+            let caller = if self.rng.random_bool(FLOOD_CALLER_FRACTION) {
                 FLOOD_CALLER
             } else {
                 self.rng.random_range(0..CALLERS)
@@ -260,7 +268,7 @@
         for at in self.arrivals(move |_| rate) {
             let caller = self.rng.random_range(0..CALLERS);
             let entry = self.rng.random_range(0..self.sizes.entries);
-            let time = log_normal(PLAIN_MICROS).sample(&mut self.rng);
+            let time = log_normal(PLAIN_CALL_MICROS).sample(&mut self.rng);
             self.requests.push(TraceRequest {
                 at,
                 adapter: None,
@@ -276,7 +284,8 @@
         }
     }
 
-    /// Draws a Poisson process whose rate may change, one candidate at the highest rate at a time.
+    /// Draws the arrivals of a Poisson process with a varying rate, by thinning a process with the
+    /// highest rate.
     fn arrivals(&mut self, rate: impl Fn(Moment) -> f64) -> Vec<Moment> {
         let (warm, start, end) = (self.schedule.warm, self.schedule.start, self.schedule.end);
         let highest = [Moment::ZERO, warm, start, end]
@@ -302,7 +311,7 @@
     }
 
     fn push(&mut self, at: Moment, adapter: u32, class: Class, caller: u32, output: u32) {
-        let variant = self.rng.random_range(0..PREFIXES);
+        let variant = self.rng.random_range(0..PREFIXES_PER_ADAPTER);
         let own = log_normal(OWN_TOKENS).sample(&mut self.rng) as u32;
         let entry = self.rng.random_range(0..self.sizes.entries);
         self.requests.push(TraceRequest {
@@ -314,13 +323,13 @@
             shared_tokens: SHARED_TOKENS,
             own_tokens: own.clamp(1, MAX_LIVE_TOKENS),
             output,
-            prefix: (u64::from(adapter) + 1) * PREFIXES + variant,
+            prefix: (u64::from(adapter) + 1) * PREFIXES_PER_ADAPTER + variant,
             rank: None,
         });
     }
 }
 
-/// Returns the most tokens that an answer has, which is what a caller states.
+/// Returns the maximum answer tokens of a class, which is the limit that its callers state.
 pub(crate) const fn most_tokens(class: Class) -> u32 {
     match class {
         Class::Live => MAX_LIVE_TOKENS,
@@ -333,6 +342,6 @@
 }
 
 fn log_normal(mean: f64) -> LogNormal<f64> {
-    let mu = mean.ln() - LENGTH_SIGMA * LENGTH_SIGMA / 2.0;
-    LogNormal::new(mu, LENGTH_SIGMA).expect("the sigma is finite")
+    let mu = mean.ln() - LOG_NORMAL_SIGMA * LOG_NORMAL_SIGMA / 2.0;
+    LogNormal::new(mu, LOG_NORMAL_SIGMA).expect("the sigma is finite")
 }
