--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -1,4 +1,4 @@
-//! Everything round the policy: clock, engines, weight store, power meter and the requests.
+//! The simulated environment of a policy: clock, engines, weight store, power meter and requests.
 
 use std::time::Duration;
 
@@ -17,20 +17,21 @@
 use super::timeline::Timeline;
 use super::workload::{Trace, TraceRequest};
 
-/// One way between any two parts: within an availability zone or between two.
+/// One-way delay of a message between any two components, within an availability zone or across
+/// zones.
 pub(crate) const DELAY: Duration = Duration::from_millis(1);
-/// How long a caller of live work waits before it gives up.
+/// Time after which the caller of a live request gives up waiting.
 pub(crate) const LIVE_DEADLINE: Duration = Duration::from_secs(30);
-/// How long a caller of deferrable work waits.
+/// Deadline of a deferrable request.
 pub(crate) const DEFERRABLE_DEADLINE: Duration = Duration::from_secs(12 * 3600);
-/// How long an engine is gone when it restarts.
+/// Downtime of an engine that restarts.
 const RESTART_TIME: Duration = Duration::from_secs(20);
-/// Chance that a load fails in scenario `load-failures`.
-const FAILURE_CHANCE: f64 = 0.5;
-/// What a cut leaves of the cap.
-const CUT_PART: f64 = 2.0 / 3.0;
+/// Probability that a load fails during the disturbance of scenario `load-failures`.
+const LOAD_FAILURE_PROBABILITY: f64 = 0.5;
+/// The fraction of the power cap that remains in scenario `cap-cut`.
+const CUT_FRACTION: f64 = 2.0 / 3.0;
 
-/// An event of the world, or one of the policy that drives it.
+/// An event of the simulation, or one that the policy scheduled.
 #[derive(Debug)]
 pub(crate) enum Event<E> {
     Arrives(u32),
@@ -55,36 +56,36 @@
     Policy(E),
 }
 
-/// What the policy learns of an event.
+/// An occurrence that the simulation reports to the policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Notice {
     /// A request arrived at its entry instance.
     Arrived(u32),
     /// The caller of a waiting request gave up.
     GaveUp(u32),
-    /// The whole answer has been generated.
+    /// A target finished an answer.
     Finished { target: usize, request: u32 },
-    /// A call was refused or cut off.
+    /// A call was refused or interrupted.
     CallFailed {
         target: usize,
         request: u32,
         refusal: EngineRefusal,
     },
-    /// A load is over.
+    /// A load succeeded or failed.
     LoadEnded {
         engine: usize,
         adapter: u32,
         loaded: bool,
     },
-    /// All engines are gone.
+    /// All engines went down.
     EnginesDown,
-    /// All engines are back, empty.
+    /// All engines are up again and hold no adapters.
     EnginesUp,
-    /// Operators changed the cap, in watts.
+    /// Operators changed the power cap, in watts.
     CapChanged(f64),
 }
 
-/// Everything round the policy.
+/// The simulated environment of a policy, with its event loop.
 #[derive(Debug)]
 pub(crate) struct World<E> {
     pub(crate) now: Moment,
@@ -122,11 +123,11 @@
             schedule,
             scenario,
         };
-        world.plan();
+        world.schedule_events();
         world
     }
 
-    /// Runs until the end, giving each notice to the policy.
+    /// Runs the simulation to its end and passes each notice and each event of the policy to it.
     pub(crate) fn run(&mut self, mut policy: impl FnMut(&mut Self, Input<E>)) {
         while let Some((at, event)) = self.queue.pop() {
             if at >= self.schedule.stop {
@@ -146,35 +147,35 @@
         self.requests.close(self.now);
     }
 
-    /// Writes what was measured into a report.
+    /// Fills in a report with the measurements.
     pub(crate) fn report(&self, report: &mut Report) {
         let (warm, stop) = (self.schedule.warm, self.schedule.stop);
         let measured = (&self.trace, &self.requests);
         report.fill(measured, &self.counters, &self.meter, warm..stop);
     }
 
-    /// Renders what happened in each minute.
+    /// Renders the per-minute timeline as comma-separated values.
     pub(crate) fn timeline(&self) -> String {
         self.timeline
             .render(&self.trace, &self.requests, self.schedule.stop)
     }
 
-    /// Returns the request of the trace.
+    /// Returns the trace's entry of a request.
     pub(crate) fn req(&self, request: u32) -> &TraceRequest {
         &self.trace.requests[request as usize]
     }
 
-    /// Says whether the warm-up is over.
+    /// Returns whether the warm-up is over.
     pub(crate) fn measuring(&self) -> bool {
         self.now >= self.schedule.warm
     }
 
-    /// Plans an event of the policy.
+    /// Schedules an event of the policy.
     pub(crate) fn plan_policy(&mut self, at: Moment, event: E) {
         self.queue.push(at, Event::Policy(event));
     }
 
-    /// Opens a call to a target after one message delay.
+    /// Opens a call to a target, which receives it after one message delay.
     pub(crate) fn open_call(&mut self, target: usize, request: u32) {
         self.leave(request, Phase::Called);
         let generation = self.engines.get(target).map_or(0, Engine::generation);
@@ -186,19 +187,19 @@
         self.queue.push(self.now + DELAY, event);
     }
 
-    /// Notes the target that a request waits at.
+    /// Records the target at which a request waits.
     pub(crate) fn assign(&mut self, request: u32, target: usize) {
         let req = &self.trace.requests[request as usize];
         self.requests.assign(request, req, target, self.now);
     }
 
-    /// Notes that a request waits no longer.
+    /// Records that a request no longer waits at a target and moves it to `phase`.
     pub(crate) fn leave(&mut self, request: u32, phase: Phase) {
         let req = &self.trace.requests[request as usize];
         self.requests.leave(request, req, phase, self.now);
     }
 
-    /// Ends a request without an answer.
+    /// Ends a request without an answer and counts it if it arrived after the warm-up.
     pub(crate) fn fail(&mut self, request: u32) {
         let req = &self.trace.requests[request as usize];
         self.requests.fail(request, req, self.now);
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Notes that an owner refused a request.
+    /// Records that an owner refused a request, and the reason.
     pub(crate) fn refuse(&mut self, request: u32, reason: &'static str) {
         self.requests.refuse(request, self.now);
         if self.measuring() {
@@ -219,16 +220,19 @@
         }
     }
 
-    /// Notes whether a target loads an adapter or has asked to.
+    /// Records whether a target is loading an adapter or has requested to load it.
     pub(crate) fn set_asked(&mut self, target: usize, adapter: u32, asked: bool) {
         self.requests
             .set_asked(&self.trace, target, adapter, asked, self.now);
     }
 
     /// Orders an engine to load an adapter.
+    ///
+    /// # Errors
+    /// Returns the engine's refusal.
     pub(crate) fn load(&mut self, engine: usize, adapter: u32) -> Result<(), EngineRefusal> {
         self.engines[engine].begin_load(adapter)?;
-        let fails = self.loads_fail_now() && self.rng.random_bool(FAILURE_CHANCE);
+        let fails = self.loads_fail_now() && self.rng.random_bool(LOAD_FAILURE_PROBABILITY);
         let generation = self.engines[engine].generation();
         let key = LoadKey {
             engine,
@@ -241,11 +245,16 @@
             self.counters.loads += 1;
             self.counters.loads_failed += u64::from(fails);
         }
-        self.plan_load_end();
+        self.schedule_load_end();
         Ok(())
     }
 
-    /// Orders an engine to unload an adapter; counts the order if the adapter serves a request.
+    /// Orders an engine to unload an adapter.
+    ///
+    /// An order for an adapter in use is refused and counted as a pinned eviction.
+    ///
+    /// # Errors
+    /// Returns the engine's refusal.
     pub(crate) fn unload(&mut self, engine: usize, adapter: u32) -> Result<(), EngineRefusal> {
         let result = self.engines[engine].unload(adapter);
         match result {
@@ -266,7 +275,7 @@
         result
     }
 
-    fn plan(&mut self) {
+    fn schedule_events(&mut self) {
         for request in 0..self.trace.requests.len() as u32 {
             let at = self.req(request).at;
             self.queue.push(at, Event::Arrives(request));
@@ -276,7 +285,7 @@
             Scenario::Restart => self.queue.push(self.schedule.start, Event::Restart),
             Scenario::CapCut => {
                 self.queue
-                    .push(self.schedule.start, Event::Cap(cap * CUT_PART));
+                    .push(self.schedule.start, Event::Cap(cap * CUT_FRACTION));
                 self.queue.push(self.schedule.end, Event::Cap(cap));
             }
             Scenario::Steady
@@ -297,7 +306,7 @@
         match event {
             Event::Arrives(request) => {
                 self.requests.arrive(request, self.now);
-                self.plan_give_up(request);
+                self.schedule_give_up(request);
                 vec![Notice::Arrived(request)]
             }
             Event::GivesUp(request) => self.give_up(request),
@@ -326,7 +335,7 @@
         }
     }
 
-    fn plan_give_up(&mut self, request: u32) {
+    fn schedule_give_up(&mut self, request: u32) {
         if self.req(request).class == Class::Live {
             let at = self.requests.get(request).since + LIVE_DEADLINE;
             self.queue.push(at.max(self.now), Event::GivesUp(request));
@@ -351,8 +360,8 @@
         let engine = &mut self.engines[target];
         let req = &self.trace.requests[request as usize];
         if let Err(refusal) = engine.call(request, req) {
-            // A permit pins the adapter: that it is gone without a restart is an eviction of an
-            // adapter in use, seen a message delay later.
+            // A permit pins the adapter, so an adapter that is missing without a restart in between
+            // was evicted while in use; the call sees this one message delay later.
             let evicted = refusal == EngineRefusal::AdapterMissing;
             if evicted && engine.generation() == generation {
                 self.counters.pinned_evictions += 1;
@@ -365,7 +374,7 @@
 
     fn call_failed(&mut self, target: usize, request: u32, refusal: EngineRefusal) -> Vec<Notice> {
         self.requests.arrive_again(request, self.now);
-        self.plan_give_up(request);
+        self.schedule_give_up(request);
         vec![Notice::CallFailed {
             target,
             request,
@@ -376,7 +385,10 @@
     fn plain_call(&mut self, target: usize, request: u32) {
         let running = &mut self.plain_running[target - self.sizes.engines];
         *running += 1;
-        assert!(*running <= PLAIN_BATCH, "a plain target got too many calls");
+        assert!(
+            *running <= PLAIN_BATCH,
+            "a plain target received more than {PLAIN_BATCH} concurrent calls"
+        );
         self.requests.start(request, self.now);
         let time = Duration::from_micros(u64::from(self.req(request).output));
         self.queue
@@ -452,11 +464,11 @@
                 loaded,
             });
         }
-        self.plan_load_end();
+        self.schedule_load_end();
         notices
     }
 
-    fn plan_load_end(&mut self) {
+    fn schedule_load_end(&mut self) {
         if let Some((at, generation)) = self.store.next_end() {
             self.queue.push(at, Event::LoadEnds(generation));
         }
@@ -476,17 +488,17 @@
                 notices.extend(self.call_failed(engine, request, EngineRefusal::Down));
             }
         }
-        self.plan_load_end();
+        self.schedule_load_end();
         self.queue.push(self.now + RESTART_TIME, Event::Restarted);
         notices
     }
 }
 
-/// What the policy has to react to.
+/// An input to the policy.
 #[derive(Debug)]
 pub(crate) enum Input<E> {
-    /// Something happened round it.
+    /// An occurrence in the simulated environment.
     Notice(Notice),
-    /// An event that it planned itself.
+    /// An event that the policy scheduled.
     Event(E),
 }
