--- a/crates/chervilshunt_bench/tests/policy/main.rs
+++ b/crates/chervilshunt_bench/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the policy bench as a whole, on short runs with fixed seeds.
+//! Integration tests of the policy bench, on short runs with fixed seeds.
 
 mod ratios;
 mod table;
@@ -6,7 +6,7 @@
 use chervilshunt_bench::policy::{DeploymentKind, Policy, Report, RunSpec, Scenario, run_policy};
 use rstest::rstest;
 
-/// Virtual seconds of a short run; the first fifth warms up.
+/// Virtual seconds of a short run; the first third is the warm-up.
 const SHORT_SECONDS: u64 = 200;
 
 fn run(deployment: DeploymentKind, policy: Policy, scenario: Scenario, seed: u64) -> Report {
@@ -26,17 +26,17 @@
 #[case::lru(Policy::Lru)]
 #[case::fixed(Policy::Static)]
 #[case::bound(Policy::Clairvoyant)]
-fn same_seed_gives_same_bytes(#[case] policy: Policy) {
+fn same_seed_gives_identical_report(#[case] policy: Policy) {
     let text = |seed| {
         let report = run(DeploymentKind::Kolvand, policy, Scenario::Restart, seed);
         serde_json::to_string(&report).expect("a report is plain data")
     };
     assert_eq!(text(3), text(3));
-    assert_ne!(text(3), text(4), "the seed has to matter");
+    assert_ne!(text(3), text(4), "two seeds gave the same report");
 }
 
 #[rstest]
-fn no_promise_is_broken(
+fn invariants_hold_in_each_scenario(
     #[values(DeploymentKind::Hollowell, DeploymentKind::Kolvand)] deployment: DeploymentKind,
     #[values(Policy::Chervilshunt, Policy::Lru, Policy::Static)] policy: Policy,
     #[values(
@@ -56,8 +56,8 @@
     assert_eq!(report.deferrable_failed, Some(0));
 }
 
-/// The caller of a request that an owner refuses, or lets wait until it gives up, has waited like
-/// any other: a policy must not look better by turning work away.
+/// Guards against reports that leave out the wait of refused or expired requests, by which a policy
+/// that turns work away would look better.
 #[rstest]
 #[case::product(Policy::Chervilshunt)]
 #[case::lru(Policy::Lru)]
@@ -71,7 +71,7 @@
     assert_eq!(Some(deferrable.expired), report.deferrable_failed);
     assert!(
         live.expired > 0,
-        "a restart at this load lets callers give up"
+        "no caller gave up during a restart at this load"
     );
     assert!(live.expired_wait_ms_total >= live.expired as f64 * 30_000.0);
     assert!(live.wait_ms_total >= live.expired_wait_ms_total);
--- a/crates/chervilshunt_bench/tests/policy/ratios.rs
+++ b/crates/chervilshunt_bench/tests/policy/ratios.rs
@@ -1,9 +1,9 @@
-//! Bounds on what the policy gains, as ratios on short runs with fixed seeds.
+//! Bounds on the gains of the policy, as ratios on short runs with fixed seeds.
 //!
-//! Virtual time makes them the same on every machine. Each bound lies about midway between what is
-//! measured with the mechanism that it is for and without it, and a case of its own shows that it
-//! is passed without it, so that the bound can't be one that anything keeps.
-//! Measured figures are medians of seeds 21 to 23, those of the weights of seed 21.
+//! In virtual time the ratios are the same on every machine. Each bound of a mechanism lies about
+//! midway between the ratios with and without the mechanism, and a test case without it has to miss
+//! the bound, which shows that the bound is not trivial. The ratios in the comments are medians of
+//! seeds 21 to 23, those for the weights are of seed 21.
 
 use chervilshunt_bench::policy::{
     DeploymentKind, Mechanism, Policy, Report, RunSpec, Scenario, run_policy,
@@ -11,18 +11,21 @@
 use chervilshunt_core::PolicyWeights;
 use rstest::rstest;
 
-/// Virtual seconds; the slots are full by half of the third that warms up.
+/// Virtual seconds of a run; the slots are full after half of the warm-up, which is the first third.
 const SECONDS: u64 = 600;
 const SEEDS: [u64; 2] = [21, 22];
 
-/// Kolvand's stalled time, over that of `lru`: 0.31 with eviction by cost, 0.94 by recency.
+/// Upper bound on Kolvand's stalled time relative to `lru`: 0.31 with eviction by cost, 0.94 with
+/// eviction by recency.
 const STALLED_TO_LRU: f64 = 0.55;
-/// Hollowell & Pike's useful tokens a step, over those of `lru`: 1.39 with spare power given to few
-/// targets, 1.14 with all served alike.
+/// Lower bound on Hollowell & Pike's useful tokens per step relative to `lru`: 1.39 with spare power
+/// given to few targets, 1.14 with equal treatment of all targets.
 const TOKENS_TO_LRU: f64 = 1.27;
-/// What Hollowell & Pike stalls less with the weights the other way round: measured 0.72.
+/// Upper bound on Hollowell & Pike's stalled time with a higher weight on load stalls, relative to
+/// that with a higher weight on batch efficiency: 0.72.
 const STALLED_BY_WEIGHT: f64 = 0.85;
-/// What it gains in tokens a step by its own weights: measured 1.18.
+/// Lower bound on its useful tokens per step with a higher weight on batch efficiency, relative to
+/// those with a higher weight on load stalls: 1.18.
 const TOKENS_BY_WEIGHT: f64 = 1.09;
 
 fn runs(
@@ -57,25 +60,25 @@
 #[rstest]
 #[case::product(Policy::Chervilshunt, true)]
 #[case::without_eviction_by_cost(Policy::Without(Mechanism::CostEviction), false)]
-fn stalls_less_than_the_baseline(#[case] policy: Policy, #[case] keeps: bool) {
+fn stalls_less_than_the_baseline(#[case] policy: Policy, #[case] within_bound: bool) {
     let of = |policy| stalled(DeploymentKind::Kolvand, policy, None);
     let ratio = of(policy) / of(Policy::Lru);
-    assert_eq!(ratio <= STALLED_TO_LRU, keeps, "{ratio}");
+    assert_eq!(ratio <= STALLED_TO_LRU, within_bound, "{ratio}");
 }
 
 #[rstest]
 #[case::product(Policy::Chervilshunt, true)]
 #[case::without_packing(Policy::Without(Mechanism::Packing), false)]
-fn runs_fuller_batches_than_the_baseline(#[case] policy: Policy, #[case] keeps: bool) {
+fn runs_fuller_batches_than_the_baseline(#[case] policy: Policy, #[case] within_bound: bool) {
     let of = |policy| tokens(DeploymentKind::Hollowell, policy, None);
     let ratio = of(policy) / of(Policy::Lru);
-    assert_eq!(ratio >= TOKENS_TO_LRU, keeps, "{ratio}");
+    assert_eq!(ratio >= TOKENS_TO_LRU, within_bound, "{ratio}");
 }
 
-/// The two weights pull the same deployment to fewer stalls or to fuller batches; with equal
-/// weights on both sides nothing would differ.
+/// Guards against weights without effect: the same deployment has to stall less with a higher weight
+/// on load stalls, and to run fuller batches with a higher weight on batch efficiency.
 #[test]
-fn weights_change_what_is_gained() {
+fn weights_trade_stalls_for_batch_efficiency() {
     let weights = |load_stalls, batch_efficiency| {
         Some(PolicyWeights {
             load_stalls,
@@ -92,7 +95,7 @@
 }
 
 #[rstest]
-fn promises_hold_on_steady_skew(
+fn invariants_hold_in_steady_scenario(
     #[values(DeploymentKind::Hollowell, DeploymentKind::Kolvand)] deployment: DeploymentKind,
 ) {
     for report in runs(deployment, Policy::Chervilshunt, None) {
--- a/crates/chervilshunt_bench/tests/policy/table.rs
+++ b/crates/chervilshunt_bench/tests/policy/table.rs
@@ -1,4 +1,4 @@
-//! Tests of whole tables and of what is drawn from them.
+//! Tests of complete tables and of the plots drawn from them.
 
 use chervilshunt_bench::plot::{Figure, draw};
 use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, Scenario, Table, render};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_number_of_threads_does_not_matter() {
+fn table_does_not_depend_on_the_number_of_threads() {
     let text = |jobs| {
         let table = Table::new(&matrix(jobs));
         let json = serde_json::to_string(&table).expect("a table is plain data");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_table_says_which_aims_were_reached() {
+fn table_reports_which_aims_were_met() {
     let table = Table::new(&matrix(4));
 
     assert_eq!(table.rows.len(), 16);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_aim_whose_baseline_is_missing_is_not_called_met() {
+fn aim_without_a_baseline_is_reported_as_not_run() {
     let mut matrix = matrix(4);
     matrix.policies = vec![Policy::Chervilshunt];
     let table = Table::new(&matrix);
@@ -73,9 +73,10 @@
     assert!(render(&table).contains("| not run |"));
 }
 
-/// A plot names each policy that has the figure, each scenario, the quantity and the values of its axis.
+/// Guards against plots that lack a policy, a scenario, a bar, the label of the figure or the values
+/// of the axis.
 #[test]
-fn plots_hold_each_policy_and_scale() {
+fn plots_show_each_policy_and_the_axis() {
     let table = Table::new(&matrix(4));
 
     for deployment in ["hollowell", "kolvand"] {
