--- a/crates/chervilshunt_bench/src/policy/run.rs
+++ b/crates/chervilshunt_bench/src/policy/run.rs
@@ -139,7 +139,7 @@
 ///
 /// The timeline of a bound is empty.
 pub fn run_timeline(spec: RunSpec) -> (Report, String) {
-    let seconds = spec.seconds.unwrap_or(spec.scenario.usual_seconds());
+    let seconds = spec.seconds.unwrap_or(spec.scenario.default_seconds());
     let schedule = Schedule::new(seconds);
     let mut report = Report {
         deployment: spec.deployment.as_str(),
--- a/crates/chervilshunt_bench/src/policy/scenario.rs
+++ b/crates/chervilshunt_bench/src/policy/scenario.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the default length of a run, in seconds.
-    pub(crate) const fn usual_seconds(self) -> u64 {
+    pub(crate) const fn default_seconds(self) -> u64 {
         match self {
             Self::Wake => WAKE_SECONDS,
             Self::Steady
