--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -13,7 +13,7 @@
 use super::deployment::Sizes;
 use super::engine::EngineRefusal;
 use super::requests::Phase;
-use super::workload::most_tokens;
+use super::workload::max_tokens;
 use super::world::{DEFERRABLE_DEADLINE, DELAY, LIVE_DEADLINE, World};
 
 /// How long an entry instance goes by the spread that an owner told.
@@ -252,7 +252,7 @@
             caller: self.callers[req.caller as usize].clone(),
             deadline_ms: left.as_millis() as u64,
             prompt_tokens: req.shared_tokens + req.own_tokens,
-            max_tokens: most_tokens(req.class),
+            max_tokens: max_tokens(req.class),
             prefix: req.prefix,
             hops: current.hops,
             avoid: Default::default(),
--- a/crates/chervilshunt_bench/src/policy/workload.rs
+++ b/crates/chervilshunt_bench/src/policy/workload.rs
@@ -204,7 +204,7 @@
     }
 
     fn push_live(&mut self, at: Moment, adapter: u32, rank: Option<u32>, caller: u32) {
-        let output = self.length(self.sizes.live_tokens, most_tokens(Class::Live));
+        let output = self.length(self.sizes.live_tokens, max_tokens(Class::Live));
         self.push(at, adapter, Class::Live, caller, output);
         if let Some(req) = self.requests.last_mut() {
             req.rank = rank;
@@ -235,7 +235,7 @@
             };
             for _ in 0..self.sizes.burst {
                 let output =
-                    self.length(self.sizes.deferrable_tokens, most_tokens(Class::Deferrable));
+                    self.length(self.sizes.deferrable_tokens, max_tokens(Class::Deferrable));
                 self.push(at, adapter, Class::Deferrable, caller, output);
             }
         }
@@ -330,7 +330,7 @@
 }
 
 /// Returns the maximum answer tokens of a class, which is the limit that its callers state.
-pub(crate) const fn most_tokens(class: Class) -> u32 {
+pub(crate) const fn max_tokens(class: Class) -> u32 {
     match class {
         Class::Live => MAX_LIVE_TOKENS,
         Class::Deferrable => MAX_DEFERRABLE_TOKENS,
