--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -95,7 +95,7 @@
                 return;
             }
             Input::Notice(Notice::Arrived(request)) => {
-                world.plan_policy(world.now + DELAY, BaselineEvent::Reaches(request));
+                world.schedule_policy_event(world.now + DELAY, BaselineEvent::Reaches(request));
                 return;
             }
             Input::Notice(Notice::GaveUp(request)) => self.gave_up(world, request),
@@ -293,7 +293,8 @@
                 in_use.used = world.now;
             }
             world.leave(request, Phase::Called);
-            world.plan_policy(world.now + DELAY, BaselineEvent::Leave { target, request });
+            world
+                .schedule_policy_event(world.now + DELAY, BaselineEvent::Leave { target, request });
         }
     }
 
--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -163,8 +163,8 @@
             self.allocator(world, joined);
             // Engines do not report in step with each other.
             let offset = REPORT_INTERVAL * engine as u32 / world.sizes.engines as u32;
-            world.plan_policy(world.now + offset, CoreEvent::ReportDue(engine));
-            world.plan_policy(world.now + offset * 4, CoreEvent::CacheDue(engine));
+            world.schedule_policy_event(world.now + offset, CoreEvent::ReportDue(engine));
+            world.schedule_policy_event(world.now + offset * 4, CoreEvent::CacheDue(engine));
         }
     }
 
@@ -218,7 +218,7 @@
                 if let Some(order) = self.orders.remove(&(engine, adapter)) {
                     let result = loaded.then_some(()).ok_or(OrderFailure::Refused);
                     let ended = OwnerEvent::OrderEnded { order, result };
-                    world.plan_policy(world.now + DELAY, CoreEvent::Owner(engine, ended));
+                    world.schedule_policy_event(world.now + DELAY, CoreEvent::Owner(engine, ended));
                 }
             }
             Notice::EnginesDown => self.engines_reachable(world, false),
@@ -231,7 +231,7 @@
         let at = world.now + REACHABLE_DELAY;
         for engine in 0..world.sizes.engines {
             let event = OwnerEvent::Reachable(reachable);
-            world.plan_policy(at, CoreEvent::Owner(engine, event));
+            world.schedule_policy_event(at, CoreEvent::Owner(engine, event));
         }
         if reachable {
             return;
@@ -241,7 +241,7 @@
         for ((engine, _), order) in cut {
             let result = Err(OrderFailure::Unknown);
             let ended = OwnerEvent::OrderEnded { order, result };
-            world.plan_policy(world.now + ORDER_TIMEOUT, CoreEvent::Owner(engine, ended));
+            world.schedule_policy_event(world.now + ORDER_TIMEOUT, CoreEvent::Owner(engine, ended));
         }
     }
 
@@ -251,7 +251,7 @@
         }
         let wakes = self.owners[target].next_wakeup();
         if let Some(at) = plan_wake(&mut self.owner_wakes[target], wakes, world.now) {
-            world.plan_policy(at, CoreEvent::OwnerWakes(target));
+            world.schedule_policy_event(at, CoreEvent::OwnerWakes(target));
         }
     }
 
@@ -329,7 +329,7 @@
             }
             OwnerAction::Log(_) => return,
         };
-        world.plan_policy(world.now + DELAY, event);
+        world.schedule_policy_event(world.now + DELAY, event);
     }
 
     fn note_turn(
@@ -361,11 +361,11 @@
             } = action;
             let target = self.names.target(&target);
             let event = OwnerEvent::TurnGranted { order, queue_wait };
-            world.plan_policy(world.now + DELAY, CoreEvent::Owner(target, event));
+            world.schedule_policy_event(world.now + DELAY, CoreEvent::Owner(target, event));
         }
         let wakes = self.scheduler.next_wakeup();
         if let Some(at) = plan_wake(&mut self.scheduler_wakes, wakes, world.now) {
-            world.plan_policy(at, CoreEvent::SchedulerWakes);
+            world.schedule_policy_event(at, CoreEvent::SchedulerWakes);
         }
     }
 
@@ -378,11 +378,11 @@
             } = action;
             let target = self.names.target(&target);
             let event = OwnerEvent::ShareSet { sequence, watts };
-            world.plan_policy(world.now + DELAY, CoreEvent::Owner(target, event));
+            world.schedule_policy_event(world.now + DELAY, CoreEvent::Owner(target, event));
         }
         let wakes = self.allocator.next_wakeup();
         if let Some(at) = plan_wake(&mut self.allocator_wakes, wakes, world.now) {
-            world.plan_policy(at, CoreEvent::AllocatorWakes);
+            world.schedule_policy_event(at, CoreEvent::AllocatorWakes);
         }
     }
 
@@ -407,11 +407,11 @@
             order: order.id,
             result,
         };
-        world.plan_policy(world.now + delay, CoreEvent::Owner(target, ended));
+        world.schedule_policy_event(world.now + delay, CoreEvent::Owner(target, ended));
     }
 
     fn report(&mut self, world: &mut World<CoreEvent>, engine: usize) {
-        world.plan_policy(world.now + REPORT_INTERVAL, CoreEvent::ReportDue(engine));
+        world.schedule_policy_event(world.now + REPORT_INTERVAL, CoreEvent::ReportDue(engine));
         if world.engines[engine].is_down() {
             return;
         }
@@ -421,16 +421,16 @@
             age: REPORT_AGE,
         };
         let event = CoreEvent::Owner(engine, OwnerEvent::EngineReported(report));
-        world.plan_policy(world.now + REPORT_AGE, event);
+        world.schedule_policy_event(world.now + REPORT_AGE, event);
     }
 
     fn cache_events(&mut self, world: &mut World<CoreEvent>, engine: usize) {
-        world.plan_policy(world.now + CACHE_INTERVAL, CoreEvent::CacheDue(engine));
+        world.schedule_policy_event(world.now + CACHE_INTERVAL, CoreEvent::CacheDue(engine));
         let late = Duration::from_millis(self.rng.random_range(0..CACHE_LATENESS_MS));
         let held = world.engines[engine].prefixes();
         let told = held.filter(|_| !self.rng.random_bool(CACHE_GAP)).collect();
         let event = CoreEvent::Owner(engine, OwnerEvent::PrefixesCached(told));
-        world.plan_policy(world.now + late, event);
+        world.schedule_policy_event(world.now + late, event);
     }
 }
 
--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -205,7 +205,7 @@
         let attempt = attempt_id(request, current.number);
         let at = world.now + Duration::from_millis(retry_after_ms).max(LEAST_RETRY);
         let retry = CoreEvent::Entry(EntryEvent::Retry { request, attempt });
-        world.plan_policy(at, retry);
+        world.schedule_policy_event(at, retry);
     }
 
     fn ask_anew(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
@@ -258,7 +258,7 @@
             avoid: Default::default(),
         };
         let event = OwnerEvent::PermitRequested(permit_request);
-        world.plan_policy(world.now + DELAY, CoreEvent::Owner(current.target, event));
+        world.schedule_policy_event(world.now + DELAY, CoreEvent::Owner(current.target, event));
     }
 
     fn release(
@@ -278,7 +278,7 @@
         };
         let event = OwnerEvent::PermitReleased(released);
         // The end of the answer reaches the entry instance first.
-        world.plan_policy(
+        world.schedule_policy_event(
             world.now + DELAY * 2,
             CoreEvent::Owner(current.target, event),
         );
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -171,7 +171,7 @@
     }
 
     /// Schedules an event of the policy.
-    pub(crate) fn plan_policy(&mut self, at: Moment, event: E) {
+    pub(crate) fn schedule_policy_event(&mut self, at: Moment, event: E) {
         self.queue.push(at, Event::Policy(event));
     }
 
