--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -103,7 +103,7 @@
     /// Records that the call of a request failed, so that the request waits again.
     ///
     /// If a step had already included the request, its waiting time restarts now.
-    pub(crate) fn arrive_again(&mut self, request: u32, now: Moment) {
+    pub(crate) fn requeue(&mut self, request: u32, now: Moment) {
         let state = &mut self.states[request as usize];
         state.phase = Phase::Waiting;
         if state.started.take().is_some() {
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -373,7 +373,7 @@
     }
 
     fn call_failed(&mut self, target: usize, request: u32, refusal: EngineRefusal) -> Vec<Notice> {
-        self.requests.arrive_again(request, self.now);
+        self.requests.requeue(request, self.now);
         self.schedule_give_up(request);
         vec![Notice::CallFailed {
             target,
