--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -183,7 +183,7 @@
             return;
         }
         in_use.asked = true;
-        world.set_asked(engine, adapter, true);
+        world.set_load_pending(engine, adapter, true);
         self.loads.push_back((engine, adapter));
     }
 
@@ -216,7 +216,7 @@
     ) {
         self.loading -= 1;
         self.targets[engine].adapter(adapter).asked = false;
-        world.set_asked(engine, adapter, false);
+        world.set_load_pending(engine, adapter, false);
         if !loaded && self.targets[engine].adapter(adapter).queued > 0 {
             self.ask(world, engine, adapter);
         }
@@ -251,7 +251,7 @@
             if self.targets[engine].adapter(adapter).queued == 0 {
                 self.loads.remove(next);
                 self.targets[engine].adapter(adapter).asked = false;
-                world.set_asked(engine, adapter, false);
+                world.set_load_pending(engine, adapter, false);
             } else if self.make_room(world, engine) && world.load(engine, adapter).is_ok() {
                 self.loads.remove(next);
                 self.loading += 1;
--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -342,13 +342,13 @@
     ) {
         let adapter = self.names.adapter(model);
         if self.turns.insert((target, order), adapter).is_none() {
-            world.set_asked(target, adapter, true);
+            world.set_load_pending(target, adapter, true);
         }
     }
 
     fn end_turn(&mut self, world: &mut World<CoreEvent>, target: usize, order: OrderId) {
         if let Some(adapter) = self.turns.remove(&(target, order)) {
-            world.set_asked(target, adapter, false);
+            world.set_load_pending(target, adapter, false);
         }
     }
 
--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct AdapterState {
     ready: bool,
-    asked: bool,
+    load_pending: bool,
 }
 
 impl Requests {
@@ -166,15 +166,15 @@
     }
 
     /// Records whether a target is loading an adapter or has requested to load it.
-    pub(crate) fn set_asked(
+    pub(crate) fn set_load_pending(
         &mut self,
         trace: &Trace,
         target: usize,
         adapter: u32,
-        asked: bool,
+        load_pending: bool,
         now: Moment,
     ) {
-        self.held.entry((target, adapter)).or_default().asked = asked;
+        self.held.entry((target, adapter)).or_default().load_pending = load_pending;
         self.refresh(trace, target, adapter, now);
     }
 
@@ -191,7 +191,7 @@
         let held = held.unwrap_or_default();
         match class {
             Class::Live => !held.ready,
-            Class::Deferrable => held.asked && !held.ready,
+            Class::Deferrable => held.load_pending && !held.ready,
         }
     }
 
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -221,9 +221,9 @@
     }
 
     /// Records whether a target is loading an adapter or has requested to load it.
-    pub(crate) fn set_asked(&mut self, target: usize, adapter: u32, asked: bool) {
+    pub(crate) fn set_load_pending(&mut self, target: usize, adapter: u32, load_pending: bool) {
         self.requests
-            .set_asked(&self.trace, target, adapter, asked, self.now);
+            .set_load_pending(&self.trace, target, adapter, load_pending, self.now);
     }
 
     /// Orders an engine to load an adapter.
