--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The request has not arrived yet.
-    Coming,
+    NotArrived,
     /// The request waits for permission to be sent to a target.
     Waiting,
     /// The call to the target is open or in transit.
@@ -65,7 +65,7 @@
 impl Requests {
     pub(crate) fn new(trace: &Trace) -> Self {
         let state = RequestState {
-            phase: Phase::Coming,
+            phase: Phase::NotArrived,
             since: Moment::ZERO,
             target: None,
             started: None,
