--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -292,7 +292,7 @@
                 in_use.permits += 1;
                 in_use.used = world.now;
             }
-            world.leave(request, Phase::Called);
+            world.leave(request, Phase::Sent);
             world
                 .schedule_policy_event(world.now + DELAY, BaselineEvent::Leave { target, request });
         }
--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -15,7 +15,7 @@
     /// The request waits for permission to be sent to a target.
     Waiting,
     /// The call to the target is open or in transit.
-    Called,
+    Sent,
     /// The request was answered or failed.
     Done,
 }
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -177,7 +177,7 @@
 
     /// Opens a call to a target, which receives it after one message delay.
     pub(crate) fn open_call(&mut self, target: usize, request: u32) {
-        self.leave(request, Phase::Called);
+        self.leave(request, Phase::Sent);
         let generation = self.engines.get(target).map_or(0, Engine::generation);
         let event = Event::CallArrives {
             engine: target,
