--- a/crates/chervilshunt_bench/src/policy/clairvoyant.rs
+++ b/crates/chervilshunt_bench/src/policy/clairvoyant.rs
@@ -33,7 +33,7 @@
     schedule: &Schedule,
     trace: &Trace,
 ) {
-    let measured = |at: Moment| at >= schedule.warm;
+    let measured = |at: Moment| at >= schedule.warm_up_end;
     let engine_requests = trace.requests.iter().filter(|req| req.adapter.is_some());
     report.requests = engine_requests.filter(|req| measured(req.at)).count() as u64;
     let wiped = (scenario == Scenario::Restart).then_some(schedule.start);
@@ -56,12 +56,12 @@
         let (Some(adapter), Class::Live) = (req.adapter, req.class) else {
             continue;
         };
-        if req.at < schedule.warm {
+        if req.at < schedule.warm_up_end {
             continue;
         }
         // Anything may be held when measuring begins.
         let before = last.insert(adapter, req.at);
-        let start = before.map_or(schedule.warm, |at| at + slack);
+        let start = before.map_or(schedule.warm_up_end, |at| at + slack);
         if start < req.at {
             gaps.push(Gap { start, end: req.at });
         }
--- a/crates/chervilshunt_bench/src/policy/informed.rs
+++ b/crates/chervilshunt_bench/src/policy/informed.rs
@@ -18,7 +18,11 @@
 /// Writes the bound into a report.
 pub(crate) fn fill(report: &mut Report, sizes: &Sizes, schedule: &Schedule, trace: &Trace) {
     let slots = sizes.engines as u32 * SLOTS;
-    for req in trace.requests.iter().filter(|req| req.at >= schedule.warm) {
+    for req in trace
+        .requests
+        .iter()
+        .filter(|req| req.at >= schedule.warm_up_end)
+    {
         report.requests += u64::from(req.adapter.is_some());
         let unpopular = req.rank.is_some_and(|rank| rank >= slots);
         report.stalls += u64::from(unpopular && req.class == Class::Live);
--- a/crates/chervilshunt_bench/src/policy/scenario.rs
+++ b/crates/chervilshunt_bench/src/policy/scenario.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Schedule {
     /// End of the warm-up and start of the measurement.
-    pub(crate) warm: Moment,
+    pub(crate) warm_up_end: Moment,
     /// Start of the disturbance.
     pub(crate) start: Moment,
     /// End of the disturbance.
@@ -105,7 +105,7 @@
     pub(crate) fn new(seconds: u64) -> Self {
         let at = |part: f64| Moment::from_millis((seconds as f64 * 1e3 * part) as u64);
         Self {
-            warm: at(WARM_UP_FRACTION),
+            warm_up_end: at(WARM_UP_FRACTION),
             start: at(START_FRACTION),
             end: at(END_FRACTION),
             stop: at(1.0),
--- a/crates/chervilshunt_bench/src/policy/workload.rs
+++ b/crates/chervilshunt_bench/src/policy/workload.rs
@@ -177,7 +177,7 @@
     fn wake_changes(&mut self, holders: &mut Vec<u32>) -> Vec<(Moment, usize, u32)> {
         let swaps = (f64::from(self.sizes.live_adapters) * WAKE_FRACTION / 2.0) as usize;
         let idle = holders.split_off(holders.len() - swaps);
-        let span = self.schedule.warm.as_micros()..self.schedule.stop.as_micros();
+        let span = self.schedule.warm_up_end.as_micros()..self.schedule.stop.as_micros();
         idle.into_iter()
             .map(|adapter| {
                 let at = Moment::from_micros(self.rng.random_range(span.clone()));
@@ -287,7 +287,11 @@
     /// Draws the arrivals of a Poisson process with a varying rate, by thinning a process with the
     /// highest rate.
     fn arrivals(&mut self, rate: impl Fn(Moment) -> f64) -> Vec<Moment> {
-        let (warm, start, end) = (self.schedule.warm, self.schedule.start, self.schedule.end);
+        let (warm, start, end) = (
+            self.schedule.warm_up_end,
+            self.schedule.start,
+            self.schedule.end,
+        );
         let highest = [Moment::ZERO, warm, start, end]
             .into_iter()
             .map(&rate)
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -149,7 +149,7 @@
 
     /// Fills in a report with the measurements.
     pub(crate) fn report(&self, report: &mut Report) {
-        let (warm, stop) = (self.schedule.warm, self.schedule.stop);
+        let (warm, stop) = (self.schedule.warm_up_end, self.schedule.stop);
         let measured = (&self.trace, &self.requests);
         report.fill(measured, &self.counters, &self.meter, warm..stop);
     }
@@ -167,7 +167,7 @@
 
     /// Returns whether the warm-up is over.
     pub(crate) fn measuring(&self) -> bool {
-        self.now >= self.schedule.warm
+        self.now >= self.schedule.warm_up_end
     }
 
     /// Schedules an event of the policy.
@@ -203,7 +203,7 @@
     pub(crate) fn fail(&mut self, request: u32) {
         let req = &self.trace.requests[request as usize];
         self.requests.fail(request, req, self.now);
-        if self.req(request).at < self.schedule.warm {
+        if self.req(request).at < self.schedule.warm_up_end {
             return;
         }
         match self.req(request).class {
@@ -430,7 +430,7 @@
         for request in result.finished {
             self.leave(request, Phase::Done);
             let req = self.req(request);
-            let counts = req.class == Class::Deferrable && req.at >= self.schedule.warm;
+            let counts = req.class == Class::Deferrable && req.at >= self.schedule.warm_up_end;
             self.counters.deferrable_done += u64::from(counts);
             notices.push(Notice::Finished {
                 target: engine,
