--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -241,7 +241,8 @@
             Class::Live => LIVE_DEADLINE,
             Class::Deferrable => DEFERRABLE_DEADLINE,
         };
-        let left = deadline.saturating_sub(world.now.since(world.requests.get(request).since));
+        let left =
+            deadline.saturating_sub(world.now.since(world.requests.get(request).waiting_since));
         let permit_request = PermitRequest {
             attempt: attempt_id(request, current.number),
             entry: names.entries[req.entry as usize].clone(),
--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -182,7 +182,7 @@
                 continue;
             }
             let until = state.started.or(state.failed).unwrap_or(time.end);
-            let wait = until.since(state.since);
+            let wait = until.since(state.waiting_since);
             if req.adapter.is_none() {
                 plain.add(wait);
                 continue;
--- a/crates/chervilshunt_bench/src/policy/requests.rs
+++ b/crates/chervilshunt_bench/src/policy/requests.rs
@@ -26,7 +26,7 @@
     /// The current phase.
     pub(crate) phase: Phase,
     /// The time since which its caller has been waiting.
-    pub(crate) since: Moment,
+    pub(crate) waiting_since: Moment,
     /// The target at which it waits.
     pub(crate) target: Option<usize>,
     /// The start of the first step that included it.
@@ -66,7 +66,7 @@
     pub(crate) fn new(trace: &Trace) -> Self {
         let state = RequestState {
             phase: Phase::NotArrived,
-            since: Moment::ZERO,
+            waiting_since: Moment::ZERO,
             target: None,
             started: None,
             failed: None,
@@ -97,7 +97,7 @@
     pub(crate) fn arrive(&mut self, request: u32, now: Moment) {
         let state = &mut self.states[request as usize];
         state.phase = Phase::Waiting;
-        state.since = now;
+        state.waiting_since = now;
     }
 
     /// Records that the call of a request failed, so that the request waits again.
@@ -107,7 +107,7 @@
         let state = &mut self.states[request as usize];
         state.phase = Phase::Waiting;
         if state.started.take().is_some() {
-            state.since = now;
+            state.waiting_since = now;
         }
     }
 
--- a/crates/chervilshunt_bench/src/policy/timeline.rs
+++ b/crates/chervilshunt_bench/src/policy/timeline.rs
@@ -89,7 +89,7 @@
             continue;
         }
         let until = state.started.or(state.failed).unwrap_or(stop);
-        let wait = until.since(state.since);
+        let wait = until.since(state.waiting_since);
         match req.class {
             Class::Live => {
                 slot.live += 1;
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -337,14 +337,14 @@
 
     fn schedule_give_up(&mut self, request: u32) {
         if self.req(request).class == Class::Live {
-            let at = self.requests.get(request).since + LIVE_DEADLINE;
+            let at = self.requests.get(request).waiting_since + LIVE_DEADLINE;
             self.queue.push(at.max(self.now), Event::GivesUp(request));
         }
     }
 
     fn give_up(&mut self, request: u32) -> Vec<Notice> {
         let state = self.requests.get(request);
-        let waited = self.now.since(state.since) >= LIVE_DEADLINE;
+        let waited = self.now.since(state.waiting_since) >= LIVE_DEADLINE;
         if state.phase != Phase::Waiting || !waited {
             return Vec::new();
         }
