--- a/crates/chervilshunt_bench/src/policy/store.rs
+++ b/crates/chervilshunt_bench/src/policy/store.rs
@@ -66,7 +66,7 @@
     }
 
     /// Removes and returns the finished loads, each with whether it succeeded.
-    pub(crate) fn ended(&mut self, now: Moment) -> Vec<(LoadKey, bool)> {
+    pub(crate) fn take_ended(&mut self, now: Moment) -> Vec<(LoadKey, bool)> {
         self.advance(now);
         let mut ended = Vec::new();
         self.loads.retain(|load| {
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -446,7 +446,7 @@
             return Vec::new();
         }
         let mut notices = Vec::new();
-        for (key, loaded) in self.store.ended(self.now) {
+        for (key, loaded) in self.store.take_ended(self.now) {
             let LoadKey {
                 engine,
                 adapter,
