--- a/crates/chervilshunt_bench/src/policy/store.rs
+++ b/crates/chervilshunt_bench/src/policy/store.rs
@@ -32,7 +32,7 @@
 struct Load {
     key: LoadKey,
     /// The part that is still to be read, as a fraction of one adapter.
-    left: f64,
+    remaining: f64,
     fails: bool,
 }
 
@@ -55,8 +55,12 @@
     /// Begins a load, which is going to fail if `fails` is set.
     pub(crate) fn begin(&mut self, key: LoadKey, fails: bool, now: Moment) {
         self.advance(now);
-        let left = if fails { FAILED_LOAD_FRACTION } else { 1.0 };
-        self.loads.push(Load { key, left, fails });
+        let remaining = if fails { FAILED_LOAD_FRACTION } else { 1.0 };
+        self.loads.push(Load {
+            key,
+            remaining,
+            fails,
+        });
     }
 
     /// Cancels the loads of an engine that went down.
@@ -70,7 +74,7 @@
         self.advance(now);
         let mut ended = Vec::new();
         self.loads.retain(|load| {
-            let over = load.left <= FINISHED_TOLERANCE;
+            let over = load.remaining <= FINISHED_TOLERANCE;
             if over {
                 ended.push((load.key, !load.fails));
             }
@@ -83,7 +87,11 @@
     /// prediction is still current.
     pub(crate) fn next_end(&mut self) -> Option<(Moment, u64)> {
         self.generation += 1;
-        let least = self.loads.iter().map(|load| load.left).reduce(f64::min)?;
+        let least = self
+            .loads
+            .iter()
+            .map(|load| load.remaining)
+            .reduce(f64::min)?;
         let wait = Duration::from_secs_f64(least / self.speed()) + Duration::from_micros(1);
         Some((self.advanced + wait, self.generation))
     }
@@ -97,7 +105,7 @@
         let done = now.since(self.advanced).as_secs_f64() * self.speed();
         self.advanced = now;
         for load in &mut self.loads {
-            load.left -= done;
+            load.remaining -= done;
         }
     }
 
