--- a/crates/chervilshunt_bench/src/policy/workload.rs
+++ b/crates/chervilshunt_bench/src/policy/workload.rs
@@ -113,7 +113,7 @@
 /// The live adapter at each popularity rank, and the scheduled changes of these ranks.
 struct Popularity {
     zipf: Zipf<f64>,
-    holders: Vec<u32>,
+    adapters_by_rank: Vec<u32>,
     /// Scheduled changes, each with its time, the rank and the rank's new adapter; the next change
     /// is the last element.
     changes: Vec<(Moment, usize, u32)>,
@@ -124,10 +124,10 @@
     /// rank.
     fn draw(&mut self, now: Moment, rng: &mut ChaCha8Rng) -> (u32, u32) {
         while let Some((_, rank, adapter)) = self.changes.pop_if(|(at, _, _)| *at <= now) {
-            self.holders[rank] = adapter;
+            self.adapters_by_rank[rank] = adapter;
         }
         let rank = self.zipf.sample(rng) as u32 - 1;
-        (self.holders[rank as usize], rank)
+        (self.adapters_by_rank[rank as usize], rank)
     }
 }
 
@@ -140,11 +140,11 @@
 
 impl Generator<'_> {
     fn popularity(&mut self, scenario: Scenario) -> Popularity {
-        let mut holders: Vec<u32> = (0..self.sizes.live_adapters).collect();
-        holders.shuffle(&mut self.rng);
+        let mut adapters_by_rank: Vec<u32> = (0..self.sizes.live_adapters).collect();
+        adapters_by_rank.shuffle(&mut self.rng);
         let mut changes = match scenario {
-            Scenario::Shift => self.shift_changes(holders.len()),
-            Scenario::Wake => self.wake_changes(&mut holders),
+            Scenario::Shift => self.shift_changes(adapters_by_rank.len()),
+            Scenario::Wake => self.wake_changes(&mut adapters_by_rank),
             Scenario::Steady
             | Scenario::Restart
             | Scenario::LoadFailures
@@ -154,34 +154,42 @@
         };
         changes.sort_by_key(|change| std::cmp::Reverse(change.0));
         Popularity {
-            zipf: zipf(holders.len(), LIVE_SKEW),
-            holders,
+            zipf: zipf(adapters_by_rank.len(), LIVE_SKEW),
+            adapters_by_rank,
             changes,
         }
     }
 
     fn shift_changes(&mut self, ranks: usize) -> Vec<(Moment, usize, u32)> {
-        let mut new_holders: Vec<u32> = (0..self.sizes.live_adapters).collect();
-        new_holders.shuffle(&mut self.rng);
+        let mut new_adapters_by_rank: Vec<u32> = (0..self.sizes.live_adapters).collect();
+        new_adapters_by_rank.shuffle(&mut self.rng);
         let until = SHIFT_TIME.as_micros() as u64;
         (0..ranks)
             .map(|rank| {
                 let delay = Duration::from_micros(self.rng.random_range(0..until));
-                (self.schedule.start + delay, rank, new_holders[rank])
+                (
+                    self.schedule.start + delay,
+                    rank,
+                    new_adapters_by_rank[rank],
+                )
             })
             .collect()
     }
 
     /// Schedules, at random times, that an active adapter becomes idle and an idle one takes over its
     /// popularity rank.
-    fn wake_changes(&mut self, holders: &mut Vec<u32>) -> Vec<(Moment, usize, u32)> {
+    fn wake_changes(&mut self, adapters_by_rank: &mut Vec<u32>) -> Vec<(Moment, usize, u32)> {
         let swaps = (f64::from(self.sizes.live_adapters) * WAKE_FRACTION / 2.0) as usize;
-        let idle = holders.split_off(holders.len() - swaps);
+        let idle = adapters_by_rank.split_off(adapters_by_rank.len() - swaps);
         let span = self.schedule.warm_up_end.as_micros()..self.schedule.stop.as_micros();
         idle.into_iter()
             .map(|adapter| {
                 let at = Moment::from_micros(self.rng.random_range(span.clone()));
-                (at, self.rng.random_range(0..holders.len()), adapter)
+                (
+                    at,
+                    self.rng.random_range(0..adapters_by_rank.len()),
+                    adapter,
+                )
             })
             .collect()
     }
