--- a/crates/chervilshunt_bench/src/policy/timeline.rs
+++ b/crates/chervilshunt_bench/src/policy/timeline.rs
@@ -16,7 +16,7 @@
 
 /// The work of the engines and the weight store in one minute.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Work {
+pub(crate) struct MinuteWork {
     pub(crate) loads: u64,
     pub(crate) evictions: u64,
     pub(crate) steps: u64,
@@ -27,12 +27,12 @@
 /// The work of each minute, from the start of the run.
 #[derive(Debug, Default)]
 pub(crate) struct Timeline {
-    minutes: Vec<Work>,
+    minutes: Vec<MinuteWork>,
 }
 
 /// Counts and total waits of the requests that arrived in one minute.
 #[derive(Clone, Copy, Debug, Default)]
-struct Arrived {
+struct MinuteArrivals {
     live: u32,
     stalls: u32,
     stalled: Duration,
@@ -43,10 +43,10 @@
 
 impl Timeline {
     /// Returns the work of the minute that contains `now`.
-    pub(crate) fn at(&mut self, now: Moment) -> &mut Work {
+    pub(crate) fn at(&mut self, now: Moment) -> &mut MinuteWork {
         let minute = minute(now);
         if self.minutes.len() <= minute {
-            self.minutes.resize(minute + 1, Work::default());
+            self.minutes.resize(minute + 1, MinuteWork::default());
         }
         &mut self.minutes[minute]
     }
@@ -56,7 +56,7 @@
         let arrived = arrived(trace, requests, stop, self.minutes.len());
         let mut text = String::from(HEAD);
         for (minute, (work, arrived)) in self.minutes.iter().zip(arrived).enumerate() {
-            let Work {
+            let MinuteWork {
                 loads,
                 evictions,
                 steps,
@@ -79,8 +79,13 @@
     }
 }
 
-fn arrived(trace: &Trace, requests: &Requests, stop: Moment, minutes: usize) -> Vec<Arrived> {
-    let mut arrived = vec![Arrived::default(); minutes];
+fn arrived(
+    trace: &Trace,
+    requests: &Requests,
+    stop: Moment,
+    minutes: usize,
+) -> Vec<MinuteArrivals> {
+    let mut arrived = vec![MinuteArrivals::default(); minutes];
     for (req, state) in trace.requests.iter().zip(requests.iter()) {
         let Some(slot) = arrived.get_mut(minute(req.at)) else {
             continue;
