--- a/crates/chervilshunt_bench/src/policy/summary.rs
+++ b/crates/chervilshunt_bench/src/policy/summary.rs
@@ -87,7 +87,7 @@
     /// The result does not depend on the number of threads.
     ///
     /// # Panics
-    /// Panics if a run panics.
+    /// Panics if there are no seeds or if a run panics.
     pub fn run(&self) -> Vec<Row> {
         let groups = self.groups();
         let per_group = self.seeds.len();
