--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -13,7 +13,7 @@
 use super::deployment::Sizes;
 use super::engine::EngineRefusal;
 use super::requests::Phase;
-use super::workload::most_tokens;
+use super::workload::max_tokens;
 use super::world::{DEFERRABLE_DEADLINE, DELAY, LIVE_DEADLINE, World};
 
 /// How long an entry instance goes by the spread that an owner told.
@@ -205,7 +205,7 @@
         let attempt = attempt_id(request, current.number);
         let at = world.now + Duration::from_millis(retry_after_ms).max(LEAST_RETRY);
         let retry = CoreEvent::Entry(EntryEvent::Retry { request, attempt });
-        world.plan_policy(at, retry);
+        world.schedule_policy_event(at, retry);
     }
 
     fn ask_anew(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
@@ -241,7 +241,8 @@
             Class::Live => LIVE_DEADLINE,
             Class::Deferrable => DEFERRABLE_DEADLINE,
         };
-        let left = deadline.saturating_sub(world.now.since(world.requests.get(request).since));
+        let left =
+            deadline.saturating_sub(world.now.since(world.requests.get(request).waiting_since));
         let permit_request = PermitRequest {
             attempt: attempt_id(request, current.number),
             entry: names.entries[req.entry as usize].clone(),
@@ -252,13 +253,13 @@
             caller: self.callers[req.caller as usize].clone(),
             deadline_ms: left.as_millis() as u64,
             prompt_tokens: req.shared_tokens + req.own_tokens,
-            max_tokens: most_tokens(req.class),
+            max_tokens: max_tokens(req.class),
             prefix: req.prefix,
             hops: current.hops,
             avoid: Default::default(),
         };
         let event = OwnerEvent::PermitRequested(permit_request);
-        world.plan_policy(world.now + DELAY, CoreEvent::Owner(current.target, event));
+        world.schedule_policy_event(world.now + DELAY, CoreEvent::Owner(current.target, event));
     }
 
     fn release(
@@ -278,7 +279,7 @@
         };
         let event = OwnerEvent::PermitReleased(released);
         // The end of the answer reaches the entry instance first.
-        world.plan_policy(
+        world.schedule_policy_event(
             world.now + DELAY * 2,
             CoreEvent::Owner(current.target, event),
         );
--- a/crates/chervilshunt_bench/src/policy/timeline.rs
+++ b/crates/chervilshunt_bench/src/policy/timeline.rs
@@ -1,4 +1,4 @@
-//! What happened in each minute of a run, for finding out why a policy does as it does.
+//! Per-minute activity of a run, for analysing the behaviour of a policy.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,15 +9,14 @@
 use super::requests::Requests;
 use super::workload::Trace;
 
-/// Microseconds of one line.
-const MINUTE: u64 = 60_000_000;
+const MINUTE_MICROS: u64 = 60_000_000;
 
 const HEAD: &str = "minute,live,stalls,stall_ms_mean,live_wait_ms_mean,deferrable,\
     deferrable_wait_ms_mean,loads,evictions,steps,tokens,mean_watts\n";
 
-/// What engines and weight store did in one minute.
+/// The work of the engines and the weight store in one minute.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Work {
+pub(crate) struct MinuteWork {
     pub(crate) loads: u64,
     pub(crate) evictions: u64,
     pub(crate) steps: u64,
@@ -28,12 +27,12 @@
 /// The work of each minute, from the start of the run.
 #[derive(Debug, Default)]
 pub(crate) struct Timeline {
-    minutes: Vec<Work>,
+    minutes: Vec<MinuteWork>,
 }
 
-/// Counts and sums of the requests that arrived in one minute.
+/// Counts and total waits of the requests that arrived in one minute.
 #[derive(Clone, Copy, Debug, Default)]
-struct Arrived {
+struct MinuteArrivals {
     live: u32,
     stalls: u32,
     stalled: Duration,
@@ -43,28 +42,28 @@
 }
 
 impl Timeline {
-    /// Returns the work of the minute that is going on.
-    pub(crate) fn at(&mut self, now: Moment) -> &mut Work {
+    /// Returns the work of the minute that contains `now`.
+    pub(crate) fn at(&mut self, now: Moment) -> &mut MinuteWork {
         let minute = minute(now);
         if self.minutes.len() <= minute {
-            self.minutes.resize(minute + 1, Work::default());
+            self.minutes.resize(minute + 1, MinuteWork::default());
         }
         &mut self.minutes[minute]
     }
 
-    /// Renders one line of comma-separated values for each minute.
+    /// Renders a header and one line of comma-separated values for each minute.
     pub(crate) fn render(&self, trace: &Trace, requests: &Requests, stop: Moment) -> String {
         let arrived = arrived(trace, requests, stop, self.minutes.len());
         let mut text = String::from(HEAD);
         for (minute, (work, arrived)) in self.minutes.iter().zip(arrived).enumerate() {
-            let Work {
+            let MinuteWork {
                 loads,
                 evictions,
                 steps,
                 tokens,
                 joules,
             } = work;
-            let watts = joules / (MINUTE as f64 / 1e6);
+            let watts = joules / (MINUTE_MICROS as f64 / 1e6);
             let stalled = mean(arrived.stalled, arrived.stalls);
             let live_wait = mean(arrived.live_wait, arrived.live);
             let deferrable_wait = mean(arrived.deferrable_wait, arrived.deferrable);
@@ -80,8 +79,13 @@
     }
 }
 
-fn arrived(trace: &Trace, requests: &Requests, stop: Moment, minutes: usize) -> Vec<Arrived> {
-    let mut arrived = vec![Arrived::default(); minutes];
+fn arrived(
+    trace: &Trace,
+    requests: &Requests,
+    stop: Moment,
+    minutes: usize,
+) -> Vec<MinuteArrivals> {
+    let mut arrived = vec![MinuteArrivals::default(); minutes];
     for (req, state) in trace.requests.iter().zip(requests.iter()) {
         let Some(slot) = arrived.get_mut(minute(req.at)) else {
             continue;
@@ -90,7 +94,7 @@
             continue;
         }
         let until = state.started.or(state.failed).unwrap_or(stop);
-        let wait = until.since(state.since);
+        let wait = until.since(state.waiting_since);
         match req.class {
             Class::Live => {
                 slot.live += 1;
@@ -108,7 +112,7 @@
 }
 
 const fn minute(at: Moment) -> usize {
-    (at.as_micros() / MINUTE) as usize
+    (at.as_micros() / MINUTE_MICROS) as usize
 }
 
 fn mean(sum: Duration, count: u32) -> f64 {
