--- a/crates/chervilshunt_bench/src/capacity/command.rs
+++ b/crates/chervilshunt_bench/src/capacity/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the measurement.
+//! Command line of the capacity measurement.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 const USAGE: &str = "\
 usage: chervilshunt_bench capacity [OPTIONS]
 
-  --instances LIST   sizes of the fleet, separated by commas (3,6,12,24)
-  --seconds N        length of the rest, and of what follows a restart (30)
+  --instances LIST   fleet sizes, separated by commas (3,6,12,24)
+  --seconds N        seconds to measure the idle fleet, and after a restart (30)
 
-Measures bytes by purpose and calls to the platform of whole daemons on loopback.";
+Measures bytes by purpose and platform API calls of complete daemons on loopback.";
 
 struct Options {
     sizes: Vec<usize>,
     window: Duration,
 }
 
-/// Measures each size and prints the tables.
+/// Measures each fleet size and prints the tables.
 ///
 /// # Errors
-/// Fails if the command line is wrong or a fleet can't be started.
+/// Returns an error if the command line is invalid, or a fleet can't be started or measured.
 pub fn run(parser: Parser) -> Result<(), FiguresError> {
     let usage = UsageSnafu { usage: USAGE };
     let Some(options) = parse(parser).context(usage)? else {
--- a/crates/chervilshunt_bench/src/capacity/line.rs
+++ b/crates/chervilshunt_bench/src/capacity/line.rs
@@ -1,18 +1,18 @@
-//! The line of least squares through the sizes of a fleet.
+//! Least-squares line over fleet sizes.
 
-/// A line, and how well it fits.
+/// A fitted line and its goodness of fit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Line {
-    /// The value at size 0.
+    /// The intercept: the value at size 0.
     pub(crate) fixed: f64,
-    /// How much each unit of size adds.
+    /// The increase per unit of size.
     pub(crate) slope: f64,
-    /// The share of the variance that the line explains; 1 where there is none.
+    /// The coefficient of determination; 1 if the values have no variance.
     pub(crate) r2: f64,
 }
 
 impl Line {
-    /// Fits a line through sizes and values.
+    /// Fits a line to pairs of size and value by least squares.
     pub(crate) fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/chervilshunt_bench/src/capacity/line/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/line/tests.rs
@@ -1,4 +1,4 @@
-//! Lines through points that lie on one, near one, and on none.
+//! Tests fitting a line to collinear points, a single point and scattered points.
 
 use rstest::rstest;
 
--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! Runs one size of a fleet and counts what its instances sent, received and called.
+//! Runs a fleet of one size and measures its instances' traffic and platform API calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,33 +12,37 @@
 use crate::figures::error::{AnswersSnafu, DeploymentSnafu};
 use crate::figures::scrape::{Counters, label, risen, scrape};
 
-/// The time in which a fleet that has just started comes to rest: leases are seen twice.
+/// Time for a freshly started fleet to become idle: every lease is observed twice.
 const SETTLE: Duration = Duration::from_secs(12);
-/// The time that an instance has to end.
+/// Time limit for an instance to terminate.
 const ENDING: Duration = Duration::from_secs(30);
 
-/// Targets of a fleet for each of its instances, as at the size that bounds the design, rounded
-/// down so that the machine's stand-ins stay few.
+/// Engines per instance: the ratio at the largest fleet size of the design, rounded down to keep
+/// the number of stand-ins on the machine small.
 const ENGINES_AN_INSTANCE: usize = 1;
 const ADAPTERS: usize = 50;
 
-/// Values by what they are, each a mean over instances.
+/// Measured values by name, each a mean over instances.
 pub(crate) type Values = BTreeMap<String, f64>;
 
-/// What one size of a fleet cost.
+/// Traffic and platform API calls measured at one fleet size.
 #[derive(Debug)]
 pub(crate) struct Sample {
-    /// Instances.
+    /// Number of instances in the fleet.
     pub(crate) instances: usize,
-    /// Bytes and calls a second of an instance at rest.
+    /// Bytes and calls per second of an idle instance.
     pub(crate) rest: Values,
-    /// Bytes and calls of each other instance through one restart, beyond those at rest.
+    /// Bytes and calls of each other instance during one restart, less those of an idle instance
+    /// over the same time.
     pub(crate) restart: Values,
-    /// Bytes and calls of the newcomer until it was ready.
+    /// Bytes and calls of the new instance until it was ready.
     pub(crate) newcomer: Values,
 }
 
-/// Measures one size.
+/// Measures one fleet size: idle for `window`, then through one graceful restart.
+///
+/// # Errors
+/// Returns an error if the fleet can't be started or an instance's metrics can't be read.
 pub(crate) async fn measure(instances: usize, window: Duration) -> Result<Sample, FiguresError> {
     let options = FleetOptions {
         instances,
@@ -81,7 +85,7 @@
     })
 }
 
-/// Returns the operators' ports of all instances but one.
+/// Returns the addresses of the operators' ports of all instances except `without`.
 fn ports(fleet: &Fleet, without: &str) -> Vec<SocketAddr> {
     let instances = fleet.instances().iter();
     let others = instances.filter(|(id, _)| *id != without);
@@ -94,10 +98,10 @@
     Ok(counters)
 }
 
-/// Sums counters up by what they are, over `divisor`.
+/// Sums counters by the value they belong to and divides by `divisor`.
 ///
-/// A message between instances is counted at its sender; calls to the platform at the instance,
-/// both ways.
+/// Mesh traffic is counted at the sender only; platform traffic at the instance, in both
+/// directions.
 fn values(counters: &Counters, divisor: f64) -> Values {
     let mut values = Values::new();
     for (name, value) in counters {
@@ -109,7 +113,7 @@
     values
 }
 
-/// Says what a counter adds to, if to anything.
+/// Returns the name of the value that a counter contributes to, if any.
 fn meaning(name: &str) -> Option<String> {
     let base = name.split('{').next().unwrap_or(name);
     let of = |key: &str| label(name, key).unwrap_or_default();
@@ -128,7 +132,7 @@
     }
 }
 
-/// Takes off what the same time at rest costs.
+/// Subtracts the cost of an idle instance over `seconds`.
 fn beyond(moved: &Values, rest: &Values, seconds: f64) -> Values {
     let of_rest = |what: &String| rest.get(what).copied().unwrap_or_default() * seconds;
     moved
--- a/crates/chervilshunt_bench/src/capacity/measure/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure/tests.rs
@@ -1,4 +1,4 @@
-//! What counters add up to.
+//! Tests how counters are named and summed.
 
 use rstest::rstest;
 
@@ -27,8 +27,8 @@
     assert_eq!(meaning(name).as_deref(), what);
 }
 
-/// Both directions of the platform's bytes and all results of a call come together; what the same
-/// time at rest costs is taken off.
+/// Bytes of both directions to the platform are summed, and the cost of an idle instance over the
+/// same time is subtracted.
 #[test]
 fn sums_and_takes_off_the_rest() {
     let counters = Counters::from(
--- a/crates/chervilshunt_bench/src/capacity/mod.rs
+++ b/crates/chervilshunt_bench/src/capacity/mod.rs
@@ -1,8 +1,9 @@
-//! What control costs in whole fleets: bytes and platform calls by purpose, from the daemons' own
-//! metrics, at rest and through one graceful restart.
+//! Control-plane cost of whole fleets: bytes and platform API calls by purpose, taken from the
+//! daemons' metrics, while idle and during one graceful restart.
 //!
-//! `docs/CAPACITY.md` records them, and sets them against what it works out from the slopes of the
-//! parts. Each size starts stand-ins and instances as separate processes on loopback, and ends them.
+//! `docs/CAPACITY.md` records the results and compares them with estimates from the slopes of the
+//! parts. Each fleet size starts stand-ins and instances as separate processes on loopback, and
+//! stops them afterwards.
 
 mod command;
 mod line;
--- a/crates/chervilshunt_bench/src/capacity/table.rs
+++ b/crates/chervilshunt_bench/src/capacity/table.rs
@@ -1,4 +1,4 @@
-//! Shows samples as tables, with the line through their sizes.
+//! Renders samples as tables, with a line fitted over the fleet sizes.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use super::line::Line;
 use super::measure::{Sample, Values};
 
-/// Picks the values of one phase.
+/// Selects the values of one phase from a sample.
 type PhaseOf = fn(&Sample) -> &Values;
 
-/// Renders all phases.
+/// Renders one Markdown table per phase.
 pub(crate) fn render(samples: &[Sample]) -> String {
     let phases: [(&str, PhaseOf); 3] = [
         ("An instance at rest, a second", |sample| &sample.rest),
