--- a/crates/chervilshunt_bench/src/figures/command.rs
+++ b/crates/chervilshunt_bench/src/figures/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the figures.
+//! Command line of the figures.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 const USAGE: &str = "\
 usage: chervilshunt_bench figures [first-token] [relay] [streams] [OPTIONS]
 
-  first-token   time added to the first token, and control bytes, at 300 requests/s
-  relay         SSE events a second through one instance
+  first-token   latency added to the first token, and control bytes, at 300 requests/s
+  relay         SSE events per second through one instance
   streams       memory of an instance with 1,000 open streams
-  --seconds N   seconds of load that count for first-token (30)
-  --json        print JSON in place of a table
+  --seconds N   seconds of load measured for first-token, after the warm-up (30)
+  --json        print JSON instead of a table
 
-Without a name it measures all. Exits with a failure if a figure is out of its bound.";
+Measures all figures if none is named. Exits with a failure if a figure is out of bounds.";
 
-/// Which figures are to be measured.
+/// Parsed command line: which figures to measure, and how.
 #[derive(Debug)]
 struct Options {
     first_token: bool,
@@ -30,10 +30,11 @@
     json: bool,
 }
 
-/// Measures what the rest of the command line names.
+/// Measures the figures named on the rest of the command line and prints them.
 ///
 /// # Errors
-/// Fails if the command line is wrong, a figure can't be measured, or one is out of its bound.
+/// Returns an error if the command line is invalid, or a figure can't be measured or is out of
+/// bounds.
 pub fn run(parser: Parser) -> Result<(), FiguresError> {
     let Some(options) = parse(parser).context(UsageSnafu { usage: USAGE })? else {
         println!("{USAGE}");
--- a/crates/chervilshunt_bench/src/figures/deployment.rs
+++ b/crates/chervilshunt_bench/src/figures/deployment.rs
@@ -1,4 +1,4 @@
-//! What the deployments of all figures have in common.
+//! Helpers shared by the deployments of all figures.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,11 +9,14 @@
 use super::error::{AnswersSnafu, DeploymentSnafu, FiguresError};
 
 /// Starts a deployment.
+///
+/// # Errors
+/// Returns an error if a process of the deployment can't be started.
 pub(crate) async fn start(options: FleetOptions) -> Result<Fleet, FiguresError> {
     Fleet::start(options).await.context(DeploymentSnafu)
 }
 
-/// Returns the models of a deployment's adapters.
+/// Returns the model names of a deployment's adapters.
 pub(crate) fn models(fleet: &Fleet) -> Vec<Arc<str>> {
     let adapters = fleet.options().adapters;
     (0..adapters)
@@ -21,16 +24,19 @@
         .collect()
 }
 
-/// Returns an address of each instance.
+/// Returns one address per instance, selected by `of`.
 pub(crate) fn addresses(fleet: &Fleet, of: fn(&Instance) -> SocketAddr) -> Vec<SocketAddr> {
     fleet.instances().values().map(of).collect()
 }
 
-/// Returns the only instance of a deployment, with its process id.
+/// Returns the instance of a deployment that has only one, with its process id.
+///
+/// # Errors
+/// Returns an error if there is no instance or its process has exited.
 pub(crate) fn only_instance(fleet: &Fleet) -> Result<(&Instance, u32), FiguresError> {
     let instance = fleet.instances().values().next();
     let found = instance.and_then(|instance| Some((instance, instance.process.id()?)));
     found.context(AnswersSnafu {
-        problem: "the instance has ended",
+        problem: "the instance process has exited",
     })
 }
--- a/crates/chervilshunt_bench/src/figures/error.rs
+++ b/crates/chervilshunt_bench/src/figures/error.rs
@@ -1,51 +1,51 @@
-//! Why a figure could not be measured.
+//! Errors of the figures.
 
 use chervilshunt_standin::fleet::FleetError;
 use snafu::Snafu;
 
 use crate::load::LoadError;
 
-/// Why a figure could not be measured, or is out of its bound.
+/// Error returned when a figure can't be measured or is out of bounds.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum FiguresError {
-    /// The command line does not parse.
+    /// The command line is invalid.
     #[snafu(display("{source}\n{usage}"))]
     Usage {
-        /// What may stand in it.
+        /// The usage text.
         usage: &'static str,
-        /// What is wrong with it.
+        /// The parser's error.
         source: lexopt::Error,
     },
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     #[snafu(display("can't start the runtime: {source}"))]
     Runtime {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The deployment could not be started.
+    /// A deployment could not be started or controlled.
     #[snafu(display("can't start a deployment: {source}"))]
     Deployment {
-        /// What failed.
+        /// The fleet's error.
         source: FleetError,
     },
     /// The load could not be run.
     #[snafu(display("can't run the load: {source}"))]
     Load {
-        /// What failed.
+        /// The load tool's error.
         source: LoadError,
     },
-    /// Answers were wrong, so that their times mean nothing.
+    /// Answers were wrong or missing, so the measured latencies are meaningless.
     #[snafu(display("answers were wrong or missing: {problem}"))]
     Answers {
-        /// Which.
+        /// Description of the wrong or missing answers.
         problem: String,
     },
-    /// Figures are out of their bounds.
-    #[snafu(display("{count} figures are out of their bounds"))]
+    /// At least one figure is out of bounds.
+    #[snafu(display("{count} figures are out of bounds"))]
     OutOfBounds {
-        /// How many.
+        /// The number of figures that are out of bounds.
         count: usize,
     },
 }
--- a/crates/chervilshunt_bench/src/figures/figure.rs
+++ b/crates/chervilshunt_bench/src/figures/figure.rs
@@ -1,4 +1,4 @@
-//! One measured figure.
+//! Measured figures and their bounds.
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
@@ -7,30 +7,30 @@
 /// One measured figure.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figure {
-    /// What was measured.
+    /// What was measured, as shown in tables.
     pub name: String,
-    /// The value.
+    /// The measured value, in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// The unit of `value` and `bound`.
     pub unit: &'static str,
-    /// What was promised, if anything.
+    /// The bound that the project guarantees, if any.
     pub bound: Option<Bound>,
-    /// Whether the value is within the bound.
+    /// Whether the value is within the bound; true if there is none.
     pub met: bool,
 }
 
-/// What was promised of a figure.
+/// The bound that the project guarantees for a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bound {
-    /// It may not be above this.
+    /// The highest value allowed.
     AtMost(f64),
-    /// It may not be below this.
+    /// The lowest value allowed.
     AtLeast(f64),
 }
 
 impl Figure {
-    /// Makes a figure and compares it with its bound.
+    /// Creates a figure and compares it with its bound.
     pub(crate) fn new(
         name: impl Into<String>,
         value: f64,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Renders figures for people.
+/// Renders figures as a text table.
 pub(crate) fn render(figures: &[Figure]) -> String {
     let mut table = Table::new();
     table
--- a/crates/chervilshunt_bench/src/figures/first_token.rs
+++ b/crates/chervilshunt_bench/src/figures/first_token.rs
@@ -1,4 +1,4 @@
-//! The time that the system adds to the first token, and the control traffic of a request.
+//! Latency that the system adds to the first token, and control traffic per request.
 
 use std::time::Duration;
 
@@ -16,16 +16,19 @@
 const RATE: f64 = 300.0;
 const STEP: Duration = Duration::from_millis(5);
 
-/// Time at the start for loads of adapters and connections to be made.
+/// Time at the start, not measured, in which adapters are loaded and connections opened.
 const WARMUP: Duration = Duration::from_secs(10);
 
-/// The prefix of the counters of messages between instances.
+/// Prefix of the counters of mesh traffic between instances.
 const MESH: &str = "mesh_";
 
-/// Measures under 300 requests/s over 7 instances, streams of live work only.
+/// Measures at 300 requests/s over 7 instances, with live streams only.
 ///
-/// The comparison goes to as many engines of their own, so that neither load shares a batch with
-/// the other.
+/// The same completions are also sent directly to an equal number of separate engines, so that the
+/// two loads never share a batch.
+///
+/// # Errors
+/// Returns an error if the deployment or the load fails, or an answer is wrong or missing.
 pub(crate) async fn measure(measured: Duration) -> Result<Vec<Figure>, FiguresError> {
     let options = FleetOptions {
         instances: INSTANCES,
@@ -73,7 +76,7 @@
     })
 }
 
-/// Refuses figures of a run whose answers were wrong.
+/// Returns an error if any answer of the run was wrong or missing.
 fn check(report: &LoadReport) -> Result<(), FiguresError> {
     let path = &report.system;
     if report.passed && path.answered == path.sent {
@@ -118,7 +121,10 @@
     ]
 }
 
-/// Counts what instances sent to each other; what one sends is what another takes in.
+/// Computes control traffic from the bytes that instances sent to each other.
+///
+/// Every byte sent by one instance is received by another, so the total of both directions is
+/// twice the bytes sent.
 fn control(mesh: &Counters, report: &LoadReport) -> Vec<Figure> {
     #[expect(
         clippy::cast_precision_loss,
--- a/crates/chervilshunt_bench/src/figures/mod.rs
+++ b/crates/chervilshunt_bench/src/figures/mod.rs
@@ -1,7 +1,7 @@
-//! The figures that the project promises, each measured on a deployment started for it.
+//! The performance figures that the project guarantees, each measured on its own deployment.
 //!
-//! `docs/PERFORMANCE.md` records them. Each run starts stand-ins and instances as separate processes
-//! on loopback, and ends them.
+//! `docs/PERFORMANCE.md` records them. Each run starts stand-ins and instances as separate
+//! processes on loopback, and stops them afterwards.
 
 mod command;
 mod deployment;
--- a/crates/chervilshunt_bench/src/figures/relayed.rs
+++ b/crates/chervilshunt_bench/src/figures/relayed.rs
@@ -1,4 +1,4 @@
-//! The SSE events that one instance relays.
+//! SSE event throughput of one instance.
 
 use std::time::Duration;
 
@@ -13,10 +13,13 @@
 const ENGINES: usize = 4;
 const STREAMS: usize = 64;
 
-/// Tokens of each stream; many, so that the start does not count.
+/// Tokens per stream; long enough that the time to open the streams is negligible.
 const TOKENS: u32 = 30_000;
 
-/// Measures with engines that give out tokens as fast as they can.
+/// Measures with engines that emit tokens as fast as they can.
+///
+/// # Errors
+/// Returns an error if the deployment can't be started or a stream fails.
 pub(crate) async fn measure() -> Result<Vec<Figure>, FiguresError> {
     let fleet = start(FleetOptions {
         instances: 1,
--- a/crates/chervilshunt_bench/src/figures/scrape.rs
+++ b/crates/chervilshunt_bench/src/figures/scrape.rs
@@ -1,4 +1,4 @@
-//! Reads counters from instances' operators' ports.
+//! Reads counters from the operators' ports of instances.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,10 +9,13 @@
 
 use super::error::{DeploymentSnafu, FiguresError};
 
-/// Counters of Prometheus text by name with labels, summed over instances.
+/// Prometheus counters by name including labels, summed over instances.
 pub(crate) type Counters = BTreeMap<String, f64>;
 
-/// Adds up the counters whose name begins with `prefix`.
+/// Reads the counters whose name begins with `prefix` and sums them over the instances.
+///
+/// # Errors
+/// Returns an error if an instance does not answer the request for its metrics.
 pub(crate) async fn scrape(
     instances: &[SocketAddr],
     prefix: &str,
@@ -33,7 +36,7 @@
     Ok(counters)
 }
 
-/// Returns how far each counter has risen.
+/// Returns the increase of each counter; one that is missing in `before` counts from 0.
 pub(crate) fn risen(before: &Counters, after: &Counters) -> Counters {
     let rise = |name: &String, value: f64| value - before.get(name).copied().unwrap_or_default();
     after
@@ -42,7 +45,7 @@
         .collect()
 }
 
-/// Returns the value of a label in a name with labels.
+/// Returns the value of a label in a counter's name.
 pub(crate) fn label<'a>(name: &'a str, label: &str) -> Option<&'a str> {
     let (_, labels) = name.split_once('{')?;
     let rest = labels
--- a/crates/chervilshunt_bench/src/figures/scrape/tests.rs
+++ b/crates/chervilshunt_bench/src/figures/scrape/tests.rs
@@ -1,4 +1,4 @@
-//! Counters are read and compared as Prometheus text has them.
+//! Tests parsing labels of Prometheus counters and computing their increase.
 
 use rstest::rstest;
 
--- a/crates/chervilshunt_bench/src/figures/streams.rs
+++ b/crates/chervilshunt_bench/src/figures/streams.rs
@@ -1,4 +1,4 @@
-//! The memory of an instance with 1,000 open streams.
+//! Memory of an instance with 1,000 open streams.
 
 use std::time::Duration;
 
@@ -14,7 +14,10 @@
 const STREAMS: usize = 1_000;
 const MAX_MIB: f64 = 64.0;
 
-/// Measures with callers that read, and with callers that have stopped reading.
+/// Measures with callers that read their streams, and with callers that have stopped reading.
+///
+/// # Errors
+/// Returns an error if the deployment can't be started or a stream fails.
 pub(crate) async fn measure() -> Result<Vec<Figure>, FiguresError> {
     let mut figures = Vec::new();
     for (stalled, what, step) in [
