--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -1,4 +1,4 @@
-//! Bars by scenario and policy.
+//! Bar charts of a figure by scenario and policy.
 
 use plotters::coord::Shift;
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
@@ -9,21 +9,22 @@
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (1_100, 560);
-/// Room beside the bars of one scenario, as a part of its width.
+/// Gap between the bars of neighbouring scenarios, as a fraction of the width of one scenario.
 const GAP: f64 = 0.2;
-/// The least value of a logarithmic axis, in the figure's unit.
+/// Lower end of a logarithmic axis, in the figure's unit.
 const LEAST: f64 = 1.0;
-/// Room above the tallest bar, as a factor.
+/// Upper end of the axis, as a multiple of the greatest value.
 const HEAD_ROOM: f64 = 1.15;
-/// Room for the labels of the axes, in pixels.
+/// Width of the area for the y axis labels, in pixels; the x axis gets half of it as height.
 const LABEL_AREA: u32 = 64;
 
 type Drawing<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws one figure of one deployment as SVG: a group of bars for each scenario, a bar for each policy.
+/// Draws one figure of one deployment as SVG, with a group of bars per scenario and a bar per
+/// policy.
 ///
 /// # Errors
-/// Fails if a bar or a label can't be drawn.
+/// Returns an error if a bar or a label can't be drawn.
 pub fn draw(table: &Table, deployment: &str, figure: Figure) -> Result<String, String> {
     let rows: Vec<&Row> = table
         .rows
@@ -41,7 +42,7 @@
     Ok(text)
 }
 
-/// What stands where.
+/// Rows of a chart, with the scenarios and policies in the order in which they are drawn.
 struct Layout<'a> {
     scenarios: Vec<&'a str>,
     policies: Vec<&'a str>,
@@ -119,7 +120,7 @@
             .map_err(|e| e.to_string())
     }
 
-    /// Returns where the bar of a row begins and ends.
+    /// Returns the left and right x coordinates of a row's bar.
     fn place(&self, row: &Row, policy: usize) -> Option<(f64, f64)> {
         let scenario = self
             .scenarios
@@ -131,7 +132,7 @@
     }
 }
 
-/// Returns each name once, in the order in which they come first.
+/// Returns the distinct names in order of first occurrence.
 fn distinct<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut seen = Vec::new();
     for name in names {
--- a/crates/chervilshunt_bench/src/plot/command.rs
+++ b/crates/chervilshunt_bench/src/plot/command.rs
@@ -1,4 +1,4 @@
-//! The command line of the plots.
+//! Command line of the plots.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -11,50 +11,51 @@
 use super::figure::Figure;
 use crate::policy::Table;
 
-/// Why nothing was drawn.
+/// Error returned when the plots can't be drawn.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum PlotError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     #[snafu(display("{source}"))]
     Args {
-        /// What lexopt said.
+        /// The parser's error.
         source: lexopt::Error,
     },
     /// An option is missing.
     #[snafu(display("--{option} is missing"))]
     Missing {
-        /// The option.
+        /// The name of the option, without dashes.
         option: &'static str,
     },
     /// A file can't be read or written.
     #[snafu(display("{}: {source}", path.display()))]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The table can't be read.
-    #[snafu(display("{} is no table of policy-table --json: {source}", path.display()))]
+    /// The table can't be parsed.
+    #[snafu(display("{} is not an output of policy-table --json: {source}", path.display()))]
     Table {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What serde_json said.
+        /// The JSON parser's error.
         source: serde_json::Error,
     },
     /// A plot can't be drawn.
     #[snafu(display("can't draw: {reason}"))]
     Draw {
-        /// What plotters said.
+        /// The drawing library's error.
         reason: String,
     },
 }
 
-/// Runs `plot --table FILE --out DIRECTORY`: one SVG for each deployment and figure.
+/// Runs `plot --table FILE --out DIRECTORY`, which writes one SVG per deployment and figure.
 ///
 /// # Errors
-/// Fails if an option is missing, the table can't be read or a file can't be written.
+/// Returns an error if the command line is invalid, the table can't be read, or a plot can't be
+/// drawn or written.
 pub fn run(mut args: lexopt::Parser) -> Result<(), PlotError> {
     let (mut table, mut out) = (None, None);
     while let Some(arg) = args.next().context(ArgsSnafu)? {
--- a/crates/chervilshunt_bench/src/plot/figure.rs
+++ b/crates/chervilshunt_bench/src/plot/figure.rs
@@ -1,22 +1,22 @@
-//! What a plot shows.
+//! Quantities that can be plotted.
 
 use crate::policy::Row;
 
-/// One quantity of a table.
+/// A quantity of the policy table that can be plotted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Figure {
     /// Stalled time of live requests.
     Stalls,
-    /// Useful tokens a step.
+    /// Useful tokens per step.
     Efficiency,
 }
 
-/// How values are laid out on the axis.
+/// Scale of the value axis.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scale {
-    /// From zero, evenly.
+    /// Linear, starting at zero.
     Linear,
-    /// By powers of ten: stalled time differs by two orders between scenarios.
+    /// Logarithmic, because stalled time differs by two orders of magnitude between scenarios.
     Logarithmic,
 }
 
@@ -24,7 +24,7 @@
     /// All figures.
     pub const ALL: [Self; 2] = [Self::Stalls, Self::Efficiency];
 
-    /// Returns the name, as in the names of files.
+    /// Returns the name used in file names and titles.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Stalls => "stalls",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the label of the axis.
+    /// Returns the label of the value axis.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Stalls => "stalled time of live requests, s (log scale)",
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns how the axis is laid out.
+    /// Returns the scale of the value axis.
     pub const fn scale(self) -> Scale {
         match self {
             Self::Stalls => Scale::Logarithmic,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the value of one row; a bound has no efficiency.
+    /// Returns the value in one row, or `None` if it has none; rows of a bound have no efficiency.
     pub const fn value(self, row: &Row) -> Option<f64> {
         match self {
             Self::Stalls => Some(row.stalled_s),
--- a/crates/chervilshunt_bench/src/plot/mod.rs
+++ b/crates/chervilshunt_bench/src/plot/mod.rs
@@ -1,4 +1,4 @@
-//! Plots of a table of the policy bench, as SVG.
+//! SVG plots of the tables of the policy benchmark.
 
 mod chart;
 mod command;
