--- a/crates/chervilshunt_bench/src/load/engines.rs
+++ b/crates/chervilshunt_bench/src/load/engines.rs
@@ -1,4 +1,4 @@
-//! The engines to which the load is also sent directly.
+//! Engines that receive the same load directly, for comparison.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 use super::error::{EngineModelsSnafu, LoadError};
 
-/// Engines with the models that they hold.
+/// Engines and the models that each has loaded.
 #[derive(Debug)]
 pub(crate) struct Engines(Vec<Engine>);
 
@@ -34,7 +34,11 @@
 }
 
 impl Engines {
-    /// Asks each engine which models it holds.
+    /// Requests the list of loaded models from each engine.
+    ///
+    /// # Errors
+    /// Returns an error if an engine does not answer, or its list is malformed or has no base
+    /// model.
     pub(crate) async fn ask(addresses: &[SocketAddr]) -> Result<Self, LoadError> {
         let client = HttpClient::default();
         let mut engines = Vec::new();
@@ -53,7 +57,7 @@
             let list: ModelList =
                 serde_json::from_str(&reply.text).map_err(|error| failed(error.to_string()))?;
             let base = list.data.iter().find(|model| model.parent.is_none());
-            let base = base.ok_or_else(|| failed("it names no base model".to_owned()))?;
+            let base = base.ok_or_else(|| failed("the list has no base model".to_owned()))?;
             engines.push(Engine {
                 address: *address,
                 base_model: Arc::clone(&base.id),
@@ -67,10 +71,10 @@
         Ok(Self(engines))
     }
 
-    /// Returns the same request, sent straight to an engine, if it is a completion.
+    /// Returns the same request addressed directly to an engine, if it is a completion.
     ///
-    /// It goes to an engine that holds the model; if none does, the base model stands in, which
-    /// costs a stand-in the same.
+    /// Prefers an engine that has the model loaded. If none has, the request asks for the base
+    /// model instead, which costs a stand-in the same.
     pub(crate) fn direct(&self, request: &RequestPlan, number: usize) -> Option<RequestPlan> {
         let Call::Completion(call) = &request.call else {
             return None;
--- a/crates/chervilshunt_bench/src/load/error.rs
+++ b/crates/chervilshunt_bench/src/load/error.rs
@@ -1,25 +1,25 @@
-//! Why a load run could not be made, or did not pass.
+//! Errors of the load tool.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Why a load run could not be made, or did not pass.
+/// Error returned when a load run can't be made or does not pass.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum LoadError {
-    /// The command line does not parse.
+    /// The command line is invalid.
     #[snafu(display("{source}\n{}", super::options::USAGE))]
     Usage {
-        /// What is wrong with it.
+        /// The parser's error.
         source: lexopt::Error,
     },
-    /// An option's value, or a combination of options, makes no sense.
+    /// An option's value, or a combination of options, is invalid.
     #[snafu(display("{problem}\n{}", super::options::USAGE))]
     BadOption {
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
     /// The file of model names can't be read.
@@ -27,51 +27,51 @@
     Models {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     #[snafu(display("can't start the runtime: {source}"))]
     Runtime {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The stand-ins did not tell what they ran, so that refusals can't be checked.
+    /// A stand-in did not report the requests that it ran, so refusals can't be checked.
     #[snafu(display("{problem}"))]
     Runs {
-        /// Which one did not, and why.
+        /// The stand-in and the reason.
         problem: String,
     },
-    /// An engine did not tell which models it holds.
+    /// An engine did not report its loaded models.
     #[snafu(display("{engine} does not list its models: {problem}"))]
     EngineModels {
-        /// The engine.
+        /// The engine's address.
         engine: SocketAddr,
-        /// Why not.
+        /// Description of the failure.
         problem: String,
     },
-    /// The memory of the process can't be read.
-    #[snafu(display("can't read the memory of process {pid}: {problem}"))]
+    /// The memory or processor time of a process can't be read.
+    #[snafu(display("can't read the resource usage of process {pid}: {problem}"))]
     Memory {
-        /// The process.
+        /// The process id.
         pid: u32,
-        /// Why not.
+        /// Description of the failure.
         problem: String,
     },
-    /// Promises were broken.
+    /// Guarantees were violated.
     #[snafu(display("{count} violations"))]
     Violations {
-        /// How many.
+        /// The number of violations.
         count: u64,
     },
-    /// Streams did not come through whole.
-    #[snafu(display("{failed} of {streams} streams failed, the first one so: {example}"))]
+    /// Streams failed or were incomplete.
+    #[snafu(display("{failed} of {streams} streams failed, first error: {example}"))]
     Streams {
-        /// Streams that failed.
+        /// The number of streams that failed.
         failed: usize,
-        /// Streams in all.
+        /// The total number of streams.
         streams: usize,
-        /// What became of the first one.
+        /// The error of the first failed stream.
         example: String,
     },
 }
--- a/crates/chervilshunt_bench/src/load/mix.rs
+++ b/crates/chervilshunt_bench/src/load/mix.rs
@@ -1,4 +1,4 @@
-//! What each request asks for.
+//! Random choice of each request's content.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 
 use super::plan::LoadPlan;
 
-/// Draws requests from the mix that a plan describes.
+/// Draws random requests according to the shares of a plan.
 #[derive(Debug)]
 pub(crate) struct Mix<'a> {
     plan: &'a LoadPlan,
     popularity: Zipf<f64>,
-    /// Sets the ids of this run apart from those of other runs on the same stand-ins.
+    /// Part of every request id, so that ids differ between runs on the same stand-ins.
     run: u32,
 }
 
 impl<'a> Mix<'a> {
-    /// Returns none if the plan has no models, or a skew that is no exponent.
+    /// Returns `None` if the plan has no models, or its skew is not a valid Zipf exponent.
     pub(crate) fn new(plan: &'a LoadPlan, run: u32) -> Option<Self> {
         #[expect(clippy::cast_precision_loss, reason = "there are few models")]
         let models = plan.models.len() as f64;
@@ -31,7 +31,7 @@
         })
     }
 
-    /// Draws the request with a number; its entry instance follows from the number.
+    /// Draws the request with the given number, which also selects the instance it is sent to.
     pub(crate) fn draw(&self, number: usize, rng: &mut impl Rng) -> RequestPlan {
         let plan = self.plan;
         let call = match &plan.plain {
--- a/crates/chervilshunt_bench/src/load/mod.rs
+++ b/crates/chervilshunt_bench/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! Open-loop load with a check of every answer.
+//! Open-loop load generator that checks every answer.
 //!
 //! Arrivals follow a schedule that is fixed before the run and does not wait for answers, and
-//! latencies are counted from the scheduled moment. So a system that stalls can't hide the
-//! requests that would have been sent meanwhile (coordinated omission).
+//! latencies are measured from the scheduled time. This avoids coordinated omission: a stalled
+//! system can't hide the requests that would have been sent in the meantime.
 
 mod engines;
 mod error;
--- a/crates/chervilshunt_bench/src/load/options.rs
+++ b/crates/chervilshunt_bench/src/load/options.rs
@@ -1,4 +1,4 @@
-//! The command line of the load tool.
+//! Command line of the load tool.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -21,45 +21,45 @@
 usage: chervilshunt_bench load --entry IP:PORT[,IP:PORT…] [OPTIONS]
 
   --entry IP:PORT[,…]      instances to send to, in turn
-  --rate R                 mean arrivals a second (100)
-  --seconds S              how long requests arrive (10)
-  --warmup S               seconds at the start whose latencies are left out (0)
-  --adapters FILE|N        file with a model name a line, or number of quickstart adapters (100)
-  --skew Z                 exponent of the adapters' Zipf popularity (1)
-  --deferrable-share F     share of requests that may wait (0.2)
+  --rate R                 mean arrivals per second (100)
+  --seconds S              seconds during which requests arrive (10)
+  --warmup S               seconds at the start excluded from latencies (0)
+  --adapters FILE|N        file with one model name per line, or number of quickstart adapters (100)
+  --skew Z                 Zipf exponent of the adapters' popularity (1)
+  --deferrable-share F     share of deferrable requests (0.2)
   --keyed-share F          share of requests with an idempotency key (0.2)
-  --stream-share F         share of completions answered as a stream (0.7)
-  --chat-share F           share of completions that are chats (0.3)
-  --plain NAME=F           plain service and its share of all requests
-  --tokens MIN..MAX        tokens of an answer (4..32)
-  --deadline S             deadline that live requests ask for (the service's)
-  --patience S             time after which an answer is called overdue (60)
-  --retries N              tries of a keyed request whose outcome is unknown (0)
-  --http2                  speak HTTP/2
-  --seed N                 seed of arrivals and mix (1)
-  --direct IP:PORT[,…]     engines that get the same completions directly, for comparison
-  --standins IP:PORT[,…]   stand-ins to ask at the end what they ran
-  --json                   print JSON in place of tables
+  --stream-share F         share of streamed completions (0.7)
+  --chat-share F           share of completions sent to the chat API (0.3)
+  --plain NAME=F           plain service, and its share of all requests
+  --tokens MIN..MAX        tokens per answer (4..32)
+  --deadline S             deadline of live requests (the service's own)
+  --patience S             seconds after which an answer counts as overdue (60)
+  --retries N              retries of a keyed request whose outcome is unknown (0)
+  --http2                  use HTTP/2
+  --seed N                 seed of arrivals and request contents (1)
+  --direct IP:PORT[,…]     engines that also get the completions directly, for comparison
+  --standins IP:PORT[,…]   stand-ins that report at the end which requests they ran
+  --json                   print JSON instead of tables
 
-Measurements in place of checked load:
+Measurements instead of checked load:
 
-  --relay-events           read streams as fast as they come and count their events
+  --relay-events           read streams as fast as they arrive and count their events
   --open-streams           hold streams open and read the memory of --pid
-  --streams N              streams at a time (64; 1000 to hold open)
-  --stream-tokens N        tokens of each of these streams (20000)
-  --stalled                leave the streams that are held open unread
-  --pid PID                process of the instance
+  --streams N              concurrent streams (64; 1000 with --open-streams)
+  --stream-tokens N        tokens per stream (20000)
+  --stalled                do not read the streams held open
+  --pid PID                process id of the instance
 
-Exits with a failure if a promise was broken or a stream did not come through whole.";
+Exits with a failure if a guarantee was violated or a stream was incomplete.";
 
-/// Streams at a time unless the command line says otherwise.
+/// Defaults of `--streams` for `--relay-events` and `--open-streams`.
 const RELAYED_STREAMS: usize = 64;
 const HELD_STREAMS: usize = 1_000;
 
-/// Tokens of a measured stream unless the command line says otherwise.
+/// Default of `--stream-tokens`.
 const STREAM_TOKENS: u32 = 20_000;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Debug)]
 struct Options {
     mode: Mode,
@@ -71,7 +71,7 @@
     json: bool,
 }
 
-/// What is to be done.
+/// What the load tool runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
     Load,
@@ -79,10 +79,11 @@
     OpenStreams,
 }
 
-/// Runs the load tool with the rest of the command line.
+/// Runs the load tool with the rest of the command line and prints its report.
 ///
 /// # Errors
-/// Fails if the command line is wrong, the load can't be run, or a promise was broken.
+/// Returns an error if the command line is invalid, the load can't be run, or a guarantee was
+/// violated.
 pub fn command(parser: Parser) -> Result<(), LoadError> {
     let Some(options) = parse(parser)? else {
         println!("{USAGE}");
@@ -135,7 +136,7 @@
 }
 
 fn open_streams_plan(options: &Options) -> Result<OpenStreamsPlan, LoadError> {
-    let problem = "--open-streams: --pid says whose memory is to be read";
+    let problem = "--open-streams requires --pid, the process whose memory is read";
     Ok(OpenStreamsPlan {
         entry: options.plan.entries[0],
         pid: options.pid.context(BadOptionSnafu { problem })?,
@@ -231,22 +232,25 @@
     ];
     for (name, share) in shares {
         if !(0.0..=1.0).contains(&share) {
-            let problem = format!("{name}: a share is between 0 and 1, not {share}");
+            let problem = format!("{name}: a share must be between 0 and 1, got {share}");
             return BadOptionSnafu { problem }.fail();
         }
     }
     if plan.entries.is_empty() || plan.models.is_empty() {
-        let problem = "--entry names at least one instance, --adapters at least one model";
+        let problem = "at least one instance (--entry) and one model (--adapters) are required";
         return BadOptionSnafu { problem }.fail();
     }
     if !(plan.rate > 0.0 && plan.rate.is_finite()) {
-        let problem = format!("--rate: a rate is above 0, not {}", plan.rate);
+        let problem = format!(
+            "--rate: a rate must be finite and above 0, got {}",
+            plan.rate
+        );
         return BadOptionSnafu { problem }.fail();
     }
     Ok(())
 }
 
-/// Reads model names from a file, or makes those of the quickstart.
+/// Reads model names from a file, or generates those of the quickstart if given a number.
 fn models(adapters: OsString) -> Result<Vec<Arc<str>>, LoadError> {
     let count = adapters.to_str().and_then(|text| text.parse().ok());
     if let Some(count) = count {
@@ -276,7 +280,7 @@
 }
 
 fn plain_share(text: &str) -> Result<PlainShare, String> {
-    let (service, share) = text.split_once('=').ok_or("it is SERVICE=SHARE")?;
+    let (service, share) = text.split_once('=').ok_or("expected SERVICE=SHARE")?;
     Ok(PlainShare {
         service: service.into(),
         share: share.parse().map_err(|error| format!("{error}"))?,
@@ -284,7 +288,7 @@
 }
 
 fn token_range(text: &str) -> Result<(u32, u32), String> {
-    let (fewest, most) = text.split_once("..").ok_or("it is MIN..MAX")?;
+    let (fewest, most) = text.split_once("..").ok_or("expected MIN..MAX")?;
     let number = |text: &str| text.parse().map_err(|error| format!("{error}"));
     Ok((number(fewest)?, number(most)?))
 }
--- a/crates/chervilshunt_bench/src/load/plan.rs
+++ b/crates/chervilshunt_bench/src/load/plan.rs
@@ -1,60 +1,61 @@
-//! What load is to be sent.
+//! Parameters of a load run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What load is to be sent.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Instances of the system; requests go to them in turn.
+    /// Callers' addresses of the instances, used in turn.
     pub entries: Vec<SocketAddr>,
     /// Engine stand-ins to which every completion is also sent directly, for comparison.
     ///
-    /// They should be others than those behind the system, or both loads share their batches.
+    /// They should not be targets of the system, otherwise both loads share batches.
     pub direct: Vec<SocketAddr>,
-    /// Stand-ins that are asked at the end what they ran.
+    /// Control addresses of the stand-ins that report at the end which requests they ran.
     pub standins: Vec<SocketAddr>,
-    /// Mean arrivals a second.
+    /// Mean arrivals per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// The time during which requests arrive.
     pub duration: Duration,
-    /// How long at the start latencies are left out of the report; answers are checked.
+    /// The time at the start excluded from reported latencies; its answers are still checked.
     pub warmup: Duration,
-    /// Models by falling popularity.
+    /// Models by descending popularity.
     pub models: Vec<Arc<str>>,
-    /// The exponent of the popularity's Zipf distribution; 0 makes all equally popular.
+    /// The exponent of the Zipf distribution of popularity; 0 makes all models equally popular.
     pub skew: f64,
-    /// The share of requests that may wait.
+    /// The share of deferrable requests, from 0 to 1.
     pub deferrable_share: f64,
-    /// The share of requests with an idempotency key.
+    /// The share of requests with an idempotency key, from 0 to 1.
     pub keyed_share: f64,
-    /// The share of completions whose answer is a stream.
+    /// The share of streamed completions, from 0 to 1.
     pub stream_share: f64,
-    /// The share of completions that are chats.
+    /// The share of completions sent to the chat API, from 0 to 1.
     pub chat_share: f64,
-    /// Calls of a plain service among the load.
+    /// Calls to a plain service, if any.
     pub plain: Option<PlainShare>,
-    /// The fewest and the most tokens of an answer.
+    /// The minimum and maximum number of tokens per answer.
     pub tokens: (u32, u32),
-    /// The deadline that live requests ask for; none leaves it to the service.
+    /// The deadline of live requests; `None` applies the service's own.
     pub deadline: Option<Duration>,
-    /// The time after which an answer is called overdue.
+    /// The time after which an answer counts as overdue.
     pub patience: Duration,
-    /// How often a keyed request whose outcome is unknown is sent again, to the next instance.
+    /// The maximum number of retries of a keyed request whose outcome is unknown; the first goes
+    /// to the next instance in `entries`.
     pub retries: u32,
-    /// Whether HTTP/2 is spoken in place of HTTP/1.1.
+    /// Whether to use HTTP/2 instead of HTTP/1.1.
     pub http2: bool,
-    /// Seeds arrivals and the mix.
+    /// Seed of arrivals and request contents.
     pub seed: u64,
 }
 
-/// Calls of a plain service among the load.
+/// Share of the load that calls a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainShare {
-    /// The service.
+    /// The name of the service.
     pub service: Arc<str>,
-    /// Its share of all requests.
+    /// Its share of all requests, from 0 to 1.
     pub share: f64,
 }
 
--- a/crates/chervilshunt_bench/src/load/schedule.rs
+++ b/crates/chervilshunt_bench/src/load/schedule.rs
@@ -1,11 +1,14 @@
-//! When requests arrive.
+//! Arrival times of requests.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp};
 
-/// Returns the arrivals of a Poisson process, as offsets from the start.
+/// Returns the arrival times of a Poisson process with `rate` arrivals per second, as offsets from
+/// the start.
+///
+/// Returns no arrivals if the rate is invalid.
 pub(crate) fn arrivals(rate: f64, duration: Duration, rng: &mut impl Rng) -> Vec<Duration> {
     let Ok(pauses) = Exp::new(rate) else {
         return Vec::new();
