--- a/crates/chervilshunt_bench/src/load/process.rs
+++ b/crates/chervilshunt_bench/src/load/process.rs
@@ -1,38 +1,46 @@
-//! What another process uses, as Linux tells.
+//! Memory and processor time of another process, from Linux's `/proc`.
 
 use std::time::Duration;
 
 use super::error::{LoadError, MemorySnafu};
 
-/// The unit of processor time in `/proc/PID/stat`.
+/// Unit of processor time in `/proc/PID/stat`.
 ///
-/// It is the same on every Linux that Rust runs on; `sysconf` would need unsafe code or a crate.
+/// It is the same on every Linux platform that Rust supports; reading it with `sysconf` would need
+/// unsafe code or another crate.
 const TICK: Duration = Duration::from_millis(10);
 
-/// The places of user and system time behind the name in `/proc/PID/stat`.
+/// Indexes of user and system time among the fields after the process name in `/proc/PID/stat`.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// A process to be watched.
+/// Reads the resource usage of the process with this id.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Watched(pub(crate) u32);
 
 impl Watched {
-    /// Returns its resident memory, in KiB.
+    /// Returns the resident memory, in KiB.
+    ///
+    /// # Errors
+    /// Returns an error if `/proc/PID/status` can't be read or has no resident memory.
     pub(crate) fn resident_kib(self) -> Result<u64, LoadError> {
         let status = self.read("status")?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         line.and_then(|line| line.split_whitespace().next()?.parse().ok())
-            .ok_or_else(|| self.failed("no VmRSS"))
+            .ok_or_else(|| self.failed("no VmRSS in /proc/PID/status"))
     }
 
-    /// Returns the processor time that it has used.
+    /// Returns the user and system time consumed so far.
+    ///
+    /// # Errors
+    /// Returns an error if `/proc/PID/stat` can't be read or parsed.
     pub(crate) fn cpu(self) -> Result<Duration, LoadError> {
         let stat = self.read("stat")?;
         let (_, fields) = stat.rsplit_once(')').unwrap_or_default();
         let field = |place| -> Option<u64> { fields.split_whitespace().nth(place)?.parse().ok() };
         let ticks = field(USER_TIME).zip(field(SYSTEM_TIME));
-        let (user, system) = ticks.ok_or_else(|| self.failed("no times in its stat"))?;
+        let (user, system) =
+            ticks.ok_or_else(|| self.failed("no processor times in /proc/PID/stat"))?;
         Ok(TICK * u32::try_from(user + system).unwrap_or(u32::MAX))
     }
 
--- a/crates/chervilshunt_bench/src/load/relay.rs
+++ b/crates/chervilshunt_bench/src/load/relay.rs
@@ -1,4 +1,4 @@
-//! How many SSE events a second come through one instance.
+//! Measures how many SSE events per second one instance relays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,53 +15,53 @@
 use super::process::Watched;
 use super::streams::{check, stream_plan};
 
-/// Streams that are read as fast as they come.
+/// Parameters of a relay measurement, which reads streams as fast as they arrive.
 #[derive(Clone, Debug)]
 pub struct RelayPlan {
-    /// The instance, or an engine to learn what it can produce.
+    /// The callers' address of the instance, or an engine's address to measure its own throughput.
     pub entry: SocketAddr,
-    /// Models that the streams ask for in turn.
+    /// Models that the streams request in turn.
     pub models: Vec<Arc<str>>,
-    /// Streams at a time.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream.
+    /// Tokens per stream.
     pub tokens: u32,
-    /// The process of the instance, whose processor time is to be reported.
+    /// The process id of the instance, to report its processor time.
     pub pid: Option<u32>,
-    /// The time after which the streams are given up.
+    /// The time limit of each stream.
     pub patience: Duration,
 }
 
-/// What came through.
+/// Result of a relay measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct RelayReport {
-    /// Streams at a time.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Events that came through.
+    /// Events received.
     pub events: u64,
-    /// Bytes that they took.
+    /// Bytes received.
     pub bytes: u64,
-    /// From the first request to the last event, in seconds.
+    /// Time from the first request to the last event, in seconds.
     pub seconds: f64,
-    /// Events a second.
+    /// Events received per second.
     pub events_per_second: f64,
     /// Processor time of the instance, in seconds.
     pub instance_cpu_seconds: Option<f64>,
-    /// Processor time of the instance for one event, in microseconds.
+    /// Processor time of the instance per event, in microseconds.
     pub instance_cpu_us_per_event: Option<f64>,
 }
 
-/// What was read of one stream.
+/// Events and bytes read from one stream, or from several.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     events: u64,
     bytes: u64,
 }
 
-/// Reads all streams at once and counts their events.
+/// Reads all streams concurrently and counts their events.
 ///
 /// # Errors
-/// Fails if a stream does not come through to its last event.
+/// Returns an error if a stream fails or is incomplete, or the process can't be read.
 pub async fn relay(plan: RelayPlan) -> Result<RelayReport, LoadError> {
     let watched = plan.pid.map(Watched);
     let before = watched.map(Watched::cpu).transpose()?;
@@ -72,7 +72,7 @@
         tokio::spawn(async move {
             let reading = read_stream(&client, &plan, number);
             let result = tokio::time::timeout(plan.patience, reading).await;
-            result.unwrap_or_else(|_| Err("it took too long".to_owned()))
+            result.unwrap_or_else(|_| Err("timed out".to_owned()))
         })
     });
     let results = join_all(reading).await;
@@ -137,16 +137,16 @@
             tally.bytes += data.len() as u64;
         }
     }
-    // An event is one line and an empty one; the last is the end mark.
+    // Each event is one line followed by an empty one; the last event is the end marker.
     tally.events = newlines as u64 / 2;
     let wanted = u64::from(plan.tokens) + 1;
     if tally.events != wanted {
-        return Err(format!("{} events in place of {wanted}", tally.events));
+        return Err(format!("got {} events, expected {wanted}", tally.events));
     }
     Ok(tally)
 }
 
-/// Describes an answer that is no stream.
+/// Formats the status and body of a response that is not a stream.
 pub(crate) async fn refusal(status: StatusCode, body: Incoming) -> String {
     let body = body
         .collect()
--- a/crates/chervilshunt_bench/src/load/streams.rs
+++ b/crates/chervilshunt_bench/src/load/streams.rs
@@ -1,4 +1,4 @@
-//! What an instance's memory does with many open streams.
+//! Measures the memory of an instance with many open streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,54 +20,54 @@
 use super::process::Watched;
 use super::relay::refusal;
 
-/// Streams that are being opened at a time; a burst of all would measure the burst.
+/// Streams opened concurrently; opening all at once would measure the burst instead.
 const OPENING: usize = 32;
 
-/// How often memory is read.
+/// Interval at which memory is read.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Streams that are held open.
+/// Parameters of a memory measurement with open streams.
 #[derive(Clone, Debug)]
 pub struct OpenStreamsPlan {
-    /// The instance.
+    /// The callers' address of the instance.
     pub entry: SocketAddr,
-    /// Its process.
+    /// The process id of the instance.
     pub pid: u32,
-    /// Models that the streams ask for in turn.
+    /// Models that the streams request in turn.
     pub models: Vec<Arc<str>>,
-    /// Streams at a time.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream; enough that none ends while the streams are held.
+    /// Tokens per stream; must be enough that none ends while the streams are held open.
     pub tokens: u32,
-    /// How long all streams are held open.
+    /// The time for which all streams are held open.
     pub hold: Duration,
-    /// Whether the streams are left unread, as by callers that have stalled.
+    /// Whether the streams are left unread, as by stalled callers.
     pub stalled: bool,
-    /// The time after which the opening of streams is given up.
+    /// The time limit for opening a stream.
     pub patience: Duration,
 }
 
-/// What memory was used.
+/// Result of a memory measurement with open streams.
 #[derive(Clone, Debug, Serialize)]
 pub struct OpenStreamsReport {
-    /// Streams that were open.
+    /// Number of open streams.
     pub streams: usize,
     /// Whether they were left unread.
     pub stalled: bool,
-    /// Resident memory before, in KiB.
+    /// Resident memory before the streams were opened, in KiB.
     pub before_kib: u64,
-    /// The most resident memory while all streams were open, in KiB.
+    /// Peak resident memory while all streams were open, in KiB.
     pub peak_kib: u64,
-    /// What each stream added, in KiB.
+    /// Memory added per stream, in KiB.
     pub kib_per_stream: f64,
-    /// Events read while all were open.
+    /// Events read while the streams were held open; 0 if they were left unread.
     pub events: u64,
 }
 
-/// Opens all streams, holds them and reads the instance's memory.
+/// Opens all streams, holds them open and samples the instance's memory meanwhile.
 ///
 /// # Errors
-/// Fails if a stream can't be opened or ends too early, or the process can't be read.
+/// Returns an error if a stream can't be opened or ends early, or the process can't be read.
 pub async fn open_streams(plan: OpenStreamsPlan) -> Result<OpenStreamsReport, LoadError> {
     let watched = Watched(plan.pid);
     let before_kib = watched.resident_kib()?;
@@ -99,7 +99,7 @@
     let ended = readers.iter().filter(|reader| reader.is_finished()).count();
     check(
         plan.streams,
-        vec!["it ended while it was held".to_owned(); ended],
+        vec!["the stream ended while it was held open".to_owned(); ended],
     )?;
     let mut events = 0;
     for reader in readers {
@@ -117,7 +117,7 @@
     })
 }
 
-/// Makes the plan of a stream that is measured rather than checked.
+/// Creates the request of a stream that is measured, not checked.
 pub(crate) fn stream_plan(
     to: SocketAddr,
     model: &Arc<str>,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Opens a stream and waits for its first bytes.
+/// Opens a stream and waits for its first body frame.
 async fn open(client: Client, plan: OpenStreamsPlan, number: usize) -> Result<Incoming, String> {
     let model = &plan.models[number % plan.models.len()];
     let request = stream_plan(plan.entry, model, plan.tokens, number, plan.patience);
@@ -156,14 +156,14 @@
         match body.frame().await {
             Some(Ok(_)) => Ok(body),
             Some(Err(error)) => Err(error.to_string()),
-            None => Err("it has no events".to_owned()),
+            None => Err("the stream has no events".to_owned()),
         }
     };
     let opened = tokio::time::timeout(plan.patience, opening).await;
-    opened.unwrap_or_else(|_| Err("it did not begin in time".to_owned()))
+    opened.unwrap_or_else(|_| Err("the stream did not start in time".to_owned()))
 }
 
-/// A stream that is held open.
+/// An open stream, either read in a task that counts newlines, or left unread.
 #[derive(Debug)]
 enum Held {
     Read(JoinHandle<()>, Arc<AtomicU64>),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Closes the stream and returns the events that were read of it.
+    /// Closes the stream and returns the number of events read.
     async fn stop(self) -> u64 {
         match self {
             Self::Read(reading, newlines) => {
@@ -211,7 +211,10 @@
     }
 }
 
-/// Fails if any stream did.
+/// Returns an error if any stream failed.
+///
+/// # Errors
+/// Returns the number of failures and the first of them, unless `failures` is empty.
 pub(crate) fn check(streams: usize, failures: Vec<String>) -> Result<(), LoadError> {
     let failed = failures.len();
     let Some(example) = failures.into_iter().next() else {
