--- a/crates/chervilshunt_bench/src/load/report.rs
+++ b/crates/chervilshunt_bench/src/load/report.rs
@@ -1,118 +1,118 @@
-//! What a load run found.
+//! Results of a load run.
 
 use chervilshunt_standin::check::{Outcome, ViolationKind};
 use serde::Serialize;
 
-/// What a load run found.
+/// Results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Whether no promise was broken.
+    /// Whether no guarantee was violated.
     pub passed: bool,
-    /// The seed of arrivals and mix.
+    /// The seed of arrivals and request contents.
     pub seed: u64,
-    /// Mean arrivals a second that were asked for.
+    /// The configured mean arrivals per second.
     pub rate: f64,
-    /// How long requests arrived, in seconds.
+    /// The time during which requests arrived, in seconds.
     pub seconds: f64,
-    /// Models that requests could name.
+    /// The number of models in the plan.
     pub models: usize,
-    /// What came of the requests to the system.
+    /// Results of the requests sent to the system.
     pub system: Path,
-    /// What came of the same completions sent straight to engines.
+    /// Results of the same completions sent directly to engines, if there were any.
     pub direct: Option<Path>,
-    /// The time that the system adds to the first token of streams.
+    /// The latency that the system adds to the first token of streams.
     pub added_first_token: Option<AddedTime>,
-    /// How late the tool itself sent; it is part of all latencies.
+    /// The tool's own delay between scheduled and actual sending; included in all latencies.
     pub send_lag: Latency,
-    /// Whether the stand-ins were asked what they ran.
+    /// Whether answers were checked against the requests that the stand-ins report to have run.
     pub settled: bool,
-    /// Broken promises by kind.
+    /// Violations by kind.
     pub violations: Vec<ViolationCount>,
 }
 
-/// What came of the requests on one path.
+/// Results of the requests on one path.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Path {
-    /// Requests sent, repeated tries included.
+    /// Requests sent, including retries.
     pub sent: u64,
-    /// Repeated tries.
+    /// Retries.
     pub retries: u64,
-    /// Whole and right answers.
+    /// Complete and correct answers.
     pub answered: u64,
-    /// Tokens of these.
+    /// Tokens in these answers.
     pub tokens: u64,
     /// Refusals by outcome and reason.
     pub refused: Vec<RefusalCount>,
-    /// Connections that broke.
+    /// Requests whose connection broke.
     pub disconnected: u64,
-    /// Answers that broke a promise in the caller's own eyes.
+    /// Answers in which the client itself detected a violation.
     pub violated: u64,
-    /// Time to the first token of streams of live work.
+    /// Time to first token of live streams.
     pub first_token_live: Latency,
-    /// Time to the first token of streams of deferrable work.
+    /// Time to first token of deferrable streams.
     pub first_token_deferrable: Latency,
-    /// Time to the end of answers to live work.
+    /// Time to the end of the answer of live requests.
     pub total_live: Latency,
-    /// Time to the end of answers to deferrable work.
+    /// Time to the end of the answer of deferrable requests.
     pub total_deferrable: Latency,
-    /// The longest pause between two tokens, for each stream.
+    /// The longest pause between two tokens of each stream.
     pub longest_gap: Latency,
 }
 
-/// Refusals of one kind.
+/// Number of refusals with the same outcome and reason.
 #[derive(Clone, Debug, Serialize)]
 pub struct RefusalCount {
-    /// What they say of the request.
+    /// Whether the request ran, according to the refusal.
     pub outcome: Outcome,
-    /// Why.
+    /// The reason code.
     pub reason: String,
-    /// How many.
+    /// The number of refusals.
     pub count: u64,
 }
 
-/// Broken promises of one kind.
+/// Violations of one kind.
 #[derive(Clone, Debug, Serialize)]
 pub struct ViolationCount {
-    /// Which promise.
+    /// The kind of violation.
     pub kind: ViolationKind,
-    /// How many requests.
+    /// The number of violations.
     pub count: u64,
-    /// The first few.
+    /// Descriptions of the first few.
     pub examples: Vec<String>,
 }
 
-/// A distribution of times, in milliseconds.
+/// Summary of a latency distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Latency {
-    /// Times that it is made of.
+    /// The number of samples.
     pub count: u64,
-    /// Their mean.
+    /// The mean.
     pub mean_ms: f64,
-    /// Their median.
+    /// The median.
     pub p50_ms: f64,
-    /// 90 in 100 are below this.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 95 in 100 are below this.
+    /// The 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are below this.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
-/// The time that the system adds, as the difference of two distributions' quantiles.
+/// The latency that the system adds, as the difference between quantiles of two distributions.
 ///
-/// Both are made of the same requests: those that were answered as streams on both paths.
+/// Both cover the same requests: those that were answered as streams on both paths.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct AddedTime {
-    /// Requests that were compared.
+    /// The number of requests compared.
     pub count: u64,
     /// The difference at the median, in milliseconds.
     pub p50_ms: f64,
     /// The difference at the 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// The first tokens through the system.
+    /// Time to first token through the system.
     pub system: Latency,
-    /// The first tokens straight from engines.
+    /// Time to first token directly from engines.
     pub direct: Latency,
 }
--- a/crates/chervilshunt_bench/src/load/run.rs
+++ b/crates/chervilshunt_bench/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Sends a plan's requests at their scheduled moments.
+//! Sends the requests of a plan at their scheduled times.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 use super::schedule::arrivals;
 use super::summary::{self, Sent};
 
-/// The pause before a try is repeated if the refusal names none.
+/// Pause before a retry if the refusal gives none.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The longest pause that a refusal may ask for before a try is repeated.
+/// Upper limit of the pause before a retry, also if the refusal asks for a longer one.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
-/// A request at its moment.
+/// A request with its scheduled time, as an offset from the start of the run.
 #[derive(Clone, Debug)]
 struct Scheduled {
     number: usize,
@@ -40,8 +40,8 @@
 /// Sends the load and checks every answer.
 ///
 /// # Errors
-/// Fails if the plan makes no sense, or stand-ins don't tell what is needed to check. Broken
-/// promises are in the report and no error.
+/// Returns an error if the plan is invalid, or a stand-in does not report what the checks need.
+/// Violations are part of the report and not an error.
 pub async fn run(plan: LoadPlan) -> Result<LoadReport, LoadError> {
     let scheduled = schedule(&plan).await?;
     let sent = send_all(&plan, scheduled).await;
@@ -55,13 +55,16 @@
     ensure!(!plan.entries.is_empty(), bad("no instance to send to"));
     ensure!(
         plan.tokens.0 <= plan.tokens.1,
-        bad("the fewest tokens are more than the most")
+        bad("the minimum number of tokens exceeds the maximum")
+    );
+    ensure!(
+        plan.tokens.0 > 0,
+        bad("the minimum number of tokens must be at least 1")
     );
-    ensure!(plan.tokens.0 > 0, bad("an answer has at least one token"));
     let engines = Engines::ask(&plan.direct).await?;
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let run = std::process::id() ^ rng.next_u32();
-    let mix = Mix::new(plan, run).context(bad("no models, or a skew below 0"))?;
+    let mix = Mix::new(plan, run).context(bad("no models, or the skew is below 0"))?;
     let mut scheduled = Vec::new();
     for (number, at) in arrivals(plan.rate, plan.duration, &mut rng)
         .into_iter()
@@ -89,8 +92,8 @@
         tx,
     };
     let runtime = Handle::current();
-    // A thread of its own wakes up within some ten microseconds, the runtime's timer within a
-    // millisecond, which would drown what is measured.
+    // A dedicated thread wakes up within some ten microseconds of the scheduled time. The runtime's
+    // timer only does so within a millisecond, an error as large as the latencies to be measured.
     let pacer = thread::spawn(move || pace(&runtime, &sender, scheduled));
     let mut sent = Vec::new();
     while let Some(record) = rx.recv().await {
@@ -108,7 +111,7 @@
     }
 }
 
-/// Sends single requests.
+/// Sends one request with its retries.
 #[derive(Clone, Debug)]
 struct Sender {
     client: Client,
@@ -134,7 +137,7 @@
                 lag,
                 measured: tries == 0 && at >= self.warmup,
             };
-            // The receiver waits for all senders.
+            // Can't fail: the receiver is open until all senders are dropped.
             drop(self.tx.send(sent));
             let Some((plan, pause)) = next else {
                 return;
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Returns the next try of a keyed request of whose outcome the caller can't be sure.
+    /// Returns the retry of a keyed request whose outcome is unknown to the caller, and the pause
+    /// before it.
     fn next_try(&self, record: &Record, tries: u32) -> Option<(RequestPlan, Duration)> {
         let pause = match &record.verdict {
             Verdict::Refused(refusal) if refusal.outcome != Outcome::NotRun => refusal.retry_after,
@@ -191,7 +195,7 @@
     })
 }
 
-/// Returns what callers saw to be wrong, and what the stand-ins' counts show.
+/// Returns the violations that the client detected, and those that the stand-ins' run counts show.
 async fn findings(plan: &LoadPlan, sent: &[Sent]) -> Result<Vec<Finding>, LoadError> {
     let (system, direct): (Vec<_>, Vec<_>) = sent
         .iter()
--- a/crates/chervilshunt_bench/src/load/summary.rs
+++ b/crates/chervilshunt_bench/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! Gathers the records of a run into a report.
+//! Aggregates the records of a run into a report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,23 +9,23 @@
 
 use super::report::{AddedTime, Latency, Path, RefusalCount, ViolationCount};
 
-/// Significant digits that histograms keep.
+/// Significant decimal digits of histogram values.
 const DIGITS: u8 = 3;
 
-/// Violations that a report quotes, for each kind.
+/// Examples of violations in a report, per kind.
 const EXAMPLES: usize = 3;
 
-/// A record with its place in the schedule.
+/// The record of one sent request, with its position in the schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     pub(crate) record: Record,
-    /// The number of the request, the same on both paths.
+    /// The number of the request; the same on both paths.
     pub(crate) number: usize,
-    /// How many tries came before.
+    /// The number of earlier tries.
     pub(crate) tries: u32,
-    /// The time from the scheduled moment to the one at which it was handed to the client.
+    /// The delay from the scheduled time until the request was passed to the HTTP client.
     pub(crate) lag: Duration,
-    /// Whether its latency counts.
+    /// Whether its latency is included in the report.
     pub(crate) measured: bool,
 }
 
@@ -41,7 +41,8 @@
         matches!(self.record.verdict, Verdict::Answered(_))
     }
 
-    /// Returns the time from the scheduled moment to the first token of an answered stream.
+    /// Returns the time from the scheduled time to the first token, for a measured and answered
+    /// stream.
     fn first_token(&self) -> Option<Duration> {
         let first = self.record.timing.first?;
         (self.measured && self.is_stream() && self.is_answered()).then(|| self.lag + first)
@@ -57,7 +58,7 @@
         let mut histogram = Histogram::new(DIGITS).expect("the number of digits is in range");
         for time in times {
             let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-            // It grows to any value; `saturating_record` would cut off what has not grown yet.
+            // The histogram resizes as needed; `saturating_record` would clamp to its current range.
             histogram
                 .record(micros)
                 .expect("a growing histogram takes any time");
@@ -79,12 +80,12 @@
     }
 }
 
-/// Returns the distribution of some times.
+/// Summarizes the distribution of `times`.
 pub(crate) fn latency(times: impl Iterator<Item = Duration>) -> Latency {
     Times::of(times).latency()
 }
 
-/// Counts what became of the requests on one path.
+/// Summarizes the results of the requests on one path.
 pub(crate) fn path(sent: &[Sent], route: Route) -> Path {
     let on_path = || {
         sent.iter()
@@ -129,7 +130,7 @@
     path
 }
 
-/// Compares the first tokens of the requests that were answered as streams on both paths.
+/// Compares time to first token of the requests that were answered as streams on both paths.
 pub(crate) fn added_first_token(sent: &[Sent]) -> AddedTime {
     let direct: HashMap<usize, Duration> = sent
         .iter()
@@ -152,7 +153,7 @@
     }
 }
 
-/// Counts violations by kind.
+/// Counts violations by kind, with the first few of each kind as examples.
 pub(crate) fn violations<'a>(
     found: impl Iterator<Item = (&'a str, &'a Violation)>,
 ) -> Vec<ViolationCount> {
--- a/crates/chervilshunt_bench/src/load/summary/tests.rs
+++ b/crates/chervilshunt_bench/src/load/summary/tests.rs
@@ -1,4 +1,4 @@
-//! Reports say what the records say.
+//! Tests that reports match the records they are computed from.
 
 use std::time::Duration;
 
@@ -61,7 +61,8 @@
     }
 }
 
-/// A request that was sent late is charged with its lag: its caller came at the scheduled moment.
+/// Latency includes the delay of a request that the tool sent late, since it is measured from the
+/// scheduled time. Otherwise coordinated omission would hide stalls.
 #[test]
 fn latency_counts_from_the_scheduled_moment() {
     let report = path(&[sent(1, Route::System, 100, 5)], Route::System);
--- a/crates/chervilshunt_bench/src/load/table.rs
+++ b/crates/chervilshunt_bench/src/load/table.rs
@@ -1,11 +1,11 @@
-//! Shows a report as tables.
+//! Renders a report as text tables.
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
 
 use super::report::{Latency, LoadReport, Path};
 
-/// Renders a report for people.
+/// Renders a report as text tables, followed by the violations and the verdict.
 pub(crate) fn render(report: &LoadReport) -> String {
     let mut text = counts(report).to_string();
     text.push('\n');
