--- a/crates/chervilshunt_bench/src/lib.rs
+++ b/crates/chervilshunt_bench/src/lib.rs
@@ -1,10 +1,11 @@
-//! Benches of chervilshunt.
+//! Benchmarks and load tools of chervilshunt.
 //!
 //! [`load`] sends requests to running instances and checks every answer; see
-//! `docs/operators/load-tool.md`. [`figures`] starts deployments and measures what
-//! `docs/PERFORMANCE.md` records, and [`capacity`] what control costs in whole fleets. [`faults`] starts a whole deployment and checks every promise while
-//! it injects faults at random. [`policy`] drives the decisions of `chervilshunt_core` alone, in
-//! virtual time, and [`plot`] draws what came out; see `docs/design/bench.md`.
+//! `docs/operators/load-tool.md`. [`figures`] starts deployments and measures the figures recorded
+//! in `docs/PERFORMANCE.md`; [`capacity`] measures the control-plane cost of whole fleets.
+//! [`faults`] starts a whole deployment and checks every guarantee while it injects random faults.
+//! [`policy`] simulates the decisions of `chervilshunt_core` in virtual time, and [`plot`] draws
+//! the results; see `docs/design/bench.md`.
 
 pub mod capacity;
 pub mod faults;
--- a/crates/chervilshunt_bench/src/main.rs
+++ b/crates/chervilshunt_bench/src/main.rs
@@ -1,4 +1,6 @@
-//! The bench of chervilshunt; each subcommand is a module of the library.
+//! Command-line program for the benchmarks of chervilshunt.
+//!
+//! Each subcommand is implemented by a module of the library.
 
 use std::process::ExitCode;
 
--- a/crates/chervilshunt_bench/tests/load/instance.rs
+++ b/crates/chervilshunt_bench/tests/load/instance.rs
@@ -1,4 +1,4 @@
-//! The least that looks like an instance: it passes each call on to one engine.
+//! A minimal instance that forwards each call to one engine stand-in.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 type Body = BoxBody<Bytes, hyper::Error>;
 
-/// Which lies an instance tells.
+/// Guarantees that the instance deliberately violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lie {
     None,
@@ -29,7 +29,7 @@
     DoubleRun,
 }
 
-/// An engine, and an instance before it.
+/// An engine stand-in with a minimal instance in front of it.
 #[derive(Debug)]
 pub(crate) struct Pair {
     pub(crate) engine: EngineStandin,
--- a/crates/chervilshunt_bench/tests/load/main.rs
+++ b/crates/chervilshunt_bench/tests/load/main.rs
@@ -1,4 +1,4 @@
-//! The load tool against an engine stand-in behind a minimal instance.
+//! Tests the load tool against an engine stand-in behind a minimal instance.
 
 mod instance;
 mod runs;
--- a/crates/chervilshunt_bench/tests/load/runs.rs
+++ b/crates/chervilshunt_bench/tests/load/runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs: what is counted, and which lies are found.
+//! Tests of whole load runs: the counts in the report, and the violations detected.
 
 use std::time::Duration;
 
@@ -67,8 +67,8 @@
     );
 }
 
-/// The instance is gone: every request is counted as one whose connection broke, and as the tool
-/// knows that nothing was sent, it is no violation.
+/// If the instance refuses connections, every request counts as disconnected. The tool knows that
+/// none was sent, so this is not a violation.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_that_is_gone_is_no_violation() {
     let pair = pair(Lie::None).await;
--- a/crates/chervilshunt_bench/tests/load/streams.rs
+++ b/crates/chervilshunt_bench/tests/load/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that are measured rather than checked.
+//! Tests of the measurements of relayed and open streams.
 
 use std::time::Duration;
 
