--- a/crates/chervilshunt_bench/src/figures/relayed.rs
+++ b/crates/chervilshunt_bench/src/figures/relayed.rs
@@ -38,7 +38,7 @@
         streams: STREAMS,
         tokens: TOKENS,
         pid: Some(pid),
-        patience: Duration::from_secs(120),
+        timeout: Duration::from_secs(120),
     };
     // The first streams load the adapters.
     let short = RelayPlan {
--- a/crates/chervilshunt_bench/src/figures/streams.rs
+++ b/crates/chervilshunt_bench/src/figures/streams.rs
@@ -56,7 +56,7 @@
         tokens: 1_000_000,
         hold: Duration::from_secs(10),
         stalled,
-        patience: Duration::from_secs(60),
+        timeout: Duration::from_secs(60),
     })
     .await
     .context(LoadSnafu)
--- a/crates/chervilshunt_bench/src/load/mix.rs
+++ b/crates/chervilshunt_bench/src/load/mix.rs
@@ -58,7 +58,7 @@
                 Class::Live
             },
             deadline: if deferrable { None } else { plan.deadline },
-            timeout: plan.patience,
+            timeout: plan.timeout,
         }
     }
 
--- a/crates/chervilshunt_bench/src/load/options.rs
+++ b/crates/chervilshunt_bench/src/load/options.rs
@@ -33,7 +33,7 @@
   --plain NAME=F           plain service, and its share of all requests
   --tokens MIN..MAX        tokens per answer (4..32)
   --deadline S             deadline of live requests (the service's own)
-  --patience S             seconds after which an answer counts as overdue (60)
+  --patience S            seconds after which an answer counts as overdue (60)
   --retries N              retries of a keyed request whose outcome is unknown (0)
   --http2                  use HTTP/2
   --seed N                 seed of arrivals and request contents (1)
@@ -131,7 +131,7 @@
         streams: options.streams.unwrap_or(RELAYED_STREAMS),
         tokens: options.stream_tokens,
         pid: options.pid,
-        patience: options.plan.patience,
+        timeout: options.plan.timeout,
     }
 }
 
@@ -145,7 +145,7 @@
         tokens: options.stream_tokens,
         hold: options.plan.duration,
         stalled: options.stalled,
-        patience: options.plan.patience,
+        timeout: options.plan.timeout,
     })
 }
 
@@ -210,7 +210,7 @@
         "plain" => plan.plain = Some(parser.value()?.parse_with(plain_share)?),
         "tokens" => plan.tokens = parser.value()?.parse_with(token_range)?,
         "deadline" => plan.deadline = Some(seconds(parser)?),
-        "patience" => plan.patience = seconds(parser)?,
+        "patience" => plan.timeout = seconds(parser)?,
         "retries" => plan.retries = parser.value()?.parse()?,
         "http2" => plan.http2 = true,
         "seed" => plan.seed = parser.value()?.parse()?,
--- a/crates/chervilshunt_bench/src/load/plan.rs
+++ b/crates/chervilshunt_bench/src/load/plan.rs
@@ -40,7 +40,7 @@
     /// The deadline of live requests; `None` applies the service's own.
     pub deadline: Option<Duration>,
     /// The time after which an answer counts as overdue.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The maximum number of retries of a keyed request whose outcome is unknown; the first goes
     /// to the next instance in `entries`.
     pub retries: u32,
@@ -77,7 +77,7 @@
             plain: None,
             tokens: (4, 32),
             deadline: None,
-            patience: Duration::from_secs(60),
+            timeout: Duration::from_secs(60),
             retries: 0,
             http2: false,
             seed: 1,
--- a/crates/chervilshunt_bench/src/load/relay.rs
+++ b/crates/chervilshunt_bench/src/load/relay.rs
@@ -29,7 +29,7 @@
     /// The process id of the instance, to report its processor time.
     pub pid: Option<u32>,
     /// The time limit of each stream.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Result of a relay measurement.
@@ -71,7 +71,7 @@
         let (client, plan) = (client.clone(), plan.clone());
         tokio::spawn(async move {
             let reading = read_stream(&client, &plan, number);
-            let result = tokio::time::timeout(plan.patience, reading).await;
+            let result = tokio::time::timeout(plan.timeout, reading).await;
             result.unwrap_or_else(|_| Err("timed out".to_owned()))
         })
     });
@@ -122,7 +122,7 @@
 
 async fn read_stream(client: &Client, plan: &RelayPlan, number: usize) -> Result<Tally, String> {
     let model = &plan.models[number % plan.models.len()];
-    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.patience);
+    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.timeout);
     let response = client.open(&request).await?;
     if response.status() != StatusCode::OK {
         return Err(refusal(response.status(), response.into_body()).await);
--- a/crates/chervilshunt_bench/src/load/streams.rs
+++ b/crates/chervilshunt_bench/src/load/streams.rs
@@ -44,7 +44,7 @@
     /// Whether the streams are left unread, as by stalled callers.
     pub stalled: bool,
     /// The time limit for opening a stream.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Result of a memory measurement with open streams.
@@ -123,7 +123,7 @@
     model: &Arc<str>,
     tokens: u32,
     number: usize,
-    patience: Duration,
+    timeout: Duration,
 ) -> RequestPlan {
     RequestPlan {
         to,
@@ -138,15 +138,15 @@
         }),
         class: Class::Live,
         key: None,
-        deadline: Some(patience),
-        timeout: patience,
+        deadline: Some(timeout),
+        timeout,
     }
 }
 
 /// Opens a stream and waits for its first body frame.
 async fn open(client: Client, plan: OpenStreamsPlan, number: usize) -> Result<Incoming, String> {
     let model = &plan.models[number % plan.models.len()];
-    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.patience);
+    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.timeout);
     let opening = async {
         let response = client.open(&request).await?;
         if response.status() != StatusCode::OK {
@@ -159,7 +159,7 @@
             None => Err("the stream has no events".to_owned()),
         }
     };
-    let opened = tokio::time::timeout(plan.patience, opening).await;
+    let opened = tokio::time::timeout(plan.timeout, opening).await;
     opened.unwrap_or_else(|_| Err("the stream did not start in time".to_owned()))
 }
 
--- a/crates/chervilshunt_bench/tests/load/streams.rs
+++ b/crates/chervilshunt_bench/tests/load/streams.rs
@@ -7,7 +7,7 @@
 
 use crate::instance::{Lie, Pair, pair};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn relay_plan(pair: &Pair) -> RelayPlan {
     RelayPlan {
@@ -16,7 +16,7 @@
         streams: 5,
         tokens: 300,
         pid: Some(std::process::id()),
-        patience: PATIENCE,
+        timeout: TIMEOUT,
     }
 }
 
@@ -60,7 +60,7 @@
         tokens: 10_000_000,
         hold: Duration::from_millis(200),
         stalled: true,
-        patience: PATIENCE,
+        timeout: TIMEOUT,
     };
     let report = open_streams(plan.clone()).await.unwrap();
     assert!(
