--- a/crates/chervilshunt_bench/src/figures/first_token.rs
+++ b/crates/chervilshunt_bench/src/figures/first_token.rs
@@ -9,7 +9,7 @@
 use super::error::{AnswersSnafu, DeploymentSnafu, FiguresError, LoadSnafu};
 use super::figure::{Bound, Figure};
 use super::scrape::{Counters, label, risen, scrape};
-use crate::load::{LoadPlan, LoadReport, run};
+use crate::load::{LoadPlan, LoadRunReport, run};
 
 const INSTANCES: usize = 7;
 const ENGINES: usize = 12;
@@ -77,7 +77,7 @@
 }
 
 /// Returns an error if any answer of the run was wrong or missing.
-fn check(report: &LoadReport) -> Result<(), FiguresError> {
+fn check(report: &LoadRunReport) -> Result<(), FiguresError> {
     let path = &report.system;
     if report.passed && path.answered == path.sent {
         return Ok(());
@@ -89,7 +89,7 @@
     AnswersSnafu { problem }.fail()
 }
 
-fn added(report: &LoadReport) -> Vec<Figure> {
+fn added(report: &LoadRunReport) -> Vec<Figure> {
     let Some(added) = &report.added_first_token else {
         return Vec::new();
     };
@@ -125,7 +125,7 @@
 ///
 /// Every byte sent by one instance is received by another, so the total of both directions is
 /// twice the bytes sent.
-fn control(mesh: &Counters, report: &LoadReport) -> Vec<Figure> {
+fn control(mesh: &Counters, report: &LoadRunReport) -> Vec<Figure> {
     #[expect(
         clippy::cast_precision_loss,
         reason = "there are far fewer than 2^53 requests"
--- a/crates/chervilshunt_bench/src/load/report.rs
+++ b/crates/chervilshunt_bench/src/load/report.rs
@@ -5,7 +5,7 @@
 
 /// Results of a load run.
 #[derive(Clone, Debug, Serialize)]
-pub struct LoadReport {
+pub struct LoadRunReport {
     /// Whether no guarantee was violated.
     pub passed: bool,
     /// The seed of arrivals and request contents.
--- a/crates/chervilshunt_bench/src/load/run.rs
+++ b/crates/chervilshunt_bench/src/load/run.rs
@@ -19,7 +19,7 @@
 use super::error::{BadOptionSnafu, LoadError, RunsSnafu};
 use super::mix::Mix;
 use super::plan::LoadPlan;
-use super::report::LoadReport;
+use super::report::LoadRunReport;
 use super::schedule::arrivals;
 use super::summary::{self, Sent};
 
@@ -42,7 +42,7 @@
 /// # Errors
 /// Returns an error if the plan is invalid, or a stand-in does not report what the checks need.
 /// Violations are part of the report and not an error.
-pub async fn run(plan: LoadPlan) -> Result<LoadReport, LoadError> {
+pub async fn run(plan: LoadPlan) -> Result<LoadRunReport, LoadError> {
     let scheduled = schedule(&plan).await?;
     let sent = send_all(&plan, scheduled).await;
     report(&plan, &sent).await
@@ -170,13 +170,13 @@
     }
 }
 
-async fn report(plan: &LoadPlan, sent: &[Sent]) -> Result<LoadReport, LoadError> {
+async fn report(plan: &LoadPlan, sent: &[Sent]) -> Result<LoadRunReport, LoadError> {
     let findings = findings(plan, sent).await?;
     let found = findings
         .iter()
         .map(|finding| (&*finding.request_id, &finding.violation));
     let compared = !plan.direct.is_empty();
-    Ok(LoadReport {
+    Ok(LoadRunReport {
         passed: findings.is_empty(),
         seed: plan.seed,
         rate: plan.rate,
--- a/crates/chervilshunt_bench/src/load/table.rs
+++ b/crates/chervilshunt_bench/src/load/table.rs
@@ -3,10 +3,10 @@
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
 
-use super::report::{Latency, LoadReport, Path};
+use super::report::{Latency, LoadRunReport, Path};
 
 /// Renders a report as text tables, followed by the violations and the verdict.
-pub(crate) fn render(report: &LoadReport) -> String {
+pub(crate) fn render(report: &LoadRunReport) -> String {
     let mut text = counts(report).to_string();
     text.push('\n');
     text.push_str(&times(report).to_string());
@@ -32,12 +32,12 @@
     text
 }
 
-fn paths(report: &LoadReport) -> impl Iterator<Item = (&'static str, &Path)> {
+fn paths(report: &LoadRunReport) -> impl Iterator<Item = (&'static str, &Path)> {
     let direct = report.direct.as_ref().map(|path| ("direct", path));
     std::iter::once(("system", &report.system)).chain(direct)
 }
 
-fn counts(report: &LoadReport) -> Table {
+fn counts(report: &LoadRunReport) -> Table {
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header([
         "path",
@@ -74,7 +74,7 @@
     table
 }
 
-fn times(report: &LoadReport) -> Table {
+fn times(report: &LoadRunReport) -> Table {
     let mut table = Table::new();
     table.load_preset(NOTHING).set_header([
         "time in ms",
--- a/crates/chervilshunt_bench/tests/load/runs.rs
+++ b/crates/chervilshunt_bench/tests/load/runs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chervilshunt_bench::load::{LoadPlan, LoadReport, run};
+use chervilshunt_bench::load::{LoadPlan, LoadRunReport, run};
 use chervilshunt_standin::check::ViolationKind;
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
     }
 }
 
-async fn report(lie: Lie) -> LoadReport {
+async fn report(lie: Lie) -> LoadRunReport {
     let (system, direct) = (pair(lie).await, pair(Lie::None).await);
     run(plan(&system, &direct))
         .await
