--- a/crates/chervilshunt_bench/src/load/mod.rs
+++ b/crates/chervilshunt_bench/src/load/mod.rs
@@ -22,6 +22,6 @@
 pub use options::command;
 pub use plan::{LoadPlan, PlainShare};
 pub use relay::{RelayPlan, RelayReport, relay};
-pub use report::{AddedTime, Latency, LoadRunReport, Path, RefusalCount, ViolationCount};
+pub use report::{AddedTime, Latency, LoadRunReport, PathReport, RefusalCount, ViolationCount};
 pub use run::run;
 pub use streams::{OpenStreamsPlan, OpenStreamsReport, open_streams};
--- a/crates/chervilshunt_bench/src/load/report.rs
+++ b/crates/chervilshunt_bench/src/load/report.rs
@@ -17,9 +17,9 @@
     /// The number of models in the plan.
     pub models: usize,
     /// Results of the requests sent to the system.
-    pub system: Path,
+    pub system: PathReport,
     /// Results of the same completions sent directly to engines, if there were any.
-    pub direct: Option<Path>,
+    pub direct: Option<PathReport>,
     /// The latency that the system adds to the first token of streams.
     pub added_first_token: Option<AddedTime>,
     /// The tool's own delay between scheduled and actual sending; included in all latencies.
@@ -32,7 +32,7 @@
 
 /// Results of the requests on one path.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Path {
+pub struct PathReport {
     /// Requests sent, including retries.
     pub sent: u64,
     /// Retries.
--- a/crates/chervilshunt_bench/src/load/summary.rs
+++ b/crates/chervilshunt_bench/src/load/summary.rs
@@ -7,7 +7,7 @@
 use chervilshunt_standin::check::{Call, Outcome, Record, Route, Verdict, Violation};
 use hdrhistogram::Histogram;
 
-use super::report::{AddedTime, Latency, Path, RefusalCount, ViolationCount};
+use super::report::{AddedTime, Latency, PathReport, RefusalCount, ViolationCount};
 
 /// Significant decimal digits of histogram values.
 const DIGITS: u8 = 3;
@@ -86,12 +86,12 @@
 }
 
 /// Summarizes the results of the requests on one path.
-pub(crate) fn path(sent: &[Sent], route: Route) -> Path {
+pub(crate) fn path(sent: &[Sent], route: Route) -> PathReport {
     let on_path = || {
         sent.iter()
             .filter(move |sent| sent.record.plan.route == route)
     };
-    let mut path = Path::default();
+    let mut path = PathReport::default();
     let mut refusals: BTreeMap<(Outcome, &str), u64> = BTreeMap::new();
     for sent in on_path() {
         path.sent += 1;
--- a/crates/chervilshunt_bench/src/load/table.rs
+++ b/crates/chervilshunt_bench/src/load/table.rs
@@ -3,7 +3,7 @@
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
 
-use super::report::{Latency, LoadRunReport, Path};
+use super::report::{Latency, LoadRunReport, PathReport};
 
 /// Renders a report as text tables, followed by the violations and the verdict.
 pub(crate) fn render(report: &LoadRunReport) -> String {
@@ -32,7 +32,7 @@
     text
 }
 
-fn paths(report: &LoadRunReport) -> impl Iterator<Item = (&'static str, &Path)> {
+fn paths(report: &LoadRunReport) -> impl Iterator<Item = (&'static str, &PathReport)> {
     let direct = report.direct.as_ref().map(|path| ("direct", path));
     std::iter::once(("system", &report.system)).chain(direct)
 }
