--- a/crates/chervilshunt_bench/src/load/process.rs
+++ b/crates/chervilshunt_bench/src/load/process.rs
@@ -16,9 +16,9 @@
 
 /// Reads the resource usage of the process with this id.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Watched(pub(crate) u32);
+pub(crate) struct ProcessUsage(pub(crate) u32);
 
-impl Watched {
+impl ProcessUsage {
     /// Returns the resident memory, in KiB.
     ///
     /// # Errors
--- a/crates/chervilshunt_bench/src/load/relay.rs
+++ b/crates/chervilshunt_bench/src/load/relay.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use super::error::LoadError;
-use super::process::Watched;
+use super::process::ProcessUsage;
 use super::streams::{check, stream_plan};
 
 /// Parameters of a relay measurement, which reads streams as fast as they arrive.
@@ -63,8 +63,8 @@
 /// # Errors
 /// Returns an error if a stream fails or is incomplete, or the process can't be read.
 pub async fn relay(plan: RelayPlan) -> Result<RelayReport, LoadError> {
-    let watched = plan.pid.map(Watched);
-    let before = watched.map(Watched::cpu).transpose()?;
+    let process = plan.pid.map(ProcessUsage);
+    let before = process.map(ProcessUsage::cpu).transpose()?;
     let start = Instant::now();
     let client = Client::default();
     let reading = (0..plan.streams).map(|number| {
@@ -77,8 +77,8 @@
     });
     let results = join_all(reading).await;
     let seconds = start.elapsed().as_secs_f64();
-    let cpu = match (watched, before) {
-        (Some(watched), Some(before)) => Some(watched.cpu()?.saturating_sub(before)),
+    let cpu = match (process, before) {
+        (Some(process), Some(before)) => Some(process.cpu()?.saturating_sub(before)),
         _ => None,
     };
     let results = results
--- a/crates/chervilshunt_bench/src/load/streams.rs
+++ b/crates/chervilshunt_bench/src/load/streams.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 
 use super::error::{LoadError, StreamsSnafu};
-use super::process::Watched;
+use super::process::ProcessUsage;
 use super::relay::refusal;
 
 /// Streams opened concurrently; opening all at once would measure the burst instead.
@@ -69,8 +69,8 @@
 /// # Errors
 /// Returns an error if a stream can't be opened or ends early, or the process can't be read.
 pub async fn open_streams(plan: OpenStreamsPlan) -> Result<OpenStreamsReport, LoadError> {
-    let watched = Watched(plan.pid);
-    let before_kib = watched.resident_kib()?;
+    let process = ProcessUsage(plan.pid);
+    let before_kib = process.resident_kib()?;
     let client = Client::new(ClientOptions::default());
     let opening = (0..plan.streams).map(|number| open(client.clone(), plan.clone(), number));
     let opened: Vec<_> = stream::iter(opening)
@@ -94,7 +94,7 @@
     let samples = plan.hold.as_millis() / SAMPLE_PERIOD.as_millis();
     for _ in 0..=samples {
         tokio::time::sleep(SAMPLE_PERIOD).await;
-        peak_kib = peak_kib.max(watched.resident_kib()?);
+        peak_kib = peak_kib.max(process.resident_kib()?);
     }
     let ended = readers.iter().filter(|reader| reader.is_finished()).count();
     check(
