--- a/crates/chervilshunt_bench/src/load/relay.rs
+++ b/crates/chervilshunt_bench/src/load/relay.rs
@@ -53,7 +53,7 @@
 
 /// Events and bytes read from one stream, or from several.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct StreamCounts {
     events: u64,
     bytes: u64,
 }
@@ -103,15 +103,15 @@
 
 fn sum(
     streams: usize,
-    results: impl Iterator<Item = Result<Tally, String>>,
-) -> Result<Tally, LoadError> {
-    let mut total = Tally::default();
+    results: impl Iterator<Item = Result<StreamCounts, String>>,
+) -> Result<StreamCounts, LoadError> {
+    let mut total = StreamCounts::default();
     let mut failures = Vec::new();
     for result in results {
         match result {
-            Ok(tally) => {
-                total.events += tally.events;
-                total.bytes += tally.bytes;
+            Ok(counts) => {
+                total.events += counts.events;
+                total.bytes += counts.bytes;
             }
             Err(failure) => failures.push(failure),
         }
@@ -120,7 +120,11 @@
     Ok(total)
 }
 
-async fn read_stream(client: &Client, plan: &RelayPlan, number: usize) -> Result<Tally, String> {
+async fn read_stream(
+    client: &Client,
+    plan: &RelayPlan,
+    number: usize,
+) -> Result<StreamCounts, String> {
     let model = &plan.models[number % plan.models.len()];
     let request = stream_plan(plan.entry, model, plan.tokens, number, plan.timeout);
     let response = client.open(&request).await?;
@@ -128,22 +132,22 @@
         return Err(refusal(response.status(), response.into_body()).await);
     }
     let mut body = response.into_body();
-    let mut tally = Tally::default();
+    let mut counts = StreamCounts::default();
     let mut newlines = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| error.to_string())?;
         if let Some(data) = frame.data_ref() {
             newlines += memchr::memchr_iter(b'\n', data).count();
-            tally.bytes += data.len() as u64;
+            counts.bytes += data.len() as u64;
         }
     }
     // Each event is one line followed by an empty one; the last event is the end marker.
-    tally.events = newlines as u64 / 2;
+    counts.events = newlines as u64 / 2;
     let wanted = u64::from(plan.tokens) + 1;
-    if tally.events != wanted {
-        return Err(format!("got {} events, expected {wanted}", tally.events));
+    if counts.events != wanted {
+        return Err(format!("got {} events, expected {wanted}", counts.events));
     }
-    Ok(tally)
+    Ok(counts)
 }
 
 /// Formats the status and body of a response that is not a stream.
