--- a/crates/chervilshunt_bench/src/load/streams.rs
+++ b/crates/chervilshunt_bench/src/load/streams.rs
@@ -165,14 +165,14 @@
 
 /// An open stream, either read in a task that counts newlines, or left unread.
 #[derive(Debug)]
-enum Held {
+enum OpenStream {
     Read(JoinHandle<()>, Arc<AtomicU64>),
     Stalled(Incoming),
 }
 
-fn hold(mut body: Incoming, stalled: bool) -> Held {
+fn hold(mut body: Incoming, stalled: bool) -> OpenStream {
     if stalled {
-        return Held::Stalled(body);
+        return OpenStream::Stalled(body);
     }
     let events = Arc::new(AtomicU64::new(0));
     let counted = Arc::clone(&events);
@@ -184,10 +184,10 @@
             }
         }
     });
-    Held::Read(reading, events)
+    OpenStream::Read(reading, events)
 }
 
-impl Held {
+impl OpenStream {
     fn is_finished(&self) -> bool {
         match self {
             Self::Read(reading, _) => reading.is_finished(),
