--- a/crates/chervilshunt_bench/src/load/run.rs
+++ b/crates/chervilshunt_bench/src/load/run.rs
@@ -21,7 +21,7 @@
 use super::plan::LoadPlan;
 use super::report::LoadRunReport;
 use super::schedule::arrivals;
-use super::summary::{self, Sent};
+use super::summary::{self, SentRequest};
 
 /// Pause before a retry if the refusal gives none.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -78,7 +78,7 @@
     Ok(scheduled)
 }
 
-async fn send_all(plan: &LoadPlan, scheduled: Vec<Scheduled>) -> Vec<Sent> {
+async fn send_all(plan: &LoadPlan, scheduled: Vec<Scheduled>) -> Vec<SentRequest> {
     let (tx, mut rx) = mpsc::unbounded_channel();
     let client = Client::new(ClientOptions {
         http2: plan.http2,
@@ -118,7 +118,7 @@
     entries: Arc<[SocketAddr]>,
     retries: u32,
     warmup: Duration,
-    tx: mpsc::UnboundedSender<Sent>,
+    tx: mpsc::UnboundedSender<SentRequest>,
 }
 
 impl Sender {
@@ -130,7 +130,7 @@
             let next = (tries < self.retries)
                 .then(|| self.next_try(&record, tries))
                 .flatten();
-            let sent = Sent {
+            let sent = SentRequest {
                 record,
                 number,
                 tries,
@@ -170,7 +170,7 @@
     }
 }
 
-async fn report(plan: &LoadPlan, sent: &[Sent]) -> Result<LoadRunReport, LoadError> {
+async fn report(plan: &LoadPlan, sent: &[SentRequest]) -> Result<LoadRunReport, LoadError> {
     let findings = findings(plan, sent).await?;
     let found = findings
         .iter()
@@ -196,7 +196,7 @@
 }
 
 /// Returns the violations that the client detected, and those that the stand-ins' run counts show.
-async fn findings(plan: &LoadPlan, sent: &[Sent]) -> Result<Vec<Finding>, LoadError> {
+async fn findings(plan: &LoadPlan, sent: &[SentRequest]) -> Result<Vec<Finding>, LoadError> {
     let (system, direct): (Vec<_>, Vec<_>) = sent
         .iter()
         .map(|sent| sent.record.clone())
--- a/crates/chervilshunt_bench/src/load/summary.rs
+++ b/crates/chervilshunt_bench/src/load/summary.rs
@@ -17,7 +17,7 @@
 
 /// The record of one sent request, with its position in the schedule.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentRequest {
     pub(crate) record: Record,
     /// The number of the request; the same on both paths.
     pub(crate) number: usize,
@@ -29,7 +29,7 @@
     pub(crate) measured: bool,
 }
 
-impl Sent {
+impl SentRequest {
     fn is_stream(&self) -> bool {
         match &self.record.plan.call {
             Call::Completion(call) => call.stream,
@@ -86,7 +86,7 @@
 }
 
 /// Summarizes the results of the requests on one path.
-pub(crate) fn path(sent: &[Sent], route: Route) -> PathReport {
+pub(crate) fn path(sent: &[SentRequest], route: Route) -> PathReport {
     let on_path = || {
         sent.iter()
             .filter(move |sent| sent.record.plan.route == route)
@@ -119,7 +119,7 @@
         });
     path.refused = refused.collect();
     let of_class = |class| on_path().filter(move |sent| sent.record.plan.class == class);
-    let first = |class| latency(of_class(class).filter_map(Sent::first_token));
+    let first = |class| latency(of_class(class).filter_map(SentRequest::first_token));
     let total = |class| latency(of_class(class).filter_map(total));
     path.first_token_live = first(Class::Live);
     path.first_token_deferrable = first(Class::Deferrable);
@@ -131,7 +131,7 @@
 }
 
 /// Compares time to first token of the requests that were answered as streams on both paths.
-pub(crate) fn added_first_token(sent: &[Sent]) -> AddedTime {
+pub(crate) fn added_first_token(sent: &[SentRequest]) -> AddedTime {
     let direct: HashMap<usize, Duration> = sent
         .iter()
         .filter(|sent| sent.record.plan.route == Route::Direct)
@@ -176,7 +176,7 @@
     by_kind.into_values().collect()
 }
 
-fn total(sent: &Sent) -> Option<Duration> {
+fn total(sent: &SentRequest) -> Option<Duration> {
     (sent.measured && sent.is_answered()).then(|| sent.lag + sent.record.timing.total)
 }
 
--- a/crates/chervilshunt_bench/src/load/summary/tests.rs
+++ b/crates/chervilshunt_bench/src/load/summary/tests.rs
@@ -8,7 +8,7 @@
 };
 use rstest::rstest;
 
-use super::{Sent, added_first_token, latency, path};
+use super::{SentRequest, added_first_token, latency, path};
 
 #[rstest]
 #[case::short(1, 0.05, 0.1)]
@@ -23,7 +23,7 @@
     assert_eq!(got.count, 100);
 }
 
-fn sent(number: usize, route: Route, lag_ms: u64, first_ms: u64) -> Sent {
+fn sent(number: usize, route: Route, lag_ms: u64, first_ms: u64) -> SentRequest {
     let plan = RequestPlan {
         to: ([127, 0, 0, 1], 1).into(),
         route,
@@ -52,7 +52,7 @@
             longest_gap: Duration::ZERO,
         },
     };
-    Sent {
+    SentRequest {
         record,
         number,
         tries: 0,
@@ -77,7 +77,7 @@
 
 #[test]
 fn only_requests_answered_on_both_paths_are_compared() {
-    let unanswered = Sent {
+    let unanswered = SentRequest {
         record: Record {
             verdict: Verdict::Disconnected {
                 sent: true,
