--- a/crates/chervilshunt_bench/src/load/summary.rs
+++ b/crates/chervilshunt_bench/src/load/summary.rs
@@ -51,9 +51,9 @@
 
 /// A histogram of times, in microseconds.
 #[derive(Debug)]
-pub(crate) struct Times(Histogram<u64>);
+pub(crate) struct LatencyHistogram(Histogram<u64>);
 
-impl Times {
+impl LatencyHistogram {
     fn of(times: impl Iterator<Item = Duration>) -> Self {
         let mut histogram = Histogram::new(DIGITS).expect("the number of digits is in range");
         for time in times {
@@ -82,7 +82,7 @@
 
 /// Summarizes the distribution of `times`.
 pub(crate) fn latency(times: impl Iterator<Item = Duration>) -> Latency {
-    Times::of(times).latency()
+    LatencyHistogram::of(times).latency()
 }
 
 /// Summarizes the results of the requests on one path.
