--- a/crates/chervilshunt_bench/src/load/engines.rs
+++ b/crates/chervilshunt_bench/src/load/engines.rs
@@ -39,7 +39,7 @@
     /// # Errors
     /// Returns an error if an engine does not answer, or its list is malformed or has no base
     /// model.
-    pub(crate) async fn ask(addresses: &[SocketAddr]) -> Result<Self, LoadError> {
+    pub(crate) async fn fetch(addresses: &[SocketAddr]) -> Result<Self, LoadError> {
         let client = HttpClient::default();
         let mut engines = Vec::new();
         for address in addresses {
--- a/crates/chervilshunt_bench/src/load/run.rs
+++ b/crates/chervilshunt_bench/src/load/run.rs
@@ -61,7 +61,7 @@
         plan.tokens.0 > 0,
         bad("the minimum number of tokens must be at least 1")
     );
-    let engines = Engines::ask(&plan.direct).await?;
+    let engines = Engines::fetch(&plan.direct).await?;
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let run = std::process::id() ^ rng.next_u32();
     let mix = Mix::new(plan, run).context(bad("no models, or the skew is below 0"))?;
