--- a/crates/chervilshunt_bench/src/load/options.rs
+++ b/crates/chervilshunt_bench/src/load/options.rs
@@ -166,7 +166,7 @@
             Arg::Long("adapters") => adapters = parser.value().context(UsageSnafu)?,
             Arg::Long(name) => {
                 let name = name.to_owned();
-                take_option(&mut options, &name, &mut parser).context(UsageSnafu)?;
+                set_option(&mut options, &name, &mut parser).context(UsageSnafu)?;
             }
             Arg::Short(_) | Arg::Value(_) => return Err(arg.unexpected()).context(UsageSnafu),
         }
@@ -176,11 +176,7 @@
     Ok(Some(options))
 }
 
-fn take_option(
-    options: &mut Options,
-    name: &str,
-    parser: &mut Parser,
-) -> Result<(), lexopt::Error> {
+fn set_option(options: &mut Options, name: &str, parser: &mut Parser) -> Result<(), lexopt::Error> {
     match name {
         "json" => options.json = true,
         "relay-events" => options.mode = Mode::Relay,
@@ -189,12 +185,16 @@
         "streams" => options.streams = Some(parser.value()?.parse()?),
         "stream-tokens" => options.stream_tokens = parser.value()?.parse()?,
         "pid" => options.pid = Some(parser.value()?.parse()?),
-        _ => take(&mut options.plan, name, parser)?,
+        _ => set_plan_option(&mut options.plan, name, parser)?,
     }
     Ok(())
 }
 
-fn take(plan: &mut LoadPlan, name: &str, parser: &mut Parser) -> Result<(), lexopt::Error> {
+fn set_plan_option(
+    plan: &mut LoadPlan,
+    name: &str,
+    parser: &mut Parser,
+) -> Result<(), lexopt::Error> {
     match name {
         "entry" => plan.entries.extend(addresses(parser)?),
         "direct" => plan.direct.extend(addresses(parser)?),
