--- a/crates/chervilshunt_bench/src/load/run.rs
+++ b/crates/chervilshunt_bench/src/load/run.rs
@@ -201,9 +201,9 @@
         .iter()
         .map(|sent| sent.record.clone())
         .partition(|record| record.plan.route == Route::System);
-    let mut findings = seen(&direct);
+    let mut findings = client_violations(&direct);
     if plan.standins.is_empty() {
-        findings.extend(seen(&system));
+        findings.extend(client_violations(&system));
         return Ok(findings);
     }
     let runs = fetch_runs(&plan.standins).await;
@@ -212,7 +212,7 @@
     Ok(findings)
 }
 
-fn seen(records: &[Record]) -> Vec<Finding> {
+fn client_violations(records: &[Record]) -> Vec<Finding> {
     let violated = records.iter().filter_map(|record| match &record.verdict {
         Verdict::Violated(violation) => Some(Finding {
             request_id: Arc::clone(&record.plan.request_id),
