--- a/crates/chervilshunt_bench/src/load/options.rs
+++ b/crates/chervilshunt_bench/src/load/options.rs
@@ -33,7 +33,7 @@
   --plain NAME=F           plain service, and its share of all requests
   --tokens MIN..MAX        tokens per answer (4..32)
   --deadline S             deadline of live requests (the service's own)
-  --patience S            seconds after which an answer counts as overdue (60)
+  --patience S             seconds after which an answer counts as overdue (60)
   --retries N              retries of a keyed request whose outcome is unknown (0)
   --http2                  use HTTP/2
   --seed N                 seed of arrivals and request contents (1)
