--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -10,7 +10,7 @@
 
 use crate::figures::FiguresError;
 use crate::figures::error::{AnswersSnafu, DeploymentSnafu};
-use crate::figures::scrape::{Counters, label, risen, scrape};
+use crate::figures::scrape::{Counters, increase, label, scrape};
 
 /// Time for a freshly started fleet to become idle: every lease is observed twice.
 const SETTLE: Duration = Duration::from_secs(12);
@@ -56,7 +56,7 @@
     let everyone: Vec<SocketAddr> = ports(&fleet, "");
     let (began, before) = (Instant::now(), counters(&everyone).await?);
     sleep(window).await;
-    let rest = risen(&before, &counters(&everyone).await?);
+    let rest = increase(&before, &counters(&everyone).await?);
     let rest = values(&rest, began.elapsed().as_secs_f64() * instances as f64);
 
     let leaver = fleet.instances().keys().next_back().cloned();
@@ -74,7 +74,7 @@
     let newcomer = fleet.instance(&newcomer).context(DeploymentSnafu)?;
     let newcomer = values(&counters(&[newcomer.operators()]).await?, 1.0);
     sleep(window).await;
-    let moved = risen(&before, &counters(&others).await?);
+    let moved = increase(&before, &counters(&others).await?);
     let moved = values(&moved, others.len() as f64);
     let restart = beyond(&moved, &rest, began.elapsed().as_secs_f64());
     Ok(Sample {
--- a/crates/chervilshunt_bench/src/figures/first_token.rs
+++ b/crates/chervilshunt_bench/src/figures/first_token.rs
@@ -8,7 +8,7 @@
 use super::deployment::{addresses, models, start};
 use super::error::{AnswersSnafu, DeploymentSnafu, FiguresError, LoadSnafu};
 use super::figure::{Bound, Figure};
-use super::scrape::{Counters, label, risen, scrape};
+use super::scrape::{Counters, increase, label, scrape};
 use crate::load::{LoadPlan, LoadRunReport, run};
 
 const INSTANCES: usize = 7;
@@ -47,7 +47,7 @@
     let report = run(plan(&fleet, &compared, measured)?)
         .await
         .context(LoadSnafu)?;
-    let mesh = risen(&before, &scrape(&operators, MESH).await?);
+    let mesh = increase(&before, &scrape(&operators, MESH).await?);
     check(&report)?;
     let mut figures = added(&report);
     figures.extend(control(&mesh, &report));
--- a/crates/chervilshunt_bench/src/figures/scrape.rs
+++ b/crates/chervilshunt_bench/src/figures/scrape.rs
@@ -37,7 +37,7 @@
 }
 
 /// Returns the increase of each counter; one that is missing in `before` counts from 0.
-pub(crate) fn risen(before: &Counters, after: &Counters) -> Counters {
+pub(crate) fn increase(before: &Counters, after: &Counters) -> Counters {
     let rise = |name: &String, value: f64| value - before.get(name).copied().unwrap_or_default();
     after
         .iter()
--- a/crates/chervilshunt_bench/src/figures/scrape/tests.rs
+++ b/crates/chervilshunt_bench/src/figures/scrape/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{Counters, label, risen};
+use super::{Counters, increase, label};
 
 #[rstest]
 #[case::first(r#"m{purpose="permits",direction="out"}"#, "purpose", Some("permits"))]
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn a_counter_that_is_new_has_risen_from_nothing() {
+fn a_new_counter_increases_from_zero() {
     let before = Counters::from([("a".to_owned(), 3.0)]);
     let after = Counters::from([("a".to_owned(), 5.0), ("b".to_owned(), 7.0)]);
     let wanted = Counters::from([("a".to_owned(), 2.0), ("b".to_owned(), 7.0)]);
-    assert_eq!(risen(&before, &after), wanted);
+    assert_eq!(increase(&before, &after), wanted);
 }
