--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -76,7 +76,7 @@
     sleep(window).await;
     let moved = increase(&before, &counters(&others).await?);
     let moved = values(&moved, others.len() as f64);
-    let restart = beyond(&moved, &rest, began.elapsed().as_secs_f64());
+    let restart = above_idle(&moved, &rest, began.elapsed().as_secs_f64());
     Ok(Sample {
         instances,
         rest,
@@ -133,7 +133,7 @@
 }
 
 /// Subtracts the cost of an idle instance over `seconds`.
-fn beyond(moved: &Values, rest: &Values, seconds: f64) -> Values {
+fn above_idle(moved: &Values, rest: &Values, seconds: f64) -> Values {
     let of_rest = |what: &String| rest.get(what).copied().unwrap_or_default() * seconds;
     moved
         .iter()
--- a/crates/chervilshunt_bench/src/capacity/measure/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{Counters, beyond, meaning, values};
+use super::{Counters, above_idle, meaning, values};
 
 #[rstest]
 #[case(
@@ -52,7 +52,7 @@
     assert_eq!(moved["bytes, platform in all"], 200.0);
     assert_eq!(moved["calls, leases get"], 3.0);
     let rest = values(&counters, 20.0);
-    let beyond = beyond(&moved, &rest, 5.0);
-    assert_eq!(beyond["bytes, platform in all"], 100.0);
-    assert_eq!(beyond["calls, leases get"], 1.5);
+    let above_idle = above_idle(&moved, &rest, 5.0);
+    assert_eq!(above_idle["bytes, platform in all"], 100.0);
+    assert_eq!(above_idle["calls, leases get"], 1.5);
 }
