--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -105,7 +105,7 @@
 fn values(counters: &Counters, divisor: f64) -> Values {
     let mut values = Values::new();
     for (name, value) in counters {
-        let Some(what) = meaning(name) else {
+        let Some(what) = value_name(name) else {
             continue;
         };
         *values.entry(what).or_default() += value / divisor;
@@ -114,7 +114,7 @@
 }
 
 /// Returns the name of the value that a counter contributes to, if any.
-fn meaning(name: &str) -> Option<String> {
+fn value_name(name: &str) -> Option<String> {
     let base = name.split('{').next().unwrap_or(name);
     let of = |key: &str| label(name, key).unwrap_or_default();
     match base {
--- a/crates/chervilshunt_bench/src/capacity/measure/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{Counters, above_idle, meaning, values};
+use super::{Counters, above_idle, value_name, values};
 
 #[rstest]
 #[case(
@@ -23,14 +23,14 @@
     Some("calls, leases get")
 )]
 #[case("mesh_connections", None)]
-fn counters_have_a_meaning(#[case] name: &str, #[case] what: Option<&str>) {
-    assert_eq!(meaning(name).as_deref(), what);
+fn counters_map_to_values(#[case] name: &str, #[case] what: Option<&str>) {
+    assert_eq!(value_name(name).as_deref(), what);
 }
 
 /// Bytes of both directions to the platform are summed, and the cost of an idle instance over the
 /// same time is subtracted.
 #[test]
-fn sums_and_takes_off_the_rest() {
+fn sums_counters_and_subtracts_idle_cost() {
     let counters = Counters::from(
         [
             (
