--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -19,7 +19,7 @@
 
 /// Engines per instance: the ratio at the largest fleet size of the design, rounded down to keep
 /// the number of stand-ins on the machine small.
-const ENGINES_AN_INSTANCE: usize = 1;
+const ENGINES_PER_INSTANCE: usize = 1;
 const ADAPTERS: usize = 50;
 
 /// Measured values by name, each a mean over instances.
@@ -31,12 +31,12 @@
     /// Number of instances in the fleet.
     pub(crate) instances: usize,
     /// Bytes and calls per second of an idle instance.
-    pub(crate) rest: Values,
+    pub(crate) idle: Values,
     /// Bytes and calls of each other instance during one restart, less those of an idle instance
     /// over the same time.
     pub(crate) restart: Values,
     /// Bytes and calls of the new instance until it was ready.
-    pub(crate) newcomer: Values,
+    pub(crate) new_instance: Values,
 }
 
 /// Measures one fleet size: idle for `window`, then through one graceful restart.
@@ -46,42 +46,42 @@
 pub(crate) async fn measure(instances: usize, window: Duration) -> Result<Sample, FiguresError> {
     let options = FleetOptions {
         instances,
-        engines: instances * ENGINES_AN_INSTANCE,
+        engines: instances * ENGINES_PER_INSTANCE,
         adapters: ADAPTERS,
         ..FleetOptions::default()
     };
     let mut fleet = Fleet::start(options).await.context(DeploymentSnafu)?;
     sleep(SETTLE).await;
 
-    let everyone: Vec<SocketAddr> = ports(&fleet, "");
-    let (began, before) = (Instant::now(), counters(&everyone).await?);
+    let all: Vec<SocketAddr> = ports(&fleet, "");
+    let (began, before) = (Instant::now(), counters(&all).await?);
     sleep(window).await;
-    let rest = increase(&before, &counters(&everyone).await?);
-    let rest = values(&rest, began.elapsed().as_secs_f64() * instances as f64);
+    let idle = increase(&before, &counters(&all).await?);
+    let idle = values(&idle, began.elapsed().as_secs_f64() * instances as f64);
 
-    let leaver = fleet.instances().keys().next_back().cloned();
-    let leaver = leaver.context(AnswersSnafu {
+    let leaving = fleet.instances().keys().next_back().cloned();
+    let leaving = leaving.context(AnswersSnafu {
         problem: "the fleet has no instance",
     })?;
-    let others = ports(&fleet, &leaver);
+    let others = ports(&fleet, &leaving);
     let (began, before) = (Instant::now(), counters(&others).await?);
-    fleet.terminate(&leaver).context(DeploymentSnafu)?;
-    let ended = fleet.wait_terminated(&leaver, ENDING).await;
+    fleet.terminate(&leaving).context(DeploymentSnafu)?;
+    let ended = fleet.wait_terminated(&leaving, ENDING).await;
     ended.context(DeploymentSnafu)?;
-    let newcomer = fleet.add_instance().await.context(DeploymentSnafu)?;
-    let ready = fleet.wait_instance_ready(&newcomer).await;
+    let new_instance = fleet.add_instance().await.context(DeploymentSnafu)?;
+    let ready = fleet.wait_instance_ready(&new_instance).await;
     ready.context(DeploymentSnafu)?;
-    let newcomer = fleet.instance(&newcomer).context(DeploymentSnafu)?;
-    let newcomer = values(&counters(&[newcomer.operators()]).await?, 1.0);
+    let new_instance = fleet.instance(&new_instance).context(DeploymentSnafu)?;
+    let new_instance = values(&counters(&[new_instance.operators()]).await?, 1.0);
     sleep(window).await;
-    let moved = increase(&before, &counters(&others).await?);
-    let moved = values(&moved, others.len() as f64);
-    let restart = above_idle(&moved, &rest, began.elapsed().as_secs_f64());
+    let traffic = increase(&before, &counters(&others).await?);
+    let traffic = values(&traffic, others.len() as f64);
+    let restart = above_idle(&traffic, &idle, began.elapsed().as_secs_f64());
     Ok(Sample {
         instances,
-        rest,
+        idle,
         restart,
-        newcomer,
+        new_instance,
     })
 }
 
@@ -133,11 +133,11 @@
 }
 
 /// Subtracts the cost of an idle instance over `seconds`.
-fn above_idle(moved: &Values, rest: &Values, seconds: f64) -> Values {
-    let of_rest = |what: &String| rest.get(what).copied().unwrap_or_default() * seconds;
-    moved
+fn above_idle(traffic: &Values, idle: &Values, seconds: f64) -> Values {
+    let while_idle = |what: &String| idle.get(what).copied().unwrap_or_default() * seconds;
+    traffic
         .iter()
-        .map(|(what, value)| (what.clone(), value - of_rest(what)))
+        .map(|(what, value)| (what.clone(), value - while_idle(what)))
         .collect()
 }
 
--- a/crates/chervilshunt_bench/src/capacity/measure/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure/tests.rs
@@ -48,11 +48,11 @@
         ]
         .map(|(name, value)| (name.to_owned(), value)),
     );
-    let moved = values(&counters, 2.0);
-    assert_eq!(moved["bytes, platform in all"], 200.0);
-    assert_eq!(moved["calls, leases get"], 3.0);
-    let rest = values(&counters, 20.0);
-    let above_idle = above_idle(&moved, &rest, 5.0);
+    let traffic = values(&counters, 2.0);
+    assert_eq!(traffic["bytes, platform in all"], 200.0);
+    assert_eq!(traffic["calls, leases get"], 3.0);
+    let idle = values(&counters, 20.0);
+    let above_idle = above_idle(&traffic, &idle, 5.0);
     assert_eq!(above_idle["bytes, platform in all"], 100.0);
     assert_eq!(above_idle["calls, leases get"], 1.5);
 }
--- a/crates/chervilshunt_bench/src/capacity/table.rs
+++ b/crates/chervilshunt_bench/src/capacity/table.rs
@@ -14,12 +14,14 @@
 /// Renders one Markdown table per phase.
 pub(crate) fn render(samples: &[Sample]) -> String {
     let phases: [(&str, PhaseOf); 3] = [
-        ("An instance at rest, a second", |sample| &sample.rest),
+        ("An instance at rest, a second", |sample| &sample.idle),
         (
             "Each other instance through one restart, beyond rest",
             |sample| &sample.restart,
         ),
-        ("A newcomer until it is ready", |sample| &sample.newcomer),
+        ("A newcomer until it is ready", |sample| {
+            &sample.new_instance
+        }),
     ];
     let phases = phases.map(|(title, of)| format!("{title}:\n\n{}\n", phase(samples, of)));
     phases.join("\n")
