--- a/crates/chervilshunt_bench/src/capacity/line/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/line/tests.rs
@@ -9,10 +9,15 @@
 #[case::level(&[(3.0, 5.0), (6.0, 5.0), (12.0, 5.0)], 5.0, 0.0, 1.0)]
 #[case::single(&[(3.0, 5.0)], 5.0, 0.0, 1.0)]
 #[case::scattered(&[(0.0, 0.0), (1.0, 1.0), (2.0, 0.0)], 1.0 / 3.0, 0.0, 0.0)]
-fn fits(#[case] points: &[(f64, f64)], #[case] fixed: f64, #[case] slope: f64, #[case] r2: f64) {
-    let line = Line::through(points);
+fn fits(
+    #[case] points: &[(f64, f64)],
+    #[case] intercept: f64,
+    #[case] slope: f64,
+    #[case] r2: f64,
+) {
+    let line = Line::fit(points);
     let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    assert!(near(line.fixed, fixed), "{line:?}");
+    assert!(near(line.intercept, intercept), "{line:?}");
     assert!(near(line.slope, slope), "{line:?}");
     assert!(near(line.r2, r2), "{line:?}");
 }
--- a/crates/chervilshunt_bench/src/capacity/table.rs
+++ b/crates/chervilshunt_bench/src/capacity/table.rs
@@ -43,10 +43,10 @@
             .iter()
             .map(|sample| (sample.instances as f64, value(sample)))
             .collect();
-        let line = Line::through(&points);
+        let line = Line::fit(&points);
         let values = points.iter().map(|(_, value)| format!("{value:.2}"));
         let row = std::iter::once(what.clone()).chain(values);
-        let line = [line.fixed, line.slope, line.r2].map(|part| format!("{part:.3}"));
+        let line = [line.intercept, line.slope, line.r2].map(|part| format!("{part:.3}"));
         table.add_row(row.chain(line));
     }
     table
