--- a/crates/chervilshunt_bench/src/figures/first_token.rs
+++ b/crates/chervilshunt_bench/src/figures/first_token.rs
@@ -20,7 +20,7 @@
 const WARMUP: Duration = Duration::from_secs(10);
 
 /// Prefix of the counters of mesh traffic between instances.
-const MESH: &str = "mesh_";
+const MESH_PREFIX: &str = "mesh_";
 
 /// Measures at 300 requests/s over 7 instances, with live streams only.
 ///
@@ -43,11 +43,11 @@
         .await
         .context(DeploymentSnafu)?;
     let operators = addresses(&fleet, Instance::operators);
-    let before = scrape(&operators, MESH).await?;
+    let before = scrape(&operators, MESH_PREFIX).await?;
     let report = run(plan(&fleet, &compared, measured)?)
         .await
         .context(LoadSnafu)?;
-    let mesh = increase(&before, &scrape(&operators, MESH).await?);
+    let mesh = increase(&before, &scrape(&operators, MESH_PREFIX).await?);
     check(&report)?;
     let mut figures = added(&report);
     figures.extend(control(&mesh, &report));
@@ -141,7 +141,7 @@
         .map(|(_, bytes)| bytes)
         .sum();
     #[expect(clippy::cast_precision_loss, reason = "there are few instances")]
-    let a_node = 2.0 * total / (INSTANCES as f64 * report.seconds);
+    let per_instance = 2.0 * total / (INSTANCES as f64 * report.seconds);
     let mut figures = vec![
         Figure::new(
             "control bytes a request",
@@ -151,7 +151,7 @@
         ),
         Figure::new(
             "control bytes a second and instance, both directions",
-            a_node,
+            per_instance,
             "bytes",
             None,
         ),
