--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -4,7 +4,7 @@
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
 
-use super::figure::{Figure, Scale};
+use super::figure::{Quantity, Scale};
 use crate::policy::{Row, Table};
 
 /// Width and height of a plot, in pixels.
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Returns an error if a bar or a label can't be drawn.
-pub fn draw(table: &Table, deployment: &str, figure: Figure) -> Result<String, String> {
+pub fn draw(table: &Table, deployment: &str, figure: Quantity) -> Result<String, String> {
     let rows: Vec<&Row> = table
         .rows
         .iter()
@@ -47,7 +47,7 @@
     scenarios: Vec<&'a str>,
     policies: Vec<&'a str>,
     rows: Vec<&'a Row>,
-    figure: Figure,
+    figure: Quantity,
 }
 
 impl Layout<'_> {
--- a/crates/chervilshunt_bench/src/plot/command.rs
+++ b/crates/chervilshunt_bench/src/plot/command.rs
@@ -8,7 +8,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 use super::chart::draw;
-use super::figure::Figure;
+use super::figure::Quantity;
 use crate::policy::Table;
 
 /// Error returned when the plots can't be drawn.
@@ -76,7 +76,7 @@
 fn draw_all(table: &Table, out: &Path) -> Result<(), PlotError> {
     let deployments: BTreeSet<&str> = table.rows.iter().map(|it| it.deployment.as_str()).collect();
     for deployment in deployments {
-        for figure in Figure::ALL {
+        for figure in Quantity::ALL {
             let drawn = draw(table, deployment, figure);
             let svg = drawn.map_err(|reason| PlotError::Draw { reason })?;
             let path = out.join(format!("{}-{deployment}.svg", figure.as_str()));
--- a/crates/chervilshunt_bench/src/plot/figure.rs
+++ b/crates/chervilshunt_bench/src/plot/figure.rs
@@ -4,7 +4,7 @@
 
 /// A quantity of the policy table that can be plotted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
+pub enum Quantity {
     /// Stalled time of live requests.
     Stalls,
     /// Useful tokens per step.
@@ -20,7 +20,7 @@
     Logarithmic,
 }
 
-impl Figure {
+impl Quantity {
     /// All figures.
     pub const ALL: [Self; 2] = [Self::Stalls, Self::Efficiency];
 
--- a/crates/chervilshunt_bench/src/plot/mod.rs
+++ b/crates/chervilshunt_bench/src/plot/mod.rs
@@ -6,4 +6,4 @@
 
 pub use chart::draw;
 pub use command::{PlotError, run};
-pub use figure::{Figure, Scale};
+pub use figure::{Quantity, Scale};
--- a/crates/chervilshunt_bench/tests/policy/table.rs
+++ b/crates/chervilshunt_bench/tests/policy/table.rs
@@ -1,6 +1,6 @@
 //! Tests of whole tables and of what is drawn from them.
 
-use chervilshunt_bench::plot::{Figure, draw};
+use chervilshunt_bench::plot::{Quantity, draw};
 use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, Scenario, Table, render};
 
 const POLICIES: [Policy; 4] = [
@@ -79,7 +79,7 @@
     let table = Table::new(&matrix(4));
 
     for deployment in ["hollowell", "kolvand"] {
-        for figure in Figure::ALL {
+        for figure in Quantity::ALL {
             let svg = draw(&table, deployment, figure).expect("it can be drawn");
             let of_figure = table
                 .rows
@@ -99,7 +99,7 @@
             assert!(scale.filter(|text| value(text)).count() >= 2, "no scale");
         }
     }
-    let efficiency = draw(&table, "kolvand", Figure::Efficiency).expect("it can be drawn");
+    let efficiency = draw(&table, "kolvand", Quantity::Efficiency).expect("it can be drawn");
     assert!(
         !efficiency.contains("clairvoyant"),
         "a bound on stalls has no efficiency"
