--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -12,7 +12,7 @@
 /// Gap between the bars of neighbouring scenarios, as a fraction of the width of one scenario.
 const GAP: f64 = 0.2;
 /// Lower end of a logarithmic axis, in the figure's unit.
-const LEAST: f64 = 1.0;
+const LOG_AXIS_MIN: f64 = 1.0;
 /// Upper end of the axis, as a multiple of the greatest value.
 const HEAD_ROOM: f64 = 1.15;
 /// Width of the area for the y axis labels, in pixels; the x axis gets half of it as height.
@@ -55,17 +55,19 @@
         let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|e| e.to_string())?;
         let title = format!("{deployment}: {}", self.figure.as_str());
-        let top = self.greatest() * HEAD_ROOM;
+        let top = self.max_value() * HEAD_ROOM;
         match self.figure.scale() {
             Scale::Linear => self.bars(&area, &title, 0.0..top, 0.0)?,
-            Scale::Logarithmic => self.bars(&area, &title, (LEAST..top).log_scale(), LEAST)?,
+            Scale::Logarithmic => {
+                self.bars(&area, &title, (LOG_AXIS_MIN..top).log_scale(), LOG_AXIS_MIN)?
+            }
         }
         area.present().map_err(|e| e.to_string())
     }
 
-    fn greatest(&self) -> f64 {
+    fn max_value(&self) -> f64 {
         let values = self.rows.iter().filter_map(|row| self.figure.value(row));
-        values.fold(LEAST, f64::max)
+        values.fold(LOG_AXIS_MIN, f64::max)
     }
 
     fn bars<A>(&self, area: &Drawing<'_>, title: &str, values: A, floor: f64) -> Result<(), String>
@@ -91,7 +93,7 @@
             let color = Palette99::pick(number).to_rgba();
             let bars = self.rows.iter().filter(|row| row.policy == *policy);
             let bars = bars.filter_map(|row| {
-                let (left, right) = self.place(row, number)?;
+                let (left, right) = self.bar_span(row, number)?;
                 let top = self.figure.value(row)?.max(floor);
                 Some(Rectangle::new(
                     [(left, floor), (right, top)],
@@ -121,7 +123,7 @@
     }
 
     /// Returns the left and right x coordinates of a row's bar.
-    fn place(&self, row: &Row, policy: usize) -> Option<(f64, f64)> {
+    fn bar_span(&self, row: &Row, policy: usize) -> Option<(f64, f64)> {
         let scenario = self
             .scenarios
             .iter()
