--- a/crates/chervilshunt_bench/tests/load/instance.rs
+++ b/crates/chervilshunt_bench/tests/load/instance.rs
@@ -21,7 +21,7 @@
 
 /// Guarantees that the instance deliberately violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lie {
+pub(crate) enum Misbehavior {
     None,
     /// Every tenth request is refused as not run, although it ran.
     FalseNotRun,
@@ -36,7 +36,7 @@
     pub(crate) instance: SocketAddr,
 }
 
-pub(crate) async fn pair(lie: Lie) -> Pair {
+pub(crate) async fn pair(misbehavior: Misbehavior) -> Pair {
     let cfg = EngineStandinConfig {
         max_batch: 256,
         step: std::time::Duration::ZERO,
@@ -52,20 +52,21 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let calls = Arc::clone(&calls);
-            let service = service_fn(move |req| pass_on(target, lie, Arc::clone(&calls), req));
+            let service =
+                service_fn(move |req| forward(target, misbehavior, Arc::clone(&calls), req));
             tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
         }
     });
     Pair { engine, instance }
 }
 
-async fn pass_on(
+async fn forward(
     target: SocketAddr,
-    lie: Lie,
+    misbehavior: Misbehavior,
     calls: Arc<AtomicU64>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    let lies = calls.fetch_add(1, Relaxed).is_multiple_of(10);
+    let misbehaves = calls.fetch_add(1, Relaxed).is_multiple_of(10);
     let (mut head, body) = req.into_parts();
     let body = body
         .collect()
@@ -76,7 +77,7 @@
     head.uri = format!("http://{target}{}", head.uri.path())
         .parse()
         .expect("it is one");
-    if lies && lie == Lie::DoubleRun {
+    if misbehaves && misbehavior == Misbehavior::DoubleRun {
         let first = call(Request::from_parts(head.clone(), Full::new(body.clone()))).await;
         first
             .into_body()
@@ -85,7 +86,7 @@
             .expect("the engine answers");
     }
     let mut response = call(Request::from_parts(head, Full::new(body))).await;
-    if lies && lie == Lie::FalseNotRun {
+    if misbehaves && misbehavior == Misbehavior::FalseNotRun {
         response
             .into_body()
             .collect()
--- a/crates/chervilshunt_bench/tests/load/runs.rs
+++ b/crates/chervilshunt_bench/tests/load/runs.rs
@@ -6,7 +6,7 @@
 use chervilshunt_standin::check::ViolationKind;
 use rstest::rstest;
 
-use crate::instance::{Lie, Pair, pair};
+use crate::instance::{Misbehavior, Pair, pair};
 
 fn plan(pair: &Pair, direct: &Pair) -> LoadPlan {
     LoadPlan {
@@ -22,16 +22,16 @@
     }
 }
 
-async fn report(lie: Lie) -> LoadRunReport {
-    let (system, direct) = (pair(lie).await, pair(Lie::None).await);
+async fn report(misbehavior: Misbehavior) -> LoadRunReport {
+    let (system, direct) = (pair(misbehavior).await, pair(Misbehavior::None).await);
     run(plan(&system, &direct))
         .await
         .expect("the stand-ins are up")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_answer_of_an_honest_instance_passes() {
-    let report = report(Lie::None).await;
+async fn every_answer_of_a_correct_instance_passes() {
+    let report = report(Misbehavior::None).await;
     assert!(report.passed, "{report:?}");
     assert!(report.settled);
     let direct = report.direct.expect("it was asked for");
@@ -45,11 +45,14 @@
 }
 
 #[rstest]
-#[case::false_not_run(Lie::FalseNotRun, ViolationKind::FalseNotRun)]
-#[case::double_run(Lie::DoubleRun, ViolationKind::DoubleRun)]
+#[case::false_not_run(Misbehavior::FalseNotRun, ViolationKind::FalseNotRun)]
+#[case::double_run(Misbehavior::DoubleRun, ViolationKind::DoubleRun)]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lying_instance_is_found_out(#[case] lie: Lie, #[case] kind: ViolationKind) {
-    let report = report(lie).await;
+async fn a_misbehaving_instance_is_detected(
+    #[case] misbehavior: Misbehavior,
+    #[case] kind: ViolationKind,
+) {
+    let report = report(misbehavior).await;
     assert!(!report.passed);
     let kinds: Vec<_> = report.violations.iter().map(|found| found.kind).collect();
     assert_eq!(kinds, [kind]);
@@ -58,7 +61,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_seed_fixes_what_is_sent() {
-    let (first, second) = (report(Lie::None).await, report(Lie::None).await);
+    let (first, second) = (
+        report(Misbehavior::None).await,
+        report(Misbehavior::None).await,
+    );
     assert_eq!(first.system.sent, second.system.sent);
     assert_eq!(first.system.tokens, second.system.tokens);
     assert_eq!(
@@ -70,8 +76,8 @@
 /// If the instance refuses connections, every request counts as disconnected. The tool knows that
 /// none was sent, so this is not a violation.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_is_gone_is_no_violation() {
-    let pair = pair(Lie::None).await;
+async fn an_unreachable_instance_is_not_a_violation() {
+    let pair = pair(Misbehavior::None).await;
     let mut plan = plan(&pair, &pair);
     plan.direct.clear();
     let closed = tokio::net::TcpListener::bind(("127.0.0.1", 0))
--- a/crates/chervilshunt_bench/tests/load/streams.rs
+++ b/crates/chervilshunt_bench/tests/load/streams.rs
@@ -5,7 +5,7 @@
 use chervilshunt_bench::load::{LoadError, OpenStreamsPlan, RelayPlan, open_streams, relay};
 use chervilshunt_standin::engine::EngineFaultChange;
 
-use crate::instance::{Lie, Pair, pair};
+use crate::instance::{Misbehavior, Pair, pair};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -22,7 +22,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_event_is_counted() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     let report = relay(relay_plan(&pair)).await.unwrap();
     assert_eq!(report.events, 5 * 301);
     assert!(report.instance_cpu_seconds.is_some());
@@ -30,7 +30,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_is_cut_fails_the_measurement() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     pair.engine.set_faults(&EngineFaultChange {
         cut_after_tokens: Some(100),
         ..EngineFaultChange::default()
@@ -51,7 +51,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn memory_is_read_while_streams_are_open() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     let plan = OpenStreamsPlan {
         entry: pair.instance,
         pid: std::process::id(),
