--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -1,17 +1,17 @@
-//! Bar charts of a figure by scenario and policy.
+//! Bar charts of a quantity by scenario and policy.
 
 use plotters::coord::Shift;
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
 
-use super::figure::{Quantity, Scale};
+use super::quantity::{Quantity, Scale};
 use crate::policy::{Row, Table};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (1_100, 560);
 /// Gap between the bars of neighbouring scenarios, as a fraction of the width of one scenario.
 const GAP: f64 = 0.2;
-/// Lower end of a logarithmic axis, in the figure's unit.
+/// Lower end of a logarithmic axis, in the quantity's unit.
 const LOG_AXIS_MIN: f64 = 1.0;
 /// Upper end of the axis, as a multiple of the greatest value.
 const HEAD_ROOM: f64 = 1.15;
@@ -20,22 +20,22 @@
 
 type Drawing<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws one figure of one deployment as SVG, with a group of bars per scenario and a bar per
+/// Draws one quantity of one deployment as SVG, with a group of bars per scenario and a bar per
 /// policy.
 ///
 /// # Errors
 /// Returns an error if a bar or a label can't be drawn.
-pub fn draw(table: &Table, deployment: &str, figure: Quantity) -> Result<String, String> {
+pub fn draw(table: &Table, deployment: &str, quantity: Quantity) -> Result<String, String> {
     let rows: Vec<&Row> = table
         .rows
         .iter()
-        .filter(|row| row.deployment == deployment && figure.value(row).is_some())
+        .filter(|row| row.deployment == deployment && quantity.value(row).is_some())
         .collect();
     let layout = Layout {
         scenarios: distinct(rows.iter().map(|row| row.scenario.as_str())),
         policies: distinct(rows.iter().map(|row| row.policy.as_str())),
         rows,
-        figure,
+        quantity,
     };
     let mut text = String::new();
     layout.draw(deployment, &mut text)?;
@@ -47,16 +47,16 @@
     scenarios: Vec<&'a str>,
     policies: Vec<&'a str>,
     rows: Vec<&'a Row>,
-    figure: Quantity,
+    quantity: Quantity,
 }
 
 impl Layout<'_> {
     fn draw(&self, deployment: &str, text: &mut String) -> Result<(), String> {
         let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|e| e.to_string())?;
-        let title = format!("{deployment}: {}", self.figure.as_str());
+        let title = format!("{deployment}: {}", self.quantity.as_str());
         let top = self.max_value() * HEAD_ROOM;
-        match self.figure.scale() {
+        match self.quantity.scale() {
             Scale::Linear => self.bars(&area, &title, 0.0..top, 0.0)?,
             Scale::Logarithmic => {
                 self.bars(&area, &title, (LOG_AXIS_MIN..top).log_scale(), LOG_AXIS_MIN)?
@@ -66,7 +66,7 @@
     }
 
     fn max_value(&self) -> f64 {
-        let values = self.rows.iter().filter_map(|row| self.figure.value(row));
+        let values = self.rows.iter().filter_map(|row| self.quantity.value(row));
         values.fold(LOG_AXIS_MIN, f64::max)
     }
 
@@ -86,7 +86,7 @@
             .configure_mesh()
             .disable_x_mesh()
             .x_labels(0)
-            .y_desc(self.figure.label())
+            .y_desc(self.quantity.label())
             .draw()
             .map_err(|e| e.to_string())?;
         for (number, policy) in self.policies.iter().enumerate() {
@@ -94,7 +94,7 @@
             let bars = self.rows.iter().filter(|row| row.policy == *policy);
             let bars = bars.filter_map(|row| {
                 let (left, right) = self.bar_span(row, number)?;
-                let top = self.figure.value(row)?.max(floor);
+                let top = self.quantity.value(row)?.max(floor);
                 Some(Rectangle::new(
                     [(left, floor), (right, top)],
                     color.filled(),
--- a/crates/chervilshunt_bench/src/plot/command.rs
+++ b/crates/chervilshunt_bench/src/plot/command.rs
@@ -8,7 +8,7 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 use super::chart::draw;
-use super::figure::Quantity;
+use super::quantity::Quantity;
 use crate::policy::Table;
 
 /// Error returned when the plots can't be drawn.
@@ -51,7 +51,7 @@
     },
 }
 
-/// Runs `plot --table FILE --out DIRECTORY`, which writes one SVG per deployment and figure.
+/// Runs `plot --table FILE --out DIRECTORY`, which writes one SVG per deployment and quantity.
 ///
 /// # Errors
 /// Returns an error if the command line is invalid, the table can't be read, or a plot can't be
@@ -76,10 +76,10 @@
 fn draw_all(table: &Table, out: &Path) -> Result<(), PlotError> {
     let deployments: BTreeSet<&str> = table.rows.iter().map(|it| it.deployment.as_str()).collect();
     for deployment in deployments {
-        for figure in Quantity::ALL {
-            let drawn = draw(table, deployment, figure);
+        for quantity in Quantity::ALL {
+            let drawn = draw(table, deployment, quantity);
             let svg = drawn.map_err(|reason| PlotError::Draw { reason })?;
-            let path = out.join(format!("{}-{deployment}.svg", figure.as_str()));
+            let path = out.join(format!("{}-{deployment}.svg", quantity.as_str()));
             fs::write(&path, svg).context(FileSnafu { path })?;
         }
     }
--- a/crates/chervilshunt_bench/src/plot/mod.rs
+++ b/crates/chervilshunt_bench/src/plot/mod.rs
@@ -2,8 +2,8 @@
 
 mod chart;
 mod command;
-mod figure;
+mod quantity;
 
 pub use chart::draw;
 pub use command::{PlotError, run};
-pub use figure::{Quantity, Scale};
+pub use quantity::{Quantity, Scale};
