--- a/crates/chervilshunt_bench/src/plot/quantity.rs
+++ b/crates/chervilshunt_bench/src/plot/quantity.rs
@@ -21,7 +21,7 @@
 }
 
 impl Quantity {
-    /// All figures.
+    /// All quantities.
     pub const ALL: [Self; 2] = [Self::Stalls, Self::Efficiency];
 
     /// Returns the name used in file names and titles.
