--- a/crates/chervilshunt_bench/src/capacity/measure.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! Runs one size of a fleet and counts what its instances sent, received and called.
+//! Runs a fleet of one size and measures its instances' traffic and platform API calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,78 +10,82 @@
 
 use crate::figures::FiguresError;
 use crate::figures::error::{AnswersSnafu, DeploymentSnafu};
-use crate::figures::scrape::{Counters, label, risen, scrape};
+use crate::figures::scrape::{Counters, increase, label, scrape};
 
-/// The time in which a fleet that has just started comes to rest: leases are seen twice.
+/// Time for a freshly started fleet to become idle: every lease is observed twice.
 const SETTLE: Duration = Duration::from_secs(12);
-/// The time that an instance has to end.
+/// Time limit for an instance to terminate.
 const ENDING: Duration = Duration::from_secs(30);
 
-/// Targets of a fleet for each of its instances, as at the size that bounds the design, rounded
-/// down so that the machine's stand-ins stay few.
-const ENGINES_AN_INSTANCE: usize = 1;
+/// Engines per instance: the ratio at the largest fleet size of the design, rounded down to keep
+/// the number of stand-ins on the machine small.
+const ENGINES_PER_INSTANCE: usize = 1;
 const ADAPTERS: usize = 50;
 
-/// Values by what they are, each a mean over instances.
+/// Measured values by name, each a mean over instances.
 pub(crate) type Values = BTreeMap<String, f64>;
 
-/// What one size of a fleet cost.
+/// Traffic and platform API calls measured at one fleet size.
 #[derive(Debug)]
 pub(crate) struct Sample {
-    /// Instances.
+    /// Number of instances in the fleet.
     pub(crate) instances: usize,
-    /// Bytes and calls a second of an instance at rest.
-    pub(crate) rest: Values,
-    /// Bytes and calls of each other instance through one restart, beyond those at rest.
+    /// Bytes and calls per second of an idle instance.
+    pub(crate) idle: Values,
+    /// Bytes and calls of each other instance during one restart, less those of an idle instance
+    /// over the same time.
     pub(crate) restart: Values,
-    /// Bytes and calls of the newcomer until it was ready.
-    pub(crate) newcomer: Values,
+    /// Bytes and calls of the new instance until it was ready.
+    pub(crate) new_instance: Values,
 }
 
-/// Measures one size.
+/// Measures one fleet size: idle for `window`, then through one graceful restart.
+///
+/// # Errors
+/// Returns an error if the fleet can't be started or an instance's metrics can't be read.
 pub(crate) async fn measure(instances: usize, window: Duration) -> Result<Sample, FiguresError> {
     let options = FleetOptions {
         instances,
-        engines: instances * ENGINES_AN_INSTANCE,
+        engines: instances * ENGINES_PER_INSTANCE,
         adapters: ADAPTERS,
         ..FleetOptions::default()
     };
     let mut fleet = Fleet::start(options).await.context(DeploymentSnafu)?;
     sleep(SETTLE).await;
 
-    let everyone: Vec<SocketAddr> = ports(&fleet, "");
-    let (began, before) = (Instant::now(), counters(&everyone).await?);
+    let all: Vec<SocketAddr> = ports(&fleet, "");
+    let (began, before) = (Instant::now(), counters(&all).await?);
     sleep(window).await;
-    let rest = risen(&before, &counters(&everyone).await?);
-    let rest = values(&rest, began.elapsed().as_secs_f64() * instances as f64);
+    let idle = increase(&before, &counters(&all).await?);
+    let idle = values(&idle, began.elapsed().as_secs_f64() * instances as f64);
 
-    let leaver = fleet.instances().keys().next_back().cloned();
-    let leaver = leaver.context(AnswersSnafu {
+    let leaving = fleet.instances().keys().next_back().cloned();
+    let leaving = leaving.context(AnswersSnafu {
         problem: "the fleet has no instance",
     })?;
-    let others = ports(&fleet, &leaver);
+    let others = ports(&fleet, &leaving);
     let (began, before) = (Instant::now(), counters(&others).await?);
-    fleet.terminate(&leaver).context(DeploymentSnafu)?;
-    let ended = fleet.wait_terminated(&leaver, ENDING).await;
+    fleet.terminate(&leaving).context(DeploymentSnafu)?;
+    let ended = fleet.wait_terminated(&leaving, ENDING).await;
     ended.context(DeploymentSnafu)?;
-    let newcomer = fleet.add_instance().await.context(DeploymentSnafu)?;
-    let ready = fleet.wait_instance_ready(&newcomer).await;
+    let new_instance = fleet.add_instance().await.context(DeploymentSnafu)?;
+    let ready = fleet.wait_instance_ready(&new_instance).await;
     ready.context(DeploymentSnafu)?;
-    let newcomer = fleet.instance(&newcomer).context(DeploymentSnafu)?;
-    let newcomer = values(&counters(&[newcomer.operators()]).await?, 1.0);
+    let new_instance = fleet.instance(&new_instance).context(DeploymentSnafu)?;
+    let new_instance = values(&counters(&[new_instance.operators()]).await?, 1.0);
     sleep(window).await;
-    let moved = risen(&before, &counters(&others).await?);
-    let moved = values(&moved, others.len() as f64);
-    let restart = beyond(&moved, &rest, began.elapsed().as_secs_f64());
+    let traffic = increase(&before, &counters(&others).await?);
+    let traffic = values(&traffic, others.len() as f64);
+    let restart = above_idle(&traffic, &idle, began.elapsed().as_secs_f64());
     Ok(Sample {
         instances,
-        rest,
+        idle,
         restart,
-        newcomer,
+        new_instance,
     })
 }
 
-/// Returns the operators' ports of all instances but one.
+/// Returns the addresses of the operators' ports of all instances except `without`.
 fn ports(fleet: &Fleet, without: &str) -> Vec<SocketAddr> {
     let instances = fleet.instances().iter();
     let others = instances.filter(|(id, _)| *id != without);
@@ -94,14 +98,14 @@
     Ok(counters)
 }
 
-/// Sums counters up by what they are, over `divisor`.
+/// Sums counters by the value they belong to and divides by `divisor`.
 ///
-/// A message between instances is counted at its sender; calls to the platform at the instance,
-/// both ways.
+/// Mesh traffic is counted at the sender only; platform traffic at the instance, in both
+/// directions.
 fn values(counters: &Counters, divisor: f64) -> Values {
     let mut values = Values::new();
     for (name, value) in counters {
-        let Some(what) = meaning(name) else {
+        let Some(what) = value_name(name) else {
             continue;
         };
         *values.entry(what).or_default() += value / divisor;
@@ -109,8 +113,8 @@
     values
 }
 
-/// Says what a counter adds to, if to anything.
-fn meaning(name: &str) -> Option<String> {
+/// Returns the name of the value that a counter contributes to, if any.
+fn value_name(name: &str) -> Option<String> {
     let base = name.split('{').next().unwrap_or(name);
     let of = |key: &str| label(name, key).unwrap_or_default();
     match base {
@@ -128,12 +132,12 @@
     }
 }
 
-/// Takes off what the same time at rest costs.
-fn beyond(moved: &Values, rest: &Values, seconds: f64) -> Values {
-    let of_rest = |what: &String| rest.get(what).copied().unwrap_or_default() * seconds;
-    moved
+/// Subtracts the cost of an idle instance over `seconds`.
+fn above_idle(traffic: &Values, idle: &Values, seconds: f64) -> Values {
+    let while_idle = |what: &String| idle.get(what).copied().unwrap_or_default() * seconds;
+    traffic
         .iter()
-        .map(|(what, value)| (what.clone(), value - of_rest(what)))
+        .map(|(what, value)| (what.clone(), value - while_idle(what)))
         .collect()
 }
 
--- a/crates/chervilshunt_bench/src/capacity/measure/tests.rs
+++ b/crates/chervilshunt_bench/src/capacity/measure/tests.rs
@@ -1,8 +1,8 @@
-//! What counters add up to.
+//! Tests how counters are named and summed.
 
 use rstest::rstest;
 
-use super::{Counters, beyond, meaning, values};
+use super::{Counters, above_idle, value_name, values};
 
 #[rstest]
 #[case(
@@ -23,14 +23,14 @@
     Some("calls, leases get")
 )]
 #[case("mesh_connections", None)]
-fn counters_have_a_meaning(#[case] name: &str, #[case] what: Option<&str>) {
-    assert_eq!(meaning(name).as_deref(), what);
+fn counters_map_to_values(#[case] name: &str, #[case] what: Option<&str>) {
+    assert_eq!(value_name(name).as_deref(), what);
 }
 
-/// Both directions of the platform's bytes and all results of a call come together; what the same
-/// time at rest costs is taken off.
+/// Bytes of both directions to the platform are summed, and the cost of an idle instance over the
+/// same time is subtracted.
 #[test]
-fn sums_and_takes_off_the_rest() {
+fn sums_counters_and_subtracts_idle_cost() {
     let counters = Counters::from(
         [
             (
@@ -48,11 +48,11 @@
         ]
         .map(|(name, value)| (name.to_owned(), value)),
     );
-    let moved = values(&counters, 2.0);
-    assert_eq!(moved["bytes, platform in all"], 200.0);
-    assert_eq!(moved["calls, leases get"], 3.0);
-    let rest = values(&counters, 20.0);
-    let beyond = beyond(&moved, &rest, 5.0);
-    assert_eq!(beyond["bytes, platform in all"], 100.0);
-    assert_eq!(beyond["calls, leases get"], 1.5);
+    let traffic = values(&counters, 2.0);
+    assert_eq!(traffic["bytes, platform in all"], 200.0);
+    assert_eq!(traffic["calls, leases get"], 3.0);
+    let idle = values(&counters, 20.0);
+    let above_idle = above_idle(&traffic, &idle, 5.0);
+    assert_eq!(above_idle["bytes, platform in all"], 100.0);
+    assert_eq!(above_idle["calls, leases get"], 1.5);
 }
--- a/crates/chervilshunt_bench/src/capacity/table.rs
+++ b/crates/chervilshunt_bench/src/capacity/table.rs
@@ -1,4 +1,4 @@
-//! Shows samples as tables, with the line through their sizes.
+//! Renders samples as tables, with a line fitted over the fleet sizes.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +8,20 @@
 use super::line::Line;
 use super::measure::{Sample, Values};
 
-/// Picks the values of one phase.
+/// Selects the values of one phase from a sample.
 type PhaseOf = fn(&Sample) -> &Values;
 
-/// Renders all phases.
+/// Renders one Markdown table per phase.
 pub(crate) fn render(samples: &[Sample]) -> String {
     let phases: [(&str, PhaseOf); 3] = [
-        ("An instance at rest, a second", |sample| &sample.rest),
+        ("An instance at rest, a second", |sample| &sample.idle),
         (
             "Each other instance through one restart, beyond rest",
             |sample| &sample.restart,
         ),
-        ("A newcomer until it is ready", |sample| &sample.newcomer),
+        ("A newcomer until it is ready", |sample| {
+            &sample.new_instance
+        }),
     ];
     let phases = phases.map(|(title, of)| format!("{title}:\n\n{}\n", phase(samples, of)));
     phases.join("\n")
@@ -41,10 +43,10 @@
             .iter()
             .map(|sample| (sample.instances as f64, value(sample)))
             .collect();
-        let line = Line::through(&points);
+        let line = Line::fit(&points);
         let values = points.iter().map(|(_, value)| format!("{value:.2}"));
         let row = std::iter::once(what.clone()).chain(values);
-        let line = [line.fixed, line.slope, line.r2].map(|part| format!("{part:.3}"));
+        let line = [line.intercept, line.slope, line.r2].map(|part| format!("{part:.3}"));
         table.add_row(row.chain(line));
     }
     table
--- a/crates/chervilshunt_bench/src/figures/first_token.rs
+++ b/crates/chervilshunt_bench/src/figures/first_token.rs
@@ -1,4 +1,4 @@
-//! The time that the system adds to the first token, and the control traffic of a request.
+//! Latency that the system adds to the first token, and control traffic per request.
 
 use std::time::Duration;
 
@@ -8,24 +8,27 @@
 use super::deployment::{addresses, models, start};
 use super::error::{AnswersSnafu, DeploymentSnafu, FiguresError, LoadSnafu};
 use super::figure::{Bound, Figure};
-use super::scrape::{Counters, label, risen, scrape};
-use crate::load::{LoadPlan, LoadReport, run};
+use super::scrape::{Counters, increase, label, scrape};
+use crate::load::{LoadPlan, LoadRunReport, run};
 
 const INSTANCES: usize = 7;
 const ENGINES: usize = 12;
 const RATE: f64 = 300.0;
 const STEP: Duration = Duration::from_millis(5);
 
-/// Time at the start for loads of adapters and connections to be made.
+/// Time at the start, not measured, in which adapters are loaded and connections opened.
 const WARMUP: Duration = Duration::from_secs(10);
 
-/// The prefix of the counters of messages between instances.
-const MESH: &str = "mesh_";
+/// Prefix of the counters of mesh traffic between instances.
+const MESH_PREFIX: &str = "mesh_";
 
-/// Measures under 300 requests/s over 7 instances, streams of live work only.
+/// Measures at 300 requests/s over 7 instances, with live streams only.
 ///
-/// The comparison goes to as many engines of their own, so that neither load shares a batch with
-/// the other.
+/// The same completions are also sent directly to an equal number of separate engines, so that the
+/// two loads never share a batch.
+///
+/// # Errors
+/// Returns an error if the deployment or the load fails, or an answer is wrong or missing.
 pub(crate) async fn measure(measured: Duration) -> Result<Vec<Figure>, FiguresError> {
     let options = FleetOptions {
         instances: INSTANCES,
@@ -40,11 +43,11 @@
         .await
         .context(DeploymentSnafu)?;
     let operators = addresses(&fleet, Instance::operators);
-    let before = scrape(&operators, MESH).await?;
+    let before = scrape(&operators, MESH_PREFIX).await?;
     let report = run(plan(&fleet, &compared, measured)?)
         .await
         .context(LoadSnafu)?;
-    let mesh = risen(&before, &scrape(&operators, MESH).await?);
+    let mesh = increase(&before, &scrape(&operators, MESH_PREFIX).await?);
     check(&report)?;
     let mut figures = added(&report);
     figures.extend(control(&mesh, &report));
@@ -73,8 +76,8 @@
     })
 }
 
-/// Refuses figures of a run whose answers were wrong.
-fn check(report: &LoadReport) -> Result<(), FiguresError> {
+/// Returns an error if any answer of the run was wrong or missing.
+fn check(report: &LoadRunReport) -> Result<(), FiguresError> {
     let path = &report.system;
     if report.passed && path.answered == path.sent {
         return Ok(());
@@ -86,7 +89,7 @@
     AnswersSnafu { problem }.fail()
 }
 
-fn added(report: &LoadReport) -> Vec<Figure> {
+fn added(report: &LoadRunReport) -> Vec<Figure> {
     let Some(added) = &report.added_first_token else {
         return Vec::new();
     };
@@ -118,8 +121,11 @@
     ]
 }
 
-/// Counts what instances sent to each other; what one sends is what another takes in.
-fn control(mesh: &Counters, report: &LoadReport) -> Vec<Figure> {
+/// Computes control traffic from the bytes that instances sent to each other.
+///
+/// Every byte sent by one instance is received by another, so the total of both directions is
+/// twice the bytes sent.
+fn control(mesh: &Counters, report: &LoadRunReport) -> Vec<Figure> {
     #[expect(
         clippy::cast_precision_loss,
         reason = "there are far fewer than 2^53 requests"
@@ -135,7 +141,7 @@
         .map(|(_, bytes)| bytes)
         .sum();
     #[expect(clippy::cast_precision_loss, reason = "there are few instances")]
-    let a_node = 2.0 * total / (INSTANCES as f64 * report.seconds);
+    let per_instance = 2.0 * total / (INSTANCES as f64 * report.seconds);
     let mut figures = vec![
         Figure::new(
             "control bytes a request",
@@ -145,7 +151,7 @@
         ),
         Figure::new(
             "control bytes a second and instance, both directions",
-            a_node,
+            per_instance,
             "bytes",
             None,
         ),
--- a/crates/chervilshunt_bench/src/load/relay.rs
+++ b/crates/chervilshunt_bench/src/load/relay.rs
@@ -1,4 +1,4 @@
-//! How many SSE events a second come through one instance.
+//! Measures how many SSE events per second one instance relays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,73 +12,73 @@
 use serde::Serialize;
 
 use super::error::LoadError;
-use super::process::Watched;
+use super::process::ProcessUsage;
 use super::streams::{check, stream_plan};
 
-/// Streams that are read as fast as they come.
+/// Parameters of a relay measurement, which reads streams as fast as they arrive.
 #[derive(Clone, Debug)]
 pub struct RelayPlan {
-    /// The instance, or an engine to learn what it can produce.
+    /// The callers' address of the instance, or an engine's address to measure its own throughput.
     pub entry: SocketAddr,
-    /// Models that the streams ask for in turn.
+    /// Models that the streams request in turn.
     pub models: Vec<Arc<str>>,
-    /// Streams at a time.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Tokens of each stream.
+    /// Tokens per stream.
     pub tokens: u32,
-    /// The process of the instance, whose processor time is to be reported.
+    /// The process id of the instance, to report its processor time.
     pub pid: Option<u32>,
-    /// The time after which the streams are given up.
-    pub patience: Duration,
+    /// The time limit of each stream.
+    pub timeout: Duration,
 }
 
-/// What came through.
+/// Result of a relay measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct RelayReport {
-    /// Streams at a time.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Events that came through.
+    /// Events received.
     pub events: u64,
-    /// Bytes that they took.
+    /// Bytes received.
     pub bytes: u64,
-    /// From the first request to the last event, in seconds.
+    /// Time from the first request to the last event, in seconds.
     pub seconds: f64,
-    /// Events a second.
+    /// Events received per second.
     pub events_per_second: f64,
     /// Processor time of the instance, in seconds.
     pub instance_cpu_seconds: Option<f64>,
-    /// Processor time of the instance for one event, in microseconds.
+    /// Processor time of the instance per event, in microseconds.
     pub instance_cpu_us_per_event: Option<f64>,
 }
 
-/// What was read of one stream.
+/// Events and bytes read from one stream, or from several.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct StreamCounts {
     events: u64,
     bytes: u64,
 }
 
-/// Reads all streams at once and counts their events.
+/// Reads all streams concurrently and counts their events.
 ///
 /// # Errors
-/// Fails if a stream does not come through to its last event.
+/// Returns an error if a stream fails or is incomplete, or the process can't be read.
 pub async fn relay(plan: RelayPlan) -> Result<RelayReport, LoadError> {
-    let watched = plan.pid.map(Watched);
-    let before = watched.map(Watched::cpu).transpose()?;
+    let process = plan.pid.map(ProcessUsage);
+    let before = process.map(ProcessUsage::cpu).transpose()?;
     let start = Instant::now();
     let client = Client::default();
     let reading = (0..plan.streams).map(|number| {
         let (client, plan) = (client.clone(), plan.clone());
         tokio::spawn(async move {
             let reading = read_stream(&client, &plan, number);
-            let result = tokio::time::timeout(plan.patience, reading).await;
-            result.unwrap_or_else(|_| Err("it took too long".to_owned()))
+            let result = tokio::time::timeout(plan.timeout, reading).await;
+            result.unwrap_or_else(|_| Err("timed out".to_owned()))
         })
     });
     let results = join_all(reading).await;
     let seconds = start.elapsed().as_secs_f64();
-    let cpu = match (watched, before) {
-        (Some(watched), Some(before)) => Some(watched.cpu()?.saturating_sub(before)),
+    let cpu = match (process, before) {
+        (Some(process), Some(before)) => Some(process.cpu()?.saturating_sub(before)),
         _ => None,
     };
     let results = results
@@ -103,15 +103,15 @@
 
 fn sum(
     streams: usize,
-    results: impl Iterator<Item = Result<Tally, String>>,
-) -> Result<Tally, LoadError> {
-    let mut total = Tally::default();
+    results: impl Iterator<Item = Result<StreamCounts, String>>,
+) -> Result<StreamCounts, LoadError> {
+    let mut total = StreamCounts::default();
     let mut failures = Vec::new();
     for result in results {
         match result {
-            Ok(tally) => {
-                total.events += tally.events;
-                total.bytes += tally.bytes;
+            Ok(counts) => {
+                total.events += counts.events;
+                total.bytes += counts.bytes;
             }
             Err(failure) => failures.push(failure),
         }
@@ -120,33 +120,37 @@
     Ok(total)
 }
 
-async fn read_stream(client: &Client, plan: &RelayPlan, number: usize) -> Result<Tally, String> {
+async fn read_stream(
+    client: &Client,
+    plan: &RelayPlan,
+    number: usize,
+) -> Result<StreamCounts, String> {
     let model = &plan.models[number % plan.models.len()];
-    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.patience);
+    let request = stream_plan(plan.entry, model, plan.tokens, number, plan.timeout);
     let response = client.open(&request).await?;
     if response.status() != StatusCode::OK {
         return Err(refusal(response.status(), response.into_body()).await);
     }
     let mut body = response.into_body();
-    let mut tally = Tally::default();
+    let mut counts = StreamCounts::default();
     let mut newlines = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| error.to_string())?;
         if let Some(data) = frame.data_ref() {
             newlines += memchr::memchr_iter(b'\n', data).count();
-            tally.bytes += data.len() as u64;
+            counts.bytes += data.len() as u64;
         }
     }
-    // An event is one line and an empty one; the last is the end mark.
-    tally.events = newlines as u64 / 2;
+    // Each event is one line followed by an empty one; the last event is the end marker.
+    counts.events = newlines as u64 / 2;
     let wanted = u64::from(plan.tokens) + 1;
-    if tally.events != wanted {
-        return Err(format!("{} events in place of {wanted}", tally.events));
+    if counts.events != wanted {
+        return Err(format!("got {} events, expected {wanted}", counts.events));
     }
-    Ok(tally)
+    Ok(counts)
 }
 
-/// Describes an answer that is no stream.
+/// Formats the status and body of a response that is not a stream.
 pub(crate) async fn refusal(status: StatusCode, body: Incoming) -> String {
     let body = body
         .collect()
--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -1,70 +1,73 @@
-//! Bars by scenario and policy.
+//! Bar charts of a quantity by scenario and policy.
 
 use plotters::coord::Shift;
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::*;
 
-use super::figure::{Figure, Scale};
+use super::quantity::{Quantity, Scale};
 use crate::policy::{Row, Table};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (1_100, 560);
-/// Room beside the bars of one scenario, as a part of its width.
+/// Gap between the bars of neighbouring scenarios, as a fraction of the width of one scenario.
 const GAP: f64 = 0.2;
-/// The least value of a logarithmic axis, in the figure's unit.
-const LEAST: f64 = 1.0;
-/// Room above the tallest bar, as a factor.
+/// Lower end of a logarithmic axis, in the quantity's unit.
+const LOG_AXIS_MIN: f64 = 1.0;
+/// Upper end of the axis, as a multiple of the greatest value.
 const HEAD_ROOM: f64 = 1.15;
-/// Room for the labels of the axes, in pixels.
+/// Width of the area for the y axis labels, in pixels; the x axis gets half of it as height.
 const LABEL_AREA: u32 = 64;
 
 type Drawing<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Draws one figure of one deployment as SVG: a group of bars for each scenario, a bar for each policy.
+/// Draws one quantity of one deployment as SVG, with a group of bars per scenario and a bar per
+/// policy.
 ///
 /// # Errors
-/// Fails if a bar or a label can't be drawn.
-pub fn draw(table: &Table, deployment: &str, figure: Figure) -> Result<String, String> {
+/// Returns an error if a bar or a label can't be drawn.
+pub fn draw(table: &Table, deployment: &str, quantity: Quantity) -> Result<String, String> {
     let rows: Vec<&Row> = table
         .rows
         .iter()
-        .filter(|row| row.deployment == deployment && figure.value(row).is_some())
+        .filter(|row| row.deployment == deployment && quantity.value(row).is_some())
         .collect();
     let layout = Layout {
         scenarios: distinct(rows.iter().map(|row| row.scenario.as_str())),
         policies: distinct(rows.iter().map(|row| row.policy.as_str())),
         rows,
-        figure,
+        quantity,
     };
     let mut text = String::new();
     layout.draw(deployment, &mut text)?;
     Ok(text)
 }
 
-/// What stands where.
+/// Rows of a chart, with the scenarios and policies in the order in which they are drawn.
 struct Layout<'a> {
     scenarios: Vec<&'a str>,
     policies: Vec<&'a str>,
     rows: Vec<&'a Row>,
-    figure: Figure,
+    quantity: Quantity,
 }
 
 impl Layout<'_> {
     fn draw(&self, deployment: &str, text: &mut String) -> Result<(), String> {
         let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|e| e.to_string())?;
-        let title = format!("{deployment}: {}", self.figure.as_str());
-        let top = self.greatest() * HEAD_ROOM;
-        match self.figure.scale() {
+        let title = format!("{deployment}: {}", self.quantity.as_str());
+        let top = self.max_value() * HEAD_ROOM;
+        match self.quantity.scale() {
             Scale::Linear => self.bars(&area, &title, 0.0..top, 0.0)?,
-            Scale::Logarithmic => self.bars(&area, &title, (LEAST..top).log_scale(), LEAST)?,
+            Scale::Logarithmic => {
+                self.bars(&area, &title, (LOG_AXIS_MIN..top).log_scale(), LOG_AXIS_MIN)?
+            }
         }
         area.present().map_err(|e| e.to_string())
     }
 
-    fn greatest(&self) -> f64 {
-        let values = self.rows.iter().filter_map(|row| self.figure.value(row));
-        values.fold(LEAST, f64::max)
+    fn max_value(&self) -> f64 {
+        let values = self.rows.iter().filter_map(|row| self.quantity.value(row));
+        values.fold(LOG_AXIS_MIN, f64::max)
     }
 
     fn bars<A>(&self, area: &Drawing<'_>, title: &str, values: A, floor: f64) -> Result<(), String>
@@ -83,15 +86,15 @@
             .configure_mesh()
             .disable_x_mesh()
             .x_labels(0)
-            .y_desc(self.figure.label())
+            .y_desc(self.quantity.label())
             .draw()
             .map_err(|e| e.to_string())?;
         for (number, policy) in self.policies.iter().enumerate() {
             let color = Palette99::pick(number).to_rgba();
             let bars = self.rows.iter().filter(|row| row.policy == *policy);
             let bars = bars.filter_map(|row| {
-                let (left, right) = self.place(row, number)?;
-                let top = self.figure.value(row)?.max(floor);
+                let (left, right) = self.bar_span(row, number)?;
+                let top = self.quantity.value(row)?.max(floor);
                 Some(Rectangle::new(
                     [(left, floor), (right, top)],
                     color.filled(),
@@ -119,8 +122,8 @@
             .map_err(|e| e.to_string())
     }
 
-    /// Returns where the bar of a row begins and ends.
-    fn place(&self, row: &Row, policy: usize) -> Option<(f64, f64)> {
+    /// Returns the left and right x coordinates of a row's bar.
+    fn bar_span(&self, row: &Row, policy: usize) -> Option<(f64, f64)> {
         let scenario = self
             .scenarios
             .iter()
@@ -131,7 +134,7 @@
     }
 }
 
-/// Returns each name once, in the order in which they come first.
+/// Returns the distinct names in order of first occurrence.
 fn distinct<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut seen = Vec::new();
     for name in names {
--- a/crates/chervilshunt_bench/src/plot/mod.rs
+++ b/crates/chervilshunt_bench/src/plot/mod.rs
@@ -1,9 +1,9 @@
-//! Plots of a table of the policy bench, as SVG.
+//! SVG plots of the tables of the policy benchmark.
 
 mod chart;
 mod command;
-mod figure;
+mod quantity;
 
 pub use chart::draw;
 pub use command::{PlotError, run};
-pub use figure::{Figure, Scale};
+pub use quantity::{Quantity, Scale};
--- a/crates/chervilshunt_bench/tests/load/streams.rs
+++ b/crates/chervilshunt_bench/tests/load/streams.rs
@@ -1,13 +1,13 @@
-//! Streams that are measured rather than checked.
+//! Tests of the measurements of relayed and open streams.
 
 use std::time::Duration;
 
 use chervilshunt_bench::load::{LoadError, OpenStreamsPlan, RelayPlan, open_streams, relay};
 use chervilshunt_standin::engine::EngineFaultChange;
 
-use crate::instance::{Lie, Pair, pair};
+use crate::instance::{Misbehavior, Pair, pair};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn relay_plan(pair: &Pair) -> RelayPlan {
     RelayPlan {
@@ -16,13 +16,13 @@
         streams: 5,
         tokens: 300,
         pid: Some(std::process::id()),
-        patience: PATIENCE,
+        timeout: TIMEOUT,
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_event_is_counted() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     let report = relay(relay_plan(&pair)).await.unwrap();
     assert_eq!(report.events, 5 * 301);
     assert!(report.instance_cpu_seconds.is_some());
@@ -30,7 +30,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_is_cut_fails_the_measurement() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     pair.engine.set_faults(&EngineFaultChange {
         cut_after_tokens: Some(100),
         ..EngineFaultChange::default()
@@ -51,7 +51,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn memory_is_read_while_streams_are_open() {
-    let pair = pair(Lie::None).await;
+    let pair = pair(Misbehavior::None).await;
     let plan = OpenStreamsPlan {
         entry: pair.instance,
         pid: std::process::id(),
@@ -60,7 +60,7 @@
         tokens: 10_000_000,
         hold: Duration::from_millis(200),
         stalled: true,
-        patience: PATIENCE,
+        timeout: TIMEOUT,
     };
     let report = open_streams(plan.clone()).await.unwrap();
     assert!(
