--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -1,4 +1,4 @@
-//! One episode: some faults at once, held, healed and recovered from.
+//! One episode: injects concurrent faults, keeps them active, heals them and awaits recovery.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 use super::probe::until_recovered;
 use super::run::Run;
 
-/// How long faults may take to be recovered from after they were healed.
+/// The time within which the deployment must recover after the faults are healed.
 pub(crate) const RECOVERY_BOUND: Duration = Duration::from_secs(20);
 
-/// How long a graceful shutdown may take while other faults are in force.
+/// The time limit for a graceful shutdown while other faults are active.
 const SHUTDOWN_BOUND: Duration = Duration::from_secs(60);
 
-/// How long faults are held, in milliseconds.
+/// How long faults stay active, in milliseconds.
 const HOLD_MS: std::ops::Range<u64> = 1_000..12_000;
 
-/// How often operators act while faults are held.
+/// The interval at which operators act while faults are active.
 const OPERATORS_EVERY: Duration = Duration::from_secs(2);
 
-/// What an episode did and how long it took to recover.
+/// The faults of an episode, and its recovery time or the probe failure that remained.
 #[derive(Debug)]
 pub(crate) struct Episode {
     pub(crate) kinds: Vec<Kind>,
@@ -32,7 +32,8 @@
 }
 
 impl Run {
-    /// Injects one to three faults, holds and heals them, and waits until all is well.
+    /// Injects one to three faults, keeps them active for a random time, heals them and waits for
+    /// the deployment to recover.
     pub(crate) async fn episode(&mut self, number: usize) -> Result<Episode, FleetError> {
         let faults = self.draw();
         let began = Instant::now();
@@ -107,7 +108,8 @@
         Ok(())
     }
 
-    /// Puts new instances in the place of those that are gone.
+    /// Replaces instances that were killed or terminated, and checks that a terminated one exited
+    /// cleanly.
     async fn finish(&mut self, fault: &Fault) -> Result<(), FleetError> {
         match (fault.kind, fault.on.first()) {
             (Kind::Kill, _) => drop(self.fleet.add_instance().await?),
@@ -130,10 +132,10 @@
         Ok(())
     }
 
-    /// Checks that a graceful shutdown broke off no connection.
+    /// Checks that a graceful shutdown cut off no request.
     ///
-    /// What a target broke off, or what ran into another fault, is told in a problem document; a
-    /// connection without an end is the instance's own doing.
+    /// A request that a target or another fault cut off ends in a problem document, whereas a
+    /// connection that closes without one was cut off by the instance itself.
     fn check_not_cut(&mut self, id: &str) {
         for one in self.load.attempts().iter().filter(|one| one.instance == id) {
             let cut = match &one.record.verdict {
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The faults: how each is drawn, injected and healed.
+//! The kinds of faults, and how each is drawn, injected and healed.
 
 use chervilshunt_standin::fleet::{Fleet, FleetError, Link, LinkMode};
 use rand::Rng as _;
@@ -8,32 +8,32 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Instances that have to stay untouched, so that load goes on.
+/// Number of instances that faults must leave unaffected, so that load can continue.
 const SPARED: usize = 2;
 
-/// What can be done to a deployment.
+/// The kinds of faults that can be injected into a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Kind {
-    /// An instance is killed; later one under a new id takes its place.
+    /// An instance is killed, and later replaced by one with a new id.
     Kill,
-    /// An instance is killed and starts again under its own id.
+    /// An instance is killed and restarted under its own id.
     Restart,
-    /// An instance is paused for longer than its lease, and wakes.
+    /// An instance is paused, often for longer than its lease, and resumed.
     Freeze,
-    /// An instance is asked to end; one under a new id takes its place.
+    /// An instance is shut down gracefully and replaced by one with a new id.
     Terminate,
     /// The link between two instances is cut.
     CutLink,
-    /// The link between two instances takes bytes and carries none.
+    /// The link between two instances accepts bytes and delivers none.
     BlackHole,
     /// All links of an instance are slow.
     SlowLinks,
-    /// An instance loses all its peers.
+    /// An instance loses the connections to all its peers.
     LosePeers,
-    /// An instance loses the platform.
+    /// An instance loses the connection to the platform.
     LosePlatform,
-    /// An instance loses its peers and the platform.
+    /// An instance loses the connections to its peers and the platform.
     LoseBoth,
     /// The platform refuses connections.
     PlatformDown,
@@ -43,9 +43,9 @@
     PlatformFrozen,
     /// The platform is slow.
     PlatformSlow,
-    /// Answers of the platform are lost after the write took effect.
+    /// Responses of the platform are lost after the write took effect.
     LostAnswers,
-    /// Watches miss changes, then expire.
+    /// Watches miss changes and then expire.
     WatchGap,
     /// Reads of the platform are stale.
     StaleReads,
@@ -57,19 +57,19 @@
     EngineDown,
     /// An engine hangs.
     EngineFrozen,
-    /// Half of the loads of all engines fail.
+    /// Half of the adapter loads of all engines fail.
     LoadsFail,
-    /// Loads are slow, and orders' answers are lost.
+    /// Loads are slow, and the responses to orders are lost.
     LostOrders,
-    /// Streams of an engine break off.
+    /// Streams of an engine are cut off.
     CutStreams,
-    /// The plain service runs calls and loses their answers.
+    /// The plain service runs calls and their answers are lost.
     PlainLosesAnswers,
-    /// The plain service cuts calls off before and while it answers.
+    /// The plain service cuts calls off before running them or while answering, and refuses some.
     PlainCuts,
-    /// The coldest adapters turn into the busiest.
+    /// The least requested adapters become the most requested.
     PopularityShift,
-    /// Two operators change the same objects at once, at two instances.
+    /// Two operators change the same object concurrently, at two instances.
     OperatorRace,
 }
 
@@ -105,30 +105,30 @@
         Self::OperatorRace,
     ];
 
-    /// Reads a name as reports write it.
+    /// Parses a name as written in reports.
     pub(crate) fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 
-    /// Returns the name that reports write.
+    /// Returns the name as written in reports.
     pub(crate) fn name(self) -> String {
         let name = serde_json::to_value(self).unwrap_or_default();
         name.as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// A fault in force, with what it was done to.
+/// A fault and what it applies to.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub(crate) kind: Kind,
-    /// Instances or targets, by name.
+    /// The names of the affected instances or targets; empty for faults of the platform or load.
     pub(crate) on: Vec<String>,
 }
 
 impl Fault {
-    /// Draws what a fault is done to, away from the instances that other faults hold.
+    /// Draws what a fault applies to, avoiding for most faults of instances those in `taken`.
     ///
-    /// Returns nothing if too few instances are left.
+    /// Returns `None` if the fault would leave fewer than [`SPARED`] instances unaffected.
     pub(crate) fn draw(
         kind: Kind,
         fleet: &Fleet,
@@ -179,7 +179,7 @@
         Some(Self { kind, on })
     }
 
-    /// Says whether the fault takes its instances out of reach of each other.
+    /// Returns whether the fault stops its instances or cuts them off from peers or the platform.
     pub(crate) const fn holds_instances(&self) -> bool {
         matches!(
             self.kind,
@@ -193,7 +193,11 @@
         )
     }
 
-    /// Throws switches of a stand-in or cuts a link; what needs more is done by the run.
+    /// Sets fault switches of stand-ins and link modes, and pauses instances.
+    ///
+    /// Faults that need more are completed by [`Run`].
+    ///
+    /// [`Run`]: super::run::Run
     pub(crate) async fn inject(
         &self,
         fleet: &Fleet,
@@ -259,7 +263,7 @@
     }
 }
 
-/// Takes back every switch and link, and wakes every paused instance.
+/// Resets every fault switch and link, and resumes every paused instance.
 pub(crate) async fn heal(fleet: &Fleet) -> Result<(), FleetError> {
     fleet.heal_links();
     for id in fleet.instances().keys() {
--- a/crates/chervilshunt_bench/src/faults/mod.rs
+++ b/crates/chervilshunt_bench/src/faults/mod.rs
@@ -1,11 +1,11 @@
-//! Random faults over a whole deployment, with every request checked.
+//! Injects random faults into a whole deployment under load and checks every request.
 //!
-//! Instances, engines and platform run as separate processes on loopback. Episode by episode the
-//! run injects one to three faults drawn from a seed, holds them, heals them, and times how long
-//! it takes until every instance answers probes again. Load goes on all the while, operators
-//! change the configuration and race each other, and at the end what callers were told is held
-//! against what the targets ran. The real processes are the system under test: nothing simulates a
-//! network, a clock or a cluster.
+//! Instances, engines and platform run as separate processes on loopback. In each episode the run
+//! injects one to three faults drawn from a seed, keeps them active, heals them, and measures the
+//! time until every instance answers probes again. Load runs throughout, operators change the
+//! configuration concurrently, and at the end the answers that callers received are compared with
+//! what the targets ran. The system under test is the real processes: network, clock and cluster
+//! are not simulated.
 
 mod change;
 mod command;
--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -1,4 +1,4 @@
-//! Probes that tell when a deployment has recovered.
+//! Probes that determine when a deployment has recovered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,28 @@
 use futures_util::future::join_all;
 use tokio::time::Instant;
 
-/// How long an answer to a probe may take in a deployment that has recovered.
+/// The time within which a recovered deployment must answer a probe.
 const PROMPT: Duration = Duration::from_secs(3);
 
-/// How long a probe's caller waits at all.
+/// The timeout of a probe.
 const PATIENCE: Duration = Duration::from_secs(40);
 
 /// The pause between two rounds of probes.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
 
-/// Models that each round asks for, so that it reaches every engine's owner.
+/// Number of models requested in each round, enough to reach every engine's owner.
 const MODELS: usize = 4;
 
-/// Tokens of a probe's answer.
+/// Number of tokens in the answer to a probe.
 const TOKENS: u32 = 3;
 
-/// Sends rounds of probes until one is answered promptly by every instance.
+/// Sends rounds of probes until every probe of a round is answered promptly.
 ///
-/// Returns the time since `healed` at which that round began, or what the last round lacked if
-/// there was none within `bound`.
+/// Returns the time from `healed` to the start of that round.
+///
+/// # Errors
+///
+/// Returns the first failure of the last round if no round succeeded within `bound`.
 pub(crate) async fn until_recovered(
     fleet: &Fleet,
     load: &Load,
@@ -48,7 +51,7 @@
     Err(String::new())
 }
 
-/// Sends probes to every instance, and says which were not answered promptly.
+/// Sends probes to every instance and describes those that were not answered promptly.
 async fn send_round(fleet: &Fleet, load: &Load, name: &str) -> Vec<String> {
     let instances = fleet.ready_instances();
     let probes = instances.iter().flat_map(|(id, address)| {
