--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration and race each other, and what must hold of it.
+//! Operators that change the configuration concurrently, and the checks on the results.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 
 use super::run::PATIENCE;
 
-/// How long an accepted revision may take to be known at every instance of a healed deployment.
+/// The time within which every instance of a healed deployment must know an accepted revision.
 const IN_FORCE_BOUND: Duration = Duration::from_secs(15);
 
-/// How long an instance may take to say its revision. While faults are held, waiting longer for one
-/// that is paused would stretch the pause beyond the patience of those who wait for their answers.
+/// The time limit for querying an instance's revision. While faults are active, waiting longer for
+/// a paused instance would extend the pause past the timeout of the requests that wait for it.
 const LOOK_BOUND: Duration = Duration::from_secs(2);
 
-/// The site whose cap operators race for.
+/// The site whose power cap operators change concurrently.
 const SITE: &str = "hall";
 
-/// A query whose answer's revision is all that matters.
+/// A query sent only for the revision in its response.
 const REVISION_QUERY: &str = "show sites";
 
-/// Statuses by which a change is refused for good, so that it must not be in force.
+/// Statuses that refuse a change definitively: it must not be in force afterwards.
 const REFUSALS: [StatusCode; 3] = [
     StatusCode::BAD_REQUEST,
     StatusCode::CONFLICT,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// What came of a change.
+/// The outcome of a change, as the operator that sent it received it.
 #[derive(Clone, Debug, PartialEq)]
 enum Answer {
     Accepted(u64),
@@ -44,27 +44,27 @@
     Unknown,
 }
 
-/// What operators were told, as an oracle of the configuration.
+/// Records the responses that operators received, as the expected state of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     next: usize,
-    /// Versions by what was said of their creation.
+    /// The outcome of each version's creation, by version.
     versions: BTreeMap<String, Answer>,
     /// Accepted caps by revision.
     caps: BTreeMap<u64, f64>,
-    /// Caps whose outcome is unknown, or were set at a revision not told.
+    /// Caps whose outcome or revision is unknown.
     unknown_caps: Vec<f64>,
     /// The highest revision that was accepted.
     accepted: u64,
     /// The highest revision that each instance has reported.
     seen: BTreeMap<String, u64>,
-    /// Requests for new versions whose answers are yet to be looked at.
+    /// Requests for new versions whose answers have not been checked yet.
     asked: Vec<Asked>,
     pub(crate) changes: u64,
     pub(crate) refused: u64,
 }
 
-/// A request for a version that an operator was just told to be in force.
+/// A request for a version whose creation was just accepted.
 #[derive(Debug)]
 struct Asked {
     id: String,
@@ -73,7 +73,7 @@
 }
 
 impl Operators {
-    /// Creates a version at one instance, and asks every instance for it if that is accepted.
+    /// Creates a version at one instance and, if that is accepted, requests it at every instance.
     pub(crate) async fn create(&mut self, fleet: &Fleet, load: &Load, rng: &mut ChaCha8Rng) {
         let Some(statements) = any(fleet, rng) else {
             return;
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Has two operators set a cap and create the same version at once, at two instances, each
-    /// only if the revision that both have seen is still in force.
+    /// Sends two cap changes concurrently, to two randomly chosen instances, both conditional on
+    /// the same revision, and checks that at most one is accepted.
     pub(crate) async fn race(
         &mut self,
         fleet: &Fleet,
@@ -112,7 +112,7 @@
             (&first, &second),
             (Answer::Accepted(_), Answer::Accepted(_))
         );
-        let finding = || format!("two changes that need revision {revision} were accepted");
+        let finding = || format!("two changes conditional on revision {revision} were accepted");
         evidence.check(Promise::ConfigurationHolds, !both, finding);
         for (cap, answer) in caps.into_iter().zip([first, second]) {
             self.note(&answer);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Asks each instance for its revision, which must never go back.
+    /// Queries the revision of each instance and checks that it never decreases.
     pub(crate) async fn watch_revisions(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
         let http = HttpClient::new(LOOK_BOUND);
         let asked = fleet.instances().iter().map(|(id, instance)| {
@@ -149,15 +149,15 @@
         for (id, shown) in join_all(asked).await.into_iter().flatten() {
             let revision = shown["revision"].as_u64().unwrap_or_default();
             let seen = self.seen.entry(id.clone()).or_default();
-            let back = || format!("{id} went from revision {seen} back to {revision}");
+            let back = || format!("the revision of {id} decreased from {seen} to {revision}");
             evidence.check(Promise::ConfigurationHolds, revision >= *seen, back);
             *seen = revision.max(*seen);
         }
     }
 
-    /// Asks every instance for a version that was just accepted.
+    /// Requests a version that was just accepted at every instance.
     ///
-    /// The answers are looked at when faults are healed: one that is paused answers only then.
+    /// The answers are checked once faults are healed, as a paused instance answers only then.
     fn ask_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
         for (id, address) in fleet.ready_instances() {
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Looks at the answers to [`Self::ask_everywhere`]: none may say that there is no such version.
+    /// Checks the answers to [`Self::ask_everywhere`]: none may be a 404 for the version.
     async fn check_asked(&mut self, evidence: &mut Evidence) {
         for Asked { id, revision, sent } in std::mem::take(&mut self.asked) {
             let Ok(verdict) = sent.await else {
@@ -183,13 +183,13 @@
         }
     }
 
-    /// Forgets what an instance reported that starts anew under its own id.
+    /// Discards the recorded revision of an instance that restarts under its own id.
     pub(crate) fn forget(&mut self, id: &str) {
         self.seen.remove(id);
     }
 
-    /// Checks a healed deployment: what was accepted is in force everywhere, and what was refused
-    /// nowhere.
+    /// Checks a healed deployment: accepted changes are in force at every instance, refused ones at
+    /// none.
     pub(crate) async fn check(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
         self.check_asked(evidence).await;
         for (id, _) in fleet.ready_instances() {
@@ -202,7 +202,7 @@
                 (shown["revision"].as_u64()? >= accepted).then_some(())
             };
             let known = wait_until(IN_FORCE_BOUND, look).await.is_some();
-            let behind = || format!("{id} doesn't know revision {accepted} after healing");
+            let behind = || format!("{id} has not reached revision {accepted} after healing");
             evidence.check(Promise::ConfigurationHolds, known, behind);
             if known {
                 self.check_versions(&id, &statements, evidence).await;
@@ -223,12 +223,13 @@
                 Answer::Refused => !there,
                 Answer::Unknown => true,
             };
-            let finding = || format!("{id}: {model} was {answer:?}, in force there: {there}");
+            let finding =
+                || format!("{id}: creation of {model} was {answer:?}, in force there: {there}");
             evidence.check(Promise::ConfigurationHolds, held, finding);
         }
     }
 
-    /// The cap is the last accepted one, unless one whose outcome is unknown came after it.
+    /// Checks that the cap is the last accepted one, or one whose outcome is unknown.
     async fn check_cap(&self, id: &str, statements: &Statements, evidence: &mut Evidence) {
         let Some((_, accepted)) = self.caps.last_key_value() else {
             return;
@@ -242,7 +243,7 @@
             .and_then(|cap| cap.parse::<f64>().ok())
             .unwrap_or_default();
         let held = cap == *accepted || self.unknown_caps.contains(&cap);
-        let finding = || format!("{id}: the cap is {cap}, {accepted} was accepted last");
+        let finding = || format!("{id}: the cap is {cap}, but the last accepted cap is {accepted}");
         evidence.check(Promise::ConfigurationHolds, held, finding);
     }
 }
--- a/crates/chervilshunt_bench/src/faults/command.rs
+++ b/crates/chervilshunt_bench/src/faults/command.rs
@@ -1,4 +1,4 @@
-//! The command line of a run.
+//! The command line of a fault run.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -14,18 +14,18 @@
 usage: chervilshunt_bench faults [OPTIONS]
 
   --seed N       seed of faults and load (1)
-  --minutes M    length; the last episode is finished (2)
-  --rate N       requests a second (40)
+  --minutes M    duration; an episode that has begun runs to its end (2)
+  --rate N       requests per second (40)
   --only KINDS   kinds of faults, separated by commas (all)
   --json         print the report as JSON
-  --keep-logs    keep the processes' logs also if all is well
+  --keep-logs    keep the processes' logs even if the run passes
 
-Exits with 0 only if every promise held and each recovery was inside its bound.";
+Exits with 0 only if every promise held and each recovery was within its time limit.";
 
-/// The exit code after Ctrl-C, as shells have it.
+/// The conventional shell exit code after Ctrl-C.
 const INTERRUPTED: u8 = 130;
 
-/// Runs the tool.
+/// Parses the arguments and runs the fault run; returns its exit code.
 pub fn run(parser: Parser) -> ExitCode {
     let options = match parse(parser) {
         Ok(Some(options)) => options,
@@ -50,7 +50,7 @@
 
 #[tokio::main]
 async fn complete(options: &Options) -> Result<Option<Report>, FleetError> {
-    // Dropping the run on Ctrl-C ends every process that it started.
+    // On Ctrl-C the run is dropped, which ends every process that it started.
     tokio::select! {
         report = Run::complete(options) => report.map(Some),
         _interrupt = tokio::signal::ctrl_c() => Ok(None),
@@ -103,7 +103,7 @@
     let kind = |name: &str| {
         let known = || Kind::ALL.map(Kind::name).join(", ");
         Kind::parse(name)
-            .ok_or_else(|| format!("no fault is called {name}; there are {}", known()).into())
+            .ok_or_else(|| format!("unknown fault {name}; known faults: {}", known()).into())
     };
     names.split(',').map(kind).collect()
 }
--- a/crates/chervilshunt_bench/src/faults/report.rs
+++ b/crates/chervilshunt_bench/src/faults/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run.
+//! The report of a fault run.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 use super::episode::{Episode, RECOVERY_BOUND};
 use super::run::Options;
 
-/// What a run did and found.
+/// The faults, requests, checks and recovery times of a run.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
     seed: u64,
     seconds: u64,
     engines_check_fencing: bool,
-    /// Whether every promise held and each recovery was inside its bound.
+    /// Whether every promise held and each recovery was within its time limit.
     pub(crate) held: bool,
     episodes: usize,
     faults: BTreeMap<String, u64>,
@@ -28,7 +28,7 @@
     recoveries: BTreeMap<String, Recovery>,
 }
 
-/// What callers were told, try by try.
+/// Outcomes of the attempts that callers made, by kind.
 #[derive(Debug, Default, Serialize)]
 struct Requests {
     tries: u64,
@@ -39,7 +39,7 @@
     not_connected: u64,
     disconnected: u64,
     violated: u64,
-    /// Reasons of refusals.
+    /// Refusals by outcome and reason.
     reasons: BTreeMap<String, u64>,
 }
 
@@ -55,13 +55,13 @@
     finding: String,
 }
 
-/// Times to recover from episodes in which a kind of fault had its part.
+/// Recovery times of the episodes that included a kind of fault.
 #[derive(Debug, Default, Serialize)]
 struct Recovery {
     episodes: u64,
     median_ms: u64,
     longest_ms: u64,
-    /// What the last probes lacked where the bound was passed.
+    /// A probe failure for each episode that did not recover in time.
     overdue: Vec<String>,
     #[serde(skip)]
     times: Vec<u64>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Prints the report for people.
+    /// Prints the report in human-readable form.
     pub(crate) fn print(&self) {
         println!(
             "seed {}, {} s, {} episodes",
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -1,4 +1,4 @@
-//! The run: a deployment, load, and episode after episode.
+//! The fault run: starts a deployment with load and runs episodes one after another.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use super::fault::Kind;
 use super::report::Report;
 
-/// Instances of the run.
+/// Number of instances.
 const INSTANCES: usize = 7;
 
-/// Engines of the run.
+/// Number of engines.
 const ENGINES: usize = 4;
 
-/// Adapters: more than the engines have slots, so that some are always loaded and evicted.
+/// Number of adapters: more than the engines have slots, so that loads and evictions go on.
 const ADAPTERS: usize = 24;
 
-/// Requests of a hundred that stream for seconds.
+/// Percentage of requests that stream for seconds.
 const LONG_PERCENT: u32 = 5;
 
-/// How often a request is sent at most.
+/// The maximum number of attempts of a request.
 const TRIES: u32 = 6;
 
-/// How long a caller waits for the end of one answer: longer than any fault is held.
+/// How long a caller waits for the end of one answer: longer than any fault stays active.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 
-/// How long requests may take to end after the last episode.
+/// The time within which all requests must end after the last episode.
 const END_BOUND: Duration = Duration::from_secs(90);
 
-/// The instances' lease: shorter than most faults are held, so that it lapses.
+/// The duration of the instances' leases: shorter than most faults last, so that leases expire.
 const LEASE_MS: u64 = 6_000;
 
-/// What a run was asked for.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     pub(crate) seed: u64,
@@ -51,8 +51,10 @@
 }
 
 impl Options {
-    /// Says whether this run's engines refuse old fencing numbers: every other seed's do, since
-    /// what protects those that ignore them is another safeguard.
+    /// Returns whether this run's engines refuse outdated fencing numbers.
+    ///
+    /// They do so for odd seeds only, since engines that ignore fencing numbers are protected by a
+    /// different safeguard, which has to be tested too.
     pub(crate) const fn engines_check_fencing(&self) -> bool {
         self.seed % 2 == 1
     }
@@ -71,7 +73,7 @@
 }
 
 impl Run {
-    /// Runs to the end and reports.
+    /// Runs to the end and returns the report.
     pub(crate) async fn complete(options: &Options) -> Result<Report, FleetError> {
         let mut run = Self::start(options).await?;
         let result = run.episodes(options.length).await;
@@ -134,7 +136,8 @@
     ) -> Result<Report, FleetError> {
         let ended = self.load.stop(END_BOUND).await;
         let open = self.load.open();
-        let finding = || format!("{open} requests had no end {END_BOUND:?} after the last fault");
+        let finding =
+            || format!("{open} requests were still open {END_BOUND:?} after the last fault");
         self.evidence.check(Promise::WholeOwnAnswer, ended, finding);
         let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await?;
@@ -147,7 +150,7 @@
         ))
     }
 
-    /// Tells on standard error what is being done, so that a finding can be placed.
+    /// Logs the current step to standard error, so that a finding can be matched to it.
     pub(crate) fn note(&self, episode: usize, text: &str) {
         let at = self.started.elapsed().as_secs_f64();
         eprintln!("{at:7.1} s  episode {episode}: {text}");
@@ -157,7 +160,7 @@
 fn settings() -> Value {
     json!({
         "lease": {"duration_ms": LEASE_MS, "renew_ms": LEASE_MS / 4, "margin_ms": LEASE_MS / 6},
-        // A call that hangs has to be given up early enough to notice an outage in time.
+        // A hanging call has to time out early enough for an outage to be noticed in time.
         "platform": {"timeout_ms": LEASE_MS / 6},
     })
 }
