--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -1,4 +1,4 @@
-//! A deployment under checked load, for one test.
+//! A deployment under load with checked answers, for one test.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,25 +11,25 @@
 use serde_json::{Value, json};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Deployments that run side by side: each is seven processes or more.
+/// Maximum number of deployments that run concurrently: each has seven processes or more.
 const SIDE_BY_SIDE: usize = 2;
 
-/// How long anything that has to come about may take before the test fails.
+/// How long a test waits for an expected condition before it fails.
 pub(crate) const BOUND: Duration = Duration::from_secs(40);
 
 /// How long a caller waits for the end of one answer.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// How often a request of the load is sent at most.
+/// The maximum number of attempts of a request of the load.
 const TRIES: u32 = 10;
 
-/// The lease of instances: short, so that a test sees it lapse.
+/// The duration of instance leases: short, so that leases expire within a test.
 const LEASE_MS: u64 = 5_000;
 
-/// Long enough for a lease to lapse and for its roles to be taken over.
+/// Long enough for a lease to expire and for the roles of its holder to be taken over.
 pub(crate) const PAST_LEASE: Duration = Duration::from_millis(2 * LEASE_MS);
 
-/// A deployment under checked load.
+/// A deployment under load with checked answers.
 #[derive(Debug)]
 pub(crate) struct Case {
     pub(crate) fleet: Fleet,
@@ -40,12 +40,12 @@
 }
 
 impl Case {
-    /// Starts a deployment, and load on it of so many requests a second.
+    /// Starts a deployment and a load of `rate` requests per second on it.
     pub(crate) async fn start(options: FleetOptions, rate: f64) -> Self {
         let turn = turn().await;
         let settings = json!({
             "lease": {"duration_ms": LEASE_MS, "renew_ms": LEASE_MS / 4, "margin_ms": LEASE_MS / 6},
-            // A call that hangs has to be given up early enough to notice an outage in time.
+            // A hanging call has to time out early enough for an outage to be noticed in time.
             "platform": {"timeout_ms": LEASE_MS / 6},
         });
         let fleet = Fleet::start(FleetOptions {
@@ -53,7 +53,7 @@
             ..options
         })
         .await;
-        let fleet = fleet.unwrap_or_else(|err| panic!("the deployment doesn't start: {err}"));
+        let fleet = fleet.unwrap_or_else(|err| panic!("the deployment failed to start: {err}"));
         let models = (0..fleet.options().adapters).map(|number| model_name(number).into());
         let load_options = LoadOptions {
             long_percent: 0,
@@ -78,25 +78,25 @@
         tokio::time::sleep(time).await;
     }
 
-    /// Sends a completion to an instance; returns what became of it.
+    /// Sends a completion to an instance and returns the verdict on its answer.
     pub(crate) async fn complete(&mut self, id: &str, model: &str, tokens: u32) -> Verdict {
         let req = self.plan_completion(id, model, tokens);
         self.load.send(id, req).await
     }
 
-    /// Plans a streamed completion at an instance, under a name of its own.
+    /// Plans a streamed completion at an instance, with a unique request id.
     pub(crate) fn plan_completion(&mut self, id: &str, model: &str, tokens: u32) -> RequestPlan {
         let name = self.name();
         self.at(id, completion(&name, model, tokens, Api::Text, true))
     }
 
-    /// Plans a call that may run at most once, under a name of its own.
+    /// Plans a call that may run at most once, with a unique request id.
     pub(crate) fn plan_entry(&mut self, id: &str, keyed: bool) -> RequestPlan {
         let name = self.name();
         self.at(id, entry(&name, keyed))
     }
 
-    /// Sends a plan to another instance than before.
+    /// Returns the plan with its destination changed to the given instance.
     pub(crate) fn at(&self, id: &str, req: RequestPlan) -> RequestPlan {
         let instance = self.fleet.instance(id).unwrap();
         RequestPlan {
@@ -111,7 +111,7 @@
         format!("t{}", self.sent)
     }
 
-    /// Asks an instance until it answers a completion, as it has to in the end.
+    /// Retries a completion at an instance until it is answered; panics after [`BOUND`].
     pub(crate) async fn until_answered(&mut self, id: &str, model: &str) {
         let end = tokio::time::Instant::now() + BOUND;
         loop {
@@ -122,13 +122,13 @@
             let told = describe(&verdict);
             assert!(
                 tokio::time::Instant::now() < end,
-                "{id} doesn't recover: {model}: {told}"
+                "{id} did not recover within {BOUND:?}: {model}: {told}"
             );
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
     }
 
-    /// Returns the cells of one column of a table, as an instance knows it itself.
+    /// Returns the cells of one column of a query, answered from the instance's local state.
     pub(crate) async fn column(&self, id: &str, query: &str, column: &str) -> Vec<String> {
         let answer = self
             .fleet
@@ -146,7 +146,7 @@
             .collect()
     }
 
-    /// Waits until a target has an owner other than `but`, as an instance hears of all others.
+    /// Waits until a target has an owner other than `but`, as queried across all instances at `id`.
     pub(crate) async fn owner(&self, id: &str, target: &str, but: Option<&str>) -> String {
         let query = format!("show targets where name = {target}");
         let look = || async {
@@ -155,17 +155,17 @@
             owners.find(|owner| Some(owner.as_str()) != but)
         };
         let found = wait_until(BOUND, look).await;
-        found.unwrap_or_else(|| panic!("{target} has no owner but {but:?}"))
+        found.unwrap_or_else(|| panic!("{target} got no owner other than {but:?}"))
     }
 
-    /// Returns an instance that is none of these.
+    /// Returns a ready instance that is not in `but`.
     pub(crate) fn another(&self, but: &[&str]) -> String {
         let mut ids = self.fleet.ready_instances().into_iter().map(|(id, _)| id);
         ids.find(|id| !but.contains(&id.as_str()))
-            .expect("an instance is left")
+            .expect("no other instance is ready")
     }
 
-    /// Throws fault switches of a stand-in.
+    /// Sets fault switches of a stand-in.
     pub(crate) async fn fault(&self, standin: &str, switches: Value) {
         self.fleet.set_faults(standin, switches).await.unwrap();
     }
@@ -175,7 +175,7 @@
         let stats = self.fleet.stats(standin).await.unwrap();
         stats[counter]
             .as_u64()
-            .unwrap_or_else(|| panic!("{standin} doesn't count {counter}"))
+            .unwrap_or_else(|| panic!("{standin} has no counter {counter}"))
     }
 
     /// Returns how often the targets ran a request.
@@ -187,22 +187,22 @@
         runs.get(&req.request_id).map_or(0, |record| record.runs)
     }
 
-    /// Ends the load, checks every promise, and returns all tries.
+    /// Stops the load, checks every promise and returns all attempts.
     pub(crate) async fn finish(mut self) -> Vec<Attempt> {
         let ended = self.load.stop(PATIENCE * 2).await;
-        assert!(ended, "{} requests have no end", self.load.open());
+        assert!(ended, "{} requests are still open", self.load.open());
         let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await.unwrap();
         let broken: Vec<_> = self.evidence.violations().iter().take(10).collect();
         assert!(broken.is_empty(), "promises were broken: {broken:#?}");
-        // Checks of answers say nothing where there were none.
+        // Without any answers the checks on answers would pass vacuously.
         let answers = self.evidence.checks(Promise::WholeOwnAnswer);
         assert!(answers > 0, "no request was answered");
         tries
     }
 }
 
-/// Returns the cells of one column of an answer; those that hold nothing are left out.
+/// Returns the cells of one column of a query result, without those that are not strings.
 fn cells(answer: &Value, column: &str) -> Vec<String> {
     let result = &answer["results"][0];
     let columns = result["columns"].as_array().unwrap();
@@ -213,7 +213,7 @@
         .collect()
 }
 
-/// Waits until few enough deployments run.
+/// Waits until another deployment may run.
 async fn turn() -> OwnedSemaphorePermit {
     static TURNS: std::sync::OnceLock<Arc<Semaphore>> = std::sync::OnceLock::new();
     let turns = TURNS.get_or_init(|| Arc::new(Semaphore::new(SIDE_BY_SIDE)));
@@ -223,12 +223,12 @@
         .expect("nothing closes the semaphore")
 }
 
-/// Says whether a request was answered whole.
+/// Returns whether a request was answered completely.
 pub(crate) const fn answered(verdict: &Verdict) -> bool {
     matches!(verdict, Verdict::Answered(_))
 }
 
-/// Returns the last tries that were not answered, in words.
+/// Describes the final attempts that were not answered.
 pub(crate) fn unanswered(tries: &[Attempt]) -> Vec<String> {
     let last = tries
         .iter()
--- a/crates/chervilshunt_bench/tests/failures/main.rs
+++ b/crates/chervilshunt_bench/tests/failures/main.rs
@@ -1,8 +1,8 @@
-//! Failures that the promises have to survive, brought about on real processes.
+//! Tests that inject failures into real processes and check that every promise holds.
 //!
-//! Each test starts a deployment of its own on loopback through `chervilshunt_standin::fleet`, has
-//! checked load running while the failure happens, and at the end holds what every caller was told
-//! against what the targets ran. See `docs/DEVELOPERS.md` on running them.
+//! Each test starts its own deployment on loopback through `chervilshunt_standin::fleet`, runs load
+//! with checked answers during the failure, and at the end compares the answers that callers
+//! received with what the targets ran. See `docs/DEVELOPERS.md` on running them.
 
 mod case;
 mod engines;
