--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -1,4 +1,4 @@
-//! The instance that a non-idempotent request entered at is lost.
+//! The entry instance of a non-idempotent request is lost, or its target's answer is.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 
 use crate::case::{BOUND, Case, answered};
 
-/// A finish entry with a key is under way when its instance is killed or paused, so that the
-/// caller gets no answer. It sends the entry again, with the same key, to another instance. The
-/// first run may have happened, be happening or never happen: only the claim tells, so the second
-/// instance asks its keeper before it sends anything. The boat is scored once at most, and a
-/// caller who is told `not_run` finds that it didn't run.
+/// The entry instance of a keyed call is killed or paused while the call is in flight. The caller
+/// gets no answer and retries at another instance with the same key. The first attempt may have
+/// run, be running or never run. Only the claim records which, so the second instance has to query
+/// its keeper before it sends the call. The call must run at most once, and a call reported as
+/// `not_run` must not have run.
 #[rstest]
 #[case::killed_while_it_runs(true, 600)]
 #[case::killed_early(true, 20)]
@@ -52,7 +52,7 @@
         let runs = case.runs(entry).await;
         assert!(
             runs <= 1,
-            "ran {runs} times; the retry was told: {}",
+            "the call ran {runs} times; the retry received: {}",
             describe(&verdict)
         );
     }
@@ -67,9 +67,9 @@
     case.finish().await;
 }
 
-/// The keeper of claims is killed along with the entry instance, between the claim and its
-/// answer. The new keeper has to know the claims that the old one recorded, or the retry would
-/// run the entry a second time.
+/// The keeper of claims is killed along with the entry instance, after a claim was recorded and
+/// before its call was answered. The new keeper has to know the claims that the old one recorded;
+/// otherwise the retry would run the call a second time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keeper_and_entry_instance_are_killed() {
     let options = FleetOptions {
@@ -80,7 +80,8 @@
     case.run_for(Duration::from_secs(2)).await;
     case.fault("desk-1", json!({"slow_ms": 1_000})).await;
     let mut entries = Vec::new();
-    // Entries at each instance: whichever two are killed, claims of all sorts are left behind.
+    // Calls enter at every instance, so that claims of every combination of entry and keeper are
+    // left behind.
     for id in ["i1", "i2", "i3", "i4"] {
         for _ in 0..4 {
             let entry = case.plan_entry(id, true);
@@ -105,15 +106,15 @@
         };
         wait_until(BOUND, retry)
             .await
-            .expect("a retry is never told what became of it");
+            .expect("a retry never received the outcome of the call");
         assert!(case.runs(&entry).await <= 1);
     }
     case.finish().await;
 }
 
-/// The plain service runs an entry and its answer is lost, or it is cut off before it runs. Either
-/// way the first byte may have left, so an entry without a key is never sent a second time: its
-/// caller is told `unknown`, and never `not_run`.
+/// The plain service runs a call and its answer is lost, or the call is cut off before it runs. In
+/// both cases the first byte may have been sent, so a call without a key must never be sent a
+/// second time, and has to be reported as `unknown`, never as `not_run`.
 #[rstest]
 #[case::answer_lost(json!({"lose_answers": 1}))]
 #[case::cut_before_it_runs(json!({"cut_before_run": 1}))]
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -1,4 +1,4 @@
-//! A lease lapses while its holder is paused, or its holder is cut off or killed.
+//! The holder of a lease is paused until it expires, cut off, or killed.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::case::{BOUND, Case, PAST_LEASE, answered};
 
-/// Adapters that don't fit into the slots, so that owners give orders all the time.
+/// Number of adapters: more than fit into the slots, so that owners send orders continuously.
 const ADAPTERS: usize = 16;
 
-/// Tokens of a stream that outlasts a takeover.
+/// Number of tokens of a stream that lasts longer than a takeover.
 const LONG_STREAM: u32 = 5_000;
 
 fn options(engines_check_fencing: bool) -> FleetOptions {
@@ -23,10 +23,10 @@
     }
 }
 
-/// The owner of an engine is paused until its lease has lapsed and another has taken the engine
-/// over; then it wakes and believes that it still owns it. An order of its own would evict an
-/// adapter that the new owner has given out permits for. It has to look at its lease before each
-/// order; engines that check fencing numbers would refuse it besides, the others would obey.
+/// The owner of an engine is paused until its lease has expired and another instance has taken the
+/// engine over. When resumed, it still assumes ownership, and an order from it could evict an
+/// adapter that the new owner has granted permits for. It has to check its lease before each order:
+/// engines that check fencing numbers would refuse the order anyway, the others would execute it.
 #[rstest]
 #[case::engines_that_check(true)]
 #[case::engines_that_ignore(false)]
@@ -48,11 +48,12 @@
     case.finish().await;
 }
 
-/// The owner of an engine is killed in the middle of its work. Streams that other instances
-/// opened under its permits go on to their ends, and outlast the takeover while callers of cold
-/// adapters press for slots. The new owner learns what the engine holds and what permits are out
-/// before it evicts anything, so no stream loses its adapter. An instance that is paused can't tell
-/// its permits, and its lease lapses; it streams on when it wakes, and so has to be waited for.
+/// The owner of an engine is killed under load. Streams that other instances opened under its
+/// permits last longer than the takeover, while requests for adapters that aren't loaded compete
+/// for slots. The new owner has to find out which adapters the engine holds and which permits are
+/// outstanding before it evicts anything, so that no stream loses its adapter. A paused instance
+/// can't report its permits and its lease expires, but it continues its streams when resumed, so
+/// the new owner has to wait for it.
 #[rstest]
 #[case::permits_are_told_at_once(false)]
 #[case::permits_are_told_late(true)]
@@ -89,19 +90,23 @@
         let verdict = stream.await.unwrap();
         let told = chervilshunt_standin::fleet::describe(&verdict);
         let cut = told.contains("cut short") || told.contains("disconnected");
-        assert!(!cut, "a stream under the killed owner's permit: {told}");
+        assert!(
+            !cut,
+            "a stream under a permit of the killed owner was cut off: {told}"
+        );
         whole += usize::from(answered(&verdict));
     }
-    assert!(whole > 0, "no stream ran");
+    assert!(whole > 0, "no stream was answered");
     case.until_answered(&witness, &model_name(0)).await;
     check_no_stale_order(&case).await;
     case.finish().await;
 }
 
-/// The owner of an engine loses its peers, the platform, or both, for longer than its lease. Who
-/// has lost the platform alone keeps no lease and has to stop giving orders in time; who has lost
-/// its peers alone keeps its lease, and others can't get permits of it. Each way the deployment
-/// comes back once the links do, and no order of an old epoch was obeyed.
+/// The owner of an engine is cut off from its peers, the platform, or both, for longer than its
+/// lease. Without the platform it can't renew its lease and has to stop sending orders in time.
+/// Without its peers alone it keeps its lease, and other instances can't get permits from it. In
+/// each case the deployment has to recover once the links are healed, and engines must not have
+/// executed an order of an old epoch.
 #[rstest]
 #[case::peers(true, false)]
 #[case::platform(false, true)]
@@ -139,12 +144,12 @@
     case.finish().await;
 }
 
-/// Checks that no engine carried out an order with an old fencing number.
+/// Checks that no engine executed an order with an outdated fencing number.
 async fn check_no_stale_order(case: &Case) {
     for engine in ["engine-1", "engine-2"] {
         let stale = case.count(engine, "stale_orders").await;
         let refused = case.count(engine, "fenced_orders").await;
-        assert_eq!(stale, refused, "{engine} obeyed an order of an old epoch");
+        assert_eq!(stale, refused, "{engine} executed an order of an old epoch");
     }
     assert!(case.fleet.wait_listed(BOUND).await);
 }
--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -1,4 +1,4 @@
-//! Targets and instances leave.
+//! Targets and instances leave the deployment.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::case::{BOUND, Case, unanswered};
 
-/// How long a leaving target may still get new work.
+/// The time after which a leaving target must get no new work.
 const NO_MORE_AFTER: Duration = Duration::from_secs(3);
 
-/// How a target is told to leave.
+/// How the departure of a target is requested.
 #[derive(Clone, Copy, Debug)]
 enum Way {
     /// An operator drains it.
@@ -21,9 +21,9 @@
     List,
 }
 
-/// An engine leaves, by an operator's word or by the platform's list, which lags. Owners and
-/// entry instances may hold permits and hints for it. Within 3 s it must get no new work, though
-/// adapters are loaded there and nowhere else; what it has begun it finishes.
+/// An engine leaves, by an operator's statement or by the platform's list, which lags. Owners and
+/// entry instances may hold permits and hints for it. It must get no new work after 3 s, even for
+/// adapters that are loaded nowhere else, and finishes the work that it has begun.
 #[rstest]
 #[case::drained(Way::Statement)]
 #[case::listed_as_leaving(Way::List)]
@@ -53,17 +53,17 @@
     assert_eq!(
         case.count("engine-1", "completions").await,
         then,
-        "it got new work"
+        "engine-1 got new work while leaving"
     );
-    assert!(then > 0, "it had no work to begin with");
+    assert!(then > 0, "engine-1 had no work before it left");
     let tries = case.finish().await;
     assert_eq!(unanswered(&tries), [""; 0]);
 }
 
-/// An instance is asked to end while long streams run through it and others hold permits of its
-/// targets. It turns unready, hands its roles over, waits for every stream and exits with 0. No
-/// caller sees an end before the end, also where the platform is out of reach meanwhile, so that
-/// nothing can be handed over. The streams outlast each of the earlier steps of the shutdown.
+/// An instance is shut down gracefully while long streams run through it and other instances hold
+/// permits for its targets. It has to become unready, hand over its roles, wait for every stream
+/// and exit with 0. No stream may be cut off, even if the platform is unreachable meanwhile and no
+/// role can be handed over. The streams last longer than each earlier step of the shutdown.
 #[rstest]
 #[case::alone(false, 1_000)]
 #[case::without_the_platform(true, 3_200)]
@@ -92,7 +92,7 @@
             describe(&verdict)
         );
     }
-    assert!(status.success(), "it ended with {status}");
+    assert!(status.success(), "i2 exited with {status}");
     case.fault("platform", json!({"down": "no"})).await;
     case.until_answered("i1", &model_name(0)).await;
     let tries = case.finish().await;
@@ -103,6 +103,6 @@
     assert_eq!(
         cut.count(),
         0,
-        "connections at the ending instance were cut"
+        "connections were cut at the instance that shut down"
     );
 }
--- a/crates/chervilshunt_bench/tests/failures/releases.rs
+++ b/crates/chervilshunt_bench/tests/failures/releases.rs
@@ -1,4 +1,4 @@
-//! Permits that can't be given back when their answers end.
+//! Permits that can't be released when their answers end.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use crate::case::{BOUND, Case};
 
-/// Tokens of answers that end while the owner is cut off: about 2 s.
+/// Number of tokens of answers that end while the owner is cut off, after about 2 s.
 const TOKENS: u32 = 400;
 
-/// How long the owner is cut off: longer than any hurried tries to give a permit back.
+/// How long the owner is cut off: longer than the quick retries of a release go on.
 const CUT: Duration = Duration::from_secs(10);
 
-/// The age from which a permit can't be of an answer that still goes on, in milliseconds.
+/// The age in milliseconds from which a permit can't belong to an answer that is still streaming.
 const OVERDUE_MS: u64 = 8_000;
 
-/// What callers see: an adapter that is asked for most is refused for minutes, or for ever.
-/// An owner loses its peers, but not the platform, so that it stays the owner. Answers that other
-/// instances stream end meanwhile, and their permits can't be given back. Each pins its adapter: a
-/// slot that was to be freed for another adapter then serves neither of the two.
+/// An owner loses the links to its peers but not to the platform, so that it stays the owner.
+/// Answers that other instances stream end meanwhile, and their permits can't be released. Each
+/// permit that is never released pins its adapter, and a slot that was to be freed for another
+/// adapter serves neither. Callers see a popular adapter refused for minutes, or for ever.
 #[tokio::test(flavor = "multi_thread")]
 async fn permits_are_given_back_once_their_owner_can_be_reached_again() {
     let options = FleetOptions {
@@ -42,7 +42,10 @@
     }
     case.run_for(CUT).await;
     let held = case.column(&owner, "show permits", "held_ms").await;
-    assert!(overdue(&held), "no answer ended during the cut: {held:?}");
+    assert!(
+        overdue(&held),
+        "no permit is overdue after the cut: {held:?}"
+    );
 
     case.fleet.heal_links();
     let look = || async {
@@ -52,7 +55,7 @@
     let given_back = wait_until(BOUND, look).await;
     assert!(
         given_back.is_some(),
-        "{owner} holds permits of ended answers"
+        "{owner} still holds permits of ended answers"
     );
     case.finish().await;
 }
