--- a/crates/chervilshunt_bench/tests/failures/engines.rs
+++ b/crates/chervilshunt_bench/tests/failures/engines.rs
@@ -1,4 +1,4 @@
-//! Engines restart empty, and loads fail.
+//! Engines restart without their adapters, fail loads, or hang.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::case::{BOUND, Case, answered, unanswered};
 
-/// An engine loses its adapters and its running work and answers again at once. Callers of open
-/// streams are told that they were cut short; the owner still believes its adapters loaded, so the
-/// next request meets an engine that doesn't know the model. The owner has to notice, load it
-/// anew, and answer: never by the base model, and without a stream of 404s.
+/// An engine loses its adapters and running work and is available again at once. Open streams have
+/// to be reported as cut short. The owner's record of loaded adapters is outdated, so the next
+/// request reaches an engine that does not know the model. The owner has to detect this and reload
+/// the adapter, without answers from the base model or repeated 404s.
 #[rstest]
 #[case::one(&["engine-1"])]
 #[case::all(&["engine-1", "engine-2"])]
@@ -39,7 +39,7 @@
         };
         assert!(
             told,
-            "a caller of an open stream saw: {}",
+            "the caller of an open stream received: {}",
             describe(&verdict)
         );
     }
@@ -53,9 +53,9 @@
     )));
 }
 
-/// Half of all loads fail. Requests for adapters that are loaded must not notice; those that wait
-/// for a load see it tried again, there or at another engine, and are answered within their
-/// deadline as good loads get through.
+/// Half of all loads fail. Requests for loaded adapters must not be affected. For those that wait
+/// for a load, it is retried at the same or another engine, and they are answered within their
+/// deadline.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn half_of_the_loads_fail() {
     let options = FleetOptions {
@@ -75,9 +75,9 @@
     assert_eq!(unanswered(&tries), [""; 0]);
 }
 
-/// Every load of every engine fails. A request for a cold adapter can't be answered: its caller is
-/// told `not_run`, with a time to come back, before its deadline and not by silence. Once loads
-/// work again it is answered.
+/// Every load of every engine fails. A request for an adapter that isn't loaded can't be answered:
+/// it has to be refused before its deadline with `not_run` and a retry time instead of getting no
+/// response. Once loads work again, it is answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_load_succeeds() {
     let options = FleetOptions {
@@ -92,7 +92,10 @@
     let sent = tokio::time::Instant::now();
     let verdict = case.complete("i1", &model_name(2), 3).await;
     let Verdict::Refused(refusal) = &verdict else {
-        panic!("a request that nothing can serve: {}", describe(&verdict));
+        panic!(
+            "a request that no engine can serve was not refused: {}",
+            describe(&verdict)
+        );
     };
     assert_eq!(refusal.outcome, Outcome::NotRun, "{}", describe(&verdict));
     assert!(sent.elapsed() < BOUND);
@@ -103,9 +106,9 @@
     case.finish().await;
 }
 
-/// An engine hangs: it takes connections and answers nothing. Requests that wait for it end with
-/// an answer from elsewhere or a refusal, and the other engine serves on. When it continues it
-/// gets work again, and nothing that it finishes late reaches the wrong caller.
+/// An engine hangs: it accepts connections and does not respond. Requests that wait for it have to
+/// end with an answer from another engine or a refusal, and the other engine keeps serving. When
+/// it resumes, it gets work again, and no late answer reaches the wrong caller.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_engine_hangs() {
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
@@ -117,7 +120,7 @@
         let verdict = case.complete("i1", &model_name(number), 3).await;
         answers += usize::from(answered(&verdict));
     }
-    assert!(answers > 0, "one engine that hangs stops all work");
+    assert!(answers > 0, "no request was answered while one engine hung");
     case.fault("engine-1", json!({"freeze": false})).await;
     for number in 0..8 {
         case.until_answered("i1", &model_name(number)).await;
--- a/crates/chervilshunt_bench/tests/failures/operators.rs
+++ b/crates/chervilshunt_bench/tests/failures/operators.rs
@@ -1,4 +1,4 @@
-//! Operators race, also while an instance can't be reached.
+//! Operators change the configuration concurrently, or while an instance is unreachable.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 
 const INSTANCES: [&str; 3] = ["i1", "i2", "i3"];
 
-/// Three operators set the same cap at three instances at once, each only if the revision that
-/// all have seen is still in force. Two that were both accepted would each believe that the site
-/// runs under its own cap. At most one is accepted, and its value is in force everywhere.
+/// Three operators set the same cap concurrently at three instances, conditional on the same
+/// revision. If two were accepted, each operator would assume that its own cap is in force. At most
+/// one may be accepted, and its value has to be in force at every instance.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn conditional_changes_race() {
     let case = Case::start(FleetOptions::default(), 5.0).await;
@@ -40,7 +40,7 @@
         let count = accepted.iter().filter(|accepted| **accepted).count();
         assert!(
             count <= 1,
-            "{count} changes that need revision {revision} were accepted"
+            "{count} changes conditional on revision {revision} were accepted"
         );
         accepted_in_all += count;
         if let Some(winner) = accepted.iter().position(|accepted| *accepted) {
@@ -59,8 +59,8 @@
     case.finish().await;
 }
 
-/// Operators create and delete the same version at different instances at once. Whatever the
-/// order, each is told the truth of its own change, and all instances agree in the end.
+/// Operators create the same version concurrently at different instances, then delete it
+/// concurrently. At most one creation may be accepted, and all instances have to agree in the end.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn conflicting_changes_race() {
     let case = Case::start(FleetOptions::default(), 5.0).await;
@@ -110,10 +110,10 @@
 }
 
 /// An instance is paused, or cut off from its peers, the platform or both, when an operator
-/// changes the configuration. If the change is accepted, that instance must know it before it
-/// serves again: a caller who asks it for the new version must not hear that there is none, and
-/// one who asks for a deleted version must not be served. Refusing the change is truthful too; the
-/// next one, after the instance is back or its lease gone, has to be accepted.
+/// changes the configuration. If the change is accepted, the instance must know it before it
+/// serves again: a request for the new version must not get a 404, and a request for a deleted
+/// version must not be served. The change may also be refused, but once the instance is back or
+/// its lease has expired, a change has to be accepted.
 #[rstest]
 #[case::paused(true, false, false)]
 #[case::without_peers(false, true, false)]
@@ -162,7 +162,7 @@
             );
             let verdict = case.complete(away, &model_name(5 + round), 2).await;
             let served = matches!(verdict, Verdict::Answered(_));
-            assert!(!served, "{away} serves a version that was deleted");
+            assert!(!served, "{away} served a version that was deleted");
         }
         case.run_for(PAST_LEASE / 2).await;
     }
@@ -177,7 +177,7 @@
     };
     wait_until(BOUND, look)
         .await
-        .expect("no change is accepted with all instances back");
+        .expect("no change was accepted after all instances were back");
     for id in INSTANCES {
         case.until_answered(id, "adapter-0004@back").await;
     }
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Two concurrent failures.
 
 use std::time::Duration;
 
@@ -14,34 +14,34 @@
 
 const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
 
-/// How long operators wait between two changes of their own.
+/// The pause of an operator between two changes.
 const OPERATORS_PAUSE: Duration = Duration::from_millis(100);
 
-/// One of the failures that are brought about together.
+/// A failure that is injected together with another.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     /// The instance that owns the first engine is killed.
     OwnerKilled,
-    /// Calls to the platform get no answer.
+    /// The platform does not respond to calls.
     PlatformHangs,
-    /// The next writes take effect and their answers are lost.
+    /// The next writes take effect, but their responses are lost.
     AnswersLost,
     /// The engines lose their adapters and their running work.
     EnginesRestart,
     /// Half of all loads fail.
     LoadsFail,
-    /// The coldest adapters turn into the busiest.
+    /// The least requested adapters become the most requested.
     PopularityShifts,
-    /// Operators at every instance create and delete the same versions.
+    /// Operators at every instance concurrently create and delete the same versions.
     OperatorsRace,
 }
 
-/// Two failures hit at once, under load, and last for longer than a lease. Each safeguard leans on
-/// something that the other failure takes away: a takeover on the platform, a load that is tried
-/// again on an engine that keeps what it has loaded, a change of configuration on its proposer.
-/// Whoever asks an instance that is left is answered meanwhile. Once the faults are over the engine
-/// has an owner that lives, every instance serves, an operator's change is accepted and in force
-/// everywhere, and no caller of the whole time was told anything false.
+/// Two failures occur together under load and last longer than a lease. The safeguard against one
+/// depends on something that the other takes away: a takeover depends on the platform, the retry of
+/// a load on an engine that keeps its loaded adapters, a configuration change on its proposer.
+/// Requests to a surviving instance have to be answered meanwhile. After the faults the engine has
+/// a live owner, every instance serves, an operator's change is accepted and in force everywhere,
+/// and no caller ever received a false answer.
 #[rstest]
 #[case::owner_killed_in_an_outage([Fault::PlatformHangs, Fault::OwnerKilled])]
 #[case::owner_killed_while_answers_are_lost([Fault::AnswersLost, Fault::OwnerKilled])]
@@ -57,14 +57,14 @@
     };
     let mut case = Case::start(options, 10.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    // The other engine has to go on serving while nobody can take the first one over; roles may
-    // still be on their way between instances that have just joined.
+    // The second engine needs an owner of its own, to keep serving while the first one can't be
+    // taken over. Roles may still be moving between instances that have just joined.
     let apart = || async {
         let owner = case.owner("i1", ENGINES[0], None).await;
         (case.owner("i1", ENGINES[1], None).await != owner).then_some(owner)
     };
     let owner = wait_until(BOUND, apart).await;
-    let owner = owner.expect("one instance owns both engines");
+    let owner = owner.expect("one instance still owns both engines");
     let witness = case.another(&[&owner]);
     let entries = open_entries(&mut case, &owner);
     let mut racing = Vec::new();
@@ -89,7 +89,7 @@
     assert_eq!(completions_given_up(&tries), [""; 0]);
 }
 
-/// Sends keyed calls at the instance that may be lost, to be sent again elsewhere at the end.
+/// Sends keyed calls to the instance that may be lost; the test retries them elsewhere at the end.
 fn open_entries(case: &mut Case, at: &str) -> Vec<chervilshunt_standin::check::RequestPlan> {
     let entries = (0..4).map(|_| case.plan_entry(at, true));
     let entries: Vec<_> = entries.collect();
@@ -99,7 +99,7 @@
     entries
 }
 
-/// Brings a failure about; returns what goes on until it is dropped.
+/// Injects a failure; returns tasks that keep it active until they are dropped.
 async fn begin(case: &mut Case, fault: Fault, owner: &str) -> Vec<AbortOnDropHandle<()>> {
     match fault {
         Fault::OwnerKilled => {
@@ -127,7 +127,7 @@
             let statements = ids.map(|id| case.fleet.statements_at(&id).unwrap());
             let races = statements.map(|it| AbortOnDropHandle::new(tokio::spawn(race(it))));
             let races = races.collect();
-            // The owner is killed in the middle of a change of its own.
+            // Lets changes start, so that the owner can be killed while it processes one.
             case.run_for(OPERATORS_PAUSE * 3).await;
             return races;
         }
@@ -135,13 +135,13 @@
     Vec::new()
 }
 
-/// Creates and deletes the same versions as the operators at the other instances.
+/// Repeatedly creates and deletes the same versions as operators at the other instances.
 async fn race(statements: Statements) {
     for round in 0.. {
         let model = format!("adapter-0003@race{}", round % 3);
         let delete = format!("delete version {model}");
         for text in [create_version(&model), delete] {
-            // Any answer is true or the last check finds it; a killed instance gives none.
+            // The final check of the test detects false answers; a killed instance gives none.
             drop(statements.try_run(&text).await);
             tokio::time::sleep(OPERATORS_PAUSE).await;
         }
@@ -166,11 +166,11 @@
         change.status.is_success().then_some(())
     };
     let accepted = wait_until(BOUND, change).await;
-    accepted.expect("no change is accepted after the faults");
+    accepted.expect("no change was accepted after the faults");
     for id in ids {
         case.until_answered(id, model).await;
     }
-    // A change that an operator gave up waiting for may come into force between two looks.
+    // A change whose operator stopped waiting may still come into force between two queries.
     let query = "show versions where name ~ adapter-000";
     let agree = || async {
         let versions = case.column(&ids[0], query, "name").await;
@@ -185,7 +185,7 @@
     agreed.expect("instances disagree on the versions");
 }
 
-/// Returns the completions of the load that were not answered in the end, in words.
+/// Describes the completions of the load whose final attempt was not answered.
 fn completions_given_up(tries: &[Attempt]) -> Vec<String> {
     let of_load = tries
         .iter()
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -1,4 +1,4 @@
-//! The platform is down, slow, or loses answers after a write took effect.
+//! The platform is down or slow, loses responses after a write took effect, or serves stale reads.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::case::{BOUND, Case, PAST_LEASE, answered};
 
-/// The platform is gone for longer than every lease. Nobody can be superseded meanwhile, so each
-/// instance serves on what it owns; callers see nothing of it. A change of configuration can't be
-/// accepted and is refused, and is not in force anywhere when the platform is back. A keyed
-/// request whose claim can't be recorded is told that it has not run.
+/// The platform is down for longer than every lease. No instance can be superseded meanwhile, so
+/// each keeps serving with the targets it owns, and completions are unaffected. A configuration
+/// change has to be refused and must not be in force anywhere after the outage. A keyed request
+/// whose claim can't be recorded has to be reported as `not_run`.
 #[rstest]
 #[case::refuses_connections(json!({"down": "refuse"}))]
 #[case::unavailable(json!({"down": "unavailable"}))]
@@ -46,14 +46,17 @@
     let verdict = case.load.send("i2", entry.clone()).await;
     match &verdict {
         Verdict::Refused(refusal) => assert_eq!(refusal.outcome, Outcome::NotRun),
-        other => panic!("a keyed entry during the outage: {}", describe(other)),
+        other => panic!(
+            "a keyed call during the outage was not refused: {}",
+            describe(other)
+        ),
     }
 
     let up = json!({"down": "no", "freeze": false});
     case.fault("platform", up).await;
     let retry = || async { answered(&case.load.send("i3", case.at("i3", entry.clone())).await) };
     let retried = wait_until(BOUND, || async { retry().await.then_some(()) }).await;
-    retried.expect("the keyed entry isn't answered after the outage");
+    retried.expect("the keyed call was not answered after the outage");
     assert_eq!(case.runs(&entry).await, 1);
     let query = format!("show versions where name = {model}");
     for id in ["i1", "i2", "i3"] {
@@ -66,10 +69,10 @@
     case.finish().await;
 }
 
-/// Each call to the platform takes long. Calls that end in time renew leases all the same, as
-/// renewal doesn't wait for other calls; those that outlast their timeout are as good as an outage,
-/// which nobody can be superseded in. Requests are as fast as ever, as none of them waits for the
-/// platform unless it has a key.
+/// Every call to the platform is slow. Calls that end within their timeout still renew leases, as
+/// renewal doesn't wait for other calls. Calls that time out amount to an outage, during which no
+/// instance can be superseded. Completions are not delayed, as only keyed requests wait for the
+/// platform.
 #[rstest]
 #[case::calls_end_in_time(400)]
 #[case::calls_time_out(1_000)]
@@ -97,9 +100,10 @@
     case.finish().await;
 }
 
-/// An operator's change is written, and the answer to the write is lost. Sent again blindly it
-/// would conflict with itself and be reported as refused although it is in force; or be applied
-/// twice. The instance has to read back by the change's id, and say what is true.
+/// An operator's change is written, and the response to the write is lost. A blind retry would
+/// conflict with the change itself, so that it is reported as refused although it is in force, or
+/// would apply it twice. The instance has to look the change up by its id and report the actual
+/// outcome.
 #[rstest]
 #[case::one(1)]
 #[case::some(3)]
@@ -145,9 +149,9 @@
     case.finish().await;
 }
 
-/// A watch misses changes and then expires, and reads are stale for a while. An instance that
-/// believed them would go back to an older configuration, or miss a version that was accepted: its
-/// callers would get 404 for a model that other instances serve.
+/// A watch misses changes and then expires, or reads are stale for a while, or both. An instance
+/// that relied on them would revert to an older configuration or miss an accepted version: its
+/// callers would get a 404 for a model that other instances serve.
 #[rstest]
 #[case::watch_gap(json!({"watch_gap": 4, "expire_watches": true}))]
 #[case::stale_reads(json!({"stale_reads": 3, "stale_gets": 3}))]
@@ -170,7 +174,7 @@
         accepted.push(model);
         check_all_there(&mut case, &accepted).await;
     }
-    // What was read late may come in late.
+    // Stale data may arrive with a delay.
     case.run_for(PAST_LEASE / 2).await;
     check_all_there(&mut case, &accepted).await;
     let healed = json!({
@@ -185,7 +189,7 @@
     };
     wait_until(BOUND, look)
         .await
-        .expect("no change is accepted after the fault");
+        .expect("no change was accepted after the fault");
     case.until_answered("i3", "adapter-0002@after").await;
     eprintln!(
         "{} of 4 changes were accepted during the fault",
@@ -194,7 +198,7 @@
     case.finish().await;
 }
 
-/// Checks that each instance knows each of these models.
+/// Checks that no instance answers a request for one of the models with a 404.
 async fn check_all_there(case: &mut Case, models: &[String]) {
     for id in ["i1", "i2", "i3"] {
         for model in models {
--- a/crates/chervilshunt_bench/tests/failures/popularity.rs
+++ b/crates/chervilshunt_bench/tests/failures/popularity.rs
@@ -1,4 +1,4 @@
-//! Popularity shifts.
+//! The popularity of adapters shifts.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use crate::case::{Case, unanswered};
 
-/// Overnight the coldest adapters turn into the busiest, while the engines' few slots are full of
-/// the old ones and serve them still. The new ones have to be loaded over adapters that no request
-/// uses: a caller of an old one sees its answer to the end, by its own version, and a caller of a
-/// new one waits for a load and then gets its answer. Nothing is refused for it.
+/// The least requested adapters suddenly become the most requested, while the engines' few slots
+/// hold the previously popular ones, which still serve requests. The newly popular ones may replace
+/// only adapters that no request uses. Answers of the old ones have to complete with the right
+/// version, requests for the new ones wait for a load and are then answered, and none is refused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn cold_adapters_turn_busy() {
     let options = FleetOptions {
@@ -23,10 +23,7 @@
     case.load.shift_popularity();
     case.run_for(Duration::from_secs(5)).await;
     let after = evictions(&case).await;
-    assert!(
-        after > before,
-        "nothing was evicted, so that the shift has shown nothing"
-    );
+    assert!(after > before, "nothing was evicted after the shift");
 
     let tries = case.finish().await;
     assert_eq!(unanswered(&tries), [""; 0]);
