--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinHandle;
 
-use super::run::PATIENCE;
+use super::run::REQUEST_TIMEOUT;
 
 /// The time within which every instance of a healed deployment must know an accepted revision.
 const IN_FORCE_BOUND: Duration = Duration::from_secs(15);
@@ -163,7 +163,7 @@
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
             let req = RequestPlan {
                 to: address,
-                timeout: PATIENCE,
+                timeout: REQUEST_TIMEOUT,
                 ..req
             };
             let sent = load.spawn(&id, req);
--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -12,7 +12,7 @@
 const PROMPT: Duration = Duration::from_secs(3);
 
 /// The timeout of a probe.
-const PATIENCE: Duration = Duration::from_secs(40);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The pause between two rounds of probes.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
@@ -77,7 +77,7 @@
     let name = std::sync::Arc::clone(&req.request_id);
     let req = RequestPlan {
         to: address,
-        timeout: PATIENCE,
+        timeout: PROBE_TIMEOUT,
         ..req
     };
     let verdict = load.send(id, req).await;
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -31,7 +31,7 @@
 const TRIES: u32 = 6;
 
 /// How long a caller waits for the end of one answer: longer than any fault stays active.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The time within which all requests must end after the last episode.
 const END_BOUND: Duration = Duration::from_secs(90);
@@ -107,7 +107,7 @@
                 .collect(),
             long_percent: LONG_PERCENT,
             max_attempts: TRIES,
-            timeout: PATIENCE,
+            timeout: REQUEST_TIMEOUT,
         };
         let load = Load::start(load_options, fleet.ready_instances());
         Ok(Self {
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -18,7 +18,7 @@
 pub(crate) const BOUND: Duration = Duration::from_secs(40);
 
 /// How long a caller waits for the end of one answer.
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The maximum number of attempts of a request of the load.
 const TRIES: u32 = 10;
@@ -61,7 +61,7 @@
             seed: 1,
             models: models.collect(),
             max_attempts: TRIES,
-            timeout: PATIENCE,
+            timeout: REQUEST_TIMEOUT,
         };
         let load = Load::start(load_options, fleet.ready_instances());
         Self {
@@ -101,7 +101,7 @@
         let instance = self.fleet.instance(id).unwrap();
         RequestPlan {
             to: instance.callers(),
-            timeout: PATIENCE,
+            timeout: REQUEST_TIMEOUT,
             ..req
         }
     }
@@ -189,7 +189,7 @@
 
     /// Stops the load, checks every promise and returns all attempts.
     pub(crate) async fn finish(mut self) -> Vec<Attempt> {
-        let ended = self.load.stop(PATIENCE * 2).await;
+        let ended = self.load.stop(REQUEST_TIMEOUT * 2).await;
         assert!(ended, "{} requests are still open", self.load.open());
         let tries = self.load.attempts();
         self.evidence.gather(&self.fleet, &tries).await.unwrap();
