--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -28,7 +28,7 @@
 const LONG_PERCENT: u32 = 5;
 
 /// The maximum number of attempts of a request.
-const TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
 /// How long a caller waits for the end of one answer: longer than any fault stays active.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -106,7 +106,7 @@
                 .map(|number| model_name(number).into())
                 .collect(),
             long_percent: LONG_PERCENT,
-            max_attempts: TRIES,
+            max_attempts: MAX_ATTEMPTS,
             timeout: REQUEST_TIMEOUT,
         };
         let load = Load::start(load_options, fleet.ready_instances());
--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -21,7 +21,7 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The maximum number of attempts of a request of the load.
-const TRIES: u32 = 10;
+const MAX_ATTEMPTS: u32 = 10;
 
 /// The duration of instance leases: short, so that leases expire within a test.
 const LEASE_MS: u64 = 5_000;
@@ -60,7 +60,7 @@
             rate,
             seed: 1,
             models: models.collect(),
-            max_attempts: TRIES,
+            max_attempts: MAX_ATTEMPTS,
             timeout: REQUEST_TIMEOUT,
         };
         let load = Load::start(load_options, fleet.ready_instances());
