--- a/crates/chervilshunt_bench/src/faults/command.rs
+++ b/crates/chervilshunt_bench/src/faults/command.rs
@@ -6,7 +6,7 @@
 use chervilshunt_standin::fleet::FleetError;
 use lexopt::{Arg, Parser, ValueExt as _};
 
-use super::fault::Kind;
+use super::fault::FaultKind;
 use super::report::Report;
 use super::run::{Options, Run};
 
@@ -78,7 +78,7 @@
         seed: 1,
         length: Duration::from_secs(120),
         rate: 40.0,
-        kinds: Kind::ALL.to_vec(),
+        kinds: FaultKind::ALL.to_vec(),
         json: false,
         keep_logs: false,
     };
@@ -99,10 +99,10 @@
     Ok(Some(options))
 }
 
-fn kinds(names: &str) -> Result<Vec<Kind>, lexopt::Error> {
+fn kinds(names: &str) -> Result<Vec<FaultKind>, lexopt::Error> {
     let kind = |name: &str| {
-        let known = || Kind::ALL.map(Kind::name).join(", ");
-        Kind::parse(name)
+        let known = || FaultKind::ALL.map(FaultKind::name).join(", ");
+        FaultKind::parse(name)
             .ok_or_else(|| format!("unknown fault {name}; known faults: {}", known()).into())
     };
     names.split(',').map(kind).collect()
--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom as _;
 use tokio::time::Instant;
 
-use super::fault::{Fault, Kind, heal};
+use super::fault::{Fault, FaultKind, heal};
 use super::probe::until_recovered;
 use super::run::Run;
 
@@ -27,7 +27,7 @@
 /// The faults of an episode, and its recovery time or the probe failure that remained.
 #[derive(Debug)]
 pub(crate) struct Episode {
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<FaultKind>,
     pub(crate) recovery: Result<Duration, String>,
 }
 
@@ -90,14 +90,14 @@
     async fn begin(&mut self, fault: &Fault) -> Result<(), FleetError> {
         fault.inject(&self.fleet, &mut self.rng).await?;
         match (fault.kind, fault.on.first()) {
-            (Kind::Kill, Some(id)) => self.fleet.kill(id).await?,
-            (Kind::Restart, Some(id)) => {
+            (FaultKind::Kill, Some(id)) => self.fleet.kill(id).await?,
+            (FaultKind::Restart, Some(id)) => {
                 self.fleet.restart(id).await?;
                 self.operators.forget(id);
             }
-            (Kind::Terminate, Some(id)) => self.fleet.terminate(id)?,
-            (Kind::PopularityShift, _) => self.load.shift_popularity(),
-            (Kind::OperatorRace, _) => {
+            (FaultKind::Terminate, Some(id)) => self.fleet.terminate(id)?,
+            (FaultKind::PopularityShift, _) => self.load.shift_popularity(),
+            (FaultKind::OperatorRace, _) => {
                 self.operators
                     .race(&self.fleet, &mut self.evidence, &mut self.rng)
                     .await;
@@ -112,8 +112,8 @@
     /// cleanly.
     async fn finish(&mut self, fault: &Fault) -> Result<(), FleetError> {
         match (fault.kind, fault.on.first()) {
-            (Kind::Kill, _) => drop(self.fleet.add_instance().await?),
-            (Kind::Terminate, Some(id)) => {
+            (FaultKind::Kill, _) => drop(self.fleet.add_instance().await?),
+            (FaultKind::Terminate, Some(id)) => {
                 let ended = self.fleet.wait_terminated(id, SHUTDOWN_BOUND).await;
                 let clean = ended.as_ref().is_ok_and(std::process::ExitStatus::success);
                 let finding = || format!("{id}: {ended:?}");
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -14,7 +14,7 @@
 /// The kinds of faults that can be injected into a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Kind {
+pub(crate) enum FaultKind {
     /// An instance is killed, and later replaced by one with a new id.
     Kill,
     /// An instance is killed and restarted under its own id.
@@ -73,7 +73,7 @@
     OperatorRace,
 }
 
-impl Kind {
+impl FaultKind {
     pub(crate) const ALL: [Self; 28] = [
         Self::Kill,
         Self::Restart,
@@ -120,7 +120,7 @@
 /// A fault and what it applies to.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
-    pub(crate) kind: Kind,
+    pub(crate) kind: FaultKind,
     /// The names of the affected instances or targets; empty for faults of the platform or load.
     pub(crate) on: Vec<String>,
 }
@@ -130,7 +130,7 @@
     ///
     /// Returns `None` if the fault would leave fewer than [`SPARED`] instances unaffected.
     pub(crate) fn draw(
-        kind: Kind,
+        kind: FaultKind,
         fleet: &Fleet,
         taken: &[String],
         rng: &mut ChaCha8Rng,
@@ -147,34 +147,35 @@
             .collect();
         let engines: Vec<_> = names(fleet, "engine");
         let on = match kind {
-            Kind::CutLink | Kind::BlackHole => pick(&ids, 2, rng),
-            Kind::Kill
-            | Kind::Restart
-            | Kind::Freeze
-            | Kind::Terminate
-            | Kind::SlowLinks
-            | Kind::LosePeers
-            | Kind::LosePlatform
-            | Kind::LoseBoth => {
+            FaultKind::CutLink | FaultKind::BlackHole => pick(&ids, 2, rng),
+            FaultKind::Kill
+            | FaultKind::Restart
+            | FaultKind::Freeze
+            | FaultKind::Terminate
+            | FaultKind::SlowLinks
+            | FaultKind::LosePeers
+            | FaultKind::LosePlatform
+            | FaultKind::LoseBoth => {
                 if free.len() <= SPARED {
                     return None;
                 }
                 pick(&free, 1, rng)
             }
-            Kind::EngineRestart | Kind::EngineDown | Kind::EngineFrozen | Kind::CutStreams => {
-                pick(&engines, 1, rng)
-            }
-            Kind::AllEnginesRestart | Kind::LoadsFail | Kind::LostOrders => engines,
-            Kind::PlainLosesAnswers | Kind::PlainCuts => names(fleet, "desk"),
-            Kind::PlatformDown
-            | Kind::PlatformUnavailable
-            | Kind::PlatformFrozen
-            | Kind::PlatformSlow
-            | Kind::LostAnswers
-            | Kind::WatchGap
-            | Kind::StaleReads
-            | Kind::PopularityShift
-            | Kind::OperatorRace => Vec::new(),
+            FaultKind::EngineRestart
+            | FaultKind::EngineDown
+            | FaultKind::EngineFrozen
+            | FaultKind::CutStreams => pick(&engines, 1, rng),
+            FaultKind::AllEnginesRestart | FaultKind::LoadsFail | FaultKind::LostOrders => engines,
+            FaultKind::PlainLosesAnswers | FaultKind::PlainCuts => names(fleet, "desk"),
+            FaultKind::PlatformDown
+            | FaultKind::PlatformUnavailable
+            | FaultKind::PlatformFrozen
+            | FaultKind::PlatformSlow
+            | FaultKind::LostAnswers
+            | FaultKind::WatchGap
+            | FaultKind::StaleReads
+            | FaultKind::PopularityShift
+            | FaultKind::OperatorRace => Vec::new(),
         };
         Some(Self { kind, on })
     }
@@ -183,13 +184,13 @@
     pub(crate) const fn holds_instances(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Kill
-                | Kind::Restart
-                | Kind::Freeze
-                | Kind::Terminate
-                | Kind::LosePeers
-                | Kind::LosePlatform
-                | Kind::LoseBoth
+            FaultKind::Kill
+                | FaultKind::Restart
+                | FaultKind::Freeze
+                | FaultKind::Terminate
+                | FaultKind::LosePeers
+                | FaultKind::LosePlatform
+                | FaultKind::LoseBoth
         )
     }
 
@@ -206,15 +207,17 @@
         let (first, second) = (self.on.first(), self.on.get(1));
         let slow = LinkMode::Delay(Duration::from_millis(rng.random_range(50..400)));
         match (self.kind, first, second) {
-            (Kind::CutLink, Some(a), Some(b)) => fleet.set_link(Link::between(a, b), LinkMode::Cut),
-            (Kind::BlackHole, Some(a), Some(b)) => {
+            (FaultKind::CutLink, Some(a), Some(b)) => {
+                fleet.set_link(Link::between(a, b), LinkMode::Cut)
+            }
+            (FaultKind::BlackHole, Some(a), Some(b)) => {
                 fleet.set_link(Link::between(a, b), LinkMode::BlackHole);
             }
-            (Kind::SlowLinks, Some(id), _) => fleet.set_link(Link::all_of(id), slow),
-            (Kind::LosePeers | Kind::LoseBoth, Some(id), _) => {
+            (FaultKind::SlowLinks, Some(id), _) => fleet.set_link(Link::all_of(id), slow),
+            (FaultKind::LosePeers | FaultKind::LoseBoth, Some(id), _) => {
                 fleet.set_link(Link::all_of(id), LinkMode::Cut);
             }
-            (Kind::Freeze, Some(id), _) => fleet.freeze(id)?,
+            (FaultKind::Freeze, Some(id), _) => fleet.freeze(id)?,
             _ => {}
         }
         for (standin, switches) in self.switches(rng) {
@@ -231,34 +234,36 @@
         };
         let some = rng.random_range(1..4);
         match self.kind {
-            Kind::LosePlatform | Kind::LoseBoth => platform(json!({"cut": self.on})),
-            Kind::PlatformDown => platform(json!({"down": "refuse"})),
-            Kind::PlatformUnavailable => platform(json!({"down": "unavailable"})),
-            Kind::PlatformFrozen => platform(json!({"freeze": true})),
-            Kind::PlatformSlow => platform(json!({"slow_ms": rng.random_range(100..1_500)})),
-            Kind::LostAnswers => platform(json!({"lose_answer_after_write": some * 2})),
-            Kind::WatchGap => platform(json!({"watch_gap": some, "expire_watches": true})),
-            Kind::StaleReads => platform(json!({"stale_reads": some, "stale_gets": some})),
-            Kind::EngineRestart | Kind::AllEnginesRestart => each(json!({"restart": true})),
-            Kind::EngineDown => each(json!({"down": true})),
-            Kind::EngineFrozen => each(json!({"freeze": true})),
-            Kind::LoadsFail => each(json!({"load_fails": 0.5})),
-            Kind::LostOrders => each(json!({"lose_order_answers": true, "load_slow_ms": 300})),
-            Kind::CutStreams => each(json!({"cut_after_tokens": some})),
-            Kind::PlainLosesAnswers => each(json!({"lose_answers": some * 3})),
-            Kind::PlainCuts => {
+            FaultKind::LosePlatform | FaultKind::LoseBoth => platform(json!({"cut": self.on})),
+            FaultKind::PlatformDown => platform(json!({"down": "refuse"})),
+            FaultKind::PlatformUnavailable => platform(json!({"down": "unavailable"})),
+            FaultKind::PlatformFrozen => platform(json!({"freeze": true})),
+            FaultKind::PlatformSlow => platform(json!({"slow_ms": rng.random_range(100..1_500)})),
+            FaultKind::LostAnswers => platform(json!({"lose_answer_after_write": some * 2})),
+            FaultKind::WatchGap => platform(json!({"watch_gap": some, "expire_watches": true})),
+            FaultKind::StaleReads => platform(json!({"stale_reads": some, "stale_gets": some})),
+            FaultKind::EngineRestart | FaultKind::AllEnginesRestart => {
+                each(json!({"restart": true}))
+            }
+            FaultKind::EngineDown => each(json!({"down": true})),
+            FaultKind::EngineFrozen => each(json!({"freeze": true})),
+            FaultKind::LoadsFail => each(json!({"load_fails": 0.5})),
+            FaultKind::LostOrders => each(json!({"lose_order_answers": true, "load_slow_ms": 300})),
+            FaultKind::CutStreams => each(json!({"cut_after_tokens": some})),
+            FaultKind::PlainLosesAnswers => each(json!({"lose_answers": some * 3})),
+            FaultKind::PlainCuts => {
                 each(json!({"cut_before_run": some, "cut_answers": some, "refuse": some}))
             }
-            Kind::Kill
-            | Kind::Restart
-            | Kind::Freeze
-            | Kind::Terminate
-            | Kind::CutLink
-            | Kind::BlackHole
-            | Kind::SlowLinks
-            | Kind::LosePeers
-            | Kind::PopularityShift
-            | Kind::OperatorRace => Vec::new(),
+            FaultKind::Kill
+            | FaultKind::Restart
+            | FaultKind::Freeze
+            | FaultKind::Terminate
+            | FaultKind::CutLink
+            | FaultKind::BlackHole
+            | FaultKind::SlowLinks
+            | FaultKind::LosePeers
+            | FaultKind::PopularityShift
+            | FaultKind::OperatorRace => Vec::new(),
         }
     }
 }
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -12,7 +12,7 @@
 
 use super::change::Operators;
 use super::episode::Episode;
-use super::fault::Kind;
+use super::fault::FaultKind;
 use super::report::Report;
 
 /// Number of instances.
@@ -45,7 +45,7 @@
     pub(crate) seed: u64,
     pub(crate) length: Duration,
     pub(crate) rate: f64,
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<FaultKind>,
     pub(crate) json: bool,
     pub(crate) keep_logs: bool,
 }
@@ -68,7 +68,7 @@
     pub(crate) operators: Operators,
     pub(crate) evidence: Evidence,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<FaultKind>,
     started: Instant,
 }
 
