--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -38,7 +38,7 @@
 
 /// The outcome of a change, as the operator that sent it received it.
 #[derive(Clone, Debug, PartialEq)]
-enum Answer {
+enum ChangeOutcome {
     Accepted(u64),
     Refused,
     Unknown,
@@ -49,7 +49,7 @@
 pub(crate) struct Operators {
     next: usize,
     /// The outcome of each version's creation, by version.
-    versions: BTreeMap<String, Answer>,
+    versions: BTreeMap<String, ChangeOutcome>,
     /// Accepted caps by revision.
     caps: BTreeMap<u64, f64>,
     /// Caps whose outcome or revision is unknown.
@@ -82,7 +82,7 @@
         let model = format!("{}@r{}", adapter_name(0), self.next);
         let answer = self.send(&statements, &create_version(&model)).await;
         self.versions.insert(model.clone(), answer.clone());
-        if let Answer::Accepted(revision) = answer {
+        if let ChangeOutcome::Accepted(revision) = answer {
             self.ask_everywhere(fleet, load, &model, revision);
         }
     }
@@ -110,32 +110,32 @@
             tokio::join!(tell(senders[0], &texts[0]), tell(senders[1], &texts[1]),);
         let both = matches!(
             (&first, &second),
-            (Answer::Accepted(_), Answer::Accepted(_))
+            (ChangeOutcome::Accepted(_), ChangeOutcome::Accepted(_))
         );
         let finding = || format!("two changes conditional on revision {revision} were accepted");
         evidence.check(Promise::ConfigurationHolds, !both, finding);
         for (cap, answer) in caps.into_iter().zip([first, second]) {
             self.note(&answer);
             match answer {
-                Answer::Accepted(revision) => drop(self.caps.insert(revision, cap)),
-                Answer::Unknown => self.unknown_caps.push(cap),
-                Answer::Refused => {}
+                ChangeOutcome::Accepted(revision) => drop(self.caps.insert(revision, cap)),
+                ChangeOutcome::Unknown => self.unknown_caps.push(cap),
+                ChangeOutcome::Refused => {}
             }
         }
     }
 
-    async fn send(&mut self, statements: &Statements, text: &str) -> Answer {
+    async fn send(&mut self, statements: &Statements, text: &str) -> ChangeOutcome {
         let answer = tell(statements, text).await;
         self.note(&answer);
         answer
     }
 
-    fn note(&mut self, answer: &Answer) {
+    fn note(&mut self, answer: &ChangeOutcome) {
         self.changes += 1;
         match answer {
-            Answer::Accepted(revision) => self.accepted = self.accepted.max(*revision),
-            Answer::Refused => self.refused += 1,
-            Answer::Unknown => {}
+            ChangeOutcome::Accepted(revision) => self.accepted = self.accepted.max(*revision),
+            ChangeOutcome::Refused => self.refused += 1,
+            ChangeOutcome::Unknown => {}
         }
     }
 
@@ -219,9 +219,9 @@
         for (model, answer) in &self.versions {
             let there = shown.contains(model);
             let held = match answer {
-                Answer::Accepted(_) => there,
-                Answer::Refused => !there,
-                Answer::Unknown => true,
+                ChangeOutcome::Accepted(_) => there,
+                ChangeOutcome::Refused => !there,
+                ChangeOutcome::Unknown => true,
             };
             let finding =
                 || format!("{id}: creation of {model} was {answer:?}, in force there: {there}");
@@ -248,15 +248,15 @@
     }
 }
 
-async fn tell(statements: &Statements, text: &str) -> Answer {
+async fn tell(statements: &Statements, text: &str) -> ChangeOutcome {
     let Ok(reply) = statements.try_run(text).await else {
-        return Answer::Unknown;
+        return ChangeOutcome::Unknown;
     };
     if REFUSALS.contains(&reply.status) {
-        return Answer::Refused;
+        return ChangeOutcome::Refused;
     }
     let accepted = reply.json()["results"][0]["accepted"].as_u64();
-    accepted.map_or(Answer::Unknown, Answer::Accepted)
+    accepted.map_or(ChangeOutcome::Unknown, ChangeOutcome::Accepted)
 }
 
 async fn column(statements: &Statements, query: &str, name: &str) -> Option<Vec<String>> {
