--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -106,8 +106,10 @@
         let caps = [self.next as f64 * 2.0, self.next as f64 * 2.0 + 1.0].map(|cap| cap + 50_000.0);
         let text = |cap: f64| format!("if revision = {revision} set site {SITE} cap_watts={cap}");
         let (texts, senders) = (caps.map(text), [&a, &b]);
-        let (first, second) =
-            tokio::join!(tell(senders[0], &texts[0]), tell(senders[1], &texts[1]),);
+        let (first, second) = tokio::join!(
+            submit_change(senders[0], &texts[0]),
+            submit_change(senders[1], &texts[1]),
+        );
         let both = matches!(
             (&first, &second),
             (ChangeOutcome::Accepted(_), ChangeOutcome::Accepted(_))
@@ -125,7 +127,7 @@
     }
 
     async fn send(&mut self, statements: &Statements, text: &str) -> ChangeOutcome {
-        let answer = tell(statements, text).await;
+        let answer = submit_change(statements, text).await;
         self.note(&answer);
         answer
     }
@@ -248,7 +250,7 @@
     }
 }
 
-async fn tell(statements: &Statements, text: &str) -> ChangeOutcome {
+async fn submit_change(statements: &Statements, text: &str) -> ChangeOutcome {
     let Ok(reply) = statements.try_run(text).await else {
         return ChangeOutcome::Unknown;
     };
