--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -17,11 +17,11 @@
 use super::run::REQUEST_TIMEOUT;
 
 /// The time within which every instance of a healed deployment must know an accepted revision.
-const IN_FORCE_BOUND: Duration = Duration::from_secs(15);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The time limit for querying an instance's revision. While faults are active, waiting longer for
 /// a paused instance would extend the pause past the timeout of the requests that wait for it.
-const LOOK_BOUND: Duration = Duration::from_secs(2);
+const REVISION_QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The site whose power cap operators change concurrently.
 const SITE: &str = "hall";
@@ -143,7 +143,7 @@
 
     /// Queries the revision of each instance and checks that it never decreases.
     pub(crate) async fn watch_revisions(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
-        let http = HttpClient::new(LOOK_BOUND);
+        let http = HttpClient::new(REVISION_QUERY_TIMEOUT);
         let asked = fleet.instances().iter().map(|(id, instance)| {
             let statements = Statements::new(http.clone(), instance.operators());
             async move { Some((id, statements.run_local(REVISION_QUERY).await.ok()?)) }
@@ -203,7 +203,7 @@
                 let shown = statements.run_local(REVISION_QUERY).await.ok()?;
                 (shown["revision"].as_u64()? >= accepted).then_some(())
             };
-            let known = wait_until(IN_FORCE_BOUND, look).await.is_some();
+            let known = wait_until(PROPAGATION_TIMEOUT, look).await.is_some();
             let behind = || format!("{id} has not reached revision {accepted} after healing");
             evidence.check(Promise::ConfigurationHolds, known, behind);
             if known {
