--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -59,14 +59,14 @@
     /// The highest revision that each instance has reported.
     seen: BTreeMap<String, u64>,
     /// Requests for new versions whose answers have not been checked yet.
-    asked: Vec<Asked>,
+    version_requests: Vec<VersionRequest>,
     pub(crate) changes: u64,
     pub(crate) refused: u64,
 }
 
 /// A request for a version whose creation was just accepted.
 #[derive(Debug)]
-struct Asked {
+struct VersionRequest {
     id: String,
     revision: u64,
     sent: JoinHandle<Verdict>,
@@ -83,7 +83,7 @@
         let answer = self.send(&statements, &create_version(&model)).await;
         self.versions.insert(model.clone(), answer.clone());
         if let ChangeOutcome::Accepted(revision) = answer {
-            self.ask_everywhere(fleet, load, &model, revision);
+            self.request_everywhere(fleet, load, &model, revision);
         }
     }
 
@@ -160,7 +160,7 @@
     /// Requests a version that was just accepted at every instance.
     ///
     /// The answers are checked once faults are healed, as a paused instance answers only then.
-    fn ask_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
+    fn request_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
         for (id, address) in fleet.ready_instances() {
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
             let req = RequestPlan {
@@ -169,13 +169,14 @@
                 ..req
             };
             let sent = load.spawn(&id, req);
-            self.asked.push(Asked { id, revision, sent });
+            self.version_requests
+                .push(VersionRequest { id, revision, sent });
         }
     }
 
-    /// Checks the answers to [`Self::ask_everywhere`]: none may be a 404 for the version.
-    async fn check_asked(&mut self, evidence: &mut Evidence) {
-        for Asked { id, revision, sent } in std::mem::take(&mut self.asked) {
+    /// Checks the answers to [`Self::request_everywhere`]: none may be a 404 for the version.
+    async fn check_version_requests(&mut self, evidence: &mut Evidence) {
+        for VersionRequest { id, revision, sent } in std::mem::take(&mut self.version_requests) {
             let Ok(verdict) = sent.await else {
                 continue;
             };
@@ -193,7 +194,7 @@
     /// Checks a healed deployment: accepted changes are in force at every instance, refused ones at
     /// none.
     pub(crate) async fn check(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
-        self.check_asked(evidence).await;
+        self.check_version_requests(evidence).await;
         for (id, _) in fleet.ready_instances() {
             let Ok(statements) = fleet.statements_at(&id) else {
                 continue;
