--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -117,7 +117,7 @@
         let finding = || format!("two changes conditional on revision {revision} were accepted");
         evidence.check(Promise::ConfigurationHolds, !both, finding);
         for (cap, answer) in caps.into_iter().zip([first, second]) {
-            self.note(&answer);
+            self.record_outcome(&answer);
             match answer {
                 ChangeOutcome::Accepted(revision) => drop(self.caps.insert(revision, cap)),
                 ChangeOutcome::Unknown => self.unknown_caps.push(cap),
@@ -128,11 +128,11 @@
 
     async fn send(&mut self, statements: &Statements, text: &str) -> ChangeOutcome {
         let answer = submit_change(statements, text).await;
-        self.note(&answer);
+        self.record_outcome(&answer);
         answer
     }
 
-    fn note(&mut self, answer: &ChangeOutcome) {
+    fn record_outcome(&mut self, answer: &ChangeOutcome) {
         self.changes += 1;
         match answer {
             ChangeOutcome::Accepted(revision) => self.accepted = self.accepted.max(*revision),
