--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -75,7 +75,7 @@
 impl Operators {
     /// Creates a version at one instance and, if that is accepted, requests it at every instance.
     pub(crate) async fn create(&mut self, fleet: &Fleet, load: &Load, rng: &mut ChaCha8Rng) {
-        let Some(statements) = any(fleet, rng) else {
+        let Some(statements) = random_statements(fleet, rng) else {
             return;
         };
         self.next += 1;
@@ -95,7 +95,8 @@
         evidence: &mut Evidence,
         rng: &mut ChaCha8Rng,
     ) {
-        let (Some(a), Some(b)) = (any(fleet, rng), any(fleet, rng)) else {
+        let (Some(a), Some(b)) = (random_statements(fleet, rng), random_statements(fleet, rng))
+        else {
             return;
         };
         let Ok(shown) = a.run_local(REVISION_QUERY).await else {
@@ -274,7 +275,7 @@
     )
 }
 
-fn any(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Option<Statements> {
+fn random_statements(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Option<Statements> {
     let instances = fleet.ready_instances();
     let (id, _) = instances.choose(rng)?;
     fleet.statements_at(id).ok()
