--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -38,7 +38,7 @@
         let faults = self.draw();
         let began = Instant::now();
         for fault in &faults {
-            self.note(number, &format!("{:?} {}", fault.kind, fault.on.join(" ")));
+            self.log_progress(number, &format!("{:?} {}", fault.kind, fault.on.join(" ")));
             self.begin(fault).await?;
         }
         let hold = Duration::from_millis(self.rng.random_range(HOLD_MS));
@@ -54,13 +54,13 @@
         }
         heal(&self.fleet).await?;
         let healed = Instant::now();
-        self.note(number, "healed");
+        self.log_progress(number, "healed");
         for fault in &faults {
             self.finish(fault).await?;
         }
         let recovery =
             until_recovered(&self.fleet, &self.load, number, healed, RECOVERY_BOUND).await;
-        self.note(number, &format!("recovered: {recovery:?}"));
+        self.log_progress(number, &format!("recovered: {recovery:?}"));
         self.operators.check(&self.fleet, &mut self.evidence).await;
         let kinds = faults.iter().map(|fault| fault.kind).collect();
         Ok(Episode { kinds, recovery })
--- a/crates/chervilshunt_bench/src/faults/run.rs
+++ b/crates/chervilshunt_bench/src/faults/run.rs
@@ -151,7 +151,7 @@
     }
 
     /// Logs the current step to standard error, so that a finding can be matched to it.
-    pub(crate) fn note(&self, episode: usize, text: &str) {
+    pub(crate) fn log_progress(&self, episode: usize, text: &str) {
         let at = self.started.elapsed().as_secs_f64();
         eprintln!("{at:7.1} s  episode {episode}: {text}");
     }
