--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -38,7 +38,10 @@
         let faults = self.draw();
         let began = Instant::now();
         for fault in &faults {
-            self.log_progress(number, &format!("{:?} {}", fault.kind, fault.on.join(" ")));
+            self.log_progress(
+                number,
+                &format!("{:?} {}", fault.kind, fault.subjects.join(" ")),
+            );
             self.begin(fault).await?;
         }
         let hold = Duration::from_millis(self.rng.random_range(HOLD_MS));
@@ -78,7 +81,7 @@
                 return faults;
             };
             let held = faults.iter().filter(|fault| fault.holds_instances());
-            let taken: Vec<_> = held.flat_map(|fault| fault.on.clone()).collect();
+            let taken: Vec<_> = held.flat_map(|fault| fault.subjects.clone()).collect();
             match Fault::draw(kind, &self.fleet, &taken, &mut self.rng) {
                 Some(fault) => faults.push(fault),
                 None => return faults,
@@ -89,7 +92,7 @@
 
     async fn begin(&mut self, fault: &Fault) -> Result<(), FleetError> {
         fault.inject(&self.fleet, &mut self.rng).await?;
-        match (fault.kind, fault.on.first()) {
+        match (fault.kind, fault.subjects.first()) {
             (FaultKind::Kill, Some(id)) => self.fleet.kill(id).await?,
             (FaultKind::Restart, Some(id)) => {
                 self.fleet.restart(id).await?;
@@ -111,7 +114,7 @@
     /// Replaces instances that were killed or terminated, and checks that a terminated one exited
     /// cleanly.
     async fn finish(&mut self, fault: &Fault) -> Result<(), FleetError> {
-        match (fault.kind, fault.on.first()) {
+        match (fault.kind, fault.subjects.first()) {
             (FaultKind::Kill, _) => drop(self.fleet.add_instance().await?),
             (FaultKind::Terminate, Some(id)) => {
                 let ended = self.fleet.wait_terminated(id, SHUTDOWN_BOUND).await;
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -122,7 +122,7 @@
 pub(crate) struct Fault {
     pub(crate) kind: FaultKind,
     /// The names of the affected instances or targets; empty for faults of the platform or load.
-    pub(crate) on: Vec<String>,
+    pub(crate) subjects: Vec<String>,
 }
 
 impl Fault {
@@ -146,7 +146,7 @@
             .cloned()
             .collect();
         let engines: Vec<_> = names(fleet, "engine");
-        let on = match kind {
+        let subjects = match kind {
             FaultKind::CutLink | FaultKind::BlackHole => pick(&ids, 2, rng),
             FaultKind::Kill
             | FaultKind::Restart
@@ -177,7 +177,7 @@
             | FaultKind::PopularityShift
             | FaultKind::OperatorRace => Vec::new(),
         };
-        Some(Self { kind, on })
+        Some(Self { kind, subjects })
     }
 
     /// Returns whether the fault stops its instances or cuts them off from peers or the platform.
@@ -204,7 +204,7 @@
         fleet: &Fleet,
         rng: &mut ChaCha8Rng,
     ) -> Result<(), FleetError> {
-        let (first, second) = (self.on.first(), self.on.get(1));
+        let (first, second) = (self.subjects.first(), self.subjects.get(1));
         let slow = LinkMode::Delay(Duration::from_millis(rng.random_range(50..400)));
         match (self.kind, first, second) {
             (FaultKind::CutLink, Some(a), Some(b)) => {
@@ -229,12 +229,14 @@
     fn switches(&self, rng: &mut ChaCha8Rng) -> Vec<(String, Value)> {
         let platform = |switches| vec![("platform".to_owned(), switches)];
         let each = |switches: Value| {
-            let on = self.on.iter();
+            let on = self.subjects.iter();
             on.map(|name| (name.clone(), switches.clone())).collect()
         };
         let some = rng.random_range(1..4);
         match self.kind {
-            FaultKind::LosePlatform | FaultKind::LoseBoth => platform(json!({"cut": self.on})),
+            FaultKind::LosePlatform | FaultKind::LoseBoth => {
+                platform(json!({"cut": self.subjects}))
+            }
             FaultKind::PlatformDown => platform(json!({"down": "refuse"})),
             FaultKind::PlatformUnavailable => platform(json!({"down": "unavailable"})),
             FaultKind::PlatformFrozen => platform(json!({"freeze": true})),
