--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -80,7 +80,7 @@
             let Some(kind) = self.kinds.choose(&mut self.rng).copied() else {
                 return faults;
             };
-            let held = faults.iter().filter(|fault| fault.holds_instances());
+            let held = faults.iter().filter(|fault| fault.disables_instances());
             let taken: Vec<_> = held.flat_map(|fault| fault.subjects.clone()).collect();
             match Fault::draw(kind, &self.fleet, &taken, &mut self.rng) {
                 Some(fault) => faults.push(fault),
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -181,7 +181,7 @@
     }
 
     /// Returns whether the fault stops its instances or cuts them off from peers or the platform.
-    pub(crate) const fn holds_instances(&self) -> bool {
+    pub(crate) const fn disables_instances(&self) -> bool {
         matches!(
             self.kind,
             FaultKind::Kill
