--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Number of instances that faults must leave unaffected, so that load can continue.
-const SPARED: usize = 2;
+const MIN_UNAFFECTED_INSTANCES: usize = 2;
 
 /// The kinds of faults that can be injected into a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -128,7 +128,7 @@
 impl Fault {
     /// Draws what a fault applies to, avoiding for most faults of instances those in `taken`.
     ///
-    /// Returns `None` if the fault would leave fewer than [`SPARED`] instances unaffected.
+    /// Returns `None` if the fault would leave fewer than [`MIN_UNAFFECTED_INSTANCES`] instances unaffected.
     pub(crate) fn draw(
         kind: FaultKind,
         fleet: &Fleet,
@@ -156,7 +156,7 @@
             | FaultKind::LosePeers
             | FaultKind::LosePlatform
             | FaultKind::LoseBoth => {
-                if free.len() <= SPARED {
+                if free.len() <= MIN_UNAFFECTED_INSTANCES {
                     return None;
                 }
                 pick(&free, 1, rng)
