--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -39,12 +39,12 @@
 ) -> Result<Duration, String> {
     for round in 0_usize.. {
         let began = Instant::now();
-        let lacks = send_round(fleet, load, &format!("p{episode}-{round}")).await;
-        let Some(lack) = lacks.into_iter().next() else {
+        let failures = send_round(fleet, load, &format!("p{episode}-{round}")).await;
+        let Some(failure) = failures.into_iter().next() else {
             return Ok(began - healed);
         };
         if healed.elapsed() > bound {
-            return Err(lack);
+            return Err(failure);
         }
         tokio::time::sleep(ROUND_PAUSE).await;
     }
--- a/crates/chervilshunt_bench/src/faults/report.rs
+++ b/crates/chervilshunt_bench/src/faults/report.rs
@@ -132,8 +132,8 @@
             println!("BROKEN {}: {}", violation.promise, violation.finding);
         }
         for (kind, recovery) in &self.recoveries {
-            for lack in &recovery.overdue {
-                println!("OVERDUE after {kind}: {lack}");
+            for failure in &recovery.overdue {
+                println!("OVERDUE after {kind}: {failure}");
             }
         }
         println!(
@@ -189,7 +189,7 @@
             recovery.episodes += 1;
             match &episode.recovery {
                 Ok(time) => recovery.times.push(millis(*time)),
-                Err(lack) => recovery.overdue.push(lack.clone()),
+                Err(failure) => recovery.overdue.push(failure.clone()),
             }
         }
     }
