--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// The time within which a recovered deployment must answer a probe.
-const PROMPT: Duration = Duration::from_secs(3);
+const PROMPT_ANSWER_TIME: Duration = Duration::from_secs(3);
 
 /// The timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(40);
@@ -83,7 +83,7 @@
     let verdict = load.send(id, req).await;
     let took = sent.elapsed();
     match &verdict {
-        Verdict::Answered(_) if took <= PROMPT => None,
+        Verdict::Answered(_) if took <= PROMPT_ANSWER_TIME => None,
         Verdict::Answered(_) => Some(format!("{name}: answered after {took:.1?}")),
         _ => Some(format!(
             "{name}: {}",
