--- a/crates/chervilshunt_bench/src/faults/report.rs
+++ b/crates/chervilshunt_bench/src/faults/report.rs
@@ -152,7 +152,7 @@
         let mut requests = Self::default();
         for one in tries {
             requests.tries += 1;
-            let place = match &one.record.verdict {
+            let counter = match &one.record.verdict {
                 Verdict::Answered(_) => &mut requests.answered,
                 Verdict::Violated(_) => &mut requests.violated,
                 Verdict::Disconnected { sent: false, .. } => &mut requests.not_connected,
@@ -167,7 +167,7 @@
                     }
                 }
             };
-            *place += 1;
+            *counter += 1;
         }
         requests
     }
