--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -15,7 +15,7 @@
 const SIDE_BY_SIDE: usize = 2;
 
 /// How long a test waits for an expected condition before it fails.
-pub(crate) const BOUND: Duration = Duration::from_secs(40);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// How long a caller waits for the end of one answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -111,9 +111,9 @@
         format!("t{}", self.sent)
     }
 
-    /// Retries a completion at an instance until it is answered; panics after [`BOUND`].
+    /// Retries a completion at an instance until it is answered; panics after [`WAIT_TIMEOUT`].
     pub(crate) async fn until_answered(&mut self, id: &str, model: &str) {
-        let end = tokio::time::Instant::now() + BOUND;
+        let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let verdict = self.complete(id, model, 3).await;
             if matches!(verdict, Verdict::Answered(_)) {
@@ -122,7 +122,7 @@
             let told = describe(&verdict);
             assert!(
                 tokio::time::Instant::now() < end,
-                "{id} did not recover within {BOUND:?}: {model}: {told}"
+                "{id} did not recover within {WAIT_TIMEOUT:?}: {model}: {told}"
             );
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
@@ -154,7 +154,7 @@
             let mut owners = cells(&answer, "owner").into_iter();
             owners.find(|owner| Some(owner.as_str()) != but)
         };
-        let found = wait_until(BOUND, look).await;
+        let found = wait_until(WAIT_TIMEOUT, look).await;
         found.unwrap_or_else(|| panic!("{target} got no owner other than {but:?}"))
     }
 
--- a/crates/chervilshunt_bench/tests/failures/engines.rs
+++ b/crates/chervilshunt_bench/tests/failures/engines.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, answered, unanswered};
+use crate::case::{Case, WAIT_TIMEOUT, answered, unanswered};
 
 /// An engine loses its adapters and running work and is available again at once. Open streams have
 /// to be reported as cut short. The owner's record of loaded adapters is outdated, so the next
@@ -98,7 +98,7 @@
         );
     };
     assert_eq!(refusal.outcome, Outcome::NotRun, "{}", describe(&verdict));
-    assert!(sent.elapsed() < BOUND);
+    assert!(sent.elapsed() < WAIT_TIMEOUT);
     for engine in ["engine-1", "engine-2"] {
         case.fault(engine, json!({"load_fails": 0.0})).await;
     }
--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, answered};
+use crate::case::{Case, WAIT_TIMEOUT, answered};
 
 /// The entry instance of a keyed call is killed or paused while the call is in flight. The caller
 /// gets no answer and retries at another instance with the same key. The first attempt may have
@@ -104,7 +104,7 @@
             };
             settled.then_some(())
         };
-        wait_until(BOUND, retry)
+        wait_until(WAIT_TIMEOUT, retry)
             .await
             .expect("a retry never received the outcome of the call");
         assert!(case.runs(&entry).await <= 1);
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, PAST_LEASE, answered};
+use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
 
 /// Number of adapters: more than fit into the slots, so that owners send orders continuously.
 const ADAPTERS: usize = 16;
@@ -151,5 +151,5 @@
         let refused = case.count(engine, "fenced_orders").await;
         assert_eq!(stale, refused, "{engine} executed an order of an old epoch");
     }
-    assert!(case.fleet.wait_listed(BOUND).await);
+    assert!(case.fleet.wait_listed(WAIT_TIMEOUT).await);
 }
--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, unanswered};
+use crate::case::{Case, WAIT_TIMEOUT, unanswered};
 
 /// The time after which a leaving target must get no new work.
 const NO_MORE_AFTER: Duration = Duration::from_secs(3);
@@ -44,7 +44,7 @@
             case.fleet
                 .list_target("engine-1", Condition::Leaving)
                 .unwrap();
-            assert!(case.fleet.wait_listed(BOUND).await);
+            assert!(case.fleet.wait_listed(WAIT_TIMEOUT).await);
         }
     }
     case.run_for(NO_MORE_AFTER).await;
@@ -83,7 +83,11 @@
         case.fault("platform", json!({"down": "unavailable"})).await;
     }
     case.load.set_instances(case.fleet.ready_instances());
-    let status = case.fleet.wait_terminated("i2", BOUND).await.unwrap();
+    let status = case
+        .fleet
+        .wait_terminated("i2", WAIT_TIMEOUT)
+        .await
+        .unwrap();
     for stream in streams {
         let verdict = stream.await.unwrap();
         assert!(
--- a/crates/chervilshunt_bench/tests/failures/operators.rs
+++ b/crates/chervilshunt_bench/tests/failures/operators.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, PAST_LEASE};
+use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT};
 
 const INSTANCES: [&str; 3] = ["i1", "i2", "i3"];
 
@@ -93,7 +93,7 @@
         }
         Some(())
     };
-    wait_until(BOUND, agree)
+    wait_until(WAIT_TIMEOUT, agree)
         .await
         .expect("instances disagree on the versions");
     case.finish().await;
@@ -175,7 +175,7 @@
         let change = statements.try_run(&create).await.ok()?;
         change.status.is_success().then_some(())
     };
-    wait_until(BOUND, look)
+    wait_until(WAIT_TIMEOUT, look)
         .await
         .expect("no change was accepted after all instances were back");
     for id in INSTANCES {
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::case::{BOUND, Case, PAST_LEASE, answered};
+use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
 
 const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
 
@@ -63,7 +63,7 @@
         let owner = case.owner("i1", ENGINES[0], None).await;
         (case.owner("i1", ENGINES[1], None).await != owner).then_some(owner)
     };
-    let owner = wait_until(BOUND, apart).await;
+    let owner = wait_until(WAIT_TIMEOUT, apart).await;
     let owner = owner.expect("one instance still owns both engines");
     let witness = case.another(&[&owner]);
     let entries = open_entries(&mut case, &owner);
@@ -165,7 +165,7 @@
         let change = statements.try_run(&create).await.ok()?;
         change.status.is_success().then_some(())
     };
-    let accepted = wait_until(BOUND, change).await;
+    let accepted = wait_until(WAIT_TIMEOUT, change).await;
     accepted.expect("no change was accepted after the faults");
     for id in ids {
         case.until_answered(id, model).await;
@@ -181,7 +181,7 @@
         }
         Some(())
     };
-    let agreed = wait_until(BOUND, agree).await;
+    let agreed = wait_until(WAIT_TIMEOUT, agree).await;
     agreed.expect("instances disagree on the versions");
 }
 
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::case::{BOUND, Case, PAST_LEASE, answered};
+use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
 
 /// The platform is down for longer than every lease. No instance can be superseded meanwhile, so
 /// each keeps serving with the targets it owns, and completions are unaffected. A configuration
@@ -55,7 +55,7 @@
     let up = json!({"down": "no", "freeze": false});
     case.fault("platform", up).await;
     let retry = || async { answered(&case.load.send("i3", case.at("i3", entry.clone())).await) };
-    let retried = wait_until(BOUND, || async { retry().await.then_some(()) }).await;
+    let retried = wait_until(WAIT_TIMEOUT, || async { retry().await.then_some(()) }).await;
     retried.expect("the keyed call was not answered after the outage");
     assert_eq!(case.runs(&entry).await, 1);
     let query = format!("show versions where name = {model}");
@@ -187,7 +187,7 @@
         let change = statements.try_run(&create).await.ok()?;
         change.status.is_success().then_some(())
     };
-    wait_until(BOUND, look)
+    wait_until(WAIT_TIMEOUT, look)
         .await
         .expect("no change was accepted after the fault");
     case.until_answered("i3", "adapter-0002@after").await;
--- a/crates/chervilshunt_bench/tests/failures/releases.rs
+++ b/crates/chervilshunt_bench/tests/failures/releases.rs
@@ -4,7 +4,7 @@
 
 use chervilshunt_standin::fleet::{FleetOptions, Link, LinkMode, model_name, wait_until};
 
-use crate::case::{BOUND, Case};
+use crate::case::{Case, WAIT_TIMEOUT};
 
 /// Number of tokens of answers that end while the owner is cut off, after about 2 s.
 const TOKENS: u32 = 400;
@@ -52,7 +52,7 @@
         let held = case.column(&owner, "show permits", "held_ms").await;
         (!overdue(&held)).then_some(())
     };
-    let given_back = wait_until(BOUND, look).await;
+    let given_back = wait_until(WAIT_TIMEOUT, look).await;
     assert!(
         given_back.is_some(),
         "{owner} still holds permits of ended answers"
