--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Maximum number of deployments that run concurrently: each has seven processes or more.
-const SIDE_BY_SIDE: usize = 2;
+const MAX_CONCURRENT_DEPLOYMENTS: usize = 2;
 
 /// How long a test waits for an expected condition before it fails.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -216,7 +216,7 @@
 /// Waits until another deployment may run.
 async fn turn() -> OwnedSemaphorePermit {
     static TURNS: std::sync::OnceLock<Arc<Semaphore>> = std::sync::OnceLock::new();
-    let turns = TURNS.get_or_init(|| Arc::new(Semaphore::new(SIDE_BY_SIDE)));
+    let turns = TURNS.get_or_init(|| Arc::new(Semaphore::new(MAX_CONCURRENT_DEPLOYMENTS)));
     Arc::clone(turns)
         .acquire_owned()
         .await
