--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -36,13 +36,13 @@
     pub(crate) load: Load,
     pub(crate) evidence: Evidence,
     sent: usize,
-    _turn: OwnedSemaphorePermit,
+    _deployment_permit: OwnedSemaphorePermit,
 }
 
 impl Case {
     /// Starts a deployment and a load of `rate` requests per second on it.
     pub(crate) async fn start(options: FleetOptions, rate: f64) -> Self {
-        let turn = turn().await;
+        let deployment_permit = acquire_deployment_permit().await;
         let settings = json!({
             "lease": {"duration_ms": LEASE_MS, "renew_ms": LEASE_MS / 4, "margin_ms": LEASE_MS / 6},
             // A hanging call has to time out early enough for an outage to be noticed in time.
@@ -69,7 +69,7 @@
             load,
             evidence: Evidence::default(),
             sent: 0,
-            _turn: turn,
+            _deployment_permit: deployment_permit,
         }
     }
 
@@ -214,10 +214,11 @@
 }
 
 /// Waits until another deployment may run.
-async fn turn() -> OwnedSemaphorePermit {
-    static TURNS: std::sync::OnceLock<Arc<Semaphore>> = std::sync::OnceLock::new();
-    let turns = TURNS.get_or_init(|| Arc::new(Semaphore::new(MAX_CONCURRENT_DEPLOYMENTS)));
-    Arc::clone(turns)
+async fn acquire_deployment_permit() -> OwnedSemaphorePermit {
+    static DEPLOYMENT_PERMITS: std::sync::OnceLock<Arc<Semaphore>> = std::sync::OnceLock::new();
+    let permits =
+        DEPLOYMENT_PERMITS.get_or_init(|| Arc::new(Semaphore::new(MAX_CONCURRENT_DEPLOYMENTS)));
+    Arc::clone(permits)
         .acquire_owned()
         .await
         .expect("nothing closes the semaphore")
