--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -27,7 +27,7 @@
 const LEASE_MS: u64 = 5_000;
 
 /// Long enough for a lease to expire and for the roles of its holder to be taken over.
-pub(crate) const PAST_LEASE: Duration = Duration::from_millis(2 * LEASE_MS);
+pub(crate) const LEASE_TAKEOVER_TIME: Duration = Duration::from_millis(2 * LEASE_MS);
 
 /// A deployment under load with checked answers.
 #[derive(Debug)]
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
+use crate::case::{Case, LEASE_TAKEOVER_TIME, WAIT_TIMEOUT, answered};
 
 /// Number of adapters: more than fit into the slots, so that owners send orders continuously.
 const ADAPTERS: usize = 16;
@@ -38,7 +38,7 @@
         let holder = case.owner("i1", engine, None).await;
         let witness = case.another(&[&holder]);
         case.fleet.freeze(&holder).unwrap();
-        case.run_for(PAST_LEASE).await;
+        case.run_for(LEASE_TAKEOVER_TIME).await;
         case.owner(&witness, engine, Some(&holder)).await;
         case.fleet.thaw(&holder).unwrap();
         case.until_answered(&holder, &model_name(0)).await;
@@ -83,7 +83,7 @@
     left.retain(|(id, _)| *id != entry || !entry_paused);
     case.load.set_instances(left);
     case.owner(&witness, "engine-1", Some(&holder)).await;
-    case.run_for(PAST_LEASE / 2).await;
+    case.run_for(LEASE_TAKEOVER_TIME / 2).await;
     case.fleet.thaw(&entry).unwrap();
     let mut whole = 0;
     for stream in streams {
@@ -129,7 +129,7 @@
     if platform {
         case.fault("platform", json!({"cut": [holder]})).await;
     }
-    case.run_for(PAST_LEASE).await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
     let others = case.another(&[&holder]);
     if platform {
         case.owner(&others, "engine-1", Some(&holder)).await;
--- a/crates/chervilshunt_bench/tests/failures/operators.rs
+++ b/crates/chervilshunt_bench/tests/failures/operators.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT};
+use crate::case::{Case, LEASE_TAKEOVER_TIME, WAIT_TIMEOUT};
 
 const INSTANCES: [&str; 3] = ["i1", "i2", "i3"];
 
@@ -164,7 +164,7 @@
             let served = matches!(verdict, Verdict::Answered(_));
             assert!(!served, "{away} served a version that was deleted");
         }
-        case.run_for(PAST_LEASE / 2).await;
+        case.run_for(LEASE_TAKEOVER_TIME / 2).await;
     }
     case.fleet.thaw(away).unwrap();
     case.fleet.heal_links();
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
+use crate::case::{Case, LEASE_TAKEOVER_TIME, WAIT_TIMEOUT, answered};
 
 const ENGINES: [&str; 2] = ["engine-1", "engine-2"];
 
@@ -72,7 +72,7 @@
         racing.extend(begin(&mut case, fault, &owner).await);
     }
     case.until_answered(&witness, &model_name(0)).await;
-    case.run_for(PAST_LEASE).await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
     case.until_answered(&witness, &model_name(1)).await;
 
     drop(racing);
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::case::{Case, PAST_LEASE, WAIT_TIMEOUT, answered};
+use crate::case::{Case, LEASE_TAKEOVER_TIME, WAIT_TIMEOUT, answered};
 
 /// The platform is down for longer than every lease. No instance can be superseded meanwhile, so
 /// each keeps serving with the targets it owns, and completions are unaffected. A configuration
@@ -23,7 +23,7 @@
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
     case.fault("platform", switches).await;
-    case.run_for(PAST_LEASE).await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
 
     for id in ["i1", "i2", "i3"] {
         let verdict = case.complete(id, &model_name(0), 5).await;
@@ -82,7 +82,7 @@
     case.run_for(Duration::from_secs(2)).await;
     let owner = case.owner("i1", "engine-1", None).await;
     case.fault("platform", json!({"slow_ms": slow_ms})).await;
-    case.run_for(PAST_LEASE).await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
     for id in ["i1", "i2", "i3"] {
         let verdict = case.complete(id, &model_name(0), 5).await;
         assert!(
@@ -175,7 +175,7 @@
         check_all_there(&mut case, &accepted).await;
     }
     // Stale data may arrive with a delay.
-    case.run_for(PAST_LEASE / 2).await;
+    case.run_for(LEASE_TAKEOVER_TIME / 2).await;
     check_all_there(&mut case, &accepted).await;
     let healed = json!({
         "watch_gap": 0, "expire_watches": false, "stale_reads": 0, "stale_gets": 0,
