--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -166,7 +166,7 @@
     }
 
     /// Sets fault switches of a stand-in.
-    pub(crate) async fn fault(&self, standin: &str, switches: Value) {
+    pub(crate) async fn set_faults(&self, standin: &str, switches: Value) {
         self.fleet.set_faults(standin, switches).await.unwrap();
     }
 
--- a/crates/chervilshunt_bench/tests/failures/engines.rs
+++ b/crates/chervilshunt_bench/tests/failures/engines.rs
@@ -28,7 +28,7 @@
         .collect();
     case.run_for(Duration::from_millis(500)).await;
     for engine in engines {
-        case.fault(engine, json!({"restart": true})).await;
+        case.set_faults(engine, json!({"restart": true})).await;
     }
     for stream in open {
         let verdict = stream.await.unwrap();
@@ -65,7 +65,7 @@
     };
     let case = Case::start(options, 15.0).await;
     for engine in ["engine-1", "engine-2"] {
-        case.fault(engine, json!({"load_fails": 0.5})).await;
+        case.set_faults(engine, json!({"load_fails": 0.5})).await;
     }
     case.run_for(Duration::from_secs(8)).await;
     let failed = case.count("engine-1", "failed_loads").await;
@@ -86,7 +86,7 @@
     };
     let mut case = Case::start(options, 5.0).await;
     for engine in ["engine-1", "engine-2"] {
-        case.fault(engine, json!({"restart": true, "load_fails": 1.0}))
+        case.set_faults(engine, json!({"restart": true, "load_fails": 1.0}))
             .await;
     }
     let sent = tokio::time::Instant::now();
@@ -100,7 +100,7 @@
     assert_eq!(refusal.outcome, Outcome::NotRun, "{}", describe(&verdict));
     assert!(sent.elapsed() < WAIT_TIMEOUT);
     for engine in ["engine-1", "engine-2"] {
-        case.fault(engine, json!({"load_fails": 0.0})).await;
+        case.set_faults(engine, json!({"load_fails": 0.0})).await;
     }
     case.until_answered("i1", &model_name(2)).await;
     case.finish().await;
@@ -113,7 +113,7 @@
 async fn an_engine_hangs() {
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("engine-1", json!({"freeze": true})).await;
+    case.set_faults("engine-1", json!({"freeze": true})).await;
     case.run_for(Duration::from_secs(6)).await;
     let mut answers = 0;
     for number in 0..8 {
@@ -121,7 +121,7 @@
         answers += usize::from(answered(&verdict));
     }
     assert!(answers > 0, "no request was answered while one engine hung");
-    case.fault("engine-1", json!({"freeze": false})).await;
+    case.set_faults("engine-1", json!({"freeze": false})).await;
     for number in 0..8 {
         case.until_answered("i1", &model_name(number)).await;
     }
--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -26,7 +26,7 @@
     };
     let mut case = Case::start(options, 5.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("desk-1", json!({"slow_ms": 1_500})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 1_500})).await;
     let mut entries = Vec::new();
     for _ in 0..6 {
         let entry = case.plan_entry("i4", true);
@@ -56,7 +56,7 @@
             describe(&verdict)
         );
     }
-    case.fault("desk-1", json!({"slow_ms": 0})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 0})).await;
     if !killed {
         case.fleet.thaw("i4").unwrap();
     }
@@ -78,7 +78,7 @@
     };
     let mut case = Case::start(options, 5.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("desk-1", json!({"slow_ms": 1_000})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 1_000})).await;
     let mut entries = Vec::new();
     // Calls enter at every instance, so that claims of every combination of entry and keeper are
     // left behind.
@@ -93,7 +93,7 @@
     case.fleet.kill("i4").await.unwrap();
     case.fleet.kill("i3").await.unwrap();
     case.load.set_instances(case.fleet.ready_instances());
-    case.fault("desk-1", json!({"slow_ms": 0})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 0})).await;
     for (entry, first) in entries {
         first.await.unwrap();
         let retry = || async {
@@ -124,7 +124,7 @@
     let mut case = Case::start(FleetOptions::default(), 0.5).await;
     for keyed in [false, true] {
         case.run_for(Duration::from_millis(500)).await;
-        case.fault("desk-1", switches.clone()).await;
+        case.set_faults("desk-1", switches.clone()).await;
         let entry = case.plan_entry("i1", keyed);
         let verdict = case.load.send("i1", entry.clone()).await;
         assert!(!answered(&verdict) || case.count("desk-1", "calls").await > 1);
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -127,7 +127,7 @@
         case.fleet.set_link(Link::all_of(&holder), LinkMode::Cut);
     }
     if platform {
-        case.fault("platform", json!({"cut": [holder]})).await;
+        case.set_faults("platform", json!({"cut": [holder]})).await;
     }
     case.run_for(LEASE_TAKEOVER_TIME).await;
     let others = case.another(&[&holder]);
@@ -136,7 +136,7 @@
         case.until_answered(&others, &model_name(1)).await;
     }
     case.fleet.heal_links();
-    case.fault("platform", json!({"cut": []})).await;
+    case.set_faults("platform", json!({"cut": []})).await;
     for id in ["i1", "i2", "i3"] {
         case.until_answered(id, &model_name(0)).await;
     }
--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -80,7 +80,8 @@
     case.run_for(Duration::from_secs(1)).await;
     case.fleet.terminate("i2").unwrap();
     if platform_down {
-        case.fault("platform", json!({"down": "unavailable"})).await;
+        case.set_faults("platform", json!({"down": "unavailable"}))
+            .await;
     }
     case.load.set_instances(case.fleet.ready_instances());
     let status = case
@@ -97,7 +98,7 @@
         );
     }
     assert!(status.success(), "i2 exited with {status}");
-    case.fault("platform", json!({"down": "no"})).await;
+    case.set_faults("platform", json!({"down": "no"})).await;
     case.until_answered("i1", &model_name(0)).await;
     let tries = case.finish().await;
     let cut = tries.iter().filter(|one| {
--- a/crates/chervilshunt_bench/tests/failures/operators.rs
+++ b/crates/chervilshunt_bench/tests/failures/operators.rs
@@ -139,7 +139,7 @@
         case.fleet.set_link(Link::all_of(away), LinkMode::Cut);
     }
     if without_platform {
-        case.fault("platform", json!({"cut": [away]})).await;
+        case.set_faults("platform", json!({"cut": [away]})).await;
     }
     for round in 0..3 {
         let model = format!("adapter-0004@away{round}");
@@ -168,7 +168,7 @@
     }
     case.fleet.thaw(away).unwrap();
     case.fleet.heal_links();
-    case.fault("platform", json!({"cut": []})).await;
+    case.set_faults("platform", json!({"cut": []})).await;
     let statements = case.fleet.statements_at("i2").unwrap();
     let create = create_version("adapter-0004@back");
     let look = || async {
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -106,19 +106,19 @@
             case.fleet.kill(owner).await.unwrap();
             case.load.set_instances(case.fleet.ready_instances());
         }
-        Fault::PlatformHangs => case.fault("platform", json!({"freeze": true})).await,
+        Fault::PlatformHangs => case.set_faults("platform", json!({"freeze": true})).await,
         Fault::AnswersLost => {
             let lost = json!({"lose_answer_after_write": 12});
-            case.fault("platform", lost).await;
+            case.set_faults("platform", lost).await;
         }
         Fault::EnginesRestart => {
             for engine in ENGINES {
-                case.fault(engine, json!({"restart": true})).await;
+                case.set_faults(engine, json!({"restart": true})).await;
             }
         }
         Fault::LoadsFail => {
             for engine in ENGINES {
-                case.fault(engine, json!({"load_fails": 0.5})).await;
+                case.set_faults(engine, json!({"load_fails": 0.5})).await;
             }
         }
         Fault::PopularityShifts => case.load.shift_popularity(),
@@ -150,9 +150,9 @@
 
 async fn heal(case: &Case) {
     let up = json!({"freeze": false, "lose_answer_after_write": 0});
-    case.fault("platform", up).await;
+    case.set_faults("platform", up).await;
     for engine in ENGINES {
-        case.fault(engine, json!({"load_fails": 0.0})).await;
+        case.set_faults(engine, json!({"load_fails": 0.0})).await;
     }
 }
 
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -22,7 +22,7 @@
 async fn down_for_longer_than_the_leases(#[case] switches: Value) {
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("platform", switches).await;
+    case.set_faults("platform", switches).await;
     case.run_for(LEASE_TAKEOVER_TIME).await;
 
     for id in ["i1", "i2", "i3"] {
@@ -53,7 +53,7 @@
     }
 
     let up = json!({"down": "no", "freeze": false});
-    case.fault("platform", up).await;
+    case.set_faults("platform", up).await;
     let retry = || async { answered(&case.load.send("i3", case.at("i3", entry.clone())).await) };
     let retried = wait_until(WAIT_TIMEOUT, || async { retry().await.then_some(()) }).await;
     retried.expect("the keyed call was not answered after the outage");
@@ -81,7 +81,8 @@
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
     let owner = case.owner("i1", "engine-1", None).await;
-    case.fault("platform", json!({"slow_ms": slow_ms})).await;
+    case.set_faults("platform", json!({"slow_ms": slow_ms}))
+        .await;
     case.run_for(LEASE_TAKEOVER_TIME).await;
     for id in ["i1", "i2", "i3"] {
         let verdict = case.complete(id, &model_name(0), 5).await;
@@ -96,7 +97,7 @@
         owner,
         "the owner lost its lease"
     );
-    case.fault("platform", json!({"slow_ms": 0})).await;
+    case.set_faults("platform", json!({"slow_ms": 0})).await;
     case.finish().await;
 }
 
@@ -113,7 +114,7 @@
     let mut case = Case::start(FleetOptions::default(), 10.0).await;
     case.run_for(Duration::from_secs(1)).await;
     for number in 0..4 {
-        case.fault("platform", json!({"lose_answer_after_write": lost}))
+        case.set_faults("platform", json!({"lose_answer_after_write": lost}))
             .await;
         let model = format!("adapter-0001@lost{number}");
         let statements = case.fleet.statements_at("i1").unwrap();
@@ -134,14 +135,14 @@
     }
     let mut entries = Vec::new();
     for number in 0..6 {
-        case.fault("platform", json!({"lose_answer_after_write": lost}))
+        case.set_faults("platform", json!({"lose_answer_after_write": lost}))
             .await;
         let id = ["i1", "i2", "i3"][number % 3];
         let entry = case.plan_entry(id, true);
         case.load.send(id, entry.clone()).await;
         entries.push(entry);
     }
-    case.fault("platform", json!({"lose_answer_after_write": 0}))
+    case.set_faults("platform", json!({"lose_answer_after_write": 0}))
         .await;
     for entry in entries {
         assert!(case.runs(&entry).await <= 1);
@@ -162,7 +163,7 @@
 async fn gaps_and_stale_reads(#[case] switches: Value) {
     let mut case = Case::start(FleetOptions::default(), 10.0).await;
     case.run_for(Duration::from_secs(1)).await;
-    case.fault("platform", switches).await;
+    case.set_faults("platform", switches).await;
     let mut accepted = Vec::new();
     for number in 0..4 {
         let model = format!("adapter-0002@gap{number}");
@@ -180,7 +181,7 @@
     let healed = json!({
         "watch_gap": 0, "expire_watches": false, "stale_reads": 0, "stale_gets": 0,
     });
-    case.fault("platform", healed).await;
+    case.set_faults("platform", healed).await;
     let statements = case.fleet.statements_at("i2").unwrap();
     let create = create_version("adapter-0002@after");
     let look = || async {
