--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -87,17 +87,17 @@
     /// Plans a streamed completion at an instance, with a unique request id.
     pub(crate) fn plan_completion(&mut self, id: &str, model: &str, tokens: u32) -> RequestPlan {
         let name = self.name();
-        self.at(id, completion(&name, model, tokens, Api::Text, true))
+        self.with_destination(id, completion(&name, model, tokens, Api::Text, true))
     }
 
     /// Plans a call that may run at most once, with a unique request id.
     pub(crate) fn plan_entry(&mut self, id: &str, keyed: bool) -> RequestPlan {
         let name = self.name();
-        self.at(id, entry(&name, keyed))
+        self.with_destination(id, entry(&name, keyed))
     }
 
     /// Returns the plan with its destination changed to the given instance.
-    pub(crate) fn at(&self, id: &str, req: RequestPlan) -> RequestPlan {
+    pub(crate) fn with_destination(&self, id: &str, req: RequestPlan) -> RequestPlan {
         let instance = self.fleet.instance(id).unwrap();
         RequestPlan {
             to: instance.callers(),
--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -47,7 +47,7 @@
     case.load.set_instances(balanced.collect());
     for (number, (entry, _)) in entries.iter().enumerate() {
         let id = ["i1", "i2", "i3"][number % 3];
-        let req = case.at(id, entry.clone());
+        let req = case.with_destination(id, entry.clone());
         let verdict = case.load.send(id, req).await;
         let runs = case.runs(entry).await;
         assert!(
@@ -97,7 +97,10 @@
     for (entry, first) in entries {
         first.await.unwrap();
         let retry = || async {
-            let verdict = case.load.send("i1", case.at("i1", entry.clone())).await;
+            let verdict = case
+                .load
+                .send("i1", case.with_destination("i1", entry.clone()))
+                .await;
             let settled = match &verdict {
                 Verdict::Refused(refusal) => refusal.outcome == Outcome::Unknown,
                 verdict => answered(verdict),
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -82,7 +82,9 @@
     let dead = (!left.contains(&owner)).then_some(owner.as_str());
     case.owner(&witness, ENGINES[0], dead).await;
     for entry in entries {
-        case.load.send(&witness, case.at(&witness, entry)).await;
+        case.load
+            .send(&witness, case.with_destination(&witness, entry))
+            .await;
     }
     check_configuration(&mut case, &left).await;
     let tries = case.finish().await;
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -54,7 +54,14 @@
 
     let up = json!({"down": "no", "freeze": false});
     case.set_faults("platform", up).await;
-    let retry = || async { answered(&case.load.send("i3", case.at("i3", entry.clone())).await) };
+    let retry = || async {
+        answered(
+            &case
+                .load
+                .send("i3", case.with_destination("i3", entry.clone()))
+                .await,
+        )
+    };
     let retried = wait_until(WAIT_TIMEOUT, || async { retry().await.then_some(()) }).await;
     retried.expect("the keyed call was not answered after the outage");
     assert_eq!(case.runs(&entry).await, 1);
