--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -159,7 +159,7 @@
     }
 
     /// Returns a ready instance that is not in `but`.
-    pub(crate) fn another(&self, but: &[&str]) -> String {
+    pub(crate) fn other_instance(&self, but: &[&str]) -> String {
         let mut ids = self.fleet.ready_instances().into_iter().map(|(id, _)| id);
         ids.find(|id| !but.contains(&id.as_str()))
             .expect("no other instance is ready")
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -36,7 +36,7 @@
     case.run_for(Duration::from_secs(2)).await;
     for engine in ["engine-1", "engine-2"] {
         let holder = case.owner("i1", engine, None).await;
-        let witness = case.another(&[&holder]);
+        let witness = case.other_instance(&[&holder]);
         case.fleet.freeze(&holder).unwrap();
         case.run_for(LEASE_TAKEOVER_TIME).await;
         case.owner(&witness, engine, Some(&holder)).await;
@@ -66,8 +66,8 @@
     let mut case = Case::start(options, 10.0).await;
     case.run_for(Duration::from_secs(2)).await;
     let holder = case.owner("i1", "engine-1", None).await;
-    let entry = case.another(&[&holder]);
-    let witness = case.another(&[&holder, &entry]);
+    let entry = case.other_instance(&[&holder]);
+    let witness = case.other_instance(&[&holder, &entry]);
     let streams: Vec<_> = (0..6)
         .map(|number| {
             let req = case.plan_completion(&entry, &model_name(number), LONG_STREAM);
@@ -130,7 +130,7 @@
         case.set_faults("platform", json!({"cut": [holder]})).await;
     }
     case.run_for(LEASE_TAKEOVER_TIME).await;
-    let others = case.another(&[&holder]);
+    let others = case.other_instance(&[&holder]);
     if platform {
         case.owner(&others, "engine-1", Some(&holder)).await;
         case.until_answered(&others, &model_name(1)).await;
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -65,7 +65,7 @@
     };
     let owner = wait_until(WAIT_TIMEOUT, apart).await;
     let owner = owner.expect("one instance still owns both engines");
-    let witness = case.another(&[&owner]);
+    let witness = case.other_instance(&[&owner]);
     let entries = open_entries(&mut case, &owner);
     let mut racing = Vec::new();
     for fault in faults {
--- a/crates/chervilshunt_bench/tests/failures/releases.rs
+++ b/crates/chervilshunt_bench/tests/failures/releases.rs
@@ -27,7 +27,7 @@
     };
     let mut case = Case::start(options, 5.0).await;
     let owner = case.owner("i1", "engine-1", None).await;
-    let entry = case.another(&[&owner]);
+    let entry = case.other_instance(&[&owner]);
     let mut streams = Vec::new();
     for number in 0..6 {
         let model = model_name(number);
