--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -14,7 +14,7 @@
 
 /// How the departure of a target is requested.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Departure {
     /// An operator drains it.
     Statement,
     /// The platform lists it as terminating.
@@ -25,22 +25,22 @@
 /// entry instances may hold permits and hints for it. It must get no new work after 3 s, even for
 /// adapters that are loaded nowhere else, and finishes the work that it has begun.
 #[rstest]
-#[case::drained(Way::Statement)]
-#[case::listed_as_leaving(Way::List)]
+#[case::drained(Departure::Statement)]
+#[case::listed_as_leaving(Departure::List)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_leaving_target_gets_no_new_work(#[case] way: Way) {
+async fn a_leaving_target_gets_no_new_work(#[case] departure: Departure) {
     let options = FleetOptions {
         engines: 3,
         ..FleetOptions::default()
     };
     let mut case = Case::start(options, 25.0).await;
     case.run_for(Duration::from_secs(3)).await;
-    match way {
-        Way::Statement => {
+    match departure {
+        Departure::Statement => {
             let statements = case.fleet.statements().unwrap();
             statements.run("drain target engine-1").await.unwrap();
         }
-        Way::List => {
+        Departure::List => {
             case.fleet
                 .list_target("engine-1", Condition::Leaving)
                 .unwrap();
