--- a/crates/chervilshunt_bench/tests/failures/leaving.rs
+++ b/crates/chervilshunt_bench/tests/failures/leaving.rs
@@ -10,7 +10,7 @@
 use crate::case::{Case, WAIT_TIMEOUT, unanswered};
 
 /// The time after which a leaving target must get no new work.
-const NO_MORE_AFTER: Duration = Duration::from_secs(3);
+const NO_NEW_WORK_AFTER: Duration = Duration::from_secs(3);
 
 /// How the departure of a target is requested.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
             assert!(case.fleet.wait_listed(WAIT_TIMEOUT).await);
         }
     }
-    case.run_for(NO_MORE_AFTER).await;
+    case.run_for(NO_NEW_WORK_AFTER).await;
     let then = case.count("engine-1", "completions").await;
     case.run_for(Duration::from_secs(4)).await;
     assert_eq!(
