--- a/crates/chervilshunt_bench/tests/failures/case.rs
+++ b/crates/chervilshunt_bench/tests/failures/case.rs
@@ -119,10 +119,10 @@
             if matches!(verdict, Verdict::Answered(_)) {
                 return;
             }
-            let told = describe(&verdict);
+            let description = describe(&verdict);
             assert!(
                 tokio::time::Instant::now() < end,
-                "{id} did not recover within {WAIT_TIMEOUT:?}: {model}: {told}"
+                "{id} did not recover within {WAIT_TIMEOUT:?}: {model}: {description}"
             );
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
--- a/crates/chervilshunt_bench/tests/failures/engines.rs
+++ b/crates/chervilshunt_bench/tests/failures/engines.rs
@@ -32,13 +32,13 @@
     }
     for stream in open {
         let verdict = stream.await.unwrap();
-        let told = match &verdict {
+        let reported = match &verdict {
             Verdict::Answered(_) => true,
             Verdict::Refused(refusal) => refusal.outcome != Outcome::NotRun,
             Verdict::Disconnected { .. } | Verdict::Violated(_) => false,
         };
         assert!(
-            told,
+            reported,
             "the caller of an open stream received: {}",
             describe(&verdict)
         );
--- a/crates/chervilshunt_bench/tests/failures/leases.rs
+++ b/crates/chervilshunt_bench/tests/failures/leases.rs
@@ -88,11 +88,11 @@
     let mut whole = 0;
     for stream in streams {
         let verdict = stream.await.unwrap();
-        let told = chervilshunt_standin::fleet::describe(&verdict);
-        let cut = told.contains("cut short") || told.contains("disconnected");
+        let description = chervilshunt_standin::fleet::describe(&verdict);
+        let cut = description.contains("cut short") || description.contains("disconnected");
         assert!(
             !cut,
-            "a stream under a permit of the killed owner was cut off: {told}"
+            "a stream under a permit of the killed owner was cut off: {description}"
         );
         whole += usize::from(answered(&verdict));
     }
--- a/crates/chervilshunt_bench/tests/failures/pairs.rs
+++ b/crates/chervilshunt_bench/tests/failures/pairs.rs
@@ -196,8 +196,8 @@
     let given_up = completions.filter(|one| !answered(&one.record.verdict));
     given_up
         .map(|one| {
-            let told: &Verdict = &one.record.verdict;
-            format!("{}: {}", one.record.plan.request_id, describe(told))
+            let verdict: &Verdict = &one.record.verdict;
+            format!("{}: {}", one.record.plan.request_id, describe(verdict))
         })
         .collect()
 }
