--- a/crates/chervilshunt_bench/tests/failures/releases.rs
+++ b/crates/chervilshunt_bench/tests/failures/releases.rs
@@ -10,7 +10,7 @@
 const TOKENS: u32 = 400;
 
 /// How long the owner is cut off: longer than the quick retries of a release go on.
-const CUT: Duration = Duration::from_secs(10);
+const CUT_DURATION: Duration = Duration::from_secs(10);
 
 /// The age in milliseconds from which a permit can't belong to an answer that is still streaming.
 const OVERDUE_MS: u64 = 8_000;
@@ -40,7 +40,7 @@
     for stream in streams {
         stream.await.unwrap();
     }
-    case.run_for(CUT).await;
+    case.run_for(CUT_DURATION).await;
     let held = case.column(&owner, "show permits", "held_ms").await;
     assert!(
         overdue(&held),
