--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends two cap changes concurrently, to two randomly chosen instances, both conditional on
+    /// Sends two cap changes concurrently, each to a randomly chosen instance and conditional on
     /// the same revision, and checks that at most one is accepted.
     pub(crate) async fn race(
         &mut self,
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -69,7 +69,7 @@
     PlainCuts,
     /// The least requested adapters become the most requested.
     PopularityShift,
-    /// Two operators change the same object concurrently, at two instances.
+    /// Two operators change the same object concurrently, each at a randomly chosen instance.
     OperatorRace,
 }
 
@@ -128,7 +128,8 @@
 impl Fault {
     /// Draws what a fault applies to, avoiding for most faults of instances those in `taken`.
     ///
-    /// Returns `None` if the fault would leave fewer than [`MIN_UNAFFECTED_INSTANCES`] instances unaffected.
+    /// Returns `None` if the fault would leave fewer than [`MIN_UNAFFECTED_INSTANCES`] instances
+    /// unaffected.
     pub(crate) fn draw(
         kind: FaultKind,
         fleet: &Fleet,
