--- a/crates/chervilshunt_bench/src/faults/change.rs
+++ b/crates/chervilshunt_bench/src/faults/change.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration and race each other, and what must hold of it.
+//! Operators that change the configuration concurrently, and the checks on the results.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,88 +14,89 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinHandle;
 
-use super::run::PATIENCE;
+use super::run::REQUEST_TIMEOUT;
 
-/// How long an accepted revision may take to be known at every instance of a healed deployment.
-const IN_FORCE_BOUND: Duration = Duration::from_secs(15);
+/// The time within which every instance of a healed deployment must know an accepted revision.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long an instance may take to say its revision. While faults are held, waiting longer for one
-/// that is paused would stretch the pause beyond the patience of those who wait for their answers.
-const LOOK_BOUND: Duration = Duration::from_secs(2);
+/// The time limit for querying an instance's revision. While faults are active, waiting longer for
+/// a paused instance would extend the pause past the timeout of the requests that wait for it.
+const REVISION_QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The site whose cap operators race for.
+/// The site whose power cap operators change concurrently.
 const SITE: &str = "hall";
 
-/// A query whose answer's revision is all that matters.
+/// A query sent only for the revision in its response.
 const REVISION_QUERY: &str = "show sites";
 
-/// Statuses by which a change is refused for good, so that it must not be in force.
+/// Statuses that refuse a change definitively: it must not be in force afterwards.
 const REFUSALS: [StatusCode; 3] = [
     StatusCode::BAD_REQUEST,
     StatusCode::CONFLICT,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// What came of a change.
+/// The outcome of a change, as the operator that sent it received it.
 #[derive(Clone, Debug, PartialEq)]
-enum Answer {
+enum ChangeOutcome {
     Accepted(u64),
     Refused,
     Unknown,
 }
 
-/// What operators were told, as an oracle of the configuration.
+/// Records the responses that operators received, as the expected state of the configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     next: usize,
-    /// Versions by what was said of their creation.
-    versions: BTreeMap<String, Answer>,
+    /// The outcome of each version's creation, by version.
+    versions: BTreeMap<String, ChangeOutcome>,
     /// Accepted caps by revision.
     caps: BTreeMap<u64, f64>,
-    /// Caps whose outcome is unknown, or were set at a revision not told.
+    /// Caps whose outcome or revision is unknown.
     unknown_caps: Vec<f64>,
     /// The highest revision that was accepted.
     accepted: u64,
     /// The highest revision that each instance has reported.
     seen: BTreeMap<String, u64>,
-    /// Requests for new versions whose answers are yet to be looked at.
-    asked: Vec<Asked>,
+    /// Requests for new versions whose answers have not been checked yet.
+    version_requests: Vec<VersionRequest>,
     pub(crate) changes: u64,
     pub(crate) refused: u64,
 }
 
-/// A request for a version that an operator was just told to be in force.
+/// A request for a version whose creation was just accepted.
 #[derive(Debug)]
-struct Asked {
+struct VersionRequest {
     id: String,
     revision: u64,
     sent: JoinHandle<Verdict>,
 }
 
 impl Operators {
-    /// Creates a version at one instance, and asks every instance for it if that is accepted.
+    /// Creates a version at one instance and, if that is accepted, requests it at every instance.
     pub(crate) async fn create(&mut self, fleet: &Fleet, load: &Load, rng: &mut ChaCha8Rng) {
-        let Some(statements) = any(fleet, rng) else {
+        let Some(statements) = random_statements(fleet, rng) else {
             return;
         };
         self.next += 1;
         let model = format!("{}@r{}", adapter_name(0), self.next);
         let answer = self.send(&statements, &create_version(&model)).await;
         self.versions.insert(model.clone(), answer.clone());
-        if let Answer::Accepted(revision) = answer {
-            self.ask_everywhere(fleet, load, &model, revision);
+        if let ChangeOutcome::Accepted(revision) = answer {
+            self.request_everywhere(fleet, load, &model, revision);
         }
     }
 
-    /// Has two operators set a cap and create the same version at once, at two instances, each
-    /// only if the revision that both have seen is still in force.
+    /// Sends two cap changes concurrently, each to a randomly chosen instance and conditional on
+    /// the same revision, and checks that at most one is accepted.
     pub(crate) async fn race(
         &mut self,
         fleet: &Fleet,
         evidence: &mut Evidence,
         rng: &mut ChaCha8Rng,
     ) {
-        let (Some(a), Some(b)) = (any(fleet, rng), any(fleet, rng)) else {
+        let (Some(a), Some(b)) = (random_statements(fleet, rng), random_statements(fleet, rng))
+        else {
             return;
         };
         let Ok(shown) = a.run_local(REVISION_QUERY).await else {
@@ -106,42 +107,44 @@
         let caps = [self.next as f64 * 2.0, self.next as f64 * 2.0 + 1.0].map(|cap| cap + 50_000.0);
         let text = |cap: f64| format!("if revision = {revision} set site {SITE} cap_watts={cap}");
         let (texts, senders) = (caps.map(text), [&a, &b]);
-        let (first, second) =
-            tokio::join!(tell(senders[0], &texts[0]), tell(senders[1], &texts[1]),);
+        let (first, second) = tokio::join!(
+            submit_change(senders[0], &texts[0]),
+            submit_change(senders[1], &texts[1]),
+        );
         let both = matches!(
             (&first, &second),
-            (Answer::Accepted(_), Answer::Accepted(_))
+            (ChangeOutcome::Accepted(_), ChangeOutcome::Accepted(_))
         );
-        let finding = || format!("two changes that need revision {revision} were accepted");
+        let finding = || format!("two changes conditional on revision {revision} were accepted");
         evidence.check(Promise::ConfigurationHolds, !both, finding);
         for (cap, answer) in caps.into_iter().zip([first, second]) {
-            self.note(&answer);
+            self.record_outcome(&answer);
             match answer {
-                Answer::Accepted(revision) => drop(self.caps.insert(revision, cap)),
-                Answer::Unknown => self.unknown_caps.push(cap),
-                Answer::Refused => {}
+                ChangeOutcome::Accepted(revision) => drop(self.caps.insert(revision, cap)),
+                ChangeOutcome::Unknown => self.unknown_caps.push(cap),
+                ChangeOutcome::Refused => {}
             }
         }
     }
 
-    async fn send(&mut self, statements: &Statements, text: &str) -> Answer {
-        let answer = tell(statements, text).await;
-        self.note(&answer);
+    async fn send(&mut self, statements: &Statements, text: &str) -> ChangeOutcome {
+        let answer = submit_change(statements, text).await;
+        self.record_outcome(&answer);
         answer
     }
 
-    fn note(&mut self, answer: &Answer) {
+    fn record_outcome(&mut self, answer: &ChangeOutcome) {
         self.changes += 1;
         match answer {
-            Answer::Accepted(revision) => self.accepted = self.accepted.max(*revision),
-            Answer::Refused => self.refused += 1,
-            Answer::Unknown => {}
+            ChangeOutcome::Accepted(revision) => self.accepted = self.accepted.max(*revision),
+            ChangeOutcome::Refused => self.refused += 1,
+            ChangeOutcome::Unknown => {}
         }
     }
 
-    /// Asks each instance for its revision, which must never go back.
+    /// Queries the revision of each instance and checks that it never decreases.
     pub(crate) async fn watch_revisions(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
-        let http = HttpClient::new(LOOK_BOUND);
+        let http = HttpClient::new(REVISION_QUERY_TIMEOUT);
         let asked = fleet.instances().iter().map(|(id, instance)| {
             let statements = Statements::new(http.clone(), instance.operators());
             async move { Some((id, statements.run_local(REVISION_QUERY).await.ok()?)) }
@@ -149,31 +152,32 @@
         for (id, shown) in join_all(asked).await.into_iter().flatten() {
             let revision = shown["revision"].as_u64().unwrap_or_default();
             let seen = self.seen.entry(id.clone()).or_default();
-            let back = || format!("{id} went from revision {seen} back to {revision}");
+            let back = || format!("the revision of {id} decreased from {seen} to {revision}");
             evidence.check(Promise::ConfigurationHolds, revision >= *seen, back);
             *seen = revision.max(*seen);
         }
     }
 
-    /// Asks every instance for a version that was just accepted.
+    /// Requests a version that was just accepted at every instance.
     ///
-    /// The answers are looked at when faults are healed: one that is paused answers only then.
-    fn ask_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
+    /// The answers are checked once faults are healed, as a paused instance answers only then.
+    fn request_everywhere(&mut self, fleet: &Fleet, load: &Load, model: &str, revision: u64) {
         for (id, address) in fleet.ready_instances() {
             let req = completion(&format!("new-{model}-{id}"), model, 2, Api::Text, true);
             let req = RequestPlan {
                 to: address,
-                timeout: PATIENCE,
+                timeout: REQUEST_TIMEOUT,
                 ..req
             };
             let sent = load.spawn(&id, req);
-            self.asked.push(Asked { id, revision, sent });
+            self.version_requests
+                .push(VersionRequest { id, revision, sent });
         }
     }
 
-    /// Looks at the answers to [`Self::ask_everywhere`]: none may say that there is no such version.
-    async fn check_asked(&mut self, evidence: &mut Evidence) {
-        for Asked { id, revision, sent } in std::mem::take(&mut self.asked) {
+    /// Checks the answers to [`Self::request_everywhere`]: none may be a 404 for the version.
+    async fn check_version_requests(&mut self, evidence: &mut Evidence) {
+        for VersionRequest { id, revision, sent } in std::mem::take(&mut self.version_requests) {
             let Ok(verdict) = sent.await else {
                 continue;
             };
@@ -183,15 +187,15 @@
         }
     }
 
-    /// Forgets what an instance reported that starts anew under its own id.
+    /// Discards the recorded revision of an instance that restarts under its own id.
     pub(crate) fn forget(&mut self, id: &str) {
         self.seen.remove(id);
     }
 
-    /// Checks a healed deployment: what was accepted is in force everywhere, and what was refused
-    /// nowhere.
+    /// Checks a healed deployment: accepted changes are in force at every instance, refused ones at
+    /// none.
     pub(crate) async fn check(&mut self, fleet: &Fleet, evidence: &mut Evidence) {
-        self.check_asked(evidence).await;
+        self.check_version_requests(evidence).await;
         for (id, _) in fleet.ready_instances() {
             let Ok(statements) = fleet.statements_at(&id) else {
                 continue;
@@ -201,8 +205,8 @@
                 let shown = statements.run_local(REVISION_QUERY).await.ok()?;
                 (shown["revision"].as_u64()? >= accepted).then_some(())
             };
-            let known = wait_until(IN_FORCE_BOUND, look).await.is_some();
-            let behind = || format!("{id} doesn't know revision {accepted} after healing");
+            let known = wait_until(PROPAGATION_TIMEOUT, look).await.is_some();
+            let behind = || format!("{id} has not reached revision {accepted} after healing");
             evidence.check(Promise::ConfigurationHolds, known, behind);
             if known {
                 self.check_versions(&id, &statements, evidence).await;
@@ -219,16 +223,17 @@
         for (model, answer) in &self.versions {
             let there = shown.contains(model);
             let held = match answer {
-                Answer::Accepted(_) => there,
-                Answer::Refused => !there,
-                Answer::Unknown => true,
+                ChangeOutcome::Accepted(_) => there,
+                ChangeOutcome::Refused => !there,
+                ChangeOutcome::Unknown => true,
             };
-            let finding = || format!("{id}: {model} was {answer:?}, in force there: {there}");
+            let finding =
+                || format!("{id}: creation of {model} was {answer:?}, in force there: {there}");
             evidence.check(Promise::ConfigurationHolds, held, finding);
         }
     }
 
-    /// The cap is the last accepted one, unless one whose outcome is unknown came after it.
+    /// Checks that the cap is the last accepted one, or one whose outcome is unknown.
     async fn check_cap(&self, id: &str, statements: &Statements, evidence: &mut Evidence) {
         let Some((_, accepted)) = self.caps.last_key_value() else {
             return;
@@ -242,20 +247,20 @@
             .and_then(|cap| cap.parse::<f64>().ok())
             .unwrap_or_default();
         let held = cap == *accepted || self.unknown_caps.contains(&cap);
-        let finding = || format!("{id}: the cap is {cap}, {accepted} was accepted last");
+        let finding = || format!("{id}: the cap is {cap}, but the last accepted cap is {accepted}");
         evidence.check(Promise::ConfigurationHolds, held, finding);
     }
 }
 
-async fn tell(statements: &Statements, text: &str) -> Answer {
+async fn submit_change(statements: &Statements, text: &str) -> ChangeOutcome {
     let Ok(reply) = statements.try_run(text).await else {
-        return Answer::Unknown;
+        return ChangeOutcome::Unknown;
     };
     if REFUSALS.contains(&reply.status) {
-        return Answer::Refused;
+        return ChangeOutcome::Refused;
     }
     let accepted = reply.json()["results"][0]["accepted"].as_u64();
-    accepted.map_or(Answer::Unknown, Answer::Accepted)
+    accepted.map_or(ChangeOutcome::Unknown, ChangeOutcome::Accepted)
 }
 
 async fn column(statements: &Statements, query: &str, name: &str) -> Option<Vec<String>> {
@@ -270,7 +275,7 @@
     )
 }
 
-fn any(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Option<Statements> {
+fn random_statements(fleet: &Fleet, rng: &mut ChaCha8Rng) -> Option<Statements> {
     let instances = fleet.ready_instances();
     let (id, _) = instances.choose(rng)?;
     fleet.statements_at(id).ok()
--- a/crates/chervilshunt_bench/src/faults/episode.rs
+++ b/crates/chervilshunt_bench/src/faults/episode.rs
@@ -1,4 +1,4 @@
-//! One episode: some faults at once, held, healed and recovered from.
+//! One episode: injects concurrent faults, keeps them active, heals them and awaits recovery.
 
 use std::time::Duration;
 
@@ -8,36 +8,40 @@
 use rand::seq::IndexedRandom as _;
 use tokio::time::Instant;
 
-use super::fault::{Fault, Kind, heal};
+use super::fault::{Fault, FaultKind, heal};
 use super::probe::until_recovered;
 use super::run::Run;
 
-/// How long faults may take to be recovered from after they were healed.
+/// The time within which the deployment must recover after the faults are healed.
 pub(crate) const RECOVERY_BOUND: Duration = Duration::from_secs(20);
 
-/// How long a graceful shutdown may take while other faults are in force.
+/// The time limit for a graceful shutdown while other faults are active.
 const SHUTDOWN_BOUND: Duration = Duration::from_secs(60);
 
-/// How long faults are held, in milliseconds.
+/// How long faults stay active, in milliseconds.
 const HOLD_MS: std::ops::Range<u64> = 1_000..12_000;
 
-/// How often operators act while faults are held.
+/// The interval at which operators act while faults are active.
 const OPERATORS_EVERY: Duration = Duration::from_secs(2);
 
-/// What an episode did and how long it took to recover.
+/// The faults of an episode, and its recovery time or the probe failure that remained.
 #[derive(Debug)]
 pub(crate) struct Episode {
-    pub(crate) kinds: Vec<Kind>,
+    pub(crate) kinds: Vec<FaultKind>,
     pub(crate) recovery: Result<Duration, String>,
 }
 
 impl Run {
-    /// Injects one to three faults, holds and heals them, and waits until all is well.
+    /// Injects one to three faults, keeps them active for a random time, heals them and waits for
+    /// the deployment to recover.
     pub(crate) async fn episode(&mut self, number: usize) -> Result<Episode, FleetError> {
         let faults = self.draw();
         let began = Instant::now();
         for fault in &faults {
-            self.note(number, &format!("{:?} {}", fault.kind, fault.on.join(" ")));
+            self.log_progress(
+                number,
+                &format!("{:?} {}", fault.kind, fault.subjects.join(" ")),
+            );
             self.begin(fault).await?;
         }
         let hold = Duration::from_millis(self.rng.random_range(HOLD_MS));
@@ -53,13 +57,13 @@
         }
         heal(&self.fleet).await?;
         let healed = Instant::now();
-        self.note(number, "healed");
+        self.log_progress(number, "healed");
         for fault in &faults {
             self.finish(fault).await?;
         }
         let recovery =
             until_recovered(&self.fleet, &self.load, number, healed, RECOVERY_BOUND).await;
-        self.note(number, &format!("recovered: {recovery:?}"));
+        self.log_progress(number, &format!("recovered: {recovery:?}"));
         self.operators.check(&self.fleet, &mut self.evidence).await;
         let kinds = faults.iter().map(|fault| fault.kind).collect();
         Ok(Episode { kinds, recovery })
@@ -76,8 +80,8 @@
             let Some(kind) = self.kinds.choose(&mut self.rng).copied() else {
                 return faults;
             };
-            let held = faults.iter().filter(|fault| fault.holds_instances());
-            let taken: Vec<_> = held.flat_map(|fault| fault.on.clone()).collect();
+            let held = faults.iter().filter(|fault| fault.disables_instances());
+            let taken: Vec<_> = held.flat_map(|fault| fault.subjects.clone()).collect();
             match Fault::draw(kind, &self.fleet, &taken, &mut self.rng) {
                 Some(fault) => faults.push(fault),
                 None => return faults,
@@ -88,15 +92,15 @@
 
     async fn begin(&mut self, fault: &Fault) -> Result<(), FleetError> {
         fault.inject(&self.fleet, &mut self.rng).await?;
-        match (fault.kind, fault.on.first()) {
-            (Kind::Kill, Some(id)) => self.fleet.kill(id).await?,
-            (Kind::Restart, Some(id)) => {
+        match (fault.kind, fault.subjects.first()) {
+            (FaultKind::Kill, Some(id)) => self.fleet.kill(id).await?,
+            (FaultKind::Restart, Some(id)) => {
                 self.fleet.restart(id).await?;
                 self.operators.forget(id);
             }
-            (Kind::Terminate, Some(id)) => self.fleet.terminate(id)?,
-            (Kind::PopularityShift, _) => self.load.shift_popularity(),
-            (Kind::OperatorRace, _) => {
+            (FaultKind::Terminate, Some(id)) => self.fleet.terminate(id)?,
+            (FaultKind::PopularityShift, _) => self.load.shift_popularity(),
+            (FaultKind::OperatorRace, _) => {
                 self.operators
                     .race(&self.fleet, &mut self.evidence, &mut self.rng)
                     .await;
@@ -107,11 +111,12 @@
         Ok(())
     }
 
-    /// Puts new instances in the place of those that are gone.
+    /// Replaces instances that were killed or terminated, and checks that a terminated one exited
+    /// cleanly.
     async fn finish(&mut self, fault: &Fault) -> Result<(), FleetError> {
-        match (fault.kind, fault.on.first()) {
-            (Kind::Kill, _) => drop(self.fleet.add_instance().await?),
-            (Kind::Terminate, Some(id)) => {
+        match (fault.kind, fault.subjects.first()) {
+            (FaultKind::Kill, _) => drop(self.fleet.add_instance().await?),
+            (FaultKind::Terminate, Some(id)) => {
                 let ended = self.fleet.wait_terminated(id, SHUTDOWN_BOUND).await;
                 let clean = ended.as_ref().is_ok_and(std::process::ExitStatus::success);
                 let finding = || format!("{id}: {ended:?}");
@@ -130,10 +135,10 @@
         Ok(())
     }
 
-    /// Checks that a graceful shutdown broke off no connection.
+    /// Checks that a graceful shutdown cut off no request.
     ///
-    /// What a target broke off, or what ran into another fault, is told in a problem document; a
-    /// connection without an end is the instance's own doing.
+    /// A request that a target or another fault cut off ends in a problem document, whereas a
+    /// connection that closes without one was cut off by the instance itself.
     fn check_not_cut(&mut self, id: &str) {
         for one in self.load.attempts().iter().filter(|one| one.instance == id) {
             let cut = match &one.record.verdict {
--- a/crates/chervilshunt_bench/src/faults/fault.rs
+++ b/crates/chervilshunt_bench/src/faults/fault.rs
@@ -1,4 +1,4 @@
-//! The faults: how each is drawn, injected and healed.
+//! The kinds of faults, and how each is drawn, injected and healed.
 
 use chervilshunt_standin::fleet::{Fleet, FleetError, Link, LinkMode};
 use rand::Rng as _;
@@ -8,32 +8,32 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Instances that have to stay untouched, so that load goes on.
-const SPARED: usize = 2;
+/// Number of instances that faults must leave unaffected, so that load can continue.
+const MIN_UNAFFECTED_INSTANCES: usize = 2;
 
-/// What can be done to a deployment.
+/// The kinds of faults that can be injected into a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Kind {
-    /// An instance is killed; later one under a new id takes its place.
+pub(crate) enum FaultKind {
+    /// An instance is killed, and later replaced by one with a new id.
     Kill,
-    /// An instance is killed and starts again under its own id.
+    /// An instance is killed and restarted under its own id.
     Restart,
-    /// An instance is paused for longer than its lease, and wakes.
+    /// An instance is paused, often for longer than its lease, and resumed.
     Freeze,
-    /// An instance is asked to end; one under a new id takes its place.
+    /// An instance is shut down gracefully and replaced by one with a new id.
     Terminate,
     /// The link between two instances is cut.
     CutLink,
-    /// The link between two instances takes bytes and carries none.
+    /// The link between two instances accepts bytes and delivers none.
     BlackHole,
     /// All links of an instance are slow.
     SlowLinks,
-    /// An instance loses all its peers.
+    /// An instance loses the connections to all its peers.
     LosePeers,
-    /// An instance loses the platform.
+    /// An instance loses the connection to the platform.
     LosePlatform,
-    /// An instance loses its peers and the platform.
+    /// An instance loses the connections to its peers and the platform.
     LoseBoth,
     /// The platform refuses connections.
     PlatformDown,
@@ -43,9 +43,9 @@
     PlatformFrozen,
     /// The platform is slow.
     PlatformSlow,
-    /// Answers of the platform are lost after the write took effect.
+    /// Responses of the platform are lost after the write took effect.
     LostAnswers,
-    /// Watches miss changes, then expire.
+    /// Watches miss changes and then expire.
     WatchGap,
     /// Reads of the platform are stale.
     StaleReads,
@@ -57,23 +57,23 @@
     EngineDown,
     /// An engine hangs.
     EngineFrozen,
-    /// Half of the loads of all engines fail.
+    /// Half of the adapter loads of all engines fail.
     LoadsFail,
-    /// Loads are slow, and orders' answers are lost.
+    /// Loads are slow, and the responses to orders are lost.
     LostOrders,
-    /// Streams of an engine break off.
+    /// Streams of an engine are cut off.
     CutStreams,
-    /// The plain service runs calls and loses their answers.
+    /// The plain service runs calls and their answers are lost.
     PlainLosesAnswers,
-    /// The plain service cuts calls off before and while it answers.
+    /// The plain service cuts calls off before running them or while answering, and refuses some.
     PlainCuts,
-    /// The coldest adapters turn into the busiest.
+    /// The least requested adapters become the most requested.
     PopularityShift,
-    /// Two operators change the same objects at once, at two instances.
+    /// Two operators change the same object concurrently, each at a randomly chosen instance.
     OperatorRace,
 }
 
-impl Kind {
+impl FaultKind {
     pub(crate) const ALL: [Self; 28] = [
         Self::Kill,
         Self::Restart,
@@ -105,32 +105,33 @@
         Self::OperatorRace,
     ];
 
-    /// Reads a name as reports write it.
+    /// Parses a name as written in reports.
     pub(crate) fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 
-    /// Returns the name that reports write.
+    /// Returns the name as written in reports.
     pub(crate) fn name(self) -> String {
         let name = serde_json::to_value(self).unwrap_or_default();
         name.as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// A fault in force, with what it was done to.
+/// A fault and what it applies to.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
-    pub(crate) kind: Kind,
-    /// Instances or targets, by name.
-    pub(crate) on: Vec<String>,
+    pub(crate) kind: FaultKind,
+    /// The names of the affected instances or targets; empty for faults of the platform or load.
+    pub(crate) subjects: Vec<String>,
 }
 
 impl Fault {
-    /// Draws what a fault is done to, away from the instances that other faults hold.
+    /// Draws what a fault applies to, avoiding for most faults of instances those in `taken`.
     ///
-    /// Returns nothing if too few instances are left.
+    /// Returns `None` if the fault would leave fewer than [`MIN_UNAFFECTED_INSTANCES`] instances
+    /// unaffected.
     pub(crate) fn draw(
-        kind: Kind,
+        kind: FaultKind,
         fleet: &Fleet,
         taken: &[String],
         rng: &mut ChaCha8Rng,
@@ -146,71 +147,78 @@
             .cloned()
             .collect();
         let engines: Vec<_> = names(fleet, "engine");
-        let on = match kind {
-            Kind::CutLink | Kind::BlackHole => pick(&ids, 2, rng),
-            Kind::Kill
-            | Kind::Restart
-            | Kind::Freeze
-            | Kind::Terminate
-            | Kind::SlowLinks
-            | Kind::LosePeers
-            | Kind::LosePlatform
-            | Kind::LoseBoth => {
-                if free.len() <= SPARED {
+        let subjects = match kind {
+            FaultKind::CutLink | FaultKind::BlackHole => pick(&ids, 2, rng),
+            FaultKind::Kill
+            | FaultKind::Restart
+            | FaultKind::Freeze
+            | FaultKind::Terminate
+            | FaultKind::SlowLinks
+            | FaultKind::LosePeers
+            | FaultKind::LosePlatform
+            | FaultKind::LoseBoth => {
+                if free.len() <= MIN_UNAFFECTED_INSTANCES {
                     return None;
                 }
                 pick(&free, 1, rng)
             }
-            Kind::EngineRestart | Kind::EngineDown | Kind::EngineFrozen | Kind::CutStreams => {
-                pick(&engines, 1, rng)
-            }
-            Kind::AllEnginesRestart | Kind::LoadsFail | Kind::LostOrders => engines,
-            Kind::PlainLosesAnswers | Kind::PlainCuts => names(fleet, "desk"),
-            Kind::PlatformDown
-            | Kind::PlatformUnavailable
-            | Kind::PlatformFrozen
-            | Kind::PlatformSlow
-            | Kind::LostAnswers
-            | Kind::WatchGap
-            | Kind::StaleReads
-            | Kind::PopularityShift
-            | Kind::OperatorRace => Vec::new(),
+            FaultKind::EngineRestart
+            | FaultKind::EngineDown
+            | FaultKind::EngineFrozen
+            | FaultKind::CutStreams => pick(&engines, 1, rng),
+            FaultKind::AllEnginesRestart | FaultKind::LoadsFail | FaultKind::LostOrders => engines,
+            FaultKind::PlainLosesAnswers | FaultKind::PlainCuts => names(fleet, "desk"),
+            FaultKind::PlatformDown
+            | FaultKind::PlatformUnavailable
+            | FaultKind::PlatformFrozen
+            | FaultKind::PlatformSlow
+            | FaultKind::LostAnswers
+            | FaultKind::WatchGap
+            | FaultKind::StaleReads
+            | FaultKind::PopularityShift
+            | FaultKind::OperatorRace => Vec::new(),
         };
-        Some(Self { kind, on })
+        Some(Self { kind, subjects })
     }
 
-    /// Says whether the fault takes its instances out of reach of each other.
-    pub(crate) const fn holds_instances(&self) -> bool {
+    /// Returns whether the fault stops its instances or cuts them off from peers or the platform.
+    pub(crate) const fn disables_instances(&self) -> bool {
         matches!(
             self.kind,
-            Kind::Kill
-                | Kind::Restart
-                | Kind::Freeze
-                | Kind::Terminate
-                | Kind::LosePeers
-                | Kind::LosePlatform
-                | Kind::LoseBoth
+            FaultKind::Kill
+                | FaultKind::Restart
+                | FaultKind::Freeze
+                | FaultKind::Terminate
+                | FaultKind::LosePeers
+                | FaultKind::LosePlatform
+                | FaultKind::LoseBoth
         )
     }
 
-    /// Throws switches of a stand-in or cuts a link; what needs more is done by the run.
+    /// Sets fault switches of stand-ins and link modes, and pauses instances.
+    ///
+    /// Faults that need more are completed by [`Run`].
+    ///
+    /// [`Run`]: super::run::Run
     pub(crate) async fn inject(
         &self,
         fleet: &Fleet,
         rng: &mut ChaCha8Rng,
     ) -> Result<(), FleetError> {
-        let (first, second) = (self.on.first(), self.on.get(1));
+        let (first, second) = (self.subjects.first(), self.subjects.get(1));
         let slow = LinkMode::Delay(Duration::from_millis(rng.random_range(50..400)));
         match (self.kind, first, second) {
-            (Kind::CutLink, Some(a), Some(b)) => fleet.set_link(Link::between(a, b), LinkMode::Cut),
-            (Kind::BlackHole, Some(a), Some(b)) => {
+            (FaultKind::CutLink, Some(a), Some(b)) => {
+                fleet.set_link(Link::between(a, b), LinkMode::Cut)
+            }
+            (FaultKind::BlackHole, Some(a), Some(b)) => {
                 fleet.set_link(Link::between(a, b), LinkMode::BlackHole);
             }
-            (Kind::SlowLinks, Some(id), _) => fleet.set_link(Link::all_of(id), slow),
-            (Kind::LosePeers | Kind::LoseBoth, Some(id), _) => {
+            (FaultKind::SlowLinks, Some(id), _) => fleet.set_link(Link::all_of(id), slow),
+            (FaultKind::LosePeers | FaultKind::LoseBoth, Some(id), _) => {
                 fleet.set_link(Link::all_of(id), LinkMode::Cut);
             }
-            (Kind::Freeze, Some(id), _) => fleet.freeze(id)?,
+            (FaultKind::Freeze, Some(id), _) => fleet.freeze(id)?,
             _ => {}
         }
         for (standin, switches) in self.switches(rng) {
@@ -222,44 +230,48 @@
     fn switches(&self, rng: &mut ChaCha8Rng) -> Vec<(String, Value)> {
         let platform = |switches| vec![("platform".to_owned(), switches)];
         let each = |switches: Value| {
-            let on = self.on.iter();
+            let on = self.subjects.iter();
             on.map(|name| (name.clone(), switches.clone())).collect()
         };
         let some = rng.random_range(1..4);
         match self.kind {
-            Kind::LosePlatform | Kind::LoseBoth => platform(json!({"cut": self.on})),
-            Kind::PlatformDown => platform(json!({"down": "refuse"})),
-            Kind::PlatformUnavailable => platform(json!({"down": "unavailable"})),
-            Kind::PlatformFrozen => platform(json!({"freeze": true})),
-            Kind::PlatformSlow => platform(json!({"slow_ms": rng.random_range(100..1_500)})),
-            Kind::LostAnswers => platform(json!({"lose_answer_after_write": some * 2})),
-            Kind::WatchGap => platform(json!({"watch_gap": some, "expire_watches": true})),
-            Kind::StaleReads => platform(json!({"stale_reads": some, "stale_gets": some})),
-            Kind::EngineRestart | Kind::AllEnginesRestart => each(json!({"restart": true})),
-            Kind::EngineDown => each(json!({"down": true})),
-            Kind::EngineFrozen => each(json!({"freeze": true})),
-            Kind::LoadsFail => each(json!({"load_fails": 0.5})),
-            Kind::LostOrders => each(json!({"lose_order_answers": true, "load_slow_ms": 300})),
-            Kind::CutStreams => each(json!({"cut_after_tokens": some})),
-            Kind::PlainLosesAnswers => each(json!({"lose_answers": some * 3})),
-            Kind::PlainCuts => {
+            FaultKind::LosePlatform | FaultKind::LoseBoth => {
+                platform(json!({"cut": self.subjects}))
+            }
+            FaultKind::PlatformDown => platform(json!({"down": "refuse"})),
+            FaultKind::PlatformUnavailable => platform(json!({"down": "unavailable"})),
+            FaultKind::PlatformFrozen => platform(json!({"freeze": true})),
+            FaultKind::PlatformSlow => platform(json!({"slow_ms": rng.random_range(100..1_500)})),
+            FaultKind::LostAnswers => platform(json!({"lose_answer_after_write": some * 2})),
+            FaultKind::WatchGap => platform(json!({"watch_gap": some, "expire_watches": true})),
+            FaultKind::StaleReads => platform(json!({"stale_reads": some, "stale_gets": some})),
+            FaultKind::EngineRestart | FaultKind::AllEnginesRestart => {
+                each(json!({"restart": true}))
+            }
+            FaultKind::EngineDown => each(json!({"down": true})),
+            FaultKind::EngineFrozen => each(json!({"freeze": true})),
+            FaultKind::LoadsFail => each(json!({"load_fails": 0.5})),
+            FaultKind::LostOrders => each(json!({"lose_order_answers": true, "load_slow_ms": 300})),
+            FaultKind::CutStreams => each(json!({"cut_after_tokens": some})),
+            FaultKind::PlainLosesAnswers => each(json!({"lose_answers": some * 3})),
+            FaultKind::PlainCuts => {
                 each(json!({"cut_before_run": some, "cut_answers": some, "refuse": some}))
             }
-            Kind::Kill
-            | Kind::Restart
-            | Kind::Freeze
-            | Kind::Terminate
-            | Kind::CutLink
-            | Kind::BlackHole
-            | Kind::SlowLinks
-            | Kind::LosePeers
-            | Kind::PopularityShift
-            | Kind::OperatorRace => Vec::new(),
+            FaultKind::Kill
+            | FaultKind::Restart
+            | FaultKind::Freeze
+            | FaultKind::Terminate
+            | FaultKind::CutLink
+            | FaultKind::BlackHole
+            | FaultKind::SlowLinks
+            | FaultKind::LosePeers
+            | FaultKind::PopularityShift
+            | FaultKind::OperatorRace => Vec::new(),
         }
     }
 }
 
-/// Takes back every switch and link, and wakes every paused instance.
+/// Resets every fault switch and link, and resumes every paused instance.
 pub(crate) async fn heal(fleet: &Fleet) -> Result<(), FleetError> {
     fleet.heal_links();
     for id in fleet.instances().keys() {
--- a/crates/chervilshunt_bench/src/faults/probe.rs
+++ b/crates/chervilshunt_bench/src/faults/probe.rs
@@ -1,4 +1,4 @@
-//! Probes that tell when a deployment has recovered.
+//! Probes that determine when a deployment has recovered.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,25 +8,28 @@
 use futures_util::future::join_all;
 use tokio::time::Instant;
 
-/// How long an answer to a probe may take in a deployment that has recovered.
-const PROMPT: Duration = Duration::from_secs(3);
+/// The time within which a recovered deployment must answer a probe.
+const PROMPT_ANSWER_TIME: Duration = Duration::from_secs(3);
 
-/// How long a probe's caller waits at all.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// The timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The pause between two rounds of probes.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
 
-/// Models that each round asks for, so that it reaches every engine's owner.
+/// Number of models requested in each round, enough to reach every engine's owner.
 const MODELS: usize = 4;
 
-/// Tokens of a probe's answer.
+/// Number of tokens in the answer to a probe.
 const TOKENS: u32 = 3;
 
-/// Sends rounds of probes until one is answered promptly by every instance.
+/// Sends rounds of probes until every probe of a round is answered promptly.
 ///
-/// Returns the time since `healed` at which that round began, or what the last round lacked if
-/// there was none within `bound`.
+/// Returns the time from `healed` to the start of that round.
+///
+/// # Errors
+///
+/// Returns the first failure of the last round if no round succeeded within `bound`.
 pub(crate) async fn until_recovered(
     fleet: &Fleet,
     load: &Load,
@@ -36,19 +39,19 @@
 ) -> Result<Duration, String> {
     for round in 0_usize.. {
         let began = Instant::now();
-        let lacks = send_round(fleet, load, &format!("p{episode}-{round}")).await;
-        let Some(lack) = lacks.into_iter().next() else {
+        let failures = send_round(fleet, load, &format!("p{episode}-{round}")).await;
+        let Some(failure) = failures.into_iter().next() else {
             return Ok(began - healed);
         };
         if healed.elapsed() > bound {
-            return Err(lack);
+            return Err(failure);
         }
         tokio::time::sleep(ROUND_PAUSE).await;
     }
     Err(String::new())
 }
 
-/// Sends probes to every instance, and says which were not answered promptly.
+/// Sends probes to every instance and describes those that were not answered promptly.
 async fn send_round(fleet: &Fleet, load: &Load, name: &str) -> Vec<String> {
     let instances = fleet.ready_instances();
     let probes = instances.iter().flat_map(|(id, address)| {
@@ -74,13 +77,13 @@
     let name = std::sync::Arc::clone(&req.request_id);
     let req = RequestPlan {
         to: address,
-        timeout: PATIENCE,
+        timeout: PROBE_TIMEOUT,
         ..req
     };
     let verdict = load.send(id, req).await;
     let took = sent.elapsed();
     match &verdict {
-        Verdict::Answered(_) if took <= PROMPT => None,
+        Verdict::Answered(_) if took <= PROMPT_ANSWER_TIME => None,
         Verdict::Answered(_) => Some(format!("{name}: answered after {took:.1?}")),
         _ => Some(format!(
             "{name}: {}",
--- a/crates/chervilshunt_bench/tests/failures/entry.rs
+++ b/crates/chervilshunt_bench/tests/failures/entry.rs
@@ -1,4 +1,4 @@
-//! The instance that a non-idempotent request entered at is lost.
+//! The entry instance of a non-idempotent request is lost, or its target's answer is.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::case::{BOUND, Case, answered};
+use crate::case::{Case, WAIT_TIMEOUT, answered};
 
-/// A finish entry with a key is under way when its instance is killed or paused, so that the
-/// caller gets no answer. It sends the entry again, with the same key, to another instance. The
-/// first run may have happened, be happening or never happen: only the claim tells, so the second
-/// instance asks its keeper before it sends anything. The boat is scored once at most, and a
-/// caller who is told `not_run` finds that it didn't run.
+/// The entry instance of a keyed call is killed or paused while the call is in flight. The caller
+/// gets no answer and retries at another instance with the same key. The first attempt may have
+/// run, be running or never run. Only the claim records which, so the second instance has to query
+/// its keeper before it sends the call. The call must run at most once, and a call reported as
+/// `not_run` must not have run.
 #[rstest]
 #[case::killed_while_it_runs(true, 600)]
 #[case::killed_early(true, 20)]
@@ -26,7 +26,7 @@
     };
     let mut case = Case::start(options, 5.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("desk-1", json!({"slow_ms": 1_500})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 1_500})).await;
     let mut entries = Vec::new();
     for _ in 0..6 {
         let entry = case.plan_entry("i4", true);
@@ -47,16 +47,16 @@
     case.load.set_instances(balanced.collect());
     for (number, (entry, _)) in entries.iter().enumerate() {
         let id = ["i1", "i2", "i3"][number % 3];
-        let req = case.at(id, entry.clone());
+        let req = case.with_destination(id, entry.clone());
         let verdict = case.load.send(id, req).await;
         let runs = case.runs(entry).await;
         assert!(
             runs <= 1,
-            "ran {runs} times; the retry was told: {}",
+            "the call ran {runs} times; the retry received: {}",
             describe(&verdict)
         );
     }
-    case.fault("desk-1", json!({"slow_ms": 0})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 0})).await;
     if !killed {
         case.fleet.thaw("i4").unwrap();
     }
@@ -67,9 +67,9 @@
     case.finish().await;
 }
 
-/// The keeper of claims is killed along with the entry instance, between the claim and its
-/// answer. The new keeper has to know the claims that the old one recorded, or the retry would
-/// run the entry a second time.
+/// The keeper of claims is killed along with the entry instance, after a claim was recorded and
+/// before its call was answered. The new keeper has to know the claims that the old one recorded;
+/// otherwise the retry would run the call a second time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn keeper_and_entry_instance_are_killed() {
     let options = FleetOptions {
@@ -78,9 +78,10 @@
     };
     let mut case = Case::start(options, 5.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("desk-1", json!({"slow_ms": 1_000})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 1_000})).await;
     let mut entries = Vec::new();
-    // Entries at each instance: whichever two are killed, claims of all sorts are left behind.
+    // Calls enter at every instance, so that claims of every combination of entry and keeper are
+    // left behind.
     for id in ["i1", "i2", "i3", "i4"] {
         for _ in 0..4 {
             let entry = case.plan_entry(id, true);
@@ -92,28 +93,31 @@
     case.fleet.kill("i4").await.unwrap();
     case.fleet.kill("i3").await.unwrap();
     case.load.set_instances(case.fleet.ready_instances());
-    case.fault("desk-1", json!({"slow_ms": 0})).await;
+    case.set_faults("desk-1", json!({"slow_ms": 0})).await;
     for (entry, first) in entries {
         first.await.unwrap();
         let retry = || async {
-            let verdict = case.load.send("i1", case.at("i1", entry.clone())).await;
+            let verdict = case
+                .load
+                .send("i1", case.with_destination("i1", entry.clone()))
+                .await;
             let settled = match &verdict {
                 Verdict::Refused(refusal) => refusal.outcome == Outcome::Unknown,
                 verdict => answered(verdict),
             };
             settled.then_some(())
         };
-        wait_until(BOUND, retry)
+        wait_until(WAIT_TIMEOUT, retry)
             .await
-            .expect("a retry is never told what became of it");
+            .expect("a retry never received the outcome of the call");
         assert!(case.runs(&entry).await <= 1);
     }
     case.finish().await;
 }
 
-/// The plain service runs an entry and its answer is lost, or it is cut off before it runs. Either
-/// way the first byte may have left, so an entry without a key is never sent a second time: its
-/// caller is told `unknown`, and never `not_run`.
+/// The plain service runs a call and its answer is lost, or the call is cut off before it runs. In
+/// both cases the first byte may have been sent, so a call without a key must never be sent a
+/// second time, and has to be reported as `unknown`, never as `not_run`.
 #[rstest]
 #[case::answer_lost(json!({"lose_answers": 1}))]
 #[case::cut_before_it_runs(json!({"cut_before_run": 1}))]
@@ -123,7 +127,7 @@
     let mut case = Case::start(FleetOptions::default(), 0.5).await;
     for keyed in [false, true] {
         case.run_for(Duration::from_millis(500)).await;
-        case.fault("desk-1", switches.clone()).await;
+        case.set_faults("desk-1", switches.clone()).await;
         let entry = case.plan_entry("i1", keyed);
         let verdict = case.load.send("i1", entry.clone()).await;
         assert!(!answered(&verdict) || case.count("desk-1", "calls").await > 1);
--- a/crates/chervilshunt_bench/tests/failures/platform.rs
+++ b/crates/chervilshunt_bench/tests/failures/platform.rs
@@ -1,4 +1,4 @@
-//! The platform is down, slow, or loses answers after a write took effect.
+//! The platform is down or slow, loses responses after a write took effect, or serves stale reads.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::case::{BOUND, Case, PAST_LEASE, answered};
+use crate::case::{Case, LEASE_TAKEOVER_TIME, WAIT_TIMEOUT, answered};
 
-/// The platform is gone for longer than every lease. Nobody can be superseded meanwhile, so each
-/// instance serves on what it owns; callers see nothing of it. A change of configuration can't be
-/// accepted and is refused, and is not in force anywhere when the platform is back. A keyed
-/// request whose claim can't be recorded is told that it has not run.
+/// The platform is down for longer than every lease. No instance can be superseded meanwhile, so
+/// each keeps serving with the targets it owns, and completions are unaffected. A configuration
+/// change has to be refused and must not be in force anywhere after the outage. A keyed request
+/// whose claim can't be recorded has to be reported as `not_run`.
 #[rstest]
 #[case::refuses_connections(json!({"down": "refuse"}))]
 #[case::unavailable(json!({"down": "unavailable"}))]
@@ -22,8 +22,8 @@
 async fn down_for_longer_than_the_leases(#[case] switches: Value) {
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
-    case.fault("platform", switches).await;
-    case.run_for(PAST_LEASE).await;
+    case.set_faults("platform", switches).await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
 
     for id in ["i1", "i2", "i3"] {
         let verdict = case.complete(id, &model_name(0), 5).await;
@@ -46,14 +46,24 @@
     let verdict = case.load.send("i2", entry.clone()).await;
     match &verdict {
         Verdict::Refused(refusal) => assert_eq!(refusal.outcome, Outcome::NotRun),
-        other => panic!("a keyed entry during the outage: {}", describe(other)),
+        other => panic!(
+            "a keyed call during the outage was not refused: {}",
+            describe(other)
+        ),
     }
 
     let up = json!({"down": "no", "freeze": false});
-    case.fault("platform", up).await;
-    let retry = || async { answered(&case.load.send("i3", case.at("i3", entry.clone())).await) };
-    let retried = wait_until(BOUND, || async { retry().await.then_some(()) }).await;
-    retried.expect("the keyed entry isn't answered after the outage");
+    case.set_faults("platform", up).await;
+    let retry = || async {
+        answered(
+            &case
+                .load
+                .send("i3", case.with_destination("i3", entry.clone()))
+                .await,
+        )
+    };
+    let retried = wait_until(WAIT_TIMEOUT, || async { retry().await.then_some(()) }).await;
+    retried.expect("the keyed call was not answered after the outage");
     assert_eq!(case.runs(&entry).await, 1);
     let query = format!("show versions where name = {model}");
     for id in ["i1", "i2", "i3"] {
@@ -66,10 +76,10 @@
     case.finish().await;
 }
 
-/// Each call to the platform takes long. Calls that end in time renew leases all the same, as
-/// renewal doesn't wait for other calls; those that outlast their timeout are as good as an outage,
-/// which nobody can be superseded in. Requests are as fast as ever, as none of them waits for the
-/// platform unless it has a key.
+/// Every call to the platform is slow. Calls that end within their timeout still renew leases, as
+/// renewal doesn't wait for other calls. Calls that time out amount to an outage, during which no
+/// instance can be superseded. Completions are not delayed, as only keyed requests wait for the
+/// platform.
 #[rstest]
 #[case::calls_end_in_time(400)]
 #[case::calls_time_out(1_000)]
@@ -78,8 +88,9 @@
     let mut case = Case::start(FleetOptions::default(), 15.0).await;
     case.run_for(Duration::from_secs(2)).await;
     let owner = case.owner("i1", "engine-1", None).await;
-    case.fault("platform", json!({"slow_ms": slow_ms})).await;
-    case.run_for(PAST_LEASE).await;
+    case.set_faults("platform", json!({"slow_ms": slow_ms}))
+        .await;
+    case.run_for(LEASE_TAKEOVER_TIME).await;
     for id in ["i1", "i2", "i3"] {
         let verdict = case.complete(id, &model_name(0), 5).await;
         assert!(
@@ -93,13 +104,14 @@
         owner,
         "the owner lost its lease"
     );
-    case.fault("platform", json!({"slow_ms": 0})).await;
+    case.set_faults("platform", json!({"slow_ms": 0})).await;
     case.finish().await;
 }
 
-/// An operator's change is written, and the answer to the write is lost. Sent again blindly it
-/// would conflict with itself and be reported as refused although it is in force; or be applied
-/// twice. The instance has to read back by the change's id, and say what is true.
+/// An operator's change is written, and the response to the write is lost. A blind retry would
+/// conflict with the change itself, so that it is reported as refused although it is in force, or
+/// would apply it twice. The instance has to look the change up by its id and report the actual
+/// outcome.
 #[rstest]
 #[case::one(1)]
 #[case::some(3)]
@@ -109,7 +121,7 @@
     let mut case = Case::start(FleetOptions::default(), 10.0).await;
     case.run_for(Duration::from_secs(1)).await;
     for number in 0..4 {
-        case.fault("platform", json!({"lose_answer_after_write": lost}))
+        case.set_faults("platform", json!({"lose_answer_after_write": lost}))
             .await;
         let model = format!("adapter-0001@lost{number}");
         let statements = case.fleet.statements_at("i1").unwrap();
@@ -130,14 +142,14 @@
     }
     let mut entries = Vec::new();
     for number in 0..6 {
-        case.fault("platform", json!({"lose_answer_after_write": lost}))
+        case.set_faults("platform", json!({"lose_answer_after_write": lost}))
             .await;
         let id = ["i1", "i2", "i3"][number % 3];
         let entry = case.plan_entry(id, true);
         case.load.send(id, entry.clone()).await;
         entries.push(entry);
     }
-    case.fault("platform", json!({"lose_answer_after_write": 0}))
+    case.set_faults("platform", json!({"lose_answer_after_write": 0}))
         .await;
     for entry in entries {
         assert!(case.runs(&entry).await <= 1);
@@ -145,9 +157,9 @@
     case.finish().await;
 }
 
-/// A watch misses changes and then expires, and reads are stale for a while. An instance that
-/// believed them would go back to an older configuration, or miss a version that was accepted: its
-/// callers would get 404 for a model that other instances serve.
+/// A watch misses changes and then expires, or reads are stale for a while, or both. An instance
+/// that relied on them would revert to an older configuration or miss an accepted version: its
+/// callers would get a 404 for a model that other instances serve.
 #[rstest]
 #[case::watch_gap(json!({"watch_gap": 4, "expire_watches": true}))]
 #[case::stale_reads(json!({"stale_reads": 3, "stale_gets": 3}))]
@@ -158,7 +170,7 @@
 async fn gaps_and_stale_reads(#[case] switches: Value) {
     let mut case = Case::start(FleetOptions::default(), 10.0).await;
     case.run_for(Duration::from_secs(1)).await;
-    case.fault("platform", switches).await;
+    case.set_faults("platform", switches).await;
     let mut accepted = Vec::new();
     for number in 0..4 {
         let model = format!("adapter-0002@gap{number}");
@@ -170,22 +182,22 @@
         accepted.push(model);
         check_all_there(&mut case, &accepted).await;
     }
-    // What was read late may come in late.
-    case.run_for(PAST_LEASE / 2).await;
+    // Stale data may arrive with a delay.
+    case.run_for(LEASE_TAKEOVER_TIME / 2).await;
     check_all_there(&mut case, &accepted).await;
     let healed = json!({
         "watch_gap": 0, "expire_watches": false, "stale_reads": 0, "stale_gets": 0,
     });
-    case.fault("platform", healed).await;
+    case.set_faults("platform", healed).await;
     let statements = case.fleet.statements_at("i2").unwrap();
     let create = create_version("adapter-0002@after");
     let look = || async {
         let change = statements.try_run(&create).await.ok()?;
         change.status.is_success().then_some(())
     };
-    wait_until(BOUND, look)
+    wait_until(WAIT_TIMEOUT, look)
         .await
-        .expect("no change is accepted after the fault");
+        .expect("no change was accepted after the fault");
     case.until_answered("i3", "adapter-0002@after").await;
     eprintln!(
         "{} of 4 changes were accepted during the fault",
@@ -194,7 +206,7 @@
     case.finish().await;
 }
 
-/// Checks that each instance knows each of these models.
+/// Checks that no instance answers a request for one of the models with a 404.
 async fn check_all_there(case: &mut Case, models: &[String]) {
     for id in ["i1", "i2", "i3"] {
         for model in models {
