--- a/crates/chervilshunt_bench/src/policy/aims.rs
+++ b/crates/chervilshunt_bench/src/policy/aims.rs
@@ -1,4 +1,4 @@
-//! What the policy is to reach, and whether a table shows that it does.
+//! Acceptance criteria for the product's policy, evaluated against a results table.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,47 +8,52 @@
 use super::scenario::Scenario;
 use super::summary::Row;
 
-/// Where stalls weigh more: the most stalled time, as a part of the baseline's.
+/// Maximum ratio of stalled time to that of `lru`, for a deployment that weighs load stalls more.
 const STALLED_TO_LRU: f64 = 1.0 / 3.0;
-/// Where stalls weigh more: the most stalled time on steady skew, over the bound.
+/// Maximum ratio of stalled time to the `clairvoyant` bound in the steady scenario, for a
+/// deployment that weighs load stalls more.
 const STALLED_TO_BOUND: f64 = 1.5;
-/// Where batches weigh more: the least useful tokens a step, over the baseline's.
+/// Minimum ratio of useful tokens per step to that of `lru`, for a deployment that weighs batch
+/// efficiency more.
 const TOKENS_TO_LRU: f64 = 1.4;
-/// Where batches weigh more: the most live wait, over the baseline's.
+/// Maximum ratio of the p99 wait of live requests to that of `lru`, for a deployment that weighs
+/// batch efficiency more.
 const LIVE_WAIT_TO_LRU: f64 = 1.0;
-/// The most live wait under a flood of deferrable work, over that without.
+/// Maximum ratio of the p99 wait of live requests under a flood of deferrable requests to that in
+/// the steady scenario.
 const FLOOD_TO_STEADY: f64 = 1.2;
 
-/// One aim in one scenario of one deployment.
+/// An acceptance criterion for one scenario of one deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Aim {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The figure.
+    /// Name of the measured quantity.
     pub figure: String,
-    /// What was measured; none if a run that it needs is missing.
+    /// Measured value; `None` if the table lacks a run or a value that it is computed from.
     pub measured: Option<f64>,
-    /// Whether the bound is the most or the least.
+    /// Whether the bound is an upper or a lower one.
     pub limit: Limit,
-    /// The bound.
+    /// Bound that the measured value is compared with.
     pub bound: f64,
-    /// Whether the bound is kept; none if it was not measured.
+    /// Whether the measured value is within the bound; `None` if there is no measured value.
     pub met: Option<bool>,
 }
 
-/// Which way a bound goes.
+/// Direction of a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Limit {
-    /// The figure may be at most the bound.
+    /// The measured value must not exceed the bound.
     AtMost,
-    /// The figure has to be at least the bound.
+    /// The measured value must not fall below the bound.
     AtLeast,
 }
 
-/// Returns the aims of all scenarios and deployments among `rows`.
+/// Evaluates the aims of every deployment and scenario for which `rows` has a run of the product's
+/// policy.
 pub(crate) fn aims(rows: &[Row]) -> Vec<Aim> {
     let mut aims = Vec::new();
     for deployment in DeploymentKind::ALL {
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Returns the words for tables.
+    /// Returns the text shown in tables.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::AtMost => "at most",
