--- a/crates/chervilshunt_bench/src/policy/args.rs
+++ b/crates/chervilshunt_bench/src/policy/args.rs
@@ -1,4 +1,4 @@
-//! The command line of a single run, and how its names and numbers are read.
+//! Command line of a single run, and parsers for option values shared with the table command.
 
 use std::error::Error;
 use std::str::FromStr;
@@ -11,59 +11,64 @@
 use super::run::{Policy, RunSpec, run_timeline};
 use super::scenario::Scenario;
 
-/// Why the policy bench did not run.
+/// Error of the policy bench's command line or of writing its report.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum PolicyError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     #[snafu(display("{source}"), visibility(pub(super)))]
     Args {
-        /// What lexopt said.
+        /// Error from `lexopt`.
         source: lexopt::Error,
     },
-    /// A name is unknown.
-    #[snafu(display("--{option} {value}: unknown; one of {allowed}"))]
+    /// The value of an option is not one of its allowed names.
+    #[snafu(display("unknown value '{value}' for --{option}; expected one of {allowed}"))]
     Unknown {
-        /// The option.
+        /// Name of the option, without the leading dashes.
         option: &'static str,
-        /// What was given.
+        /// Value given on the command line.
         value: String,
-        /// What may be given.
+        /// Allowed names, separated by commas.
         allowed: String,
     },
-    /// A list of seeds can't be read.
-    #[snafu(display("--seeds {value}: give numbers and ranges, such as 101-110 or 1,2,7"))]
+    /// The list of seeds is malformed or empty.
+    #[snafu(display(
+        "invalid value '{value}' for --seeds; expected numbers or ranges, such as 101-110 or 1,2,7"
+    ))]
     Seeds {
-        /// What was given.
+        /// Value given on the command line.
         value: String,
     },
-    /// Weights can't be read.
+    /// The policy weights are malformed.
     #[snafu(display(
-        "--weights {value}: give those of load stalls and batch efficiency, such as 1,3"
+        "invalid value '{value}' for --weights; expected the weights of load stalls and batch efficiency, such as 1,3"
     ))]
     Weights {
-        /// What was given.
+        /// Value given on the command line.
         value: String,
     },
-    /// A report can't be written.
-    #[snafu(display("can't write the report: {source}"), visibility(pub(super)))]
+    /// The report could not be serialized.
+    #[snafu(
+        display("failed to serialize the report: {source}"),
+        visibility(pub(super))
+    )]
     Write {
-        /// What serde_json said.
+        /// Error from `serde_json`.
         source: serde_json::Error,
     },
 }
 
-/// What the command line asks for; the last of an option given twice counts.
+/// Parsed command line; if an option is repeated, its last value applies.
 #[derive(Debug)]
 struct Options {
     spec: RunSpec,
     timeline: bool,
 }
 
-/// Runs `policy` with the rest of the command line.
+/// Runs the `policy` command with the remaining arguments and prints its report.
 ///
 /// # Errors
-/// Fails if an option is unknown or a report can't be written.
+/// Returns an error if an argument is invalid or the report cannot be serialized.
 pub fn run(args: lexopt::Parser) -> Result<(), PolicyError> {
     let options = Options::parse(args)?;
     let (report, timeline) = run_timeline(options.spec);
@@ -99,7 +104,7 @@
                 Long("load") => spec.load = number(&mut args)?,
                 Long("weights") => spec.weights = Some(weights(&mut args)?),
                 Long("timeline") => timeline = true,
-                // A single report has no other form; the option is for the caller's clearness.
+                // JSON is the only format of a single report, so the option has no effect.
                 Long("json") => {}
                 _ => return Err(arg.unexpected()).context(ArgsSnafu),
             }
@@ -108,7 +113,7 @@
     }
 }
 
-/// How the names of an option are read and listed.
+/// Parser and list of the names that an option accepts.
 pub(crate) struct Names<T> {
     parse: fn(&str) -> Option<T>,
     list: fn() -> Vec<&'static str>,
@@ -136,7 +141,7 @@
     names.find(option, &value)
 }
 
-/// Reads the weights of load stalls and batch efficiency, divided by a comma.
+/// Parses the weights of load stalls and batch efficiency, separated by a comma.
 fn weights(args: &mut lexopt::Parser) -> Result<PolicyWeights, PolicyError> {
     let value = text(args)?;
     let read = |text: &str| text.parse().ok();
@@ -149,7 +154,7 @@
     })
 }
 
-/// Reads names that are divided by commas.
+/// Parses a comma-separated list of names.
 pub(crate) fn names<T>(
     args: &mut lexopt::Parser,
     option: &'static str,
@@ -162,7 +167,7 @@
         .collect()
 }
 
-/// Reads numbers and ranges of numbers that are divided by commas.
+/// Parses a comma-separated list of seeds and inclusive ranges of seeds.
 pub(crate) fn seeds(args: &mut lexopt::Parser) -> Result<Vec<u64>, PolicyError> {
     let value = text(args)?;
     let mut seeds = Vec::new();
@@ -180,7 +185,7 @@
     Ok(seeds)
 }
 
-/// Reads a number.
+/// Parses the option's value as a number.
 pub(crate) fn number<T: FromStr<Err: Error + Send + Sync + 'static>>(
     args: &mut lexopt::Parser,
 ) -> Result<T, PolicyError> {
