--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -1,7 +1,7 @@
-//! The baselines: one dispatcher that sees everything at once and decides in the plainest way.
+//! Baseline policies: one central dispatcher with simple placement and eviction rules.
 //!
-//! They work on the same engines, weight store and cap as the product. They know the state of all
-//! targets without delay, which the product does not.
+//! The baselines run on the same engines, weight store and power cap as the product. Unlike the
+//! product, they know the state of all targets without delay.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,56 +13,60 @@
 use super::requests::Phase;
 use super::world::{DELAY, Input, Notice, World};
 
-/// How a baseline chooses a target.
+/// Rule by which a baseline chooses a target for a request to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// The least outstanding target among those that hold the adapter and have room; if there is
-    /// none, the least outstanding of all.
+    /// The target with the fewest outstanding requests among those that hold, load or have
+    /// requested the adapter and have fewer than `MAX_BATCH` outstanding; if there is none, the
+    /// engine with the fewest outstanding requests.
     Holders,
-    /// The least outstanding target of all.
+    /// The engine with the fewest outstanding requests.
     LeastOutstanding,
-    /// The target that the adapter's hash names.
+    /// The engine that ranks first for the adapter by hash.
     Hash,
 }
 
-/// An event that a baseline planned itself.
+/// Event that a baseline schedules for itself.
 #[derive(Debug)]
 pub(crate) enum BaselineEvent {
-    /// A request reaches the dispatcher.
-    Reaches(u32),
-    /// Leave reaches the entry instance.
-    Leave { target: usize, request: u32 },
+    /// A request arrives at the dispatcher.
+    ReachedDispatcher(u32),
+    /// The permit for a request arrives at its entry instance.
+    PermitGranted { target: usize, request: u32 },
 }
 
-/// A dispatcher with first come, first served queues and least recently used eviction.
+/// Central dispatcher with FIFO queues and LRU eviction.
 #[derive(Debug)]
 pub(crate) struct Baseline {
     choice: Choice,
     targets: Vec<Target>,
-    /// Loads that wait for their turn, first come first.
+    /// Queued loads as `(engine, adapter)`, in FIFO order.
     loads: VecDeque<(usize, u32)>,
+    /// Loads in progress.
     loading: u32,
+    /// Whether the engines are down.
     down: bool,
+    /// For each adapter, the engine that ranks first by hash.
     hashed: Vec<usize>,
 }
 
-/// What the dispatcher knows of one target.
+/// Dispatcher's state of one target.
 #[derive(Debug, Default)]
 struct Target {
     queue: VecDeque<u32>,
-    /// Permits outstanding.
+    /// Outstanding permits.
     permits: u32,
     adapters: HashMap<u32, AdapterUse>,
 }
 
-/// What the dispatcher knows of one adapter at one target.
+/// Dispatcher's state of one adapter at one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct AdapterUse {
     permits: u32,
     queued: u32,
     used: Moment,
-    /// A load waits for its turn or runs.
-    asked: bool,
+    /// Whether a load of the adapter is queued or in progress.
+    load_requested: bool,
 }
 
 impl Baseline {
@@ -86,19 +90,19 @@
         }
     }
 
-    /// Reacts to one event.
+    /// Handles one event, then starts loads and sends requests that became possible.
     pub(crate) fn handle(&mut self, world: &mut World<BaselineEvent>, input: Input<BaselineEvent>) {
         match input {
-            Input::Event(BaselineEvent::Reaches(request)) => self.reaches(world, request),
-            Input::Event(BaselineEvent::Leave { target, request }) => {
+            Input::Event(BaselineEvent::ReachedDispatcher(request)) => self.enqueue(world, request),
+            Input::Event(BaselineEvent::PermitGranted { target, request }) => {
                 world.open_call(target, request);
                 return;
             }
             Input::Notice(Notice::Arrived(request)) => {
-                world.plan_policy(world.now + DELAY, BaselineEvent::Reaches(request));
+                world.plan_policy(world.now + DELAY, BaselineEvent::ReachedDispatcher(request));
                 return;
             }
-            Input::Notice(Notice::GaveUp(request)) => self.gave_up(world, request),
+            Input::Notice(Notice::GaveUp(request)) => self.remove_queued(world, request),
             Input::Notice(Notice::Finished { target, request }) => {
                 self.release(world, target, request);
             }
@@ -106,7 +110,7 @@
                 target, request, ..
             }) => {
                 self.release(world, target, request);
-                self.reaches(world, request);
+                self.enqueue(world, request);
             }
             Input::Notice(Notice::LoadEnded {
                 engine,
@@ -123,7 +127,7 @@
         self.admit(world);
     }
 
-    fn reaches(&mut self, world: &mut World<BaselineEvent>, request: u32) {
+    fn enqueue(&mut self, world: &mut World<BaselineEvent>, request: u32) {
         if world.requests.get(request).phase != Phase::Waiting {
             return;
         }
@@ -132,7 +136,7 @@
         self.targets[target].queue.push_back(request);
         if let Some(adapter) = world.req(request).adapter {
             self.targets[target].adapter(adapter).queued += 1;
-            self.ask(world, target, adapter);
+            self.request_load(world, target, adapter);
         }
     }
 
@@ -148,8 +152,8 @@
             Choice::Holders => {
                 let has_room = |target: usize| {
                     let held = world.engines[target].occupies(adapter);
-                    let asked = self.targets[target].asked(adapter);
-                    (held || asked) && self.targets[target].outstanding() < MAX_BATCH as usize
+                    let requested = self.targets[target].load_requested(adapter);
+                    (held || requested) && self.targets[target].outstanding() < MAX_BATCH as usize
                 };
                 let holders = (0..engines).any(has_room);
                 if holders {
@@ -161,7 +165,8 @@
         }
     }
 
-    /// Returns the least outstanding target; ties go round.
+    /// Returns the allowed target with the fewest outstanding requests; ties are broken round-robin
+    /// by request number.
     fn least_outstanding(
         &self,
         request: u32,
@@ -176,18 +181,19 @@
             .unwrap_or(first)
     }
 
-    /// Asks for a load unless the adapter is held, or asked for already.
-    fn ask(&mut self, world: &mut World<BaselineEvent>, engine: usize, adapter: u32) {
+    /// Queues a load unless the engine holds the adapter or its load is already queued or in
+    /// progress.
+    fn request_load(&mut self, world: &mut World<BaselineEvent>, engine: usize, adapter: u32) {
         let in_use = self.targets[engine].adapter(adapter);
-        if in_use.asked || world.engines[engine].holds(adapter) {
+        if in_use.load_requested || world.engines[engine].holds(adapter) {
             return;
         }
-        in_use.asked = true;
+        in_use.load_requested = true;
         world.set_asked(engine, adapter, true);
         self.loads.push_back((engine, adapter));
     }
 
-    fn gave_up(&mut self, world: &World<BaselineEvent>, request: u32) {
+    fn remove_queued(&mut self, world: &World<BaselineEvent>, request: u32) {
         for target in &mut self.targets {
             let Some(at) = target.queue.iter().position(|other| *other == request) else {
                 continue;
@@ -215,14 +221,15 @@
         loaded: bool,
     ) {
         self.loading -= 1;
-        self.targets[engine].adapter(adapter).asked = false;
+        self.targets[engine].adapter(adapter).load_requested = false;
         world.set_asked(engine, adapter, false);
         if !loaded && self.targets[engine].adapter(adapter).queued > 0 {
-            self.ask(world, engine, adapter);
+            self.request_load(world, engine, adapter);
         }
     }
 
-    /// Forgets the loads that are lost and asks for all that is waited for.
+    /// Drops all queued and running loads, and queues loads again for the adapters that queued
+    /// requests need.
     fn engines_down(&mut self, world: &mut World<BaselineEvent>) {
         self.down = true;
         self.loading = 0;
@@ -232,27 +239,30 @@
             target
                 .adapters
                 .values_mut()
-                .for_each(|in_use| in_use.asked = false);
+                .for_each(|in_use| in_use.load_requested = false);
             queued.extend(target.queue.iter().map(|request| (*request, number)));
         }
         queued.sort_unstable();
         for (request, engine) in queued {
             if let Some(adapter) = world.req(request).adapter {
-                self.ask(world, engine, adapter);
+                self.request_load(world, engine, adapter);
             }
         }
     }
 
-    /// Begins the loads whose turn it is; one whose engine has no slot to give lets others pass.
+    /// Starts queued loads in FIFO order up to the concurrency limit.
+    ///
+    /// A load whose engine has no slot that can be freed is skipped and stays queued; a load that
+    /// no queued request needs any more is dropped.
     fn begin_loads(&mut self, world: &mut World<BaselineEvent>) {
         let mut next = 0;
         while self.loading < world.sizes.concurrent_loads && next < self.loads.len() && !self.down {
             let (engine, adapter) = self.loads[next];
             if self.targets[engine].adapter(adapter).queued == 0 {
                 self.loads.remove(next);
-                self.targets[engine].adapter(adapter).asked = false;
+                self.targets[engine].adapter(adapter).load_requested = false;
                 world.set_asked(engine, adapter, false);
-            } else if self.make_room(world, engine) && world.load(engine, adapter).is_ok() {
+            } else if self.free_slot(world, engine) && world.load(engine, adapter).is_ok() {
                 self.loads.remove(next);
                 self.loading += 1;
             } else {
@@ -261,8 +271,9 @@
         }
     }
 
-    /// Frees a slot by evicting the least recently used adapter that nobody uses or waits for.
-    fn make_room(&mut self, world: &mut World<BaselineEvent>, engine: usize) -> bool {
+    /// Ensures a free slot by evicting, if necessary, the least recently used adapter that has no
+    /// outstanding permits or queued requests. Returns whether there is a free slot.
+    fn free_slot(&mut self, world: &mut World<BaselineEvent>, engine: usize) -> bool {
         if world.engines[engine].slots_used() < SLOTS as usize {
             return true;
         }
@@ -275,16 +286,16 @@
         victim.is_some_and(|adapter| world.unload(engine, adapter).is_ok())
     }
 
-    /// Gives leave first come, first served, wherever the batch and the power have room.
+    /// Grants permits in FIFO order wherever the target's batch and the power cap have capacity.
     fn admit(&mut self, world: &mut World<BaselineEvent>) {
         if self.down {
             return;
         }
-        while let Some((target, place)) = self.next_admissible(world) {
+        while let Some((target, position)) = self.next_admissible(world) {
             let request = self.targets[target]
                 .queue
-                .remove(place)
-                .expect("the place exists");
+                .remove(position)
+                .expect("the position was found in this queue");
             self.targets[target].permits += 1;
             if let Some(adapter) = world.req(request).adapter {
                 let in_use = self.targets[target].adapter(adapter);
@@ -293,11 +304,15 @@
                 in_use.used = world.now;
             }
             world.leave(request, Phase::Called);
-            world.plan_policy(world.now + DELAY, BaselineEvent::Leave { target, request });
+            world.plan_policy(
+                world.now + DELAY,
+                BaselineEvent::PermitGranted { target, request },
+            );
         }
     }
 
-    /// Finds the request that came first among those that can run now.
+    /// Finds the earliest request that can run now, and returns its target and its position in the
+    /// target's queue.
     fn next_admissible(&self, world: &World<BaselineEvent>) -> Option<(usize, usize)> {
         let drawn: f64 = (0..world.sizes.engines)
             .map(|i| self.targets[i].watts(0))
@@ -313,11 +328,11 @@
             .filter(|target| fits(*target))
             .filter_map(|target| {
                 let ready = |request: &u32| is_ready(world, target, *request);
-                let place = self.targets[target].queue.iter().position(ready)?;
-                Some((self.targets[target].queue[place], target, place))
+                let position = self.targets[target].queue.iter().position(ready)?;
+                Some((self.targets[target].queue[position], target, position))
             })
             .min()
-            .map(|(_, target, place)| (target, place))
+            .map(|(_, target, position)| (target, position))
     }
 }
 
@@ -326,17 +341,18 @@
         self.adapters.entry(adapter).or_default()
     }
 
-    fn asked(&self, adapter: u32) -> bool {
+    fn load_requested(&self, adapter: u32) -> bool {
         self.adapters
             .get(&adapter)
-            .is_some_and(|in_use| in_use.asked)
+            .is_some_and(|in_use| in_use.load_requested)
     }
 
     fn outstanding(&self) -> usize {
         self.queue.len() + self.permits as usize
     }
 
-    /// Returns the power of a step with all permits and some more, in watts.
+    /// Returns the power draw, in watts, of a step that runs all permits and `more` additional
+    /// sequences.
     fn watts(&self, more: u32) -> f64 {
         let sequences = self.permits + more;
         if sequences == 0 {
