--- a/crates/chervilshunt_bench/src/policy/clairvoyant.rs
+++ b/crates/chervilshunt_bench/src/policy/clairvoyant.rs
@@ -1,7 +1,7 @@
-//! A lower bound on the stalled time of live requests, from knowing the whole trace.
+//! Lower bound on the stalled time of live requests, computed offline from the whole trace.
 //!
-//! It holds for every policy that begins a load of an adapter only while a request for it waits.
-//! The proof stands in `docs/design/bench.md`.
+//! The bound holds for every policy that starts a load of an adapter only while a request for it
+//! waits. See `docs/design/bench.md` for the proof.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -12,20 +12,21 @@
 use super::scenario::{Scenario, Schedule};
 use super::workload::Trace;
 
-/// The quantity that [`fill`] bounds.
+/// Description of the quantity that [`fill`] bounds, as written to the report.
 const BOUND_OF: &str = "stalls and stalled_ms_total of policies that load on demand";
 
-/// Loads by which the wait for an adapter is left out of the time that its slot is taken.
+/// Number of load times after a request during which its adapter is not counted as occupying a
+/// slot, because the request may still wait for the adapter.
 const SLACK_LOADS: u32 = 2;
 
-/// A time during which an adapter has to be kept so that its next request finds it.
+/// Interval during which an adapter must stay loaded so that its next request does not stall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Gap {
     start: Moment,
     end: Moment,
 }
 
-/// Writes the bound into a report.
+/// Writes the bound to `report`.
 pub(crate) fn fill(
     report: &mut Report,
     sizes: &Sizes,
@@ -38,7 +39,7 @@
     report.requests = engine_requests.filter(|req| measured(req.at)).count() as u64;
     let wiped = (scenario == Scenario::Restart).then_some(schedule.start);
     let gaps = gaps(trace, sizes, schedule);
-    let stalls = least_missed(gaps, sizes.engines * SLOTS as usize, wiped);
+    let stalls = min_missed(gaps, sizes.engines * SLOTS as usize, wiped);
     let load_ms = millis(sizes.load_time());
     report.stalls = stalls;
     report.stall_ms_p50 = load_ms;
@@ -47,7 +48,7 @@
     report.bound_of = Some(BOUND_OF);
 }
 
-/// Returns the gaps between live requests of the same adapter, by start.
+/// Returns the gaps between successive live requests for the same adapter, sorted by start.
 fn gaps(trace: &Trace, sizes: &Sizes, schedule: &Schedule) -> Vec<Gap> {
     let slack = sizes.load_time() * SLACK_LOADS;
     let mut last: HashMap<u32, Moment> = HashMap::new();
@@ -59,7 +60,7 @@
         if req.at < schedule.warm {
             continue;
         }
-        // Anything may be held when measuring begins.
+        // Any adapter may be loaded when measurement starts, so the first gap starts there.
         let before = last.insert(adapter, req.at);
         let start = before.map_or(schedule.warm, |at| at + slack);
         if start < req.at {
@@ -70,10 +71,12 @@
     gaps
 }
 
-/// Returns how many gaps can't be kept at least, if at most `slots` are kept at any time.
+/// Returns the minimum number of gaps that cannot be kept if at most `slots` are kept at any time.
 ///
-/// Of the gaps that overlap, the one that ends last is given up: Belady's rule, which is optimal.
-fn least_missed(gaps: Vec<Gap>, slots: usize, wiped: Option<Moment>) -> u64 {
+/// When too many gaps overlap, the one that ends last is dropped. This is Belady's algorithm, which
+/// is optimal. Gaps that span `wiped`, the time at which all engines lose their adapters, are always
+/// missed.
+fn min_missed(gaps: Vec<Gap>, slots: usize, wiped: Option<Moment>) -> u64 {
     let mut kept: BTreeSet<(Moment, usize)> = BTreeSet::new();
     let mut missed = 0;
     for (number, gap) in gaps.into_iter().enumerate() {
