--- a/crates/chervilshunt_bench/src/policy/comparison.rs
+++ b/crates/chervilshunt_bench/src/policy/comparison.rs
@@ -1,4 +1,4 @@
-//! A whole table: medians, how each policy stands to the baseline and the bound, and the aims.
+//! Results table: medians, ratios of each policy to the baseline and the bound, and the aims.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,44 +11,45 @@
 /// Results of a matrix of runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// The seeds that the medians are of.
+    /// Seeds of the runs that the medians are taken over.
     pub seeds: Vec<u64>,
-    /// Virtual seconds of each run; none if each scenario had its usual length.
+    /// Length of each run in simulated seconds; `None` if each scenario ran for its default length.
     pub seconds: Option<u64>,
-    /// By how much the rates of all requests were multiplied.
+    /// Factor by which all request rates were multiplied.
     pub load: f64,
-    /// Medians of each policy in each scenario of each deployment.
+    /// Medians for each policy in each scenario of each deployment.
     pub rows: Vec<Row>,
-    /// How the policies stand to each other.
+    /// Ratios of each row to the baseline and the bound.
     pub comparisons: Vec<Comparison>,
-    /// What was aimed at, and whether it was reached.
+    /// Acceptance criteria, and whether they were met.
     pub aims: Vec<Aim>,
 }
 
-/// Quotients of one policy's medians and those of the baseline or the bound; none where either was
-/// not run, lacks the figure or is zero.
+/// Ratios of one policy's medians to those of the baseline or the bound.
+///
+/// A ratio is `None` if either side was not run or lacks the value, or if the divisor is zero.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Stalled time over that of `lru`.
+    /// Ratio of stalled time to that of `lru`.
     pub stalled_to_lru: Option<f64>,
-    /// Stalled time over the bound of `clairvoyant`.
+    /// Ratio of stalled time to the bound of `clairvoyant`.
     pub stalled_to_bound: Option<f64>,
-    /// Useful tokens a step over those of `lru`.
+    /// Ratio of useful tokens per step to that of `lru`.
     pub tokens_to_lru: Option<f64>,
-    /// 99th percentile of live wait over that of `lru`.
+    /// Ratio of the p99 wait of live requests to that of `lru`.
     pub live_wait_to_lru: Option<f64>,
-    /// Energy for each token over that of `lru`.
+    /// Ratio of energy per token to that of `lru`.
     pub joules_to_lru: Option<f64>,
 }
 
 impl Table {
-    /// Runs a matrix and compares what came out.
+    /// Runs all simulations of the matrix and compares their results.
     pub fn new(matrix: &Matrix) -> Self {
         let rows = matrix.run();
         Self {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Finds the row of a policy in a scenario of a deployment.
+/// Returns the row of `policy` in `scenario` of `deployment`, if it was run.
 pub(crate) fn find(
     rows: &[Row],
     deployment: DeploymentKind,
@@ -76,21 +77,22 @@
     })
 }
 
-/// Returns a quotient rounded to four digits after the point.
+/// Returns `part / whole` rounded to four decimal places, or `None` if either is missing or `whole`
+/// is not positive.
 pub(crate) fn quotient(part: Option<f64>, whole: Option<f64>) -> Option<f64> {
     let whole = whole.filter(|whole| *whole > 0.0)?;
     part.map(|part| (part / whole * 1e4).round() / 1e4)
 }
 
 fn compare(rows: &[Row], row: &Row) -> Comparison {
-    let beside = |policy: Policy| {
+    let same_cell = |policy: Policy| {
         rows.iter().find(|other| {
             other.deployment == row.deployment
                 && other.scenario == row.scenario
                 && other.policy == policy.as_str()
         })
     };
-    let (lru, bound) = (beside(Policy::Lru), beside(Policy::Clairvoyant));
+    let (lru, bound) = (same_cell(Policy::Lru), same_cell(Policy::Clairvoyant));
     let stalled = Some(row.stalled_s);
     Comparison {
         deployment: row.deployment.clone(),
