--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -1,4 +1,5 @@
-//! The product's own decisions, driven with messages that take a fixed short time.
+//! Runs the product's decision logic from `chervilshunt_core` in the simulator, with a fixed short
+//! delay for each message.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,31 +18,31 @@
 use super::entry::{Entries, EntryEvent};
 use super::world::{DELAY, Input, Notice, World};
 
-/// Requests that may wait at one owner, for each class.
+/// Maximum number of requests of each class queued at one owner.
 const QUEUE_BOUND: usize = 2_000;
-/// The time within which a permit has to be used.
+/// Time within which a permit must be used.
 const PERMIT_WINDOW: Duration = Duration::from_secs(2);
-/// How long an order to an engine that is down goes unanswered.
+/// Time until an order to an engine that is down fails with an unknown result.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The time after which the scheduler gives a turn up for lost.
+/// Time after which the scheduler treats a turn as lost.
 const TURN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often an engine reports its load.
+/// Interval between the load reports of an engine.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How old a report is when it arrives.
+/// Age of a load report when it arrives at the owner.
 const REPORT_AGE: Duration = Duration::from_millis(250);
-/// How often cache events are handed on.
-const CACHE_INTERVAL: Duration = Duration::from_secs(2);
-/// How late they are at most.
-const CACHE_LATENESS_MS: u64 = 1_500;
-/// Chance that an event is lost.
-const CACHE_GAP: f64 = 0.2;
-/// The shortest time between two wake-ups of one part, so that a part that asks to be woken at
-/// once again and again can't stop the clock.
-const LEAST_SLEEP: Duration = Duration::from_millis(1);
-/// How long it takes to notice that an engine is gone or back.
-const REACHABLE_DELAY: Duration = Duration::from_millis(500);
+/// Interval between the reports of an engine's prefix cache.
+const CACHE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Upper bound (exclusive) of the random delay of a prefix cache report, in milliseconds.
+const CACHE_REPORT_DELAY_MS: u64 = 1_500;
+/// Probability that a cached prefix is missing from a report.
+const CACHE_LOSS_PROBABILITY: f64 = 0.2;
+/// Minimum delay before a wake-up. Without it, a component that repeatedly requests an immediate
+/// wake-up would stop simulated time from advancing.
+const MIN_WAKE_DELAY: Duration = Duration::from_millis(1);
+/// Delay until owners detect that the engines went down or came back.
+const REACHABILITY_DELAY: Duration = Duration::from_millis(500);
 
-/// An event of the product's parts.
+/// Event for one of the product's components.
 #[derive(Debug)]
 pub(crate) enum CoreEvent {
     Entry(EntryEvent),
@@ -53,26 +54,28 @@
     SchedulerWakes,
     AllocatorWakes,
     ReportDue(usize),
-    CacheDue(usize),
+    CacheReportDue(usize),
 }
 
-/// Owners, load scheduler and power allocator of one deployment, and the entry instances.
+/// Owners, load scheduler, power allocator and entry instances of one deployment.
 pub(crate) struct CorePolicy {
     owners: Vec<Owner>,
     scheduler: LoadScheduler,
     allocator: PowerAllocator,
     entries: Entries,
     names: Names,
-    /// When each part is to be woken, so that it is planned once.
+    /// Time of the scheduled wake-up of each component, so that none is scheduled twice.
     owner_wakes: Vec<Option<Moment>>,
     scheduler_wakes: Option<Moment>,
     allocator_wakes: Option<Moment>,
+    /// Load orders in progress, by engine and adapter.
     orders: HashMap<(usize, u32), OrderId>,
+    /// Adapters of the turns requested from the scheduler, by target and order.
     turns: HashMap<(usize, OrderId), u32>,
     rng: ChaCha8Rng,
 }
 
-/// The names that the core speaks of, and their indexes here.
+/// Names that the core uses for targets, adapters and entry instances, with the simulator's indexes.
 pub(crate) struct Names {
     pub(crate) targets: Vec<TargetName>,
     pub(crate) adapters: Vec<AdapterVersion>,
@@ -140,7 +143,7 @@
         policy
     }
 
-    /// Reacts to one event of the world or of the product's parts.
+    /// Handles a notice of the simulated world or an event for one of the product's components.
     pub(crate) fn handle(&mut self, world: &mut World<CoreEvent>, input: Input<CoreEvent>) {
         match input {
             Input::Notice(notice) => self.notice(world, notice),
@@ -161,10 +164,10 @@
                 max_draw_watts: share,
             };
             self.allocator(world, joined);
-            // Engines do not report in step with each other.
+            // Stagger the reports so that the engines do not all report at the same time.
             let offset = REPORT_INTERVAL * engine as u32 / world.sizes.engines as u32;
             world.plan_policy(world.now + offset, CoreEvent::ReportDue(engine));
-            world.plan_policy(world.now + offset * 4, CoreEvent::CacheDue(engine));
+            world.plan_policy(world.now + offset * 4, CoreEvent::CacheReportDue(engine));
         }
     }
 
@@ -191,7 +194,7 @@
                 }
             }
             CoreEvent::ReportDue(engine) => self.report(world, engine),
-            CoreEvent::CacheDue(engine) => self.cache_events(world, engine),
+            CoreEvent::CacheReportDue(engine) => self.cache_events(world, engine),
         }
     }
 
@@ -228,7 +231,7 @@
     }
 
     fn engines_reachable(&mut self, world: &mut World<CoreEvent>, reachable: bool) {
-        let at = world.now + REACHABLE_DELAY;
+        let at = world.now + REACHABILITY_DELAY;
         for engine in 0..world.sizes.engines {
             let event = OwnerEvent::Reachable(reachable);
             world.plan_policy(at, CoreEvent::Owner(engine, event));
@@ -250,7 +253,7 @@
             self.owner_action(world, target, action);
         }
         let wakes = self.owners[target].next_wakeup();
-        if let Some(at) = plan_wake(&mut self.owner_wakes[target], wakes, world.now) {
+        if let Some(at) = schedule_wake(&mut self.owner_wakes[target], wakes, world.now) {
             world.plan_policy(at, CoreEvent::OwnerWakes(target));
         }
     }
@@ -266,7 +269,7 @@
                 model,
                 urgency,
             } => {
-                self.note_turn(world, target, order, &model, urgency);
+                self.record_turn(world, target, order, &model, urgency);
                 CoreEvent::Scheduler(SchedulerEvent::TurnAsked {
                     target: name,
                     order,
@@ -332,7 +335,7 @@
         world.plan_policy(world.now + DELAY, event);
     }
 
-    fn note_turn(
+    fn record_turn(
         &mut self,
         world: &mut World<CoreEvent>,
         target: usize,
@@ -364,7 +367,7 @@
             world.plan_policy(world.now + DELAY, CoreEvent::Owner(target, event));
         }
         let wakes = self.scheduler.next_wakeup();
-        if let Some(at) = plan_wake(&mut self.scheduler_wakes, wakes, world.now) {
+        if let Some(at) = schedule_wake(&mut self.scheduler_wakes, wakes, world.now) {
             world.plan_policy(at, CoreEvent::SchedulerWakes);
         }
     }
@@ -381,7 +384,7 @@
             world.plan_policy(world.now + DELAY, CoreEvent::Owner(target, event));
         }
         let wakes = self.allocator.next_wakeup();
-        if let Some(at) = plan_wake(&mut self.allocator_wakes, wakes, world.now) {
+        if let Some(at) = schedule_wake(&mut self.allocator_wakes, wakes, world.now) {
             world.plan_policy(at, CoreEvent::AllocatorWakes);
         }
     }
@@ -425,12 +428,17 @@
     }
 
     fn cache_events(&mut self, world: &mut World<CoreEvent>, engine: usize) {
-        world.plan_policy(world.now + CACHE_INTERVAL, CoreEvent::CacheDue(engine));
-        let late = Duration::from_millis(self.rng.random_range(0..CACHE_LATENESS_MS));
+        world.plan_policy(
+            world.now + CACHE_REPORT_INTERVAL,
+            CoreEvent::CacheReportDue(engine),
+        );
+        let delay = Duration::from_millis(self.rng.random_range(0..CACHE_REPORT_DELAY_MS));
         let held = world.engines[engine].prefixes();
-        let told = held.filter(|_| !self.rng.random_bool(CACHE_GAP)).collect();
-        let event = CoreEvent::Owner(engine, OwnerEvent::PrefixesCached(told));
-        world.plan_policy(world.now + late, event);
+        let reported = held
+            .filter(|_| !self.rng.random_bool(CACHE_LOSS_PROBABILITY))
+            .collect();
+        let event = CoreEvent::Owner(engine, OwnerEvent::PrefixesCached(reported));
+        world.plan_policy(world.now + delay, event);
     }
 }
 
@@ -448,7 +456,7 @@
     };
     let peers = service.filter(|peer| *peer != target);
     let on_engine = |value: f64| if is_engine { value } else { 0.0 };
-    let seconds_a_load = sizes.engines as f64 / sizes.loads_per_second;
+    let seconds_per_load = sizes.engines as f64 / sizes.loads_per_second;
     OwnerConfig {
         target: names.targets[target].clone(),
         epoch: Epoch::new(1),
@@ -461,7 +469,7 @@
         live_queue_bound: QUEUE_BOUND,
         deferrable_queue_bound: QUEUE_BOUND,
         permit_window: PERMIT_WINDOW,
-        unscheduled_load_interval: Duration::from_secs_f64(seconds_a_load),
+        unscheduled_load_interval: Duration::from_secs_f64(seconds_per_load),
         peers: peers.map(|peer| names.targets[peer].clone()).collect(),
         breaker: BreakerConfig::for_target(),
         weights: sizes.weights,
@@ -473,9 +481,15 @@
     WATTS_PER_SEQUENCE.mul_add(f64::from(MAX_BATCH), IDLE_WATTS)
 }
 
-/// Notes when a part is to be woken; returns the time if it has to be planned.
-fn plan_wake(planned: &mut Option<Moment>, wakes: Option<Moment>, now: Moment) -> Option<Moment> {
-    let at = wakes?.max(now + LEAST_SLEEP);
+/// Records the time of a component's next wake-up and returns it if it must be scheduled.
+///
+/// Returns `None` if the component requests no wake-up or an earlier one is already scheduled.
+fn schedule_wake(
+    planned: &mut Option<Moment>,
+    wakes: Option<Moment>,
+    now: Moment,
+) -> Option<Moment> {
+    let at = wakes?.max(now + MIN_WAKE_DELAY);
     if planned.is_some_and(|earlier| earlier <= at) {
         return None;
     }
@@ -483,7 +497,7 @@
     Some(at)
 }
 
-/// Says whether a wake-up is the one that was planned last.
+/// Returns whether a wake-up is the one scheduled last, and clears it if so.
 fn take_due(planned: &mut Option<Moment>, now: Moment) -> bool {
     let due = *planned == Some(now);
     if due {
