--- a/crates/chervilshunt_bench/src/policy/deployment.rs
+++ b/crates/chervilshunt_bench/src/policy/deployment.rs
@@ -1,49 +1,50 @@
-//! The two deployments at today's sizes, as the policy bench models them.
+//! Sizes and rates of the two deployments that the policy bench models.
 //!
-//! Each constant's reason stands in `docs/design/bench.md`.
+//! `docs/design/bench.md` explains each constant.
 
 use std::time::Duration;
 
 use chervilshunt_core::PolicyWeights;
 use chervilshunt_model::{AdapterVersion, InstanceId, TargetName};
 
-/// Adapters that one engine holds at a time.
+/// Adapter slots of one engine.
 pub(crate) const SLOTS: u32 = 32;
-/// Sequences that one engine runs at a time.
+/// Maximum number of sequences in one engine's batch.
 pub(crate) const MAX_BATCH: u32 = 32;
-/// Calls that one target of a plain service runs at a time.
+/// Maximum number of concurrent calls at one target of a plain service.
 pub(crate) const PLAIN_BATCH: u32 = 64;
-/// The part of a step's time that doesn't depend on the batch.
+/// Part of a step's duration that does not depend on the batch.
 pub(crate) const STEP_FIXED: Duration = Duration::from_micros(18_000);
-/// What each sequence adds to a step.
+/// Duration that each sequence adds to a step.
 pub(crate) const STEP_PER_SEQUENCE: Duration = Duration::from_micros(500);
-/// What each prompt token that isn't cached adds to the step that computes it.
+/// Duration that each uncached prompt token adds to the step that computes it.
 pub(crate) const STEP_PER_PROMPT_TOKEN: Duration = Duration::from_micros(50);
-/// Prompt tokens that one step computes at most.
+/// Maximum number of prompt tokens computed in one step.
 pub(crate) const PREFILL_CHUNK: u32 = 512;
-/// Tokens of prompt prefixes that one engine keeps.
+/// Capacity of one engine's prefix cache, in tokens.
 pub(crate) const PREFIX_CACHE_TOKENS: u32 = 60_000;
-/// Power of a step's fixed part, above the draw of a parked accelerator, in watts.
+/// Power that a step draws regardless of its batch, above the draw of a parked accelerator, in
+/// watts.
 pub(crate) const IDLE_WATTS: f64 = 200.0;
-/// Power that each sequence adds, in watts.
+/// Power that each sequence adds to a step, in watts.
 pub(crate) const WATTS_PER_SEQUENCE: f64 = 12.5;
-/// The cap as a part of what all engines with full batches would draw.
-const CAP_PART: f64 = 0.7;
+/// Power cap as a fraction of the draw of all engines with full batches.
+const CAP_FRACTION: f64 = 0.7;
 
-/// Which of the two users' deployments is driven.
+/// Deployment that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DeploymentKind {
-    /// Hollowell & Pike: weighs batch efficiency more.
+    /// Hollowell & Pike, which weighs batch efficiency more.
     Hollowell,
-    /// Kølvand: weighs load stalls more.
+    /// Kølvand, which weighs load stalls more.
     Kolvand,
 }
 
 impl DeploymentKind {
-    /// Both deployments.
+    /// All deployments.
     pub const ALL: [Self; 2] = [Self::Hollowell, Self::Kolvand];
 
-    /// Returns the name on the command line.
+    /// Returns the deployment's name, as used on the command line and in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Hollowell => "hollowell",
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Finds a deployment by its name on the command line.
+    /// Returns the deployment with the given command-line name.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == text)
     }
@@ -108,37 +109,37 @@
 /// Sizes and rates of one deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Sizes {
-    /// Targets with a model engine.
+    /// Number of targets with a model engine.
     pub(crate) engines: usize,
-    /// Targets of the plain service.
+    /// Number of targets of the plain service.
     pub(crate) plain_targets: usize,
-    /// Name of the service of engines.
+    /// Name of the service that the engines belong to.
     pub(crate) engine_service: &'static str,
     /// Name of the plain service.
     pub(crate) plain_service: &'static str,
-    /// Entry instances.
+    /// Number of entry instances.
     pub(crate) entries: u32,
-    /// Adapters whose requests are live.
+    /// Number of adapters whose requests are live.
     pub(crate) live_adapters: u32,
-    /// Adapters whose requests can wait.
+    /// Number of adapters whose requests are deferrable.
     pub(crate) deferrable_adapters: u32,
-    /// Loads a second that the weight store gives in all.
+    /// Total throughput of the weight store, in adapter loads per second.
     pub(crate) loads_per_second: f64,
-    /// Loads that run at full speed side by side.
+    /// Number of loads that can run concurrently at full speed.
     pub(crate) concurrent_loads: u32,
-    /// What the deployment minds most.
+    /// Relative weights of load stalls and batch efficiency.
     pub(crate) weights: PolicyWeights,
-    /// Live requests a second.
+    /// Mean rate of live requests, per second.
     pub(crate) live_per_second: f64,
-    /// Mean tokens of an answer to a live request.
+    /// Mean number of tokens in the response to a live request.
     pub(crate) live_tokens: f64,
-    /// Deferrable requests a second.
+    /// Mean rate of deferrable requests, per second.
     pub(crate) deferrable_per_second: f64,
-    /// Mean tokens of an answer to a deferrable request.
+    /// Mean number of tokens in the response to a deferrable request.
     pub(crate) deferrable_tokens: f64,
-    /// Deferrable requests that are queued at once.
+    /// Number of deferrable requests that arrive in one burst.
     pub(crate) burst: u32,
-    /// Calls of the plain service a second.
+    /// Mean rate of calls to the plain service, per second.
     pub(crate) plain_per_second: f64,
 }
 
@@ -153,13 +154,13 @@
         self.live_adapters + self.deferrable_adapters
     }
 
-    /// Returns the site's cap, in watts.
+    /// Returns the site's power cap, in watts.
     pub(crate) fn cap_watts(&self) -> f64 {
         let full = WATTS_PER_SEQUENCE.mul_add(f64::from(MAX_BATCH), IDLE_WATTS);
-        full * self.engines as f64 * CAP_PART
+        full * self.engines as f64 * CAP_FRACTION
     }
 
-    /// Returns the time that one load takes at full speed.
+    /// Returns the duration of one load at full speed.
     pub(crate) fn load_time(&self) -> Duration {
         Duration::from_secs_f64(f64::from(self.concurrent_loads) / self.loads_per_second)
     }
@@ -171,7 +172,7 @@
         engines.chain(plain).map(TargetName::new).collect()
     }
 
-    /// Returns the adapter versions by index.
+    /// Returns the adapter versions; the live ones come first.
     pub(crate) fn adapter_names(&self) -> Vec<AdapterVersion> {
         (0..self.adapters())
             .map(|i| AdapterVersion::new(format!("a{i:05}").as_str(), "1"))
