--- a/crates/chervilshunt_bench/src/policy/engine.rs
+++ b/crates/chervilshunt_bench/src/policy/engine.rs
@@ -1,4 +1,4 @@
-//! A fake model engine: adapter slots, continuous batching, power and a prefix cache.
+//! Simulated model engine: adapter slots, continuous batching, power draw and a prefix cache.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,9 +11,10 @@
 };
 use super::workload::TraceRequest;
 
-/// A fake model engine.
+/// Simulated model engine.
 ///
-/// It checks by itself what the policy may never do: it knows nothing of permits.
+/// The engine has no knowledge of permits. It therefore checks independently that the policy never
+/// does what it must not do, such as unloading an adapter that serves a request.
 #[derive(Debug, Default)]
 pub(crate) struct Engine {
     slots: BTreeMap<u32, Slot>,
@@ -25,14 +26,14 @@
     generation: u64,
 }
 
-/// What an adapter's slot holds.
+/// State of an adapter's slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Slot {
     Loading,
     Ready,
 }
 
-/// One request inside an engine.
+/// A request that runs or waits in an engine.
 #[derive(Clone, Debug)]
 struct Sequence {
     request: u32,
@@ -44,43 +45,48 @@
     prefix: u64,
 }
 
-/// Why an engine doesn't do what it was told.
+/// Reason for which an engine refuses a call or an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineRefusal {
-    /// It is down.
+    /// The engine is down.
     Down,
-    /// It does not hold the adapter.
+    /// The adapter is not loaded.
     AdapterMissing,
-    /// It has no slot left.
+    /// All adapter slots are in use.
     NoSlot,
-    /// It holds or loads the adapter already.
+    /// The adapter is already loaded or being loaded.
     AlreadyHeld,
-    /// The adapter serves a request; an engine that obeyed would cut it off.
+    /// The adapter serves a request, which unloading it would abort.
     Pinned,
 }
 
-/// A step that begins.
+/// An engine step that begins.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Step {
-    /// How long it takes.
+    /// Duration of the step.
     pub(crate) time: Duration,
-    /// What the engine draws during it, in watts.
+    /// Power that the engine draws during the step, in watts.
     pub(crate) watts: f64,
-    /// The requests that take part for the first time.
+    /// Requests that join the batch with this step.
     pub(crate) joined: Vec<u32>,
 }
 
-/// What a step that has ended gave.
+/// Result of a completed step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct StepResult {
-    /// Tokens of answers.
+    /// Number of output tokens generated.
     pub(crate) tokens: u32,
-    /// The requests whose answers are whole.
+    /// Requests whose responses are complete.
     pub(crate) finished: Vec<u32>,
 }
 
 impl Engine {
-    /// Takes a call in; it joins the batch when the next step begins.
+    /// Queues a call, behind waiting calls of the same or a more urgent class.
+    ///
+    /// Calls join the batch when a step begins, as far as it has room.
+    ///
+    /// # Errors
+    /// Returns an error if the engine is down or the adapter is not loaded.
     pub(crate) fn call(&mut self, request: u32, req: &TraceRequest) -> Result<(), EngineRefusal> {
         let adapter = req.adapter.expect("an engine is called with an adapter");
         if self.down {
@@ -105,7 +111,11 @@
         Ok(())
     }
 
-    /// Takes a slot for an adapter that is about to be loaded.
+    /// Reserves a slot for an adapter whose load begins.
+    ///
+    /// # Errors
+    /// Returns an error if the engine is down, the adapter is already loaded or being loaded, or no
+    /// slot is free.
     pub(crate) fn begin_load(&mut self, adapter: u32) -> Result<(), EngineRefusal> {
         if self.down {
             return Err(EngineRefusal::Down);
@@ -120,7 +130,7 @@
         Ok(())
     }
 
-    /// Ends a load: the adapter is ready, or its slot is free again.
+    /// Ends a load: marks the adapter as ready if `loaded`, and otherwise frees its slot.
     pub(crate) fn end_load(&mut self, adapter: u32, loaded: bool) {
         if loaded {
             self.slots.insert(adapter, Slot::Ready);
@@ -129,7 +139,10 @@
         }
     }
 
-    /// Unloads an adapter unless it serves a request.
+    /// Unloads an adapter.
+    ///
+    /// # Errors
+    /// Returns an error if the engine is down, or if the adapter is not loaded or serves a request.
     pub(crate) fn unload(&mut self, adapter: u32) -> Result<(), EngineRefusal> {
         if self.down {
             return Err(EngineRefusal::Down);
@@ -144,7 +157,7 @@
         Ok(())
     }
 
-    /// Begins the next step if none runs and there is work.
+    /// Begins the next step if the engine is up, no step is running and there are sequences to run.
     pub(crate) fn begin_step(&mut self) -> Option<Step> {
         if self.stepping || self.down {
             return None;
@@ -163,7 +176,7 @@
         })
     }
 
-    /// Ends the step that runs: each sequence whose prompt is computed gives one token.
+    /// Ends the running step: each sequence whose prompt is computed generates one token.
     pub(crate) fn end_step(&mut self) -> StepResult {
         self.stepping = false;
         let mut result = StepResult::default();
@@ -181,34 +194,36 @@
         result
     }
 
-    /// Goes down: everything held, running and waiting is gone. Returns the requests cut off.
+    /// Takes the engine down, which loses all adapters, cached prefixes and sequences.
+    ///
+    /// Returns the requests that were aborted.
     pub(crate) fn stop(&mut self) -> Vec<u32> {
-        let cut = self.running.iter().chain(&self.waiting);
-        let cut = cut.map(|sequence| sequence.request).collect();
+        let aborted = self.running.iter().chain(&self.waiting);
+        let aborted = aborted.map(|sequence| sequence.request).collect();
         *self = Self {
             down: true,
             generation: self.generation + 1,
             ..Self::default()
         };
-        cut
+        aborted
     }
 
-    /// Comes back empty.
+    /// Brings the engine back up, with no adapters loaded.
     pub(crate) const fn start(&mut self) {
         self.down = false;
     }
 
-    /// Says whether the adapter is ready.
+    /// Returns whether the adapter is loaded and ready.
     pub(crate) fn holds(&self, adapter: u32) -> bool {
         self.slots.get(&adapter) == Some(&Slot::Ready)
     }
 
-    /// Says whether the adapter is held or being loaded.
+    /// Returns whether the adapter is loaded or being loaded.
     pub(crate) fn occupies(&self, adapter: u32) -> bool {
         self.slots.contains_key(&adapter)
     }
 
-    /// Says whether a request that runs or waits needs the adapter.
+    /// Returns whether a running or waiting request uses the adapter.
     pub(crate) fn serves(&self, adapter: u32) -> bool {
         let needs = |sequence: &Sequence| sequence.adapter == adapter;
         self.running.iter().any(needs) || self.waiting.iter().any(needs)
@@ -220,17 +235,17 @@
         self.slots.iter().filter_map(ready)
     }
 
-    /// Returns the number of slots in use.
+    /// Returns the number of slots in use, including those of adapters being loaded.
     pub(crate) fn slots_used(&self) -> usize {
         self.slots.len()
     }
 
-    /// Returns how many sequences run.
+    /// Returns the number of sequences in the batch.
     pub(crate) const fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns how many sequences wait for room in the batch.
+    /// Returns the number of sequences that wait for room in the batch.
     pub(crate) fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -240,12 +255,11 @@
         self.prefixes.held.iter().map(|(prefix, _)| *prefix)
     }
 
-    /// Returns a number that each restart raises.
+    /// Returns the engine's generation, which increases each time the engine goes down.
     pub(crate) const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Says whether the engine is down.
     pub(crate) const fn is_down(&self) -> bool {
         self.down
     }
@@ -275,7 +289,7 @@
     }
 }
 
-/// Prefixes of prompts in limited memory, the least recently used first.
+/// LRU cache of prompt prefixes with a limited number of tokens, least recently used first.
 #[derive(Debug, Default)]
 struct PrefixCache {
     held: VecDeque<(u64, u32)>,
@@ -283,7 +297,10 @@
 }
 
 impl PrefixCache {
-    /// Uses a prefix; says whether it was cached.
+    /// Marks a prefix as most recently used, adding it if it is not cached.
+    ///
+    /// Returns whether it was cached before. An addition evicts the least recently used prefixes
+    /// until the cache is within its capacity.
     fn touch(&mut self, prefix: u64, tokens: u32) -> bool {
         let at = self.held.iter().position(|(held, _)| *held == prefix);
         if let Some(entry) = at.and_then(|at| self.held.remove(at)) {
