--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -1,4 +1,5 @@
-//! The entry instances: they rank targets, ask owners for permits and follow their answers.
+//! Simulated entry instances, which rank targets, request permits from owners and act on the
+//! responses.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,17 +17,19 @@
 use super::workload::most_tokens;
 use super::world::{DEFERRABLE_DEADLINE, DELAY, LIVE_DEADLINE, World};
 
-/// How long an entry instance goes by the spread that an owner told.
+/// Time for which an entry instance uses the spread that it received from an owner.
 const HINT_LIFETIME: Duration = Duration::from_secs(2);
-/// How often a caller comes back after a refusal before it gives up: a live one until its
-/// deadline, a deferrable one for some hours at the usual intervals.
-const MOST_RETRIES: u32 = 1_000;
-/// The shortest time after which a refused caller comes back.
-const LEAST_RETRY: Duration = Duration::from_millis(10);
-/// Bits of an attempt's id that number the tries of one request.
-const TRY_BITS: u32 = 32;
+/// Maximum number of retries after refusals before a request fails.
+///
+/// The limit is high enough that a live request retries until its deadline, and a deferrable one
+/// for some hours at the usual retry intervals.
+const MAX_RETRIES: u32 = 1_000;
+/// Minimum delay before a refused request is retried.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Number of low bits of an attempt ID that hold the number of the attempt of a request.
+const ATTEMPT_BITS: u32 = 32;
 
-/// An event of the entry side.
+/// Event for an entry instance.
 #[derive(Debug)]
 pub(crate) enum EntryEvent {
     Answered {
@@ -39,24 +42,27 @@
     },
 }
 
-/// All entry instances; what one of them caches is kept apart by its number.
+/// All entry instances; the state that each one caches is keyed by its number.
 pub(crate) struct Entries {
-    /// For each adapter, the engines best first.
+    /// For each adapter, the engines in descending order of rank.
     ranks: Vec<Vec<usize>>,
+    /// Cached spreads, by entry instance and adapter.
     hints: HashMap<(u32, u32), Hint>,
-    tries: HashMap<u32, Try>,
+    /// Current attempts, by request.
+    attempts: HashMap<u32, Attempt>,
     callers: Vec<CallerName>,
 }
 
+/// The spread of an adapter that an entry instance received last.
 struct Hint {
     at: Moment,
-    /// The first target of the spread, whose owner is to see all demand for the adapter.
+    /// First target of the spread, whose owner must see all demand for the adapter.
     home: usize,
 }
 
-/// The try of a request that is under way.
+/// The current attempt of a request.
 #[derive(Clone, Copy)]
-struct Try {
+struct Attempt {
     number: u32,
     refusals: u32,
     hops: u8,
@@ -74,14 +80,14 @@
         Self {
             ranks: names.adapters.iter().map(rank).collect(),
             hints: HashMap::new(),
-            tries: HashMap::new(),
+            attempts: HashMap::new(),
             callers: (0..1_000)
                 .map(|i| CallerName::new(format!("caller-{i}")))
                 .collect(),
         }
     }
 
-    /// Reacts to an answer or to the end of a refused caller's pause.
+    /// Handles an owner's answer or the retry of a refused request.
     pub(crate) fn handle(
         &mut self,
         world: &mut World<CoreEvent>,
@@ -94,24 +100,24 @@
             }
             EntryEvent::Retry { request, attempt } => {
                 if self.is_current(request, attempt) {
-                    self.ask_anew(world, names, request);
+                    self.begin_attempt(world, names, request);
                 }
             }
         }
     }
 
-    /// Begins the first try of a request.
+    /// Begins the first attempt of a request.
     pub(crate) fn arrived(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
-        self.ask_anew(world, names, request);
+        self.begin_attempt(world, names, request);
     }
 
-    /// Withdraws a request whose caller gave up.
+    /// Cancels a request whose caller gave up.
     pub(crate) fn gave_up(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
         self.release(world, names, request, ReleaseOutcome::Cancelled);
-        self.tries.remove(&request);
+        self.attempts.remove(&request);
     }
 
-    /// Gives the permit of a whole answer back.
+    /// Releases the permit of a request whose response is complete.
     pub(crate) fn finished(
         &mut self,
         world: &mut World<CoreEvent>,
@@ -120,7 +126,7 @@
         request: u32,
     ) {
         let req = world.req(request);
-        let since = self.tries.get(&request).map_or(world.now, |t| t.opened);
+        let since = self.attempts.get(&request).map_or(world.now, |t| t.opened);
         let started = world.requests.get(request).started.unwrap_or(world.now);
         let outcome = ReleaseOutcome::Finished {
             tokens: if req.adapter.is_some() { req.output } else { 0 },
@@ -128,10 +134,10 @@
             total_ms: world.now.since(since).as_millis() as u32,
         };
         self.release(world, names, request, outcome);
-        self.tries.remove(&request);
+        self.attempts.remove(&request);
     }
 
-    /// Gives the permit of a failed call back and tries again.
+    /// Releases the permit of a failed call and begins a new attempt.
     pub(crate) fn call_failed(
         &mut self,
         world: &mut World<CoreEvent>,
@@ -146,7 +152,7 @@
             ReleaseOutcome::TargetFailed
         };
         self.release(world, names, request, outcome);
-        self.ask_anew(world, names, request);
+        self.begin_attempt(world, names, request);
     }
 
     fn answered(
@@ -156,27 +162,34 @@
         attempt: AttemptId,
         answer: PermitAnswer,
     ) {
-        let request = (attempt.as_u128() >> TRY_BITS) as u32;
+        let request = (attempt.as_u128() >> ATTEMPT_BITS) as u32;
         let waits = world.requests.get(request).phase == Phase::Waiting;
         if !self.is_current(request, attempt) || !waits {
-            // The request was withdrawn while the answer was on its way; its release is, too.
+            // The request was cancelled while the answer was in transit. Its release is already on
+            // its way to the owner.
             return;
         }
         match answer {
             PermitAnswer::Granted { permit, spread } => {
                 let target = names.target(&permit.target);
-                self.note_spread(world, names, request, &spread);
-                let current = self.tries.get_mut(&request).expect("the try is current");
+                self.record_spread(world, names, request, &spread);
+                let current = self
+                    .attempts
+                    .get_mut(&request)
+                    .expect("the attempt is current");
                 current.target = target;
                 current.opened = world.now;
                 world.open_call(target, request);
             }
             PermitAnswer::Redirect { targets } => {
                 let Some(first) = targets.first() else { return };
-                let current = self.tries.get_mut(&request).expect("the try is current");
+                let current = self
+                    .attempts
+                    .get_mut(&request)
+                    .expect("the attempt is current");
                 current.hops = current.hops.saturating_add(1);
                 current.target = names.target(first);
-                self.ask(world, names, request);
+                self.request_permit(world, names, request);
             }
             PermitAnswer::Refused {
                 reason,
@@ -195,37 +208,41 @@
         retry_after_ms: u64,
     ) {
         world.refuse(request, reason.as_str());
-        let current = self.tries.get_mut(&request).expect("the try is current");
+        let current = self
+            .attempts
+            .get_mut(&request)
+            .expect("the attempt is current");
         current.refusals += 1;
-        if current.refusals > MOST_RETRIES {
-            self.tries.remove(&request);
+        if current.refusals > MAX_RETRIES {
+            self.attempts.remove(&request);
             world.fail(request);
             return;
         }
         let attempt = attempt_id(request, current.number);
-        let at = world.now + Duration::from_millis(retry_after_ms).max(LEAST_RETRY);
+        let at = world.now + Duration::from_millis(retry_after_ms).max(MIN_RETRY_DELAY);
         let retry = CoreEvent::Entry(EntryEvent::Retry { request, attempt });
         world.plan_policy(at, retry);
     }
 
-    fn ask_anew(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+    fn begin_attempt(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
         let target = self.choose(world, request);
-        let earlier = self.tries.get(&request);
-        let current = Try {
+        let earlier = self.attempts.get(&request);
+        let current = Attempt {
             number: earlier.map_or(0, |t| t.number + 1),
             refusals: earlier.map_or(0, |t| t.refusals),
             hops: 0,
             target,
             opened: world.now,
         };
-        self.tries.insert(request, current);
-        self.ask(world, names, request);
+        self.attempts.insert(request, current);
+        self.request_permit(world, names, request);
     }
 
     fn choose(&self, world: &World<CoreEvent>, request: u32) -> usize {
         let req = world.req(request);
         let Some(adapter) = req.adapter else {
-            // A plain service has no adapter to rank by: requests go round its targets.
+            // Requests to a plain service have no adapter to rank targets by, so they are
+            // distributed round-robin.
             return world.sizes.engines + request as usize % world.sizes.plain_targets;
         };
         let hint = self.hints.get(&(req.entry, adapter));
@@ -233,8 +250,8 @@
         fresh.map_or(self.ranks[adapter as usize][0], |hint| hint.home)
     }
 
-    fn ask(&self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
-        let current = self.tries[&request];
+    fn request_permit(&self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+        let current = self.attempts[&request];
         world.assign(request, current.target);
         let req = world.req(request);
         let deadline = match req.class {
@@ -268,7 +285,7 @@
         request: u32,
         outcome: ReleaseOutcome,
     ) {
-        let Some(current) = self.tries.get(&request) else {
+        let Some(current) = self.attempts.get(&request) else {
             return;
         };
         let released = ReleasedPermit {
@@ -277,14 +294,15 @@
             outcome,
         };
         let event = OwnerEvent::PermitReleased(released);
-        // The end of the answer reaches the entry instance first.
+        // The end of the response takes one delay to reach the entry instance, and the release
+        // takes another to reach the owner.
         world.plan_policy(
             world.now + DELAY * 2,
             CoreEvent::Owner(current.target, event),
         );
     }
 
-    fn note_spread(
+    fn record_spread(
         &mut self,
         world: &World<CoreEvent>,
         names: &Names,
@@ -302,11 +320,11 @@
     }
 
     fn is_current(&self, request: u32, attempt: AttemptId) -> bool {
-        let current = self.tries.get(&request);
+        let current = self.attempts.get(&request);
         current.is_some_and(|t| attempt_id(request, t.number) == attempt)
     }
 }
 
 fn attempt_id(request: u32, number: u32) -> AttemptId {
-    AttemptId::from_u128((u128::from(request) << TRY_BITS) | u128::from(number))
+    AttemptId::from_u128((u128::from(request) << ATTEMPT_BITS) | u128::from(number))
 }
