--- a/crates/chervilshunt_bench/src/policy/informed.rs
+++ b/crates/chervilshunt_bench/src/policy/informed.rs
@@ -1,8 +1,9 @@
-//! A lower bound on the stalls of every policy that does not know the trace.
+//! Lower bound on the expected number of stalls of every policy that does not know the trace.
 //!
-//! Requests arrive independently of each other, so whatever a policy did before, the next one finds
-//! its adapter loaded with at most the summed popularity of as many adapters as there are slots.
-//! That holds for loads ahead of demand, too. See `docs/design/bench.md`.
+//! Requests arrive independently of each other. Whatever a policy did before, the probability that
+//! the next request finds its adapter loaded is therefore at most the summed popularity of the most
+//! popular adapters, as many as there are slots. The bound also holds for policies that load ahead
+//! of demand. See `docs/design/bench.md`.
 
 use chervilshunt_model::Class;
 
@@ -11,11 +12,11 @@
 use super::scenario::Schedule;
 use super::workload::Trace;
 
-/// The quantity that [`fill`] bounds.
+/// Description of the quantity that [`fill`] bounds, as written to the report.
 const BOUND_OF: &str = "expected stalls of policies that don't know the trace; \
     stalled_ms_total if each takes one undisturbed load";
 
-/// Writes the bound into a report.
+/// Writes the bound to `report`.
 pub(crate) fn fill(report: &mut Report, sizes: &Sizes, schedule: &Schedule, trace: &Trace) {
     let slots = sizes.engines as u32 * SLOTS;
     for req in trace.requests.iter().filter(|req| req.at >= schedule.warm) {
