--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -1,4 +1,4 @@
-//! What one run measured.
+//! Measurements of one run.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -12,120 +12,122 @@
 use super::requests::{Phase, RequestState, Requests};
 use super::workload::{FLOOD_CALLER, Trace};
 
-/// Significant digits of the histograms.
+/// Number of significant digits that the histograms keep.
 const DIGITS: u8 = 3;
 
-/// The result of one run; a quantity that the policy does not have is null.
+/// Result of one run; values that do not apply to the policy are `null`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: &'static str,
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Virtual seconds, warm-up included.
+    /// Length of the run in simulated seconds, including the warm-up.
     pub seconds: u64,
-    /// By how much the rates of all requests were multiplied.
+    /// Factor by which all request rates were multiplied.
     pub load: f64,
-    /// Requests to engines that arrived in the measured time.
+    /// Number of requests to engines that arrived during the measurement period.
     pub requests: u64,
-    /// Live requests among them that waited on a load.
+    /// Number of those that were live and stalled on an adapter load.
     pub stalls: u64,
-    /// Median of their stalled time.
+    /// Median stalled time of stalled live requests, in milliseconds.
     pub stall_ms_p50: f64,
-    /// 99th percentile of their stalled time.
+    /// 99th percentile of the stalled time of stalled live requests, in milliseconds.
     pub stall_ms_p99: f64,
-    /// Sum of their stalled time.
+    /// Total stalled time of live requests, in milliseconds.
     pub stalled_ms_total: f64,
-    /// Deferrable requests that waited on a load.
+    /// Number of deferrable requests that stalled on an adapter load.
     pub deferrable_stalls: Option<u64>,
-    /// Sum of their stalled time.
+    /// Total stalled time of deferrable requests, in milliseconds.
     pub deferrable_stalled_ms_total: Option<f64>,
-    /// Median wait of live requests, from arrival to the first step.
+    /// Median wait of live requests, from arrival to the first engine step, in milliseconds.
     pub live_wait_ms_p50: Option<f64>,
-    /// 99th percentile of the same.
+    /// 99th percentile of the wait of live requests, in milliseconds.
     pub live_wait_ms_p99: Option<f64>,
-    /// 99th percentile of the same, without the caller that floods.
+    /// 99th percentile of the wait of live requests, excluding those of the flooding caller, in
+    /// milliseconds.
     pub other_callers_live_wait_ms_p99: Option<f64>,
-    /// 99th percentile of the wait of calls of the plain service.
+    /// 99th percentile of the wait of calls to the plain service, in milliseconds.
     pub plain_wait_ms_p99: Option<f64>,
-    /// Live requests whose callers gave up.
+    /// Number of live requests whose callers gave up.
     pub live_failed: Option<u64>,
-    /// Deferrable requests that ended without an answer.
+    /// Number of deferrable requests that ended without a response.
     pub deferrable_failed: Option<u64>,
-    /// Deferrable requests that were answered.
+    /// Number of deferrable requests that were completed.
     pub deferrable_done: Option<u64>,
-    /// Deferrable requests that wait when the run ends.
+    /// Number of deferrable requests still waiting when the run ended.
     pub deferrable_waiting: Option<u64>,
-    /// Median wait of deferrable requests.
+    /// Median wait of deferrable requests, in milliseconds.
     pub deferrable_wait_ms_p50: Option<f64>,
-    /// The longest wait of a deferrable request.
+    /// Longest wait of a deferrable request, in milliseconds.
     pub deferrable_oldest_ms: Option<f64>,
-    /// Loads begun.
+    /// Number of adapter loads started.
     pub loads: Option<u64>,
-    /// Loads that failed.
+    /// Number of adapter loads that failed.
     pub loads_failed: Option<u64>,
-    /// Adapters unloaded.
+    /// Number of adapters unloaded.
     pub evictions: Option<u64>,
-    /// Steps that engines ran.
+    /// Number of engine steps.
     pub steps: Option<u64>,
-    /// Tokens of answers.
+    /// Number of output tokens.
     pub tokens: Option<u64>,
-    /// Tokens of answers a step.
+    /// Output tokens per engine step.
     pub useful_tokens_per_step: Option<f64>,
-    /// Energy for each token, above the draw of parked accelerators.
+    /// Energy per output token, above the draw of parked accelerators, in joules.
     pub joules_per_token: Option<f64>,
-    /// Steps that began above the cap in force.
+    /// Number of steps that began while the power draw exceeded the cap in force.
     pub cap_exceeded_steps: Option<u64>,
-    /// How long after a cut of the cap the new one was last exceeded.
+    /// Time from the last reduction of the power cap until the new cap was last exceeded, in milliseconds.
     pub cap_settled_ms: Option<f64>,
-    /// Adapters evicted while they served a request, as the engines saw it.
+    /// Number of adapters evicted while they served a request, as observed by the engines.
     pub pinned_evictions: Option<u64>,
-    /// Prompts whose prefix was cached, as a part of all.
+    /// Fraction of prompts whose prefix was cached.
     pub prefix_hit_part: Option<f64>,
-    /// Refusals by reason.
+    /// Number of refusals, by reason.
     pub refused: BTreeMap<&'static str, u64>,
-    /// What became of the live requests.
+    /// Outcomes of the live requests.
     pub live: Option<ClassReport>,
-    /// What became of the deferrable requests.
+    /// Outcomes of the deferrable requests.
     pub deferrable: Option<ClassReport>,
-    /// The quantity that this run bounds, if it is a bound.
+    /// Description of the quantity that the report bounds, if it is a bound and not a simulation.
     pub bound_of: Option<&'static str>,
 }
 
-/// What became of the requests of one class that arrived in the measured time.
+/// Outcomes of the requests of one class that arrived during the measurement period.
 ///
-/// A policy that refuses requests, or lets them expire, takes no time off `wait_ms_total` and none
-/// off the stalled time: both run on from arrival to the first step, to the end of the caller's
-/// patience or to the end of the run. What was refused and what expired stands beside them.
+/// A policy cannot reduce `wait_ms_total` or the stalled time by refusing requests or letting them
+/// expire: both are counted from arrival to the first engine step, to the time at which the caller
+/// gives up, or to the end of the run. Refused and expired requests are also counted separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests that were refused at least once.
+    /// Number of requests that were refused at least once.
     pub refused: u64,
-    /// Refusals; a caller that comes back may be refused again.
+    /// Number of refusals; a request that is retried may be refused again.
     pub refusals: u64,
-    /// Requests whose callers gave up, or that ended without an answer.
+    /// Number of requests whose callers gave up, or that ended without a response.
     pub expired: u64,
-    /// Requests that had not begun when the run ended.
+    /// Number of requests that had not started when the run ended.
     pub unserved: u64,
-    /// Sum of all waits.
+    /// Total wait of all requests, in milliseconds.
     pub wait_ms_total: f64,
-    /// The part of it spent outside every queue, between a refusal and the next question.
+    /// Part of `wait_ms_total` spent outside every queue, between a refusal and the retry, in
+    /// milliseconds.
     pub refused_wait_ms_total: f64,
-    /// The part of it that requests waited which then expired.
+    /// Part of `wait_ms_total` that belongs to requests that expired, in milliseconds.
     pub expired_wait_ms_total: f64,
-    /// Sum of the stalled time of all requests.
+    /// Total stalled time of all requests, in milliseconds.
     pub stalled_ms_total: f64,
-    /// The part of it that belongs to requests which then expired.
+    /// Part of `stalled_ms_total` that belongs to requests that expired, in milliseconds.
     pub expired_stalled_ms_total: f64,
 }
 
-/// Counts during a run.
+/// Counters updated during a run.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub(crate) live_failed: u64,
@@ -142,7 +144,9 @@
 }
 
 impl Report {
-    /// Fills in what requests, counters and meter of a run tell.
+    /// Fills in the values derived from the requests, counters and power meter of a run.
+    ///
+    /// Requests that arrived before `time` are ignored; its end is the end of the run.
     pub(crate) fn fill(
         &mut self,
         (trace, requests): (&Trace, &Requests),
@@ -223,7 +227,7 @@
     }
 }
 
-/// Counts and sums of one class.
+/// Counts and total durations of one class of requests.
 #[derive(Default)]
 struct Outcome {
     counts: ClassReport,
@@ -264,7 +268,7 @@
     }
 }
 
-/// Durations with their sum and quantiles.
+/// Collection of durations, with their sum and quantiles.
 struct Sample {
     histogram: Histogram<u64>,
     total: Duration,
@@ -303,12 +307,12 @@
     }
 }
 
-/// Returns a duration in milliseconds, rounded to microseconds so that its text is short.
+/// Returns a duration in milliseconds, truncated to whole microseconds to keep its text short.
 pub(crate) fn millis(value: Duration) -> f64 {
     value.as_micros() as f64 / 1e3
 }
 
-/// Returns a quotient rounded to four digits after the point; zero when there is nothing.
+/// Returns `part / whole` rounded to four decimal places, or zero if `whole` is zero.
 pub(crate) fn ratio(part: f64, whole: f64) -> f64 {
     if whole == 0.0 {
         return 0.0;
