--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -83,7 +83,8 @@
     pub cap_exceeded_steps: Option<u64>,
     /// Time from the last reduction of the power cap until the new cap was last exceeded, in milliseconds.
     pub cap_settled_ms: Option<f64>,
-    /// Number of adapters evicted while they served a request, as observed by the engines.
+    /// Number of evictions of adapters in use, as observed by the engines: orders to unload such an
+    /// adapter, which engines refuse, and permitted calls that found their adapter missing.
     pub pinned_evictions: Option<u64>,
     /// Fraction of prompts whose prefix was cached.
     pub prefix_hit_part: Option<f64>,
