--- a/crates/chervilshunt_bench/src/policy/clairvoyant.rs
+++ b/crates/chervilshunt_bench/src/policy/clairvoyant.rs
@@ -8,7 +8,7 @@
 use chervilshunt_model::{Class, Moment};
 
 use super::deployment::{SLOTS, Sizes};
-use super::metrics::{Report, millis};
+use super::metrics::{RunReport, millis};
 use super::scenario::{Scenario, Schedule};
 use super::workload::Trace;
 
@@ -28,7 +28,7 @@
 
 /// Writes the bound to `report`.
 pub(crate) fn fill(
-    report: &mut Report,
+    report: &mut RunReport,
     sizes: &Sizes,
     scenario: Scenario,
     schedule: &Schedule,
--- a/crates/chervilshunt_bench/src/policy/informed.rs
+++ b/crates/chervilshunt_bench/src/policy/informed.rs
@@ -8,7 +8,7 @@
 use chervilshunt_model::Class;
 
 use super::deployment::{SLOTS, Sizes};
-use super::metrics::{Report, millis};
+use super::metrics::{RunReport, millis};
 use super::scenario::Schedule;
 use super::workload::Trace;
 
@@ -17,7 +17,7 @@
     stalled_ms_total if each takes one undisturbed load";
 
 /// Writes the bound to `report`.
-pub(crate) fn fill(report: &mut Report, sizes: &Sizes, schedule: &Schedule, trace: &Trace) {
+pub(crate) fn fill(report: &mut RunReport, sizes: &Sizes, schedule: &Schedule, trace: &Trace) {
     let slots = sizes.engines as u32 * SLOTS;
     for req in trace.requests.iter().filter(|req| req.at >= schedule.warm) {
         report.requests += u64::from(req.adapter.is_some());
--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -17,7 +17,7 @@
 
 /// Result of one run; values that do not apply to the policy are `null`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Report {
+pub struct RunReport {
     /// Name of the deployment.
     pub deployment: &'static str,
     /// Name of the policy.
@@ -144,7 +144,7 @@
     pub(crate) refused: BTreeMap<&'static str, u64>,
 }
 
-impl Report {
+impl RunReport {
     /// Fills in the values derived from the requests, counters and power meter of a run.
     ///
     /// Requests that arrived before `time` are ignored; its end is the end of the run.
--- a/crates/chervilshunt_bench/src/policy/mod.rs
+++ b/crates/chervilshunt_bench/src/policy/mod.rs
@@ -31,7 +31,7 @@
 pub use args::{PolicyError, run};
 pub use comparison::{Comparison, Table};
 pub use deployment::DeploymentKind;
-pub use metrics::{ClassReport, Report};
+pub use metrics::{ClassReport, RunReport};
 pub use run::{Mechanism, Policy, RunSpec, run_policy, run_timeline};
 pub use scenario::Scenario;
 pub use summary::{Matrix, Row};
--- a/crates/chervilshunt_bench/src/policy/run.rs
+++ b/crates/chervilshunt_bench/src/policy/run.rs
@@ -5,7 +5,7 @@
 use super::baseline::{Baseline, Choice};
 use super::core_policy::CorePolicy;
 use super::deployment::{DeploymentKind, Sizes};
-use super::metrics::Report;
+use super::metrics::RunReport;
 use super::scenario::{Scenario, Schedule};
 use super::workload::Trace;
 use super::world::World;
@@ -127,23 +127,23 @@
 }
 
 /// Runs one policy in virtual time.
-pub fn run_policy(spec: RunSpec) -> Report {
+pub fn run_policy(spec: RunSpec) -> RunReport {
     run_timeline(spec).0
 }
 
 /// Runs one policy in virtual time and tells also what happened in each minute, as
 /// comma-separated values; a bound has none.
-pub fn run_timeline(spec: RunSpec) -> (Report, String) {
+pub fn run_timeline(spec: RunSpec) -> (RunReport, String) {
     let seconds = spec.seconds.unwrap_or(spec.scenario.usual_seconds());
     let schedule = Schedule::new(seconds);
-    let mut report = Report {
+    let mut report = RunReport {
         deployment: spec.deployment.as_str(),
         policy: spec.policy.as_str(),
         scenario: spec.scenario.as_str(),
         seed: spec.seed,
         seconds,
         load: spec.load,
-        ..Report::default()
+        ..RunReport::default()
     };
     let timeline = match spec.policy {
         Policy::Chervilshunt => run_core(spec, schedule, Mechanisms::default(), &mut report),
@@ -171,7 +171,7 @@
     spec: RunSpec,
     schedule: Schedule,
     mechanisms: Mechanisms,
-    report: &mut Report,
+    report: &mut RunReport,
 ) -> String {
     let mut world = World::new(spec.sizes(), spec.scenario, schedule, spec.seed);
     let mut policy = CorePolicy::new(&mut world, mechanisms, spec.seed);
@@ -180,7 +180,12 @@
     world.timeline()
 }
 
-fn run_baseline(spec: RunSpec, schedule: Schedule, choice: Choice, report: &mut Report) -> String {
+fn run_baseline(
+    spec: RunSpec,
+    schedule: Schedule,
+    choice: Choice,
+    report: &mut RunReport,
+) -> String {
     let mut world = World::new(spec.sizes(), spec.scenario, schedule, spec.seed);
     let mut policy = Baseline::new(&world, choice);
     world.run(|world, input| policy.handle(world, input));
--- a/crates/chervilshunt_bench/src/policy/summary.rs
+++ b/crates/chervilshunt_bench/src/policy/summary.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::deployment::DeploymentKind;
-use super::metrics::Report;
+use super::metrics::RunReport;
 use super::run::{Policy, RunSpec, run_policy};
 use super::scenario::Scenario;
 
@@ -100,7 +100,7 @@
         groups
     }
 
-    fn reports(&self, groups: &[(DeploymentKind, Scenario, Policy)]) -> Vec<Report> {
+    fn reports(&self, groups: &[(DeploymentKind, Scenario, Policy)]) -> Vec<RunReport> {
         let specs: Vec<RunSpec> = groups
             .iter()
             .flat_map(|(deployment, scenario, policy)| {
@@ -137,14 +137,14 @@
 
 impl Row {
     /// Sums up the reports of all seeds.
-    fn new(reports: &[Report]) -> Self {
+    fn new(reports: &[RunReport]) -> Self {
         let first = &reports[0];
-        let of = |value: fn(&Report) -> f64| median(reports.iter().map(value).collect());
-        let maybe = |value: fn(&Report) -> Option<f64>| {
+        let of = |value: fn(&RunReport) -> f64| median(reports.iter().map(value).collect());
+        let maybe = |value: fn(&RunReport) -> Option<f64>| {
             let values: Option<Vec<f64>> = reports.iter().map(value).collect();
             values.map(median)
         };
-        let sum = |value: fn(&Report) -> Option<u64>| reports.iter().filter_map(value).sum();
+        let sum = |value: fn(&RunReport) -> Option<u64>| reports.iter().filter_map(value).sum();
         Self {
             deployment: first.deployment.to_owned(),
             scenario: first.scenario.to_owned(),
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -8,7 +8,7 @@
 
 use super::deployment::{PLAIN_BATCH, Sizes};
 use super::engine::{Engine, EngineRefusal};
-use super::metrics::{Counters, Report};
+use super::metrics::{Counters, RunReport};
 use super::power::PowerMeter;
 use super::queue::EventQueue;
 use super::requests::{Phase, Requests};
@@ -147,7 +147,7 @@
     }
 
     /// Writes what was measured into a report.
-    pub(crate) fn report(&self, report: &mut Report) {
+    pub(crate) fn report(&self, report: &mut RunReport) {
         let (warm, stop) = (self.schedule.warm, self.schedule.stop);
         let measured = (&self.trace, &self.requests);
         report.fill(measured, &self.counters, &self.meter, warm..stop);
--- a/crates/chervilshunt_bench/tests/policy/main.rs
+++ b/crates/chervilshunt_bench/tests/policy/main.rs
@@ -3,13 +3,15 @@
 mod ratios;
 mod table;
 
-use chervilshunt_bench::policy::{DeploymentKind, Policy, Report, RunSpec, Scenario, run_policy};
+use chervilshunt_bench::policy::{
+    DeploymentKind, Policy, RunReport, RunSpec, Scenario, run_policy,
+};
 use rstest::rstest;
 
 /// Virtual seconds of a short run; the first fifth warms up.
 const SHORT_SECONDS: u64 = 200;
 
-fn run(deployment: DeploymentKind, policy: Policy, scenario: Scenario, seed: u64) -> Report {
+fn run(deployment: DeploymentKind, policy: Policy, scenario: Scenario, seed: u64) -> RunReport {
     run_policy(RunSpec {
         deployment,
         policy,
--- a/crates/chervilshunt_bench/tests/policy/ratios.rs
+++ b/crates/chervilshunt_bench/tests/policy/ratios.rs
@@ -6,7 +6,7 @@
 //! Measured figures are medians of seeds 21 to 23, those of the weights of seed 21.
 
 use chervilshunt_bench::policy::{
-    DeploymentKind, Mechanism, Policy, Report, RunSpec, Scenario, run_policy,
+    DeploymentKind, Mechanism, Policy, RunReport, RunSpec, Scenario, run_policy,
 };
 use chervilshunt_core::PolicyWeights;
 use rstest::rstest;
@@ -29,7 +29,7 @@
     deployment: DeploymentKind,
     policy: Policy,
     weights: Option<PolicyWeights>,
-) -> impl Iterator<Item = Report> {
+) -> impl Iterator<Item = RunReport> {
     SEEDS.into_iter().map(move |seed| {
         run_policy(RunSpec {
             deployment,
