--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -9,7 +9,7 @@
 use chervilshunt_model::Moment;
 
 use super::deployment::{IDLE_WATTS, MAX_BATCH, PLAIN_BATCH, SLOTS, WATTS_PER_SEQUENCE};
-use super::engine::Engine;
+use super::engine::SimulatedEngine;
 use super::requests::Phase;
 use super::world::{DELAY, Input, Notice, World};
 
@@ -363,7 +363,7 @@
 }
 
 fn is_ready(world: &World<BaselineEvent>, target: usize, request: u32) -> bool {
-    let engine: Option<&Engine> = world.engines.get(target);
+    let engine: Option<&SimulatedEngine> = world.engines.get(target);
     match (engine, world.req(request).adapter) {
         (Some(engine), Some(adapter)) => engine.holds(adapter),
         _ => true,
--- a/crates/chervilshunt_bench/src/policy/engine.rs
+++ b/crates/chervilshunt_bench/src/policy/engine.rs
@@ -16,7 +16,7 @@
 /// The engine has no knowledge of permits. It therefore checks independently that the policy never
 /// does what it must not do, such as unloading an adapter that serves a request.
 #[derive(Debug, Default)]
-pub(crate) struct Engine {
+pub(crate) struct SimulatedEngine {
     slots: BTreeMap<u32, Slot>,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
@@ -80,7 +80,7 @@
     pub(crate) finished: Vec<u32>,
 }
 
-impl Engine {
+impl SimulatedEngine {
     /// Queues a call, behind waiting calls of the same or a more urgent class.
     ///
     /// Calls join the batch when a step begins, as far as it has room.
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::deployment::{PLAIN_BATCH, Sizes};
-use super::engine::{Engine, EngineRefusal};
+use super::engine::{EngineRefusal, SimulatedEngine};
 use super::metrics::{Counters, RunReport};
 use super::power::PowerMeter;
 use super::queue::EventQueue;
@@ -90,7 +90,7 @@
     pub(crate) now: Moment,
     pub(crate) sizes: Sizes,
     pub(crate) trace: Trace,
-    pub(crate) engines: Vec<Engine>,
+    pub(crate) engines: Vec<SimulatedEngine>,
     pub(crate) requests: Requests,
     pub(crate) counters: Counters,
     pub(crate) meter: PowerMeter,
@@ -108,7 +108,9 @@
         let trace = Trace::generate(&sizes, scenario, &schedule, seed);
         let mut world = Self {
             now: Moment::ZERO,
-            engines: (0..sizes.engines).map(|_| Engine::default()).collect(),
+            engines: (0..sizes.engines)
+                .map(|_| SimulatedEngine::default())
+                .collect(),
             requests: Requests::new(&trace),
             counters: Counters::default(),
             timeline: Timeline::default(),
@@ -177,7 +179,10 @@
     /// Opens a call to a target after one message delay.
     pub(crate) fn open_call(&mut self, target: usize, request: u32) {
         self.leave(request, Phase::Called);
-        let generation = self.engines.get(target).map_or(0, Engine::generation);
+        let generation = self
+            .engines
+            .get(target)
+            .map_or(0, SimulatedEngine::generation);
         let event = Event::CallArrives {
             engine: target,
             request,
@@ -315,7 +320,7 @@
             Event::LoadEnds(generation) => self.load_ends(generation),
             Event::Restart => self.stop_engines(),
             Event::Restarted => {
-                self.engines.iter_mut().for_each(Engine::start);
+                self.engines.iter_mut().for_each(SimulatedEngine::start);
                 vec![Notice::EnginesUp]
             }
             Event::Cap(watts) => {
