--- a/crates/chervilshunt_bench/src/policy/core_policy.rs
+++ b/crates/chervilshunt_bench/src/policy/core_policy.rs
@@ -63,7 +63,7 @@
     scheduler: LoadScheduler,
     allocator: PowerAllocator,
     entries: Entries,
-    names: Names,
+    names: NameIndex,
     /// Time of the scheduled wake-up of each component, so that none is scheduled twice.
     owner_wakes: Vec<Option<Moment>>,
     scheduler_wakes: Option<Moment>,
@@ -75,8 +75,8 @@
     rng: ChaCha8Rng,
 }
 
-/// Names that the core uses for targets, adapters and entry instances, with the simulator's indexes.
-pub(crate) struct Names {
+/// NameIndex that the core uses for targets, adapters and entry instances, with the simulator's indexes.
+pub(crate) struct NameIndex {
     pub(crate) targets: Vec<TargetName>,
     pub(crate) adapters: Vec<AdapterVersion>,
     pub(crate) entries: Vec<InstanceId>,
@@ -84,7 +84,7 @@
     adapter_index: HashMap<AdapterVersion, u32>,
 }
 
-impl Names {
+impl NameIndex {
     fn new(sizes: &Sizes) -> Self {
         let targets = sizes.target_names();
         let adapters = sizes.adapter_names();
@@ -109,7 +109,7 @@
 impl CorePolicy {
     pub(crate) fn new(world: &mut World<CoreEvent>, mechanisms: Mechanisms, seed: u64) -> Self {
         let sizes = world.sizes.clone();
-        let names = Names::new(&sizes);
+        let names = NameIndex::new(&sizes);
         let share = sizes.cap_watts() / sizes.engines as f64;
         let owners = (0..sizes.targets())
             .map(|i| Owner::new(owner_config(&sizes, &names, i, mechanisms), world.now))
@@ -444,7 +444,7 @@
 
 fn owner_config(
     sizes: &Sizes,
-    names: &Names,
+    names: &NameIndex,
     target: usize,
     mechanisms: Mechanisms,
 ) -> OwnerConfig {
--- a/crates/chervilshunt_bench/src/policy/entry.rs
+++ b/crates/chervilshunt_bench/src/policy/entry.rs
@@ -10,7 +10,7 @@
 };
 use chervilshunt_model::{AttemptId, CallerName, Class, Moment, TargetName};
 
-use super::core_policy::{CoreEvent, Names};
+use super::core_policy::{CoreEvent, NameIndex};
 use super::deployment::Sizes;
 use super::engine::EngineRefusal;
 use super::requests::Phase;
@@ -71,7 +71,7 @@
 }
 
 impl Entries {
-    pub(crate) fn new(sizes: &Sizes, names: &Names) -> Self {
+    pub(crate) fn new(sizes: &Sizes, names: &NameIndex) -> Self {
         let engines = &names.targets[..sizes.engines];
         let rank = |adapter| {
             let ranked = rank_targets(adapter, engines, engines.len());
@@ -91,7 +91,7 @@
     pub(crate) fn handle(
         &mut self,
         world: &mut World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         event: EntryEvent,
     ) {
         match event {
@@ -107,12 +107,22 @@
     }
 
     /// Begins the first attempt of a request.
-    pub(crate) fn arrived(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+    pub(crate) fn arrived(
+        &mut self,
+        world: &mut World<CoreEvent>,
+        names: &NameIndex,
+        request: u32,
+    ) {
         self.begin_attempt(world, names, request);
     }
 
     /// Cancels a request whose caller gave up.
-    pub(crate) fn gave_up(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+    pub(crate) fn gave_up(
+        &mut self,
+        world: &mut World<CoreEvent>,
+        names: &NameIndex,
+        request: u32,
+    ) {
         self.release(world, names, request, ReleaseOutcome::Cancelled);
         self.attempts.remove(&request);
     }
@@ -121,7 +131,7 @@
     pub(crate) fn finished(
         &mut self,
         world: &mut World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         _target: usize,
         request: u32,
     ) {
@@ -141,7 +151,7 @@
     pub(crate) fn call_failed(
         &mut self,
         world: &mut World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         _target: usize,
         request: u32,
         refusal: EngineRefusal,
@@ -158,7 +168,7 @@
     fn answered(
         &mut self,
         world: &mut World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         attempt: AttemptId,
         answer: PermitAnswer,
     ) {
@@ -224,7 +234,7 @@
         world.plan_policy(at, retry);
     }
 
-    fn begin_attempt(&mut self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+    fn begin_attempt(&mut self, world: &mut World<CoreEvent>, names: &NameIndex, request: u32) {
         let target = self.choose(world, request);
         let earlier = self.attempts.get(&request);
         let current = Attempt {
@@ -250,7 +260,7 @@
         fresh.map_or(self.ranks[adapter as usize][0], |hint| hint.home)
     }
 
-    fn request_permit(&self, world: &mut World<CoreEvent>, names: &Names, request: u32) {
+    fn request_permit(&self, world: &mut World<CoreEvent>, names: &NameIndex, request: u32) {
         let current = self.attempts[&request];
         world.assign(request, current.target);
         let req = world.req(request);
@@ -281,7 +291,7 @@
     fn release(
         &self,
         world: &mut World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         request: u32,
         outcome: ReleaseOutcome,
     ) {
@@ -305,7 +315,7 @@
     fn record_spread(
         &mut self,
         world: &World<CoreEvent>,
-        names: &Names,
+        names: &NameIndex,
         request: u32,
         spread: &[TargetName],
     ) {
