--- a/crates/chervilshunt_bench/src/policy/args.rs
+++ b/crates/chervilshunt_bench/src/policy/args.rs
@@ -114,20 +114,20 @@
 }
 
 /// Parser and list of the names that an option accepts.
-pub(crate) struct Names<T> {
+pub(crate) struct OptionNames<T> {
     parse: fn(&str) -> Option<T>,
     list: fn() -> Vec<&'static str>,
 }
 
-pub(crate) const DEPLOYMENTS: Names<DeploymentKind> = Names {
+pub(crate) const DEPLOYMENTS: OptionNames<DeploymentKind> = OptionNames {
     parse: DeploymentKind::parse,
     list: || DeploymentKind::ALL.map(DeploymentKind::as_str).to_vec(),
 };
-pub(crate) const POLICIES: Names<Policy> = Names {
+pub(crate) const POLICIES: OptionNames<Policy> = OptionNames {
     parse: Policy::parse,
     list: || Policy::ALL.map(Policy::as_str).to_vec(),
 };
-pub(crate) const SCENARIOS: Names<Scenario> = Names {
+pub(crate) const SCENARIOS: OptionNames<Scenario> = OptionNames {
     parse: Scenario::parse,
     list: || Scenario::ALL.map(Scenario::as_str).to_vec(),
 };
@@ -135,7 +135,7 @@
 fn name<T>(
     args: &mut lexopt::Parser,
     option: &'static str,
-    names: &Names<T>,
+    names: &OptionNames<T>,
 ) -> Result<T, PolicyError> {
     let value = text(args)?;
     names.find(option, &value)
@@ -158,7 +158,7 @@
 pub(crate) fn names<T>(
     args: &mut lexopt::Parser,
     option: &'static str,
-    names: &Names<T>,
+    names: &OptionNames<T>,
 ) -> Result<Vec<T>, PolicyError> {
     let value = text(args)?;
     value
@@ -196,7 +196,7 @@
     args.value().and_then(|v| v.string()).context(ArgsSnafu)
 }
 
-impl<T> Names<T> {
+impl<T> OptionNames<T> {
     fn find(&self, option: &'static str, value: &str) -> Result<T, PolicyError> {
         (self.parse)(value).context(UnknownSnafu {
             option,
