--- a/crates/chervilshunt_bench/src/policy/baseline.rs
+++ b/crates/chervilshunt_bench/src/policy/baseline.rs
@@ -15,7 +15,7 @@
 
 /// Rule by which a baseline chooses a target for a request to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Choice {
+pub(crate) enum PlacementRule {
     /// The target with the fewest outstanding requests among those that hold, load or have
     /// requested the adapter and have fewer than `MAX_BATCH` outstanding; if there is none, the
     /// engine with the fewest outstanding requests.
@@ -38,7 +38,7 @@
 /// Central dispatcher with FIFO queues and LRU eviction.
 #[derive(Debug)]
 pub(crate) struct Baseline {
-    choice: Choice,
+    choice: PlacementRule,
     targets: Vec<Target>,
     /// Queued loads as `(engine, adapter)`, in FIFO order.
     loads: VecDeque<(usize, u32)>,
@@ -70,7 +70,7 @@
 }
 
 impl Baseline {
-    pub(crate) fn new(world: &World<BaselineEvent>, choice: Choice) -> Self {
+    pub(crate) fn new(world: &World<BaselineEvent>, choice: PlacementRule) -> Self {
         let names = world.sizes.target_names();
         let engines = &names[..world.sizes.engines];
         let first = |adapter| {
@@ -147,9 +147,9 @@
         };
         let all = self.least_outstanding(request, 0..engines, |_| true);
         match self.choice {
-            Choice::Hash => self.hashed[adapter as usize],
-            Choice::LeastOutstanding => all,
-            Choice::Holders => {
+            PlacementRule::Hash => self.hashed[adapter as usize],
+            PlacementRule::LeastOutstanding => all,
+            PlacementRule::Holders => {
                 let has_room = |target: usize| {
                     let held = world.engines[target].occupies(adapter);
                     let requested = self.targets[target].load_requested(adapter);
--- a/crates/chervilshunt_bench/src/policy/run.rs
+++ b/crates/chervilshunt_bench/src/policy/run.rs
@@ -2,7 +2,7 @@
 
 use chervilshunt_core::{Mechanisms, PolicyWeights};
 
-use super::baseline::{Baseline, Choice};
+use super::baseline::{Baseline, PlacementRule};
 use super::core_policy::CorePolicy;
 use super::deployment::{DeploymentKind, Sizes};
 use super::metrics::RunReport;
@@ -148,11 +148,11 @@
     let timeline = match spec.policy {
         Policy::Chervilshunt => run_core(spec, schedule, Mechanisms::default(), &mut report),
         Policy::Without(mechanism) => run_core(spec, schedule, without(mechanism), &mut report),
-        Policy::Lru => run_baseline(spec, schedule, Choice::Holders, &mut report),
+        Policy::Lru => run_baseline(spec, schedule, PlacementRule::Holders, &mut report),
         Policy::LeastOutstanding => {
-            run_baseline(spec, schedule, Choice::LeastOutstanding, &mut report)
+            run_baseline(spec, schedule, PlacementRule::LeastOutstanding, &mut report)
         }
-        Policy::Static => run_baseline(spec, schedule, Choice::Hash, &mut report),
+        Policy::Static => run_baseline(spec, schedule, PlacementRule::Hash, &mut report),
         Policy::Clairvoyant | Policy::Informed => {
             let sizes = spec.sizes();
             let trace = Trace::generate(&sizes, spec.scenario, &schedule, spec.seed);
@@ -183,7 +183,7 @@
 fn run_baseline(
     spec: RunSpec,
     schedule: Schedule,
-    choice: Choice,
+    choice: PlacementRule,
     report: &mut RunReport,
 ) -> String {
     let mut world = World::new(spec.sizes(), spec.scenario, schedule, spec.seed);
