--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -128,9 +128,9 @@
     pub expired_stalled_ms_total: f64,
 }
 
-/// Counters updated during a run.
+/// RunCounters updated during a run.
 #[derive(Debug, Default)]
-pub(crate) struct Counters {
+pub(crate) struct RunCounters {
     pub(crate) live_failed: u64,
     pub(crate) deferrable_failed: u64,
     pub(crate) deferrable_done: u64,
@@ -151,7 +151,7 @@
     pub(crate) fn fill(
         &mut self,
         (trace, requests): (&Trace, &Requests),
-        counters: &Counters,
+        counters: &RunCounters,
         meter: &PowerMeter,
         time: Range<Moment>,
     ) {
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -8,7 +8,7 @@
 
 use super::deployment::{PLAIN_BATCH, Sizes};
 use super::engine::{EngineRefusal, SimulatedEngine};
-use super::metrics::{Counters, RunReport};
+use super::metrics::{RunCounters, RunReport};
 use super::power::PowerMeter;
 use super::queue::EventQueue;
 use super::requests::{Phase, Requests};
@@ -92,7 +92,7 @@
     pub(crate) trace: Trace,
     pub(crate) engines: Vec<SimulatedEngine>,
     pub(crate) requests: Requests,
-    pub(crate) counters: Counters,
+    pub(crate) counters: RunCounters,
     pub(crate) meter: PowerMeter,
     timeline: Timeline,
     plain_running: Vec<u32>,
@@ -112,7 +112,7 @@
                 .map(|_| SimulatedEngine::default())
                 .collect(),
             requests: Requests::new(&trace),
-            counters: Counters::default(),
+            counters: RunCounters::default(),
             timeline: Timeline::default(),
             meter: PowerMeter::new(sizes.engines, sizes.cap_watts()),
             plain_running: vec![0; sizes.plain_targets],
