--- a/crates/chervilshunt_bench/src/plot/chart.rs
+++ b/crates/chervilshunt_bench/src/plot/chart.rs
@@ -5,7 +5,7 @@
 use plotters::prelude::*;
 
 use super::figure::{Figure, Scale};
-use crate::policy::{Row, Table};
+use crate::policy::{ResultsTable, Row};
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (1_100, 560);
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Fails if a bar or a label can't be drawn.
-pub fn draw(table: &Table, deployment: &str, figure: Figure) -> Result<String, String> {
+pub fn draw(table: &ResultsTable, deployment: &str, figure: Figure) -> Result<String, String> {
     let rows: Vec<&Row> = table
         .rows
         .iter()
--- a/crates/chervilshunt_bench/src/plot/command.rs
+++ b/crates/chervilshunt_bench/src/plot/command.rs
@@ -9,7 +9,7 @@
 
 use super::chart::draw;
 use super::figure::Figure;
-use crate::policy::Table;
+use crate::policy::ResultsTable;
 
 /// Why nothing was drawn.
 #[derive(Debug, Snafu)]
@@ -67,12 +67,12 @@
     let path = table.context(MissingSnafu { option: "table" })?;
     let out = out.context(MissingSnafu { option: "out" })?;
     let text = fs::read_to_string(&path).context(FileSnafu { path: &path })?;
-    let table: Table = serde_json::from_str(&text).context(TableSnafu { path })?;
+    let table: ResultsTable = serde_json::from_str(&text).context(TableSnafu { path })?;
     fs::create_dir_all(&out).context(FileSnafu { path: &out })?;
     draw_all(&table, &out)
 }
 
-fn draw_all(table: &Table, out: &Path) -> Result<(), PlotError> {
+fn draw_all(table: &ResultsTable, out: &Path) -> Result<(), PlotError> {
     let deployments: BTreeSet<&str> = table.rows.iter().map(|it| it.deployment.as_str()).collect();
     for deployment in deployments {
         for figure in Figure::ALL {
--- a/crates/chervilshunt_bench/src/policy/comparison.rs
+++ b/crates/chervilshunt_bench/src/policy/comparison.rs
@@ -10,7 +10,7 @@
 
 /// Results of a matrix of runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Table {
+pub struct ResultsTable {
     /// Seeds of the runs that the medians are taken over.
     pub seeds: Vec<u64>,
     /// Length of each run in simulated seconds; `None` if each scenario ran for its default length.
@@ -48,7 +48,7 @@
     pub joules_to_lru: Option<f64>,
 }
 
-impl Table {
+impl ResultsTable {
     /// Runs all simulations of the matrix and compares their results.
     pub fn new(matrix: &Matrix) -> Self {
         let rows = matrix.run();
--- a/crates/chervilshunt_bench/src/policy/mod.rs
+++ b/crates/chervilshunt_bench/src/policy/mod.rs
@@ -29,7 +29,7 @@
 
 pub use aims::{Aim, Limit};
 pub use args::{PolicyError, run};
-pub use comparison::{Comparison, Table};
+pub use comparison::{Comparison, ResultsTable};
 pub use deployment::DeploymentKind;
 pub use metrics::{ClassReport, RunReport};
 pub use run::{Mechanism, Policy, RunSpec, run_policy, run_timeline};
--- a/crates/chervilshunt_bench/src/policy/table.rs
+++ b/crates/chervilshunt_bench/src/policy/table.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use super::aims::Aim;
-use super::comparison::{Comparison, Table};
+use super::comparison::{Comparison, ResultsTable};
 use super::summary::Row;
 
 const HEAD: &str = "| policy | stalled s | /lru | /bound | tokens/step | /lru | live p99 ms | /lru \
@@ -16,7 +16,7 @@
     | --- | --- | --- | ---: | ---: | --- |\n";
 
 /// Renders a table as Markdown; rows of one deployment and scenario stand together.
-pub fn render(table: &Table) -> String {
+pub fn render(table: &ResultsTable) -> String {
     let mut text = format!("Medians of seeds {:?}\n\n{AIMS_HEAD}", table.seeds);
     for aim in &table.aims {
         aim_line(&mut text, aim);
--- a/crates/chervilshunt_bench/src/policy/table_args.rs
+++ b/crates/chervilshunt_bench/src/policy/table_args.rs
@@ -6,7 +6,7 @@
 use super::args::{
     ArgsSnafu, DEPLOYMENTS, POLICIES, PolicyError, SCENARIOS, WriteSnafu, names, number, seeds,
 };
-use super::comparison::Table;
+use super::comparison::ResultsTable;
 use super::deployment::DeploymentKind;
 use super::run::Policy;
 use super::scenario::Scenario;
@@ -49,7 +49,7 @@
             _ => return Err(arg.unexpected()).context(ArgsSnafu),
         }
     }
-    let table = Table::new(&matrix);
+    let table = ResultsTable::new(&matrix);
     if json {
         let text = serde_json::to_string_pretty(&table).context(WriteSnafu)?;
         println!("{text}");
--- a/crates/chervilshunt_bench/tests/policy/table.rs
+++ b/crates/chervilshunt_bench/tests/policy/table.rs
@@ -1,7 +1,7 @@
 //! Tests of whole tables and of what is drawn from them.
 
 use chervilshunt_bench::plot::{Figure, draw};
-use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, Scenario, Table, render};
+use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, ResultsTable, Scenario, render};
 
 const POLICIES: [Policy; 4] = [
     Policy::Chervilshunt,
@@ -25,7 +25,7 @@
 #[test]
 fn the_number_of_threads_does_not_matter() {
     let text = |jobs| {
-        let table = Table::new(&matrix(jobs));
+        let table = ResultsTable::new(&matrix(jobs));
         let json = serde_json::to_string(&table).expect("a table is plain data");
         (json, render(&table))
     };
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_table_says_which_aims_were_reached() {
-    let table = Table::new(&matrix(4));
+    let table = ResultsTable::new(&matrix(4));
 
     assert_eq!(table.rows.len(), 16);
     let flood = table
@@ -59,7 +59,7 @@
 fn an_aim_whose_baseline_is_missing_is_not_called_met() {
     let mut matrix = matrix(4);
     matrix.policies = vec![Policy::Chervilshunt];
-    let table = Table::new(&matrix);
+    let table = ResultsTable::new(&matrix);
 
     let over_lru = table
         .aims
@@ -76,7 +76,7 @@
 /// A plot names each policy that has the figure, each scenario, the quantity and the values of its axis.
 #[test]
 fn plots_hold_each_policy_and_scale() {
-    let table = Table::new(&matrix(4));
+    let table = ResultsTable::new(&matrix(4));
 
     for deployment in ["hollowell", "kolvand"] {
         for figure in Figure::ALL {
