--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -173,12 +173,12 @@
     }
 
     fn fill_waits(&mut self, trace: &Trace, requests: &Requests, time: Range<Moment>) {
-        let mut stalls = Sample::new();
-        let mut deferrable_stalls = Sample::new();
-        let mut live = Sample::new();
-        let mut others = Sample::new();
-        let mut plain = Sample::new();
-        let mut deferrable = Sample::new();
+        let mut stalls = DurationSample::new();
+        let mut deferrable_stalls = DurationSample::new();
+        let mut live = DurationSample::new();
+        let mut others = DurationSample::new();
+        let mut plain = DurationSample::new();
+        let mut deferrable = DurationSample::new();
         let mut deferrable_waiting = 0;
         let mut live_outcome = Outcome::default();
         let mut deferrable_outcome = Outcome::default();
@@ -270,12 +270,12 @@
 }
 
 /// Collection of durations, with their sum and quantiles.
-struct Sample {
+struct DurationSample {
     histogram: Histogram<u64>,
     total: Duration,
 }
 
-impl Sample {
+impl DurationSample {
     fn new() -> Self {
         Self {
             histogram: Histogram::new(DIGITS).expect("the number of digits is allowed"),
