--- a/crates/chervilshunt_bench/src/policy/metrics.rs
+++ b/crates/chervilshunt_bench/src/policy/metrics.rs
@@ -180,8 +180,8 @@
         let mut plain = DurationSample::new();
         let mut deferrable = DurationSample::new();
         let mut deferrable_waiting = 0;
-        let mut live_outcome = Outcome::default();
-        let mut deferrable_outcome = Outcome::default();
+        let mut live_outcome = ClassTotals::default();
+        let mut deferrable_outcome = ClassTotals::default();
         for (req, state) in trace.requests.iter().zip(requests.iter()) {
             if req.at < time.start {
                 continue;
@@ -230,7 +230,7 @@
 
 /// Counts and total durations of one class of requests.
 #[derive(Default)]
-struct Outcome {
+struct ClassTotals {
     counts: ClassReport,
     wait: Duration,
     refused_wait: Duration,
@@ -239,7 +239,7 @@
     expired_stalled: Duration,
 }
 
-impl Outcome {
+impl ClassTotals {
     fn add(&mut self, state: &RequestState, wait: Duration) {
         let counts = &mut self.counts;
         counts.requests += 1;
