--- a/crates/chervilshunt_bench/src/plot/command.rs
+++ b/crates/chervilshunt_bench/src/plot/command.rs
@@ -9,7 +9,7 @@
 
 use super::chart::draw;
 use super::quantity::Quantity;
-use crate::policy::Table;
+use crate::policy::ResultsTable;
 
 /// Error returned when the plots can't be drawn.
 #[derive(Debug, Snafu)]
@@ -68,12 +68,12 @@
     let path = table.context(MissingSnafu { option: "table" })?;
     let out = out.context(MissingSnafu { option: "out" })?;
     let text = fs::read_to_string(&path).context(FileSnafu { path: &path })?;
-    let table: Table = serde_json::from_str(&text).context(TableSnafu { path })?;
+    let table: ResultsTable = serde_json::from_str(&text).context(TableSnafu { path })?;
     fs::create_dir_all(&out).context(FileSnafu { path: &out })?;
     draw_all(&table, &out)
 }
 
-fn draw_all(table: &Table, out: &Path) -> Result<(), PlotError> {
+fn draw_all(table: &ResultsTable, out: &Path) -> Result<(), PlotError> {
     let deployments: BTreeSet<&str> = table.rows.iter().map(|it| it.deployment.as_str()).collect();
     for deployment in deployments {
         for quantity in Quantity::ALL {
--- a/crates/chervilshunt_bench/src/policy/run.rs
+++ b/crates/chervilshunt_bench/src/policy/run.rs
@@ -2,10 +2,10 @@
 
 use chervilshunt_core::{Mechanisms, PolicyWeights};
 
-use super::baseline::{Baseline, Choice};
+use super::baseline::{Baseline, PlacementRule};
 use super::core_policy::CorePolicy;
 use super::deployment::{DeploymentKind, Sizes};
-use super::metrics::Report;
+use super::metrics::RunReport;
 use super::scenario::{Scenario, Schedule};
 use super::workload::Trace;
 use super::world::World;
@@ -130,7 +130,7 @@
 }
 
 /// Runs one policy in virtual time and returns its report.
-pub fn run_policy(spec: RunSpec) -> Report {
+pub fn run_policy(spec: RunSpec) -> RunReport {
     run_timeline(spec).0
 }
 
@@ -138,26 +138,26 @@
 /// comma-separated values.
 ///
 /// The timeline of a bound is empty.
-pub fn run_timeline(spec: RunSpec) -> (Report, String) {
+pub fn run_timeline(spec: RunSpec) -> (RunReport, String) {
     let seconds = spec.seconds.unwrap_or(spec.scenario.default_seconds());
     let schedule = Schedule::new(seconds);
-    let mut report = Report {
+    let mut report = RunReport {
         deployment: spec.deployment.as_str(),
         policy: spec.policy.as_str(),
         scenario: spec.scenario.as_str(),
         seed: spec.seed,
         seconds,
         load: spec.load,
-        ..Report::default()
+        ..RunReport::default()
     };
     let timeline = match spec.policy {
         Policy::Chervilshunt => run_core(spec, schedule, Mechanisms::default(), &mut report),
         Policy::Without(mechanism) => run_core(spec, schedule, without(mechanism), &mut report),
-        Policy::Lru => run_baseline(spec, schedule, Choice::Holders, &mut report),
+        Policy::Lru => run_baseline(spec, schedule, PlacementRule::Holders, &mut report),
         Policy::LeastOutstanding => {
-            run_baseline(spec, schedule, Choice::LeastOutstanding, &mut report)
+            run_baseline(spec, schedule, PlacementRule::LeastOutstanding, &mut report)
         }
-        Policy::Static => run_baseline(spec, schedule, Choice::Hash, &mut report),
+        Policy::Static => run_baseline(spec, schedule, PlacementRule::Hash, &mut report),
         Policy::Clairvoyant | Policy::Informed => {
             let sizes = spec.sizes();
             let trace = Trace::generate(&sizes, spec.scenario, &schedule, spec.seed);
@@ -176,7 +176,7 @@
     spec: RunSpec,
     schedule: Schedule,
     mechanisms: Mechanisms,
-    report: &mut Report,
+    report: &mut RunReport,
 ) -> String {
     let mut world = World::new(spec.sizes(), spec.scenario, schedule, spec.seed);
     let mut policy = CorePolicy::new(&mut world, mechanisms, spec.seed);
@@ -185,7 +185,12 @@
     world.timeline()
 }
 
-fn run_baseline(spec: RunSpec, schedule: Schedule, choice: Choice, report: &mut Report) -> String {
+fn run_baseline(
+    spec: RunSpec,
+    schedule: Schedule,
+    choice: PlacementRule,
+    report: &mut RunReport,
+) -> String {
     let mut world = World::new(spec.sizes(), spec.scenario, schedule, spec.seed);
     let mut policy = Baseline::new(&world, choice);
     world.run(|world, input| policy.handle(world, input));
--- a/crates/chervilshunt_bench/src/policy/world.rs
+++ b/crates/chervilshunt_bench/src/policy/world.rs
@@ -7,8 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::deployment::{PLAIN_BATCH, Sizes};
-use super::engine::{Engine, EngineRefusal};
-use super::metrics::{Counters, Report};
+use super::engine::{EngineRefusal, SimulatedEngine};
+use super::metrics::{RunCounters, RunReport};
 use super::power::PowerMeter;
 use super::queue::EventQueue;
 use super::requests::{Phase, Requests};
@@ -91,9 +91,9 @@
     pub(crate) now: Moment,
     pub(crate) sizes: Sizes,
     pub(crate) trace: Trace,
-    pub(crate) engines: Vec<Engine>,
+    pub(crate) engines: Vec<SimulatedEngine>,
     pub(crate) requests: Requests,
-    pub(crate) counters: Counters,
+    pub(crate) counters: RunCounters,
     pub(crate) meter: PowerMeter,
     timeline: Timeline,
     plain_running: Vec<u32>,
@@ -109,9 +109,11 @@
         let trace = Trace::generate(&sizes, scenario, &schedule, seed);
         let mut world = Self {
             now: Moment::ZERO,
-            engines: (0..sizes.engines).map(|_| Engine::default()).collect(),
+            engines: (0..sizes.engines)
+                .map(|_| SimulatedEngine::default())
+                .collect(),
             requests: Requests::new(&trace),
-            counters: Counters::default(),
+            counters: RunCounters::default(),
             timeline: Timeline::default(),
             meter: PowerMeter::new(sizes.engines, sizes.cap_watts()),
             plain_running: vec![0; sizes.plain_targets],
@@ -148,7 +150,7 @@
     }
 
     /// Fills in a report with the measurements.
-    pub(crate) fn report(&self, report: &mut Report) {
+    pub(crate) fn report(&self, report: &mut RunReport) {
         let (warm, stop) = (self.schedule.warm_up_end, self.schedule.stop);
         let measured = (&self.trace, &self.requests);
         report.fill(measured, &self.counters, &self.meter, warm..stop);
@@ -178,7 +180,10 @@
     /// Opens a call to a target, which receives it after one message delay.
     pub(crate) fn open_call(&mut self, target: usize, request: u32) {
         self.leave(request, Phase::Sent);
-        let generation = self.engines.get(target).map_or(0, Engine::generation);
+        let generation = self
+            .engines
+            .get(target)
+            .map_or(0, SimulatedEngine::generation);
         let event = Event::CallArrives {
             engine: target,
             request,
@@ -324,7 +329,7 @@
             Event::LoadEnds(generation) => self.load_ends(generation),
             Event::Restart => self.stop_engines(),
             Event::Restarted => {
-                self.engines.iter_mut().for_each(Engine::start);
+                self.engines.iter_mut().for_each(SimulatedEngine::start);
                 vec![Notice::EnginesUp]
             }
             Event::Cap(watts) => {
--- a/crates/chervilshunt_bench/tests/policy/table.rs
+++ b/crates/chervilshunt_bench/tests/policy/table.rs
@@ -1,7 +1,7 @@
 //! Tests of complete tables and of the plots drawn from them.
 
 use chervilshunt_bench::plot::{Quantity, draw};
-use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, Scenario, Table, render};
+use chervilshunt_bench::policy::{DeploymentKind, Matrix, Policy, ResultsTable, Scenario, render};
 
 const POLICIES: [Policy; 4] = [
     Policy::Chervilshunt,
@@ -25,7 +25,7 @@
 #[test]
 fn table_does_not_depend_on_the_number_of_threads() {
     let text = |jobs| {
-        let table = Table::new(&matrix(jobs));
+        let table = ResultsTable::new(&matrix(jobs));
         let json = serde_json::to_string(&table).expect("a table is plain data");
         (json, render(&table))
     };
@@ -34,7 +34,7 @@
 
 #[test]
 fn table_reports_which_aims_were_met() {
-    let table = Table::new(&matrix(4));
+    let table = ResultsTable::new(&matrix(4));
 
     assert_eq!(table.rows.len(), 16);
     let flood = table
@@ -59,7 +59,7 @@
 fn aim_without_a_baseline_is_reported_as_not_run() {
     let mut matrix = matrix(4);
     matrix.policies = vec![Policy::Chervilshunt];
-    let table = Table::new(&matrix);
+    let table = ResultsTable::new(&matrix);
 
     let over_lru = table
         .aims
@@ -77,7 +77,7 @@
 /// of the axis.
 #[test]
 fn plots_show_each_policy_and_the_axis() {
-    let table = Table::new(&matrix(4));
+    let table = ResultsTable::new(&matrix(4));
 
     for deployment in ["hollowell", "kolvand"] {
         for figure in Quantity::ALL {
